--- /dev/null
+++ b/src/wire/mod.rs
@@ -0,0 +1,16 @@
+//! The protocols' spellings; no other module knows them.
+
+mod cloud;
+mod state_service;
+mod user;
+mod worker;
+
+pub use cloud::{Listed, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
+pub use state_service::{
+    Change, Changes, Grant, Item, Page, Revision, commit_body, delete, grant_body, guard, put, store,
+};
+pub use user::{MAX_TASKS, Malformed, is_job_id, job_answer, parse_submission};
+pub use worker::{DO_PATH, Order, Report, ReportedTask, direct, orders, redirect};
+
+#[cfg(test)]
+pub mod tests;
--- /dev/null
+++ b/src/wire/state_service.rs
@@ -0,0 +1,140 @@
+//! Messages between the service and the state service: keys, changes, commits and grants.
+
+use serde::Deserialize;
+use serde_json::{Value, json};
+
+/// A key of the state service.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Item {
+    #[serde(rename = "path")]
+    pub key: String,
+    #[serde(rename = "data")]
+    pub value: Value,
+    #[serde(rename = "stamp")]
+    pub version: u64,
+}
+
+/// A page of a list of keys.
+#[derive(Deserialize)]
+pub struct Page {
+    pub items: Vec<Item>,
+    #[serde(default)]
+    pub more: bool,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+}
+
+/// One change that a watch reports: the key, and its value unless deleted.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Change {
+    #[serde(default)]
+    put: Option<String>,
+    #[serde(default)]
+    delete: Option<String>,
+    #[serde(default, rename = "data")]
+    pub value: Option<Value>,
+    #[serde(rename = "stamp")]
+    pub version: u64,
+}
+
+impl Change {
+    /// The key that changed.
+    pub fn key(&self) -> &str {
+        self.put.as_deref().or(self.delete.as_deref()).unwrap_or("")
+    }
+
+    /// True if the key is gone.
+    pub fn deleted(&self) -> bool {
+        self.put.is_none()
+    }
+}
+
+/// The changes that a watch reports, and the revision up to which they go.
+#[derive(Deserialize)]
+pub struct Changes {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+    #[serde(default, rename = "log")]
+    pub events: Vec<Change>,
+}
+
+/// The answer to a commit, or about a key that is not there.
+#[derive(Deserialize)]
+pub struct Revision {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+    #[serde(default)]
+    pub failed: Vec<String>,
+}
+
+/// The answer to a request for a grant.
+#[derive(Deserialize)]
+pub struct Grant {
+    #[serde(rename = "grant")]
+    pub id: u64,
+}
+
+/// A condition of a commit: the version that a key must have; 0 if it must not exist.
+pub fn guard(key: &str, version: u64) -> Value {
+    json!({ "path": key, "stamp": version })
+}
+
+/// A write of a commit; with a grant, the key ends with it.
+pub fn put(key: &str, value: &Value, grant: Option<u64>) -> Value {
+    match grant {
+        Some(g) => json!({ "put": key, "data": value, "grant": g }),
+        None => json!({ "put": key, "data": value }),
+    }
+}
+
+/// A deletion of a commit.
+pub fn delete(key: &str) -> Value {
+    json!({ "delete": key })
+}
+
+/// The body of a commit.
+pub fn commit_body(guards: &[Value], apply: &[Value]) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "guards": guards, "apply": apply })).unwrap_or_default()
+}
+
+/// The body of a request for a grant, or for its extension.
+pub fn grant_body(life_ms: u64) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "life_ms": life_ms })).unwrap_or_default()
+}
+
+/// Paths of the state service.
+pub mod store {
+    /// Commits are posted here.
+    pub const COMMIT: &str = "/commit";
+    /// New grants are asked for here.
+    pub const GRANTS: &str = "/grants";
+
+    /// One key.
+    pub fn key(key: &str) -> String {
+        format!("/store/{key}")
+    }
+
+    /// A page of the keys with a prefix.
+    pub fn page(prefix: &str, after: &str, most: usize) -> String {
+        if after.is_empty() {
+            format!("/store?under={prefix}&most={most}")
+        } else {
+            format!("/store?under={prefix}&from={after}&most={most}")
+        }
+    }
+
+    /// The changes under a prefix after a revision.
+    pub fn changes(prefix: &str, after: u64, wait_ms: u64) -> String {
+        format!("/changes?under={prefix}&from={after}&hold_ms={wait_ms}")
+    }
+
+    /// The extension of a grant.
+    pub fn extend(grant: u64) -> String {
+        format!("/grants/{grant}/extend")
+    }
+
+    /// One grant.
+    pub fn grant(grant: u64) -> String {
+        format!("/grants/{grant}")
+    }
+}
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::{ReportedTask, parse_submission};
+use crate::model::Shape;
+use serde_json::{Value, json};
 
 pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> ReportedTask {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
--- /dev/null
+++ b/src/wire/worker.rs
@@ -0,0 +1,162 @@
+//! Messages between workers and the service: reports, orders and direct commands.
+
+use crate::model::{Copy, ExitReason, TaskPhase};
+use serde::{Deserialize, Serialize};
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+
+/// A worker's report.
+#[derive(Debug, Clone, Deserialize)]
+pub struct Report {
+    pub host: String,
+    pub addr: SocketAddr,
+    pub flavor: String,
+    #[serde(rename = "region")]
+    pub zone: String,
+    #[serde(default, rename = "preemptible")]
+    pub spot: bool,
+    pub tenure: u64,
+    pub serial: u64,
+    #[serde(default)]
+    pub fence: u64,
+    #[serde(default)]
+    pub warning_s: Option<f64>,
+    #[serde(default, rename = "shards")]
+    pub tasks: Vec<ReportedTask>,
+}
+
+/// A task of a report.
+#[derive(Debug, Clone, Deserialize)]
+pub struct ReportedTask {
+    #[serde(rename = "shard")]
+    pub task: String,
+    #[serde(rename = "try_no")]
+    pub attempt: u64,
+    phase: WirePhase,
+    #[serde(default)]
+    exit_reason: Option<WireReason>,
+    #[serde(default)]
+    stored: bool,
+}
+
+#[derive(Debug, Clone, Copy, Deserialize)]
+#[serde(rename_all = "snake_case")]
+enum WirePhase {
+    Fetching,
+    Gathering,
+    Running,
+    Flushing,
+    Ended,
+    #[serde(other)]
+    Unknown,
+}
+
+#[derive(Debug, Clone, Copy, Deserialize)]
+#[serde(rename_all = "snake_case")]
+enum WireReason {
+    Done,
+    Halted,
+    MatesGone,
+    Incomplete,
+    Error,
+    NoRoom,
+    InUse,
+    NoSuch,
+    #[serde(other)]
+    Unknown,
+}
+
+impl ReportedTask {
+    /// How far the task is; an unknown phase counts as running.
+    pub fn phase(&self) -> TaskPhase {
+        match self.phase {
+            WirePhase::Fetching => TaskPhase::Fetching,
+            WirePhase::Gathering => TaskPhase::Gathering,
+            WirePhase::Running | WirePhase::Unknown => TaskPhase::Running,
+            WirePhase::Flushing => TaskPhase::Saving,
+            WirePhase::Ended => TaskPhase::Ended(match self.exit_reason {
+                Some(WireReason::Done) => ExitReason::Done,
+                Some(WireReason::Halted) => ExitReason::Stopped { saved: self.stored },
+                Some(WireReason::MatesGone) => ExitReason::MatesGone,
+                Some(WireReason::Incomplete) => ExitReason::Incomplete,
+                Some(WireReason::NoRoom) => ExitReason::NoRoom,
+                Some(WireReason::InUse) => ExitReason::InUse,
+                Some(WireReason::NoSuch) => ExitReason::NoSuch,
+                Some(WireReason::Error | WireReason::Unknown) | None => ExitReason::Error,
+            }),
+        }
+    }
+
+    /// Job id and task number.
+    pub fn key(&self) -> Option<(&str, u32)> {
+        let (job, n) = self.task.rsplit_once('/')?;
+        Some((job, n.parse().ok()?))
+    }
+}
+
+/// An order to a worker.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+#[serde(tag = "verb", rename_all = "snake_case")]
+pub enum Order {
+    /// Start an attempt of a task.
+    Run {
+        #[serde(rename = "shard")]
+        task: String,
+        #[serde(rename = "try_no")]
+        attempt: u64,
+    },
+    /// End an attempt, with time to save its state.
+    Stop {
+        #[serde(rename = "shard")]
+        task: String,
+        #[serde(rename = "try_no")]
+        attempt: u64,
+        #[serde(rename = "drain_s")]
+        grace_s: f64,
+    },
+    /// Forget an attempt that has ended.
+    Reap {
+        #[serde(rename = "shard")]
+        task: String,
+        #[serde(rename = "try_no")]
+        attempt: u64,
+    },
+}
+
+impl Order {
+    /// The order to start a copy of a task.
+    pub fn run(job: &str, c: &Copy) -> Order {
+        Order::Run { task: format!("{job}/{}", c.key.task), attempt: c.attempt }
+    }
+
+    /// The order to stop a copy of a task.
+    pub fn stop(job: &str, c: &Copy, grace_s: f64) -> Order {
+        Order::Stop { task: format!("{job}/{}", c.key.task), attempt: c.attempt, grace_s }
+    }
+
+    /// The order to forget a copy of a task.
+    pub fn reap(job: &str, c: &Copy) -> Order {
+        Order::Reap { task: format!("{job}/{}", c.key.task), attempt: c.attempt }
+    }
+}
+
+/// The reply to a report.
+pub fn orders(term: u64, orders: &[Order]) -> Value {
+    json!({ "fence": term, "orders": orders })
+}
+
+/// The body of a direct command.
+pub fn direct(term: u64, tenure: u64, orders: &[Order]) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "fence": term, "tenure": tenure, "orders": orders })).unwrap_or_default()
+}
+
+/// The refusal of a report by a node that does not hold the machine's part.
+pub fn redirect(node: Option<&str>) -> Value {
+    match node {
+        Some(n) => json!({ "reports_to": n }),
+        None => json!({}),
+    }
+}
+
+/// The path of a direct command.
+pub const DO_PATH: &str = "/do";
