--- /dev/null
+++ b/src/http/client.rs
@@ -0,0 +1,107 @@
+//! The client.
+
+use super::framing::{parse_reply, read_message};
+use super::pool::Pool;
+use crate::net::{Net, Stream};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::time::{Instant, timeout_at};
+
+/// Why a call has no answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CallError {
+    /// The request never left: it will not be carried out.
+    NotSent,
+    /// The request may have been carried out, or may be later.
+    Unclear,
+}
+
+/// A client with a pool of idle connections.
+#[derive(Clone)]
+pub struct Client {
+    pub(super) idle: Arc<Mutex<Pool>>,
+    net: Net,
+}
+
+impl Default for Client {
+    /// For a few servers that are asked all the time.
+    fn default() -> Client {
+        Client::keeping(FEW)
+    }
+}
+
+/// Idle connections kept by a client of a few servers.
+pub const FEW: usize = 16;
+
+impl Client {
+    /// A client that keeps so many idle connections at the most.
+    pub fn keeping(most: usize) -> Client {
+        Client::on(&Net::default(), most)
+    }
+
+    /// The same over a given network.
+    pub fn on(net: &Net, most: usize) -> Client {
+        Client { idle: Arc::new(Mutex::new(Pool::new(most))), net: net.clone() }
+    }
+
+    /// Sends a request and returns the status and the body of the reply.
+    pub async fn call(
+        &self,
+        addr: SocketAddr,
+        method: &str,
+        path: &str,
+        body: Option<&[u8]>,
+        limit: Duration,
+    ) -> Result<(u16, Vec<u8>), CallError> {
+        let deadline = Instant::now() + limit;
+        let mut stream = self.connection(addr, deadline).await?;
+        let out = encode_request(addr, method, path, body);
+        match timeout_at(deadline, stream.write_all(&out)).await {
+            Ok(Ok(())) => {}
+            _ => return Err(CallError::Unclear),
+        }
+        let mut buf = Vec::new();
+        let Ok(Ok(reply)) = timeout_at(deadline, read_message(&mut stream, &mut buf, parse_reply)).await else {
+            return Err(CallError::Unclear);
+        };
+        if !reply.close
+            && buf.is_empty()
+            && let Ok(mut idle) = self.idle.lock()
+        {
+            idle.keep(addr, stream);
+        }
+        Ok((reply.head, reply.body))
+    }
+
+    /// An idle connection to the server, or a new one.
+    async fn connection(&self, addr: SocketAddr, deadline: Instant) -> Result<Box<dyn Stream>, CallError> {
+        let reused = self.idle.lock().ok().and_then(|mut p| p.take(addr));
+        match reused {
+            Some(s) if !s.is_closed() => Ok(s),
+            _ => match timeout_at(deadline, self.net.connect(addr)).await {
+                Ok(Ok(s)) => Ok(s),
+                _ => Err(CallError::NotSent),
+            },
+        }
+    }
+
+    /// Forgets the idle connections to a machine that is gone.
+    pub fn forget(&self, addr: SocketAddr) {
+        if let Ok(mut idle) = self.idle.lock() {
+            idle.forget(addr);
+        }
+    }
+}
+
+fn encode_request(addr: SocketAddr, method: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
+    let mut out = Vec::with_capacity(128 + body.map_or(0, <[u8]>::len));
+    out.extend_from_slice(format!("{method} {path} HTTP/1.1\r\nHost: {addr}\r\n").as_bytes());
+    if let Some(b) = body {
+        out.extend_from_slice(format!("Content-Type: application/json\r\nContent-Length: {}\r\n", b.len()).as_bytes());
+    }
+    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(body.unwrap_or(&[]));
+    out
+}
--- /dev/null
+++ b/src/http/message.rs
@@ -0,0 +1,68 @@
+//! Requests and responses.
+
+/// Most that a request's body may hold.
+pub const MAX_BODY: usize = 64 * 1024;
+pub(super) const TOO_LARGE: &str = "body: must be at most 64 KiB";
+
+/// A request that has arrived whole.
+#[derive(Debug)]
+pub struct Request {
+    pub method: String,
+    pub path: String,
+    pub body: Vec<u8>,
+}
+
+/// The answer to a request.
+#[derive(Debug, Clone)]
+pub struct Response {
+    pub status: u16,
+    pub body: Vec<u8>,
+    /// When the client should come back.
+    pub retry_after_s: Option<u64>,
+    /// The methods that the path has, if another was used.
+    pub allow: Option<&'static str>,
+    pub content_type: &'static str,
+}
+
+impl Response {
+    /// A response with a JSON body.
+    pub fn json(status: u16, value: &impl serde::Serialize) -> Response {
+        let body = serde_json::to_vec(value).unwrap_or_default();
+        Response { status, body, retry_after_s: None, allow: None, content_type: "application/json" }
+    }
+
+    /// A refusal with a message.
+    pub fn error(status: u16, message: &str) -> Response {
+        Response::json(status, &serde_json::json!({ "error": message }))
+    }
+
+    /// The holder works, and has more to do than it can now.
+    pub fn busy(message: &str, after_s: u64) -> Response {
+        Response { retry_after_s: Some(after_s), ..Response::error(429, message) }
+    }
+
+    /// What can't be served now is answered at once, with when to come back.
+    pub fn later(message: &str) -> Response {
+        Response { retry_after_s: Some(1), ..Response::error(503, message) }
+    }
+}
+
+/// The reason phrase of a status.
+pub(super) fn reason(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        201 => "Created",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        421 => "Misdirected Request",
+        422 => "Unprocessable Content",
+        429 => "Too Many Requests",
+        431 => "Request Header Fields Too Large",
+        501 => "Not Implemented",
+        503 => "Service Unavailable",
+        _ => "Status",
+    }
+}
--- /dev/null
+++ b/src/http/mod.rs
@@ -0,0 +1,15 @@
+//! A small HTTP/1.1 server and client on one shared framing.
+
+mod client;
+mod framing;
+mod idle;
+mod message;
+mod pool;
+mod server;
+
+pub use client::{CallError, Client, FEW};
+pub use message::{MAX_BODY, Request, Response};
+pub use server::serve;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/http/server.rs
@@ -0,0 +1,131 @@
+//! The server.
+
+use super::framing::{Message, READ_CHUNK, ReadError, parse_request, read_message};
+use super::idle::{Idle, Waits};
+use super::message::{Request, Response, TOO_LARGE, reason};
+use crate::net::{Listener, Stream};
+use std::future::Future;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::timeout;
+
+/// Pause before a connection is accepted again when no socket was free.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// An idle connection may wait this many times as long as a request may take to arrive.
+const IDLE_FACTOR: u32 = 30;
+
+/// Serves `listener` for ever. `patience` bounds how long a request may take
+/// to arrive; idle connections may stay until there are too many, when the one
+/// that waited longest goes: workers that were cut off leave theirs behind.
+pub async fn serve<H, F>(listener: impl Listener, max_open: usize, patience: Duration, handler: H)
+where
+    H: Fn(Request) -> F + Send + Sync + 'static,
+    F: Future<Output = Response> + Send + 'static,
+{
+    let handler = Arc::new(handler);
+    let open = Arc::new(AtomicUsize::new(0));
+    let idle = Arc::new(Mutex::new(Idle::default()));
+    loop {
+        let Ok(stream) = listener.accept().await else {
+            // No free socket: wait for one instead of spinning.
+            tokio::time::sleep(ACCEPT_RETRY).await;
+            continue;
+        };
+        if open.load(Ordering::Relaxed) >= max_open {
+            let Some((_, oldest)) = idle.lock().ok().and_then(|mut i| i.waiting.pop_first()) else {
+                drop(stream);
+                continue;
+            };
+            oldest.notify_one();
+        }
+        open.fetch_add(1, Ordering::Relaxed);
+        let (handler, open, idle) = (handler.clone(), open.clone(), idle.clone());
+        tokio::spawn(async move {
+            connection(stream, patience, &*handler, &idle).await;
+            open.fetch_sub(1, Ordering::Relaxed);
+        });
+    }
+}
+
+async fn connection<H, F>(mut stream: Box<dyn Stream>, patience: Duration, handler: &H, idle: &Mutex<Idle>)
+where
+    H: Fn(Request) -> F,
+    F: Future<Output = Response>,
+{
+    let mut buf = Vec::new();
+    loop {
+        if buf.is_empty() && !next_request_begins(&mut stream, &mut buf, patience, idle).await {
+            return;
+        }
+        let (reply, close) = match timeout(patience, read_message(&mut stream, &mut buf, parse_request)).await {
+            Ok(Ok(Message { head, body, close })) => {
+                (handler(Request { method: head.method, path: head.path, body }).await, close)
+            }
+            Ok(Err(ReadError::Refused(status))) => (refusal(status), true),
+            Ok(Err(ReadError::Closed)) => return,
+            Err(_) => (Response::error(408, "the request did not arrive in time"), true),
+        };
+        if timeout(patience, stream.write_all(&encode_reply(&reply, close))).await.is_err() || close {
+            return;
+        }
+    }
+}
+
+/// Waits for the next request, which may take long; false if the connection is to end.
+async fn next_request_begins(
+    stream: &mut Box<dyn Stream>,
+    buf: &mut Vec<u8>,
+    patience: Duration,
+    idle: &Mutex<Idle>,
+) -> bool {
+    let mut chunk = [0u8; READ_CHUNK];
+    let Some(waits) = Waits::enter(idle) else { return false };
+    tokio::select! {
+        biased;
+        read = timeout(patience * IDLE_FACTOR, stream.read(&mut chunk)) => match read {
+            Ok(Ok(n)) if n > 0 => {
+                buf.extend_from_slice(&chunk[..n]);
+                true
+            }
+            _ => false,
+        },
+        () = waits.asked_to_go.notified() => false,
+    }
+}
+
+/// The answer to a message that framing refuses.
+fn refusal(status: u16) -> Response {
+    match status {
+        // Not asked again: users repeat what gets any status but 400.
+        413 => Response::error(400, TOO_LARGE),
+        _ => Response::error(status, reason(status)),
+    }
+}
+
+fn encode_reply(r: &Response, close: bool) -> Vec<u8> {
+    let mut out = Vec::with_capacity(160 + r.body.len());
+    out.extend_from_slice(
+        format!(
+            "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
+            r.status,
+            reason(r.status),
+            r.content_type,
+            r.body.len()
+        )
+        .as_bytes(),
+    );
+    if let Some(s) = r.retry_after_s {
+        out.extend_from_slice(format!("Retry-After: {s}\r\n").as_bytes());
+    }
+    if let Some(a) = r.allow {
+        out.extend_from_slice(format!("Allow: {a}\r\n").as_bytes());
+    }
+    if close {
+        out.extend_from_slice(b"Connection: close\r\n");
+    }
+    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(&r.body);
+    out
+}
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,5 +1,10 @@
-use super::*;
+use super::framing::MAX_HEAD;
+use super::{CallError, Client, MAX_BODY, Request, Response, serve};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
 
 async fn server(patience_ms: u64) -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
