--- a/src/holder.rs
+++ b/src/holder.rs
@@ -486,7 +486,7 @@
             let (id, node, version, grant) = (self.id, self.settings.node.clone(), h.version, h.grant);
             tokio::spawn(async move {
                 let m = match membership::raise_term(&state, id, &node, version, grant).await {
-                    Ok(of_part) => Msg::Raised(n, Some(of_part)),
+                    Ok(raised) => Msg::Raised(n, Some((raised.term, raised.version))),
                     Err(CommitResult::Conflict { .. }) => look_at_part(&state, n, id, grant).await,
                     Err(_) => Msg::Raised(n, None),
                 };
--- /dev/null
+++ b/src/membership/entitlement.rs
@@ -0,0 +1,65 @@
+//! What the rest of the node reads of the rules' state, without a message.
+
+use super::rules::Rules;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Until when this node may act for a part, on the steady clock.
+#[derive(Debug, Clone, Default)]
+pub struct Entitlement(Arc<AtomicU64>);
+
+impl Entitlement {
+    /// True while this node may act for the part.
+    pub fn holds(&self, now: u64) -> bool {
+        now < self.0.load(Ordering::Relaxed)
+    }
+
+    /// This node may act until then, and no longer.
+    pub fn set(&self, until: u64) {
+        self.0.store(until, Ordering::Relaxed);
+    }
+}
+
+/// Whether leases may live on without the holder's doing, on the steady clock.
+///
+/// A controller that is bound by no promise may keep the tasks of workers alive
+/// that find nobody else (`api`). A holder counts on the end of a lease only for
+/// the time in which all other controllers were bound to it.
+#[derive(Debug, Clone, Default)]
+pub struct Bonds(Arc<BondState>);
+
+#[derive(Debug, Default)]
+struct BondState {
+    bound_until: AtomicU64,
+    gap_ms: AtomicU64,
+    all_bound_until: AtomicU64,
+    term: AtomicU64,
+}
+
+impl Bonds {
+    /// Until when this node is bound to leave leases to a holder.
+    pub fn bound_until(&self) -> u64 {
+        self.0.bound_until.load(Ordering::Relaxed)
+    }
+
+    /// As a holder: the last instant at which another controller may have been unbound.
+    pub fn unbound_ms(&self, now: u64) -> u64 {
+        let gap = self.0.gap_ms.load(Ordering::Relaxed);
+        let until = self.0.all_bound_until.load(Ordering::Relaxed);
+        if now <= until { gap } else { now }
+    }
+
+    /// The last term of the part that this node knows of; 0 if none.
+    pub fn term(&self) -> u64 {
+        self.0.term.load(Ordering::Relaxed)
+    }
+
+    /// Publishes what the rules say now.
+    pub(super) fn set(&self, rules: &Rules) {
+        let (gap_ms, all_bound_until) = rules.bound_to_us();
+        self.0.bound_until.store(rules.bound_until(), Ordering::Relaxed);
+        self.0.gap_ms.store(gap_ms, Ordering::Relaxed);
+        self.0.all_bound_until.store(all_bound_until, Ordering::Relaxed);
+        self.0.term.store(rules.last_term, Ordering::Relaxed);
+    }
+}
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::{Entitlement, PartRecord, Rules, Taken};
+use crate::clock;
+use std::time::Duration;
 
 const LIFE: u64 = 2500;
 
