--- a/src/api.rs
+++ b/src/api.rs
@@ -124,12 +124,12 @@
         let mut belongs = 0;
         for part in todo {
             let (tx, rx) = oneshot::channel();
-            let m = holder::Msg::Beat(Box::new(report.clone()), tx);
+            let m = holder::Msg::Beat { report: Box::new(report.clone()), reply: tx };
             if self.doors.parts[part as usize].holder.try_send(m).is_err() {
                 return Response::later("too many reports");
             }
             match rx.await {
-                Ok(BeatAnswer::Orders(term, orders)) => {
+                Ok(BeatAnswer::Orders { term, orders }) => {
                     if let Ok(mut p) = self.places.lock() {
                         remember(&mut p.hosts, &host, part);
                     }
--- a/src/doors.rs
+++ b/src/doors.rs
@@ -103,8 +103,8 @@
                 let r = self.local(part, call).await;
                 Reply::User { status: r.status, body: r.body, retry_after_s: r.retry_after_s }
             }
-            Ask::Needs(needs) => self.actor(0, |reply| holder::Msg::Needs(needs, reply)).await,
-            Ask::Give { part, host, to } => self.actor(part, |reply| holder::Msg::Give(host, to, reply)).await,
+            Ask::Needs(needs) => self.actor(0, |reply| holder::Msg::Needs { needs, reply }).await,
+            Ask::Give { part, host, to } => self.actor(part, |reply| holder::Msg::Give { host, to, reply }).await,
         }
     }
 
@@ -121,7 +121,7 @@
         let Some(door) = self.parts.get(part as usize) else { return Response::later("no such part") };
         let (tx, rx) = oneshot::channel();
         let submits = matches!(call, UserCall::Submit(_));
-        if door.holder.try_send(holder::Msg::User(call, tx)).is_err() {
+        if door.holder.try_send(holder::Msg::User { call, reply: tx }).is_err() {
             return Response::later("too many requests");
         }
         // A commit that takes longer is answered by the retry.
--- /dev/null
+++ b/src/holder/cloud_tasks.rs
@@ -0,0 +1,126 @@
+//! Operations of the cloud, and the watch of its machine types and its list.
+
+use super::actor::Holder;
+use super::load::FLAVORS_KEY;
+use super::messages::{SessionEvent, SessionSender};
+use super::tenure::Tenure;
+use crate::clients::{Cloud, RentResult, State};
+use crate::leader::CloudOp;
+use crate::model::Flavor;
+use crate::peer::Ask;
+use crate::sched::Rental;
+use crate::wire;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// The machine types are read in one of so many rounds of the watch.
+const ROUNDS_PER_FLAVORS: u32 = 8;
+
+impl Holder {
+    /// Starts an operation.
+    pub(super) fn cloud_op(&self, h: &mut Tenure, op: CloudOp) {
+        match op {
+            CloudOp::Rent { name, rental } => self.rent(h, name, rental),
+            CloudOp::Give { from, host, to } => {
+                let doors = self.doors.clone();
+                tokio::spawn(async move { doors.ask(from, Ask::Give { part: from, host, to }).await });
+            }
+            CloudOp::Release(hosts) => self.release(h, hosts),
+        }
+    }
+
+    fn rent(&self, h: &Tenure, name: String, rental: Rental) {
+        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
+        let flavor = h.part.world.flavors[rental.flavor].name.clone();
+        tokio::spawn(async move {
+            let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
+            if result == RentResult::Again {
+                sleep(pause).await;
+            }
+            sender.send(SessionEvent::Rented { name, result }).await;
+        });
+    }
+
+    fn release(&self, h: &mut Tenure, hosts: Vec<String>) {
+        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
+        for id in &hosts {
+            h.part.mark_releasing(id);
+        }
+        tokio::spawn(async move {
+            let confirmed = cloud.release(&hosts).await;
+            if !confirmed {
+                sleep(pause).await;
+            }
+            sender.send(SessionEvent::Released { hosts, confirmed }).await;
+        });
+    }
+
+    /// Pause before an operation that failed is started again.
+    fn cloud_pause(&self) -> Duration {
+        Duration::from_millis(self.settings.react_ms())
+    }
+
+    /// Takes in how a rental request ended.
+    pub(super) fn rented(&self, h: &mut Tenure, name: &str, result: RentResult, now: u64) {
+        if let Some(op) = h.leader.rented(name, result, now) {
+            self.cloud_op(h, op);
+        }
+    }
+
+    /// Takes in how a request to release machines ended.
+    pub(super) fn released(&self, h: &mut Tenure, hosts: Vec<String>, confirmed: bool) {
+        if !confirmed {
+            self.cloud_op(h, CloudOp::Release(hosts));
+            return;
+        }
+        h.leader.released(&hosts);
+        for id in &hosts {
+            if let Some(addr) = h.part.world.host_ix.get(id).and_then(|ix| h.part.world.host(*ix)?.addr) {
+                self.worker.forget(addr);
+            }
+            h.part.host_gone(id);
+        }
+    }
+
+    /// Reads the machine types and the list for as long as the session lasts.
+    pub(super) fn watch_cloud(&self, session: u64, known: Vec<Flavor>) {
+        let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(session));
+        let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
+        let leads = self.id == 0;
+        tokio::spawn(async move {
+            let mut known = known;
+            let mut round = 0u32;
+            loop {
+                if (round.is_multiple_of(ROUNDS_PER_FLAVORS) || known.is_empty())
+                    && !read_flavors(&cloud, &state, &sender, &mut known).await
+                {
+                    return;
+                }
+                if leads
+                    && let Some(list) = cloud.list().await
+                    && !sender.send(SessionEvent::Listed(list)).await
+                {
+                    return;
+                }
+                round += 1;
+                sleep(if known.is_empty() { pause / 4 } else { pause }).await;
+                // A later session starts its own.
+                if !sender.is_current() {
+                    return;
+                }
+            }
+        });
+    }
+}
+
+/// Reads the machine types and keeps them for a restart; false if the actor has ended.
+async fn read_flavors(cloud: &Cloud, state: &State, sender: &SessionSender, known: &mut Vec<Flavor>) -> bool {
+    let Some(flavors) = cloud.flavors().await else { return true };
+    if known.len() != flavors.len()
+        && let Ok(v) = serde_json::to_value(&flavors)
+    {
+        state.commit(&[], &[wire::put(FLAVORS_KEY, &v, None)]).await;
+    }
+    known.clone_from(&flavors);
+    sender.send(SessionEvent::Flavors(flavors)).await
+}
--- /dev/null
+++ b/src/holder/load.rs
@@ -0,0 +1,105 @@
+//! Reading the part's records from the state service.
+
+use super::actor::Holder;
+use super::messages::SessionEvent;
+use crate::clients::State;
+use crate::model::Flavor;
+use crate::part;
+use crate::wire::Item;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Key under which the machine types are kept for a restart in a cloud outage.
+pub const FLAVORS_KEY: &str = "flavors";
+
+/// What the state service holds at the start of a session.
+pub struct Loaded {
+    pub(super) jobs: Vec<Item>,
+    pub(super) hosts: Vec<Item>,
+    pub(super) flavors: Vec<Flavor>,
+}
+
+impl Loaded {
+    async fn read(state: &State) -> Option<Loaded> {
+        let jobs = state.list("job/").await.ok()?;
+        let hosts = state.list("host/").await.ok()?;
+        let flavors = state.get(FLAVORS_KEY).await.ok()?.0;
+        let flavors = flavors.and_then(|i| serde_json::from_value(i.value).ok()).unwrap_or_default();
+        Some(Loaded { jobs, hosts, flavors })
+    }
+}
+
+impl Holder {
+    /// Reads what the state service holds, until that succeeds or the session is over.
+    pub(super) fn load(&self, session: u64) {
+        let (state, sender) = (self.state.clone(), self.sender(session));
+        tokio::spawn(async move {
+            while sender.is_current() {
+                if let Some(loaded) = Loaded::read(&state).await {
+                    sender.send(SessionEvent::Loaded(loaded)).await;
+                    return;
+                }
+                sleep(state.pause()).await;
+            }
+        });
+    }
+
+    /// Reads records again that a commit found changed.
+    pub(super) fn reread(&self, session: u64, keys: Vec<String>) {
+        let (state, sender) = (self.state.clone(), self.sender(session));
+        tokio::spawn(async move {
+            let mut items = Vec::new();
+            for k in keys {
+                if let Ok((Some(i), _)) = state.get(&k).await {
+                    items.push(i);
+                }
+            }
+            sender.send(SessionEvent::Reread(items)).await;
+        });
+    }
+
+    /// Reads the record of a machine that may be another part's now.
+    pub(super) fn recheck(&self, session: u64, host: String) {
+        let (state, sender) = (self.state.clone(), self.sender(session));
+        tokio::spawn(async move {
+            if let Ok((item, _)) = state.get(&part::host_key(&host)).await {
+                let record = item.and_then(|i| serde_json::from_value(i.value).ok());
+                sender.send(SessionEvent::Rechecked { host, record }).await;
+            }
+        });
+    }
+
+    /// Reads the jobs that other nodes accept, for as long as the session lasts.
+    pub(super) fn watch_inbox(&self, session: u64) {
+        let (state, sender) = (self.state.clone(), self.sender(session));
+        let prefix = part::inbox_key(self.id, "");
+        let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
+        tokio::spawn(async move {
+            while sender.is_current() {
+                let round = async {
+                    let (_, revision) = state.get(&prefix).await.ok()?;
+                    let items = accepted_jobs(&state, &prefix).await?;
+                    let any = !items.is_empty();
+                    if !sender.send(SessionEvent::Inbox(items)).await {
+                        return None;
+                    }
+                    // What was read stays listed until it is deleted.
+                    if any { None } else { state.changes(&prefix, revision, wait_ms).await.ok() }
+                };
+                if round.await.is_none() {
+                    sleep(pause).await;
+                }
+            }
+        });
+    }
+}
+
+/// The records of the jobs that are listed under the prefix.
+async fn accepted_jobs(state: &State, prefix: &str) -> Option<Vec<Item>> {
+    let mut items = Vec::new();
+    for i in state.list(prefix).await.ok()? {
+        let id = i.key.strip_prefix(prefix)?;
+        items.extend(state.get(&part::job_key(id)).await.ok()?.0);
+    }
+    Some(items)
+}
--- /dev/null
+++ b/src/holder/messages.rs
@@ -0,0 +1,91 @@
+//! Messages to the actor of a part, and its answers.
+
+use super::load::Loaded;
+use crate::clients::RentResult;
+use crate::membership::RaisedTerm;
+use crate::model::{Flavor, HostRecord};
+use crate::part::{CommitResult, Direct, DirectResult, Waiter};
+use crate::peer::{Machines, Needs, Reply, UserCall};
+use crate::wire::{Item, Listed, Order, Report};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::sync::{mpsc, oneshot};
+
+/// Messages to the actor of a part.
+pub enum Msg {
+    /// A worker reports.
+    Beat { report: Box<Report>, reply: oneshot::Sender<BeatAnswer> },
+    /// A user asks.
+    User { call: UserCall, reply: Waiter },
+    /// Another part tells the leader which machines it needs.
+    Needs { needs: Needs, reply: oneshot::Sender<Reply> },
+    /// The leader asks that a machine be given to another part.
+    Give { host: String, to: u32, reply: oneshot::Sender<Reply> },
+    /// The figures of the part are asked for.
+    Metrics(oneshot::Sender<String>),
+    /// What a background task reports; dropped if its session is over.
+    Session { session: u64, event: SessionEvent },
+}
+
+/// What background tasks of a session report.
+pub enum SessionEvent {
+    /// The leader's answer: machines on their way here, and those that the cloud has refused.
+    Coming { coming: Vec<Machines>, refused: Vec<Machines> },
+    /// The record of a machine as the state service has it now.
+    Rechecked { host: String, record: Option<HostRecord> },
+    /// The part's records have been read.
+    Loaded(Loaded),
+    /// A direct command has ended.
+    DirectDone { command: Direct, result: DirectResult },
+    /// A commit has ended.
+    Committed(CommitResult),
+    /// Records that were read again after a conflict.
+    Reread(Vec<Item>),
+    /// Jobs that other nodes accepted.
+    Inbox(Vec<Item>),
+    /// The term was raised; none if that failed.
+    Raised(Option<RaisedTerm>),
+    /// The part has another holder, or none.
+    Superseded,
+    /// A rental request has ended.
+    Rented { name: String, result: RentResult },
+    /// A request to release machines has ended.
+    Released { hosts: Vec<String>, confirmed: bool },
+    /// The cloud's list of machines.
+    Listed(Vec<Listed>),
+    /// The cloud's machine types.
+    Flavors(Vec<Flavor>),
+}
+
+/// What becomes of a report.
+#[derive(Debug)]
+pub enum BeatAnswer {
+    /// The token and the orders.
+    Orders { term: u64, orders: Vec<Order> },
+    /// This node may not act for the machine now.
+    NotEntitled,
+    /// The machine belongs to that part.
+    Elsewhere(u32),
+    /// The machine is not this part's.
+    Unknown,
+}
+
+/// The way back to the actor for the background tasks of one session.
+#[derive(Clone)]
+pub(super) struct SessionSender {
+    pub(super) session: u64,
+    pub(super) tx: mpsc::Sender<Msg>,
+    pub(super) current: Arc<AtomicU64>,
+}
+
+impl SessionSender {
+    /// Reports to the actor; false if it has ended.
+    pub(super) async fn send(&self, event: SessionEvent) -> bool {
+        self.tx.send(Msg::Session { session: self.session, event }).await.is_ok()
+    }
+
+    /// True while the session is under way.
+    pub(super) fn is_current(&self) -> bool {
+        self.current.load(Ordering::Relaxed) == self.session
+    }
+}
