--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -7,20 +7,26 @@
 /// A request that has arrived whole.
 #[derive(Debug)]
 pub struct Request {
+    /// The method, as sent.
     pub method: String,
+    /// The path, as sent.
     pub path: String,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 /// The answer to a request.
 #[derive(Debug, Clone)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
     /// When the client should come back.
     pub retry_after_s: Option<u64>,
     /// The methods that the path has, if another was used.
     pub allow: Option<&'static str>,
+    /// The media type of the body.
     pub content_type: &'static str,
 }
 
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -48,8 +48,12 @@
 /// A part that was taken: its grant, its term and the version of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Taken {
+    /// The grant that the key is attached to.
     pub grant: u64,
+    /// The term of the part.
     pub term: u64,
+    /// The version of the part's key.
     pub version: u64,
+    /// Wall time at which the system began.
     pub start_ms: u64,
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -53,15 +53,20 @@
 /// A machine as the cloud lists it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 pub struct Listed {
+    /// Id of the machine.
     pub id: String,
+    /// Name of its machine type.
     #[serde(default)]
     pub flavor: String,
+    /// Where it stands.
     #[serde(default, rename = "region")]
     pub zone: String,
+    /// True if the cloud may take it back.
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
     #[serde(default)]
     phase: String,
+    /// Seconds since it was rented.
     #[serde(default, rename = "held_s")]
     pub age_s: f64,
 }
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -6,10 +6,13 @@
 /// A key of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Item {
+    /// The key.
     #[serde(rename = "path")]
     pub key: String,
+    /// Its value.
     #[serde(rename = "data")]
     pub value: Value,
+    /// The revision at which it was written last.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -17,9 +20,12 @@
 /// A page of a list of keys.
 #[derive(Deserialize)]
 pub struct Page {
+    /// The keys of the page.
     pub items: Vec<Item>,
+    /// True if further pages follow.
     #[serde(default)]
     pub more: bool,
+    /// The revision of the list.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -31,8 +37,10 @@
     put: Option<String>,
     #[serde(default)]
     delete: Option<String>,
+    /// The new value, unless the key is gone.
     #[serde(default, rename = "data")]
     pub value: Option<Value>,
+    /// The revision of the change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -52,8 +60,10 @@
 /// The changes that a watch reports, and the revision up to which they go.
 #[derive(Deserialize)]
 pub struct Changes {
+    /// The revision up to which the changes go.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// The changes.
     #[serde(default, rename = "log")]
     pub events: Vec<Change>,
 }
@@ -61,8 +71,10 @@
 /// The answer to a commit, or about a key that is not there.
 #[derive(Deserialize)]
 pub struct Revision {
+    /// The revision of the commit, or of the look.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// Keys whose guards failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -70,6 +82,7 @@
 /// The answer to a request for a grant.
 #[derive(Deserialize)]
 pub struct Grant {
+    /// Id of the grant.
     #[serde(rename = "grant")]
     pub id: u64,
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -8,19 +8,29 @@
 /// A worker's report.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Report {
+    /// Id of the machine.
     pub host: String,
+    /// Where it takes direct commands.
     pub addr: SocketAddr,
+    /// Name of its machine type.
     pub flavor: String,
+    /// Where it stands.
     #[serde(rename = "region")]
     pub zone: String,
+    /// True if the cloud may take it back.
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
+    /// The worker's session on the machine.
     pub tenure: u64,
+    /// Number of the report.
     pub serial: u64,
+    /// The latest token that the worker has seen.
     #[serde(default)]
     pub fence: u64,
+    /// Seconds until the cloud takes the machine back, if it has said so.
     #[serde(default)]
     pub warning_s: Option<f64>,
+    /// The tasks on the machine.
     #[serde(default, rename = "shards")]
     pub tasks: Vec<ReportedTask>,
 }
@@ -28,8 +38,10 @@
 /// A task of a report.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ReportedTask {
+    /// Job id and task number.
     #[serde(rename = "shard")]
     pub task: String,
+    /// Number of the attempt.
     #[serde(rename = "try_no")]
     pub attempt: u64,
     phase: WirePhase,
