--- a/src/part/direct.rs
+++ b/src/part/direct.rs
@@ -1,6 +1,15 @@
 //! Commands that are sent straight to a worker.
 
-use super::*;
+use super::reports::REPLY_ORDERS;
+use super::upkeep::DEAF;
+use super::{Direct, DirectResult, Part, Via};
+use crate::model::{Copy, HostIx, TaskPhase};
+use crate::wire::Order;
+
+/// After a command without an answer: the pause, as a part of the reaction time.
+const RETRY_DIVISOR: u64 = 4;
+/// After an answer that left something to be told: the same.
+const FOLLOW_UP_DIVISOR: u64 = 20;
 
 impl Part {
     /// True if a machine must wait before it can be sent its next command.
@@ -44,8 +53,9 @@
         Some(Direct { host: hix, id: h.id.clone(), addr, term, tenure: h.tenure, orders })
     }
 
+    /// Takes the result of a direct command.
     pub fn direct_done(&mut self, d: &Direct, result: DirectResult, now: u64) {
-        let retry = now + self.policy.react_ms / 4;
+        let retry = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(h) = self.world.host_mut(d.host).filter(|h| h.id == d.id) else { return };
         h.do_in_flight = false;
         for c in h.copies.iter_mut().filter(|c| c.in_flight) {
@@ -66,7 +76,7 @@
                     (TaskPhase::Saving, Some(grace)) => grace <= 0.0,
                     (phase, stop) => stop.is_some() || phase == TaskPhase::Sent,
                 };
-                let pause = self.policy.react_ms / 20;
+                let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
                 if let Some(h) = self.world.host_mut(d.host)
                     && (!h.shown() || h.copies.iter().any(due))
                 {
--- a/src/part/fleet_tests.rs
+++ b/src/part/fleet_tests.rs
@@ -5,10 +5,12 @@
 use crate::clients::RentResult;
 use crate::config::{Objective, Operator, tests::settings};
 use crate::leader::{CloudOp, Leader};
+use crate::model::{Demand, Flavor};
 use crate::wire::tests::reported;
+use crate::wire::{self, Item, Order, Report};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use serde_json::json;
+use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
--- a/src/part/meeting_tests.rs
+++ b/src/part/meeting_tests.rs
@@ -2,7 +2,9 @@
 
 use super::tests::*;
 use super::*;
+use crate::model::{JobPhase, JobRecord, Place};
 use crate::wire::tests::reported;
+use crate::wire::{self, Item, Order};
 use tokio::sync::oneshot;
 
 /// Takes all commits that are due, with this answer to each.
--- /dev/null
+++ b/src/part/passes.rs
@@ -0,0 +1,109 @@
+//! Passes over the waiting work, and what is logged of them.
+
+use super::Part;
+use crate::model::{JobIx, Urgency};
+use crate::sched::{self, Assignment, Eviction, Outcome};
+
+/// Least rate of a fetch that its duration is computed with.
+const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
+
+impl Part {
+    /// One pass; the machines with new orders are in `kick`.
+    pub fn pass(&mut self, now: u64, wall: u64) {
+        self.stirred = false;
+        self.pass_from(Urgency::Low, now, wall);
+    }
+
+    /// A pass for what is urgent alone, while the next one for all is not due.
+    pub fn urgent_pass(&mut self, now: u64, wall: u64) {
+        self.pass_from(Urgency::High, now, wall);
+    }
+
+    fn pass_from(&mut self, least: Urgency, now: u64, wall: u64) {
+        self.urgent = false;
+        let next = &mut self.next_attempt;
+        let out = sched::pass(&mut self.world, &self.policy, now, wall, least, || {
+            *next += 1;
+            *next
+        });
+        for start in &out.starts {
+            self.note_start(start, wall);
+        }
+        for stop in &out.stops {
+            self.note_stop(stop);
+        }
+        tracing::debug!(
+            least = ?least,
+            looked = out.looked,
+            starts = out.starts.len(),
+            stops = out.stops.len(),
+            unplaced = out.unplaced.len(),
+            "pass"
+        );
+        self.keep_unplaced(least, out);
+    }
+
+    /// Measures and logs a start; its machine has an order to get.
+    fn note_start(&mut self, start: &Assignment, wall: u64) {
+        let job = &self.world.jobs[start.key.job];
+        let waited = wall.saturating_sub(job.accepted_ms);
+        self.metrics.observe("decision_ms", &job.spec.class, waited);
+        self.log_start(start, waited);
+        self.kick.insert(start.host);
+    }
+
+    fn log_start(&self, start: &Assignment, waited: u64) {
+        let Some(h) = self.world.host(start.host) else { return };
+        let spec = &self.world.jobs[start.key.job].spec;
+        let rate = |f: usize| self.world.flavors[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
+        let fetch_s = h.flavor.map_or(0.0, |f| spec.image_gb / rate(f));
+        let cached = h.images.iter().any(|i| i.ready && i.name == spec.image);
+        tracing::debug!(
+            job = spec.id,
+            class = spec.class,
+            task = start.key.task,
+            attempt = start.attempt,
+            host = h.id,
+            term = self.term,
+            waited,
+            cached,
+            fetch_s,
+            spot = h.spot,
+            "start"
+        );
+    }
+
+    /// Counts and logs a preemption; its machine has an order to get.
+    fn note_stop(&mut self, stop: &Eviction) {
+        let spec = &self.world.jobs[stop.key.job].spec;
+        let by = &self.world.jobs[stop.by].spec;
+        tracing::debug!(
+            job = spec.id,
+            class = spec.class,
+            task = stop.key.task,
+            attempt = stop.attempt,
+            by = by.id,
+            by_class = by.class,
+            "preempted"
+        );
+        self.metrics.count("tasks_preempted", &spec.class);
+        self.kick.insert(stop.host);
+    }
+
+    /// Notes which work found no room. What is less urgent than `least` was not tried.
+    fn keep_unplaced(&mut self, least: Urgency, out: Outcome) {
+        let jobs = &self.world.jobs;
+        self.unplaced.retain(|ix| jobs[*ix].spec.urgency < least && jobs[*ix].active());
+        self.unplaced.extend(out.unplaced);
+        self.looked += out.looked;
+        if !self.unplaced.is_empty() {
+            self.undrain();
+        }
+    }
+
+    /// The lowest bin that waits for room.
+    pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
+        let bin = |ix: &JobIx| self.policy.bin(self.policy.effective_deadline_ms(&self.world.jobs[*ix], wall));
+        self.unplaced.iter().map(bin).min()
+    }
+}
--- a/src/part/records.rs
+++ b/src/part/records.rs
@@ -1,6 +1,61 @@
 //! What must be recorded: the next commit, what its answer means, records read again.
 
-use super::*;
+use super::keys::{JOB_PREFIX, host_key, job_key};
+use super::{Commit, CommitResult, Part, Saved, Superseded};
+use crate::model::{HostIx, HostRecord, JobEnd, JobIx, JobRecord, Unsaved, Urgency};
+use crate::wire::{self, Item};
+use serde_json::Value;
+
+/// Ranges that certainly fit into half of a value: two numbers of six digits
+/// and what is around them.
+const RANGE_BYTES: usize = 18;
+/// Most bytes of the changes of one commit, under the protocol's 64 KiB.
+const COMMIT_BYTES: usize = 48 * 1024;
+/// Bytes of a change in a commit besides its key, which is there twice, and its value.
+const CHANGE_BYTES: usize = 64;
+/// Progress waits for so many reports, so that one write tells of many tasks.
+const PROGRESS_REPORTS: u64 = 3;
+
+/// Which records are written first; lowest first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum WritePriority {
+    End,
+    Creation,
+    Progress,
+}
+
+/// A job's record that is due to be written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DueRecord {
+    priority: WritePriority,
+    job: JobIx,
+}
+
+/// A commit that is being put together.
+struct CommitBuilder {
+    commit: Commit,
+    /// What it will have told.
+    saved: Vec<Saved>,
+    /// Bytes of the jobs' records in it.
+    bytes: usize,
+    max_ops: usize,
+}
+
+impl CommitBuilder {
+    fn new(guard: Value, max_ops: usize) -> CommitBuilder {
+        let commit = Commit { guards: vec![guard], apply: Vec::new() };
+        CommitBuilder { commit, saved: Vec::new(), bytes: 0, max_ops }
+    }
+
+    fn full(&self) -> bool {
+        self.commit.apply.len() >= self.max_ops
+    }
+
+    fn apply(&mut self, change: Value, saved: Saved) {
+        self.commit.apply.push(change);
+        self.saved.push(saved);
+    }
+}
 
 impl Part {
     /// The next commit, if one is due: ends and creations first, then machines,
@@ -10,57 +65,71 @@
             return None;
         }
         self.settle_cancellations();
-        let ops = ops.min(self.txn_ops);
-        let patience = 3 * self.policy.report_ms;
-        let mut picked: Vec<(u8, JobIx)> = self
-            .dirty
-            .iter()
-            .filter_map(|ix| {
-                let j = &self.world.jobs[*ix];
-                match j.unsaved {
-                    Unsaved::End(_) => Some((0, *ix)),
-                    Unsaved::Creation => Some((1, *ix)),
-                    Unsaved::Progress if now >= j.unsaved_since_ms + patience => Some((3, *ix)),
-                    _ => None,
-                }
-            })
-            .collect();
-        picked.sort_unstable();
-        let hosts_at = picked.partition_point(|p| p.0 < 3);
-        let mut commit = Commit { guards: vec![wire::guard(&self.part_key, self.part_version)], apply: Vec::new() };
-        let mut saved = Vec::new();
-        let mut bytes = 0;
-        let most = (self.value_bytes / 2 / RANGE_BYTES).max(1);
-        let jobs =
-            |me: &mut Part, range: &[(u8, JobIx)], commit: &mut Commit, saved: &mut Vec<Saved>, bytes: &mut usize| {
-                for (_, ix) in range {
-                    if commit.apply.len() >= ops || *bytes > COMMIT_BYTES {
-                        break;
-                    }
-                    let job = &mut me.world.jobs[*ix];
-                    let end = match job.unsaved {
-                        Unsaved::End(e) => Some(e),
-                        _ => None,
-                    };
-                    let key = job_key(&job.spec.id);
-                    let Ok(value) = serde_json::to_value(JobRecord::of(job, end, most)) else { continue };
-                    *bytes += value.to_string().len() + 2 * key.len() + 64;
-                    if *bytes > COMMIT_BYTES && !commit.apply.is_empty() {
-                        break;
-                    }
-                    commit.guards.push(wire::guard(&key, job.version));
-                    commit.apply.push(wire::put(&key, &value, None));
-                    saved.push(Saved::Job(*ix, job.unsaved, job.end_open));
-                    job.saving = true;
-                    // From its sending on another node may read the end.
-                    job.end_open |= end.is_some();
-                    job.unsaved = Unsaved::Nothing;
-                    me.dirty.remove(ix);
-                }
+        let due = self.due_records(now);
+        let (urgent, progress) = due.split_at(due.partition_point(|d| d.priority < WritePriority::Progress));
+        let guard = wire::guard(&self.part_key, self.part_version);
+        let mut builder = CommitBuilder::new(guard, ops.min(self.txn_ops));
+        self.add_job_records(urgent, &mut builder);
+        self.add_host_records(&mut builder);
+        self.add_job_records(progress, &mut builder);
+        self.add_deletions(&mut builder);
+        if builder.commit.apply.is_empty() {
+            return None;
+        }
+        self.in_flight = Some(builder.saved);
+        Some(builder.commit)
+    }
+
+    /// Records of jobs that are due, in the order in which they are written.
+    fn due_records(&self, now: u64) -> Vec<DueRecord> {
+        let patience = PROGRESS_REPORTS * self.policy.report_ms;
+        let priority = |ix: JobIx| {
+            let job = &self.world.jobs[ix];
+            match job.unsaved {
+                Unsaved::End(_) => Some(WritePriority::End),
+                Unsaved::Creation => Some(WritePriority::Creation),
+                Unsaved::Progress if now >= job.unsaved_since_ms + patience => Some(WritePriority::Progress),
+                _ => None,
+            }
+        };
+        let due = self.dirty.iter().filter_map(|ix| Some(DueRecord { priority: priority(*ix)?, job: *ix }));
+        let mut due: Vec<DueRecord> = due.collect();
+        due.sort_unstable();
+        due
+    }
+
+    /// Adds jobs' records while there is room for them.
+    fn add_job_records(&mut self, due: &[DueRecord], builder: &mut CommitBuilder) {
+        let max_ranges = (self.value_bytes / 2 / RANGE_BYTES).max(1);
+        for &DueRecord { job: ix, .. } in due {
+            if builder.full() || builder.bytes > COMMIT_BYTES {
+                break;
+            }
+            let job = &mut self.world.jobs[ix];
+            let end = match job.unsaved {
+                Unsaved::End(e) => Some(e),
+                _ => None,
             };
-        jobs(self, &picked[..hosts_at], &mut commit, &mut saved, &mut bytes);
+            let key = job_key(&job.spec.id);
+            let Ok(value) = serde_json::to_value(JobRecord::of(job, end, max_ranges)) else { continue };
+            builder.bytes += value.to_string().len() + 2 * key.len() + CHANGE_BYTES;
+            if builder.bytes > COMMIT_BYTES && !builder.commit.apply.is_empty() {
+                break;
+            }
+            builder.commit.guards.push(wire::guard(&key, job.version));
+            builder.apply(wire::put(&key, &value, None), Saved::Job(ix, job.unsaved, job.end_open));
+            job.saving = true;
+            // From its sending on another node may read the end.
+            job.end_open |= end.is_some();
+            job.unsaved = Unsaved::Nothing;
+            self.dirty.remove(&ix);
+        }
+    }
+
+    /// Adds the records of machines that are new, or given to another part.
+    fn add_host_records(&mut self, builder: &mut CommitBuilder) {
         for hix in self.new_hosts.clone() {
-            if commit.apply.len() >= ops {
+            if builder.full() {
                 break;
             }
             self.new_hosts.remove(&hix);
@@ -69,20 +138,17 @@
             let part = h.giving.unwrap_or(self.id);
             let record = HostRecord { addr: h.addr, flavor, zone: h.zone.clone(), spot: h.spot, part };
             let Ok(value) = serde_json::to_value(record) else { continue };
-            commit.apply.push(wire::put(&host_key(&h.id), &value, None));
-            saved.push(h.giving.map_or(Saved::Host(hix), |to| Saved::Given(hix, to)));
+            let saved = h.giving.map_or(Saved::Host(hix), |to| Saved::Given(hix, to));
+            builder.apply(wire::put(&host_key(&h.id), &value, None), saved);
         }
-        jobs(self, &picked[hosts_at..], &mut commit, &mut saved, &mut bytes);
-        while commit.apply.len() < ops {
+    }
+
+    /// Adds deletions of keys that are of no more use.
+    fn add_deletions(&mut self, builder: &mut CommitBuilder) {
+        while !builder.full() {
             let Some(key) = self.gone_keys.pop_first() else { break };
-            commit.apply.push(wire::delete(&key));
-            saved.push(Saved::KeyGone(key));
+            builder.apply(wire::delete(&key), Saved::KeyGone(key));
         }
-        if commit.apply.is_empty() {
-            return None;
-        }
-        self.in_flight = Some(saved);
-        Some(commit)
     }
 
     /// May a late write undo that a machine moves between the parts?
@@ -91,6 +157,7 @@
         !one_part && self.open_host_write == Some(self.part_version)
     }
 
+    /// Is a commit under way?
     pub fn committing(&self) -> bool {
         self.in_flight.is_some()
     }
@@ -99,68 +166,77 @@
     /// whose records must be read again, or `Err` if the part is lost.
     pub fn committed(&mut self, result: CommitResult) -> Result<Vec<String>, Superseded> {
         let saved = self.in_flight.take().unwrap_or_default();
-        let mut reread = Vec::new();
-        let mut superseded = false;
         let unclear = matches!(result, CommitResult::Unclear);
-        match result {
+        let failed = match result {
             CommitResult::Done { revision } => {
-                for s in saved {
-                    match s {
-                        Saved::Job(ix, what, _) => self.job_saved(ix, what, revision),
-                        Saved::Host(hix) => {
-                            if let Some(h) = self.world.host_mut(hix) {
-                                h.registered = true;
-                                self.stirred = true;
-                            }
-                        }
-                        Saved::Given(hix, to) => {
-                            if let Some(h) = self.world.remove_host(hix) {
-                                tracing::info!(host = h.id, to, "machine given to another part");
-                                self.elsewhere.insert(h.id, to);
-                            }
-                        }
-                        Saved::KeyGone(_) => {}
-                    }
-                }
-                return Ok(reread);
+                saved.into_iter().for_each(|s| self.written(s, revision));
+                return Ok(Vec::new());
             }
-            CommitResult::Conflict { failed } => {
-                superseded = failed.contains(&self.part_key);
-                reread = failed.into_iter().filter(|k| k.starts_with("job/")).collect();
-            }
-            CommitResult::Refused | CommitResult::Unclear => {}
-        }
-        for s in saved {
-            match s {
-                Saved::Job(ix, what, end_was_open) => {
-                    let job = &mut self.world.jobs[ix];
-                    job.saving = false;
-                    // What was certainly refused is not open; an earlier write may be.
-                    job.end_open &= unclear || end_was_open;
-                    // Found to exist meanwhile: it need not be created any more.
-                    if what == Unsaved::Creation && job.version > 0 {
-                        continue;
-                    }
-                    // What came meanwhile weighs more, except against a creation or an end.
-                    if !matches!(job.unsaved, Unsaved::End(_)) || matches!(what, Unsaved::End(_)) {
-                        job.unsaved = what;
-                    }
-                    self.dirty.insert(ix);
-                }
-                Saved::Host(hix) | Saved::Given(hix, _) => {
-                    self.new_hosts.insert(hix);
-                    if unclear {
-                        self.open_host_write = Some(self.part_version);
-                    }
+            CommitResult::Conflict { failed } => failed,
+            CommitResult::Refused | CommitResult::Unclear => Vec::new(),
+        };
+        saved.into_iter().for_each(|s| self.not_written(s, unclear));
+        if failed.contains(&self.part_key) {
+            return Err(Superseded);
+        }
+        Ok(failed.into_iter().filter(|key| key.starts_with(JOB_PREFIX)).collect())
+    }
+
+    /// A change was carried out.
+    fn written(&mut self, saved: Saved, revision: u64) {
+        match saved {
+            Saved::Job(ix, what, _) => self.job_saved(ix, what, revision),
+            Saved::Host(hix) => {
+                if let Some(h) = self.world.host_mut(hix) {
+                    h.registered = true;
+                    self.stirred = true;
                 }
-                Saved::KeyGone(key) => {
-                    self.gone_keys.insert(key);
+            }
+            Saved::Given(hix, to) => {
+                if let Some(h) = self.world.remove_host(hix) {
+                    tracing::info!(host = h.id, to, "machine given to another part");
+                    self.elsewhere.insert(h.id, to);
                 }
             }
+            Saved::KeyGone(_) => {}
+        }
+    }
+
+    /// A change was not carried out, or maybe not if that is `unclear`.
+    fn not_written(&mut self, saved: Saved, unclear: bool) {
+        match saved {
+            Saved::Job(ix, what, end_was_open) => self.job_not_written(ix, what, end_was_open, unclear),
+            Saved::Host(hix) | Saved::Given(hix, _) => self.host_not_written(hix, unclear),
+            Saved::KeyGone(key) => {
+                self.gone_keys.insert(key);
+            }
+        }
+    }
+
+    fn job_not_written(&mut self, ix: JobIx, what: Unsaved, end_was_open: bool, unclear: bool) {
+        let job = &mut self.world.jobs[ix];
+        job.saving = false;
+        // What was certainly refused is not open; an earlier write may be.
+        job.end_open &= unclear || end_was_open;
+        // Found to exist meanwhile: it need not be created any more.
+        if what == Unsaved::Creation && job.version > 0 {
+            return;
+        }
+        // What came meanwhile weighs more, except against a creation or an end.
+        if !matches!(job.unsaved, Unsaved::End(_)) || matches!(what, Unsaved::End(_)) {
+            job.unsaved = what;
+        }
+        self.dirty.insert(ix);
+    }
+
+    fn host_not_written(&mut self, hix: HostIx, unclear: bool) {
+        self.new_hosts.insert(hix);
+        if unclear {
+            self.open_host_write = Some(self.part_version);
         }
-        if superseded { Err(Superseded) } else { Ok(reread) }
     }
 
+    /// A job's record was written.
     pub(super) fn job_saved(&mut self, ix: JobIx, what: Unsaved, version: u64) {
         let job = &mut self.world.jobs[ix];
         job.saving = false;
@@ -222,7 +298,7 @@
     /// A record as read again after a conflict: what it holds is true, what it
     /// lacks stays to be written.
     pub fn reread(&mut self, item: Item) {
-        let Some(&ix) = item.key.strip_prefix("job/").and_then(|id| self.world.job_ix.get(id)) else { return };
+        let Some(&ix) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.world.job_ix.get(id)) else { return };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         let job = &mut self.world.jobs[ix];
         // Read before the last write that is known to have been carried out.
--- a/src/part/reports.rs
+++ b/src/part/reports.rs
@@ -1,6 +1,27 @@
 //! What reports mean, and which orders follow.
 
-use super::*;
+use super::{Belongs, Part, Via};
+use crate::model::{
+    Copy, ExitReason, Host, HostIx, HostRecord, JobEnd, JobIx, Place, Shape, TaskKey, TaskPhase, Unsaved, Urgency,
+    World,
+};
+use crate::wire::{Order, Report, ReportedTask};
+use std::collections::HashSet;
+
+/// Most orders in one reply, so that a line stays under 64 KiB.
+pub(super) const REPLY_ORDERS: usize = 400;
+/// From so many failures on, a task pauses before it is tried again.
+const FAILS_BEFORE_PAUSE: u16 = 2;
+/// The pause doubles with each failure up to this one.
+const LONGEST_PAUSE_FAILS: u16 = 6;
+
+/// What a report says that is new.
+struct News {
+    /// It was made under a token of this holder.
+    current: bool,
+    /// Seconds left until the machine is taken back, if that was not known.
+    notice_s: Option<f64>,
+}
 
 impl Part {
     /// Does this part take the machine's reports?
@@ -69,18 +90,7 @@
         if self.released.contains(&r.host) {
             return Vec::new();
         }
-        let hix = match self.world.host_ix.get(&r.host) {
-            Some(&hix) => hix,
-            None => {
-                let flavor = self.world.flavor(&r.flavor);
-                let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
-                h.min_fence = self.first_term;
-                // Rented for another part: it is given away once it is registered.
-                h.giving = self.destined.remove(&r.host).filter(|p| *p != self.id);
-                self.world.add_host(h)
-            }
-        };
-        let flavor = self.world.flavor(&r.flavor);
+        let hix = self.reporting_host(r, now);
         let Some(h) = self.world.host_mut(hix) else { return Vec::new() };
         if via == Via::Beat {
             h.answered_ms = now;
@@ -89,18 +99,59 @@
         if (r.tenure, r.serial) <= (h.tenure, h.serial) {
             return Vec::new();
         }
-        if r.tenure > h.tenure && h.tenure > 0 {
+        self.session_seen(hix, r, now);
+        let Some(news) = self.state_seen(hix, r, via, now) else { return Vec::new() };
+        if !news.current {
+            self.kick.insert(hix);
+            return Vec::new();
+        }
+        self.account_for(hix, r);
+        let mut orders = Vec::new();
+        self.reported_tasks(hix, r, &mut orders, now);
+        self.missing_tasks(hix, r, via);
+        if let Some(left_s) = news.notice_s {
+            self.give_up(hix, left_s, now);
+        }
+        if via == Via::Beat {
+            self.orders_for(hix, &mut orders);
+        }
+        if let Some(h) = self.world.host_mut(hix).filter(|h| !h.copies.is_empty()) {
+            h.idle_since_ms = now;
+        }
+        orders
+    }
+
+    /// The machine that reports, added if it is new.
+    fn reporting_host(&mut self, r: &Report, now: u64) -> HostIx {
+        if let Some(&hix) = self.world.host_ix.get(&r.host) {
+            return hix;
+        }
+        let flavor = self.world.flavor(&r.flavor);
+        let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
+        h.min_fence = self.first_term;
+        // Rented for another part: it is given away once it is registered.
+        h.giving = self.destined.remove(&r.host).filter(|p| *p != self.id);
+        self.world.add_host(h)
+    }
+
+    /// A session that is new to us: a lease that was before it has ended.
+    fn session_seen(&mut self, hix: HostIx, r: &Report, now: u64) {
+        let Some(h) = self.world.host_mut(hix).filter(|h| r.tenure > h.tenure) else { return };
+        // A session's lease counts from its beginning, whenever we answered.
+        h.answered_ms = h.answered_ms.max(now);
+        if h.tenure > 0 {
             tracing::info!(host = h.id, tenure = r.tenure, "machine lost its lease");
             self.lose_all(hix);
         }
-        let Some(h) = self.world.host_mut(hix) else { return Vec::new() };
-        if r.tenure > h.tenure {
-            // A session's lease counts from its beginning, whenever we answered.
-            h.answered_ms = h.answered_ms.max(now);
-        }
+    }
+
+    /// Takes what the report says of the machine itself.
+    fn state_seen(&mut self, hix: HostIx, r: &Report, via: Via, now: u64) -> Option<News> {
+        let flavor = self.world.flavor(&r.flavor);
+        let h = self.world.host_mut(hix)?;
         // A late copy of a report from before this holder's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
-        let news = r.fence >= h.min_fence;
+        let current = r.fence >= h.min_fence;
         h.tenure = r.tenure;
         h.serial = r.serial;
         h.fence = h.fence.max(r.fence);
@@ -110,8 +161,8 @@
         if via == Via::Direct {
             h.missed = 0;
         }
-        let noticed = r.warning_s.filter(|_| !h.notice);
-        if noticed.is_some() {
+        let notice_s = r.warning_s.filter(|_| !h.notice);
+        if notice_s.is_some() {
             h.notice = true;
             tracing::info!(host = h.id, "machine will be taken back");
         }
@@ -121,10 +172,12 @@
                 c.risk = None;
             }
         }
-        if !news {
-            self.kick.insert(hix);
-            return Vec::new();
-        }
+        Some(News { current, notice_s })
+    }
+
+    /// The machine has reported under a token of this holder.
+    fn account_for(&mut self, hix: HostIx, r: &Report) {
+        let Some(h) = self.world.host_mut(hix) else { return };
         if !h.vouched() {
             // Not in the registry: no holder before us placed anything on it.
             tracing::info!(host = r.host, flavor = r.flavor, zone = r.zone, spot = r.spot, "machine is up");
@@ -134,19 +187,6 @@
             h.accounted = true;
             self.recount();
         }
-        let mut orders = Vec::new();
-        self.reported_tasks(hix, r, &mut orders, now);
-        self.missing_tasks(hix, r, via);
-        if let Some(left_s) = noticed {
-            self.give_up(hix, left_s, now);
-        }
-        if via == Via::Beat {
-            self.orders_for(hix, &mut orders);
-        }
-        if let Some(h) = self.world.host_mut(hix).filter(|h| !h.copies.is_empty()) {
-            h.idle_since_ms = now;
-        }
-        orders
     }
 
     /// Stops the array tasks that would hardly end before the machine is taken:
@@ -164,30 +204,19 @@
         }
     }
 
+    /// Takes what the report says of tasks.
     pub(super) fn reported_tasks(&mut self, hix: HostIx, r: &Report, orders: &mut Vec<Order>, now: u64) {
         let mut strays = false;
         for t in &r.tasks {
-            let Some((job, n)) = t.key() else { continue };
-            let Some(&ix) = self.world.job_ix.get(job).filter(|ix| n < self.world.jobs[**ix].spec.tasks) else {
-                // No such job: whatever it is must go.
-                strays = true;
-                if matches!(t.phase(), TaskPhase::Ended(_)) {
-                    orders.push(Order::Reap { task: t.task.clone(), attempt: t.attempt });
-                } else {
-                    orders.push(Order::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 });
-                }
-                continue;
-            };
-            let key = TaskKey { job: ix, task: n };
-            let known = self.world.host_mut(hix).and_then(|h| h.copy_mut(key, t.attempt)).map(|c| c.phase);
-            let before = match known {
-                Some(phase) => phase,
+            let Some((job, task)) = t.key() else { continue };
+            let known = self.world.job_ix.get(job).filter(|ix| task < self.world.jobs[**ix].spec.tasks);
+            match known {
+                Some(&job) => self.reported_task(hix, TaskKey { job, task }, t, now),
                 None => {
-                    self.adopt(hix, key, t.attempt, t.phase(), now);
-                    TaskPhase::Sent
+                    strays = true;
+                    orders.push(removal(t));
                 }
-            };
-            self.phase_seen(hix, key, t.attempt, before, t.phase(), now);
+            }
         }
         if let Some(h) = self.world.host_mut(hix) {
             if h.strays && !strays {
@@ -197,6 +226,15 @@
         }
     }
 
+    fn reported_task(&mut self, hix: HostIx, key: TaskKey, t: &ReportedTask, now: u64) {
+        let known = self.world.host_mut(hix).and_then(|h| h.copy_mut(key, t.attempt)).map(|c| c.phase);
+        let before = known.unwrap_or_else(|| {
+            self.adopt(hix, key, t.attempt, t.phase(), now);
+            TaskPhase::Sent
+        });
+        self.phase_seen(hix, key, t.attempt, before, t.phase(), now);
+    }
+
     /// A copy that we did not start: an earlier holder did, or a late order.
     pub(super) fn adopt(&mut self, hix: HostIx, key: TaskKey, attempt: u64, phase: TaskPhase, now: u64) {
         let job = &mut self.world.jobs[key.job];
@@ -223,6 +261,7 @@
         }
     }
 
+    /// Takes the phase of an attempt that was in phase `before`.
     pub(super) fn phase_seen(
         &mut self,
         hix: HostIx,
@@ -236,27 +275,14 @@
         let Some(h) = hosts[hix].as_mut() else { return };
         let Some(c) = h.copy_mut(key, attempt) else { return };
         c.phase = phase;
-        let task = &mut jobs[key.job].tasks[key.task as usize];
-        task.located |= !c.ended();
-        let image = jobs[key.job].spec.image.clone();
-        let since = c.since_ms;
+        let job = &mut jobs[key.job];
+        job.tasks[key.task as usize].located |= !c.ended();
+        let after_order_ms = now.saturating_sub(c.since_ms);
         match phase {
             TaskPhase::Gathering | TaskPhase::Running => {
-                h.image_ready(&image);
+                h.image_ready(&job.spec.image);
                 if before != phase && phase == TaskPhase::Running {
-                    let (class, waited) = {
-                        let j = &self.world.jobs[key.job];
-                        (j.spec.class.clone(), now.saturating_sub(since))
-                    };
-                    tracing::debug!(
-                        job = self.world.jobs[key.job].spec.id,
-                        class,
-                        task = key.task,
-                        attempt,
-                        after_order = waited,
-                        "running"
-                    );
-                    self.metrics.observe("start_after_order_ms", &class, waited);
+                    self.note_running(key, attempt, after_order_ms);
                 }
             }
             TaskPhase::Ended(reason) if before != phase => self.copy_ended(hix, key, attempt, reason, now),
@@ -264,55 +290,38 @@
         }
     }
 
+    /// Logs and measures that an attempt has begun to run.
+    fn note_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
+        let spec = &self.world.jobs[key.job].spec;
+        tracing::debug!(
+            job = spec.id,
+            class = spec.class,
+            task = key.task,
+            attempt,
+            after_order = after_order_ms,
+            "running"
+        );
+        self.metrics.observe("start_after_order_ms", &spec.class, after_order_ms);
+    }
+
+    /// An attempt has ended, for this reason.
     pub(super) fn copy_ended(&mut self, hix: HostIx, key: TaskKey, attempt: u64, reason: ExitReason, now: u64) {
         self.stirred = true;
-        let react_ms = self.policy.react_ms;
-        let hosts = self.world.hosts.len();
-        let job = &mut self.world.jobs[key.job];
+        let job = &self.world.jobs[key.job];
         tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task ended");
         let shape = job.spec.shape;
         if reason == ExitReason::Done && shape != Shape::Service {
-            // The tasks of a gang complete together.
-            let done: Vec<u32> = if shape == Shape::Gang { (0..job.spec.tasks).collect() } else { vec![key.task] };
-            self.tasks_done(key.job, &done, now);
-            if let Some(h) = self.world.host_mut(hix) {
-                h.failed_jobs.clear();
-            }
+            self.copy_completed(hix, key, now);
             return;
         }
-        let task = &mut job.tasks[key.task as usize];
-        if task.place != Place::On(hix, attempt) {
+        if !self.free_place(hix, key, attempt) {
             return;
         }
-        task.place = Place::Idle;
-        // Urgent work may be what ended, or what waits for the room.
-        let waited_for = self.world.hosts[hix].as_ref().is_some_and(|h| !h.claims.is_empty());
-        self.urgent |= waited_for || job.spec.urgency >= Urgency::High;
         match reason {
-            ExitReason::Error | ExitReason::NoSuch => {
-                task.fails = task.fails.saturating_add(1);
-                if task.fails >= 2 {
-                    // Fails wherever it runs: ever longer pauses, so that it
-                    // doesn't retake room in each pass.
-                    task.retry_ms = now + react_ms * (1 << task.fails.min(6));
-                }
-                if reason == ExitReason::Error {
-                    job.failed_on.insert(hix);
-                    job.shuns_until_ms = now + 2 * self.policy.lease_ms;
-                    let blames_job = job.failed_on.len() > 1 || hosts == 1;
-                    for h in self.world.hosts.iter_mut().flatten() {
-                        if blames_job {
-                            h.failed_jobs.remove(&key.job);
-                        }
-                    }
-                    if !blames_job && let Some(h) = self.world.host_mut(hix) {
-                        h.failed_jobs.insert(key.job);
-                    }
-                }
-            }
+            ExitReason::Error | ExitReason::NoSuch => self.task_failed(hix, key, reason, now),
             ExitReason::NoRoom | ExitReason::InUse => {
                 if let Some(h) = self.world.host_mut(hix) {
-                    h.blocked_until_ms = now + 2 * react_ms;
+                    h.blocked_until_ms = now + 2 * self.policy.react_ms;
                 }
             }
             _ => {}
@@ -322,6 +331,62 @@
         }
     }
 
+    /// A task of an array is done, or a gang: its tasks complete together.
+    fn copy_completed(&mut self, hix: HostIx, key: TaskKey, now: u64) {
+        let spec = &self.world.jobs[key.job].spec;
+        let done: Vec<u32> = if spec.shape == Shape::Gang { (0..spec.tasks).collect() } else { vec![key.task] };
+        self.tasks_done(key.job, &done, now);
+        if let Some(h) = self.world.host_mut(hix) {
+            h.failed_jobs.clear();
+        }
+    }
+
+    /// The task is idle again, if this attempt was its place; false if it was not.
+    fn free_place(&mut self, hix: HostIx, key: TaskKey, attempt: u64) -> bool {
+        let job = &mut self.world.jobs[key.job];
+        let task = &mut job.tasks[key.task as usize];
+        if task.place != Place::On(hix, attempt) {
+            return false;
+        }
+        task.place = Place::Idle;
+        // Urgent work may be what ended, or what waits for the room.
+        let waited_for = self.world.hosts[hix].as_ref().is_some_and(|h| !h.claims.is_empty());
+        self.urgent |= waited_for || job.spec.urgency >= Urgency::High;
+        true
+    }
+
+    /// An attempt has failed: pauses a task that fails wherever it runs, and notes the
+    /// machine.
+    fn task_failed(&mut self, hix: HostIx, key: TaskKey, reason: ExitReason, now: u64) {
+        let task = &mut self.world.jobs[key.job].tasks[key.task as usize];
+        task.fails = task.fails.saturating_add(1);
+        if task.fails >= FAILS_BEFORE_PAUSE {
+            // Fails wherever it runs: ever longer pauses, so that it
+            // doesn't retake room in each pass.
+            task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
+        }
+        if reason == ExitReason::Error {
+            self.assign_blame(hix, key.job, now);
+        }
+    }
+
+    /// Blames the machine for a failure, or the job once it has failed on several.
+    fn assign_blame(&mut self, hix: HostIx, ix: JobIx, now: u64) {
+        let hosts = self.world.hosts.len();
+        let job = &mut self.world.jobs[ix];
+        job.failed_on.insert(hix);
+        job.shuns_until_ms = now + 2 * self.policy.lease_ms;
+        let blames_job = job.failed_on.len() > 1 || hosts == 1;
+        if blames_job {
+            for h in self.world.hosts.iter_mut().flatten() {
+                h.failed_jobs.remove(&ix);
+            }
+        } else if let Some(h) = self.world.host_mut(hix) {
+            h.failed_jobs.insert(ix);
+        }
+    }
+
+    /// Notes that tasks are done, which is to be recorded.
     pub(super) fn tasks_done(&mut self, ix: JobIx, tasks: &[u32], now: u64) {
         let job = &mut self.world.jobs[ix];
         let mut new = 0;
@@ -407,6 +472,7 @@
         self.copy_lost(hix, key, attempt, ended);
     }
 
+    /// A copy was lost: its task is idle again, if that was its place.
     pub(super) fn copy_lost(&mut self, hix: HostIx, key: TaskKey, attempt: u64, ended: bool) {
         let job = &mut self.world.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
@@ -458,3 +524,11 @@
         }
     }
 }
+
+/// The order for a task that no job has: whatever it is must go.
+fn removal(t: &ReportedTask) -> Order {
+    match t.phase() {
+        TaskPhase::Ended(_) => Order::Reap { task: t.task.clone(), attempt: t.attempt },
+        _ => Order::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 },
+    }
+}
--- a/src/part/tests.rs
+++ b/src/part/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 use crate::config::{Operator, tests::settings};
+use crate::model::{Copy, Demand, Flavor, Host, HostIx, HostRecord, Job, JobPhase, JobRecord, Place};
+use crate::sched;
 use crate::wire::tests::reported;
-use serde_json::json;
+use crate::wire::{self, Item, Order, Report};
+use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
 const LEASE: u64 = 10_000;
--- /dev/null
+++ b/src/part/upkeep.rs
@@ -0,0 +1,193 @@
+//! Silent machines: expiry of their leases, probes, and their release.
+
+use super::Part;
+use super::keys::host_key;
+use crate::clock::DRIFT;
+use crate::model::{Host, HostIx};
+use std::collections::{HashMap, HashSet};
+
+/// So many direct commands in a row without an answer are no chance.
+pub const DEAF: u32 = 2;
+/// A zone is never taken for cut off for the silence of one machine in fewer than these.
+const LEAST_ZONE: usize = 3;
+/// Fewest machines by whose silence this node is taken for cut off.
+const LEAST_KNOWN: usize = 3;
+
+/// Machines of a zone that may hold tasks, and those of them that are quiet.
+#[derive(Debug, Clone, Copy, Default)]
+struct ZoneHealth {
+    all: usize,
+    quiet: usize,
+}
+
+impl ZoneHealth {
+    /// Are too many quiet at once for faults of the machines themselves?
+    fn cut_off(self) -> bool {
+        self.quiet * 3 > self.all.max(LEAST_ZONE)
+    }
+}
+
+/// What a look at all machines found.
+#[derive(Debug, Default)]
+struct Survey {
+    /// Machines whose lease has surely expired.
+    expired: Vec<HostIx>,
+    /// Machines to be released, unless their zone is cut off.
+    silent: Vec<HostIx>,
+    /// Machines to be asked directly.
+    probe: Vec<HostIx>,
+    cut_off_zones: HashSet<String>,
+}
+
+impl Part {
+    /// For how long a sound machine may be silent: reports come a quarter late at
+    /// the most, and take a moment.
+    pub(super) fn quiet_ms(&self) -> u64 {
+        self.policy.report_ms * 13 / 10
+    }
+
+    /// Silent for so long, and without an answer to two probes: it is lost.
+    pub(super) fn lost_ms(&self) -> u64 {
+        self.quiet_ms() + self.policy.react_ms * 3 / 2
+    }
+
+    /// Looks after silent machines; returns those to be released, and those to
+    /// be asked directly.
+    ///
+    /// `unbound_ms`: another controller may have kept leases alive until then.
+    pub fn upkeep(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIx>) {
+        self.forgive_own_pause(now);
+        let survey = self.survey(now, unbound_ms);
+        self.expire_leases(survey.expired);
+        let release = self.release_silent(survey.silent, &survey.cut_off_zones);
+        (release, survey.probe)
+    }
+
+    /// If we stood still the silence was ours, and what was said meanwhile is still to
+    /// be read.
+    fn forgive_own_pause(&mut self, now: u64) {
+        let gap = now.saturating_sub(self.last_upkeep_ms);
+        self.last_upkeep_ms = now;
+        if gap <= 2 * self.policy.react_ms {
+            return;
+        }
+        for h in self.world.hosts.iter_mut().flatten() {
+            h.heard_ms = (h.heard_ms + gap).min(now);
+            h.missed = 0;
+        }
+    }
+
+    /// Sorts out which machines are quiet, and for how long.
+    fn survey(&self, now: u64, unbound_ms: u64) -> Survey {
+        let mut survey = Survey::default();
+        let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
+        for (hix, h) in self.world.each_host().filter(|(_, h)| !h.releasing) {
+            let quiet = now.saturating_sub(h.heard_ms) > self.quiet_ms();
+            if h.vouched() {
+                if self.lease_expired(h, now, unbound_ms) {
+                    survey.expired.push(hix);
+                }
+                let zone = zones.entry(&h.zone).or_default();
+                zone.all += 1;
+                zone.quiet += usize::from(quiet || h.missed >= DEAF);
+            }
+            if self.unreachable(h, now) {
+                survey.silent.push(hix);
+            }
+            // After a takeover all are asked at once: most look for us elsewhere first.
+            if quiet || !h.shown() || h.missed > 0 {
+                survey.probe.push(hix);
+            }
+        }
+        // Many machines of a zone that fall silent together: it is rather the zone
+        // that is cut off, or we are. The first of them must not be released before
+        // the rest shows it.
+        let cut_off = zones.into_iter().filter(|(_, health)| health.cut_off());
+        survey.cut_off_zones = cut_off.map(|(zone, _)| zone.into()).collect();
+        survey
+    }
+
+    /// Has its lease surely expired, with something to be given up?
+    fn lease_expired(&self, h: &Host, now: u64, unbound_ms: u64) -> bool {
+        let outlived = (self.policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + self.policy.react_ms;
+        let holds = !h.copies.is_empty() || !h.accounted;
+        holds && now > h.answered_ms.max(unbound_ms) + outlived
+    }
+
+    /// Is it of no use, as it can't be told anything? One that is heard may be so, too.
+    fn unreachable(&self, h: &Host, now: u64) -> bool {
+        let quiet = now.saturating_sub(h.heard_ms);
+        let lease = self.policy.lease_ms;
+        let missed_ms = u64::from(h.missed) * self.policy.react_ms;
+        let deaf = h.missed >= DEAF && (quiet > self.lost_ms() || missed_ms > lease);
+        deaf || (h.addr.is_none() && quiet > lease)
+    }
+
+    /// What was on these machines is gone: their leases have expired.
+    fn expire_leases(&mut self, expired: Vec<HostIx>) {
+        for hix in expired {
+            self.lose_all(hix);
+            if let Some(h) = self.world.host_mut(hix) {
+                tracing::info!(host = h.id, "lease surely outlived");
+                h.accounted = true;
+            }
+            self.recount();
+        }
+    }
+
+    /// Marks silent machines for release, except in zones that are cut off; returns
+    /// their names.
+    fn release_silent(&mut self, silent: Vec<HostIx>, cut_off_zones: &HashSet<String>) -> Vec<String> {
+        let mut release = Vec::new();
+        for hix in silent {
+            let lone = |h: &&mut Host| !h.vouched() || !cut_off_zones.contains(&h.zone);
+            let Some(h) = self.world.host_mut(hix).filter(lone) else { continue };
+            h.releasing = true;
+            tracing::info!(host = h.id, "machine is silent, releasing it");
+            release.push(h.id.clone());
+        }
+        release
+    }
+
+    /// May machines be rented and returned? What is up is known, or as much as
+    /// will be for now.
+    pub fn counted(&self, now: u64) -> bool {
+        self.world.all_accounted || now > self.begun_ms + self.lost_ms()
+    }
+
+    /// True if most machines that were heard before, or asked twice in vain, are
+    /// silent at once: then it is this node that is cut off from them, and another
+    /// may not be.
+    pub fn cut_off(&self, now: u64) -> bool {
+        let (mut all, mut known, mut silent) = (0, 0, 0);
+        for (_, h) in self.world.each_host().filter(|(_, h)| !h.releasing && h.vouched()) {
+            all += 1;
+            // After a takeover those that were not asked yet may be on their way here.
+            let heard = h.tenure > 0;
+            if heard || h.missed >= DEAF {
+                known += 1;
+                let patience = if heard { self.policy.react_ms } else { 0 };
+                silent += usize::from(now.saturating_sub(h.heard_ms) > self.quiet_ms() + patience);
+            }
+        }
+        known >= LEAST_KNOWN && known * 2 >= all && silent * 3 >= known * 2
+    }
+
+    /// Marks a machine for release; true if it was not marked yet.
+    pub fn mark_releasing(&mut self, id: &str) -> bool {
+        let Some(&hix) = self.world.host_ix.get(id) else { return true };
+        self.world.host_mut(hix).is_some_and(|h| !std::mem::replace(&mut h.releasing, true))
+    }
+
+    /// The cloud has confirmed: the machine and all on it are gone.
+    pub fn host_gone(&mut self, id: &str) {
+        self.released.insert(id.to_string());
+        let Some(&hix) = self.world.host_ix.get(id) else { return };
+        self.lose_all(hix);
+        self.new_hosts.remove(&hix);
+        if self.world.remove_host(hix).is_some_and(|h| h.registered) {
+            self.gone_keys.insert(host_key(id));
+        }
+        self.recount();
+    }
+}
--- a/src/part/users.rs
+++ b/src/part/users.rs
@@ -1,6 +1,10 @@
 //! What users ask of a part: submissions, polls, cancellations.
 
-use super::*;
+use super::keys::{TOO_LONG, fits};
+use super::upkeep::DEAF;
+use super::{Part, UserAnswer, Waiter};
+use crate::model::{Host, Job, JobEnd, JobIx, JobPhase, Place, Task, Unsaved};
+use crate::{sched, wire};
 
 impl Part {
     /// A submission. The answer comes at once or, through the waiter, after
@@ -64,6 +68,7 @@
         Ok((job.phase(running), running))
     }
 
+    /// What a user is told whose job is accepted.
     pub(super) fn accepted(&self, ix: JobIx, created: bool) -> UserAnswer {
         match self.told(ix) {
             Ok((phase, _)) => UserAnswer::Accepted { created, id: self.world.jobs[ix].spec.id.clone(), phase },
@@ -71,6 +76,7 @@
         }
     }
 
+    /// How many of the job's tasks run.
     pub(super) fn running(&self, ix: JobIx) -> u32 {
         let runs = |n: usize, t: &Task| match t.place {
             Place::On(hix, attempt) => self.world.host(hix).is_some_and(|h| {
@@ -83,6 +89,7 @@
         self.world.jobs[ix].tasks.iter().enumerate().filter(|(n, t)| runs(*n, t)).count() as u32
     }
 
+    /// What a user is told who asks for a job.
     pub fn status(&self, id: &str) -> UserAnswer {
         match self.world.job_ix.get(id) {
             Some(&ix) => self.status_of(ix),
@@ -90,6 +97,7 @@
         }
     }
 
+    /// The same for a job that is known.
     pub(super) fn status_of(&self, ix: JobIx) -> UserAnswer {
         let job = &self.world.jobs[ix];
         // All tasks may be done before the record says so; the end is said later.
