--- a/src/sched/pass/room.rs
+++ b/src/sched/pass/room.rs
@@ -1,162 +1,80 @@
 //! Making room: what may be stopped or moved for waiting work, and where that costs
 //! least.
 
-use super::*;
+use super::candidates::Candidate;
+use super::cost::MOVED;
+use super::need::Need;
+use super::preemption::Reach;
+use super::{Eviction, Pass};
+use crate::model::{Claim, Copy, Demand, Host, HostIx, JobIx, Shape, Task, Urgency};
+use crate::sched::index::{Counts, Want};
+use std::cmp::Reverse;
 
 /// Room that is made for a task is held for so many times what an order takes
 /// to show: what is in the way may have to save.
 const MADE: u64 = 10;
 
-/// A replica has settled after so many times what an order takes to show.
-const SETTLED: u64 = 30;
+/// The cost of stopping a gang, and of each of its tasks: it loses its place whole, and
+/// places for gangs are few.
+const STOPPED_GANG: f64 = 2.0;
+const STOPPED_GANG_TASK: f64 = 2.0;
+/// The cost of stopping a replica: its users are without it until its image is
+/// somewhere else.
+const STOPPED_REPLICA: f64 = 8.0;
+/// The cost of stopping a task of an array, and of one that has hardly begun.
+const STOPPED_TASK: f64 = 1.0;
+const STOPPED_EARLY: f64 = 0.5;
+/// The further cost if the job can't be in time any more.
+const STOPPED_LATE: f64 = 1.0;
 
-/// Work that has run for less than this share of its estimate has hardly begun.
-const HARDLY_BEGUN: f64 = 0.25;
+/// The weight of the cost of a place next to that of making room there.
+const PLACE_WEIGHT: f64 = 0.2;
+/// The same for a replica.
+const SERVICE_PLACE_WEIGHT: f64 = 1.0;
 
-impl Pass<'_> {
-    /// Holds room for the leading gang on the machines that are nearest to
-    /// having it, for a bounded time; then others have their turn as long.
-    pub(super) fn hold_for_gang(&mut self, need: &Need) {
-        let hold = self.policy.hold_ms;
-        let (now, ix) = (self.now, need.ix);
-        let job = &mut self.world.jobs[ix];
-        if now < job.no_hold_until_ms {
-            return;
-        }
-        if job.hold_until_ms == 0 {
-            job.hold_until_ms = now + hold;
-        } else if now >= job.hold_until_ms {
-            job.hold_until_ms = 0;
-            job.no_hold_until_ms = now + hold;
-            self.unclaim(ix);
-            return;
-        }
-        let until_ms = job.hold_until_ms;
-        let (tasks, one_zone) = (job.spec.tasks, job.spec.one_zone);
-        let demand = need.want.demand;
-        let reach = self.reach(need);
-        let none = Counts::default();
-        // How many tasks each machine could take if all lesser work left it.
-        let mut by_zone: Vec<Vec<(f64, u32, HostIx)>> = vec![Vec::new(); self.index.zones().len().max(1)];
-        for (hix, s) in self.index.slots.iter().enumerate() {
-            let Some(h) = self.world.host(hix) else { continue };
-            if !need.want.takes(s, &none) || need.shuns.contains(&hix) || h.claims.iter().any(|c| c.job != ix) {
-                continue;
-            }
-            let mut n = 0;
-            let mut cost = 0.0;
-            while n < tasks {
-                let Some((c, _)) = self.vacate(need, reach, hix, &demand.times(f64::from(n + 1))) else { break };
-                cost = c;
-                n += 1;
-            }
-            let sure = n;
-            // Work that may not be stopped ends some time, unless it is a
-            // replica: room that frees then is held as well.
-            let mut room = self.world.flavors[s.flavor].cap;
-            for c in h.copies.iter().filter(|c| !c.ended()) {
-                if self.world.jobs[c.key.job].spec.shape == Shape::Service {
-                    room.sub(&c.demand);
-                }
-            }
-            while n < tasks && demand.times(f64::from(n + 1)).fits(&room) {
-                n += 1;
-            }
-            cost += 10.0 * f64::from(n - sure);
-            if n > 0 {
-                by_zone[if one_zone { s.zone } else { 0 }].push((cost / f64::from(n), n, hix));
-            }
-        }
-        for mut hosts in by_zone {
-            if hosts.iter().map(|h| h.1).sum::<u32>() < tasks {
-                continue;
-            }
-            hosts.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let sure = hosts.iter().filter(|h| h.0 < 10.0 / f64::from(tasks)).map(|h| h.1).sum::<u32>() >= tasks;
-            let mut left = tasks;
-            self.unclaim(ix);
-            for (_, n, hix) in hosts {
-                let n = n.min(left);
-                left -= n;
-                let demand = demand.times(f64::from(n));
-                self.claim(hix, Claim { job: ix, demand, until_ms });
-                // Nothing is stopped unless the whole gang can start then.
-                if sure && let Some((_, leave)) = self.vacate(need, reach, hix, &demand) {
-                    self.clear(need.ix, hix, &leave);
-                }
-                if left == 0 {
-                    return;
-                }
-            }
-        }
-    }
-
-    /// How far a job may go to get its team's guarantee from work that is no
-    /// less urgent: while that is in time, work that has hardly begun; once it
-    /// has waited as long as room is held for a gang, any. Without bounds two
-    /// teams' arrays stop each other over and over, and none is in time.
-    pub(super) fn reach(&self, need: &Need) -> Reach {
-        let job = &self.world.jobs[need.ix];
-        if !self.within_guarantee(&job.spec) {
-            Reach::None
-        } else if self.wall.saturating_sub(job.accepted_ms) >= self.policy.hold_ms {
-            Reach::Any
-        } else if need.guarantee_s.is_some() {
-            Reach::Begun
-        } else {
-            Reach::None
-        }
-    }
-
-    /// The same on one machine: nothing is stopped where the start would be
-    /// late for the guarantee all the same.
-    fn reach_on(&self, reach: Reach, need: &Need, hix: HostIx) -> Reach {
-        let in_time = || need.guarantee_s.is_some_and(|left| late(self.fetch_s(need, hix), left) < 0.5);
-        if reach == Reach::Begun && !in_time() { Reach::None } else { reach }
-    }
+/// A copy that would leave its machine.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Departure {
+    copy: Copy,
+    /// Where it is moved; none if it is stopped.
+    destination: Option<HostIx>,
+}
 
-    fn hardly_begun(&self, c: &Copy) -> bool {
-        let expected_s = self.world.jobs[c.key.job].spec.expected_s;
-        self.now.saturating_sub(c.since_ms) as f64 <= expected_s * 1000.0 * HARDLY_BEGUN
-    }
+/// Room that can be had on a machine.
+#[derive(Debug)]
+pub(super) struct Vacancy {
+    /// A measure of what the departures cost.
+    pub(super) cost: f64,
+    pub(super) departures: Vec<Departure>,
+}
 
-    /// Has it been there for long? What is stopped sooner was hardly started.
-    fn settled(&self, c: &Copy) -> bool {
-        self.now.saturating_sub(c.since_ms) >= SETTLED * self.policy.react_ms
-    }
+/// A copy that may leave its machine.
+struct Victim<'a> {
+    copy: &'a Copy,
+    /// It may be stopped, and not only moved.
+    evict: bool,
+}
 
-    /// Could the copy's job still be in time if it began anew?
-    fn second_chance(&self, c: &Copy) -> bool {
-        let job = &self.world.jobs[c.key.job];
-        let needs = (job.spec.expected_s * 1000.0) as u64;
-        job.spec.due_s.is_none() || self.wall + needs < self.policy.soft_deadline_ms(job)
-    }
+/// Room that is promised to a replica that moves.
+struct Promise {
+    host: HostIx,
+    demand: Demand,
+}
 
-    /// May a task of `spec` push this copy off its machine?
-    fn may_evict(&self, spec: &Spec, reach: Reach, c: &Copy) -> bool {
-        let victim = &self.world.jobs[c.key.job].spec;
-        if c.stop.is_some() || c.ended() {
-            return false;
-        }
-        if victim.urgency < spec.urgency {
-            return true;
-        }
-        let far_enough = match reach {
-            Reach::None => false,
-            Reach::Begun => self.hardly_begun(c),
-            Reach::Any => true,
-        };
-        far_enough
-            && (reach == Reach::Any || self.second_chance(c))
-            && victim.team != spec.team
-            && victim.shape != Shape::Service
-            && victim.urgency <= spec.urgency.max(Urgency::Normal)
-            && self.beyond_guarantee(victim)
-    }
+/// A kind of task for which no machine could make room, with all that it may stop.
+pub(super) struct Wall {
+    pub(super) want: Want,
+    pub(super) urgency: Urgency,
+    pub(super) team: String,
+    pub(super) reach: Reach,
+    /// The image that this holds for, if not for any.
+    pub(super) image: Option<String>,
+}
 
+impl Pass<'_> {
     /// A machine with free room and the image for a running replica, so that
     /// moving it there costs it next to nothing. `taken` is promised already.
-    fn refuge(&self, from: HostIx, c: &Copy, taken: &[(HostIx, Demand)]) -> Option<HostIx> {
+    fn refuge(&self, from: HostIx, c: &Copy, taken: &[Promise]) -> Option<HostIx> {
         let spec = &self.world.jobs[c.key.job].spec;
         if spec.shape != Shape::Service || !c.running() || c.stop.is_some() || !self.settled(c) {
             return None;
@@ -165,7 +83,7 @@
             let s = &self.index.slots[hix];
             let mut room = s.free;
             room.sub(&s.claimed);
-            taken.iter().filter(|t| t.0 == hix).for_each(|t| room.sub(&t.1));
+            taken.iter().filter(|t| t.host == hix).for_each(|t| room.sub(&t.demand));
             s.usable && hix != from && spec.demand.fits(&room)
         };
         let warm = self.index.warm(self.world, &spec.image);
@@ -174,93 +92,106 @@
         let need = self.need(c.key.job);
         let mut counts = self.index.counts(c.key.job);
         counts.sub(self.index.slots[from].zone);
-        let mut best: Option<(f64, HostIx)> = None;
+        let mut best: Option<Candidate> = None;
         for hix in open {
             let ready = |h: &Host| h.images.iter().any(|i| i.ready && i.name == spec.image);
             if !need.want.takes(&self.index.slots[hix], &counts) || !self.world.host(hix).is_some_and(ready) {
                 continue;
             }
             let cost = self.cost(&need, hix);
-            if best.is_none_or(|b| cost < b.0) {
-                best = Some((cost, hix));
+            if best.is_none_or(|b| cost < b.cost) {
+                best = Some(Candidate { cost, host: hix });
             }
         }
-        best.map(|b| b.1)
+        best.map(|b| b.host)
     }
 
     /// What would have to leave the machine so that `demand` fits, and where
     /// to, if it is moved; with a measure of what that costs.
-    pub(super) fn vacate(&self, need: &Need, reach: Reach, hix: HostIx, demand: &Demand) -> Option<(f64, Leavers)> {
+    pub(super) fn vacate(&self, need: &Need, reach: Reach, hix: HostIx, demand: &Demand) -> Option<Vacancy> {
         self.looked.set(self.looked.get() + 1);
-        let spec = &self.world.jobs[need.ix].spec;
         let h = self.world.host(hix)?;
         let mut room = self.index.slots[hix].free;
         for c in h.copies.iter().filter(|c| !c.ended() && c.stop.is_some()) {
             room.add(&c.demand);
         }
         if demand.fits(&room) {
-            return Some((0.0, Vec::new()));
+            return Some(Vacancy { cost: 0.0, departures: Vec::new() });
         }
-        let reach = self.reach_on(reach, need, hix);
+        let victims = self.victims(need, self.reach_on(reach, need, hix), h);
         // Most is settled by a look at what could leave at best.
         let mut most = room;
-        let mut victims: Vec<(&Copy, bool)> = Vec::new();
-        for c in h.copies.iter().filter(|c| !c.ended() && c.stop.is_none()) {
-            let evict = self.may_evict(spec, reach, c);
-            let moves = c.running() && self.settled(c) && self.world.jobs[c.key.job].spec.shape == Shape::Service;
-            if evict || moves {
-                most.add(&c.demand);
-                victims.push((c, evict));
-            }
-        }
+        victims.iter().for_each(|v| most.add(&v.copy.demand));
         if !demand.fits(&most) {
             return None;
         }
-        // The least urgent first; of those, the ones that lose least.
+        self.depart(victims, hix, room, demand)
+    }
+
+    /// The copies that may leave a machine, in the order in which they would.
+    fn victims<'a>(&self, need: &Need, reach: Reach, h: &'a Host) -> Vec<Victim<'a>> {
+        let spec = &self.world.jobs[need.ix].spec;
+        let mut victims: Vec<Victim> = Vec::new();
+        for copy in h.copies.iter().filter(|c| !c.ended() && c.stop.is_none()) {
+            let evict = self.may_evict(spec, reach, copy);
+            let service = self.world.jobs[copy.key.job].spec.shape == Shape::Service;
+            let moves = copy.running() && self.settled(copy) && service;
+            if evict || moves {
+                victims.push(Victim { copy, evict });
+            }
+        }
+        victims
+    }
+
+    /// Takes victims until `demand` fits into `room` with what they leave: the least
+    /// urgent first; of those, the ones that lose least.
+    fn depart(&self, mut victims: Vec<Victim>, hix: HostIx, mut room: Demand, demand: &Demand) -> Option<Vacancy> {
         let urgency = |c: &Copy| self.world.jobs[c.key.job].spec.urgency;
-        victims.sort_by_key(|(c, _)| (urgency(c), !self.second_chance(c), std::cmp::Reverse(c.since_ms)));
-        let mut leave = Vec::new();
+        victims.sort_by_key(|v| (urgency(v.copy), !self.second_chance(v.copy), Reverse(v.copy.since_ms)));
+        let mut departures = Vec::new();
         let mut taken = Vec::new();
         let mut cost = 0.0;
-        for (c, evict) in victims {
+        for Victim { copy, evict } in victims {
             if demand.fits(&room) {
                 break;
             }
-            if let Some(to) = self.refuge(hix, c, &taken) {
-                taken.push((to, c.demand));
-                leave.push((*c, Some(to)));
+            let destination = self.refuge(hix, copy, &taken);
+            if let Some(host) = destination {
+                taken.push(Promise { host, demand: copy.demand });
                 cost += MOVED;
             } else if evict {
-                leave.push((*c, None));
-                let v = &self.world.jobs[c.key.job].spec;
-                // A gang loses its place whole, and places for gangs are few.
-                cost += match v.shape {
-                    Shape::Gang => 2.0 + 2.0 * f64::from(v.tasks),
-                    // Its users are without it until its image is somewhere else.
-                    Shape::Service => 8.0,
-                    Shape::Batch if self.hardly_begun(c) => 0.5,
-                    Shape::Batch => 1.0,
-                };
-                if !self.second_chance(c) {
-                    cost += 1.0;
-                }
+                cost = self.add_stop_cost(cost, copy);
             } else {
                 continue;
             }
-            room.add(&c.demand);
+            departures.push(Departure { copy: *copy, destination });
+            room.add(&copy.demand);
         }
-        demand.fits(&room).then_some((cost, leave))
+        demand.fits(&room).then_some(Vacancy { cost, departures })
+    }
+
+    /// `cost` with that of stopping a copy.
+    fn add_stop_cost(&self, cost: f64, copy: &Copy) -> f64 {
+        let victim = &self.world.jobs[copy.key.job].spec;
+        let stopped = match victim.shape {
+            Shape::Gang => STOPPED_GANG + STOPPED_GANG_TASK * f64::from(victim.tasks),
+            Shape::Service => STOPPED_REPLICA,
+            Shape::Batch if self.hardly_begun(copy) => STOPPED_EARLY,
+            Shape::Batch => STOPPED_TASK,
+        };
+        let late = if self.second_chance(copy) { 0.0 } else { STOPPED_LATE };
+        cost + stopped + late
     }
 
     /// Carries out what `vacate` found.
-    pub(super) fn clear(&mut self, by: JobIx, hix: HostIx, leave: &[(Copy, Option<HostIx>)]) {
+    pub(super) fn clear(&mut self, by: JobIx, hix: HostIx, departures: &[Departure]) {
         let until_ms = self.now + MADE * self.policy.react_ms;
-        for (c, to) in leave {
-            if let Some(to) = to {
-                self.claim(*to, Claim { job: c.key.job, demand: c.demand, until_ms });
+        for Departure { copy, destination } in departures {
+            if let Some(to) = destination {
+                self.claim(*to, Claim { job: copy.key.job, demand: copy.demand, until_ms });
             }
-            let grace_s = self.world.jobs[c.key.job].spec.grace_s();
-            self.stop_job_part(by, hix, c, grace_s);
+            let grace_s = self.world.jobs[copy.key.job].spec.grace_s();
+            self.stop_job_part(by, hix, copy, grace_s);
         }
     }
 
@@ -287,107 +218,103 @@
     /// Preempts lesser work for a job that found no room, on the machine where
     /// that costs least, and holds the room for it.
     pub(super) fn make_room(&mut self, need: &Need) {
-        let ix = need.ix;
-        let job = &self.world.jobs[ix];
-        let (urgency, team) = (job.spec.urgency, job.spec.team.clone());
         let reach = self.reach(need);
-        // What was in vain for a job like this one is so again.
-        let walled = |w: &Wall| {
-            w.urgency >= urgency
-                && w.team == team
-                && w.reach >= reach
-                && w.image.as_ref().is_none_or(|i| *i == need.image)
-                && w.want.like(&need.want)
-        };
-        if self.walled.iter().any(walled) {
+        if self.known_in_vain(need, reach) {
             return;
         }
-        let placeable = self.world.placeable(job);
-        let open = |t: &&Task| t.retry_ms <= self.now && placeable.open(t);
-        let waiting = job.tasks.iter().filter(open).count();
-        let mut counts = self.index.counts(ix);
-        let mut left = waiting.saturating_sub(self.claims_of_use(need, &mut counts));
+        let mut counts = self.index.counts(need.ix);
+        let waiting = self.waiting_tasks(need);
+        let left = waiting.saturating_sub(self.claims_of_use(need, &mut counts));
         if left == 0 {
             return;
         }
+        let mut costs = self.room_costs(need, reach);
+        if costs.is_empty() && !need.modest && need.shuns.is_empty() {
+            self.note_in_vain(need, reach);
+        }
+        // The least cost last.
+        costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
+        self.take_cheapest(need, reach, costs, counts, left);
+    }
+
+    /// Was it in vain for a job like this one? Then it is so again.
+    fn known_in_vain(&self, need: &Need, reach: Reach) -> bool {
+        let spec = &self.world.jobs[need.ix].spec;
+        self.walled.iter().any(|w| {
+            w.urgency >= spec.urgency
+                && w.team == spec.team
+                && w.reach >= reach
+                && w.image.as_ref().is_none_or(|i| *i == need.image)
+                && w.want.like(&need.want)
+        })
+    }
+
+    fn note_in_vain(&mut self, need: &Need, reach: Reach) {
+        let spec = &self.world.jobs[need.ix].spec;
+        let (urgency, team) = (spec.urgency, spec.team.clone());
+        // How far a job may go for its guarantee depends on its image, too.
+        let image = (reach == Reach::Begun).then(|| need.image.clone());
+        self.walled.push(Wall { want: need.want.clone(), urgency, team, reach, image });
+    }
+
+    /// How many tasks of the job wait for a place.
+    fn waiting_tasks(&self, need: &Need) -> usize {
+        let job = &self.world.jobs[need.ix];
+        let placeable = self.world.placeable(job);
+        let open = |t: &&Task| t.retry_ms <= self.now && placeable.open(t);
+        job.tasks.iter().filter(open).count()
+    }
+
+    /// What room for a task would cost on each machine where it can be made.
+    fn room_costs(&self, need: &Need, reach: Reach) -> Vec<Candidate> {
         let none = Counts::default();
-        // Each machine is looked at once, and again when its turn comes: what was
-        // done for the tasks before may have made it dearer.
-        let mut costs: Vec<(f64, HostIx)> = Vec::new();
-        let mut in_vain = true;
-        for hix in 0..self.index.slots.len() {
-            let s = &self.index.slots[hix];
-            if !need.want.takes(s, &none) || (need.modest && self.world.flavors[s.flavor].cap.gpus > 0.0) {
+        let mut costs = Vec::new();
+        for (host, slot) in self.index.slots.iter().enumerate() {
+            let left_to_others = need.modest && self.world.flavors[slot.flavor].cap.gpus > 0.0;
+            if !need.want.takes(slot, &none) || left_to_others {
                 continue;
             }
-            if let Some((cost, _)) = self.room_at(need, reach, hix) {
-                in_vain = false;
-                costs.push((cost, hix));
+            if let Some(Vacancy { cost, .. }) = self.room_at(need, reach, host) {
+                costs.push(Candidate { cost, host });
             }
         }
-        if in_vain && !need.modest && need.shuns.is_empty() {
-            // How far a job may go for its guarantee depends on its image, too.
-            let image = (reach == Reach::Begun).then(|| need.image.clone());
-            self.walled.push(Wall { want: need.want.clone(), urgency, team, reach, image });
-        }
-        // The least cost last.
-        costs.sort_by(|a, b| b.0.total_cmp(&a.0));
+        costs
+    }
+
+    /// Makes room for so many tasks. Each machine was looked at once, and is again when
+    /// its turn comes: what was done for the tasks before may have made it dearer.
+    fn take_cheapest(
+        &mut self,
+        need: &Need,
+        reach: Reach,
+        mut costs: Vec<Candidate>,
+        mut counts: Counts,
+        mut left: usize,
+    ) {
         while left > 0
-            && let Some((_, hix)) = costs.pop()
+            && let Some(Candidate { host, .. }) = costs.pop()
         {
-            if !need.want.takes(&self.index.slots[hix], &counts) {
+            if !need.want.takes(&self.index.slots[host], &counts) {
                 continue;
             }
-            let Some((cost, leave)) = self.room_at(need, reach, hix) else { continue };
-            if costs.last().is_some_and(|next| next.0 < cost) {
-                let at = costs.partition_point(|c| c.0 > cost);
-                costs.insert(at, (cost, hix));
+            let Some(vacancy) = self.room_at(need, reach, host) else { continue };
+            if costs.last().is_some_and(|next| next.cost < vacancy.cost) {
+                insert_by_cost(&mut costs, Candidate { cost: vacancy.cost, host });
                 continue;
             }
             left -= 1;
-            counts.add(self.index.slots[hix].zone);
-            self.clear(need.ix, hix, &leave);
+            counts.add(self.index.slots[host].zone);
+            self.clear(need.ix, host, &vacancy.departures);
             let until_ms = self.now + MADE * self.policy.react_ms;
-            self.claim(hix, Claim { job: ix, demand: need.want.demand, until_ms });
-            if let Some((cost, _)) = self.room_at(need, reach, hix) {
-                let at = costs.partition_point(|c| c.0 > cost);
-                costs.insert(at, (cost, hix));
-            }
-        }
-    }
-
-    /// How many tasks room is held for where zones still allow them, which are
-    /// counted; what is held elsewhere is given up. Room in a zone that the job's
-    /// other tasks filled meanwhile would keep the last one waiting for its end.
-    fn claims_of_use(&mut self, need: &Need, counts: &mut Counts) -> usize {
-        if self.index.claims_of(need.ix) == 0 {
-            return 0;
-        }
-        let mut of_use = 0;
-        for hix in 0..self.index.slots.len() {
-            if self.index.slots[hix].claims == 0 {
-                continue;
+            self.claim(host, Claim { job: need.ix, demand: need.want.demand, until_ms });
+            if let Some(Vacancy { cost, .. }) = self.room_at(need, reach, host) {
+                insert_by_cost(&mut costs, Candidate { cost, host });
             }
-            let Some(h) = self.world.hosts[hix].as_mut().filter(|h| h.claims.iter().any(|c| c.job == need.ix)) else {
-                continue;
-            };
-            let before = h.claims.clone();
-            let slot = &self.index.slots[hix];
-            h.claims.retain(|c| {
-                let fits = c.job != need.ix || need.want.takes(slot, counts);
-                if fits && c.job == need.ix {
-                    counts.add(slot.zone);
-                    of_use += 1;
-                }
-                fits
-            });
-            self.index.reclaim(&before, &h.claims, hix);
         }
-        of_use
     }
 
     /// What room for one more task would cost on a machine, and what has to leave it.
-    fn room_at(&self, need: &Need, reach: Reach, hix: HostIx) -> Option<(f64, Leavers)> {
+    fn room_at(&self, need: &Need, reach: Reach, hix: HostIx) -> Option<Vacancy> {
         let s = &self.index.slots[hix];
         // Room that is held for a gang is left to it; beside others' there may be more.
         let gangs = |c: &Claim| c.job != need.ix && self.world.jobs[c.job].spec.shape == Shape::Gang;
@@ -397,8 +324,16 @@
         }
         let mut demand = need.want.demand;
         demand.add(&s.claimed);
-        let (lost, leave) = self.vacate(need, reach, hix, &demand)?;
+        let mut vacancy = self.vacate(need, reach, hix, &demand)?;
         // A replica is worth waiting work to start where its image is.
-        Some((lost + if need.service { 1.0 } else { 0.2 } * self.cost(need, hix), leave))
+        let weight = if need.service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
+        vacancy.cost += weight * self.cost(need, hix);
+        Some(vacancy)
     }
 }
+
+/// Inserts into a list with the least cost last.
+fn insert_by_cost(costs: &mut Vec<Candidate>, candidate: Candidate) {
+    let at = costs.partition_point(|c| c.cost > candidate.cost);
+    costs.insert(at, candidate);
+}
