--- a/src/part/mod.rs
+++ b/src/part/mod.rs
@@ -1,6 +1,7 @@
 //! The protocol of a part, without I/O and clock: its jobs, its machines, what
 //! reports and answers mean, which orders follow, what must be recorded.
 
+mod attempts;
 mod direct;
 mod drain;
 #[cfg(test)]
