--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -4,7 +4,7 @@
 //! at, and not machines times running tasks.
 
 use super::usable;
-use crate::model::{Claim, Demand, HostIx, JobIx, Spec, World};
+use crate::model::{Claim, Demand, Host, HostIx, JobIx, Spec, World};
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
@@ -29,6 +29,7 @@
 }
 
 impl Counts {
+    /// Counts one more task in a zone.
     pub fn add(&mut self, zone: usize) {
         if self.by_zone.len() <= zone {
             self.by_zone.resize(zone + 1, 0);
@@ -37,6 +38,7 @@
         self.total += 1;
     }
 
+    /// Counts one task less in a zone.
     pub fn sub(&mut self, zone: usize) {
         if let Some(n) = self.by_zone.get_mut(zone).filter(|n| **n > 0) {
             *n -= 1;
@@ -44,6 +46,7 @@
         }
     }
 
+    /// How many tasks are in a zone.
     pub fn of(&self, zone: usize) -> u32 {
         self.by_zone.get(zone).copied().unwrap_or(0)
     }
@@ -86,6 +89,7 @@
     }
 }
 
+/// Room by machine, and where the copies of each job are.
 #[derive(Debug, Default)]
 pub struct Index {
     pub slots: Vec<Slot>,
@@ -104,66 +108,79 @@
 }
 
 impl Index {
+    /// Counts what is on all machines.
     pub fn new(world: &World, now: u64) -> Index {
         let mut index = Index { slots: Vec::with_capacity(world.hosts.len()), ..Index::default() };
-        for z in world.flavors.iter().flat_map(|f| &f.zones) {
-            if !index.zones.contains(z) {
-                index.zones.push(z.clone());
-            }
+        for zone in world.flavors.iter().flat_map(|f| &f.zones) {
+            index.zone_or_insert(zone);
         }
         for (hix, host) in world.hosts.iter().enumerate() {
-            let Some(h) = host else {
-                index.slots.push(Slot::default());
-                continue;
-            };
-            let zone = index.zones.iter().position(|z| *z == h.zone).unwrap_or_else(|| {
-                index.zones.push(h.zone.clone());
-                index.zones.len() - 1
-            });
-            let mut slot = Slot {
-                usable: h.flavor.is_some() && usable(h, now),
-                flavor: h.flavor.unwrap_or(0),
-                zone,
-                spot: h.spot,
-                free: h.flavor.map_or(Demand::default(), |f| world.flavors[f].cap),
-                claimed: Demand::default(),
-                claims: h.claims.len(),
-            };
-            for c in h.copies.iter().filter(|c| !c.ended()) {
-                slot.free.sub(&c.demand);
-                index.at.push((c.key.job, hix));
-                if c.stop.is_some() {
-                    sum(&mut index.staying, &world.jobs[c.key.job].spec.team, &c.demand.times(-1.0));
-                }
-            }
-            for c in &h.claims {
-                slot.claimed.add(&c.demand);
-                *index.claims.entry(c.job).or_default() += 1;
-            }
+            let slot = host.as_ref().map_or_else(Slot::default, |h| index.count_host(world, hix, h, now));
             index.slots.push(slot);
         }
         index.at.sort_unstable();
-        for copies in index.at.chunk_by(|a, b| a.0 == b.0) {
+        index.count_teams(world);
+        index
+    }
+
+    fn zone_or_insert(&mut self, name: &str) -> usize {
+        self.zone(name).unwrap_or_else(|| {
+            self.zones.push(name.to_string());
+            self.zones.len() - 1
+        })
+    }
+
+    /// Counts what is on one machine.
+    fn count_host(&mut self, world: &World, hix: HostIx, h: &Host, now: u64) -> Slot {
+        let mut slot = Slot {
+            usable: h.flavor.is_some() && usable(h, now),
+            flavor: h.flavor.unwrap_or(0),
+            zone: self.zone_or_insert(&h.zone),
+            spot: h.spot,
+            free: h.flavor.map_or(Demand::default(), |f| world.flavors[f].cap),
+            claimed: Demand::default(),
+            claims: h.claims.len(),
+        };
+        for c in h.copies.iter().filter(|c| !c.ended()) {
+            slot.free.sub(&c.demand);
+            self.at.push((c.key.job, hix));
+            if c.stop.is_some() {
+                sum(&mut self.staying, &world.jobs[c.key.job].spec.team, &c.demand.times(-1.0));
+            }
+        }
+        for c in &h.claims {
+            slot.claimed.add(&c.demand);
+            *self.claims.entry(c.job).or_default() += 1;
+        }
+        slot
+    }
+
+    /// Counts what the copies of each team's jobs take.
+    fn count_teams(&mut self, world: &World) {
+        for copies in self.at.chunk_by(|a, b| a.0 == b.0) {
             let spec = &world.jobs[copies[0].0].spec;
             let all = spec.demand.times(copies.len() as f64);
-            sum(&mut index.usage, &spec.team, &all);
-            sum(&mut index.staying, &spec.team, &all);
+            sum(&mut self.usage, &spec.team, &all);
+            sum(&mut self.staying, &spec.team, &all);
         }
-        index
     }
 
+    /// The index of a zone.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|z| z == name)
     }
 
+    /// The name of a zone.
     pub fn zone_name(&self, zone: usize) -> &str {
         &self.zones[zone]
     }
 
+    /// The indices of all zones.
     pub fn zones(&self) -> std::ops::Range<usize> {
         0..self.zones.len()
     }
 
+    /// Where the tasks of a job may be.
     pub fn want(&self, world: &World, spec: &Spec) -> Want {
         Want {
             flavors: world.flavors.iter().map(|f| spec.allows_flavor(f)).collect(),
@@ -182,6 +199,7 @@
         before.chain(self.placed.get(&job).into_iter().flatten().copied())
     }
 
+    /// Copies of the job by zone.
     pub fn counts(&self, job: JobIx) -> Counts {
         let mut counts = Counts::default();
         self.hosts_of(job).for_each(|h| counts.add(self.slots[h].zone));
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -4,108 +4,16 @@
 mod index;
 mod pass;
 mod plan;
+mod policy;
 #[cfg(test)]
 mod tests;
 
 pub use index::Index;
 pub use pass::{Assignment, Eviction, Outcome, pass};
 pub use plan::{ClassFlow, Coming, Drain, Plan, Rental, plan, reserves};
+pub use policy::{Policy, TeamRule};
 
-use crate::config::{Operator, Settings};
-use crate::model::*;
-use std::collections::HashMap;
-
-/// What decisions depend on besides the world.
-#[derive(Debug, Clone)]
-pub struct Policy {
-    pub bin_width_s: f64,
-    pub default_deadline_s: f64,
-    pub headroom: f64,
-    pub idle_keep: f64,
-    pub teams: HashMap<String, TeamRule>,
-    /// By class: start objective and the share that must meet it.
-    pub waits: HashMap<String, (f64, f64)>,
-    /// Within how long work within a guarantee is to start, if that is an aim.
-    pub guarantee_s: Option<f64>,
-    /// How long room is held for a gang or a preempting job.
-    pub hold_ms: u64,
-    pub lease_ms: u64,
-    pub report_ms: u64,
-    /// Within how long an order that is sent directly shows its effect.
-    pub react_ms: u64,
-    /// Records that can be written in a second.
-    pub writes_per_s: f64,
-    /// Wall time of the system's start, from the state service.
-    pub start_ms: u64,
-}
-
-#[derive(Debug, Clone, Copy, Default)]
-pub struct TeamRule {
-    pub guarantee: Demand,
-    pub limit: Demand,
-}
-
-/// 0 in the settings means no limit.
-fn limit(v: f64) -> f64 {
-    if v > 0.0 { v } else { f64::INFINITY }
-}
-
-impl Policy {
-    pub fn new(s: &Settings, o: &Operator, start_ms: u64) -> Policy {
-        let teams = s.params.teams.iter().map(|t| {
-            let rule = TeamRule {
-                guarantee: Demand { cpus: t.cpus, gpus: t.gpus, mem: f64::INFINITY },
-                limit: Demand { cpus: limit(t.cpus_max), gpus: limit(t.gpus_max), mem: f64::INFINITY },
-            };
-            (t.name.clone(), rule)
-        });
-        let waits = s.params.objectives.iter().filter(|o| o.kind == "wait");
-        Policy {
-            bin_width_s: o.bin_width_s,
-            default_deadline_s: o.default_deadline_s,
-            headroom: o.headroom,
-            idle_keep: o.idle_keep,
-            teams: teams.collect(),
-            waits: waits.filter_map(|o| Some((o.class.clone()?, (o.within_s?, o.share.unwrap_or(0.9))))).collect(),
-            guarantee_s: s.params.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.within_s),
-            hold_ms: (s.params.workers.gang_wait_s * 1000.0) as u64,
-            lease_ms: s.lease_ms(),
-            report_ms: s.report_ms(),
-            react_ms: s.react_ms(),
-            writes_per_s: s.writes_per_s(),
-            start_ms,
-        }
-    }
-
-    /// The job's soft deadline, as wall time.
-    pub fn soft_deadline_ms(&self, job: &Job) -> u64 {
-        let after_s =
-            job.spec.due_s.or_else(|| self.waits.get(&job.spec.class).map(|w| w.0)).unwrap_or(self.default_deadline_s);
-        job.accepted_ms + (after_s * 1000.0) as u64
-    }
-
-    /// The deadline that counts now. Work that can't meet its deadline any
-    /// more steps back in two strides, so that it doesn't starve what can.
-    pub fn effective_deadline_ms(&self, job: &Job, wall: u64) -> u64 {
-        let soft = self.soft_deadline_ms(job);
-        let Some(due_s) = job.spec.due_s else { return soft };
-        let needs = (job.spec.expected_s * 500.0) as u64;
-        let stride = (due_s * 500.0) as u64;
-        if wall + needs <= soft {
-            soft
-        } else if wall + needs <= soft + stride {
-            soft + stride
-        } else {
-            soft + stride + (self.default_deadline_s * 1000.0) as u64
-        }
-    }
-
-    /// The bin of a deadline.
-    pub fn bin(&self, deadline_ms: u64) -> u64 {
-        let width = (self.bin_width_s * 1000.0).max(1.0) as u64;
-        deadline_ms.saturating_sub(self.start_ms) / width
-    }
-}
+use crate::model::{Flavor, Host, Shape, Spec};
 
 /// Why a submission can never run, if so.
 pub fn impossible(spec: &Spec, policy: &Policy, flavors: &[Flavor]) -> Option<String> {
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
-use crate::config::tests::settings;
+use crate::config::{Operator, tests::settings};
+use crate::model::{
+    Claim, Copy, Demand, Flavor, Host, HostIx, Job, JobIx, Place, Shape, Spec, TaskKey, TaskPhase, Urgency, World,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
