--- a/src/part/direct.rs
+++ b/src/part/direct.rs
@@ -70,19 +70,7 @@
                 if r.host == d.id {
                     self.report(&r, Via::Direct, now);
                 }
-                // What came up meanwhile can't wait for the next report.
-                let due = |c: &Copy| match (c.phase, c.stop) {
-                    (TaskPhase::Ended(_), _) => false,
-                    (TaskPhase::Saving, Some(grace)) => grace <= 0.0,
-                    (phase, stop) => stop.is_some() || phase == TaskPhase::Sent,
-                };
-                let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
-                if let Some(h) = self.world.host_mut(d.host)
-                    && (!h.shown() || h.copies.iter().any(due))
-                {
-                    h.do_after_ms = now + pause;
-                    self.kick.insert(d.host);
-                }
+                self.follow_up(d.host, now);
             }
             DirectResult::NotSent | DirectResult::Unclear => {
                 h.do_after_ms = retry;
@@ -91,6 +79,17 @@
         }
     }
 
+    /// What came up while a command was under way can't wait for the next report.
+    fn follow_up(&mut self, hix: HostIx, now: u64) {
+        let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
+        if let Some(h) = self.world.host_mut(hix)
+            && (!h.shown() || h.copies.iter().any(order_due))
+        {
+            h.do_after_ms = now + pause;
+            self.kick.insert(hix);
+        }
+    }
+
     /// True if a copy, or a record of a machine, can only be settled by a higher token.
     pub fn needs_new_term(&self) -> bool {
         self.moves_may_be_undone()
@@ -104,3 +103,12 @@
             })
     }
 }
+
+/// Has the worker still to be told to start or stop it?
+fn order_due(c: &Copy) -> bool {
+    match (c.phase, c.stop) {
+        (TaskPhase::Ended(_), _) => false,
+        (TaskPhase::Saving, Some(grace)) => grace <= 0.0,
+        (phase, stop) => stop.is_some() || phase == TaskPhase::Sent,
+    }
+}
--- a/src/part/users.rs
+++ b/src/part/users.rs
@@ -3,9 +3,13 @@
 use super::keys::{TOO_LONG, fits};
 use super::upkeep::DEAF;
 use super::{Part, UserAnswer, Waiter};
-use crate::model::{Host, Job, JobEnd, JobIx, JobPhase, Place, Task, Unsaved};
+use crate::model::{Host, Job, JobEnd, JobIx, JobPhase, Place, Spec, Task, Unsaved};
 use crate::{sched, wire};
 
+/// Submissions are refused once those before them take a quarter of a lease to record:
+/// milliseconds of the lease for each second of the backlog.
+const BACKLOG_MS_PER_S: f64 = 4000.0;
+
 impl Part {
     /// A submission. The answer comes at once or, through the waiter, after
     /// the commit.
@@ -29,15 +33,11 @@
             Ok(spec) => match sched::impossible(&spec, &self.policy, &self.world.flavors) {
                 Some(message) => UserAnswer::Impossible(message),
                 None if !fits(&spec, self.value_bytes) => UserAnswer::Malformed(TOO_LONG.into()),
-                None if self.backlog_s() * 4000.0 > self.policy.lease_ms as f64 => {
+                None if self.backlog_s() * BACKLOG_MS_PER_S > self.policy.lease_ms as f64 => {
                     UserAnswer::Busy(self.backlog_s().ceil() as u64)
                 }
                 None => {
-                    let mut job = Job::new(spec, wall, now);
-                    job.unsaved = Unsaved::Creation;
-                    job.fresh = true;
-                    let ix = self.world.add_job(job);
-                    self.dirty.insert(ix);
+                    let ix = self.add_submitted(spec, now, wall);
                     self.submitters.entry(ix).or_default().push(waiter);
                     return;
                 }
@@ -46,6 +46,16 @@
         let _ = waiter.send(answer);
     }
 
+    /// Adds a job whose record is still to be created.
+    fn add_submitted(&mut self, spec: Spec, now: u64, wall: u64) -> JobIx {
+        let mut job = Job::new(spec, wall, now);
+        job.unsaved = Unsaved::Creation;
+        job.fresh = true;
+        let ix = self.world.add_job(job);
+        self.dirty.insert(ix);
+        ix
+    }
+
     /// Seconds that it takes to record what was submitted before.
     fn backlog_s(&self) -> f64 {
         let new = self.dirty.iter().filter(|ix| self.world.jobs[**ix].unsaved == Unsaved::Creation).count();
