--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -78,3 +78,11 @@
     assert!(hcl::from_str::<Operator>("bin_widht_s = 2").is_err());
     assert!(check_operator(&Operator { headroom: -1.0, ..Operator::default() }).is_err());
 }
+
+#[test]
+fn the_number_of_partitions_may_be_given_under_its_earlier_name() {
+    for name in ["partitions", "parts"] {
+        let operator: Operator = hcl::from_str(&format!("{name} = 3\n")).unwrap();
+        assert_eq!(operator.partitions, 3, "{name}");
+    }
+}
