--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -137,7 +137,7 @@
                 let ok = self.promise(rules, now, owner, term, for_ms, state_ok).await;
                 let _ = reply.send(ok);
             }
-            Message::RecordRead { record, unbound } => self.hosts_examined(rules, now, record, unbound),
+            Message::RecordRead { record, unbound } => self.previous_owner_read(rules, now, record, unbound),
             Message::Seen(record) => self.seen(rules, now, record),
             Message::Extended { grant, sent, result } => self.extended(rules, now, grant, sent, result).await,
             Message::Promised { peer, sent, ok: true } => rules.promised(peer, sent, now),
@@ -179,7 +179,13 @@
         ok
     }
 
-    fn hosts_examined(&self, rules: &mut MembershipRules, now: u64, record: Option<PartitionRecord>, unbound: bool) {
+    fn previous_owner_read(
+        &self,
+        rules: &mut MembershipRules,
+        now: u64,
+        record: Option<PartitionRecord>,
+        unbound: bool,
+    ) {
         rules.record_read = true;
         rules.record = record;
         if unbound {
--- a/src/sched/pass/limits.rs
+++ b/src/sched/pass/limits.rs
@@ -22,6 +22,9 @@
     /// Would the job's team be within its guarantee with one more task?
     pub(super) fn within_guarantee(&self, spec: &Spec) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
+        if !team.guarantees(&spec.demand) {
+            return false;
+        }
         let mut total = self.index.staying.get(&spec.team).copied().unwrap_or_default();
         total.add(&spec.demand);
         total.gpus <= team.guarantee.gpus + ROUNDING
--- a/src/sched/pass/preemption.rs
+++ b/src/sched/pass/preemption.rs
@@ -67,8 +67,8 @@
     /// Could the attempt's job still be in time if it began anew?
     pub(super) fn restart_in_time(&self, c: &TaskAttempt) -> bool {
         let job = &self.cluster.jobs[c.key.job];
-        let capacity_report = (job.spec.expected_s * 1000.0) as u64;
-        job.spec.due_s.is_none() || self.wall + capacity_report < self.policy.soft_deadline_ms(job)
+        let expected_ms = (job.spec.expected_s * 1000.0) as u64;
+        job.spec.due_s.is_none() || self.wall + expected_ms < self.policy.soft_deadline_ms(job)
     }
 
     /// May a task of `spec` push this attempt off its machine?
--- a/src/sched/policy.rs
+++ b/src/sched/policy.rs
@@ -38,6 +38,16 @@
     pub limit: Demand,
 }
 
+impl TeamRule {
+    /// Does the guarantee cover anything that such a task takes? Without this check a team
+    /// that is guaranteed nothing would always be within its guarantee with tasks that take
+    /// no accelerator, and could stop the work of all others.
+    pub fn guarantees(&self, demand: &Demand) -> bool {
+        let covers = |guaranteed: f64, taken: f64| guaranteed > 0.0 && taken > 0.0;
+        covers(self.guarantee.gpus, demand.gpus) || covers(self.guarantee.cpus, demand.cpus)
+    }
+}
+
 /// 0 in the settings means no limit.
 fn limit(v: f64) -> f64 {
     if v > 0.0 { v } else { f64::INFINITY }
@@ -85,11 +95,11 @@
     pub fn effective_deadline_ms(&self, job: &Job, wall: u64) -> u64 {
         let soft = self.soft_deadline_ms(job);
         let Some(due_s) = job.spec.due_s else { return soft };
-        let capacity_report = (job.spec.expected_s * 500.0) as u64;
+        let remaining_ms = (job.spec.expected_s * 500.0) as u64;
         let stride = (due_s * 500.0) as u64;
-        if wall + capacity_report <= soft {
+        if wall + remaining_ms <= soft {
             soft
-        } else if wall + capacity_report <= soft + stride {
+        } else if wall + remaining_ms <= soft + stride {
             soft + stride
         } else {
             soft + stride + (self.default_deadline_s * 1000.0) as u64
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -159,6 +159,41 @@
     assert!(run(&mut w, later + 1).stops.is_empty());
 }
 
+// A guest team's tasks without accelerators took none of its guarantee of nothing, and so
+// stopped the arrays of guaranteed teams thousands of times a minute, which took the room
+// back each time.
+#[test]
+fn a_team_without_a_guarantee_stops_nobody_and_gives_room_back() {
+    let mut policy = policy();
+    policy.teams.insert("guest".into(), TeamRule { guarantee: Demand::default(), limit: policy.teams["blue"].limit });
+    let mut attempt = 0;
+    let mut run = |cluster: &mut ClusterState, now: u64| {
+        pass(cluster, &policy, now, now, Urgency::Low, || {
+            attempt += 1;
+            attempt
+        })
+    };
+    let mut cluster = cluster(&[("a", false)]);
+    let mut of_blue = spec("run-000001", Shape::Batch, 8, 1.0);
+    of_blue.team = "blue".into(); // 8 of 4 guaranteed
+    of_blue.demand.cpus = 4.0;
+    add(&mut cluster, of_blue.clone(), 0);
+    assert_eq!(run(&mut cluster, 1).starts.len(), 8);
+    let mut of_guest = spec("run-000002", Shape::Batch, 2, 0.0);
+    of_guest.team = "guest".into();
+    of_guest.demand.cpus = 16.0;
+    add(&mut cluster, of_guest.clone(), 2);
+    let waited_long = 3 + policy.hold_ms;
+    assert!(run(&mut cluster, waited_long).stops.is_empty(), "the guest is guaranteed nothing");
+
+    // The other way round the guest gives way to a guarantee.
+    let mut cluster = super::tests::cluster(&[("a", false)]);
+    add(&mut cluster, of_guest, 0);
+    assert_eq!(run(&mut cluster, 1).starts.len(), 2);
+    add(&mut cluster, of_blue, 2);
+    assert!(!run(&mut cluster, waited_long).stops.is_empty(), "blue is guaranteed four accelerators");
+}
+
 #[test]
 fn a_replica_moves_out_of_a_gangs_way() {
     // Two machines with room for two, one replica on each.
