--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -4,6 +4,7 @@
 use super::messages::{Acquired, Message, Ownership, OwnershipChange};
 use super::records::PartitionRecord;
 use super::rules::{MembershipRules, Role};
+use super::succession::Succession;
 use super::takeover::{read_previous_owner, take};
 use super::watch::watch_partition;
 use crate::clients::{RequestError, State};
@@ -28,6 +29,8 @@
     pub state: State,
     /// The other controllers.
     pub peers: Vec<Peer>,
+    /// Which of them succeeds whom.
+    pub succession: Succession,
     /// Published: until when this node may act.
     pub entitled: Entitlement,
     /// Published: the promises given and had.
@@ -199,14 +202,20 @@
         if matches!(rules.role, Role::Holding { .. }) {
             return;
         }
-        if record.is_none() && rules.record.is_some() {
-            // Who holds less goes first.
-            let held = self.held.load(Ordering::Relaxed) as u64;
-            rules.retry_after = rules.retry_after.max(now + held * self.grant_ttl_ms / 10);
+        if let (None, Some(lost)) = (&record, &rules.record) {
+            rules.retry_after = rules.retry_after.max(now + self.takeover_delay_ms(&lost.owner));
         }
         rules.record = record;
     }
 
+    /// How long this node leaves the partition of a lost owner to others: who holds less
+    /// goes first, then whom the workers try next.
+    fn takeover_delay_ms(&self, lost_owner: &str) -> u64 {
+        let held = self.held.load(Ordering::Relaxed) as u64;
+        let nodes_before = self.succession.nodes_before(lost_owner) as u64;
+        held * self.grant_ttl_ms / 10 + nodes_before * self.grant_ttl_ms / 5
+    }
+
     async fn extended(
         &self,
         rules: &mut MembershipRules,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -10,6 +10,7 @@
 mod messages;
 mod records;
 mod rules;
+mod succession;
 mod takeover;
 mod watch;
 
@@ -18,6 +19,7 @@
 pub use messages::{Acquired, Message, Ownership, OwnershipChange};
 pub use records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
 pub use rules::MembershipRules;
+pub use succession::Succession;
 pub use takeover::{RaisedTerm, raise_term};
 
 #[cfg(test)]
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,4 @@
-use super::{Acquired, Entitlement, MembershipRules, PartitionRecord, TermRecord, partition_key};
+use super::{Acquired, Entitlement, MembershipRules, PartitionRecord, Succession, TermRecord, partition_key};
 use crate::clock;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -174,3 +174,15 @@
     assert_eq!(serde_json::to_value(host).unwrap(), stored);
     assert_eq!(partition_key(3), "part/3");
 }
+
+// Two controllers that were silent in turn cost a fleet all its leases: the workers tried the
+// silent one that was lost before, and then the lease was over.
+#[test]
+fn a_lost_owner_is_succeeded_by_the_controller_that_its_workers_try_next() {
+    let succession = |own: &str| Succession::new(own, ["a", "b", "c"].into_iter().filter(|n| *n != own));
+    for (lost, first, second) in [("a", "b", "c"), ("b", "c", "a"), ("c", "a", "b")] {
+        assert_eq!(succession(first).nodes_before(lost), 0, "{first} after {lost}");
+        assert_eq!(succession(second).nodes_before(lost), 1, "{second} after {lost}");
+    }
+    assert_eq!(succession("a").nodes_before("unknown"), 0);
+}
--- a/src/node.rs
+++ b/src/node.rs
@@ -3,7 +3,7 @@
 use crate::api::Api;
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Seed, Settings};
-use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus};
+use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus, Succession};
 use crate::net::Net;
 use crate::owner::PartitionOwner;
 use crate::peer::{self, Peer};
@@ -35,6 +35,7 @@
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
     let held = Arc::new(AtomicUsize::new(0));
+    let succession = Succession::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
     let mut nodes: Vec<&str> = settings.seeds.iter().map(|s| s.node.as_str()).collect();
     nodes.push(&settings.node);
     nodes.sort_unstable();
@@ -57,6 +58,7 @@
             lease_ms: settings.lease_ms(),
             state: state.clone(),
             peers: peers.clone(),
+            succession: succession.clone(),
             entitled: entitled.clone(),
             promise_status: promise_status.clone(),
             ownership: ownership_tx,
