--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,12 +1,18 @@
 //! The leader's side of the cloud: which machines are coming, which requests
 //! were refused, what to rent and return. Decisions come from `sched::plan`.
 
-use crate::clients::RentResult;
+mod boots;
+mod rentals;
+#[cfg(test)]
+mod tests;
+
+use crate::boot_times::{BootTimes, MachineKind};
 use crate::model::*;
 use crate::partition::Partition;
 use crate::peer::{CapacityReport, Machines};
-use crate::sched::{self, ClassFlow, PendingMachine, Rental};
-use crate::wire::Listed;
+use crate::sched::{self, ClassFlow, PendingMachine, Rental, Supply};
+use boots::BootingMachine;
+use rentals::RentalRequest;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// What the cloud is to be asked.
@@ -15,6 +21,8 @@
     Rent {
         name: String,
         rental: Rental,
+        /// How long to wait before the request is sent.
+        pause_ms: u64,
     },
     Release(Vec<String>),
     /// Have the machine's partition give it to another one.
@@ -25,70 +33,45 @@
     },
 }
 
-/// A machine that is listed or rented and has not reported yet.
-#[derive(Debug, Clone)]
-struct Expected {
-    partition: u32,
-    pending_machine: PendingMachine,
-    since_ms: u64,
-    listed: bool,
-}
-
 #[derive(Debug, Default)]
 pub struct Leader {
-    renting: BTreeMap<String, (u32, Rental)>,
+    /// Rental requests without a known outcome, by name.
+    renting: BTreeMap<String, RentalRequest>,
     /// What the other partitions said last, and when.
     capacity_reports: BTreeMap<u32, (u64, CapacityReport)>,
     /// Machines asked to move, until when that is remembered.
     moving: HashMap<String, (u32, PendingMachine, u64)>,
-    expected: HashMap<String, Expected>,
+    booting: HashMap<String, BootingMachine>,
+    boot_times: BootTimes,
+    /// When machines on their way were last looked after.
+    last_round_ms: u64,
+    /// From when on machines may be called late or given up.
+    judges_from_ms: u64,
     refused: HashMap<(usize, String, bool), (u64, u64)>,
     releasing: HashSet<String>,
     gone: HashSet<String>,
-    listed_once: bool,
+    /// When a list shows what the last leader rented, and whether one was read since.
+    predecessor_listed_ms: Option<u64>,
+    predecessor_known: bool,
     /// What kind of machine each listed one is.
     kinds: HashMap<String, PendingMachine>,
     serial: u64,
     lag_ms: u64,
+    react_ms: u64,
+    /// Counters that are to be raised, by name and label.
+    events: Vec<(&'static str, String)>,
 }
 
 /// Most machines of one request, by the protocol.
 const MAX_RENTED: usize = 50;
 /// Most names of one release, by the protocol.
 const MAX_RELEASED: usize = 100;
-/// A machine that is not up after this many of its boot times never will be.
-const MAX_BOOT_TIMES: f64 = 4.0;
 
 impl Leader {
     pub fn new(list_lag_s: f64) -> Leader {
         Leader { lag_ms: (list_lag_s * 1000.0) as u64, ..Leader::default() }
     }
 
-    /// Machines that are on their way to a partition.
-    pub fn pending_machines(
-        &mut self,
-        to: u32,
-        partition: &Partition,
-        now: u64,
-        patience_ms: u64,
-    ) -> Vec<PendingMachine> {
-        let up = |id: &String| partition.cluster.host_index.contains_key(id) || partition.elsewhere.contains_key(id);
-        // One that is up for another partition is still on its way there for a while.
-        for (id, e) in self.expected.iter().filter(|(id, e)| up(id) && e.partition != partition.id) {
-            self.moving.insert(id.clone(), (e.partition, e.pending_machine.clone(), now + patience_ms));
-        }
-        self.expected.retain(|id, _| !up(id));
-        self.moving.retain(|_, m| now < m.2);
-        let mut pending_machines: Vec<PendingMachine> =
-            self.expected.values().filter(|e| e.partition == to).map(|e| e.pending_machine.clone()).collect();
-        for (_, r) in self.renting.values().filter(|(p, _)| *p == to) {
-            let one = PendingMachine { flavor: r.flavor, zone: r.zone.clone(), spot: r.spot };
-            pending_machines.extend(std::iter::repeat_n(one, r.count));
-        }
-        pending_machines.extend(self.moving.values().filter(|m| m.0 == to).map(|m| m.1.clone()));
-        pending_machines
-    }
-
     /// What another partition needs; answered with what is on its way there and
     /// what can't be had.
     pub fn capacity_report(
@@ -134,6 +117,9 @@
         now: u64,
         wall: u64,
     ) -> (CapacityReport, Vec<CloudOp>) {
+        for (name, label) in self.events.drain(..) {
+            partition.metrics.count(name, &label);
+        }
         let flows = flows(partition, wall);
         let gone = |f: usize, z: &String| self.refused.get(&(f, z.clone(), false)).is_some_and(|r| now < r.0);
         let flavors = partition.cluster.flavors.iter().enumerate();
@@ -152,11 +138,10 @@
         if cluster.flavors.is_empty() || !partition.counted(now) {
             return (capacity_report, ops);
         }
-        let refused = &self.refused;
-        let plan =
-            sched::plan(cluster, &partition.policy, now, &partition.unplaced, &flows, pending_machines, &|f, z, s| {
-                refused.get(&(f, z.to_string(), s)).is_some_and(|r| now < r.0)
-            });
+        let plan = {
+            let supply = self.supply(partition, now);
+            sched::plan(cluster, &partition.policy, now, &partition.unplaced, &flows, pending_machines, &supply)
+        };
         let machines = |r: Rental| {
             let flavor = cluster.flavors[r.flavor].name.clone();
             Machines { flavor, zone: r.zone, spot: r.spot, count: r.count }
@@ -185,14 +170,28 @@
         (capacity_report, ops)
     }
 
+    /// How each kind of machine can be had now, by what was refused and how boots went.
+    fn supply<'a>(&'a self, partition: &'a Partition, now: u64) -> impl Fn(usize, &str, bool) -> Supply + 'a {
+        let late = self.late_by_kind();
+        move |flavor, zone, spot| {
+            if self.refused.get(&(flavor, zone.to_string(), spot)).is_some_and(|r| now < r.0) {
+                return Supply::Refused;
+            }
+            let kind = MachineKind { flavor, zone: zone.to_string(), spot };
+            let nominal_ms = boots::nominal_boot_ms(&partition.cluster.flavors[flavor]);
+            let late = late.get(&kind).copied().unwrap_or(0);
+            Supply::Available { cost_factor: self.boot_times.cost_factor(&kind, nominal_ms, late, now) }
+        }
+    }
+
     /// The leader's round over the needs of all partitions, the one with the lowest
     /// waiting bin first: free machines of other partitions move to it, the rest is
-    /// rented. Nothing is rented before the list was read once, for the last
-    /// leader's machines may be on their way.
+    /// rented. Nothing is rented before a list was read that shows what the last leader
+    /// rented, for its machines may be on their way.
     pub fn lead(&mut self, own: CapacityReport, partition: &Partition, now: u64, patience_ms: u64) -> Vec<CloudOp> {
         let cluster = &partition.cluster;
         let mut ops = Vec::new();
-        if !self.listed_once || cluster.flavors.is_empty() {
+        if !self.predecessor_known || cluster.flavors.is_empty() {
             return ops;
         }
         self.capacity_reports.retain(|_, n| now < n.0 + patience_ms);
@@ -233,8 +232,8 @@
                     count = rental.count,
                     "renting"
                 );
-                self.renting.insert(name.clone(), (p, rental.clone()));
-                ops.push(CloudOp::Rent { name, rental });
+                self.renting.insert(name.clone(), RentalRequest::new(p, rental.clone()));
+                ops.push(CloudOp::Rent { name, rental, pause_ms: 0 });
             }
         }
         ops
@@ -250,103 +249,10 @@
         for id in ids {
             self.kinds.remove(id);
             self.releasing.remove(id);
-            self.expected.remove(id);
+            self.booting.remove(id);
             self.gone.insert(id.clone());
         }
     }
-
-    pub fn rented(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudOp> {
-        let (partition, rental) = self.renting.get(name)?.clone();
-        let refuse = |me: &mut Leader| {
-            let key = (rental.flavor, rental.zone.clone(), rental.spot);
-            // Ever longer pauses, up to some lags of the list.
-            let pause = me.refused.get(&key).map_or(me.lag_ms.max(1000), |r| r.1 * 2).min(me.lag_ms.max(1000) * 8);
-            me.refused.insert(key, (now + pause, pause));
-        };
-        match result {
-            RentResult::Rented(ids) => {
-                if ids.len() < rental.count {
-                    refuse(self);
-                } else {
-                    self.refused.remove(&(rental.flavor, rental.zone.clone(), rental.spot));
-                }
-                for id in ids {
-                    let pending_machine =
-                        PendingMachine { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
-                    self.kinds.insert(id.clone(), pending_machine.clone());
-                    self.expected.entry(id).or_insert(Expected {
-                        partition,
-                        pending_machine,
-                        since_ms: now,
-                        listed: false,
-                    });
-                }
-                self.renting.remove(name);
-            }
-            RentResult::NoCapacity | RentResult::Malformed => {
-                refuse(self);
-                self.renting.remove(name);
-            }
-            // The outcome is not known: the same name again.
-            RentResult::Again => {
-                return Some(CloudOp::Rent { name: name.to_string(), rental });
-            }
-        }
-        None
-    }
-
-    /// Which partition each machine on its way is for, where that is not the leader's.
-    pub fn destined(&self, leader: u32) -> HashMap<String, u32> {
-        self.expected.iter().filter(|(_, e)| e.partition != leader).map(|(id, e)| (id.clone(), e.partition)).collect()
-    }
-
-    /// Takes a list of machines; returns those to be released: failed ones,
-    /// and those that never come up.
-    pub fn listed(&mut self, list: &[Listed], partition: &Partition, now: u64) -> Vec<CloudOp> {
-        self.listed_once = true;
-        let cluster = &partition.cluster;
-        let mut drop = Vec::new();
-        for l in list {
-            if self.gone.contains(&l.id) || self.releasing.contains(&l.id) {
-                continue;
-            }
-            if l.failed() {
-                drop.push(l.id.clone());
-                continue;
-            }
-            let Some(flavor) = cluster.flavor(&l.flavor) else { continue };
-            let kind = PendingMachine { flavor, zone: l.zone.clone(), spot: l.spot };
-            self.kinds.insert(l.id.clone(), kind);
-            if cluster.host_index.contains_key(&l.id) || partition.elsewhere.contains_key(&l.id) {
-                continue;
-            }
-            let age_ms = (l.age_s * 1000.0) as u64;
-            let pending_machine = PendingMachine { flavor, zone: l.zone.clone(), spot: l.spot };
-            let e = self.expected.entry(l.id.clone()).or_insert(Expected {
-                partition: partition.id,
-                pending_machine,
-                since_ms: now.saturating_sub(age_ms),
-                listed: false,
-            });
-            e.listed = true;
-            let patience = if l.booting() {
-                (cluster.flavors[flavor].boot_s * MAX_BOOT_TIMES * 1000.0) as u64
-            } else {
-                // Up by the list, and never heard of.
-                (cluster.flavors[flavor].boot_s * MAX_BOOT_TIMES * 500.0) as u64
-            };
-            if now.saturating_sub(e.since_ms) > patience {
-                tracing::info!(host = l.id, "machine does not come up, releasing it");
-                drop.push(l.id.clone());
-            }
-        }
-        // Rented, and still not listed long after the list must know it: gone.
-        let lag = self.lag_ms;
-        let names: HashSet<&str> = list.iter().map(|l| l.id.as_str()).collect();
-        self.expected
-            .retain(|id, e| names.contains(id.as_str()) || (!e.listed && now < e.since_ms + 4 * lag.max(1000)));
-        self.release(drop)
-    }
 }
 
 /// Arrivals of each class within the longest boot, from what was accepted.
--- a/src/owner/cloud_tasks.rs
+++ b/src/owner/cloud_tasks.rs
@@ -20,7 +20,7 @@
     /// Starts an operation.
     pub(super) fn cloud_op(&self, h: &mut ActiveTerm, op: CloudOp) {
         match op {
-            CloudOp::Rent { name, rental } => self.rent(h, name, rental),
+            CloudOp::Rent { name, rental, pause_ms } => self.rent(h, name, rental, pause_ms),
             CloudOp::TransferHost { from, host, to } => {
                 let router = self.router.clone();
                 tokio::spawn(async move {
@@ -31,14 +31,12 @@
         }
     }
 
-    fn rent(&self, h: &ActiveTerm, name: String, rental: Rental) {
-        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
+    fn rent(&self, h: &ActiveTerm, name: String, rental: Rental, pause_ms: u64) {
+        let (cloud, sender) = (self.cloud.clone(), self.sender(h.n));
         let flavor = h.partition.cluster.flavors[rental.flavor].name.clone();
         tokio::spawn(async move {
+            sleep(Duration::from_millis(pause_ms)).await;
             let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
-            if result == RentResult::Again {
-                sleep(pause).await;
-            }
             sender.send(SessionEvent::Rented { name, result }).await;
         });
     }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -14,7 +14,7 @@
 mod reports;
 mod takeover;
 #[cfg(test)]
-mod tests;
+pub mod tests;
 mod types;
 mod upkeep;
 mod users;
