--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,7 @@
 //! `docs/design.md` tells how it works and why.
 
 pub mod api;
+pub mod boot_times;
 pub mod clients;
 pub mod clock;
 pub mod config;
