--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,12 +1,17 @@
 //! The leader's side of the cloud: which machines are coming, which requests
 //! were refused, what to rent and return. Decisions come from `sched::plan`.
 
+mod boots;
+#[cfg(test)]
+mod tests;
+
+use crate::boot_times::BootTimes;
 use crate::clients::RentResult;
 use crate::model::*;
 use crate::part::Part;
 use crate::peer::{Machines, Needs};
 use crate::sched::{self, ClassFlow, Coming, Rental};
-use crate::wire::Listed;
+use boots::BootingMachine;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// What the cloud is to be asked.
@@ -25,15 +30,6 @@
     },
 }
 
-/// A machine that is listed or rented and has not reported yet.
-#[derive(Debug, Clone)]
-struct Expected {
-    part: u32,
-    coming: Coming,
-    since_ms: u64,
-    listed: bool,
-}
-
 #[derive(Debug, Default)]
 pub struct Leader {
     renting: BTreeMap<String, (u32, Rental)>,
@@ -41,7 +37,12 @@
     needs: BTreeMap<u32, (u64, Needs)>,
     /// Machines asked to move, until when that is remembered.
     moving: HashMap<String, (u32, Coming, u64)>,
-    expected: HashMap<String, Expected>,
+    booting: HashMap<String, BootingMachine>,
+    boot_times: BootTimes,
+    /// When machines on their way were last looked after.
+    last_round_ms: u64,
+    /// From when on machines may be called late or given up.
+    judges_from_ms: u64,
     refused: HashMap<(usize, String, bool), (u64, u64)>,
     releasing: HashSet<String>,
     gone: HashSet<String>,
@@ -56,33 +57,12 @@
 const MOST_RENTED: usize = 50;
 /// Most names of one release, by the protocol.
 const MOST_RELEASED: usize = 100;
-/// A machine that is not up after this many of its boot times never will be.
-const BOOT_PATIENCE: f64 = 4.0;
 
 impl Leader {
     pub fn new(list_lag_s: f64) -> Leader {
         Leader { lag_ms: (list_lag_s * 1000.0) as u64, ..Leader::default() }
     }
 
-    /// Machines that are on their way to a part.
-    pub fn coming(&mut self, to: u32, part: &Part, now: u64, patience_ms: u64) -> Vec<Coming> {
-        let up = |id: &String| part.world.host_ix.contains_key(id) || part.elsewhere.contains_key(id);
-        // One that is up for another part is still on its way there for a while.
-        for (id, e) in self.expected.iter().filter(|(id, e)| up(id) && e.part != part.id) {
-            self.moving.insert(id.clone(), (e.part, e.coming.clone(), now + patience_ms));
-        }
-        self.expected.retain(|id, _| !up(id));
-        self.moving.retain(|_, m| now < m.2);
-        let mut coming: Vec<Coming> =
-            self.expected.values().filter(|e| e.part == to).map(|e| e.coming.clone()).collect();
-        for (_, r) in self.renting.values().filter(|(p, _)| *p == to) {
-            let one = Coming { flavor: r.flavor, zone: r.zone.clone(), spot: r.spot };
-            coming.extend(std::iter::repeat_n(one, r.count));
-        }
-        coming.extend(self.moving.values().filter(|m| m.0 == to).map(|m| m.1.clone()));
-        coming
-    }
-
     /// What another part needs; answered with what is on its way there and
     /// what can't be had.
     pub fn needs(
@@ -237,7 +217,7 @@
         for id in ids {
             self.kinds.remove(id);
             self.releasing.remove(id);
-            self.expected.remove(id);
+            self.booting.remove(id);
             self.gone.insert(id.clone());
         }
     }
@@ -260,7 +240,7 @@
                 for id in ids {
                     let coming = Coming { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
                     self.kinds.insert(id.clone(), coming.clone());
-                    self.expected.entry(id).or_insert(Expected { part, coming, since_ms: now, listed: false });
+                    self.booting.entry(id).or_insert_with(|| BootingMachine::rented(part, coming, now));
                 }
                 self.renting.remove(name);
             }
@@ -275,59 +255,6 @@
         }
         None
     }
-
-    /// Which part each machine on its way is for, where that is not the leader's.
-    pub fn destined(&self, leader: u32) -> HashMap<String, u32> {
-        self.expected.iter().filter(|(_, e)| e.part != leader).map(|(id, e)| (id.clone(), e.part)).collect()
-    }
-
-    /// Takes a list of machines; returns those to be released: failed ones,
-    /// and those that never come up.
-    pub fn listed(&mut self, list: &[Listed], part: &Part, now: u64) -> Vec<CloudOp> {
-        self.listed_once = true;
-        let world = &part.world;
-        let mut drop = Vec::new();
-        for l in list {
-            if self.gone.contains(&l.id) || self.releasing.contains(&l.id) {
-                continue;
-            }
-            if l.failed() {
-                drop.push(l.id.clone());
-                continue;
-            }
-            let Some(flavor) = world.flavor(&l.flavor) else { continue };
-            let kind = Coming { flavor, zone: l.zone.clone(), spot: l.spot };
-            self.kinds.insert(l.id.clone(), kind);
-            if world.host_ix.contains_key(&l.id) || part.elsewhere.contains_key(&l.id) {
-                continue;
-            }
-            let age_ms = (l.age_s * 1000.0) as u64;
-            let coming = Coming { flavor, zone: l.zone.clone(), spot: l.spot };
-            let e = self.expected.entry(l.id.clone()).or_insert(Expected {
-                part: part.id,
-                coming,
-                since_ms: now.saturating_sub(age_ms),
-                listed: false,
-            });
-            e.listed = true;
-            let patience = if l.booting() {
-                (world.flavors[flavor].boot_s * BOOT_PATIENCE * 1000.0) as u64
-            } else {
-                // Up by the list, and never heard of.
-                (world.flavors[flavor].boot_s * BOOT_PATIENCE * 500.0) as u64
-            };
-            if now.saturating_sub(e.since_ms) > patience {
-                tracing::info!(host = l.id, "machine does not come up, releasing it");
-                drop.push(l.id.clone());
-            }
-        }
-        // Rented, and still not listed long after the list must know it: gone.
-        let lag = self.lag_ms;
-        let names: HashSet<&str> = list.iter().map(|l| l.id.as_str()).collect();
-        self.expected
-            .retain(|id, e| names.contains(id.as_str()) || (!e.listed && now < e.since_ms + 4 * lag.max(1000)));
-        self.release(drop)
-    }
 }
 
 /// Arrivals of each class within the longest boot, from what was accepted.
--- a/src/part/mod.rs
+++ b/src/part/mod.rs
@@ -9,7 +9,7 @@
 mod records;
 mod reports;
 #[cfg(test)]
-mod tests;
+pub mod tests;
 mod users;
 
 use crate::clock::DRIFT;
