--- a/src/leader.rs
+++ b/src/leader.rs
@@ -5,12 +5,12 @@
 #[cfg(test)]
 mod tests;
 
-use crate::boot_times::BootTimes;
+use crate::boot_times::{BootTimes, MachineKind};
 use crate::clients::RentResult;
 use crate::model::*;
 use crate::part::Part;
 use crate::peer::{Machines, Needs};
-use crate::sched::{self, ClassFlow, Coming, Rental};
+use crate::sched::{self, ClassFlow, Coming, Rental, Supply};
 use boots::BootingMachine;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -120,10 +120,10 @@
         if world.flavors.is_empty() || !part.counted(now) {
             return (needs, ops);
         }
-        let refused = &self.refused;
-        let plan = sched::plan(world, &part.policy, now, &part.unplaced, &flows, coming, &|f, z, s| {
-            refused.get(&(f, z.to_string(), s)).is_some_and(|r| now < r.0)
-        });
+        let plan = {
+            let supply = self.supply(part, now);
+            sched::plan(world, &part.policy, now, &part.unplaced, &flows, coming, &supply)
+        };
         let machines = |r: Rental| {
             let flavor = world.flavors[r.flavor].name.clone();
             Machines { flavor, zone: r.zone, spot: r.spot, count: r.count }
@@ -152,6 +152,20 @@
         (needs, ops)
     }
 
+    /// How each kind of machine can be had now, by what was refused and how boots went.
+    fn supply<'a>(&'a self, part: &'a Part, now: u64) -> impl Fn(usize, &str, bool) -> Supply + 'a {
+        let late = self.late_by_kind();
+        move |flavor, zone, spot| {
+            if self.refused.get(&(flavor, zone.to_string(), spot)).is_some_and(|r| now < r.0) {
+                return Supply::Refused;
+            }
+            let kind = MachineKind { flavor, zone: zone.to_string(), spot };
+            let nominal_ms = boots::nominal_boot_ms(&part.world.flavors[flavor]);
+            let late = late.get(&kind).copied().unwrap_or(0);
+            Supply::Available { cost_factor: self.boot_times.cost_factor(&kind, nominal_ms, late, now) }
+        }
+    }
+
     /// The leader's round over the needs of all parts, the one with the lowest
     /// waiting bin first: free machines of other parts move to it, the rest is
     /// rented. Nothing is rented before the list was read once, for the last
--- a/src/leader/boots.rs
+++ b/src/leader/boots.rs
@@ -7,6 +7,7 @@
 use crate::part::Part;
 use crate::sched::Coming;
 use crate::wire::Listed;
+use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
 /// A rented machine that was not listed within this multiple of the list's lag is gone.
@@ -15,6 +16,10 @@
 /// A listed machine that a later list lacks is gone once it was listed for this multiple
 /// of the list's lag: until then the later list may be an older one.
 const RELISTED_LAGS: u64 = 2;
+/// At least this share of the machines that are asked for or booting counts as capacity,
+/// late or not. So what is on its way for a need never exceeds the need over this share,
+/// also if all machines are late, and their replacements too.
+const LEAST_COUNTED: f64 = 0.5;
 /// A leader that made no round for this multiple of `react_ms` stood still, or has just
 /// begun: reports of machines that came up meanwhile are still to be read.
 const STALL_RATIO: u64 = 3;
@@ -34,12 +39,14 @@
     running_ms: Option<u64>,
     /// It was seen before it was up, so that its boot time can be told.
     timed: bool,
+    /// It takes longer than its kind usually does.
+    late: bool,
 }
 
 impl BootingMachine {
     /// The answer to a rental request names it.
     pub(super) fn rented(part: u32, kind: Coming, now: u64) -> BootingMachine {
-        BootingMachine { part, kind, since_ms: now, listed_ms: None, running_ms: None, timed: true }
+        BootingMachine { part, kind, since_ms: now, listed_ms: None, running_ms: None, timed: true, late: false }
     }
 
     fn age_ms(&self, now: u64) -> u64 {
@@ -78,20 +85,62 @@
 }
 
 impl Leader {
-    /// Machines that are on their way to a part.
+    /// Machines that are on their way to a part and count as its capacity.
     pub fn coming(&mut self, to: u32, part: &Part, now: u64, patience_ms: u64) -> Vec<Coming> {
         self.note_round(part, now, patience_ms);
         self.note_arrivals(part, now, patience_ms);
+        self.note_late(part, now);
         self.moving.retain(|_, m| now < m.2);
-        let mut coming: Vec<Coming> = self.booting.values().filter(|b| b.part == to).map(|b| b.kind.clone()).collect();
+        let mut coming: Vec<Coming> = Vec::new();
         for (_, r) in self.renting.values().filter(|(p, _)| *p == to) {
             let one = Coming { flavor: r.flavor, zone: r.zone.clone(), spot: r.spot };
             coming.extend(std::iter::repeat_n(one, r.count));
         }
+        coming.extend(self.booting_capacity(to, coming.len()));
         coming.extend(self.moving.values().filter(|m| m.0 == to).map(|m| m.1.clone()));
         coming
     }
 
+    /// Booting machines that count as capacity of a part; `requested` more are asked for.
+    /// A late machine does not count, so that another is rented in its place. But if too
+    /// many are late, the youngest of them count all the same: see `LEAST_COUNTED`.
+    fn booting_capacity(&self, to: u32, requested: usize) -> Vec<Coming> {
+        let booting = self.booting.values().filter(|b| b.part == to);
+        let (mut late, mut counted): (Vec<_>, Vec<_>) = booting.partition(|b| b.late);
+        let outstanding = requested + late.len() + counted.len();
+        let least = (outstanding as f64 * LEAST_COUNTED).floor() as usize;
+        let missing = least.saturating_sub(requested + counted.len());
+        late.sort_by_key(|b| Reverse(b.since_ms));
+        counted.extend(late.into_iter().take(missing));
+        counted.into_iter().map(|b| b.kind.clone()).collect()
+    }
+
+    /// Judges anew which machines are late.
+    fn note_late(&mut self, part: &Part, now: u64) {
+        if now < self.judges_from_ms {
+            return;
+        }
+        for (id, machine) in &mut self.booting {
+            let kind = MachineKind::of(&machine.kind);
+            let nominal_ms = nominal_boot_ms(&part.world.flavors[kind.flavor]);
+            let age_ms = machine.age_ms(now);
+            let late = self.boot_times.is_late(&kind, nominal_ms, age_ms, now);
+            if late && !machine.late {
+                tracing::info!(host = id, zone = kind.zone, spot = kind.spot, age_ms, "machine is late");
+            }
+            machine.late = late;
+        }
+    }
+
+    /// How many machines of each kind are late.
+    pub(super) fn late_by_kind(&self) -> HashMap<MachineKind, usize> {
+        let mut late: HashMap<MachineKind, usize> = HashMap::new();
+        for machine in self.booting.values().filter(|b| b.late) {
+            *late.entry(MachineKind::of(&machine.kind)).or_default() += 1;
+        }
+        late
+    }
+
     /// Judges no machine for a while after rounds were missed.
     fn note_round(&mut self, part: &Part, now: u64, patience_ms: u64) {
         if now > self.last_round_ms + STALL_RATIO * part.policy.react_ms {
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,8 +1,10 @@
 use super::*;
-use crate::part::tests::{part, report};
-use crate::part::{Part, Via};
-use crate::wire::Listed;
+use crate::part::tests::{commit, part, report, submit};
+use crate::part::{CommitResult, Part, Via};
+use crate::wire::tests::reported;
+use crate::wire::{Listed, Order};
 use serde_json::json;
+use std::collections::BTreeMap;
 
 /// Nominal boot time of the machines of these tests.
 const BOOT_MS: u64 = 30_000;
@@ -11,43 +13,180 @@
 const PATIENCE_MS: u64 = 3000;
 const ROUND_MS: u64 = 1000;
 
-/// A leader with its part, on a clock of its own. The cloud is played by the tests.
+/// How long a machine takes to boot, by zone; none if it never comes up.
+type BootMs = fn(zone: &str) -> Option<u64>;
+
+fn usual(_zone: &str) -> Option<u64> {
+    Some(BOOT_MS)
+}
+
+fn never(_zone: &str) -> Option<u64> {
+    None
+}
+
+/// A machine of the scripted cloud.
+struct Machine {
+    zone: String,
+    since_ms: u64,
+    up_ms: Option<u64>,
+    serial: u64,
+    /// Running tasks by name, with their attempts.
+    tasks: BTreeMap<String, u64>,
+}
+
+/// A leader with its part and a scripted cloud, on a clock of their own.
 struct Bench {
     part: Part,
     leader: Leader,
     now: u64,
+    boot_ms: BootMs,
+    machines: BTreeMap<String, Machine>,
+    /// All machines ever rented by the leader, in order.
+    rented: Vec<String>,
+    /// When the next list comes; never in an outage of the list.
+    next_list_ms: u64,
+    /// What lists told, to be told late.
+    snapshots: Vec<(u64, Vec<Listed>)>,
 }
 
 impl Bench {
+    /// Of a leader that has been at work for a while, with nothing to do.
     fn new() -> Bench {
-        let mut bench = Bench { part: part(), leader: Leader::new(LAG_S), now: 1000 };
-        bench.list(&[]);
-        bench.rounds_until(1000 + PATIENCE_MS + ROUND_MS);
+        let mut bench = Bench::of(part());
+        bench.run(PATIENCE_MS + ROUND_MS);
         bench
     }
 
-    /// Rounds over time, as the holder makes them; returns what the cloud is asked.
-    fn rounds_until(&mut self, until: u64) -> Vec<CloudOp> {
-        let mut ops = Vec::new();
+    fn of(mut part: Part) -> Bench {
+        part.policy.headroom = 0.0;
+        Bench {
+            part,
+            leader: Leader::new(LAG_S),
+            now: 1000,
+            boot_ms: usual,
+            machines: BTreeMap::new(),
+            rented: Vec::new(),
+            next_list_ms: 0,
+            snapshots: Vec::new(),
+        }
+    }
+
+    /// Time passes, and the cloud does what it is asked.
+    fn run(&mut self, for_ms: u64) {
+        let until = self.now + for_ms;
         while self.now < until {
-            self.now += ROUND_MS.min(until - self.now);
-            ops.extend(self.round());
+            self.now += ROUND_MS;
+            self.report();
+            if self.part.next_commit(self.now, 32).is_some() {
+                self.part.committed(CommitResult::Done { revision: self.now }).unwrap();
+            }
+            let ops = self.round();
+            self.carry_out(ops);
+            self.snapshots.push((self.now, self.entries()));
+            if self.now >= self.next_list_ms {
+                self.next_list_ms = self.now + LAG_MS / 2;
+                let list = self.lagging_list();
+                let ops = self.list(&list);
+                self.carry_out(ops);
+            }
         }
-        ops
     }
 
+    fn entries(&self) -> Vec<Listed> {
+        let of = |(id, m): (&String, &Machine)| {
+            let phase = if m.up_ms.is_some_and(|t| self.now >= t) { "running" } else { "starting" };
+            entry(id, &m.zone, phase, self.now - m.since_ms)
+        };
+        self.machines.iter().map(of).collect()
+    }
+
+    fn lagging_list(&self) -> Vec<Listed> {
+        let old = self.snapshots.iter().rfind(|(at, _)| at + LAG_MS <= self.now);
+        old.map(|(_, list)| list.clone()).unwrap_or_default()
+    }
+
+    /// Machines that are up report, and do as they are told.
+    fn report(&mut self) {
+        let (now, term) = (self.now, self.part.term);
+        for (id, machine) in &mut self.machines {
+            if machine.up_ms.is_none_or(|t| now < t) {
+                continue;
+            }
+            machine.serial += 1;
+            let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
+            let mut r = report(id, 1, machine.serial, term, tasks.collect());
+            r.zone.clone_from(&machine.zone);
+            for order in self.part.report(&r, Via::Beat, now) {
+                match order {
+                    Order::Run { task, attempt } => drop(machine.tasks.insert(task, attempt)),
+                    Order::Stop { task, .. } | Order::Reap { task, .. } => drop(machine.tasks.remove(&task)),
+                }
+            }
+        }
+    }
+
+    /// The holder's round; returns what the cloud is asked.
     fn round(&mut self) -> Vec<CloudOp> {
+        self.part.pass(self.now, self.now);
         let coming = self.leader.coming(0, &self.part, self.now, PATIENCE_MS);
         let (needs, mut ops) = self.leader.plan(&mut self.part, &coming, self.now, self.now);
         ops.extend(self.leader.lead(needs, &self.part, self.now, PATIENCE_MS));
         ops
     }
 
+    fn carry_out(&mut self, ops: Vec<CloudOp>) {
+        for op in ops {
+            match op {
+                CloudOp::Rent { name, rental } => {
+                    let ids: Vec<String> = (0..rental.count).map(|_| self.machine(&rental.zone)).collect();
+                    self.rented.extend(ids.clone());
+                    self.leader.rented(&name, RentResult::Rented(ids), self.now);
+                }
+                CloudOp::Release(ids) => {
+                    ids.iter().for_each(|id| drop(self.machines.remove(id)));
+                    self.leader.released(&ids);
+                    ids.iter().for_each(|id| self.part.host_gone(id));
+                }
+                CloudOp::Give { .. } => panic!("there is one part"),
+            }
+        }
+    }
+
+    fn machine(&mut self, zone: &str) -> String {
+        let id = format!("host-{:04}", self.rented.len() + self.machines.len());
+        let up_ms = (self.boot_ms)(zone).map(|ms| self.now + ms);
+        let machine = Machine { zone: zone.into(), since_ms: self.now, up_ms, serial: 0, tasks: BTreeMap::new() };
+        self.machines.insert(id.clone(), machine);
+        id
+    }
+
+    /// A job that needs as many machines as it has tasks.
+    fn submit(&mut self, id: &str, machines: u32) {
+        let body = json!({"id": id, "jobclass": "chat", "owner": "blue", "shape": "service", "urgency": "standard",
+            "shards": machines, "cores": 2.0, "cards": 8.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0,
+            "flavors": null, "region": null, "same_place": false, "apart": false, "preemptible": false,
+            "expected_s": 1000.0, "checkpoint_every_s": 0.0, "flush_s": 0.0, "due_s": null});
+        submit(&mut self.part, body.to_string().as_bytes(), self.now);
+        commit(&mut self.part, self.now, 5);
+    }
+
+    fn zones(&self) -> Vec<&str> {
+        self.machines.values().map(|m| m.zone.as_str()).collect()
+    }
+
+    /// Rounds alone, without the scripted cloud.
+    fn rounds_until(&mut self, until: u64) {
+        while self.now < until {
+            self.now += ROUND_MS.min(until - self.now);
+            self.round();
+        }
+    }
+
     fn list(&mut self, machines: &[Listed]) -> Vec<CloudOp> {
         self.leader.listed(machines, &self.part, self.now)
     }
 
-    /// The cloud has rented a machine for this part.
+    /// A machine was rented for this part, and the scripted cloud knows nothing of it.
     fn rent(&mut self, id: &str, zone: &str) {
         let rental = Rental { flavor: 0, zone: zone.into(), spot: false, count: 1 };
         let name = format!("of-{id}");
@@ -162,3 +301,56 @@
     bench.rounds_until(bench.now + PATIENCE_MS);
     assert_eq!(released(&bench.list(&stale)), ["host-1"]);
 }
+
+#[test]
+fn a_late_machine_is_replaced_elsewhere_and_once() {
+    let mut bench = Bench::new();
+    bench.boot_ms = |zone| if zone == "a" { None } else { Some(BOOT_MS) };
+    bench.submit("run-000001", 1);
+    bench.run(BOOT_MS * 3 / 2);
+    assert_eq!(bench.zones(), ["a"], "not late yet");
+    bench.run(BOOT_MS / 2);
+    assert_eq!(bench.zones(), ["a", "b"]);
+    bench.run(BOOT_MS);
+    assert_eq!(bench.rented.len(), 2, "one replacement");
+    bench.run(10 * BOOT_MS);
+    assert_eq!(bench.zones(), ["b"], "what never came up is returned");
+    assert_eq!(bench.rented.len(), 2);
+}
+
+#[test]
+fn machines_that_are_all_late_are_not_replaced_without_end() {
+    let mut bench = Bench::new();
+    bench.boot_ms = never;
+    bench.submit("run-000001", 5);
+    for _ in 0..40 {
+        bench.run(BOOT_MS / 4);
+        let outstanding = bench.machines.len();
+        assert!(outstanding <= 10, "{outstanding} for a need of 5");
+    }
+    // Ten boot times, of which each machine is awaited for three.
+    assert!(bench.rented.len() <= 10 * 5, "{} rented", bench.rented.len());
+}
+
+#[test]
+fn late_machines_are_not_replaced_without_end_while_there_is_no_list_either() {
+    let mut bench = Bench::new();
+    bench.boot_ms = never;
+    bench.next_list_ms = u64::MAX;
+    bench.submit("run-000001", 5);
+    bench.run(20 * BOOT_MS);
+    assert_eq!(bench.rented.len(), 10, "one replacement for each");
+}
+
+#[test]
+fn boots_that_are_all_slow_are_awaited_once_that_is_known() {
+    let mut bench = Bench::new();
+    bench.boot_ms = |_| Some(BOOT_MS * 5 / 2);
+    bench.submit("run-000001", 4);
+    bench.run(4 * BOOT_MS);
+    let before = bench.rented.len();
+    assert!((5..=8).contains(&before), "{before}");
+    bench.submit("run-000002", 8);
+    bench.run(3 * BOOT_MS);
+    assert!(bench.rented.len() <= before + 8, "{} rented", bench.rented.len());
+}
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -9,7 +9,7 @@
 
 pub use index::Index;
 pub use pass::{Assignment, Eviction, Outcome, pass};
-pub use plan::{ClassFlow, Coming, Drain, Plan, Rental, plan, reserves};
+pub use plan::{ClassFlow, Coming, Drain, Plan, Rental, Supply, SupplyOf, plan, reserves};
 
 use crate::config::{Operator, Settings};
 use crate::model::*;
--- a/src/sched/plan.rs
+++ b/src/sched/plan.rs
@@ -13,6 +13,18 @@
     pub spot: bool,
 }
 
+/// How a kind of machine can be had now.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Supply {
+    /// The cloud has refused it.
+    Refused,
+    /// At its price times this factor, which is above 1 for kinds that come up late or never.
+    Available { cost_factor: f64 },
+}
+
+/// The supply of a machine type in a zone, as spot machines or as ordinary ones.
+pub type SupplyOf<'a> = dyn Fn(usize, &str, bool) -> Supply + 'a;
+
 /// A request for machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
@@ -68,7 +80,7 @@
     unplaced: &[JobIx],
     flows: &[ClassFlow],
     coming: &[Coming],
-    refused: &dyn Fn(usize, &str, bool) -> bool,
+    supply: &SupplyOf,
 ) -> Plan {
     let index = Index::new(world, now);
     let mut bins: Vec<Bin> = Vec::new();
@@ -89,11 +101,11 @@
         let job = &world.jobs[*ix];
         let placeable = world.placeable(job);
         let n = job.tasks.iter().filter(|t| placeable.open(t)).count();
-        fit(world, &index, &mut bins, &job.spec, n, job.shuns(world, now), refused);
+        fit(world, &index, &mut bins, &job.spec, n, job.shuns(world, now), supply);
     }
     for flow in flows {
         let n = headroom(world, policy, flow);
-        fit(world, &index, &mut bins, &flow.spec, n, &HashSet::new(), refused);
+        fit(world, &index, &mut bins, &flow.spec, n, &HashSet::new(), supply);
     }
     let mut rent: Vec<Rental> = Vec::new();
     for b in &bins[have..] {
@@ -121,17 +133,13 @@
     spec: &Spec,
     n: usize,
     shuns: &HashSet<HostIx>,
-    refused: &dyn Fn(usize, &str, bool) -> bool,
+    supply: &SupplyOf,
 ) {
     let want = index.want(world, spec);
     let mut counts = Counts::default();
-    // Work that may run on cheap machines leaves the others alone while there
-    // are any to be had.
-    let only_spot =
-        spec.spot
-            && world.flavors.iter().enumerate().any(|(i, f)| {
-                spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z) && !refused(i, z, true))
-            });
+    // Work that may run on cheap machines leaves the others alone while it would be
+    // given cheap ones.
+    let only_spot = spec.spot && cheapest(world, index, spec, &counts, supply).is_some_and(|b| b.spot);
     // Machines in use first, so that idle ones are not called needed.
     let mut order: Vec<usize> = (0..bins.len()).filter(|i| bins[*i].used).collect();
     order.extend((0..bins.len()).filter(|i| !bins[*i].used));
@@ -154,7 +162,7 @@
             if at < order.len() {
                 break;
             }
-            if let Some(b) = cheapest(world, index, spec, &counts, refused) {
+            if let Some(b) = cheapest(world, index, spec, &counts, supply) {
                 bins.push(b);
                 order.push(bins.len() - 1);
                 // It is for this work, whatever else it could be used for.
@@ -182,14 +190,9 @@
     world.reserves.iter().any(|r| r.demand.gpus > 0.0 && r.loses(flavor, free, &after))
 }
 
-/// The machine to rent on which a task like `spec` costs least.
-fn cheapest(
-    world: &World,
-    index: &Index,
-    spec: &Spec,
-    counts: &Counts,
-    refused: &dyn Fn(usize, &str, bool) -> bool,
-) -> Option<Bin> {
+/// The machine to rent on which a task like `spec` costs least, counting those that must
+/// be rented to have one in time.
+fn cheapest(world: &World, index: &Index, spec: &Spec, counts: &Counts, supply: &SupplyOf) -> Option<Bin> {
     let mut best: Option<(f64, u32, Bin)> = None;
     for (i, f) in world.flavors.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
         let per = f.cap.slots(&spec.demand).max(1.0);
@@ -200,10 +203,11 @@
                 continue;
             }
             for spot in [false, true] {
-                if (spot && !spec.spot) || refused(i, name, spot) {
+                if spot && !spec.spot {
                     continue;
                 }
-                let price = f.price(spot) / per;
+                let Supply::Available { cost_factor } = supply(i, name, spot) else { continue };
+                let price = f.price(spot) * cost_factor / per;
                 if best.as_ref().is_none_or(|(p, t, _)| (price, there) < (*p, *t)) {
                     let bin = Bin { free: f.cap, flavor: i, zone, spot, host: None, used: true };
                     best = Some((price, there, bin));
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -55,6 +55,10 @@
     w
 }
 
+fn all_available(_flavor: usize, _zone: &str, _spot: bool) -> Supply {
+    Supply::Available { cost_factor: 1.0 }
+}
+
 fn add(w: &mut World, spec: Spec, accepted_ms: u64) -> JobIx {
     let mut j = Job::new(spec, accepted_ms, 0);
     j.version = 1;
@@ -324,14 +328,14 @@
         add(&mut w, s, 0);
         w
     };
-    let rent = |refused: &dyn Fn(usize, &str, bool) -> bool| plan(&w, &policy(), 0, &[0], &[], &[], refused).rent;
-    let r = rent(&|_, _, _| false);
+    let rent = |supply: &SupplyOf| plan(&w, &policy(), 0, &[0], &[], &[], supply).rent;
+    let r = rent(&all_available);
     assert!(r.iter().all(|r| r.spot) && r.iter().map(|r| r.count).sum::<usize>() == 2, "{r:?}");
-    let r = rent(&|_, _, spot| spot);
+    let r = rent(&|f, z, spot| if spot { Supply::Refused } else { all_available(f, z, spot) });
     assert!(r.iter().all(|r| !r.spot) && r.iter().map(|r| r.count).sum::<usize>() == 2, "{r:?}");
-    assert!(rent(&|_, _, _| true).is_empty());
+    assert!(rent(&|_, _, _| Supply::Refused).is_empty());
     let coming = vec![Coming { flavor: 0, zone: "a".into(), spot: true }; 2];
-    assert!(plan(&w, &policy(), 0, &[0], &[], &coming, &|_, _, _| false).rent.is_empty(), "they are on their way");
+    assert!(plan(&w, &policy(), 0, &[0], &[], &coming, &all_available).rent.is_empty(), "they are on their way");
 }
 
 #[test]
@@ -350,7 +354,7 @@
             h.image_ready("i");
         }
     }
-    let drain = |w: &World, now| plan(w, &policy(), now, &[], &[], &[], &|_, _, _| true).drain;
+    let drain = |w: &World, now| plan(w, &policy(), now, &[], &[], &[], &|_, _, _| Supply::Refused).drain;
     assert!(drain(&w, 60_000).is_empty(), "work waited two boots ago");
     let d = drain(&w, 60_001).remove(0);
     assert_eq!((d.host, d.moves.len(), d.moves[0].2), (1, 1, 0));
@@ -450,7 +454,7 @@
     }
     let placed = |w: &mut World, now| !run(w, now).starts.is_empty();
     assert!(!placed(&mut w, 1000), "only the faulty one has room");
-    let rented = plan(&w, &policy(), 1000, &[ix], &[], &[], &|_, _, _| false).rent;
+    let rented = plan(&w, &policy(), 1000, &[ix], &[], &[], &all_available).rent;
     assert_eq!(rented.len(), 1, "so that another is needed");
     let mut everywhere = w.jobs[ix].clone();
     everywhere.failed_on.extend([1, 2]);
@@ -460,3 +464,21 @@
     w.hosts[0].as_mut().unwrap().copies.clear();
     assert!(placed(&mut w, 2000), "nor does it wait for ever");
 }
+
+// Spot machines cost 3, ordinary ones 10.
+#[test]
+fn spot_work_goes_to_ordinary_machines_where_spot_machines_come_up_too_seldom() {
+    let mut w = world(&[]);
+    let mut job = spec("run-000001", Shape::Batch, 8, 1.0);
+    job.spot = true;
+    let ix = add(&mut w, job, 0);
+    let spot_at = |factor: f64| {
+        move |_: usize, _: &str, spot: bool| Supply::Available { cost_factor: if spot { factor } else { 1.0 } }
+    };
+    let rent = |factor, coming: &[Coming]| plan(&w, &policy(), 0, &[ix], &[], coming, &spot_at(factor)).rent;
+    let rental = |spot| vec![Rental { flavor: 0, zone: "a".into(), spot, count: 1 }];
+    assert_eq!(rent(3.0, &[]), rental(true));
+    assert_eq!(rent(4.0, &[]), rental(false), "all eight tasks on one machine");
+    let coming = [Coming { flavor: 0, zone: "a".into(), spot: false }];
+    assert!(rent(4.0, &coming).is_empty(), "it is on its way");
+}
