--- a/src/leader.rs
+++ b/src/leader.rs
@@ -46,7 +46,9 @@
     refused: HashMap<(usize, String, bool), (u64, u64)>,
     releasing: HashSet<String>,
     gone: HashSet<String>,
-    listed_once: bool,
+    /// When a list shows what the last leader rented, and whether one was read since.
+    predecessor_listed_ms: Option<u64>,
+    predecessor_known: bool,
     /// What kind of machine each listed one is.
     kinds: HashMap<String, Coming>,
     serial: u64,
@@ -168,12 +170,12 @@
 
     /// The leader's round over the needs of all parts, the one with the lowest
     /// waiting bin first: free machines of other parts move to it, the rest is
-    /// rented. Nothing is rented before the list was read once, for the last
-    /// leader's machines may be on their way.
+    /// rented. Nothing is rented before a list was read that shows what the last leader
+    /// rented, for its machines may be on their way.
     pub fn lead(&mut self, own: Needs, part: &Part, now: u64, patience_ms: u64) -> Vec<CloudOp> {
         let world = &part.world;
         let mut ops = Vec::new();
-        if !self.listed_once || world.flavors.is_empty() {
+        if !self.predecessor_known || world.flavors.is_empty() {
             return ops;
         }
         self.needs.retain(|_, n| now < n.0 + patience_ms);
--- a/src/leader/boots.rs
+++ b/src/leader/boots.rs
@@ -23,6 +23,8 @@
 /// A leader that made no round for this multiple of `react_ms` stood still, or has just
 /// begun: reports of machines that came up meanwhile are still to be read.
 const STALL_RATIO: u64 = 3;
+/// The term of a holder before which nobody held a part.
+const FIRST_TERM: u64 = 1;
 /// The least lag that is reckoned with.
 const LEAST_LAG_MS: u64 = 1000;
 
@@ -141,8 +143,16 @@
         late
     }
 
+    /// Notes when this leader began: what its predecessor rented just before is listed a
+    /// lag later. The very first leader has none.
+    fn note_begin(&mut self, part: &Part, now: u64) {
+        let lag_ms = if part.term > FIRST_TERM { self.lag_ms } else { 0 };
+        self.predecessor_listed_ms.get_or_insert(now + lag_ms);
+    }
+
     /// Judges no machine for a while after rounds were missed.
     fn note_round(&mut self, part: &Part, now: u64, patience_ms: u64) {
+        self.note_begin(part, now);
         if now > self.last_round_ms + STALL_RATIO * part.policy.react_ms {
             self.judges_from_ms = now + patience_ms;
         }
@@ -172,7 +182,8 @@
     /// Takes a list of machines; returns those to be released: failed ones,
     /// and those that never come up.
     pub fn listed(&mut self, list: &[Listed], part: &Part, now: u64) -> Vec<CloudOp> {
-        self.listed_once = true;
+        self.note_begin(part, now);
+        self.predecessor_known |= self.predecessor_listed_ms.is_some_and(|t| now >= t);
         let mut drop = Vec::new();
         for entry in list {
             if self.gone.contains(&entry.id) || self.releasing.contains(&entry.id) {
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::part::tests::{commit, part, report, submit};
+use crate::part::tests::{commit, part, part_of, report, submit};
 use crate::part::{CommitResult, Part, Via};
 use crate::wire::tests::reported;
 use crate::wire::{Listed, Order};
@@ -354,3 +354,23 @@
     bench.run(3 * BOOT_MS);
     assert!(bench.rented.len() <= before + 8, "{} rented", bench.rented.len());
 }
+
+#[test]
+fn a_new_leader_awaits_the_list_of_what_the_last_one_rented() {
+    let mut bench = Bench::of(part_of(2, vec![], vec![]));
+    // The last leader's, rented just before it ended, and not in the first lists.
+    (0..3).for_each(|_| drop(bench.machine("a")));
+    bench.submit("run-000001", 4);
+    bench.run(LAG_MS / 2);
+    assert!(bench.rented.is_empty());
+    bench.run(2 * LAG_MS);
+    assert_eq!(bench.rented.len(), 1, "only what is missing, and soon");
+}
+
+#[test]
+fn the_first_leader_of_all_rents_at_once() {
+    let mut bench = Bench::of(part());
+    bench.submit("run-000001", 4);
+    bench.run(2 * ROUND_MS);
+    assert_eq!(bench.rented.len(), 4);
+}
