--- a/src/holder.rs
+++ b/src/holder.rs
@@ -536,13 +536,11 @@
         let (cloud, tx, n) = (self.cloud.clone(), self.tx.clone(), h.n);
         let pause = Duration::from_millis(self.settings.react_ms());
         match op {
-            CloudOp::Rent { name, rental } => {
+            CloudOp::Rent { name, rental, pause_ms } => {
                 let flavor = h.part.world.flavors[rental.flavor].name.clone();
                 tokio::spawn(async move {
+                    sleep(Duration::from_millis(pause_ms)).await;
                     let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
-                    if result == RentResult::Again {
-                        sleep(pause).await;
-                    }
                     let _ = tx.send(Msg::Rented(n, name, result)).await;
                 });
             }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -2,16 +2,17 @@
 //! were refused, what to rent and return. Decisions come from `sched::plan`.
 
 mod boots;
+mod rentals;
 #[cfg(test)]
 mod tests;
 
 use crate::boot_times::{BootTimes, MachineKind};
-use crate::clients::RentResult;
 use crate::model::*;
 use crate::part::Part;
 use crate::peer::{Machines, Needs};
 use crate::sched::{self, ClassFlow, Coming, Rental, Supply};
 use boots::BootingMachine;
+use rentals::RentalRequest;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// What the cloud is to be asked.
@@ -20,6 +21,8 @@
     Rent {
         name: String,
         rental: Rental,
+        /// How long to wait before the request is sent.
+        pause_ms: u64,
     },
     Release(Vec<String>),
     /// Have the machine's part give it to another one.
@@ -32,7 +35,8 @@
 
 #[derive(Debug, Default)]
 pub struct Leader {
-    renting: BTreeMap<String, (u32, Rental)>,
+    /// Rental requests without a known outcome, by name.
+    renting: BTreeMap<String, RentalRequest>,
     /// What the other parts said last, and when.
     needs: BTreeMap<u32, (u64, Needs)>,
     /// Machines asked to move, until when that is remembered.
@@ -53,6 +57,7 @@
     kinds: HashMap<String, Coming>,
     serial: u64,
     lag_ms: u64,
+    react_ms: u64,
 }
 
 /// Most machines of one request, by the protocol.
@@ -216,8 +221,8 @@
                     count = rental.count,
                     "renting"
                 );
-                self.renting.insert(name.clone(), (p, rental.clone()));
-                ops.push(CloudOp::Rent { name, rental });
+                self.renting.insert(name.clone(), RentalRequest::new(p, rental.clone()));
+                ops.push(CloudOp::Rent { name, rental, pause_ms: 0 });
             }
         }
         ops
@@ -237,40 +242,6 @@
             self.gone.insert(id.clone());
         }
     }
-
-    pub fn rented(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudOp> {
-        let (part, rental) = self.renting.get(name)?.clone();
-        let refuse = |me: &mut Leader| {
-            let key = (rental.flavor, rental.zone.clone(), rental.spot);
-            // Ever longer pauses, up to some lags of the list.
-            let pause = me.refused.get(&key).map_or(me.lag_ms.max(1000), |r| r.1 * 2).min(me.lag_ms.max(1000) * 8);
-            me.refused.insert(key, (now + pause, pause));
-        };
-        match result {
-            RentResult::Rented(ids) => {
-                if ids.len() < rental.count {
-                    refuse(self);
-                } else {
-                    self.refused.remove(&(rental.flavor, rental.zone.clone(), rental.spot));
-                }
-                for id in ids {
-                    let coming = Coming { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
-                    self.kinds.insert(id.clone(), coming.clone());
-                    self.booting.entry(id).or_insert_with(|| BootingMachine::rented(part, coming, now));
-                }
-                self.renting.remove(name);
-            }
-            RentResult::NoCapacity | RentResult::Malformed => {
-                refuse(self);
-                self.renting.remove(name);
-            }
-            // The outcome is not known: the same name again.
-            RentResult::Again => {
-                return Some(CloudOp::Rent { name: name.to_string(), rental });
-            }
-        }
-        None
-    }
 }
 
 /// Arrivals of each class within the longest boot, from what was accepted.
--- a/src/leader/boots.rs
+++ b/src/leader/boots.rs
@@ -94,7 +94,7 @@
         self.note_late(part, now);
         self.moving.retain(|_, m| now < m.2);
         let mut coming: Vec<Coming> = Vec::new();
-        for (_, r) in self.renting.values().filter(|(p, _)| *p == to) {
+        for r in self.renting.values().filter(|r| r.part == to).map(|r| &r.rental) {
             let one = Coming { flavor: r.flavor, zone: r.zone.clone(), spot: r.spot };
             coming.extend(std::iter::repeat_n(one, r.count));
         }
@@ -153,6 +153,7 @@
     /// Judges no machine for a while after rounds were missed.
     fn note_round(&mut self, part: &Part, now: u64, patience_ms: u64) {
         self.note_begin(part, now);
+        self.react_ms = part.policy.react_ms;
         if now > self.last_round_ms + STALL_RATIO * part.policy.react_ms {
             self.judges_from_ms = now + patience_ms;
         }
@@ -184,6 +185,7 @@
     pub fn listed(&mut self, list: &[Listed], part: &Part, now: u64) -> Vec<CloudOp> {
         self.note_begin(part, now);
         self.predecessor_known |= self.predecessor_listed_ms.is_some_and(|t| now >= t);
+        self.forget_abandoned(now);
         let mut drop = Vec::new();
         for entry in list {
             if self.gone.contains(&entry.id) || self.releasing.contains(&entry.id) {
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
+use crate::clients::RentResult;
 use crate::part::tests::{commit, part, part_of, report, submit};
 use crate::part::{CommitResult, Part, Via};
 use crate::wire::tests::reported;
 use crate::wire::{Listed, Order};
 use serde_json::json;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Nominal boot time of the machines of these tests.
 const BOOT_MS: u64 = 30_000;
@@ -45,6 +46,10 @@
     rented: Vec<String>,
     /// When the next list comes; never in an outage of the list.
     next_list_ms: u64,
+    /// Rental requests get no answer, and nothing comes of them.
+    rents_unanswered: bool,
+    /// When which request without an answer was to be sent.
+    unanswered: Vec<(u64, String)>,
     /// What lists told, to be told late.
     snapshots: Vec<(u64, Vec<Listed>)>,
 }
@@ -67,6 +72,8 @@
             machines: BTreeMap::new(),
             rented: Vec::new(),
             next_list_ms: 0,
+            rents_unanswered: false,
+            unanswered: Vec::new(),
             snapshots: Vec::new(),
         }
     }
@@ -82,6 +89,7 @@
             }
             let ops = self.round();
             self.carry_out(ops);
+            self.lose_answers();
             self.snapshots.push((self.now, self.entries()));
             if self.now >= self.next_list_ms {
                 self.next_list_ms = self.now + LAG_MS / 2;
@@ -137,7 +145,10 @@
     fn carry_out(&mut self, ops: Vec<CloudOp>) {
         for op in ops {
             match op {
-                CloudOp::Rent { name, rental } => {
+                CloudOp::Rent { name, pause_ms, .. } if self.rents_unanswered => {
+                    self.unanswered.push((self.now + pause_ms, name));
+                }
+                CloudOp::Rent { name, rental, .. } => {
                     let ids: Vec<String> = (0..rental.count).map(|_| self.machine(&rental.zone)).collect();
                     self.rented.extend(ids.clone());
                     self.leader.rented(&name, RentResult::Rented(ids), self.now);
@@ -152,6 +163,17 @@
         }
     }
 
+    /// Requests that were sent by now turn out to have no answer.
+    fn lose_answers(&mut self) {
+        let now = self.now;
+        let sent: Vec<String> =
+            self.unanswered.iter().filter(|(at, _)| (now - ROUND_MS..now).contains(at)).map(|u| u.1.clone()).collect();
+        for name in sent {
+            let again = self.leader.rented(&name, RentResult::Again, now);
+            self.carry_out(again.into_iter().collect());
+        }
+    }
+
     fn machine(&mut self, zone: &str) -> String {
         let id = format!("host-{:04}", self.rented.len() + self.machines.len());
         let up_ms = (self.boot_ms)(zone).map(|ms| self.now + ms);
@@ -190,7 +212,7 @@
     fn rent(&mut self, id: &str, zone: &str) {
         let rental = Rental { flavor: 0, zone: zone.into(), spot: false, count: 1 };
         let name = format!("of-{id}");
-        self.leader.renting.insert(name.clone(), (0, rental));
+        self.leader.renting.insert(name.clone(), RentalRequest::new(0, rental));
         self.leader.rented(&name, RentResult::Rented(vec![id.into()]), self.now);
     }
 
@@ -374,3 +396,39 @@
     bench.run(2 * ROUND_MS);
     assert_eq!(bench.rented.len(), 4);
 }
+
+#[test]
+fn a_rental_without_an_answer_is_repeated_under_its_name_ever_more_rarely() {
+    let mut bench = Bench::new();
+    bench.rents_unanswered = true;
+    bench.next_list_ms = u64::MAX;
+    bench.submit("run-000001", 1);
+    bench.run(20 * BOOT_MS);
+    let names: BTreeSet<&String> = bench.unanswered.iter().map(|u| &u.1).collect();
+    assert_eq!(names.len(), 1, "no second rental before a list shows that nothing came of the first");
+    let sent: Vec<u64> = bench.unanswered.iter().map(|u| u.0).collect();
+    assert_eq!(sent.len(), 8);
+    let pauses: Vec<u64> = sent.windows(2).map(|w| w[1] - w[0]).collect();
+    assert!(pauses.is_sorted() && pauses[6] >= 8 * pauses[0], "{pauses:?}");
+    // The cloud answers again.
+    bench.rents_unanswered = false;
+    bench.next_list_ms = 0;
+    bench.run(BOOT_MS);
+    assert_eq!(bench.rented.len(), 1);
+}
+
+#[test]
+fn what_came_of_a_rental_without_an_answer_is_not_rented_again() {
+    let mut bench = Bench::new();
+    bench.rents_unanswered = true;
+    bench.submit("run-000001", 1);
+    // Until the last try, which rents a machine.
+    while bench.unanswered.len() < 8 || bench.now < bench.unanswered[7].0 {
+        bench.run(ROUND_MS);
+    }
+    bench.machine("a");
+    bench.run(ROUND_MS);
+    bench.rents_unanswered = false;
+    bench.run(20 * ROUND_MS);
+    assert!(bench.rented.is_empty(), "{:?}", bench.rented);
+}
