--- a/src/leader.rs
+++ b/src/leader.rs
@@ -58,6 +58,8 @@
     serial: u64,
     lag_ms: u64,
     react_ms: u64,
+    /// Counters that are to be raised, by name and label.
+    events: Vec<(&'static str, String)>,
 }
 
 /// Most machines of one request, by the protocol.
@@ -109,6 +111,9 @@
     /// Plans for this part; what must be rented or fetched for it is returned
     /// as its needs. `coming` is on its way to it.
     pub fn plan(&mut self, part: &mut Part, coming: &[Coming], now: u64, wall: u64) -> (Needs, Vec<CloudOp>) {
+        for (name, label) in self.events.drain(..) {
+            part.metrics.count(name, &label);
+        }
         let flows = flows(part, wall);
         let gone = |f: usize, z: &String| self.refused.get(&(f, z.clone(), false)).is_some_and(|r| now < r.0);
         let flavors = part.world.flavors.iter().enumerate();
--- a/src/leader/boots.rs
+++ b/src/leader/boots.rs
@@ -129,6 +129,7 @@
             let late = self.boot_times.is_late(&kind, nominal_ms, age_ms, now);
             if late && !machine.late {
                 tracing::info!(host = id, zone = kind.zone, spot = kind.spot, age_ms, "machine is late");
+                self.events.push(("boots_late", kind_label(part, &kind)));
             }
             machine.late = late;
         }
@@ -192,7 +193,7 @@
                 continue;
             }
             if entry.failed() {
-                self.boot_failed(&entry.id, now);
+                self.boot_failed(&entry.id, part, now);
                 drop.push(entry.id.clone());
                 continue;
             }
@@ -209,7 +210,7 @@
             machine.listed(entry, now);
             if now >= self.judges_from_ms && self.never_comes_up(&entry.id, part, now) {
                 tracing::info!(host = entry.id, "machine does not come up, releasing it");
-                self.boot_failed(&entry.id, now);
+                self.boot_failed(&entry.id, part, now);
                 drop.push(entry.id.clone());
             }
         }
@@ -220,9 +221,11 @@
     }
 
     /// Notes a failed boot, unless the machine was up before.
-    fn boot_failed(&mut self, id: &str, now: u64) {
+    fn boot_failed(&mut self, id: &str, part: &Part, now: u64) {
         if let Some(machine) = self.booting.remove(id) {
-            self.boot_times.failed(&MachineKind::of(&machine.kind), now);
+            let kind = MachineKind::of(&machine.kind);
+            self.boot_times.failed(&kind, now);
+            self.events.push(("boots_failed", kind_label(part, &kind)));
         }
     }
 
@@ -242,6 +245,11 @@
     }
 }
 
+/// The label of counters for machines of one type in one zone.
+fn kind_label(part: &Part, kind: &MachineKind) -> String {
+    format!("{}/{}", part.world.flavors[kind.flavor].name, kind.zone)
+}
+
 /// Has the machine reported, to any part?
 fn is_up(part: &Part, id: &str) -> bool {
     part.world.host_ix.contains_key(id) || part.elsewhere.contains_key(id)
--- a/src/leader/rentals.rs
+++ b/src/leader/rentals.rs
@@ -32,6 +32,7 @@
     /// Takes the outcome of a rental request; returns the request if it is to be repeated.
     pub fn rented(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudOp> {
         let request = self.renting.get(name)?.clone();
+        self.events.push(("rentals", outcome_label(&result, &request.rental).to_string()));
         match result {
             RentResult::Rented(ids) => {
                 if ids.len() < request.rental.count {
@@ -80,6 +81,7 @@
             return Some(CloudOp::Rent { name: name.to_string(), rental, pause_ms });
         }
         tracing::info!(name, zone = rental.zone, spot = rental.spot, "rental without an outcome");
+        self.events.push(("rentals", "abandoned".to_string()));
         request.abandoned_ms = Some(now);
         self.refuse(&rental, now);
         None
@@ -92,3 +94,14 @@
         self.renting.retain(|_, r| r.abandoned_ms.is_none_or(|t| now < t + listed_after_ms));
     }
 }
+
+/// The label by which the answer to a rental request is counted.
+fn outcome_label(result: &RentResult, rental: &Rental) -> &'static str {
+    match result {
+        RentResult::Rented(ids) if ids.len() < rental.count => "partly_filled",
+        RentResult::Rented(_) => "filled",
+        RentResult::NoCapacity => "refused",
+        RentResult::Malformed => "malformed",
+        RentResult::Again => "unanswered",
+    }
+}
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -336,6 +336,11 @@
     bench.run(BOOT_MS);
     assert_eq!(bench.rented.len(), 2, "one replacement");
     bench.run(10 * BOOT_MS);
+    let metrics = bench.part.metrics.text();
+    for counted in [r#"boots_late_total{of="g8/a"} 1"#, r#"boots_failed_total{of="g8/a"} 1"#] {
+        assert!(metrics.contains(counted), "{counted} in {metrics}");
+    }
+    assert!(metrics.contains(r#"rentals_total{of="filled"} 2"#), "{metrics}");
     assert_eq!(bench.zones(), ["b"], "what never came up is returned");
     assert_eq!(bench.rented.len(), 2);
 }
@@ -410,6 +415,9 @@
     assert_eq!(sent.len(), 8);
     let pauses: Vec<u64> = sent.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(pauses.is_sorted() && pauses[6] >= 8 * pauses[0], "{pauses:?}");
+    let metrics = bench.part.metrics.text();
+    assert!(metrics.contains(r#"rentals_total{of="unanswered"} 8"#), "{metrics}");
+    assert!(metrics.contains(r#"rentals_total{of="abandoned"} 1"#), "{metrics}");
     // The cloud answers again.
     bench.rents_unanswered = false;
     bench.next_list_ms = 0;
