--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -440,3 +440,17 @@
     bench.run(20 * ROUND_MS);
     assert!(bench.rented.is_empty(), "{:?}", bench.rented);
 }
+
+#[test]
+fn a_late_machine_that_comes_up_leaves_its_replacement_to_be_returned() {
+    let mut bench = Bench::new();
+    bench.boot_ms = |zone| Some(if zone == "a" { BOOT_MS * 5 / 2 } else { BOOT_MS });
+    bench.submit("run-000001", 1);
+    bench.run(BOOT_MS * 9 / 4);
+    assert_eq!(bench.zones(), ["a", "b"]);
+    // Up after 2.6 boot times, and idle for as long as any machine may be.
+    let keep_ms = (bench.part.policy.idle_keep * BOOT_MS as f64) as u64;
+    bench.run(BOOT_MS / 2 + keep_ms);
+    assert_eq!(bench.zones(), ["a"], "the surplus is returned");
+    assert_eq!(bench.rented.len(), 2);
+}
