--- a/src/boot_times.rs
+++ b/src/boot_times.rs
@@ -17,7 +17,7 @@
 /// Every kind is judged as if it had shown this many boots of nominal length before.
 const PRIOR_BOOTS: usize = 3;
 /// Boots remembered of each kind.
-const MOST_BOOTS: usize = 16;
+const MAX_BOOTS: usize = 16;
 /// A boot is forgotten after this multiple of the nominal boot time.
 const MEMORY_RATIO: f64 = 20.0;
 
@@ -61,7 +61,7 @@
 
     fn note(&mut self, kind: &MachineKind, boot: Boot) {
         let boots = self.kinds.entry(kind.clone()).or_default();
-        if boots.len() == MOST_BOOTS {
+        if boots.len() == MAX_BOOTS {
             boots.pop_front();
         }
         boots.push_back(boot);
--- a/src/boot_times/tests.rs
+++ b/src/boot_times/tests.rs
@@ -71,5 +71,5 @@
         times.came_up(&kind("a"), NOMINAL, i);
         times.failed(&kind("b"), i);
     }
-    assert!(times.kinds.values().all(|boots| boots.len() <= MOST_BOOTS));
+    assert!(times.kinds.values().all(|boots| boots.len() <= MAX_BOOTS));
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -8,9 +8,9 @@
 
 use crate::boot_times::{BootTimes, MachineKind};
 use crate::model::*;
-use crate::part::Part;
-use crate::peer::{Machines, Needs};
-use crate::sched::{self, ClassFlow, Coming, Rental, Supply};
+use crate::partition::Partition;
+use crate::peer::{CapacityReport, Machines};
+use crate::sched::{self, ClassFlow, PendingMachine, Rental, Supply};
 use boots::BootingMachine;
 use rentals::RentalRequest;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -25,8 +25,8 @@
         pause_ms: u64,
     },
     Release(Vec<String>),
-    /// Have the machine's part give it to another one.
-    Give {
+    /// Have the machine's partition give it to another one.
+    TransferHost {
         from: u32,
         host: String,
         to: u32,
@@ -37,10 +37,10 @@
 pub struct Leader {
     /// Rental requests without a known outcome, by name.
     renting: BTreeMap<String, RentalRequest>,
-    /// What the other parts said last, and when.
-    needs: BTreeMap<u32, (u64, Needs)>,
+    /// What the other partitions said last, and when.
+    capacity_reports: BTreeMap<u32, (u64, CapacityReport)>,
     /// Machines asked to move, until when that is remembered.
-    moving: HashMap<String, (u32, Coming, u64)>,
+    moving: HashMap<String, (u32, PendingMachine, u64)>,
     booting: HashMap<String, BootingMachine>,
     boot_times: BootTimes,
     /// When machines on their way were last looked after.
@@ -54,7 +54,7 @@
     predecessor_listed_ms: Option<u64>,
     predecessor_known: bool,
     /// What kind of machine each listed one is.
-    kinds: HashMap<String, Coming>,
+    kinds: HashMap<String, PendingMachine>,
     serial: u64,
     lag_ms: u64,
     react_ms: u64,
@@ -63,161 +63,167 @@
 }
 
 /// Most machines of one request, by the protocol.
-const MOST_RENTED: usize = 50;
+const MAX_RENTED: usize = 50;
 /// Most names of one release, by the protocol.
-const MOST_RELEASED: usize = 100;
+const MAX_RELEASED: usize = 100;
 
 impl Leader {
     pub fn new(list_lag_s: f64) -> Leader {
         Leader { lag_ms: (list_lag_s * 1000.0) as u64, ..Leader::default() }
     }
 
-    /// What another part needs; answered with what is on its way there and
+    /// What another partition needs; answered with what is on its way there and
     /// what can't be had.
-    pub fn needs(
+    pub fn capacity_report(
         &mut self,
-        mut needs: Needs,
-        part: &Part,
+        mut capacity_report: CapacityReport,
+        partition: &Partition,
         now: u64,
         patience_ms: u64,
     ) -> (Vec<Machines>, Vec<Machines>) {
-        let to = needs.part;
-        let coming = self.coming(to, part, now, patience_ms);
+        let to = capacity_report.partition;
+        let pending_machines = self.pending_machines(to, partition, now, patience_ms);
         // Asked before it knew of what was ordered for it meanwhile.
-        if coming.len() > needs.assumed {
-            needs.wanted.clear();
+        if pending_machines.len() > capacity_report.assumed {
+            capacity_report.wanted.clear();
         }
-        self.needs.insert(to, (now, needs));
+        self.capacity_reports.insert(to, (now, capacity_report));
         let named = |flavor: usize, zone: String, spot: bool| {
-            Some(Machines { flavor: part.world.flavors.get(flavor)?.name.clone(), zone, spot, count: 1 })
+            Some(Machines { flavor: partition.cluster.flavors.get(flavor)?.name.clone(), zone, spot, count: 1 })
         };
         let refused = self.refused.iter().filter(|(_, r)| now < r.0);
         (
-            coming.into_iter().filter_map(|c| named(c.flavor, c.zone, c.spot)).collect(),
+            pending_machines.into_iter().filter_map(|c| named(c.flavor, c.zone, c.spot)).collect(),
             refused.filter_map(|(k, _)| named(k.0, k.1.clone(), k.2)).collect(),
         )
     }
 
     /// What the leader said can't be had now.
-    pub fn set_refused(&mut self, refused: &[Machines], part: &Part, until_ms: u64) {
+    pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused.clear();
         for m in refused {
-            if let Some(f) = part.world.flavor(&m.flavor) {
+            if let Some(f) = partition.cluster.flavor(&m.flavor) {
                 self.refused.insert((f, m.zone.clone(), m.spot), (until_ms, 0));
             }
         }
     }
 
-    /// Plans for this part; what must be rented or fetched for it is returned
-    /// as its needs. `coming` is on its way to it.
-    pub fn plan(&mut self, part: &mut Part, coming: &[Coming], now: u64, wall: u64) -> (Needs, Vec<CloudOp>) {
+    /// Plans for this partition; what must be rented or fetched for it is returned
+    /// as its needs. `pending_machines` is on its way to it.
+    pub fn plan(
+        &mut self,
+        partition: &mut Partition,
+        pending_machines: &[PendingMachine],
+        now: u64,
+        wall: u64,
+    ) -> (CapacityReport, Vec<CloudOp>) {
         for (name, label) in self.events.drain(..) {
-            part.metrics.count(name, &label);
+            partition.metrics.count(name, &label);
         }
-        let flows = flows(part, wall);
+        let flows = flows(partition, wall);
         let gone = |f: usize, z: &String| self.refused.get(&(f, z.clone(), false)).is_some_and(|r| now < r.0);
-        let flavors = part.world.flavors.iter().enumerate();
+        let flavors = partition.cluster.flavors.iter().enumerate();
         let exhausted = flavors.filter(|(i, f)| f.zones.iter().all(|z| gone(*i, z))).map(|(i, _)| i).collect();
-        part.world.exhausted = exhausted;
-        part.world.reserves = sched::reserves(&part.world, &part.policy, &flows);
-        let world = &part.world;
-        let mut needs = Needs {
-            part: part.id,
-            lowest_bin: part.lowest_bin(wall),
-            assumed: coming.len(),
+        partition.cluster.exhausted = exhausted;
+        partition.cluster.reserves = sched::reserves(&partition.cluster, &partition.policy, &flows);
+        let cluster = &partition.cluster;
+        let mut capacity_report = CapacityReport {
+            partition: partition.id,
+            lowest_bin: partition.lowest_bin(wall),
+            assumed: pending_machines.len(),
             wanted: Vec::new(),
             spare: Vec::new(),
         };
         let mut ops = Vec::new();
-        if world.flavors.is_empty() || !part.counted(now) {
-            return (needs, ops);
+        if cluster.flavors.is_empty() || !partition.counted(now) {
+            return (capacity_report, ops);
         }
         let plan = {
-            let supply = self.supply(part, now);
-            sched::plan(world, &part.policy, now, &part.unplaced, &flows, coming, &supply)
+            let supply = self.supply(partition, now);
+            sched::plan(cluster, &partition.policy, now, &partition.unplaced, &flows, pending_machines, &supply)
         };
         let machines = |r: Rental| {
-            let flavor = world.flavors[r.flavor].name.clone();
+            let flavor = cluster.flavors[r.flavor].name.clone();
             Machines { flavor, zone: r.zone, spot: r.spot, count: r.count }
         };
-        needs.wanted = plan.rent.into_iter().map(machines).collect();
+        capacity_report.wanted = plan.rent.into_iter().map(machines).collect();
         let mut idle: Vec<String> = Vec::new();
-        for hix in plan.spare {
-            let Some(h) = world.host(hix) else { continue };
-            let Some(boot_s) = h.flavor.map(|f| world.flavors[f].boot_s) else { continue };
-            let keep = (part.policy.idle_keep * boot_s * 1000.0) as u64;
+        for host_index in plan.spare {
+            let Some(h) = cluster.host(host_index) else { continue };
+            let Some(boot_s) = h.flavor.map(|f| cluster.flavors[f].boot_s) else { continue };
+            let keep = (partition.policy.idle_keep * boot_s * 1000.0) as u64;
             if now > h.idle_since_ms + keep {
                 idle.push(h.id.clone());
             } else {
-                needs.spare.push(h.id.clone());
+                capacity_report.spare.push(h.id.clone());
             }
         }
-        for (_, h) in world.each_host() {
-            if h.copies.is_empty() && (h.notice || h.draining || h.failed_jobs.len() >= sched::SHUNNED) {
+        for (_, h) in cluster.each_host() {
+            if h.attempts.is_empty() && (h.notice || h.draining || h.failed_jobs.len() >= sched::MAX_FAILED_JOBS) {
                 idle.push(h.id.clone());
             }
         }
         ops.extend(self.release(idle));
         for d in &plan.drain {
-            part.drain(d, now);
+            partition.drain(d, now);
         }
-        (needs, ops)
+        (capacity_report, ops)
     }
 
     /// How each kind of machine can be had now, by what was refused and how boots went.
-    fn supply<'a>(&'a self, part: &'a Part, now: u64) -> impl Fn(usize, &str, bool) -> Supply + 'a {
+    fn supply<'a>(&'a self, partition: &'a Partition, now: u64) -> impl Fn(usize, &str, bool) -> Supply + 'a {
         let late = self.late_by_kind();
         move |flavor, zone, spot| {
             if self.refused.get(&(flavor, zone.to_string(), spot)).is_some_and(|r| now < r.0) {
                 return Supply::Refused;
             }
             let kind = MachineKind { flavor, zone: zone.to_string(), spot };
-            let nominal_ms = boots::nominal_boot_ms(&part.world.flavors[flavor]);
+            let nominal_ms = boots::nominal_boot_ms(&partition.cluster.flavors[flavor]);
             let late = late.get(&kind).copied().unwrap_or(0);
             Supply::Available { cost_factor: self.boot_times.cost_factor(&kind, nominal_ms, late, now) }
         }
     }
 
-    /// The leader's round over the needs of all parts, the one with the lowest
-    /// waiting bin first: free machines of other parts move to it, the rest is
+    /// The leader's round over the needs of all partitions, the one with the lowest
+    /// waiting bin first: free machines of other partitions move to it, the rest is
     /// rented. Nothing is rented before a list was read that shows what the last leader
     /// rented, for its machines may be on their way.
-    pub fn lead(&mut self, own: Needs, part: &Part, now: u64, patience_ms: u64) -> Vec<CloudOp> {
-        let world = &part.world;
+    pub fn lead(&mut self, own: CapacityReport, partition: &Partition, now: u64, patience_ms: u64) -> Vec<CloudOp> {
+        let cluster = &partition.cluster;
         let mut ops = Vec::new();
-        if !self.predecessor_known || world.flavors.is_empty() {
+        if !self.predecessor_known || cluster.flavors.is_empty() {
             return ops;
         }
-        self.needs.retain(|_, n| now < n.0 + patience_ms);
-        self.needs.insert(part.id, (now, own));
+        self.capacity_reports.retain(|_, n| now < n.0 + patience_ms);
+        self.capacity_reports.insert(partition.id, (now, own));
         let mut spare: Vec<(u32, String)> = Vec::new();
-        for (p, (_, n)) in &self.needs {
+        for (p, (_, n)) in &self.capacity_reports {
             spare.extend(n.spare.iter().filter(|h| !self.moving.contains_key(*h)).map(|h| (*p, h.clone())));
         }
-        let mut order: Vec<u32> = self.needs.keys().copied().collect();
-        order.sort_by_key(|p| (self.needs[p].1.lowest_bin.unwrap_or(u64::MAX), *p));
+        let mut order: Vec<u32> = self.capacity_reports.keys().copied().collect();
+        order.sort_by_key(|p| (self.capacity_reports[p].1.lowest_bin.unwrap_or(u64::MAX), *p));
         for p in order {
-            let Some((_, n)) = self.needs.get_mut(&p) else { continue };
-            // What is ordered now must not be ordered again before the part has seen it.
+            let Some((_, n)) = self.capacity_reports.get_mut(&p) else { continue };
+            // What is ordered now must not be ordered again before the partition has seen it.
             for m in std::mem::take(&mut n.wanted) {
-                let Some(flavor) = world.flavor(&m.flavor) else { continue };
-                let like = Coming { flavor, zone: m.zone.clone(), spot: m.spot };
+                let Some(flavor) = cluster.flavor(&m.flavor) else { continue };
+                let like = PendingMachine { flavor, zone: m.zone.clone(), spot: m.spot };
                 let mut left = m.count;
                 while left > 0 {
                     let fits = |(q, h): &(u32, String)| *q != p && self.kinds.get(h) == Some(&like);
                     let Some(i) = spare.iter().position(fits) else { break };
                     let (from, host) = spare.swap_remove(i);
                     self.moving.insert(host.clone(), (p, like.clone(), now + patience_ms));
-                    ops.push(CloudOp::Give { from, host, to: p });
+                    ops.push(CloudOp::TransferHost { from, host, to: p });
                     left -= 1;
                 }
                 let key = (flavor, m.zone.clone(), m.spot);
                 if left == 0 || self.refused.get(&key).is_some_and(|r| now < r.0) {
                     continue;
                 }
-                let rental = Rental { flavor, zone: m.zone, spot: m.spot, count: left.min(MOST_RENTED) };
+                let rental = Rental { flavor, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
                 self.serial += 1;
-                let name = format!("r-{}-{}", part.term, self.serial);
+                let name = format!("r-{}-{}", partition.term, self.serial);
                 tracing::info!(
                     name,
                     flavor = m.flavor,
@@ -236,7 +242,7 @@
     /// Asks for the return of machines that are not being returned yet.
     pub fn release(&mut self, ids: impl IntoIterator<Item = String>) -> Vec<CloudOp> {
         let new: Vec<String> = ids.into_iter().filter(|id| self.releasing.insert(id.clone())).collect();
-        new.chunks(MOST_RELEASED).map(|c| CloudOp::Release(c.to_vec())).collect()
+        new.chunks(MAX_RELEASED).map(|c| CloudOp::Release(c.to_vec())).collect()
     }
 
     pub fn released(&mut self, ids: &[String]) {
@@ -250,13 +256,13 @@
 }
 
 /// Arrivals of each class within the longest boot, from what was accepted.
-fn flows(part: &Part, wall: u64) -> Vec<ClassFlow> {
-    let boot_s = part.world.flavors.iter().map(|f| f.boot_s).fold(1.0, f64::max);
+fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
+    let boot_s = partition.cluster.flavors.iter().map(|f| f.boot_s).fold(1.0, f64::max);
     let window_s = 3.0 * boot_s;
-    let since = wall.saturating_sub((window_s * 1000.0) as u64).max(part.policy.start_ms);
+    let since = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy.start_ms);
     let span_s = (wall.saturating_sub(since) as f64 / 1000.0).max(boot_s);
     let mut sums: BTreeMap<&str, (&Spec, f64, f64)> = BTreeMap::new();
-    for job in part.world.jobs.iter().filter(|j| j.accepted_ms >= since) {
+    for job in partition.cluster.jobs.iter().filter(|j| j.accepted_ms >= since) {
         let n = f64::from(job.spec.tasks);
         let s = sums.entry(&job.spec.class).or_insert((&job.spec, 0.0, 0.0));
         *s = (&job.spec, s.1 + n, s.2 + n * n);
--- a/src/leader/rentals.rs
+++ b/src/leader/rentals.rs
@@ -3,19 +3,19 @@
 use super::boots::BootingMachine;
 use super::{CloudOp, Leader};
 use crate::clients::RentResult;
-use crate::sched::{Coming, Rental};
+use crate::sched::{PendingMachine, Rental};
 
 /// A request without an outcome is sent so many times.
-const MOST_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 /// Pauses between tries double up to this multiple of `react_ms`.
-const MOST_PAUSE_RATIO: u64 = 16;
+const MAX_PAUSE_RATIO: u64 = 16;
 /// What came of a request must be listed after this multiple of the list's lag.
 const LISTED_LAGS: u64 = 2;
 
 /// A rental request whose outcome is not known.
 #[derive(Debug, Clone)]
 pub(super) struct RentalRequest {
-    pub(super) part: u32,
+    pub(super) partition: u32,
     pub(super) rental: Rental,
     tries: u32,
     /// When it was given up without an outcome. Machines may have come of it.
@@ -23,8 +23,8 @@
 }
 
 impl RentalRequest {
-    pub(super) fn new(part: u32, rental: Rental) -> RentalRequest {
-        RentalRequest { part, rental, tries: 1, abandoned_ms: None }
+    pub(super) fn new(partition: u32, rental: Rental) -> RentalRequest {
+        RentalRequest { partition, rental, tries: 1, abandoned_ms: None }
     }
 }
 
@@ -56,9 +56,9 @@
 
     fn note_rented(&mut self, id: String, request: &RentalRequest, now: u64) {
         let rental = &request.rental;
-        let coming = Coming { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
-        self.kinds.insert(id.clone(), coming.clone());
-        self.booting.entry(id).or_insert_with(|| BootingMachine::rented(request.part, coming, now));
+        let pending_machine = PendingMachine { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
+        self.kinds.insert(id.clone(), pending_machine.clone());
+        self.booting.entry(id).or_insert_with(|| BootingMachine::rented(request.partition, pending_machines, now));
     }
 
     /// Asks for no more machines of a kind for a while: ever longer pauses, up to some
@@ -75,8 +75,8 @@
     fn repeat(&mut self, name: &str, now: u64) -> Option<CloudOp> {
         let request = self.renting.get_mut(name)?;
         let rental = request.rental.clone();
-        if request.tries < MOST_TRIES {
-            let pause_ms = self.react_ms * (1 << (request.tries - 1)).min(MOST_PAUSE_RATIO);
+        if request.tries < MAX_TRIES {
+            let pause_ms = self.react_ms * (1 << (request.tries - 1)).min(MAX_PAUSE_RATIO);
             request.tries += 1;
             return Some(CloudOp::Rent { name: name.to_string(), rental, pause_ms });
         }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clients::RentResult;
-use crate::part::tests::{commit, part, part_of, report, submit};
-use crate::part::{CommitResult, Part, Via};
+use crate::partition::tests::{commit, partition, partition_of, report, submit};
+use crate::partition::{CommitResult, Partition, ReportSource};
 use crate::wire::tests::reported;
 use crate::wire::{Listed, Order};
 use serde_json::json;
@@ -35,9 +35,9 @@
     tasks: BTreeMap<String, u64>,
 }
 
-/// A leader with its part and a scripted cloud, on a clock of their own.
+/// A leader with its partition and a scripted cloud, on a clock of their own.
 struct Bench {
-    part: Part,
+    partition: Partition,
     leader: Leader,
     now: u64,
     boot_ms: BootMs,
@@ -57,15 +57,15 @@
 impl Bench {
     /// Of a leader that has been at work for a while, with nothing to do.
     fn new() -> Bench {
-        let mut bench = Bench::of(part());
+        let mut bench = Bench::of(partition());
         bench.run(PATIENCE_MS + ROUND_MS);
         bench
     }
 
-    fn of(mut part: Part) -> Bench {
-        part.policy.headroom = 0.0;
+    fn of(mut partition: Partition) -> Bench {
+        partition.policy.headroom = 0.0;
         Bench {
-            part,
+            partition,
             leader: Leader::new(LAG_S),
             now: 1000,
             boot_ms: usual,
@@ -84,8 +84,8 @@
         while self.now < until {
             self.now += ROUND_MS;
             self.report();
-            if self.part.next_commit(self.now, 32).is_some() {
-                self.part.committed(CommitResult::Done { revision: self.now }).unwrap();
+            if self.partition.next_commit(self.now, 32).is_some() {
+                self.partition.committed(CommitResult::Done { revision: self.now }).unwrap();
             }
             let ops = self.round();
             self.carry_out(ops);
@@ -115,7 +115,7 @@
 
     /// Machines that are up report, and do as they are told.
     fn report(&mut self) {
-        let (now, term) = (self.now, self.part.term);
+        let (now, term) = (self.now, self.partition.term);
         for (id, machine) in &mut self.machines {
             if machine.up_ms.is_none_or(|t| now < t) {
                 continue;
@@ -124,7 +124,7 @@
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
             let mut r = report(id, 1, machine.serial, term, tasks.collect());
             r.zone.clone_from(&machine.zone);
-            for order in self.part.report(&r, Via::Beat, now) {
+            for order in self.partition.report(&r, ReportSource::Heartbeat, now) {
                 match order {
                     Order::Run { task, attempt } => drop(machine.tasks.insert(task, attempt)),
                     Order::Stop { task, .. } | Order::Reap { task, .. } => drop(machine.tasks.remove(&task)),
@@ -133,12 +133,12 @@
         }
     }
 
-    /// The holder's round; returns what the cloud is asked.
+    /// The owner's round; returns what the cloud is asked.
     fn round(&mut self) -> Vec<CloudOp> {
-        self.part.pass(self.now, self.now);
-        let coming = self.leader.coming(0, &self.part, self.now, PATIENCE_MS);
-        let (needs, mut ops) = self.leader.plan(&mut self.part, &coming, self.now, self.now);
-        ops.extend(self.leader.lead(needs, &self.part, self.now, PATIENCE_MS));
+        self.partition.pass(self.now, self.now);
+        let pending_machines = self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
+        let (capacity_report, mut ops) = self.leader.plan(&mut self.partition, &pending_machines, self.now, self.now);
+        ops.extend(self.leader.lead(capacity_report, &self.partition, self.now, PATIENCE_MS));
         ops
     }
 
@@ -156,9 +156,9 @@
                 CloudOp::Release(ids) => {
                     ids.iter().for_each(|id| drop(self.machines.remove(id)));
                     self.leader.released(&ids);
-                    ids.iter().for_each(|id| self.part.host_gone(id));
+                    ids.iter().for_each(|id| self.partition.host_gone(id));
                 }
-                CloudOp::Give { .. } => panic!("there is one part"),
+                CloudOp::TransferHost { .. } => panic!("there is one part"),
             }
         }
     }
@@ -188,8 +188,8 @@
             "shards": machines, "cores": 2.0, "cards": 8.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0,
             "flavors": null, "region": null, "same_place": false, "apart": false, "preemptible": false,
             "expected_s": 1000.0, "checkpoint_every_s": 0.0, "flush_s": 0.0, "due_s": null});
-        submit(&mut self.part, body.to_string().as_bytes(), self.now);
-        commit(&mut self.part, self.now, 5);
+        submit(&mut self.partition, body.to_string().as_bytes(), self.now);
+        commit(&mut self.partition, self.now, 5);
     }
 
     fn zones(&self) -> Vec<&str> {
@@ -205,10 +205,10 @@
     }
 
     fn list(&mut self, machines: &[Listed]) -> Vec<CloudOp> {
-        self.leader.listed(machines, &self.part, self.now)
+        self.leader.listed(machines, &self.partition, self.now)
     }
 
-    /// A machine was rented for this part, and the scripted cloud knows nothing of it.
+    /// A machine was rented for this partition, and the scripted cloud knows nothing of it.
     fn rent(&mut self, id: &str, zone: &str) {
         let rental = Rental { flavor: 0, zone: zone.into(), spot: false, count: 1 };
         let name = format!("of-{id}");
@@ -217,13 +217,13 @@
     }
 
     fn comes_up(&mut self, id: &str) {
-        let term = self.part.term;
-        self.part.report(&report(id, 1, 1, term, vec![]), Via::Beat, self.now);
-        self.leader.coming(0, &self.part, self.now, PATIENCE_MS);
+        let term = self.partition.term;
+        self.partition.report(&report(id, 1, 1, term, vec![]), ReportSource::Heartbeat, self.now);
+        self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
 
-    fn coming(&mut self) -> usize {
-        self.leader.coming(0, &self.part, self.now, PATIENCE_MS).len()
+    fn pending_machines(&mut self) -> usize {
+        self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS).len()
     }
 }
 
@@ -279,7 +279,7 @@
     bench.rent("host-1", "a");
     bench.rounds_until(bench.now + ROUND_MS);
     assert_eq!(released(&bench.list(&[entry("host-1", "a", "failed", ROUND_MS)])), ["host-1"]);
-    assert_eq!(bench.coming(), 0);
+    assert_eq!(bench.pending_machines(), 0);
 }
 
 #[test]
@@ -301,14 +301,14 @@
     bench.rent("host-1", "a");
     bench.rounds_until(bench.now + LAG_MS);
     bench.list(&[entry("host-1", "a", "starting", LAG_MS)]);
-    assert_eq!(bench.coming(), 1);
+    assert_eq!(bench.pending_machines(), 1);
     // Older than the one before, by up to twice the lag.
     bench.rounds_until(bench.now + LAG_MS);
     bench.list(&[]);
-    assert_eq!(bench.coming(), 1, "it would be rented a second time");
+    assert_eq!(bench.pending_machines(), 1, "it would be rented a second time");
     bench.rounds_until(bench.now + LAG_MS + ROUND_MS);
     bench.list(&[]);
-    assert_eq!(bench.coming(), 0, "it is gone");
+    assert_eq!(bench.pending_machines(), 0, "it is gone");
 }
 
 #[test]
@@ -317,7 +317,7 @@
     bench.rent("host-1", "a");
     bench.rounds_until(bench.now + BOOT_MS);
     bench.now += 3 * BOOT_MS;
-    bench.coming();
+    bench.pending_machines();
     let stale = [entry("host-1", "a", "starting", 4 * BOOT_MS)];
     assert!(bench.list(&stale).is_empty());
     bench.rounds_until(bench.now + PATIENCE_MS);
@@ -336,7 +336,7 @@
     bench.run(BOOT_MS);
     assert_eq!(bench.rented.len(), 2, "one replacement");
     bench.run(10 * BOOT_MS);
-    let metrics = bench.part.metrics.text();
+    let metrics = bench.partition.metrics.text();
     for counted in [r#"boots_late_total{of="g8/a"} 1"#, r#"boots_failed_total{of="g8/a"} 1"#] {
         assert!(metrics.contains(counted), "{counted} in {metrics}");
     }
@@ -384,7 +384,7 @@
 
 #[test]
 fn a_new_leader_awaits_the_list_of_what_the_last_one_rented() {
-    let mut bench = Bench::of(part_of(2, vec![], vec![]));
+    let mut bench = Bench::of(partition_of(2, vec![], vec![]));
     // The last leader's, rented just before it ended, and not in the first lists.
     (0..3).for_each(|_| drop(bench.machine("a")));
     bench.submit("run-000001", 4);
@@ -396,7 +396,7 @@
 
 #[test]
 fn the_first_leader_of_all_rents_at_once() {
-    let mut bench = Bench::of(part());
+    let mut bench = Bench::of(partition());
     bench.submit("run-000001", 4);
     bench.run(2 * ROUND_MS);
     assert_eq!(bench.rented.len(), 4);
@@ -415,7 +415,7 @@
     assert_eq!(sent.len(), 8);
     let pauses: Vec<u64> = sent.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(pauses.is_sorted() && pauses[6] >= 8 * pauses[0], "{pauses:?}");
-    let metrics = bench.part.metrics.text();
+    let metrics = bench.partition.metrics.text();
     assert!(metrics.contains(r#"rentals_total{of="unanswered"} 8"#), "{metrics}");
     assert!(metrics.contains(r#"rentals_total{of="abandoned"} 1"#), "{metrics}");
     // The cloud answers again.
@@ -449,7 +449,7 @@
     bench.run(BOOT_MS * 9 / 4);
     assert_eq!(bench.zones(), ["a", "b"]);
     // Up after 2.6 boot times, and idle for as long as any machine may be.
-    let keep_ms = (bench.part.policy.idle_keep * BOOT_MS as f64) as u64;
+    let keep_ms = (bench.partition.policy.idle_keep * BOOT_MS as f64) as u64;
     bench.run(BOOT_MS / 2 + keep_ms);
     assert_eq!(bench.zones(), ["a"], "the surplus is returned");
     assert_eq!(bench.rented.len(), 2);
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -10,7 +10,7 @@
 
 pub use index::Index;
 pub use pass::{Assignment, Eviction, Outcome, pass};
-pub use plan::{ClassFlow, Coming, Drain, Plan, Rental, Supply, SupplyOf, plan, reserves};
+pub use plan::{ClassFlow, Drain, PendingMachine, Plan, Rental, Supply, SupplyOf, plan, reserves};
 pub use policy::{Policy, TeamRule};
 
 use crate::model::{Flavor, Host, Shape, Spec};
@@ -34,17 +34,17 @@
 /// May tasks be placed on the machine now?
 pub fn usable(h: &Host, now: u64) -> bool {
     h.registered
-        && !h.strays
+        && !h.has_unknown_tasks
         && !h.notice
         && !h.releasing
         && !h.draining
-        && h.giving.is_none()
-        && h.shown()
+        && h.transferring_to.is_none()
+        && h.token_confirmed()
         && h.blocked_until_ms <= now
-        && h.failed_jobs.len() < SHUNNED
+        && h.failed_jobs.len() < MAX_FAILED_JOBS
         && h.addr.is_some()
-        && h.missed < crate::part::DEAF
+        && h.missed < crate::partition::UNREACHABLE_AFTER_MISSES
 }
 
-/// A machine on which tasks of this many jobs failed is shunned.
-pub const SHUNNED: usize = 3;
+/// A machine on which tasks of this many jobs failed is avoided.
+pub const MAX_FAILED_JOBS: usize = 3;
--- a/tests/meetings.rs
+++ b/tests/fault_combinations.rs
@@ -1,5 +1,5 @@
-//! Troubles that meet: whole deployments in simulated time. A failed day prints
-//! its seed; `BADGERDRIFT_SEED=7 cargo test --test meetings random` runs it again.
+//! Combinations of faults: whole deployments in simulated time. A failed day prints
+//! its seed; `BADGERDRIFT_SEED=7 cargo test --test fault_combinations random` runs it again.
 
 mod sim;
 #[path = "stand_ins/store.rs"]
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_day_without_troubles_is_settled() {
+fn a_day_without_faults_is_settled() {
     simulate(1, async |mut sim| {
         sim.random_day(60.0, 0).await;
         sim.settle().await;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn random_troubles_break_no_rule() {
+fn random_faults_break_no_rule() {
     let seeds = seeds(1..=12);
     let failed = std::sync::Mutex::new(Vec::new());
     let next = std::sync::atomic::AtomicUsize::new(0);
@@ -90,7 +90,7 @@
                     sim.submit(j)
                 })
                 .collect();
-            let all = |w: &sim::world::World| w.jobs.values().all(|j| j.accepted.is_some());
+            let all = |w: &sim::world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
             sim.until("all are accepted", s(30), all).await;
             let leader = sim.leader().expect("there is a leader");
             let cut_off = (leader + 1) % NODES;
@@ -195,9 +195,9 @@
 }
 
 // The reads of a takeover fail, and are tried again until the outage is over: each try
-// must not ask for two more, and the part must not begin twice.
+// must not ask for two more, and the partition must not begin twice.
 #[test]
-fn an_outage_begins_between_taking_the_part_and_reading_its_records() {
+fn an_outage_begins_between_taking_the_partition_and_reading_its_records() {
     days(async |sim| {
         long_jobs(sim, 60.0).await;
         let leader = sim.leader().expect("there is a leader");
@@ -485,7 +485,7 @@
             j.run_s = 2.0;
             let id = sim.submit(j);
             let done = id.clone();
-            let ended = |w: &sim::world::World| w.jobs[&done].all_done();
+            let ended = |w: &sim::world::SimulationState| w.jobs[&done].all_done();
             while !ended(&sim.g.w.lock().unwrap()) {
                 sim.run(Duration::from_millis(5 + n as u64)).await;
             }
@@ -532,7 +532,7 @@
                 (j.cards, j.run_s) = (0.5, 5.0);
                 ids.push(sim.submit(j));
             }
-            let all = |w: &sim::world::World| w.jobs.values().all(|j| j.accepted.is_some());
+            let all = |w: &sim::world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
             sim.until("all are accepted", s(10), all).await;
             let old = sim.leader().expect("there is a leader");
             sim.cut(controller(old), state_of(old), Some(Cut::Hold));
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,9 +1,9 @@
 //! Simulated days: real controllers, and scripted workers, users, cloud and
 //! state service, on one thread, in simulated time, over a network in memory.
 
+mod faults;
 mod machines;
 pub mod net;
-mod troubles;
 mod users;
 pub mod world;
 
@@ -19,7 +19,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use world::{FLAVORS, Job, Shared, TEAMS, World, ZONES, secs};
+use world::{FLAVORS, Job, Shared, SimulationState, TEAMS, ZONES, secs};
 
 pub const NODES: usize = 3;
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -80,7 +80,7 @@
 
 /// What every part of a simulated day works with.
 #[derive(Clone)]
-pub struct Ground {
+pub struct SimulationContext {
     pub seed: u64,
     pub w: Shared,
     pub fabric: Fabric,
@@ -88,7 +88,7 @@
 }
 
 pub struct Sim {
-    pub g: Ground,
+    pub g: SimulationContext,
     /// Number of the process of each controller; none while it is down.
     lives: [Option<u64>; NODES],
     rng: StdRng,
@@ -131,9 +131,9 @@
 impl Sim {
     pub fn new(seed: u64) -> Sim {
         let fabric = Fabric::new(seed ^ 0x5eed);
-        let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(World::new(seed, NODES)));
+        let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
         let user = Client::on(&fabric.process(users()).0, 16);
-        let g = Ground { seed, w, fabric, user };
+        let g = SimulationContext { seed, w, fabric, user };
         for i in 0..NODES {
             g.serve(state_of(i), move |g, req| state(g, i, req));
             g.serve(cloud_of(i), cloud);
@@ -228,7 +228,7 @@
     }
 
     /// Lets time pass until something holds.
-    pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&World) -> bool) {
+    pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&SimulationState) -> bool) {
         let end = Instant::now() + most;
         while !holds(&self.g.w.lock().unwrap()) {
             if Instant::now() >= end {
@@ -295,7 +295,7 @@
         v["data"]["holder"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 
-    /// All troubles are over: within a bounded time everything is done.
+    /// All faults are over: within a bounded time everything is done.
     pub async fn settle(&mut self) {
         self.g.log("all troubles end".into());
         self.state_down(false);
@@ -362,7 +362,7 @@
     }
 }
 
-impl Ground {
+impl SimulationContext {
     pub fn log(&self, what: String) {
         self.w.lock().unwrap().log(what);
     }
@@ -378,7 +378,7 @@
     }
 
     /// Serves port 80 of a host.
-    fn serve<F>(&self, at: IpAddr, handler: impl Fn(Ground, Request) -> F + Send + Sync + 'static)
+    fn serve<F>(&self, at: IpAddr, handler: impl Fn(SimulationContext, Request) -> F + Send + Sync + 'static)
     where
         F: Future<Output = Response> + Send + 'static,
     {
@@ -395,8 +395,8 @@
 }
 
 /// The state service, as one of the controllers sees it.
-async fn state(g: Ground, node: usize, req: Request) -> Response {
-    let down = |g: &Ground| {
+async fn state(g: SimulationContext, node: usize, req: Request) -> Response {
+    let down = |g: &SimulationContext| {
         let w = g.w.lock().unwrap();
         w.store.down || w.refused[node]
     };
@@ -455,7 +455,7 @@
     r
 }
 
-async fn cloud(g: Ground, req: Request) -> Response {
+async fn cloud(g: SimulationContext, req: Request) -> Response {
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
     let lag = g.w.lock().unwrap().rng.random_range(5..80);
     sleep(Duration::from_millis(lag)).await;
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -68,7 +68,7 @@
 
 /// A task on a machine, under one attempt.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct TaskAttempt {
     pub job: String,
     pub n: u32,
     pub phase: Phase,
@@ -95,7 +95,7 @@
     serial: u64,
     pub fence: u64,
     lease_from: Instant,
-    pub copies: BTreeMap<(String, u64), Copy>,
+    pub copies: BTreeMap<(String, u64), TaskAttempt>,
     pub deaf: Instant,
     pub mute: Instant,
     pub hang: Instant,
@@ -247,7 +247,7 @@
     }
 }
 
-pub struct World {
+pub struct SimulationState {
     pub rng: StdRng,
     pub start: Instant,
     pub store: Store,
@@ -279,11 +279,11 @@
     pub broken: Option<String>,
 }
 
-pub type Shared = Arc<Mutex<World>>;
+pub type Shared = Arc<Mutex<SimulationState>>;
 
-impl World {
-    pub fn new(seed: u64, nodes: usize) -> World {
-        World {
+impl SimulationState {
+    pub fn new(seed: u64, nodes: usize) -> SimulationState {
+        SimulationState {
             rng: StdRng::seed_from_u64(seed),
             start: Instant::now(),
             store: Store::default(),
@@ -571,7 +571,7 @@
         };
         let fetch = secs(self.rng.random_range(0.1..1.5));
         let phase = if refused.is_some() { Phase::Ended } else { Phase::Fetching };
-        let c = Copy { job: job_id.into(), n, phase, why: refused, stored: false, due: now + fetch, since: now };
+        let c = TaskAttempt { job: job_id.into(), n, phase, why: refused, stored: false, due: now + fetch, since: now };
         if let Some(why) = refused {
             self.log(format!("{id} refuses {} try {}: {why}", key.0, key.1));
         }
@@ -660,7 +660,7 @@
 
     fn check_start(&mut self, id: &str, key: &(String, u64), job: &Job) {
         let m = &self.machines[id];
-        let on: Vec<(&Machine, &(String, u64), &Copy)> = self
+        let on: Vec<(&Machine, &(String, u64), &TaskAttempt)> = self
             .machines
             .values()
             .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
