--- a/src/leader/rentals.rs
+++ b/src/leader/rentals.rs
@@ -58,7 +58,7 @@
         let rental = &request.rental;
         let pending_machine = PendingMachine { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
         self.kinds.insert(id.clone(), pending_machine.clone());
-        self.booting.entry(id).or_insert_with(|| BootingMachine::rented(request.partition, pending_machines, now));
+        self.booting.entry(id).or_insert_with(|| BootingMachine::rented(request.partition, pending_machine, now));
     }
 
     /// Asks for no more machines of a kind for a while: ever longer pauses, up to some
