--- a/src/holder.rs
+++ b/src/holder.rs
@@ -11,6 +11,7 @@
 use crate::part::{self, Belongs, CommitResult, Direct, DirectResult, Part, Superseded, UserAnswer, Via, Waiter};
 use crate::peer::{Ask, Machines, Needs, Reply, UserCall};
 use crate::sched::{Coming, Policy};
+use crate::task;
 use crate::wire::{self, Item, Listed, Order, Report};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -203,7 +204,7 @@
     /// Reads what the state service holds, until that succeeds or the tenancy is over.
     fn load(&self, n: u64) {
         let (state, tx, current) = (self.state.clone(), self.tx.clone(), self.current.clone());
-        tokio::spawn(async move {
+        task::spawn(async move {
             while current.load(Ordering::Relaxed) == n {
                 if let Some(loaded) = Loaded::read(&state).await {
                     let _ = tx.send(Msg::Loaded(n, loaded)).await;
@@ -292,7 +293,7 @@
                     Err(Superseded) => {
                         h.raising = true;
                         let (state, tx, id, grant) = (self.state.clone(), self.tx.clone(), self.id, h.grant);
-                        tokio::spawn(async move { tx.send(look_at_part(&state, n, id, grant).await).await });
+                        task::spawn(async move { tx.send(look_at_part(&state, n, id, grant).await).await });
                     }
                 }
             }
@@ -456,7 +457,7 @@
             h.part.destined = h.leader.destined(0);
         } else {
             let (doors, tx, n) = (self.doors.clone(), self.tx.clone(), h.n);
-            tokio::spawn(async move {
+            task::spawn(async move {
                 if let Some(Reply::Coming { coming, refused }) = doors.ask(0, Ask::Needs(needs)).await {
                     let _ = tx.send(Msg::Coming(n, coming, refused)).await;
                 }
@@ -467,7 +468,7 @@
         }
         for id in std::mem::take(&mut h.part.recheck) {
             let (state, tx, n) = (self.state.clone(), self.tx.clone(), h.n);
-            tokio::spawn(async move {
+            task::spawn(async move {
                 if let Ok((item, _)) = state.get(&part::host_key(&id)).await {
                     let record = item.and_then(|i| serde_json::from_value(i.value).ok());
                     let _ = tx.send(Msg::Rechecked(n, id, record)).await;
@@ -484,7 +485,7 @@
         if h.part.needs_new_term() && now >= h.raise_after_ms {
             h.raising = true;
             let (id, node, version, grant) = (self.id, self.settings.node.clone(), h.version, h.grant);
-            tokio::spawn(async move {
+            task::spawn(async move {
                 let m = match membership::raise_term(&state, id, &node, version, grant).await {
                     Ok(of_part) => Msg::Raised(n, Some(of_part)),
                     Err(CommitResult::Conflict { .. }) => look_at_part(&state, n, id, grant).await,
@@ -500,7 +501,7 @@
         }
         if let Some(c) = h.part.next_commit(now, ops) {
             h.writes.spend(c.apply.len());
-            tokio::spawn(async move {
+            task::spawn(async move {
                 let result = state.commit(&c.guards, &c.apply).await;
                 let _ = tx.send(Msg::Committed(n, result)).await;
             });
@@ -509,7 +510,7 @@
 
     fn reread(&self, n: u64, keys: Vec<String>) {
         let (state, tx) = (self.state.clone(), self.tx.clone());
-        tokio::spawn(async move {
+        task::spawn(async move {
             let mut items = Vec::new();
             for k in keys {
                 if let Ok((Some(i), _)) = state.get(&k).await {
@@ -525,7 +526,7 @@
         let Some(d) = h.part.direct(hix, now, probe) else { return false };
         let body = wire::direct(d.term, d.tenure, &d.orders);
         let (worker, tx, n) = (self.worker.clone(), self.tx.clone(), h.n);
-        tokio::spawn(async move {
+        task::spawn(async move {
             let result = worker.direct(d.addr, &body).await;
             let _ = tx.send(Msg::DirectDone(n, d, result)).await;
         });
@@ -538,7 +539,7 @@
         match op {
             CloudOp::Rent { name, rental } => {
                 let flavor = h.part.world.flavors[rental.flavor].name.clone();
-                tokio::spawn(async move {
+                task::spawn(async move {
                     let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
                     if result == RentResult::Again {
                         sleep(pause).await;
@@ -548,13 +549,13 @@
             }
             CloudOp::Give { from, host, to } => {
                 let doors = self.doors.clone();
-                tokio::spawn(async move { doors.ask(from, Ask::Give { part: from, host, to }).await });
+                task::spawn(async move { doors.ask(from, Ask::Give { part: from, host, to }).await });
             }
             CloudOp::Release(ids) => {
                 for id in &ids {
                     h.part.mark_releasing(id);
                 }
-                tokio::spawn(async move {
+                task::spawn(async move {
                     let ok = cloud.release(&ids).await;
                     if !ok {
                         sleep(pause).await;
@@ -570,7 +571,7 @@
         let (state, tx, current) = (self.state.clone(), self.tx.clone(), self.current.clone());
         let prefix = part::inbox_key(self.id, "");
         let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
-        tokio::spawn(async move {
+        task::spawn(async move {
             while current.load(Ordering::Relaxed) == n {
                 let round = async {
                     let (_, revision) = state.get(&prefix).await.ok()?;
@@ -597,7 +598,7 @@
         let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
         let current = self.current.clone();
         let leads = self.id == 0;
-        tokio::spawn(async move {
+        task::spawn(async move {
             let mut known = known;
             let mut round = 0u32;
             loop {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,7 @@
 //! A small HTTP/1.1 server and client on one shared framing.
 
 use crate::net::{Listener, Net, Stream};
+use crate::task;
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -229,7 +230,7 @@
         }
         open.fetch_add(1, Ordering::Relaxed);
         let (handler, open, idle) = (handler.clone(), open.clone(), idle.clone());
-        tokio::spawn(async move {
+        task::spawn(async move {
             connection(stream, patience, &*handler, &idle).await;
             open.fetch_sub(1, Ordering::Relaxed);
         });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,5 +18,6 @@
 pub mod part;
 pub mod peer;
 pub mod sched;
+pub mod task;
 pub mod whereabouts;
 pub mod wire;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -9,6 +9,7 @@
 use crate::clock::{self, DRIFT};
 use crate::part::CommitResult;
 use crate::peer::{Ask, Peer, Reply};
+use crate::task;
 use crate::wire;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -390,8 +391,8 @@
         rules.looked = false;
         self.bonds.set(&rules);
         // Promises are given meanwhile: in an outage the look takes as long as that.
-        tokio::spawn(first_look(self.state.clone(), self.part, self.node.clone(), self.life_ms, tx.clone()));
-        tokio::spawn(look_out(self.state.clone(), self.part, self.life_ms, tx.clone()));
+        task::spawn(first_look(self.state.clone(), self.part, self.node.clone(), self.life_ms, tx.clone()));
+        task::spawn(look_out(self.state.clone(), self.part, self.life_ms, tx.clone()));
         let mut tick = tokio::time::interval(Duration::from_millis(self.life_ms / 5));
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -412,7 +413,7 @@
             let now = clock::now_ms();
             if rules.may_take(now) {
                 rules.role = Role::Taking;
-                tokio::spawn(take(self.state.clone(), self.part, self.node.clone(), self.life_ms, tx.clone()));
+                task::spawn(take(self.state.clone(), self.part, self.node.clone(), self.life_ms, tx.clone()));
             }
         }
     }
@@ -422,7 +423,7 @@
         rules.note_lapse(sent);
         let Role::Holding { grant, term, lapsed, .. } = rules.role else { return };
         let (state, life, tx2) = (self.state.clone(), self.life_ms, tx.clone());
-        tokio::spawn(async move {
+        task::spawn(async move {
             let result = state.extend_grant(grant, life).await;
             let _ = tx2.send(Msg::Extended { grant, sent, result }).await;
         });
@@ -440,7 +441,7 @@
         for (i, p) in self.peers.iter().enumerate() {
             let (p, ask, tx) = (p.clone(), ask.clone(), tx.clone());
             let limit = Duration::from_millis(self.life_ms / 2);
-            tokio::spawn(async move {
+            task::spawn(async move {
                 let ok = p.ask(ask, limit).await == Some(Reply::Promised);
                 let _ = tx.send(Msg::Promised { peer: i, sent, ok }).await;
             });
@@ -505,7 +506,7 @@
                     for p in &self.peers {
                         let (p, ask) = (p.clone(), Ask::Release { part: self.part, term });
                         let limit = Duration::from_millis(self.life_ms / 2);
-                        tokio::spawn(async move { p.ask(ask, limit).await });
+                        task::spawn(async move { p.ask(ask, limit).await });
                     }
                 }
             }
@@ -536,7 +537,7 @@
         self.held.fetch_sub(1, Ordering::Relaxed);
         if let Role::Holding { grant, .. } = rules.role {
             let state = self.state.clone();
-            tokio::spawn(async move { state.end_grant(grant).await });
+            task::spawn(async move { state.end_grant(grant).await });
         }
         rules.role = Role::Idle;
         rules.record = None;
@@ -647,7 +648,7 @@
 async fn look_out(state: State, part: u32, life_ms: u64, tx: mpsc::Sender<Msg>) {
     let key = part_key(part);
     let probe = (state.clone(), key.clone(), tx.clone());
-    tokio::spawn(async move {
+    task::spawn(async move {
         let (state, key, tx) = probe;
         loop {
             tokio::time::sleep(Duration::from_millis(life_ms / 4)).await;
--- a/src/node.rs
+++ b/src/node.rs
@@ -9,7 +9,7 @@
 use crate::net::Net;
 use crate::peer::{self, Peer};
 use crate::sched::Policy;
-use crate::{clock, http};
+use crate::{clock, http, task};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
 use std::time::Duration;
@@ -71,7 +71,7 @@
     let heard_ms = Arc::new((0..operator.parts).map(|_| AtomicU64::new(0)).collect());
     let doors = Doors { parts: Arc::new(doors), peers: Arc::new(peers), life_ms, heard_ms };
     for (membership, tx, rx) in members {
-        tokio::spawn(membership.run(tx, rx));
+        task::spawn(membership.run(tx, rx));
     }
     for (id, (tenancy, rx)) in (0..).zip(holders) {
         let door = &doors.parts[id as usize];
@@ -89,11 +89,11 @@
             tx: door.holder.clone(),
             current: Arc::new(AtomicU64::new(0)),
         };
-        tokio::spawn(holder.run(tenancy, rx));
+        task::spawn(holder.run(tenancy, rx));
     }
 
     let for_peers = doors.clone();
-    tokio::spawn(peer::serve(internal, move |ask| {
+    task::spawn(peer::serve(internal, move |ask| {
         let doors = for_peers.clone();
         async move { doors.answer(ask).await }
     }));
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -2,6 +2,7 @@
 //! a body, requests and replies matched by number.
 
 use crate::net::{Listener, Net, ReadHalf, WriteHalf};
+use crate::task;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::future::Future;
@@ -118,11 +119,11 @@
         let (mut read, write) = stream.halves();
         let handler = handler.clone();
         let (tx, rx) = mpsc::channel::<Vec<u8>>(64);
-        tokio::spawn(write_frames(write, rx));
-        tokio::spawn(async move {
+        task::spawn(write_frames(write, rx));
+        task::spawn(async move {
             while let Some((n, ask)) = read_frame::<Ask>(&mut read).await {
                 let (handler, tx) = (handler.clone(), tx.clone());
-                tokio::spawn(async move {
+                task::spawn(async move {
                     if let Some(frame) = encode(n, handler(ask).await) {
                         let _ = tx.send(frame).await;
                     }
@@ -164,7 +165,7 @@
     /// The same over a given network.
     pub fn start_on(net: Net, name: String, addr: SocketAddr, connect_limit: Duration) -> Peer {
         let (tx, rx) = mpsc::channel(256);
-        tokio::spawn(run(net, addr, connect_limit, tx.clone(), rx));
+        task::spawn(run(net, addr, connect_limit, tx.clone(), rx));
         Peer { name, tx }
     }
 
@@ -235,9 +236,9 @@
     let stream = timeout(limit, net.connect(addr)).await.ok()?.ok()?;
     let (mut read, write) = stream.halves();
     let (out, frames) = mpsc::channel(256);
-    tokio::spawn(write_frames(write, frames));
+    task::spawn(write_frames(write, frames));
     let tx = tx.clone();
-    tokio::spawn(async move {
+    task::spawn(async move {
         while let Some((n, r)) = read_frame::<Reply>(&mut read).await {
             if tx.send(ToPeer::Reply(life, n, r)).await.is_err() {
                 return;
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,3 +1,5 @@
+#![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
+
 use super::*;
 use tokio::net::TcpListener;
 
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,7 @@
 //! The clients against scripted peers that page, refuse, forget and babble.
 
+#![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
+
 use badgerdrift::clients::{Cloud, Fail, RentResult, State};
 use badgerdrift::config::{Settings, load_settings};
 use badgerdrift::http::{self, Request, Response};
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -1,6 +1,8 @@
 //! Troubles that meet: whole deployments in simulated time. A failed day prints
 //! its seed; `BADGERDRIFT_SEED=7 cargo test --test meetings random` runs it again.
 
+#![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
+
 mod answers;
 mod cancellations;
 mod leaders;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,6 +1,8 @@
 //! The whole service against stand-ins, on loopback. Each controller runs on a
 //! runtime of its own, so that it can be killed.
 
+#![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
+
 mod stand_ins;
 
 use badgerdrift::config::{Operator, Settings};
