--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -6,6 +6,7 @@
 mod answers;
 mod cancellations;
 mod leaders;
+mod paused_controllers;
 mod random_days;
 mod scenario;
 #[path = "../sim/mod.rs"]
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -7,6 +7,7 @@
 mod jobs;
 mod machines;
 pub mod net;
+mod pause;
 mod run;
 mod settle;
 mod state_service;
@@ -20,12 +21,14 @@
 
 use badgerdrift::config::Operator;
 use badgerdrift::http::{Client, Request};
-use badgerdrift::node;
+use badgerdrift::{node, task};
 use net::{Cut, Fabric};
+use pause::Pause;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde_json::Value;
 use std::net::IpAddr;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 use world::{Shared, World};
@@ -34,6 +37,7 @@
     pub g: Ground,
     /// Number of the process of each controller; none while it is down.
     lives: [Option<u64>; NODES],
+    pauses: [Arc<Pause>; NODES],
     rng: StdRng,
     next_job: u32,
 }
@@ -55,7 +59,13 @@
                 ticks.w.lock().unwrap().tick();
             }
         });
-        let mut sim = Sim { g, lives: [None; NODES], rng: StdRng::seed_from_u64(seed ^ 0xda7), next_job: 0 };
+        let mut sim = Sim {
+            g,
+            lives: [None; NODES],
+            pauses: Default::default(),
+            rng: StdRng::seed_from_u64(seed ^ 0xda7),
+            next_job: 0,
+        };
         (0..NODES).for_each(|i| sim.start(i));
         sim
     }
@@ -67,6 +77,7 @@
         if let Some(life) = self.lives[node].take() {
             self.g.log(format!("n{node} is killed"));
             self.g.fabric.kill(life);
+            self.pauses[node].set(false);
         }
     }
 
@@ -76,10 +87,18 @@
             self.lives[node] = Some(life);
             self.g.log(format!("n{node} starts"));
             let operator = Operator { idle_keep: 3.0, ..Operator::default() };
-            tokio::spawn(node::run_on(net, deployment::settings(node), operator));
+            self.pauses[node] = Arc::default();
+            let controller = node::run_on(net, deployment::settings(node), operator);
+            tokio::spawn(task::behind(self.pauses[node].clone(), controller));
         }
     }
 
+    /// Pauses a controller's process, or lets it go on.
+    pub fn pause(&self, node: usize, paused: bool) {
+        self.g.log(format!("n{node} paused: {paused}"));
+        self.pauses[node].set(paused);
+    }
+
     pub fn state_down(&self, down: bool) {
         self.g.state_down(down);
     }
--- a/tests/sim/settle.rs
+++ b/tests/sim/settle.rs
@@ -12,6 +12,7 @@
         self.state_down(false);
         for i in 0..NODES {
             self.refuse_state(i, false);
+            self.pause(i, false);
             self.start(i);
         }
         {
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -57,7 +57,12 @@
         let mut w = g.w.lock().unwrap();
         let before = w.store.claims;
         let r = w.store.handle(&req);
-        (r, w.store.claims > before)
+        let claimed = w.store.claims > before;
+        if claimed {
+            let record = w.store.value("part/0");
+            w.note_term(&record);
+        }
+        (r, claimed)
     };
     if claimed {
         g.log(format!("n{node} begins to lead"));
--- a/tests/sim/world/mod.rs
+++ b/tests/sim/world/mod.rs
@@ -7,6 +7,7 @@
 mod parameters;
 mod rental;
 mod rules;
+mod terms;
 mod worker;
 
 pub use job::Job;
@@ -21,6 +22,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex};
+use terms::Term;
 use tokio::time::Instant;
 
 pub struct World {
@@ -43,6 +45,9 @@
     /// Every machine's reports are kept, for the next leader.
     pub keeping: bool,
     pub kept: BTreeMap<String, Vec<(IpAddr, String)>>,
+    /// Orders on terms that are over break a rule; not where cuts or hanging machines hold some back.
+    pub check_terms: bool,
+    terms: Vec<Term>,
     pub machines: BTreeMap<String, Machine>,
     rentals: HashMap<String, Vec<String>>,
     pub jobs: BTreeMap<String, Job>,
@@ -72,6 +77,8 @@
             late_reports: 0.0,
             keeping: false,
             kept: BTreeMap::new(),
+            check_terms: false,
+            terms: Vec::new(),
             machines: BTreeMap::new(),
             rentals: HashMap::new(),
             jobs: BTreeMap::new(),
--- a/tests/sim/world/worker.rs
+++ b/tests/sim/world/worker.rs
@@ -32,6 +32,7 @@
     /// The reply to a report that was sent in this session.
     pub fn reply(&mut self, id: &str, tenure: u64, sent: Instant, v: &Value) {
         self.expire_leases();
+        self.check_entitlement(id, v);
         let Some(fence) = v["fence"].as_u64() else { return };
         let m = self.machines.get_mut(id).unwrap();
         if m.tenure != tenure || fence < m.fence {
@@ -45,6 +46,7 @@
     /// A direct command: true if it was carried out.
     pub fn direct(&mut self, id: &str, v: &Value) -> bool {
         self.expire_leases();
+        self.check_entitlement(id, v);
         let (Some(fence), Some(tenure)) = (v["fence"].as_u64(), v["tenure"].as_u64()) else { return false };
         let m = &self.machines[id];
         if fence < m.fence || tenure != m.tenure {
--- a/tests/stand_ins/store.rs
+++ b/tests/stand_ins/store.rs
@@ -83,6 +83,12 @@
         Response::json(200, &json!({"epoch": self.revision}))
     }
 
+    /// The value of a key; null if there is none.
+    #[allow(dead_code, reason = "not every suite asks for it")]
+    pub fn value(&self, key: &str) -> Value {
+        self.keys.get(key).map_or(Value::Null, |entry| entry.0.clone())
+    }
+
     pub fn handle(&mut self, req: &Request) -> Response {
         if self.down { Response::error(503, "outage") } else { self.read(req) }
     }
