--- a/src/holder.rs
+++ b/src/holder.rs
@@ -652,7 +652,7 @@
 
 /// Does a piece of work and notes how many milliseconds it took.
 fn timed(h: &mut Tenure, name: &'static str, label: &'static str, work: impl FnOnce(&mut Tenure)) -> u64 {
-    let began = std::time::Instant::now();
+    let began = tokio::time::Instant::now();
     work(h);
     let took = began.elapsed().as_millis() as u64;
     h.part.metrics.observe(name, label, took);
