--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -5,12 +5,16 @@
 
 mod answers;
 mod cancellations;
+mod guests;
 mod leaders;
+mod mistakes;
 mod paused_controllers;
+mod poll_storms;
 mod random_days;
 mod scenario;
 #[path = "../sim/mod.rs"]
 mod sim;
+mod slow_boots;
 #[path = "../stand_ins/store.rs"]
 mod store;
 mod teams;
--- a/tests/meetings/paused_controllers.rs
+++ b/tests/meetings/paused_controllers.rs
@@ -1,6 +1,6 @@
 //! Controllers are paused: they are silent, and then go on with whatever waits for them.
 
-use crate::scenario::{days, long_jobs, others, s};
+use crate::scenario::{ask_closely, days, long_jobs, others, s, short_jobs};
 use crate::sim::{NODES, Sim, seeds, simulate};
 use std::time::Duration;
 
@@ -12,27 +12,6 @@
     sim.g.w.lock().unwrap().check_terms = true;
 }
 
-/// Users ask about these jobs at all nodes, again and again.
-async fn ask_closely(sim: &Sim, ids: &[String], time: Duration) {
-    const PAUSE: Duration = Duration::from_millis(150);
-    let end = tokio::time::Instant::now() + time;
-    while tokio::time::Instant::now() < end {
-        ids.iter().for_each(|id| sim.ask_all(id));
-        sim.run(PAUSE).await;
-    }
-}
-
-/// Short jobs of every shape that end by themselves.
-fn short_jobs(sim: &mut Sim) -> Vec<String> {
-    let mut ids = Vec::new();
-    for shape in ["batch", "group"] {
-        let mut j = sim.job(shape, 2);
-        (j.cards, j.run_s) = (0.5, 4.0);
-        ids.push(sim.submit(j));
-    }
-    ids
-}
-
 // The jobs that it held are cancelled, done and begun under its successor meanwhile.
 #[test]
 fn a_paused_leader_does_nothing_on_its_old_entitlement() {
--- a/tests/meetings/random_days.rs
+++ b/tests/meetings/random_days.rs
@@ -1,31 +1,16 @@
 //! Days with random faults; the seeds that failed are printed.
 
-use crate::sim::{seeds, simulate};
+use crate::sim::{Setup, seeds, simulate, simulate_with};
 
-#[test]
-fn a_day_without_troubles_is_settled() {
-    simulate(1, async |mut sim| {
-        sim.random_day(60.0, 0).await;
-        sim.settle().await;
-    });
-}
-
-#[test]
-fn random_troubles_break_no_rule() {
-    let seeds = seeds(1..=12);
+/// Runs a day for each of the seeds, and names those that failed.
+fn run_all(seeds: &[u64], day: impl Fn(u64) + Sync + std::panic::RefUnwindSafe) {
     let failed = std::sync::Mutex::new(Vec::new());
     let next = std::sync::atomic::AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
-                    let day = || {
-                        simulate(*seed, async |mut sim| {
-                            sim.random_day(90.0, 4 + (*seed % 4) as usize).await;
-                            sim.settle().await;
-                        });
-                    };
-                    if std::panic::catch_unwind(day).is_err() {
+                    if std::panic::catch_unwind(|| day(*seed)).is_err() {
                         failed.lock().unwrap().push(*seed);
                     }
                 }
@@ -35,3 +20,33 @@
     let failed = failed.into_inner().unwrap();
     assert!(failed.is_empty(), "failed seeds: {failed:?}");
 }
+
+#[test]
+fn a_day_without_troubles_is_settled() {
+    simulate(1, async |mut sim| {
+        sim.random_day(60.0, 0).await;
+        sim.settle().await;
+    });
+}
+
+#[test]
+fn random_troubles_break_no_rule() {
+    run_all(&seeds(1..=12), |seed| {
+        let setup = Setup { time_of_day_stands: true, ..Setup::default() };
+        simulate_with(setup, seed, async |mut sim| {
+            sim.random_day(90.0, 4 + (seed % 4) as usize).await;
+            sim.settle().await;
+        });
+    });
+}
+
+// Paused controllers, poll storms, boots that fail, mistaken jobs and guests among the others.
+#[test]
+fn random_faults_of_all_kinds_break_no_rule() {
+    run_all(&seeds(1..=12), |seed| {
+        simulate(seed, async |mut sim| {
+            sim.random_day_with(90.0, 2 + (seed % 3) as usize, 1 + (seed % 4) as usize).await;
+            sim.settle().await;
+        });
+    });
+}
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -3,6 +3,7 @@
 use crate::sim::world::Machine;
 use crate::sim::{NODES, Sim, seeds, simulate};
 use std::time::Duration;
+use tokio::time::Instant;
 
 pub fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -36,7 +37,33 @@
 
 /// Of the machines that are up every `step`th is troubled until then.
 pub fn machines(sim: &Sim, step: usize, put: impl Fn(&mut Machine)) {
-    let now = tokio::time::Instant::now();
+    let now = Instant::now();
     let mut w = sim.g.w.lock().unwrap();
     w.machines.values_mut().filter(|m| m.alive(now)).step_by(step).for_each(put);
 }
+
+/// Users ask about these jobs at all nodes, again and again.
+pub async fn ask_closely(sim: &Sim, ids: &[String], time: Duration) {
+    const PAUSE: Duration = Duration::from_millis(150);
+    let end = Instant::now() + time;
+    while Instant::now() < end {
+        ids.iter().for_each(|id| sim.ask_all(id));
+        sim.run(PAUSE).await;
+    }
+}
+
+/// Short jobs of both shapes that end by themselves.
+pub fn short_jobs(sim: &mut Sim) -> Vec<String> {
+    let mut ids = Vec::new();
+    for shape in ["batch", "group"] {
+        let mut j = sim.job(shape, 2);
+        (j.cards, j.run_s) = (0.5, 4.0);
+        ids.push(sim.submit(j));
+    }
+    ids
+}
+
+/// Machines that are charged now.
+pub fn charged(sim: &Sim) -> usize {
+    sim.g.w.lock().unwrap().machines.values().filter(|m| m.exists()).count()
+}
--- a/tests/sim/deployment.rs
+++ b/tests/sim/deployment.rs
@@ -1,6 +1,6 @@
 //! The addresses and the settings of the simulated deployment.
 
-use super::world::{self, TEAMS, ZONES};
+use super::world::{self, GUEST, TEAMS, ZONES};
 use badgerdrift::config::Settings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -48,6 +48,8 @@
         text += &format!("[[params.teams]]\nname = \"{name}\"\ncpus = {0}\ncpus_max = {cores}\n", cores / 2.0);
         text += &format!("gpus = {}\ngpus_max = {cards}\n", cards / 2.0);
     }
+    let (name, cores, cards) = GUEST;
+    text += &format!("[[params.teams]]\nname = \"{name}\"\ncpus_max = {cores}\ngpus_max = {cards}\n");
     text += &format!(
         "[params.workers]\nreport_s = {:?}\nlease_s = {:?}\ngang_wait_s = {:?}\ngang_peer_s = {:?}\ncancel_s = {:?}\n",
         world::REPORT_S,
--- a/tests/sim/jobs.rs
+++ b/tests/sim/jobs.rs
@@ -45,6 +45,11 @@
         });
     }
 
+    /// Somebody asks about jobs that nobody has submitted, from now on.
+    pub fn ask_about_unknown_jobs(&mut self) {
+        tokio::spawn(users::stranger(self.g.clone(), self.rng.random()));
+    }
+
     /// The user repeats the submission at all nodes at once.
     pub fn submit_again(&self, id: &str) {
         users::submit_again(&self.g, id);
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -17,11 +17,11 @@
 
 pub use deployment::{NODES, cloud_of, controller, state_of};
 pub use ground::Ground;
-pub use run::{seeds, simulate};
+pub use run::{seeds, simulate, simulate_with};
 
 use badgerdrift::config::Operator;
 use badgerdrift::http::{Client, Request};
-use badgerdrift::{node, task};
+use badgerdrift::{clock, node, task};
 use net::{Cut, Fabric};
 use pause::Pause;
 use rand::SeedableRng;
@@ -31,19 +31,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use world::{Shared, World};
+use world::{BootFaults, Shared, World};
+
+/// The time of day at which each simulated day begins.
+const MORNING_MS: u64 = 1_800_000_000_000;
+
+/// What may differ from day to day before it begins.
+pub struct Setup {
+    pub operator: Operator,
+    /// The time of day stands still, as it did when the first seeds were hunted: their days
+    /// stay what they were.
+    pub time_of_day_stands: bool,
+}
+
+impl Default for Setup {
+    fn default() -> Setup {
+        Setup { operator: Operator { idle_keep: 3.0, ..Operator::default() }, time_of_day_stands: false }
+    }
+}
 
 pub struct Sim {
     pub g: Ground,
     /// Number of the process of each controller; none while it is down.
     lives: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
+    operator: Operator,
     rng: StdRng,
     next_job: u32,
 }
 
 impl Sim {
-    pub fn new(seed: u64) -> Sim {
+    pub fn new(seed: u64, setup: Setup) -> Sim {
+        clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
         let fabric = Fabric::new(seed ^ 0x5eed);
         let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(World::new(seed, NODES)));
         let user = Client::on(&fabric.process(deployment::users()).0, 16);
@@ -63,6 +82,7 @@
             g,
             lives: [None; NODES],
             pauses: Default::default(),
+            operator: setup.operator,
             rng: StdRng::seed_from_u64(seed ^ 0xda7),
             next_job: 0,
         };
@@ -86,9 +106,8 @@
             let (net, life) = self.g.fabric.process(controller(node));
             self.lives[node] = Some(life);
             self.g.log(format!("n{node} starts"));
-            let operator = Operator { idle_keep: 3.0, ..Operator::default() };
             self.pauses[node] = Arc::default();
-            let controller = node::run_on(net, deployment::settings(node), operator);
+            let controller = node::run_on(net, deployment::settings(node), self.operator.clone());
             tokio::spawn(task::behind(self.pauses[node].clone(), controller));
         }
     }
@@ -103,6 +122,19 @@
         self.g.state_down(down);
     }
 
+    /// Users ask about their jobs so many times as often as they usually do.
+    pub fn poll_rate(&self, rate: f64) {
+        self.g.log(format!("users poll {rate} times as often"));
+        self.g.w.lock().unwrap().poll_rate = rate;
+    }
+
+    /// Of the machines that are rented from now on such shares never come up, or come up
+    /// so many times later than usual.
+    pub fn boot_faults(&self, faults: BootFaults) {
+        self.g.log(format!("{faults:?}"));
+        self.g.w.lock().unwrap().boot_faults = faults;
+    }
+
     /// The state service answers this node with 503 only.
     pub fn refuse_state(&self, node: usize, refused: bool) {
         self.g.refuse_state(node, refused);
--- a/tests/sim/run.rs
+++ b/tests/sim/run.rs
@@ -1,6 +1,6 @@
 //! Runs simulated days, each the same for the same seed.
 
-use super::Sim;
+use super::{Setup, Sim};
 use std::future::Future;
 
 /// The order of every hash map, and what tokio chooses at random, comes from
@@ -15,12 +15,17 @@
 
 /// Runs one scripted day in simulated time, on a thread of its own.
 pub fn simulate<F: Future<Output = ()>>(seed: u64, day: impl FnOnce(Sim) -> F + Send) {
+    simulate_with(Setup::default(), seed, day);
+}
+
+/// The same with another setup.
+pub fn simulate_with<F: Future<Output = ()>>(setup: Setup, seed: u64, day: impl FnOnce(Sim) -> F + Send) {
     if std::env::var_os("BADGERDRIFT_TRACE").is_some() {
         let _ = tracing_subscriber::fmt().with_max_level(tracing::Level::DEBUG).with_ansi(false).try_init();
     }
     let run = || {
         let rt = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
-        rt.block_on(async { day(Sim::new(seed)).await });
+        rt.block_on(async { day(Sim::new(seed, setup)).await });
     };
     let ended = std::thread::scope(|s| s.spawn(run).join());
     if let Err(panic) = ended {
--- a/tests/sim/settle.rs
+++ b/tests/sim/settle.rs
@@ -2,6 +2,7 @@
 
 use super::Sim;
 use super::deployment::NODES;
+use super::world::BootFaults;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -17,6 +18,7 @@
         }
         {
             let mut w = self.g.w.lock().unwrap();
+            (w.poll_rate, w.boot_faults) = (1.0, BootFaults::default());
             (w.late_writes, w.lost_answers, w.late_reports, w.cloud_down) = (0.0, 0.0, 0.0, false);
         }
         self.g.fabric.mend();
--- a/tests/sim/troubles.rs
+++ b/tests/sim/troubles.rs
@@ -1,7 +1,7 @@
 //! Random days: jobs come, and troubles overlap.
 
 use super::net::Cut;
-use super::world::{LEASE_S, secs};
+use super::world::{BootFaults, GUEST, LEASE_S, secs};
 use super::{NODES, Sim, cloud_of, controller, machines, state_of, users};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -28,6 +28,11 @@
     LateWrites(f64),
     LostAnswers(f64),
     CloudDown(bool),
+    Pause(usize, bool),
+    PollRate(f64),
+    BootFaults(BootFaults),
+    SubmitMistaken,
+    SubmitGuests,
 }
 
 /// The deeds of one trouble that begins then.
@@ -61,9 +66,40 @@
     }
 }
 
+/// The deeds of one fault of the later kinds that begins then.
+fn later_fault(rng: &mut StdRng, at: f64) -> Vec<(f64, Deed)> {
+    let node = rng.random_range(0..NODES);
+    let end = at + rng.random_range(5.0..30.0);
+    match rng.random_range(0..6) {
+        0 => vec![(at, Deed::Pause(node, true)), (end, Deed::Pause(node, false))],
+        1 => vec![(at, Deed::Pause(node, true)), (at + rng.random_range(30.0..90.0), Deed::Pause(node, false))],
+        2 => {
+            let mut deeds = vec![(at, Deed::PollRate(8.0)), (end, Deed::PollRate(1.0))];
+            deeds.extend([(at + 1.0, Deed::Pause(node, true)), (end - 1.0, Deed::Pause(node, false))]);
+            deeds
+        }
+        3 => {
+            let faults = BootFaults {
+                never: rng.random_range(0.0..0.5),
+                late: rng.random_range(0.0..1.0),
+                late_by: rng.random_range(2.0..6.0),
+            };
+            vec![(at, Deed::BootFaults(faults)), (end, Deed::BootFaults(BootFaults::default()))]
+        }
+        4 => vec![(at, Deed::SubmitMistaken), (at + 3.0, Deed::SubmitMistaken)],
+        _ => vec![(at, Deed::SubmitGuests)],
+    }
+}
+
 impl Sim {
     /// A day of so many seconds with jobs, and so many troubles that overlap.
     pub async fn random_day(&mut self, day_s: f64, troubles: usize) {
+        self.random_day_with(day_s, troubles, 0).await;
+    }
+
+    /// The same with so many faults of the later kinds as well. They are drawn last, so
+    /// that the days of known seeds stay what they were.
+    pub async fn random_day_with(&mut self, day_s: f64, troubles: usize, later: usize) {
         let mut rng = StdRng::seed_from_u64(self.g.seed.wrapping_mul(0x9e37_79b9));
         self.g.w.lock().unwrap().faulty = 0.04;
         tokio::spawn(users::stranger(self.g.clone(), rng.random()));
@@ -79,6 +115,10 @@
             let at = rng.random_range(4.0..day_s * 0.7);
             deeds.extend(trouble(&mut rng, at));
         }
+        for _ in 0..later {
+            let at = rng.random_range(4.0..day_s * 0.6);
+            deeds.extend(later_fault(&mut rng, at));
+        }
         deeds.sort_by(|a, b| a.0.total_cmp(&b.0));
         let began = Instant::now();
         for (at, deed) in deeds {
@@ -143,6 +183,23 @@
                     }
                 }
             }
+            Deed::Pause(node, paused) => self.pause(node, paused),
+            Deed::PollRate(rate) => self.poll_rate(rate),
+            Deed::BootFaults(faults) => self.boot_faults(faults),
+            Deed::SubmitMistaken => {
+                let mut job = self.random_job();
+                job.mistaken = true;
+                let id = self.submit(job);
+                self.cancel_later(&id, secs(rng.random_range(10.0..40.0)));
+            }
+            Deed::SubmitGuests => {
+                for tasks in [30, 1, 1, 1, 1] {
+                    let mut job = self.job("batch", tasks);
+                    (job.team, job.preemptible, job.cards) = (GUEST.0, rng.random_bool(0.5), 0.5);
+                    job.run_s = rng.random_range(1.0..4.0);
+                    self.submit(job);
+                }
+            }
             Deed::LateReports(share) => self.late_reports(share),
             Deed::LateWrites(share) => self.late_writes(share),
             Deed::LostAnswers(share) => self.lost_answers(share),
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -86,7 +86,8 @@
     }
     let mut again = 0;
     loop {
-        sleep(secs(rng.random_range(1.0..5.0))).await;
+        let rate = g.w.lock().unwrap().poll_rate;
+        sleep(secs(rng.random_range(1.0..5.0) / rate)).await;
         let what = if rng.random_bool(0.1) { "submit" } else { "poll" };
         let over = g.w.lock().unwrap().jobs[&id].over();
         ask(&g, &id, rng.random_range(0..NODES), what).await;
@@ -96,7 +97,7 @@
         again += u32::from(over);
         if again > 4 {
             // Now and then, long after.
-            sleep(secs(rng.random_range(5.0..20.0))).await;
+            sleep(secs(rng.random_range(5.0..20.0) / rate)).await;
         }
     }
 }
@@ -105,7 +106,8 @@
 pub async fn stranger(g: Ground, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
-        sleep(secs(rng.random_range(2.0..6.0))).await;
+        let rate = g.w.lock().unwrap().poll_rate;
+        sleep(secs(rng.random_range(2.0..6.0) / rate)).await;
         let id = format!("run-9{:05}", rng.random_range(0..100_000));
         let node = rng.random_range(0..NODES);
         let r = g.user.call(door(node), "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
--- a/tests/sim/world/gang.rs
+++ b/tests/sim/world/gang.rs
@@ -64,7 +64,7 @@
                 g.failed = true;
                 ends = Some(("mates_gone", false));
             } else if g.stopped.is_none() && whole && progress + ran >= job.run_s {
-                let faulty = executing.iter().any(|m| self.machines[&m.0].faulty);
+                let faulty = job.mistaken || executing.iter().any(|m| self.machines[&m.0].faulty);
                 ends = Some((if faulty { "error" } else { "done" }, false));
             }
             let Some((why, stored)) = ends else { continue };
@@ -81,8 +81,8 @@
             };
             j.saved_s.insert(0, kept.max(progress));
             for m in executing {
-                // Only what is on a faulty machine fails; the others miss it.
-                let fails = why == "error" && !self.machines[&m.0].faulty;
+                // Only what is on a faulty machine fails, and the others miss it; mistakes are in all tasks.
+                let fails = why == "error" && !job.mistaken && !self.machines[&m.0].faulty;
                 self.end(&m.0, &m.1, if fails { "mates_gone" } else { why }, stored);
             }
         }
--- a/tests/sim/world/job.rs
+++ b/tests/sim/world/job.rs
@@ -27,10 +27,16 @@
     pub checkpoint_s: f64,
     pub flush_s: f64,
     pub bundle: u32,
+    /// Its tasks fail on every machine.
+    pub mistaken: bool,
     /// It must be refused.
     pub invalid: bool,
     pub submitted: bool,
     pub accepted: Option<Instant>,
+    /// Its first task had its image then.
+    pub began: Option<Instant>,
+    /// Starts of its tasks.
+    pub starts: u32,
     pub cancel_asked: bool,
     pub cancelled: Option<Instant>,
     pub done_told: Option<Instant>,
@@ -59,9 +65,12 @@
             checkpoint_s: 0.0,
             flush_s: 0.0,
             bundle: 0,
+            mistaken: false,
             invalid: false,
             submitted: false,
             accepted: None,
+            began: None,
+            starts: 0,
             cancel_asked: false,
             cancelled: None,
             done_told: None,
--- a/tests/sim/world/mod.rs
+++ b/tests/sim/world/mod.rs
@@ -12,11 +12,15 @@
 
 pub use job::Job;
 pub use machine::Machine;
-pub use parameters::{CANCEL_S, FLAVORS, GANG_PEER_S, GANG_WAIT_S, LEASE_S, LIST_LAG_S, REPORT_S, TEAMS, ZONES, secs};
+pub use parameters::{
+    CANCEL_S, FLAVORS, GANG_PEER_S, GANG_WAIT_S, GUEST, LEASE_S, LIST_LAG_S, REPORT_S, TEAMS, ZONES, secs,
+};
+pub use rental::BootFaults;
 
 use crate::store::Store;
 use gang::Gang;
 use machine::Phase;
+use parameters::CAPACITY;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -40,6 +44,11 @@
     pub cloud_down: bool,
     /// Share of machines on which every task fails.
     pub faulty: f64,
+    pub boot_faults: BootFaults,
+    /// Machines of a type, zone and kind that the cloud has.
+    pub capacity: usize,
+    /// How many times as often as usual users ask about their jobs.
+    pub poll_rate: f64,
     /// Share of reports of which copies come late.
     pub late_reports: f64,
     /// Every machine's reports are kept, for the next leader.
@@ -74,6 +83,9 @@
             lost_answers: 0.0,
             cloud_down: false,
             faulty: 0.0,
+            boot_faults: BootFaults::default(),
+            capacity: CAPACITY,
+            poll_rate: 1.0,
             late_reports: 0.0,
             keeping: false,
             kept: BTreeMap::new(),
@@ -168,6 +180,7 @@
             match c.phase {
                 Phase::Fetching => self.begin(&id, &key),
                 Phase::Gathering => self.end(&id, &key, "incomplete", false),
+                Phase::Running if self.jobs[&c.job].mistaken => self.end(&id, &key, "error", false),
                 Phase::Running if shape == "batch" => {
                     if self.machines[&id].faulty {
                         self.end(&id, &key, "error", false);
--- a/tests/sim/world/parameters.rs
+++ b/tests/sim/world/parameters.rs
@@ -12,6 +12,14 @@
 /// Teams with the limits of cores and cards that must hold.
 pub const TEAMS: [(&str, f64, f64); 2] = [("red", 40.0, 8.0), ("blue", 24.0, 6.0)];
 
+/// A team that has a limit and no guarantee.
+pub const GUEST: (&str, f64, f64) = ("guest", 24.0, 8.0);
+
+/// The limits of cores and cards of a team, if there is such a team.
+pub fn team_limit(team: &str) -> Option<(f64, f64)> {
+    TEAMS.iter().chain([&GUEST]).find(|t| t.0 == team).map(|t| (t.1, t.2))
+}
+
 pub fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
--- a/tests/sim/world/rental.rs
+++ b/tests/sim/world/rental.rs
@@ -2,14 +2,39 @@
 
 use super::World;
 use super::machine::{Machine, Phase};
-use super::parameters::{CAPACITY, FLAVORS, LIST_LAG_S, secs};
+use super::parameters::{FLAVORS, LIST_LAG_S, secs};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::time::Instant;
 
+/// Longer than any day lasts.
+const NEVER_S: f64 = 1e6;
+
+/// What is wrong with the boots of machines that are rented.
+#[derive(Debug, Clone, Default)]
+pub struct BootFaults {
+    /// Share of machines that never come up, and are charged until they are returned.
+    pub never: f64,
+    /// Share of machines that take this many times their usual boot time.
+    pub late: f64,
+    pub late_by: f64,
+}
+
 impl World {
+    /// When a machine that is rented now will be up; none if never.
+    fn boot_end(&mut self, startup_s: f64) -> Option<Instant> {
+        let usual = startup_s * self.rng.random_range(0.6..1.5);
+        let faults = self.boot_faults.clone();
+        // No random number is drawn for what can't happen, so that a seed's day stays the same.
+        if faults.never > 0.0 && self.rng.random_bool(faults.never) {
+            return None;
+        }
+        let late = faults.late > 0.0 && self.rng.random_bool(faults.late);
+        Some(Instant::now() + secs(if late { startup_s * faults.late_by } else { usual }))
+    }
+
     /// Carries out a rental; the new machines, if the name is new.
     pub fn rent(&mut self, body: &Value) -> (Option<Vec<String>>, Vec<String>) {
         let name = body["rental"].as_str().unwrap();
@@ -21,7 +46,7 @@
         let spot = body["preemptible"].as_bool().unwrap();
         let flavor = FLAVORS.iter().find(|f| f.sku == sku).unwrap();
         let used = |m: &&Machine| m.exists() && m.flavor.sku == sku && m.zone == zone && m.spot == spot;
-        let free = CAPACITY.saturating_sub(self.machines.values().filter(used).count());
+        let free = self.capacity.saturating_sub(self.machines.values().filter(used).count());
         let count = free.min(body["number"].as_u64().unwrap() as usize);
         if count == 0 {
             return (None, Vec::new());
@@ -31,7 +56,7 @@
             let n = self.machines.len();
             let id = format!("host-{n:06}");
             let ip = IpAddr::V4(Ipv4Addr::new(10, 1, (n / 200) as u8, (n % 200 + 1) as u8));
-            let up = now + secs(flavor.startup_s * self.rng.random_range(0.6..1.5));
+            let up = self.boot_end(flavor.startup_s).unwrap_or(now + secs(NEVER_S));
             let m = Machine {
                 id: id.clone(),
                 addr: SocketAddr::new(ip, 9000),
--- a/tests/sim/world/rules.rs
+++ b/tests/sim/world/rules.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::job::Job;
 use super::machine::{Copy, Machine};
-use super::parameters::TEAMS;
+use super::parameters::team_limit;
 use serde_json::Value;
 use tokio::time::Instant;
 
@@ -20,12 +20,15 @@
         if let Some((other, k, _)) = on.iter().find(|(_, k, _)| k.0 == key.0) {
             wrong.push(format!("ran_twice: {} try {} starts on {id}, try {} is on {}", key.0, key.1, k.1, other.id));
         }
-        if let Some(t) = TEAMS.iter().find(|t| t.0 == job.team) {
+        if let Some((core_limit, card_limit)) = team_limit(job.team) {
             let team = || on.iter().filter_map(|o| self.jobs.get(&o.2.job)).filter(|j| j.team == job.team);
             let cores = team().map(|j| j.cores).sum::<f64>() + job.cores;
             let cards = team().map(|j| j.cards).sum::<f64>() + job.cards;
-            if cores > t.1 || cards > t.2 {
-                wrong.push(format!("quota: {} starts on {id}: team {} uses {cores} cores, {cards} cards", key.0, t.0));
+            if cores > core_limit || cards > card_limit {
+                wrong.push(format!(
+                    "quota: {} starts on {id}: team {} uses {cores} cores, {cards} cards",
+                    key.0, job.team
+                ));
             }
         }
         let place = |why: &str| format!("wrong_place: {} starts on {id} ({} {}): {why}", key.0, m.flavor.sku, m.zone);
--- a/tests/sim/world/worker.rs
+++ b/tests/sim/world/worker.rs
@@ -8,6 +8,9 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
+/// A task of a job that was submitted with a mistake fails after so long.
+const MISTAKE_SHOWS_S: f64 = 1.0;
+
 impl World {
     pub fn report(&mut self, id: &str) -> Value {
         let now = Instant::now();
@@ -188,6 +191,9 @@
         let job = self.jobs[&c.job].clone();
         self.log(format!("{id} starts {} try {}", key.0, key.1));
         self.starts += 1;
+        let started = self.jobs.get_mut(&job.id).unwrap();
+        started.began.get_or_insert(now);
+        started.starts += 1;
         self.check_start(id, key, &job);
         let left = job.run_s - job.saved_s.get(&c.n).copied().unwrap_or(0.0);
         let m = self.machines.get_mut(id).unwrap();
@@ -199,7 +205,8 @@
         } else if job.shape == "group" {
             (c.phase, c.due) = (Phase::Gathering, now + secs(GANG_WAIT_S));
         } else {
-            (c.phase, c.due) = (Phase::Running, now + secs(left.max(0.1)));
+            let run_s = if job.mistaken { MISTAKE_SHOWS_S } else { left.max(0.1) };
+            (c.phase, c.due) = (Phase::Running, now + secs(run_s));
         }
     }
 }
--- a/tests/stand_ins/store.rs
+++ b/tests/stand_ins/store.rs
@@ -22,6 +22,8 @@
     pub down: bool,
     /// How often a key was put under a grant: as a leader begins.
     pub claims: u64,
+    /// Puts and deletes that were carried out.
+    pub writes: u64,
 }
 
 impl Store {
@@ -70,6 +72,7 @@
             return Response::json(409, &json!({"failed": failed, "epoch": self.revision}));
         }
         self.revision += 1;
+        self.writes += apply.len() as u64;
         self.claims += u64::from(apply.iter().any(|a| a["grant"].is_u64()));
         for a in apply {
             if let Some(k) = a["put"].as_str() {
