--- a/src/leader.rs
+++ b/src/leader.rs
@@ -161,7 +161,7 @@
             }
         }
         for (_, h) in world.each_host() {
-            if h.copies.is_empty() && (h.notice || h.draining || h.failed_jobs.len() >= sched::SHUNNED) {
+            if h.copies.is_empty() && (h.notice || h.draining || h.faulty()) {
                 idle.push(h.id.clone());
             }
         }
--- a/src/part/reports.rs
+++ b/src/part/reports.rs
@@ -275,9 +275,7 @@
             // The tasks of a gang complete together.
             let done: Vec<u32> = if shape == Shape::Gang { (0..job.spec.tasks).collect() } else { vec![key.task] };
             self.tasks_done(key.job, &done, now);
-            if let Some(h) = self.world.host_mut(hix) {
-                h.failed_jobs.clear();
-            }
+            self.note_success(hix, key);
             return;
         }
         let task = &mut job.tasks[key.task as usize];
@@ -298,7 +296,9 @@
                 }
                 if reason == ExitReason::Error {
                     job.failed_on.insert(hix);
-                    job.shuns_until_ms = now + 2 * self.policy.lease_ms;
+                    // Long enough for another machine to boot.
+                    let boot_s = self.world.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+                    job.shuns_until_ms = now + 2 * self.policy.lease_ms + (boot_s * 1000.0) as u64;
                     let blames_job = job.failed_on.len() > 1 || hosts == 1;
                     for h in self.world.hosts.iter_mut().flatten() {
                         if blames_job {
@@ -322,6 +322,22 @@
         }
     }
 
+    /// A task is done on a machine: that one is sound, and where the task failed before, the
+    /// machine was at fault.
+    fn note_success(&mut self, sound: HostIx, key: TaskKey) {
+        if let Some(h) = self.world.host_mut(sound) {
+            h.failed_jobs.clear();
+            h.succeeded_elsewhere = false;
+        }
+        let job = &self.world.jobs[key.job];
+        let failed = job.spec.shape == Shape::Gang || job.tasks[key.task as usize].fails > 0;
+        for host in job.failed_on.iter().filter(|_| failed) {
+            if let Some(h) = self.world.hosts[*host].as_mut().filter(|h| h.failed_jobs.contains(&key.job)) {
+                h.succeeded_elsewhere = true;
+            }
+        }
+    }
+
     pub(super) fn tasks_done(&mut self, ix: JobIx, tasks: &[u32], now: u64) {
         let job = &mut self.world.jobs[ix];
         let mut new = 0;
--- a/src/part/tests.rs
+++ b/src/part/tests.rs
@@ -331,7 +331,7 @@
     commit(&mut old, 1000, 100);
     let (jobs, hosts) = items(&mut old);
     let mut p = part_of(5, jobs, hosts);
-    let seen = |phase, n| report("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("error"))]);
+    let seen = |phase, n| report("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
     p.report(&seen("running", 10), Via::Beat, 1100);
     assert!(!p.world.all_accounted);
     // The first job's replica ends: it was on h1, and so not on h2.
@@ -359,7 +359,7 @@
         old.world.jobs[0].spec.spread = spread;
         let (jobs, hosts) = items(&mut old);
         let mut p = part_of(5, jobs, hosts);
-        let ended = |phase, n| report("h2", 1, n, 5, vec![reported("run-000001/0", a, phase, Some("error"))]);
+        let ended = |phase, n| report("h2", 1, n, 5, vec![reported("run-000001/0", a, phase, Some("halted"))]);
         p.report(&ended("running", 1), Via::Beat, 1100);
         p.report(&ended("ended", 2), Via::Beat, 1200);
         while p.next_commit(1200, 32).is_some() {
@@ -569,6 +569,53 @@
     assert!(p.world.each_host().all(|(_, h)| h.failed_jobs.is_empty()));
 }
 
+/// Two machines and a job of one task, which has failed on the machine that is returned.
+fn failed_once() -> (Part, HostIx) {
+    let mut p = part();
+    for h in ["h1", "h2"] {
+        p.report(&report(h, 1, 1, 1, vec![]), Via::Beat, 1000);
+    }
+    let _rx = submit(&mut p, &body("run-000001", "batch", 1), 1000);
+    commit(&mut p, 1000, 100);
+    let failed = end_task(&mut p, "error", 1000);
+    (p, failed)
+}
+
+/// Places the only task, and has it end; the machine on which it did.
+fn end_task(p: &mut Part, reason: &str, now: u64) -> HostIx {
+    p.pass(now, now);
+    let Place::On(hix, attempt) = p.world.jobs[0].tasks[0].place else { panic!("not placed") };
+    let host = p.world.host(hix).unwrap().id.clone();
+    let ended = vec![reported("run-000001/0", attempt, "ended", Some(reason))];
+    p.report(&report(&host, 1, now, 1, ended), Via::Beat, now);
+    hix
+}
+
+#[test]
+fn a_machine_is_faulty_if_what_failed_there_succeeds_on_another_one() {
+    let (mut p, failed) = failed_once();
+    assert!(!p.world.host(failed).unwrap().faulty(), "the job may be at fault");
+    let sound = end_task(&mut p, "done", 2000);
+    assert_ne!(sound, failed);
+    assert!(p.world.host(failed).unwrap().faulty());
+    assert!(!p.world.host(sound).unwrap().faulty());
+}
+
+#[test]
+fn a_machine_is_not_faulty_if_the_job_fails_on_another_one_or_it_completes_something_itself() {
+    let (mut p, failed) = failed_once();
+    let other = end_task(&mut p, "error", 2000);
+    assert_ne!(other, failed);
+    p.world.jobs[0].tasks[0].retry_ms = 0;
+    end_task(&mut p, "done", 3000);
+    assert!(p.world.each_host().all(|(_, h)| !h.faulty()), "it failed on both");
+
+    let (mut p, failed) = failed_once();
+    p.world.host_mut(failed).unwrap().failed_jobs.clear();
+    end_task(&mut p, "done", 2000);
+    assert!(!p.world.host(failed).unwrap().faulty(), "it has completed a task since");
+}
+
 #[test]
 fn a_gang_that_loses_a_task_starts_anew_only_when_all_are_gone() {
     let mut p = running("group", 2);
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -133,10 +133,7 @@
         && h.giving.is_none()
         && h.shown()
         && h.blocked_until_ms <= now
-        && h.failed_jobs.len() < SHUNNED
+        && !h.faulty()
         && h.addr.is_some()
         && h.missed < crate::part::DEAF
 }
-
-/// A machine on which tasks of this many jobs failed is shunned.
-pub const SHUNNED: usize = 3;
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -5,6 +5,7 @@
 
 mod answers;
 mod cancellations;
+mod faulty_machines;
 mod guests;
 mod leaders;
 mod mistakes;
--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -1,7 +1,7 @@
 //! Steps that several scripted days share.
 
 use crate::sim::world::Machine;
-use crate::sim::{NODES, Sim, seeds, simulate};
+use crate::sim::{NODES, Setup, Sim, seeds, simulate, simulate_with};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -19,6 +19,18 @@
     }
 }
 
+/// Days on which nothing is rented for jobs that may come: what is rented is needed.
+pub fn days_without_headroom(day: impl AsyncFn(&mut Sim) + Sync) {
+    for seed in seeds(1..=3) {
+        let mut setup = Setup::default();
+        setup.operator.headroom = 0.0;
+        simulate_with(setup, seed, async |mut sim| {
+            day(&mut sim).await;
+            sim.settle().await;
+        });
+    }
+}
+
 /// Jobs of every shape that run for so long, accepted and placed.
 pub async fn long_jobs(sim: &mut Sim, run_s: f64) -> Vec<String> {
     let mut ids = Vec::new();
