--- a/tests/meetings/scenario.rs
+++ b/tests/meetings/scenario.rs
@@ -22,9 +22,7 @@
 /// Days on which nothing is rented for jobs that may come: what is rented is needed.
 pub fn days_without_headroom(day: impl AsyncFn(&mut Sim) + Sync) {
     for seed in seeds(1..=3) {
-        let mut setup = Setup::default();
-        setup.operator.headroom = 0.0;
-        simulate_with(setup, seed, async |mut sim| {
+        simulate_with(Setup::without_headroom(), seed, async |mut sim| {
             day(&mut sim).await;
             sim.settle().await;
         });
--- a/tests/meetings/slow_boots.rs
+++ b/tests/meetings/slow_boots.rs
@@ -1,8 +1,8 @@
 //! Machines that are rented come up late, or never, while they are charged.
 
 use crate::scenario::{charged, days_without_headroom, s};
-use crate::sim::Sim;
 use crate::sim::world::{BootFaults, World, secs};
+use crate::sim::{Setup, Sim, seeds, simulate_with};
 use tokio::time::Instant;
 
 /// Machines that the work of these days takes.
@@ -110,3 +110,18 @@
         assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.g.seed);
     });
 }
+
+// Between its first report and the one that shows the token a machine is neither expected nor in use; a
+// plan that is made then must not rent another one in its place.
+#[test]
+fn nothing_is_rented_beside_machines_that_have_just_come_up() {
+    for seed in seeds(1..=12) {
+        simulate_with(Setup::without_headroom(), seed, async |mut sim| {
+            sim.run(s(5)).await;
+            submit_work(&mut sim);
+            sim.until("all work is done", s(120), |w| w.jobs.values().all(|j| j.over())).await;
+            let w = sim.g.w.lock().unwrap();
+            assert_eq!(w.machines.len(), NEEDED, "seed {seed}: machines that were rented\n{}", w.recent(""));
+        });
+    }
+}
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -44,6 +44,15 @@
     pub time_of_day_stands: bool,
 }
 
+impl Setup {
+    /// Nothing is rented for jobs that may come: what is rented is needed.
+    pub fn without_headroom() -> Setup {
+        let mut setup = Setup::default();
+        setup.operator.headroom = 0.0;
+        setup
+    }
+}
+
 impl Default for Setup {
     fn default() -> Setup {
         Setup { operator: Operator { idle_keep: 3.0, ..Operator::default() }, time_of_day_stands: false }
