--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -1,4 +1,4 @@
 # Operators' settings of badgerdrift; every name is optional. See docs/operations.md.
 bin_width_s        = 5
 default_deadline_s = 600
-parts              = 1
+partitions         = 1
--- a/src/api.rs
+++ b/src/api.rs
@@ -2,12 +2,12 @@
 
 use crate::clients::State;
 use crate::clock;
-use crate::doors::{Doors, SLOW};
-use crate::holder::{self, BeatAnswer};
 use crate::http::{Request, Response};
 use crate::model::{Flavor, JobEnd, JobPhase, JobRecord, Spec};
-use crate::part::{CommitResult, inbox_key, job_key};
+use crate::owner::{self, HeartbeatReply};
+use crate::partition::{CommitResult, inbox_key, job_key};
 use crate::peer::UserCall;
+use crate::router::{Router, SLOW};
 use crate::sched::{self, Policy};
 use crate::wire::{self, Report};
 use std::collections::HashMap;
@@ -18,17 +18,17 @@
 #[derive(Clone)]
 pub struct Api {
     pub state: State,
-    pub doors: Doors,
+    pub router: Router,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
     pub policy: Arc<Policy>,
     pub value_bytes: usize,
-    pub places: Arc<Mutex<Places>>,
+    pub route_hints: Arc<Mutex<RouteHints>>,
 }
 
-/// Which part a job or machine was last found in: a hint, nothing more.
+/// Which partition a job or machine was last found in: a hint, nothing more.
 #[derive(Default)]
-pub struct Places {
+pub struct RouteHints {
     jobs: HashMap<String, u32>,
     hosts: HashMap<String, u32>,
     /// Workers whose leases this node keeps alive, with the token that they had first.
@@ -36,14 +36,14 @@
 }
 
 /// Most hints that are kept of a kind.
-const MOST_HINTS: usize = 20_000;
+const MAX_HINTS: usize = 20_000;
 
-fn remember(hints: &mut HashMap<String, u32>, id: &str, part: u32) {
-    if hints.get(id) != Some(&part) {
-        if hints.len() >= MOST_HINTS {
+fn remember(hints: &mut HashMap<String, u32>, id: &str, partition: u32) {
+    if hints.get(id) != Some(&partition) {
+        if hints.len() >= MAX_HINTS {
             hints.clear();
         }
-        hints.insert(id.to_string(), part);
+        hints.insert(id.to_string(), partition);
     }
 }
 
@@ -60,9 +60,9 @@
 
     async fn answer(self, req: Request) -> Response {
         let path = req.path.split('?').next().unwrap_or("");
-        let parts: Vec<&str> = path.split('/').skip(1).collect();
-        match (req.method.as_str(), parts.as_slice()) {
-            ("POST", ["agent", "beat"]) => self.beat(&req.body).await,
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match (req.method.as_str(), segments.as_slice()) {
+            ("POST", ["agent", "beat"]) => self.heartbeat(&req.body).await,
             ("POST", ["v1", "jobs"]) => self.submit(req.body).await,
             ("GET", ["v1", "jobs", id]) => self.job(id, UserCall::Status(id.to_string())).await,
             ("POST", ["v1", "jobs", id, "withdraw"]) => self.job(id, UserCall::Cancel(id.to_string())).await,
@@ -79,10 +79,10 @@
     fn ready(&self) -> Response {
         let now = clock::now_ms();
         let last = self.state.last_ok_ms();
-        let state_ok = last > 0 && now.saturating_sub(last) < self.doors.life_ms;
-        let held = self.doors.parts.iter().all(|d| {
-            let seat = d.seat.borrow();
-            if seat.mine { d.entitled.holds(now) } else { seat.holder.is_some() }
+        let state_ok = last > 0 && now.saturating_sub(last) < self.router.grant_ttl_ms;
+        let held = self.router.partitions.iter().all(|d| {
+            let ownership = d.ownership.borrow();
+            if ownership.mine { d.entitled.holds(now) } else { ownership.owner.is_some() }
         });
         if state_ok && held {
             Response::json(200, &serde_json::json!({ "ready": true }))
@@ -93,9 +93,9 @@
 
     async fn metrics(&self) -> Response {
         let mut text = String::new();
-        for door in self.doors.parts.iter() {
+        for handle in self.router.partitions.iter() {
             let (tx, rx) = oneshot::channel();
-            if door.holder.try_send(holder::Msg::Metrics(tx)).is_ok() {
+            if handle.owner.try_send(owner::Message::Metrics(tx)).is_ok() {
                 text.push_str(&rx.await.unwrap_or_default());
             }
         }
@@ -108,40 +108,40 @@
         }
     }
 
-    async fn beat(&self, body: &[u8]) -> Response {
+    async fn heartbeat(&self, body: &[u8]) -> Response {
         let Ok(report) = serde_json::from_slice::<Report>(body) else {
             return Response::error(400, "not a report");
         };
         let host = report.host.clone();
-        let hint = self.places.lock().ok().and_then(|p| p.hosts.get(&host).copied());
+        let hint = self.route_hints.lock().ok().and_then(|p| p.hosts.get(&host).copied());
         if let Some(fence) = self.keeps(&report) {
             return Response::json(200, &wire::orders(fence, &[]));
         }
-        // Where it was last, then the other parts of this node; the leader's
+        // Where it was last, then the other partitions of this node; the leader's
         // knows where a machine belongs.
-        let mut todo: Vec<u32> = (0..self.doors.parts.len() as u32).filter(|p| self.doors.mine(*p)).collect();
+        let mut todo: Vec<u32> = (0..self.router.partitions.len() as u32).filter(|p| self.router.mine(*p)).collect();
         todo.sort_by_key(|p| (Some(*p) != hint, *p));
         let mut belongs = 0;
-        for part in todo {
+        for partition in todo {
             let (tx, rx) = oneshot::channel();
-            let m = holder::Msg::Beat { report: Box::new(report.clone()), reply: tx };
-            if self.doors.parts[part as usize].holder.try_send(m).is_err() {
+            let m = owner::Message::Heartbeat { report: Box::new(report.clone()), reply: tx };
+            if self.router.partitions[partition as usize].owner.try_send(m).is_err() {
                 return Response::later("too many reports");
             }
             match rx.await {
-                Ok(BeatAnswer::Orders { term, orders }) => {
-                    if let Ok(mut p) = self.places.lock() {
-                        remember(&mut p.hosts, &host, part);
+                Ok(HeartbeatReply::Orders { term, orders }) => {
+                    if let Ok(mut p) = self.route_hints.lock() {
+                        remember(&mut p.hosts, &host, partition);
                     }
                     return Response::json(200, &wire::orders(term, &orders));
                 }
-                Ok(BeatAnswer::Elsewhere(p)) => belongs = p,
-                Ok(BeatAnswer::Unknown) => {}
+                Ok(HeartbeatReply::Elsewhere(p)) => belongs = p,
+                Ok(HeartbeatReply::Unknown) => {}
                 _ => return Response::later("not entitled to act"),
             }
         }
-        if !self.doors.mine(belongs) {
-            return match self.doors.holder(belongs) {
+        if !self.router.mine(belongs) {
+            return match self.router.owner(belongs) {
                 Some(h) => Response::json(421, &wire::redirect(Some(&h))),
                 None => Response::later("nobody holds the machine"),
             };
@@ -149,27 +149,28 @@
         Response::later("not entitled to act")
     }
 
-    /// Whether this node keeps the worker's lease alive for a holder that neither
+    /// Whether this node keeps the worker's lease alive for an owner that neither
     /// of them can reach, as in a zone that is cut off or after all controllers
     /// ended in an outage: the token with which it answers, which is the worker's
-    /// own. Nothing is ordered. It is bound by no promise, so that no holder counts
+    /// own. Nothing is ordered. It is bound by no promise, so that no owner counts
     /// on the end of leases meanwhile (`membership::Bonds`). A worker that has
-    /// seen a later term was asked by a holder since: it is to look for that one.
+    /// seen a later term was asked by an owner since: it is to look for that one.
     fn keeps(&self, r: &Report) -> Option<u64> {
-        let (now, life_ms) = (clock::now_ms(), self.doors.life_ms);
-        let alone = !self.state.answers(life_ms) && self.doors.parts.iter().all(|d| now >= d.bonds.bound_until());
-        let mut places = self.places.lock().ok()?;
+        let (now, grant_ttl_ms) = (clock::now_ms(), self.router.grant_ttl_ms);
+        let alone = !self.state.answers(grant_ttl_ms)
+            && self.router.partitions.iter().all(|d| now >= d.promise_status.bound_until());
+        let mut route_hints = self.route_hints.lock().ok()?;
         if !alone {
-            places.kept.clear();
+            route_hints.kept.clear();
             return None;
         }
-        let known = self.doors.parts.iter().map(|d| d.bonds.term()).max().unwrap_or(0);
-        let kept = places.kept.entry(r.host.clone()).or_insert(r.fence);
+        let known = self.router.partitions.iter().map(|d| d.promise_status.term()).max().unwrap_or(0);
+        let kept = route_hints.kept.entry(r.host.clone()).or_insert(r.fence);
         (r.fence > 0 && *kept == r.fence && (known == 0 || r.fence <= known)).then_some(r.fence)
     }
 
     async fn submit(&self, body: Vec<u8>) -> Response {
-        // What is malformed needs no holder to say so.
+        // What is malformed needs no owner to say so.
         let spec = match wire::parse_submission(&body) {
             Ok(spec) => spec,
             Err(e) => {
@@ -180,18 +181,20 @@
                 };
             }
         };
-        let part = self.teams.get(&spec.team).copied().unwrap_or(0);
-        let answer = match self.doors.user(part, UserCall::Submit(body)).await {
+        let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
+        let answer = match self.router.user(partition, UserCall::Submit(body)).await {
             Some(r) if r.status != 503 => r,
-            // A second way in would only add to the work that the holder has.
-            None if self.doors.at_work(part) && self.state.answers(self.doors.life_ms) => Response::busy(SLOW, 1),
-            // Nobody holds the part now, or can't be reached, or the job's end is
+            // A second way in would only add to the work that the owner has.
+            None if self.router.at_work(partition) && self.state.answers(self.router.grant_ttl_ms) => {
+                Response::busy(SLOW, 1)
+            }
+            // Nobody holds the partition now, or can't be reached, or the job's end is
             // being recorded.
             other => {
                 let later = other.unwrap_or_else(|| Response::later("the holder of the jobs can't be reached"));
                 match self.fresh(&spec.id, true).await {
                     known if known.status == 200 => known,
-                    unknown if unknown.status == 404 => self.accept(part, &spec).await.unwrap_or(later),
+                    unknown if unknown.status == 404 => self.accept(partition, &spec).await.unwrap_or(later),
                     _ => later,
                 }
             }
@@ -199,8 +202,8 @@
         match answer.status {
             400 | 422 => return self.unless_known(&spec.id, answer).await,
             200 | 201 => {
-                if let Ok(mut p) = self.places.lock() {
-                    remember(&mut p.jobs, &spec.id, part);
+                if let Ok(mut p) = self.route_hints.lock() {
+                    remember(&mut p.jobs, &spec.id, partition);
                 }
             }
             _ => {}
@@ -216,25 +219,27 @@
         }
     }
 
-    /// Accepts a job without its part's holder: the record is what counts. The
-    /// next holder reads it; a present one is told by a key in its inbox.
-    async fn accept(&self, part: u32, spec: &Spec) -> Option<Response> {
+    /// Accepts a job without its partition's owner: the record is what counts. The
+    /// next owner reads it; a present one is told by a key in its inbox.
+    async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
         if !self.state.within_budget() {
             return None;
         }
-        let flavors = self.state.get(holder::FLAVORS_KEY).await.ok()?.0?;
+        let flavors = self.state.get(owner::FLAVORS_KEY).await.ok()?.0?;
         let flavors: Vec<Flavor> = serde_json::from_value(flavors.value).ok()?;
         if let Some(why) = sched::impossible(spec, &self.policy, &flavors) {
             return Some(Response::error(422, &why));
         }
-        if !crate::part::fits(spec, self.value_bytes) {
-            return Some(Response::error(400, crate::part::TOO_LONG));
+        if !crate::partition::fits(spec, self.value_bytes) {
+            return Some(Response::error(400, crate::partition::TOO_LONG));
         }
         let id = spec.id.clone();
         let record = JobRecord { spec: spec.clone(), accepted_ms: clock::wall_ms(), end: None, done: Vec::new() };
         let value = serde_json::to_value(&record).ok()?;
-        let apply =
-            [wire::put(&job_key(&id), &value, None), wire::put(&inbox_key(part, &id), &serde_json::json!({}), None)];
+        let apply = [
+            wire::put(&job_key(&id), &value, None),
+            wire::put(&inbox_key(partition, &id), &serde_json::json!({}), None),
+        ];
         match self.state.commit(&[wire::guard(&job_key(&id), 0)], &apply).await {
             CommitResult::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, JobPhase::Pending, 0, 0))),
             CommitResult::Conflict { .. } => Some(self.fresh(&id, true).await),
@@ -247,23 +252,23 @@
             return Response::error(404, "no such job");
         }
         let status = matches!(call, UserCall::Status(_));
-        let hint = self.places.lock().ok().and_then(|p| p.jobs.get(id).copied());
-        let all = 0..self.doors.parts.len() as u32;
+        let hint = self.route_hints.lock().ok().and_then(|p| p.jobs.get(id).copied());
+        let all = 0..self.router.partitions.len() as u32;
         let order: Vec<u32> = hint.into_iter().chain(all.filter(|p| Some(*p) != hint)).collect();
         let mut unclear = None;
-        for part in order {
-            match self.doors.user(part, call.clone()).await {
+        for partition in order {
+            match self.router.user(partition, call.clone()).await {
                 Some(r) if r.status == 404 => {}
                 Some(r) if r.status == 200 => {
-                    if let Ok(mut p) = self.places.lock() {
-                        remember(&mut p.jobs, id, part);
+                    if let Ok(mut p) = self.route_hints.lock() {
+                        remember(&mut p.jobs, id, partition);
                     }
                     return r;
                 }
                 other => unclear = Some(other.unwrap_or_else(|| Response::later("the job's holder can't be reached"))),
             }
-            if hint == Some(part) {
-                // It was there, and a job stays in its part.
+            if hint == Some(partition) {
+                // It was there, and a job stays in its partition.
                 break;
             }
         }
@@ -277,7 +282,7 @@
     /// Answers from the job's record, read now.
     async fn fresh(&self, id: &str, status: bool) -> Response {
         // Known to be silent: refused at once, not after a time-out.
-        if !self.state.answers(self.doors.life_ms) {
+        if !self.state.answers(self.router.grant_ttl_ms) {
             return Response::later("the state service gives no answer");
         }
         if !self.state.within_budget() {
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -3,10 +3,10 @@
 
 use crate::clock;
 use crate::config::Settings;
-use crate::http::{CallError, Client, FEW};
+use crate::http::{CallError, Client, SMALL_IDLE_POOL};
 use crate::model::Flavor;
 use crate::net::Net;
-use crate::part::{CommitResult, DirectResult};
+use crate::partition::{CommitResult, DirectResult};
 use crate::wire::{self, Changes, Grant, Item, Listed, Page, Revision, store};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 
 /// A token bucket on the steady clock.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     tokens: f64,
     at_ms: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// `rate` tokens a second; bursts of `burst_s` seconds' worth.
-    pub fn new(rate: f64, burst_s: f64, now: u64) -> Bucket {
+    pub fn new(rate: f64, burst_s: f64, now: u64) -> TokenBucket {
         let most = (rate * burst_s).max(1.0);
-        Bucket { rate, most, tokens: most, at_ms: now }
+        TokenBucket { rate, most, tokens: most, at_ms: now }
     }
 
     /// Whole tokens at hand.
-    pub fn at_hand(&mut self, now: u64) -> usize {
+    pub fn available_tokens(&mut self, now: u64) -> usize {
         let passed = now.saturating_sub(self.at_ms) as f64 / 1000.0;
         self.at_ms = now;
         self.tokens = (self.tokens + passed * self.rate).min(self.most);
@@ -43,7 +43,7 @@
     }
 
     pub fn take(&mut self, now: u64) -> bool {
-        let ok = self.at_hand(now) >= 1;
+        let ok = self.available_tokens(now) >= 1;
         if ok {
             self.spend(1);
         }
@@ -53,7 +53,7 @@
 
 /// Why the state service or the cloud gave no answer to work with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fail {
+pub enum RequestError {
     /// Not carried out.
     Refused,
     /// Maybe carried out, maybe later.
@@ -62,11 +62,11 @@
     Missing,
 }
 
-impl From<CallError> for Fail {
-    fn from(e: CallError) -> Fail {
+impl From<CallError> for RequestError {
+    fn from(e: CallError) -> RequestError {
         match e {
-            CallError::NotSent => Fail::Refused,
-            CallError::Unclear => Fail::Unclear,
+            CallError::NotSent => RequestError::Refused,
+            CallError::Unclear => RequestError::Unclear,
         }
     }
 }
@@ -77,7 +77,7 @@
     http: Client,
     addr: SocketAddr,
     timeout: Duration,
-    budget: Arc<std::sync::Mutex<Bucket>>,
+    budget: Arc<std::sync::Mutex<TokenBucket>>,
     last_ok: Arc<AtomicU64>,
 }
 
@@ -89,11 +89,11 @@
     pub fn on(net: &Net, s: &Settings) -> State {
         let now = clock::now_ms();
         State {
-            http: Client::on(net, FEW),
+            http: Client::on(net, SMALL_IDLE_POOL),
             addr: s.endpoints.state,
             timeout: Duration::from_millis(s.react_ms()),
-            // Half for each controller: the holder needs most, and seldom that.
-            budget: Arc::new(std::sync::Mutex::new(Bucket::new(s.params.state.rps * 0.5, 1.0, now))),
+            // Half for each controller: the owner needs most, and seldom that.
+            budget: Arc::new(std::sync::Mutex::new(TokenBucket::new(s.params.state.rps * 0.5, 1.0, now))),
             last_ok: Arc::new(AtomicU64::new(0)),
         }
     }
@@ -114,10 +114,10 @@
         path: &str,
         body: Option<&[u8]>,
         limit: Duration,
-    ) -> Result<(u16, Vec<u8>), Fail> {
+    ) -> Result<(u16, Vec<u8>), RequestError> {
         let r = self.http.call(self.addr, method, path, body, limit).await?;
         match r.0 {
-            429 | 500.. => Err(Fail::Refused),
+            429 | 500.. => Err(RequestError::Refused),
             _ => {
                 self.last_ok.store(clock::now_ms(), Ordering::Relaxed);
                 Ok(r)
@@ -126,9 +126,9 @@
     }
 
     /// Has it answered lately? Holders ask it five times in the life of a grant.
-    pub fn answers(&self, life_ms: u64) -> bool {
+    pub fn answers(&self, grant_ttl_ms: u64) -> bool {
         let last = self.last_ok_ms();
-        last > 0 && clock::now_ms().saturating_sub(last) < life_ms / 2
+        last > 0 && clock::now_ms().saturating_sub(last) < grant_ttl_ms / 2
     }
 
     /// True if an ordinary request may be made now.
@@ -137,32 +137,32 @@
     }
 
     /// A key, if it is there, and the revision up to which that is known.
-    pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), Fail> {
+    pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
         let (status, body) = self.call("GET", &store::key(key), None, self.timeout).await?;
         match status {
             200 => {
-                let item: Item = serde_json::from_slice(&body).map_err(|_| Fail::Refused)?;
+                let item: Item = serde_json::from_slice(&body).map_err(|_| RequestError::Refused)?;
                 let v = item.version;
                 Ok((Some(item), v))
             }
             404 => {
-                let r: Revision = serde_json::from_slice(&body).map_err(|_| Fail::Refused)?;
+                let r: Revision = serde_json::from_slice(&body).map_err(|_| RequestError::Refused)?;
                 Ok((None, r.revision))
             }
-            _ => Err(Fail::Refused),
+            _ => Err(RequestError::Refused),
         }
     }
 
     /// All keys with the prefix.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, Fail> {
+    pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, RequestError> {
         let mut out: Vec<Item> = Vec::new();
         loop {
             let after = out.last().map_or("", |i| i.key.as_str());
             let (status, body) = self.call("GET", &store::page(prefix, after, 500), None, self.timeout * 2).await?;
             if status != 200 {
-                return Err(Fail::Refused);
+                return Err(RequestError::Refused);
             }
-            let page: Page = serde_json::from_slice(&body).map_err(|_| Fail::Refused)?;
+            let page: Page = serde_json::from_slice(&body).map_err(|_| RequestError::Refused)?;
             let empty = page.items.is_empty();
             out.extend(page.items);
             if !page.more || empty {
@@ -186,41 +186,42 @@
                 tracing::error!(status, body = %String::from_utf8_lossy(&b), "commit refused");
                 CommitResult::Refused
             }
-            Err(Fail::Unclear) => CommitResult::Unclear,
+            Err(RequestError::Unclear) => CommitResult::Unclear,
             Err(_) => CommitResult::Refused,
         }
     }
 
-    pub async fn new_grant(&self, life_ms: u64) -> Result<u64, Fail> {
-        let (status, body) = self.call("POST", store::GRANTS, Some(&wire::grant_body(life_ms)), self.timeout).await?;
+    pub async fn new_grant(&self, grant_ttl_ms: u64) -> Result<u64, RequestError> {
+        let (status, body) =
+            self.call("POST", store::GRANTS, Some(&wire::grant_body(grant_ttl_ms)), self.timeout).await?;
         if status != 200 {
-            return Err(Fail::Refused);
+            return Err(RequestError::Refused);
         }
-        serde_json::from_slice::<Grant>(&body).map(|g| g.id).map_err(|_| Fail::Unclear)
+        serde_json::from_slice::<Grant>(&body).map(|g| g.id).map_err(|_| RequestError::Unclear)
     }
 
-    pub async fn extend_grant(&self, id: u64, life_ms: u64) -> Result<(), Fail> {
-        let body = wire::grant_body(life_ms);
-        let limit = Duration::from_millis(life_ms / 3);
+    pub async fn extend_grant(&self, id: u64, grant_ttl_ms: u64) -> Result<(), RequestError> {
+        let body = wire::grant_body(grant_ttl_ms);
+        let limit = Duration::from_millis(grant_ttl_ms / 3);
         match self.call("POST", &store::extend(id), Some(&body), limit).await?.0 {
             200 => Ok(()),
-            404 => Err(Fail::Missing),
-            _ => Err(Fail::Refused),
+            404 => Err(RequestError::Missing),
+            _ => Err(RequestError::Refused),
         }
     }
 
-    pub async fn end_grant(&self, id: u64) -> Result<(), Fail> {
+    pub async fn end_grant(&self, id: u64) -> Result<(), RequestError> {
         self.call("DELETE", &store::grant(id), None, self.timeout).await.map(|_| ())
     }
 
     /// Changes under the prefix after a revision; `Missing` if that is too old.
-    pub async fn changes(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes, Fail> {
+    pub async fn changes(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes, RequestError> {
         let limit = self.timeout + Duration::from_millis(wait_ms);
         let (status, body) = self.call("GET", &store::changes(prefix, after, wait_ms), None, limit).await?;
         match status {
-            200 => serde_json::from_slice(&body).map_err(|_| Fail::Refused),
-            410 => Err(Fail::Missing),
-            _ => Err(Fail::Refused),
+            200 => serde_json::from_slice(&body).map_err(|_| RequestError::Refused),
+            410 => Err(RequestError::Missing),
+            _ => Err(RequestError::Refused),
         }
     }
 }
@@ -231,7 +232,7 @@
     http: Client,
     addr: SocketAddr,
     timeout: Duration,
-    budget: Arc<std::sync::Mutex<Bucket>>,
+    budget: Arc<std::sync::Mutex<TokenBucket>>,
 }
 
 /// What became of a rental request.
@@ -251,14 +252,14 @@
 
     pub fn on(net: &Net, s: &Settings) -> Cloud {
         Cloud {
-            http: Client::on(net, FEW),
+            http: Client::on(net, SMALL_IDLE_POOL),
             addr: s.endpoints.cloud,
             timeout: Duration::from_millis(s.lease_ms() / 4),
-            budget: Arc::new(std::sync::Mutex::new(Bucket::new(s.params.cloud.rps * 0.8, 1.0, clock::now_ms()))),
+            budget: Arc::new(std::sync::Mutex::new(TokenBucket::new(s.params.cloud.rps * 0.8, 1.0, clock::now_ms()))),
         }
     }
 
-    async fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<(u16, Vec<u8>), Fail> {
+    async fn call(&self, method: &str, path: &str, body: Option<&[u8]>) -> Result<(u16, Vec<u8>), RequestError> {
         loop {
             if self.budget.lock().is_ok_and(|mut b| b.take(clock::now_ms())) {
                 break;
--- a/src/config.rs
+++ b/src/config.rs
@@ -113,13 +113,14 @@
     pub idle_keep: f64,
     /// Scales the spare room kept for arrivals during a boot; 0 keeps none.
     pub headroom: f64,
-    /// Parts that the teams are divided into; each is held by one controller.
-    pub parts: u32,
+    /// Partitions that the teams are divided into; each is held by one controller.
+    #[serde(alias = "parts")]
+    pub partitions: u32,
 }
 
 impl Default for Operator {
     fn default() -> Self {
-        Operator { bin_width_s: 5.0, default_deadline_s: 600.0, idle_keep: 1.5, headroom: 1.0, parts: 1 }
+        Operator { bin_width_s: 5.0, default_deadline_s: 600.0, idle_keep: 1.5, headroom: 1.0, partitions: 1 }
     }
 }
 
@@ -237,14 +238,14 @@
     positive("default_deadline_s", o.default_deadline_s)?;
     not_negative("idle_keep", o.idle_keep)?;
     not_negative("headroom", o.headroom)?;
-    if o.parts == 0 { Err("parts: must be at least 1".into()) } else { Ok(()) }
+    if o.partitions == 0 { Err("partitions: must be at least 1".into()) } else { Ok(()) }
 }
 
 /// A controller may be held up for so long by its other work or by the state service.
-const HELD_UP_MS: u64 = 2500;
+const MAX_STALL_MS: u64 = 2500;
 
 impl Settings {
-    /// Changes a second for a part's holder; the rest is for membership.
+    /// Changes a second for a partition's owner; the rest is for membership.
     pub fn writes_per_s(&self) -> f64 {
         self.params.state.write_rps * 0.9
     }
@@ -258,13 +259,13 @@
             .and_then(|o| Some((o.within_s?, o.share.unwrap_or(0.9))))
     }
 
-    /// The part that each team belongs to: the teams with the largest guarantees
-    /// first, each to the part that has least so far.
-    pub fn parts_of_teams(&self, parts: u32) -> HashMap<String, u32> {
+    /// The partition that each team belongs to: the teams with the largest guarantees
+    /// first, each to the partition that has least so far.
+    pub fn partitions_of_teams(&self, partitions: u32) -> HashMap<String, u32> {
         let weight = |t: &Team| t.gpus + t.cpus;
         let mut teams: Vec<&Team> = self.params.teams.iter().collect();
         teams.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then_with(|| a.name.cmp(&b.name)));
-        let mut load = vec![0.0; parts.max(1) as usize];
+        let mut load = vec![0.0; partitions.max(1) as usize];
         let mut out = HashMap::new();
         for t in teams {
             let least = (0..load.len()).min_by(|a, b| f64::total_cmp(&load[*a], &load[*b])).unwrap_or(0);
@@ -274,12 +275,12 @@
         out
     }
 
-    /// Life of a holder's grant: an eighth of a worker's lease, so that a
+    /// Life of an owner's grant: an eighth of a worker's lease, so that a
     /// takeover ends well within it, but as long as a controller may be held up
-    /// without losing its part, where a quarter of the lease allows that.
-    pub fn grant_life_ms(&self) -> u64 {
+    /// without losing its partition, where a quarter of the lease allows that.
+    pub fn grant_ttl_ms(&self) -> u64 {
         let lease = self.lease_ms();
-        (lease / 8).max(HELD_UP_MS).min(lease / 4).clamp(100, 600_000)
+        (lease / 8).max(MAX_STALL_MS).min(lease / 4).clamp(100, 600_000)
     }
 
     /// Within how long an order that is sent directly shows its effect, or is
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -28,12 +28,12 @@
 impl Default for Client {
     /// For a few servers that are asked all the time.
     fn default() -> Client {
-        Client::keeping(FEW)
+        Client::keeping(SMALL_IDLE_POOL)
     }
 }
 
 /// Idle connections kept by a client of a few servers.
-pub const FEW: usize = 16;
+pub const SMALL_IDLE_POOL: usize = 16;
 
 impl Client {
     /// A client that keeps so many idle connections at the most.
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -42,7 +42,7 @@
         Response::json(status, &serde_json::json!({ "error": message }))
     }
 
-    /// The holder works, and has more to do than it can now.
+    /// The owner works, and has more to do than it can now.
     pub fn busy(message: &str, after_s: u64) -> Response {
         Response { retry_after_s: Some(after_s), ..Response::error(429, message) }
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod pool;
 mod server;
 
-pub use client::{CallError, Client, FEW};
+pub use client::{CallError, Client, SMALL_IDLE_POOL};
 pub use message::{MAX_BODY, Request, Response};
 pub use server::serve;
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,7 +1,7 @@
 //! The server.
 
 use super::framing::{Message, READ_CHUNK, ReadError, parse_request, read_message};
-use super::idle::{Idle, Waits};
+use super::idle::{Idle, IdleEntry};
 use super::message::{Request, Response, TOO_LARGE, reason};
 use crate::net::{Listener, Stream};
 use crate::task;
@@ -82,7 +82,7 @@
     idle: &Mutex<Idle>,
 ) -> bool {
     let mut chunk = [0u8; READ_CHUNK];
-    let Some(waits) = Waits::enter(idle) else { return false };
+    let Some(waits) = IdleEntry::enter(idle) else { return false };
     tokio::select! {
         biased;
         read = timeout(patience * IDLE_FACTOR, stream.read(&mut chunk)) => match read {
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,11 +11,11 @@
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Runs a controller. LOG_LEVEL sets how much it logs: error, info or debug.
     Serve(Files),
     /// Checks the settings and says what is wrong with them.
@@ -43,7 +43,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let (Verb::Serve(files) | Verb::Check(files)) = &cli.verb;
+    let (Command::Serve(files) | Command::Check(files)) = &cli.command;
     let (settings, operator) = match files.load() {
         Ok(s) => s,
         Err(e) => {
@@ -51,7 +51,7 @@
             return ExitCode::from(2);
         }
     };
-    if let Verb::Check(_) = cli.verb {
+    if let Command::Check(_) = cli.command {
         println!("{}: the settings are sound", settings.node);
         return ExitCode::SUCCESS;
     }
--- a/src/membership/entitlement.rs
+++ b/src/membership/entitlement.rs
@@ -1,15 +1,15 @@
 //! What the rest of the node reads of the rules' state, without a message.
 
-use super::rules::Rules;
+use super::rules::MembershipRules;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Until when this node may act for a part, on the steady clock.
+/// Until when this node may act for a partition, on the steady clock.
 #[derive(Debug, Clone, Default)]
 pub struct Entitlement(Arc<AtomicU64>);
 
 impl Entitlement {
-    /// True while this node may act for the part.
+    /// True while this node may act for the partition.
     pub fn holds(&self, now: u64) -> bool {
         now < self.0.load(Ordering::Relaxed)
     }
@@ -20,13 +20,13 @@
     }
 }
 
-/// Whether leases may live on without the holder's doing, on the steady clock.
+/// Whether leases may live on without the owner's doing, on the steady clock.
 ///
 /// A controller that is bound by no promise may keep the tasks of workers alive
-/// that find nobody else (`api`). A holder counts on the end of a lease only for
+/// that find nobody else (`api`). An owner counts on the end of a lease only for
 /// the time in which all other controllers were bound to it.
 #[derive(Debug, Clone, Default)]
-pub struct Bonds(Arc<BondState>);
+pub struct PromiseStatus(Arc<BondState>);
 
 #[derive(Debug, Default)]
 struct BondState {
@@ -36,26 +36,26 @@
     term: AtomicU64,
 }
 
-impl Bonds {
-    /// Until when this node is bound to leave leases to a holder.
+impl PromiseStatus {
+    /// Until when this node is bound to leave leases to an owner.
     pub fn bound_until(&self) -> u64 {
         self.0.bound_until.load(Ordering::Relaxed)
     }
 
-    /// As a holder: the last instant at which another controller may have been unbound.
+    /// As an owner: the last instant at which another controller may have been unbound.
     pub fn unbound_ms(&self, now: u64) -> u64 {
         let gap = self.0.gap_ms.load(Ordering::Relaxed);
         let until = self.0.all_bound_until.load(Ordering::Relaxed);
         if now <= until { gap } else { now }
     }
 
-    /// The last term of the part that this node knows of; 0 if none.
+    /// The last term of the partition that this node knows of; 0 if none.
     pub fn term(&self) -> u64 {
         self.0.term.load(Ordering::Relaxed)
     }
 
     /// Publishes what the rules say now.
-    pub(super) fn set(&self, rules: &Rules) {
+    pub(super) fn set(&self, rules: &MembershipRules) {
         let (gap_ms, all_bound_until) = rules.bound_to_us();
         self.0.bound_until.store(rules.bound_until(), Ordering::Relaxed);
         self.0.gap_ms.store(gap_ms, Ordering::Relaxed);
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -1,58 +1,58 @@
 //! Messages to and from a membership actor.
 
-use super::records::PartRecord;
-use crate::clients::Fail;
+use super::records::PartitionRecord;
+use crate::clients::RequestError;
 use tokio::sync::oneshot;
 
-/// What the rest of the node knows of the part's holder.
+/// What the rest of the node knows of the partition's owner.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Seat {
-    /// Name of the node that holds the part, if known.
-    pub holder: Option<String>,
+pub struct Ownership {
+    /// Name of the node that holds the partition, if known.
+    pub owner: Option<String>,
     /// True if that is this node.
     pub mine: bool,
 }
 
-/// What the part's actor is told.
+/// What the partition's actor is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Tenancy {
-    /// This node holds the part from now on.
+pub enum OwnershipChange {
+    /// This node holds the partition from now on.
     Begin { term: u64, version: u64, grant: u64, start_ms: u64 },
-    /// It holds the part no more.
+    /// It holds the partition no more.
     End,
 }
 
 /// Messages to a membership actor.
 #[derive(Debug)]
-pub enum Msg {
-    /// A holder asks this node not to take the part for a while.
-    Promise { holder: String, term: u64, for_ms: u64, state_ok: bool, reply: oneshot::Sender<bool> },
+pub enum Message {
+    /// An owner asks this node not to take the partition for a while.
+    Promise { owner: String, term: u64, for_ms: u64, state_ok: bool, reply: oneshot::Sender<bool> },
     /// The asker of a promise has stopped acting.
     Release { term: u64 },
-    /// The part's actor found its commits superseded.
+    /// The partition's actor found its commits superseded.
     Superseded,
-    /// The part's actor hears its workers no more, and others may.
+    /// The partition's actor hears its workers no more, and others may.
     Abdicate,
     /// The first look at the state service after the start.
-    Looked { record: Option<PartRecord>, unbound: bool },
-    /// The part's key as the state service has it now.
-    Seen(Option<PartRecord>),
+    RecordRead { record: Option<PartitionRecord>, unbound: bool },
+    /// The partition's key as the state service has it now.
+    Seen(Option<PartitionRecord>),
     /// The answer to a renewal of the grant.
-    Extended { grant: u64, sent: u64, result: Result<(), Fail> },
+    Extended { grant: u64, sent: u64, result: Result<(), RequestError> },
     /// The answer of another controller to a request for a promise.
     Promised { peer: usize, sent: u64, ok: bool },
-    /// The end of an attempt to take the part.
-    Taken { sent: u64, result: Option<Taken> },
+    /// The end of an attempt to take the partition.
+    Acquired { sent: u64, result: Option<Acquired> },
 }
 
-/// A part that was taken: its grant, its term and the version of its key.
+/// A partition that was taken: its grant, its term and the version of its key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Taken {
+pub struct Acquired {
     /// The grant that the key is attached to.
     pub grant: u64,
-    /// The term of the part.
+    /// The term of the partition.
     pub term: u64,
-    /// The version of the part's key.
+    /// The version of the partition's key.
     pub version: u64,
     /// Wall time at which the system began.
     pub start_ms: u64,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Who holds a part: grants of the state service, terms, promises between
-//! controllers, takeover. One actor for each part.
+//! Who holds a partition: grants of the state service, terms, promises between
+//! controllers, takeover. One actor for each partition.
 //!
-//! A part is held by the key `part/N`, which is attached to a grant. A holder
+//! A partition is held by the key `part/N`, which is attached to a grant. An owner
 //! is entitled to act until the grant could end, counted from when its last
 //! renewal was sent, or until the promises of all other controllers end.
 
@@ -14,10 +14,10 @@
 mod watch;
 
 pub use actor::Membership;
-pub use entitlement::{Bonds, Entitlement};
-pub use messages::{Msg, Seat, Taken, Tenancy};
-pub use records::{PartRecord, TERM_KEY, TermRecord, part_key};
-pub use rules::Rules;
+pub use entitlement::{Entitlement, PromiseStatus};
+pub use messages::{Acquired, Message, Ownership, OwnershipChange};
+pub use records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
+pub use rules::MembershipRules;
 pub use takeover::{RaisedTerm, raise_term};
 
 #[cfg(test)]
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! What the state service keeps of parts and terms: keys and values.
+//! What the state service keeps of partitions and terms: keys and values.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,17 +6,18 @@
 /// Key of the global counter of terms.
 pub const TERM_KEY: &str = "term";
 
-/// Key of a part.
-pub fn part_key(part: u32) -> String {
-    format!("part/{part}")
+/// Key of a partition.
+pub fn partition_key(partition: u32) -> String {
+    format!("part/{partition}")
 }
 
-/// Value of a part's key.
+/// Value of a partition's key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PartRecord {
-    /// Name of the node that holds the part.
-    pub holder: String,
-    /// The term under which the node holds the part.
+pub struct PartitionRecord {
+    /// Name of the node that holds the partition.
+    #[serde(rename = "holder")]
+    pub owner: String,
+    /// The term under which the node holds the partition.
     pub term: u64,
     /// The grant that the key is attached to.
     pub grant: u64,
@@ -29,7 +30,7 @@
     pub n: u64,
     /// Wall time at which the system began.
     pub start_ms: u64,
-    /// Who held each part last.
-    #[serde(default)]
-    pub holders: BTreeMap<u32, String>,
+    /// Who held each partition last.
+    #[serde(default, rename = "holders")]
+    pub owners: BTreeMap<u32, String>,
 }
--- a/src/membership/rules.rs
+++ b/src/membership/rules.rs
@@ -1,10 +1,10 @@
 //! The rules of membership as a state machine, without I/O.
 
-use super::messages::Taken;
-use super::records::PartRecord;
+use super::messages::Acquired;
+use super::records::PartitionRecord;
 use crate::clock::DRIFT;
 
-/// What this node is to the part.
+/// What this node is to the partition.
 #[derive(Debug)]
 pub(super) enum Role {
     Idle,
@@ -16,16 +16,16 @@
         promised_until: Vec<u64>,
         gap_ms: u64,
         /// There was a time in which neither the grant nor the promises held. Another may
-        /// have held the part since, and ended: only the state service can tell.
+        /// have held the partition since, and ended: only the state service can tell.
         lapsed: bool,
     },
 }
 
 /// The rules of membership, without I/O.
 #[derive(Debug)]
-pub struct Rules {
+pub struct MembershipRules {
     pub(super) node: String,
-    life_ms: u64,
+    grant_ttl_ms: u64,
     peers: usize,
     pub(super) role: Role,
     /// Promises that this node has given end then, and the term they were for.
@@ -36,10 +36,10 @@
     /// A restarted node waits out the promises of its earlier life.
     act_after: u64,
     /// False until the first look at the state service.
-    pub(super) looked: bool,
+    pub(super) record_read: bool,
     /// The last term that this node knows of.
     pub(super) last_term: u64,
-    pub(super) record: Option<PartRecord>,
+    pub(super) record: Option<PartitionRecord>,
     pub(super) retry_after: u64,
 }
 
@@ -53,19 +53,19 @@
     (ms as f64 * (1.0 + DRIFT)).ceil() as u64 + 1
 }
 
-impl Rules {
+impl MembershipRules {
     /// The rules at the start of a node that may have given promises in an earlier life.
-    pub fn new(node: &str, life_ms: u64, peers: usize, now: u64) -> Rules {
-        Rules {
+    pub fn new(node: &str, grant_ttl_ms: u64, peers: usize, now: u64) -> MembershipRules {
+        MembershipRules {
             node: node.into(),
-            life_ms,
+            grant_ttl_ms,
             peers,
             role: Role::Idle,
             promised_until: 0,
             promised_term: 0,
             abdicate_after: 0,
-            act_after: now + longer(life_ms),
-            looked: true,
+            act_after: now + longer(grant_ttl_ms),
+            record_read: true,
             last_term: 0,
             record: None,
             retry_after: 0,
@@ -73,36 +73,36 @@
     }
 
     /// No promise of an earlier life binds: the system is new, or this node
-    /// itself was the last holder, so that nobody relied on its promises.
+    /// itself was the last owner, so that nobody relied on its promises.
     pub fn unbound(&mut self) {
         self.act_after = 0;
     }
 
-    /// May this node try to take the part now?
+    /// May this node try to take the partition now?
     pub fn may_take(&self, now: u64) -> bool {
         matches!(self.role, Role::Idle)
-            && self.looked
+            && self.record_read
             && self.record.is_none()
             && now >= self.act_after
             && now >= self.promised_until
             && now >= self.retry_after
     }
 
-    /// A holder asks not to be superseded for a while. Refused while this node
-    /// itself takes or holds the part, or sees that only the asker has lost
+    /// An owner asks not to be superseded for a while. Refused while this node
+    /// itself takes or holds the partition, or sees that only the asker has lost
     /// the state service.
     pub fn promise(
         &mut self,
         now: u64,
-        (holder, term): (&str, u64),
+        (owner, term): (&str, u64),
         for_ms: u64,
         asker_state_ok: bool,
         own_state_ok: bool,
     ) -> bool {
-        let later = |r: &PartRecord| r.holder != holder && r.term > term;
+        let later = |r: &PartitionRecord| r.owner != owner && r.term > term;
         let ok = matches!(self.role, Role::Idle)
             && (asker_state_ok || !own_state_ok)
-            && for_ms <= self.life_ms
+            && for_ms <= self.grant_ttl_ms
             && !self.record.as_ref().is_some_and(later);
         if ok {
             self.promised_until = self.promised_until.max(now + longer(for_ms));
@@ -112,14 +112,14 @@
     }
 
     /// A release counts for the latest promise only: a late copy of an older
-    /// one must not undo what binds this node to another holder.
+    /// one must not undo what binds this node to another owner.
     pub fn release(&mut self, now: u64, term: u64) {
         if self.promised_term == term {
             self.promised_until = self.promised_until.min(now);
         }
     }
 
-    /// May a holder that hears its workers no more leave the part to others?
+    /// May an owner that hears its workers no more leave the partition to others?
     pub fn may_abdicate(&mut self, now: u64, pause_ms: u64) -> bool {
         let ok = self.peers > 0 && matches!(self.role, Role::Holding { .. }) && now >= self.abdicate_after;
         if ok {
@@ -151,7 +151,7 @@
         self.last_term = self.last_term.max(seen).max(of_role).max(self.promised_term);
     }
 
-    /// Until when this node is bound to leave leases to a holder.
+    /// Until when this node is bound to leave leases to an owner.
     pub(super) fn bound_until(&self) -> u64 {
         match self.role {
             Role::Idle => self.promised_until.max(self.act_after),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// As a holder: the last known instant at which another controller was not
+    /// As an owner: the last known instant at which another controller was not
     /// bound to it, and until when all are.
     pub(super) fn bound_to_us(&self) -> (u64, u64) {
         match &self.role {
@@ -172,17 +172,17 @@
     }
 
     /// Another controller asks for a promise under a later term, and ours is
-    /// over: it holds the part now, whatever we can learn from the state service.
-    pub(super) fn succeeded_by(&self, now: u64, asker_term: u64) -> bool {
+    /// over: it holds the partition now, whatever we can learn from the state service.
+    pub(super) fn superseded_by(&self, now: u64, asker_term: u64) -> bool {
         matches!(self.role, Role::Holding { term, .. } if term < asker_term) && now >= self.entitled_until()
     }
 
-    /// The part was taken by a request sent then.
-    pub(super) fn begin(&mut self, t: &Taken, sent: u64) {
+    /// The partition was taken by a request sent then.
+    pub(super) fn begin(&mut self, t: &Acquired, sent: u64) {
         self.role = Role::Holding {
             grant: t.grant,
             term: t.term,
-            granted_until: sent + shorter(self.life_ms),
+            granted_until: sent + shorter(self.grant_ttl_ms),
             promised_until: vec![0; self.peers],
             gap_ms: 0,
             lapsed: false,
@@ -192,12 +192,12 @@
     /// The grant was renewed by a request sent then.
     pub(super) fn extended(&mut self, of: u64, sent: u64, now: u64) {
         self.note_lapse(now);
-        let until = sent + shorter(self.life_ms);
+        let until = sent + shorter(self.grant_ttl_ms);
         if let Role::Holding { grant, granted_until, lapsed, .. } = &mut self.role
             && *grant == of
         {
             *granted_until = (*granted_until).max(until);
-            // The grant lives, and the part's key with it: nobody held the part since.
+            // The grant lives, and the partition's key with it: nobody held the partition since.
             *lapsed &= now >= until;
         }
     }
@@ -213,7 +213,7 @@
     /// Another controller has given the promise that was asked for then.
     pub(super) fn promised(&mut self, peer: usize, sent: u64, now: u64) {
         self.note_lapse(now);
-        let until = sent + shorter(self.life_ms);
+        let until = sent + shorter(self.grant_ttl_ms);
         if let Role::Holding { promised_until, gap_ms, .. } = &mut self.role
             && let Some(p) = promised_until.get_mut(peer)
         {
--- a/src/membership/takeover.rs
+++ b/src/membership/takeover.rs
@@ -1,28 +1,28 @@
-//! Taking a part, and raising the term of one that is held.
+//! Taking a partition, and raising the term of one that is held.
 
-use super::messages::{Msg, Taken};
-use super::records::{PartRecord, TERM_KEY, TermRecord, part_key};
+use super::messages::{Acquired, Message};
+use super::records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
 use crate::clients::State;
 use crate::clock;
-use crate::part::CommitResult;
+use crate::partition::CommitResult;
 use crate::wire;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The term that a held part was raised to, and the version of its key since.
+/// The term that a held partition was raised to, and the version of its key since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RaisedTerm {
     /// The term.
     pub term: u64,
-    /// The version of the part's key.
+    /// The version of the partition's key.
     pub version: u64,
 }
 
-/// The part that is to come under a new term.
+/// The partition that is to come under a new term.
 struct PartClaim<'a> {
-    part: u32,
+    partition: u32,
     node: &'a str,
     /// The version that its key must have; 0 if it must not exist.
     version: u64,
@@ -36,56 +36,66 @@
 }
 
 /// At the start: is this node bound by promises that it does not remember?
-pub(super) async fn first_look(state: State, part: u32, node: String, life_ms: u64, tx: mpsc::Sender<Msg>) {
-    let (mut record, term) = read_part_and_term(&state, part, Duration::from_millis(life_ms / 5)).await;
+pub(super) async fn read_previous_owner(
+    state: State,
+    partition: u32,
+    node: String,
+    grant_ttl_ms: u64,
+    tx: mpsc::Sender<Message>,
+) {
+    let (mut record, term) = read_partition_and_term(&state, partition, Duration::from_millis(grant_ttl_ms / 5)).await;
     let unbound = match (&record, term) {
         // Our own earlier life held it: that one is over.
-        (Some(r), _) if r.holder == node => {
+        (Some(r), _) if r.owner == node => {
             tracing::info!(term = r.term, "ending the grant of an earlier life");
             state.end_grant(r.grant).await.is_ok()
         }
-        (None, Some(t)) => t.holders.get(&part).is_none_or(|h| *h == node),
+        (None, Some(t)) => t.owners.get(&partition).is_none_or(|h| *h == node),
         (None, None) => true,
         _ => false,
     };
     if unbound {
         record = None;
     }
-    let _ = tx.send(Msg::Looked { record, unbound }).await;
+    let _ = tx.send(Message::RecordRead { record, unbound }).await;
 }
 
-/// Reads the part's key and the counter of terms, until that succeeds.
-async fn read_part_and_term(state: &State, part: u32, pause: Duration) -> (Option<PartRecord>, Option<TermRecord>) {
-    let key = part_key(part);
-    let (part, term) = loop {
+/// Reads the partition's key and the counter of terms, until that succeeds.
+async fn read_partition_and_term(
+    state: &State,
+    partition: u32,
+    pause: Duration,
+) -> (Option<PartitionRecord>, Option<TermRecord>) {
+    let key = partition_key(partition);
+    let (partition, term) = loop {
         match (state.get(&key).await, state.get(TERM_KEY).await) {
-            (Ok(part), Ok(term)) => break (part.0, term.0),
+            (Ok(partition), Ok(term)) => break (partition.0, term.0),
             _ => tokio::time::sleep(pause).await,
         }
     };
-    let record = part.and_then(|p| serde_json::from_value(p.value).ok());
+    let record = partition.and_then(|p| serde_json::from_value(p.value).ok());
     let term = term.and_then(|t| serde_json::from_value(t.value).ok());
     (record, term)
 }
 
-/// Takes a part that nobody holds.
-pub(super) async fn take(state: State, part: u32, node: String, life_ms: u64, tx: mpsc::Sender<Msg>) {
+/// Takes a partition that nobody holds.
+pub(super) async fn take(state: State, partition: u32, node: String, grant_ttl_ms: u64, tx: mpsc::Sender<Message>) {
     let sent = clock::now_ms();
-    let result = try_take(&state, part, &node, life_ms).await;
-    let _ = tx.send(Msg::Taken { sent, result }).await;
+    let result = try_take(&state, partition, &node, grant_ttl_ms).await;
+    let _ = tx.send(Message::Acquired { sent, result }).await;
 }
 
-async fn try_take(state: &State, part: u32, node: &str, life_ms: u64) -> Option<Taken> {
+async fn try_take(state: &State, partition: u32, node: &str, grant_ttl_ms: u64) -> Option<Acquired> {
     let (item, _) = state.get(TERM_KEY).await.ok()?;
     let last = match item {
         Some(i) => LastTerm { record: serde_json::from_value(i.value).ok()?, version: i.version },
         None => {
-            let record = TermRecord { n: 0, start_ms: clock::wall_ms(), holders: BTreeMap::new() };
+            let record = TermRecord { n: 0, start_ms: clock::wall_ms(), owners: BTreeMap::new() };
             LastTerm { record, version: 0 }
         }
     };
-    let grant = state.new_grant(life_ms).await.ok()?;
-    match next_term(state, &PartClaim { part, node, version: 0, grant }, &last).await {
+    let grant = state.new_grant(grant_ttl_ms).await.ok()?;
+    match next_term(state, &PartClaim { partition, node, version: 0, grant }, &last).await {
         Ok(taken) => Some(taken),
         Err(_) => {
             let _ = state.end_grant(grant).await;
@@ -94,10 +104,10 @@
     }
 }
 
-/// A fresh term for a part that is held: all workers will refuse older tokens.
+/// A fresh term for a partition that is held: all workers will refuse older tokens.
 pub async fn raise_term(
     state: &State,
-    part: u32,
+    partition: u32,
     node: &str,
     version: u64,
     grant: u64,
@@ -105,19 +115,19 @@
     let Ok((Some(item), _)) = state.get(TERM_KEY).await else { return Err(CommitResult::Refused) };
     let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitResult::Refused) };
     let last = LastTerm { record, version: item.version };
-    let taken = next_term(state, &PartClaim { part, node, version, grant }, &last).await?;
+    let taken = next_term(state, &PartClaim { partition, node, version, grant }, &last).await?;
     Ok(RaisedTerm { term: taken.term, version: taken.version })
 }
 
-/// Commits the term after `last` and puts the part under it.
-async fn next_term(state: &State, claim: &PartClaim<'_>, last: &LastTerm) -> Result<Taken, CommitResult> {
+/// Commits the term after `last` and puts the partition under it.
+async fn next_term(state: &State, claim: &PartClaim<'_>, last: &LastTerm) -> Result<Acquired, CommitResult> {
     let (grant, start_ms) = (claim.grant, last.record.start_ms);
     let term = last.record.n + 1;
     let record = json!({ "holder": claim.node, "term": term, "grant": grant });
-    let mut holders = last.record.holders.clone();
-    holders.insert(claim.part, claim.node.to_string());
-    let next = json!({ "n": term, "start_ms": start_ms, "holders": holders });
-    let key = part_key(claim.part);
+    let mut owners = last.record.owners.clone();
+    owners.insert(claim.partition, claim.node.to_string());
+    let next = json!({ "n": term, "start_ms": start_ms, "holders": owners });
+    let key = partition_key(claim.partition);
     let guards = [wire::guard(&key, claim.version), wire::guard(TERM_KEY, last.version)];
     let apply = [wire::put(&key, &record, Some(grant)), wire::put(TERM_KEY, &next, None)];
     let version = match state.commit(&guards, &apply).await {
@@ -129,5 +139,5 @@
         },
         other => return Err(other),
     };
-    Ok(Taken { grant, term, version, start_ms })
+    Ok(Acquired { grant, term, version, start_ms })
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,12 +1,12 @@
-use super::{Entitlement, PartRecord, Rules, Taken};
+use super::{Acquired, Entitlement, MembershipRules, PartitionRecord};
 use crate::clock;
 use std::time::Duration;
 
 const LIFE: u64 = 2500;
 
-fn holding(peers: usize) -> Rules {
-    let mut r = Rules::new("a", LIFE, peers, 0);
-    r.begin(&Taken { grant: 1, term: 7, version: 3, start_ms: 0 }, 1000);
+fn holding(peers: usize) -> MembershipRules {
+    let mut r = MembershipRules::new("a", LIFE, peers, 0);
+    r.begin(&Acquired { grant: 1, term: 7, version: 3, start_ms: 0 }, 1000);
     r
 }
 
@@ -46,9 +46,9 @@
 }
 
 // Leases may be kept alive by a controller that is bound by no promise: the
-// holder must know of every moment in which one was not.
+// owner must know of every moment in which one was not.
 #[test]
-fn a_break_between_promises_is_known_to_the_holder_and_frees_the_other() {
+fn a_break_between_promises_is_known_to_the_owner_and_frees_the_other() {
     let mut r = holding(1);
     r.promised(0, 2000, 2010);
     assert_eq!(r.bound_to_us().0, 2010, "unbound until the first answer");
@@ -59,23 +59,23 @@
     r.promised(0, until - 100, until + 1);
     assert_eq!(r.bound_to_us().0, until + 1, "asked in time, and maybe heard too late");
 
-    let mut b = Rules::new("b", LIFE, 1, 1000);
+    let mut b = MembershipRules::new("b", LIFE, 1, 1000);
     assert!(b.bound_until() > 1000 + LIFE, "a restarted node has forgotten what it promised");
     assert!(b.promise(9000, ("a", 7), LIFE, true, true));
     assert!(b.bound_until() > 9000 + LIFE, "longer than the asker counts");
 }
 
 #[test]
-fn a_holder_without_the_state_service_learns_from_the_next_one_that_it_is_over() {
+fn an_owner_without_the_state_service_learns_from_the_next_one_that_it_is_over() {
     let r = holding(1);
     let end = r.entitled_until();
-    assert!(!r.succeeded_by(end - 1, 8), "its entitlement holds");
-    assert!(!r.succeeded_by(end, 7) && r.succeeded_by(end, 8));
+    assert!(!r.superseded_by(end - 1, 8), "its entitlement holds");
+    assert!(!r.superseded_by(end, 7) && r.superseded_by(end, 8));
 }
 
 #[test]
 fn a_promise_binds_longer_than_the_asker_counts_it() {
-    let mut r = Rules::new("b", LIFE, 2, 0);
+    let mut r = MembershipRules::new("b", LIFE, 2, 0);
     r.unbound();
     assert!(r.may_take(10));
     assert!(r.promise(1000, ("a", 7), LIFE, true, true));
@@ -87,7 +87,7 @@
 
 #[test]
 fn only_the_one_without_the_state_service_gets_no_promise() {
-    let mut r = Rules::new("b", LIFE, 2, 0);
+    let mut r = MembershipRules::new("b", LIFE, 2, 0);
     assert!(!r.promise(1000, ("a", 7), LIFE, false, true), "others have it");
     assert!(r.promise(1000, ("a", 7), LIFE, false, false), "an outage");
     assert!(!holding(2).promise(1000, ("a", 7), LIFE, true, true), "a holder promises nothing");
@@ -95,17 +95,17 @@
 
 #[test]
 fn a_restarted_node_waits_out_promises_it_has_forgotten() {
-    let mut r = Rules::new("b", LIFE, 2, 10_000);
+    let mut r = MembershipRules::new("b", LIFE, 2, 10_000);
     assert!(!r.may_take(10_000 + LIFE));
     assert!(r.may_take(10_000 + LIFE + 10));
-    r = Rules::new("b", LIFE, 2, 10_000);
+    r = MembershipRules::new("b", LIFE, 2, 10_000);
     r.unbound();
     assert!(r.may_take(10_000), "nobody relied on them");
 }
 
 #[test]
 fn a_late_release_does_not_undo_a_later_promise() {
-    let mut r = Rules::new("b", LIFE, 2, 0);
+    let mut r = MembershipRules::new("b", LIFE, 2, 0);
     r.unbound();
     assert!(r.promise(1000, ("a", 7), LIFE, true, true));
     r.release(1100, 7);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_holder_does_not_abdicate_again_and_again() {
+fn an_owner_does_not_abdicate_again_and_again() {
     let mut r = holding(2);
     assert!(r.may_abdicate(1000, 20_000));
     assert!(!r.may_abdicate(30_000, 20_000));
@@ -124,14 +124,14 @@
     assert!(!holding(0).may_abdicate(1000, 20_000), "there is nobody else");
 }
 
-// Found on a day of our own (the gap with a crash inside, went_back): a holder that was cut
+// Found on a day of our own (the gap with a crash inside, went_back): an owner that was cut
 // off had been followed by another, which called a job done and ended in the outage. The
 // others then promised to the first one again, and it answered from its old memory.
 #[test]
 fn promises_bring_no_entitlement_back_that_has_lapsed() {
     let mut r = holding(2);
     let end = r.entitled_until();
-    let both = |r: &mut Rules, sent: u64| {
+    let both = |r: &mut MembershipRules, sent: u64| {
         r.promised(0, sent, sent + 1);
         r.promised(1, sent, sent + 1);
     };
@@ -151,9 +151,9 @@
 }
 
 #[test]
-fn nobody_promises_to_a_holder_that_was_followed_by_another() {
-    let mut r = Rules::new("c", LIFE, 2, 0);
-    r.record = Some(PartRecord { holder: "b".into(), term: 8, grant: 2 });
+fn nobody_promises_to_an_owner_that_was_followed_by_another() {
+    let mut r = MembershipRules::new("c", LIFE, 2, 0);
+    r.record = Some(PartitionRecord { owner: "b".into(), term: 8, grant: 2 });
     assert!(!r.promise(1000, ("a", 7), LIFE, false, false));
     assert!(r.promise(1000, ("b", 7), LIFE, false, false), "one that raised its term meanwhile");
     assert!(r.promise(1000, ("a", 9), LIFE, false, false));
--- a/src/membership/watch.rs
+++ b/src/membership/watch.rs
@@ -1,18 +1,18 @@
-//! Following a part's key in the state service.
+//! Following a partition's key in the state service.
 
-use super::messages::Msg;
-use super::records::{PartRecord, part_key};
+use super::messages::Message;
+use super::records::{PartitionRecord, partition_key};
 use crate::clients::State;
 use crate::task;
 use crate::wire::Item;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Follows the part's key and keeps the health of the state service known.
-pub(super) async fn look_out(state: State, part: u32, life_ms: u64, tx: mpsc::Sender<Msg>) {
-    let key = part_key(part);
-    task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(life_ms / 4), tx.clone()));
-    let pause = Duration::from_millis(life_ms / 5);
+/// Follows the partition's key and keeps the health of the state service known.
+pub(super) async fn watch_partition(state: State, partition: u32, grant_ttl_ms: u64, tx: mpsc::Sender<Message>) {
+    let key = partition_key(partition);
+    task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(grant_ttl_ms / 4), tx.clone()));
+    let pause = Duration::from_millis(grant_ttl_ms / 5);
     let mut after = None;
     loop {
         let from = match after {
@@ -25,11 +25,11 @@
                 revision
             }
         };
-        match state.changes(&key, from, life_ms * 4).await {
+        match state.changes(&key, from, grant_ttl_ms * 4).await {
             Ok(c) => {
                 for e in c.events.into_iter().filter(|e| e.key() == key) {
                     let record = if e.deleted() { None } else { e.value.and_then(|v| serde_json::from_value(v).ok()) };
-                    if tx.send(Msg::Seen(record)).await.is_err() {
+                    if tx.send(Message::Seen(record)).await.is_err() {
                         return;
                     }
                 }
@@ -44,11 +44,11 @@
 }
 
 /// Reads the key again and again, also while the watch waits.
-async fn probe(state: State, key: String, period: Duration, tx: mpsc::Sender<Msg>) {
+async fn probe(state: State, key: String, period: Duration, tx: mpsc::Sender<Message>) {
     loop {
         tokio::time::sleep(period).await;
         if let Ok((item, _)) = state.get(&key).await
-            && tx.send(Msg::Seen(part_record(item))).await.is_err()
+            && tx.send(Message::Seen(partition_record(item))).await.is_err()
         {
             return;
         }
@@ -56,12 +56,12 @@
 }
 
 /// Tells the actor what the key is now; the revision up to which that is known.
-async fn read_now(state: &State, key: &str, tx: &mpsc::Sender<Msg>) -> Option<u64> {
+async fn read_now(state: &State, key: &str, tx: &mpsc::Sender<Message>) -> Option<u64> {
     let (item, revision) = state.get(key).await.ok()?;
-    let _ = tx.send(Msg::Seen(part_record(item))).await;
+    let _ = tx.send(Message::Seen(partition_record(item))).await;
     Some(revision)
 }
 
-fn part_record(item: Option<Item>) -> Option<PartRecord> {
+fn partition_record(item: Option<Item>) -> Option<PartitionRecord> {
     item.and_then(|i| serde_json::from_value(i.value).ok())
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -12,15 +12,15 @@
 }
 
 /// Longest time that is told apart: an hour, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_OBSERVED_MS: u64 = 3_600_000;
 
 impl Metrics {
     pub fn observe(&mut self, name: &'static str, label: &str, ms: u64) {
         let h = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit keeps a histogram at a few kilobytes.
-            Histogram::new_with_bounds(1, LONGEST_MS, 1).expect("bounds that hdrhistogram takes")
+            Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("bounds that hdrhistogram takes")
         });
-        h.saturating_record(ms.clamp(1, LONGEST_MS));
+        h.saturating_record(ms.clamp(1, MAX_OBSERVED_MS));
     }
 
     pub fn count(&mut self, name: &'static str, label: &str) {
--- a/src/model/world.rs
+++ b/src/model/cluster.rs
@@ -1,6 +1,6 @@
-//! The state of a part: its jobs, machines and machine types.
+//! The state of a partition: its jobs, machines and machine types.
 
-use super::{Demand, Flavor, Host, HostIx, Job, JobIx};
+use super::{Demand, Flavor, Host, HostIndex, Job, JobIndex};
 use std::collections::HashMap;
 
 /// Room that a class is expected to need.
@@ -15,7 +15,7 @@
 
 impl Reserve {
     /// It can do without none of its machine types, having one alone.
-    pub fn sole(&self) -> bool {
+    pub fn single_flavor(&self) -> bool {
         self.flavors.iter().filter(|f| **f).count() == 1
     }
     /// May it run on this type? One that became known later counts from the next plan on.
@@ -37,71 +37,71 @@
     pub spot: bool,
 }
 
-/// Everything that one part knows.
+/// Everything that one partition knows.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct ClusterState {
     pub jobs: Vec<Job>,
-    pub job_ix: HashMap<String, JobIx>,
+    pub job_index: HashMap<String, JobIndex>,
     pub hosts: Vec<Option<Host>>,
-    pub host_ix: HashMap<String, HostIx>,
+    pub host_index: HashMap<String, HostIndex>,
     pub flavors: Vec<Flavor>,
     /// Jobs that are not over.
-    pub live: Vec<JobIx>,
+    pub live: Vec<JobIndex>,
     /// Room that classes are expected to need.
     pub reserves: Vec<Reserve>,
     /// Machine types of which the cloud has none left.
     pub exhausted: Vec<usize>,
     /// Work with accelerators found no room in the last pass, and may not wait long.
-    pub hungry: bool,
+    pub accelerators_short: bool,
     /// When a pass last left work without room.
     pub waited_ms: u64,
     /// What machines that are not accounted for may hold.
     pub unaccounted: Demand,
     /// Their kinds, each one once.
     pub unaccounted_kinds: Vec<HostKind>,
-    /// False until every machine of the last holder is accounted for.
+    /// False until every machine of the last owner is accounted for.
     pub all_accounted: bool,
 }
 
-impl World {
+impl ClusterState {
     /// Adds a job.
-    pub fn add_job(&mut self, job: Job) -> JobIx {
-        let ix = self.jobs.len();
-        self.job_ix.insert(job.spec.id.clone(), ix);
+    pub fn add_job(&mut self, job: Job) -> JobIndex {
+        let job_index = self.jobs.len();
+        self.job_index.insert(job.spec.id.clone(), job_index);
         if job.end.is_none() {
-            self.live.push(ix);
+            self.live.push(job_index);
         }
         self.jobs.push(job);
-        ix
+        job_index
     }
 
     /// Adds a machine.
-    pub fn add_host(&mut self, host: Host) -> HostIx {
-        let ix = self.hosts.len();
-        self.host_ix.insert(host.id.clone(), ix);
+    pub fn add_host(&mut self, host: Host) -> HostIndex {
+        let index = self.hosts.len();
+        self.host_index.insert(host.id.clone(), index);
         self.hosts.push(Some(host));
-        ix
+        index
     }
 
     /// Removes a machine; its index is not used again.
-    pub fn remove_host(&mut self, ix: HostIx) -> Option<Host> {
-        let host = self.hosts[ix].take()?;
-        self.host_ix.remove(&host.id);
+    pub fn remove_host(&mut self, index: HostIndex) -> Option<Host> {
+        let host = self.hosts[index].take()?;
+        self.host_index.remove(&host.id);
         Some(host)
     }
 
     /// The machine, unless it was removed.
-    pub fn host(&self, ix: HostIx) -> Option<&Host> {
-        self.hosts.get(ix)?.as_ref()
+    pub fn host(&self, index: HostIndex) -> Option<&Host> {
+        self.hosts.get(index)?.as_ref()
     }
 
     /// The machine to be changed, unless it was removed.
-    pub fn host_mut(&mut self, ix: HostIx) -> Option<&mut Host> {
-        self.hosts.get_mut(ix)?.as_mut()
+    pub fn host_mut(&mut self, index: HostIndex) -> Option<&mut Host> {
+        self.hosts.get_mut(index)?.as_mut()
     }
 
     /// All machines, with their indices.
-    pub fn each_host(&self) -> impl Iterator<Item = (HostIx, &Host)> {
+    pub fn each_host(&self) -> impl Iterator<Item = (HostIndex, &Host)> {
         self.hosts.iter().enumerate().filter_map(|(i, h)| Some((i, h.as_ref()?)))
     }
 
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,19 +1,19 @@
-//! Machines: their leases, the copies of tasks on them and their image caches.
+//! Machines: their leases, the attempts of tasks on them and their image caches.
 
-use super::{Copy, Demand, JobIx, TaskKey};
+use super::{Demand, JobIndex, TaskAttempt, TaskKey};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
 /// A machine on which so many jobs failed is faulty.
 pub const FAULTY_AFTER_JOBS: usize = 3;
 
-/// Index of a machine in [`World::hosts`](super::World::hosts).
-pub type HostIx = usize;
+/// Index of a machine in [`ClusterState::hosts`](super::ClusterState::hosts).
+pub type HostIndex = usize;
 
 /// Room on a machine that is held for one job until a set time.
 #[derive(Debug, Clone, Copy)]
 pub struct Claim {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub demand: Demand,
     pub until_ms: u64,
 }
@@ -40,19 +40,19 @@
     pub serial: u64,
     pub fence: u64,
     /// What the worker says counts once it has seen this token, the first one of this
-    /// holder: a report with a lower one may be a late copy, from a machine that is gone.
+    /// owner: a report with a lower one may be a late copy, from a machine that is gone.
     pub min_fence: u64,
-    /// The part that it is being given to.
-    pub giving: Option<u32>,
+    /// The partition that it is being given to.
+    pub transferring_to: Option<u32>,
     /// Steady time of the last report, and of the last answer that may have renewed the lease.
     pub heard_ms: u64,
     pub answered_ms: u64,
     /// In the registry, so that a successor knows that it may hold tasks.
     pub registered: bool,
-    /// Has reported under this holder's token, or surely lost all it had.
+    /// Has reported under this owner's token, or surely lost all it had.
     pub accounted: bool,
-    /// Reports tasks that this part does not know.
-    pub strays: bool,
+    /// Reports tasks that this partition does not know.
+    pub has_unknown_tasks: bool,
     pub notice: bool,
     pub releasing: bool,
     /// Being emptied, to be returned.
@@ -63,12 +63,12 @@
     pub do_after_ms: u64,
     pub blocked_until_ms: u64,
     /// Jobs that failed here and on no other machine, since it last completed a task.
-    pub failed_jobs: HashSet<JobIx>,
+    pub failed_jobs: HashSet<JobIndex>,
     /// What failed here has succeeded on another machine.
     pub succeeded_elsewhere: bool,
     pub idle_since_ms: u64,
     pub up_ms: u64,
-    pub copies: Vec<Copy>,
+    pub attempts: Vec<TaskAttempt>,
     pub claims: Vec<Claim>,
     pub images: Vec<CachedImage>,
 }
@@ -86,12 +86,12 @@
             serial: 0,
             fence: 0,
             min_fence: 0,
-            giving: None,
+            transferring_to: None,
             heard_ms: now,
             answered_ms: now,
             registered: false,
             accounted: false,
-            strays: false,
+            has_unknown_tasks: false,
             notice: false,
             releasing: false,
             draining: false,
@@ -103,7 +103,7 @@
             succeeded_elsewhere: false,
             idle_since_ms: now,
             up_ms: now,
-            copies: Vec::new(),
+            attempts: Vec::new(),
             claims: Vec::new(),
             images: Vec::new(),
         }
@@ -114,19 +114,19 @@
         self.succeeded_elsewhere || self.failed_jobs.len() >= FAULTY_AFTER_JOBS
     }
 
-    /// The copy of this attempt, if it is on the machine.
-    pub fn copy_mut(&mut self, key: TaskKey, attempt: u64) -> Option<&mut Copy> {
-        self.copies.iter_mut().find(|c| c.key == key && c.attempt == attempt)
+    /// The attempt of this attempt, if it is on the machine.
+    pub fn attempt_mut(&mut self, key: TaskKey, attempt: u64) -> Option<&mut TaskAttempt> {
+        self.attempts.iter_mut().find(|c| c.key == key && c.attempt == attempt)
     }
 
-    /// Has its worker seen a token of this holder? Then no order of an earlier one can
+    /// Has its worker seen a token of this owner? Then no order of an earlier one can
     /// reach it any more.
-    pub fn shown(&self) -> bool {
+    pub fn token_confirmed(&self) -> bool {
         self.accounted && self.fence >= self.min_fence
     }
 
     /// More than a report that may be a late copy says that it exists.
-    pub fn vouched(&self) -> bool {
+    pub fn confirmed(&self) -> bool {
         self.registered || self.accounted
     }
 
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,11 +1,11 @@
 //! Jobs, with the state of their tasks and of their records.
 
-use super::{HostIx, Place, Spec, Task, World};
+use super::{ClusterState, HostIndex, Place, Spec, Task};
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// Index of a job in [`World::jobs`](super::World::jobs).
-pub type JobIx = usize;
+/// Index of a job in [`ClusterState::jobs`](super::ClusterState::jobs).
+pub type JobIndex = usize;
 
 /// The phase of a job that its user is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 
 /// What the record of a job still has to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unsaved {
+pub enum UnsavedChange {
     Nothing,
     Progress,
     End(JobEnd),
@@ -32,8 +32,8 @@
     Cancelled,
 }
 
-/// A job shuns so many machines at the most.
-const MOST_SHUNNED: usize = 3;
+/// A job avoids so many machines at the most.
+const MAX_AVOIDED_HOSTS: usize = 3;
 
 /// A job, with the state of its tasks and of its record.
 #[derive(Debug, Clone)]
@@ -44,7 +44,7 @@
     pub version: u64,
     /// The end that its record holds.
     pub end: Option<JobEnd>,
-    pub unsaved: Unsaved,
+    pub unsaved: UnsavedChange,
     pub unsaved_since_ms: u64,
     /// Its record is in a commit under way.
     pub saving: bool,
@@ -60,13 +60,13 @@
     pub no_hold_until_ms: u64,
     /// Until when it waits for room next to its image; 0 if it does not yet.
     pub soon_until_ms: u64,
-    /// Accepted in this term: no earlier holder can have started its tasks.
+    /// Accepted in this term: no earlier owner can have started its tasks.
     pub fresh: bool,
     /// Its user has asked for its cancellation, which is said once all its tasks are gone.
     pub cancelling: bool,
     /// Machines on which its tasks failed, and until when it keeps away from them.
-    pub failed_on: HashSet<HostIx>,
-    pub shuns_until_ms: u64,
+    pub failed_on: HashSet<HostIndex>,
+    pub avoid_hosts_until_ms: u64,
 }
 
 impl Job {
@@ -78,7 +78,7 @@
             accepted_ms,
             version: 0,
             end: None,
-            unsaved: Unsaved::Nothing,
+            unsaved: UnsavedChange::Nothing,
             unsaved_since_ms: now,
             saving: false,
             end_open: false,
@@ -91,26 +91,26 @@
             fresh: false,
             cancelling: false,
             failed_on: HashSet::new(),
-            shuns_until_ms: 0,
+            avoid_hosts_until_ms: 0,
         }
     }
 
     /// May its tasks be started?
     pub fn active(&self) -> bool {
-        self.version > 0 && self.end.is_none() && !self.cancelling && !matches!(self.unsaved, Unsaved::End(_))
+        self.version > 0 && self.end.is_none() && !self.cancelling && !matches!(self.unsaved, UnsavedChange::End(_))
     }
 
     /// Machines that it is not placed on again for a while, as it failed there: they
     /// are mostly faulty, and others are rented instead.
-    pub fn shuns(&self, world: &World, now: u64) -> &HashSet<HostIx> {
-        static NONE: std::sync::LazyLock<HashSet<HostIx>> = std::sync::LazyLock::new(HashSet::new);
-        if now < self.shuns_until_ms && !self.fails_everywhere(world) { &self.failed_on } else { &NONE }
+    pub fn avoided_hosts(&self, cluster: &ClusterState, now: u64) -> &HashSet<HostIndex> {
+        static NONE: std::sync::LazyLock<HashSet<HostIndex>> = std::sync::LazyLock::new(HashSet::new);
+        if now < self.avoid_hosts_until_ms && !self.fails_everywhere(cluster) { &self.failed_on } else { &NONE }
     }
 
     /// It failed on many machines, or on several and no other is left: it is at fault itself.
-    fn fails_everywhere(&self, world: &World) -> bool {
-        let all = || world.host_ix.values().all(|host| self.failed_on.contains(host));
-        self.failed_on.len() > MOST_SHUNNED || (self.failed_on.len() > 1 && all())
+    fn fails_everywhere(&self, cluster: &ClusterState) -> bool {
+        let all = || cluster.host_index.values().all(|host| self.failed_on.contains(host));
+        self.failed_on.len() > MAX_AVOIDED_HOSTS || (self.failed_on.len() > 1 && all())
     }
 
     /// Frees what a job that is over no longer needs.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,7 @@
-//! What a part knows: jobs with their tasks, machines with the copies of
-//! tasks on them. Plain data; decisions are in `sched`, protocol in `part`.
+//! What a partition knows: jobs with their tasks, machines with the attempts of
+//! tasks on them. Plain data; decisions are in `sched`, protocol in `partition`.
 
+mod cluster;
 mod flavor;
 mod host;
 mod job;
@@ -8,13 +9,12 @@
 mod resources;
 mod spec;
 mod task;
-mod world;
 
+pub use cluster::{ClusterState, HostKind, Reserve};
 pub use flavor::Flavor;
-pub use host::{CachedImage, Claim, Host, HostIx};
-pub use job::{Job, JobEnd, JobIx, JobPhase, Unsaved};
+pub use host::{CachedImage, Claim, Host, HostIndex};
+pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
 pub use records::{HostRecord, JobRecord, ranges};
 pub use resources::Demand;
 pub use spec::{Shape, Spec, Urgency};
-pub use task::{Copy, ExitReason, Place, Task, TaskKey, TaskPhase};
-pub use world::{HostKind, Reserve, World};
+pub use task::{ExitReason, Place, Task, TaskAttempt, TaskKey, TaskPhase};
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -56,9 +56,9 @@
     pub flavor: String,
     pub zone: String,
     pub spot: bool,
-    /// The part that it belongs to.
-    #[serde(default)]
-    pub part: u32,
+    /// The partition that it belongs to.
+    #[serde(default, rename = "part")]
+    pub partition: u32,
 }
 
 /// Numbers of done tasks as ranges, first and one past the last.
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -11,12 +11,14 @@
 }
 
 /// Amounts are decimal; sums of them may be off by rounding.
-const SLACK: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Demand {
     /// Does it fit into `free`?
     pub fn fits(&self, free: &Demand) -> bool {
-        self.cpus <= free.cpus + SLACK && self.gpus <= free.gpus + SLACK && self.mem <= free.mem + SLACK
+        self.cpus <= free.cpus + ROUNDING_TOLERANCE
+            && self.gpus <= free.gpus + ROUNDING_TOLERANCE
+            && self.mem <= free.mem + ROUNDING_TOLERANCE
     }
     /// Adds `d`.
     pub fn add(&mut self, d: &Demand) {
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -1,11 +1,11 @@
 //! Tasks, and the attempts of them that are on machines.
 
-use super::{Demand, HostIx, JobIx};
+use super::{Demand, HostIndex, JobIndex};
 
 /// Identifies a task: its job, and its number in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub task: u32,
 }
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Place {
     Idle,
-    On(HostIx, u64),
+    On(HostIndex, u64),
     Done,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Task {
     pub place: Place,
-    /// Seen alive, or started, by this holder: it is on no machine that is not
+    /// Seen alive, or started, by this owner: it is on no machine that is not
     /// accounted for.
     pub located: bool,
     pub fails: u16,
@@ -55,7 +55,7 @@
 
 /// One attempt of a task on a machine, for as long as it may be there.
 #[derive(Debug, Clone, Copy)]
-pub struct Copy {
+pub struct TaskAttempt {
     pub key: TaskKey,
     pub attempt: u64,
     /// What it takes of its machine.
@@ -70,11 +70,11 @@
     pub in_flight: bool,
 }
 
-impl Copy {
+impl TaskAttempt {
     /// An attempt that is to be ordered, or was and is seen first.
-    pub fn sent(key: TaskKey, attempt: u64, demand: Demand, now: u64) -> Copy {
+    pub fn sent(key: TaskKey, attempt: u64, demand: Demand, now: u64) -> TaskAttempt {
         let phase = TaskPhase::Sent;
-        Copy { key, attempt, demand, phase, since_ms: now, stop: None, risk: None, in_flight: false }
+        TaskAttempt { key, attempt, demand, phase, since_ms: now, stop: None, risk: None, in_flight: false }
     }
 
     /// Has the attempt ended?
--- a/src/net.rs
+++ b/src/net.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream};
 
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
 pub type ReadHalf = Box<dyn AsyncRead + Send + Unpin>;
 pub type WriteHalf = Box<dyn AsyncWrite + Send + Unpin>;
 
@@ -22,13 +22,13 @@
 
 /// A bound address.
 pub trait Listener: Send + Sync + 'static {
-    fn accept(&self) -> Later<'_, Box<dyn Stream>>;
+    fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>>;
 }
 
 /// What connections are made over.
 pub trait Network: Send + Sync + 'static {
-    fn connect(&self, addr: SocketAddr) -> Later<'_, Box<dyn Stream>>;
-    fn bind(&self, addr: SocketAddr) -> Later<'_, Box<dyn Listener>>;
+    fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>>;
+    fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>>;
 }
 
 /// A handle of the network; cheap to clone. TCP by default.
@@ -58,11 +58,11 @@
 struct Tcp;
 
 impl Network for Tcp {
-    fn connect(&self, addr: SocketAddr) -> Later<'_, Box<dyn Stream>> {
+    fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>> {
         Box::pin(async move { TcpStream::connect(addr).await.map(without_delay) })
     }
 
-    fn bind(&self, addr: SocketAddr) -> Later<'_, Box<dyn Listener>> {
+    fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
         Box::pin(async move { Ok(Box::new(TcpListener::bind(addr).await?) as Box<dyn Listener>) })
     }
 }
@@ -73,13 +73,13 @@
 }
 
 impl Listener for TcpListener {
-    fn accept(&self) -> Later<'_, Box<dyn Stream>> {
+    fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>> {
         Box::pin(async move { TcpListener::accept(self).await.map(|(stream, _)| without_delay(stream)) })
     }
 }
 
 impl Listener for Box<dyn Listener> {
-    fn accept(&self) -> Later<'_, Box<dyn Stream>> {
+    fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>> {
         (**self).accept()
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -3,11 +3,11 @@
 use crate::api::Api;
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Seed, Settings};
-use crate::doors::{Door, Doors};
-use crate::holder::Holder;
-use crate::membership::{Bonds, Entitlement, Membership, Seat};
+use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus};
 use crate::net::Net;
+use crate::owner::PartitionOwner;
 use crate::peer::{self, Peer};
+use crate::router::{PartitionHandle, Router};
 use crate::sched::Policy;
 use crate::{clock, http, task};
 use std::sync::Arc;
@@ -27,10 +27,10 @@
     let internal = net.bind(settings.internal_addr).await?;
     tracing::info!(node = settings.node, serve_on = %settings.serve_on, "serving");
 
-    let life_ms = settings.grant_life_ms();
+    let grant_ttl_ms = settings.grant_ttl_ms();
     let state = State::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
-    let connect_limit = Duration::from_millis(life_ms / 4);
+    let connect_limit = Duration::from_millis(grant_ttl_ms / 4);
     let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, connect_limit);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
@@ -40,67 +40,67 @@
     nodes.sort_unstable();
     let own = nodes.iter().position(|n| *n == settings.node).unwrap_or(0);
 
-    let mut doors = Vec::new();
+    let mut handles = Vec::new();
     let mut members = Vec::new();
-    let mut holders = Vec::new();
-    for part in 0..operator.parts {
-        let (entitled, bonds) = (Entitlement::default(), Bonds::default());
-        let (seat_tx, seat) = watch::channel(Seat::default());
-        let (tenancy_tx, tenancy) = mpsc::channel(8);
+    let mut owners = Vec::new();
+    for partition in 0..operator.partitions {
+        let (entitled, promise_status) = (Entitlement::default(), PromiseStatus::default());
+        let (ownership_tx, ownership) = watch::channel(Ownership::default());
+        let (ownership_changes_tx, ownership_changes) = mpsc::channel(8);
         let (members_tx, members_rx) = mpsc::channel(256);
-        let (holder_tx, holder_rx) = mpsc::channel(1024);
-        let ours = part as usize % nodes.len() == own;
+        let (owner_tx, owner_rx) = mpsc::channel(1024);
+        let ours = partition as usize % nodes.len() == own;
         let membership = Membership {
-            part,
+            partition,
             node: settings.node.clone(),
-            life_ms,
+            grant_ttl_ms,
             lease_ms: settings.lease_ms(),
             state: state.clone(),
             peers: peers.clone(),
             entitled: entitled.clone(),
-            bonds: bonds.clone(),
-            seat: seat_tx,
-            tenancy: tenancy_tx,
+            promise_status: promise_status.clone(),
+            ownership: ownership_tx,
+            ownership_changes: ownership_changes_tx,
             held: held.clone(),
-            courtesy_ms: if operator.parts > 1 && !ours { life_ms / 5 } else { 0 },
+            initial_delay_ms: if operator.partitions > 1 && !ours { grant_ttl_ms / 5 } else { 0 },
         };
         members.push((membership, members_tx.clone(), members_rx));
-        holders.push((tenancy, holder_rx));
-        doors.push(Door { seat, entitled, bonds, holder: holder_tx, members: members_tx });
+        owners.push((ownership_changes, owner_rx));
+        handles.push(PartitionHandle { ownership, entitled, promise_status, owner: owner_tx, members: members_tx });
     }
-    let heard_ms = Arc::new((0..operator.parts).map(|_| AtomicU64::new(0)).collect());
-    let doors = Doors { parts: Arc::new(doors), peers: Arc::new(peers), life_ms, heard_ms };
+    let heard_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
+    let router = Router { partitions: Arc::new(handles), peers: Arc::new(peers), grant_ttl_ms, heard_ms };
     for (membership, tx, rx) in members {
         task::spawn(membership.run(tx, rx));
     }
-    for (id, (tenancy, rx)) in (0..).zip(holders) {
-        let door = &doors.parts[id as usize];
-        let holder = Holder {
+    for (id, (ownership_changes, rx)) in (0..).zip(owners) {
+        let handle = &router.partitions[id as usize];
+        let owner = PartitionOwner {
             id,
             settings: settings.clone(),
             operator: operator.clone(),
             state: state.clone(),
             cloud: cloud.clone(),
             worker: Worker::on(&net, &settings),
-            entitled: door.entitled.clone(),
-            bonds: door.bonds.clone(),
-            members: door.members.clone(),
-            doors: doors.clone(),
-            tx: door.holder.clone(),
+            entitled: handle.entitled.clone(),
+            promise_status: handle.promise_status.clone(),
+            members: handle.members.clone(),
+            router: router.clone(),
+            tx: handle.owner.clone(),
             current: Arc::new(AtomicU64::new(0)),
         };
-        task::spawn(holder.run(tenancy, rx));
+        task::spawn(owner.run(ownership_changes, rx));
     }
 
-    let for_peers = doors.clone();
-    task::spawn(peer::serve(internal, move |ask| {
-        let doors = for_peers.clone();
-        async move { doors.answer(ask).await }
+    let for_peers = router.clone();
+    task::spawn(peer::serve(internal, move |request| {
+        let router = for_peers.clone();
+        async move { router.answer(request).await }
     }));
-    let teams = Arc::new(settings.parts_of_teams(operator.parts));
+    let teams = Arc::new(settings.partitions_of_teams(operator.partitions));
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let value_bytes = (settings.params.state.value_kb * 1024.0) as usize;
-    let api = Api { state, doors, teams, policy, value_bytes, places: Default::default() };
+    let api = Api { state, router, teams, policy, value_bytes, route_hints: Default::default() };
     // A quarter of the sockets is for what this node opens itself.
     let max_open = settings.params.limits.max_sockets * 3 / 4;
     let patience = Duration::from_millis(settings.lease_ms() / 2);
--- a/src/holder/tenure.rs
+++ b/src/owner/active_term.rs
@@ -1,20 +1,20 @@
-//! What the actor keeps while it holds the part.
+//! What the actor keeps while it holds the partition.
 
-use crate::clients::Bucket;
+use crate::clients::TokenBucket;
 use crate::leader::Leader;
-use crate::part::Part;
-use crate::sched::Coming;
+use crate::partition::Partition;
+use crate::sched::PendingMachine;
 
-/// One tenancy of the part.
-pub(super) struct Tenure {
-    pub(super) part: Part,
+/// One period of ownership of the partition.
+pub(super) struct ActiveTerm {
+    pub(super) partition: Partition,
     pub(super) leader: Leader,
-    /// Number of the tenancy: answers to an earlier one are dropped.
+    /// Number of the period of ownership: answers to an earlier one are dropped.
     pub(super) n: u64,
     pub(super) grant: u64,
     pub(super) version: u64,
     pub(super) loaded: bool,
-    pub(super) writes: Bucket,
+    pub(super) writes: TokenBucket,
     pub(super) raising: bool,
     pub(super) raise_after_ms: u64,
     pub(super) commit_after_ms: u64,
@@ -24,5 +24,5 @@
     pub(super) upkeep_ms: u64,
     pub(super) next_plan_ms: u64,
     /// What the leader says is on its way here.
-    pub(super) coming: Vec<Coming>,
+    pub(super) pending_machines: Vec<PendingMachine>,
 }
--- a/src/holder/cloud_tasks.rs
+++ b/src/owner/cloud_tasks.rs
@@ -1,13 +1,13 @@
 //! Operations of the cloud, and the watch of its machine types and its list.
 
-use super::actor::Holder;
+use super::active_term::ActiveTerm;
+use super::actor::PartitionOwner;
 use super::load::FLAVORS_KEY;
 use super::messages::{SessionEvent, SessionSender};
-use super::tenure::Tenure;
 use crate::clients::{Cloud, RentResult, State};
 use crate::leader::CloudOp;
 use crate::model::Flavor;
-use crate::peer::Ask;
+use crate::peer::PeerRequest;
 use crate::sched::Rental;
 use crate::task;
 use crate::wire;
@@ -17,22 +17,24 @@
 /// The machine types are read in one of so many rounds of the watch.
 const ROUNDS_PER_FLAVORS: u32 = 8;
 
-impl Holder {
+impl PartitionOwner {
     /// Starts an operation.
-    pub(super) fn cloud_op(&self, h: &mut Tenure, op: CloudOp) {
+    pub(super) fn cloud_op(&self, h: &mut ActiveTerm, op: CloudOp) {
         match op {
             CloudOp::Rent { name, rental } => self.rent(h, name, rental),
-            CloudOp::Give { from, host, to } => {
-                let doors = self.doors.clone();
-                task::spawn(async move { doors.ask(from, Ask::Give { part: from, host, to }).await });
+            CloudOp::TransferHost { from, host, to } => {
+                let router = self.router.clone();
+                task::spawn(async move {
+                    router.request(from, PeerRequest::TransferHost { partition: from, host, to }).await
+                });
             }
             CloudOp::Release(hosts) => self.release(h, hosts),
         }
     }
 
-    fn rent(&self, h: &Tenure, name: String, rental: Rental) {
+    fn rent(&self, h: &ActiveTerm, name: String, rental: Rental) {
         let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
-        let flavor = h.part.world.flavors[rental.flavor].name.clone();
+        let flavor = h.partition.cluster.flavors[rental.flavor].name.clone();
         task::spawn(async move {
             let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
             if result == RentResult::Again {
@@ -42,10 +44,10 @@
         });
     }
 
-    fn release(&self, h: &mut Tenure, hosts: Vec<String>) {
+    fn release(&self, h: &mut ActiveTerm, hosts: Vec<String>) {
         let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
         for id in &hosts {
-            h.part.mark_releasing(id);
+            h.partition.mark_releasing(id);
         }
         task::spawn(async move {
             let confirmed = cloud.release(&hosts).await;
@@ -62,24 +64,26 @@
     }
 
     /// Takes in how a rental request ended.
-    pub(super) fn rented(&self, h: &mut Tenure, name: &str, result: RentResult, now: u64) {
+    pub(super) fn rented(&self, h: &mut ActiveTerm, name: &str, result: RentResult, now: u64) {
         if let Some(op) = h.leader.rented(name, result, now) {
             self.cloud_op(h, op);
         }
     }
 
     /// Takes in how a request to release machines ended.
-    pub(super) fn released(&self, h: &mut Tenure, hosts: Vec<String>, confirmed: bool) {
+    pub(super) fn released(&self, h: &mut ActiveTerm, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
             self.cloud_op(h, CloudOp::Release(hosts));
             return;
         }
         h.leader.released(&hosts);
         for id in &hosts {
-            if let Some(addr) = h.part.world.host_ix.get(id).and_then(|ix| h.part.world.host(*ix)?.addr) {
+            if let Some(addr) =
+                h.partition.cluster.host_index.get(id).and_then(|index| h.partition.cluster.host(*index)?.addr)
+            {
                 self.worker.forget(addr);
             }
-            h.part.host_gone(id);
+            h.partition.host_gone(id);
         }
     }
 
--- a/src/holder/commits.rs
+++ b/src/owner/commits.rs
@@ -1,29 +1,29 @@
-//! Commits of the part's records, and raises of its term.
+//! Commits of the partition's records, and raises of its term.
 
-use super::actor::Holder;
+use super::active_term::ActiveTerm;
+use super::actor::PartitionOwner;
 use super::messages::SessionEvent;
-use super::tenure::Tenure;
 use crate::clients::State;
-use crate::membership::{self, PartRecord, RaisedTerm};
-use crate::part::{CommitResult, Superseded};
+use crate::membership::{self, PartitionRecord, RaisedTerm};
+use crate::partition::{CommitResult, Superseded};
 use crate::task;
 use tokio::time::sleep;
 
-impl Holder {
+impl PartitionOwner {
     /// Commits what has changed, or raises the term if that must come first.
-    pub(super) fn commit(&self, h: &mut Tenure, now: u64) {
-        if h.raising || h.part.committing() || now < h.commit_after_ms {
+    pub(super) fn commit(&self, h: &mut ActiveTerm, now: u64) {
+        if h.raising || h.partition.committing() || now < h.commit_after_ms {
             return;
         }
-        if h.part.needs_new_term() && now >= h.raise_after_ms {
+        if h.partition.needs_new_term() && now >= h.raise_after_ms {
             self.raise_term(h);
             return;
         }
-        let ops = h.writes.at_hand(now);
+        let ops = h.writes.available_tokens(now);
         if ops == 0 {
             return;
         }
-        if let Some(c) = h.part.next_commit(now, ops) {
+        if let Some(c) = h.partition.next_commit(now, ops) {
             h.writes.spend(c.apply.len());
             let (state, sender) = (self.state.clone(), self.sender(h.n));
             task::spawn(async move {
@@ -33,14 +33,14 @@
         }
     }
 
-    fn raise_term(&self, h: &mut Tenure) {
+    fn raise_term(&self, h: &mut ActiveTerm) {
         h.raising = true;
         let (state, sender) = (self.state.clone(), self.sender(h.n));
         let (id, node, version, grant) = (self.id, self.settings.node.clone(), h.version, h.grant);
         task::spawn(async move {
             let event = match membership::raise_term(&state, id, &node, version, grant).await {
                 Ok(raised) => SessionEvent::Raised(Some(raised)),
-                Err(CommitResult::Conflict { .. }) => look_at_part(&state, id, grant).await,
+                Err(CommitResult::Conflict { .. }) => read_partition_record(&state, id, grant).await,
                 Err(_) => SessionEvent::Raised(None),
             };
             sender.send(event).await;
@@ -48,54 +48,54 @@
     }
 
     /// Takes in how a commit ended.
-    pub(super) fn committed(&self, h: &mut Tenure, result: CommitResult, now: u64) {
+    pub(super) fn committed(&self, h: &mut ActiveTerm, result: CommitResult, now: u64) {
         if matches!(result, CommitResult::Refused | CommitResult::Unclear) {
             h.commit_after_ms = now + self.settings.react_ms() / 5;
         }
-        match h.part.committed(result) {
+        match h.partition.committed(result) {
             Ok(keys) if !keys.is_empty() => self.reread(h.n, keys),
             Ok(_) => {}
             // It may be our own raise of the term that came late.
             Err(Superseded) => {
                 h.raising = true;
                 let (state, sender, id, grant) = (self.state.clone(), self.sender(h.n), self.id, h.grant);
-                task::spawn(async move { sender.send(look_at_part(&state, id, grant).await).await });
+                task::spawn(async move { sender.send(read_partition_record(&state, id, grant).await).await });
             }
         }
     }
 
     /// Takes in how a raise of the term ended.
-    pub(super) fn raised(&self, h: &mut Tenure, raised: Option<RaisedTerm>, now: u64) {
+    pub(super) fn raised(&self, h: &mut ActiveTerm, raised: Option<RaisedTerm>, now: u64) {
         h.raising = false;
         h.raise_after_ms = now + self.settings.react_ms();
         if let Some(RaisedTerm { term, version }) = raised {
             tracing::info!(term, "raised the term");
-            h.part.set_term(term, version);
+            h.partition.set_term(term, version);
             h.version = version;
         }
     }
 
-    /// Another node has the part: nothing more may be done for it here.
-    pub(super) fn superseded(&self, h: &mut Tenure) {
+    /// Another node has the partition: nothing more may be done for it here.
+    pub(super) fn superseded(&self, h: &mut ActiveTerm) {
         h.loaded = false;
         self.entitled.set(0);
-        let _ = self.members.try_send(membership::Msg::Superseded);
+        let _ = self.members.try_send(membership::Message::Superseded);
     }
 }
 
-/// The part's key is not as it was: what to tell its actor. A raise of the term that had
+/// The partition's key is not as it was: what to tell its actor. A raise of the term that had
 /// no answer may have been carried out late: then the key's grant is still ours, and the
-/// part goes on under the later term.
-async fn look_at_part(state: &State, part: u32, grant: u64) -> SessionEvent {
+/// partition goes on under the later term.
+async fn read_partition_record(state: &State, partition: u32, grant: u64) -> SessionEvent {
     let found = loop {
-        match state.get(&membership::part_key(part)).await {
+        match state.get(&membership::partition_key(partition)).await {
             Ok((item, _)) => break item,
             // While this has no answer nothing can be committed either.
             Err(_) => sleep(state.pause()).await,
         }
     };
     let ours = found.and_then(|i| {
-        let r: PartRecord = serde_json::from_value(i.value).ok()?;
+        let r: PartitionRecord = serde_json::from_value(i.value).ok()?;
         (r.grant == grant).then_some(RaisedTerm { term: r.term, version: i.version })
     });
     ours.map_or(SessionEvent::Superseded, |raised| SessionEvent::Raised(Some(raised)))
--- a/src/holder/dispatch.rs
+++ b/src/owner/dispatch.rs
@@ -1,42 +1,42 @@
 //! Direct commands to workers.
 
-use super::actor::Holder;
+use super::active_term::ActiveTerm;
+use super::actor::PartitionOwner;
 use super::messages::SessionEvent;
-use super::tenure::Tenure;
-use crate::model::HostIx;
+use crate::model::HostIndex;
 use crate::task;
 use crate::wire;
 
-impl Holder {
+impl PartitionOwner {
     /// Asks machines that have not been heard how they are.
-    pub(super) fn probe(&self, h: &mut Tenure, hosts: impl IntoIterator<Item = HostIx>, now: u64) {
+    pub(super) fn probe(&self, h: &mut ActiveTerm, hosts: impl IntoIterator<Item = HostIndex>, now: u64) {
         // Not more than there are places for: one that waits here for its turn
         // would look deaf.
         let (free, kept) = self.worker.places();
         let mut left = free.saturating_sub(kept);
-        for hix in hosts {
+        for host_index in hosts {
             if left == 0 {
                 break;
             }
-            left -= usize::from(self.send_direct(h, hix, now, true));
+            left -= usize::from(self.send_direct(h, host_index, now, true));
         }
     }
 
     /// Sends their orders to the machines that have new ones.
-    pub(super) fn send_orders(&self, h: &mut Tenure, now: u64) {
+    pub(super) fn send_orders(&self, h: &mut ActiveTerm, now: u64) {
         let (mut free, _) = self.worker.places();
-        for hix in std::mem::take(&mut h.part.kick) {
-            if free == 0 || h.part.held_up(hix, now) {
-                h.part.kick.insert(hix);
+        for host_index in std::mem::take(&mut h.partition.pending_dispatch) {
+            if free == 0 || h.partition.held_up(host_index, now) {
+                h.partition.pending_dispatch.insert(host_index);
             } else {
-                free -= usize::from(self.send_direct(h, hix, now, false));
+                free -= usize::from(self.send_direct(h, host_index, now, false));
             }
         }
     }
 
     /// Sends a machine what it is due; false if that is nothing now.
-    fn send_direct(&self, h: &mut Tenure, hix: HostIx, now: u64, probe: bool) -> bool {
-        let Some(command) = h.part.direct(hix, now, probe) else { return false };
+    fn send_direct(&self, h: &mut ActiveTerm, host_index: HostIndex, now: u64, probe: bool) -> bool {
+        let Some(command) = h.partition.direct(host_index, now, probe) else { return false };
         let body = wire::direct(command.term, command.tenure, &command.orders);
         let (worker, sender) = (self.worker.clone(), self.sender(h.n));
         task::spawn(async move {
--- a/src/holder/load.rs
+++ b/src/owner/load.rs
@@ -1,10 +1,10 @@
-//! Reading the part's records from the state service.
+//! Reading the partition's records from the state service.
 
-use super::actor::Holder;
+use super::actor::PartitionOwner;
 use super::messages::SessionEvent;
 use crate::clients::State;
 use crate::model::Flavor;
-use crate::part;
+use crate::partition;
 use crate::task;
 use crate::wire::Item;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     }
 }
 
-impl Holder {
+impl PartitionOwner {
     /// Reads what the state service holds, until that succeeds or the session is over.
     pub(super) fn load(&self, session: u64) {
         let (state, sender) = (self.state.clone(), self.sender(session));
@@ -59,11 +59,11 @@
         });
     }
 
-    /// Reads the record of a machine that may be another part's now.
+    /// Reads the record of a machine that may be another partition's now.
     pub(super) fn recheck(&self, session: u64, host: String) {
         let (state, sender) = (self.state.clone(), self.sender(session));
         task::spawn(async move {
-            if let Ok((item, _)) = state.get(&part::host_key(&host)).await {
+            if let Ok((item, _)) = state.get(&partition::host_key(&host)).await {
                 let record = item.and_then(|i| serde_json::from_value(i.value).ok());
                 sender.send(SessionEvent::Rechecked { host, record }).await;
             }
@@ -73,7 +73,7 @@
     /// Reads the jobs that other nodes accept, for as long as the session lasts.
     pub(super) fn watch_inbox(&self, session: u64) {
         let (state, sender) = (self.state.clone(), self.sender(session));
-        let prefix = part::inbox_key(self.id, "");
+        let prefix = partition::inbox_key(self.id, "");
         let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
         task::spawn(async move {
             while sender.is_current() {
@@ -100,7 +100,7 @@
     let mut items = Vec::new();
     for i in state.list(prefix).await.ok()? {
         let id = i.key.strip_prefix(prefix)?;
-        items.extend(state.get(&part::job_key(id)).await.ok()?.0);
+        items.extend(state.get(&partition::job_key(id)).await.ok()?.0);
     }
     Some(items)
 }
--- a/src/holder/messages.rs
+++ b/src/owner/messages.rs
@@ -1,27 +1,27 @@
-//! Messages to the actor of a part, and its answers.
+//! Messages to the actor of a partition, and its answers.
 
 use super::load::Loaded;
 use crate::clients::RentResult;
 use crate::membership::RaisedTerm;
 use crate::model::{Flavor, HostRecord};
-use crate::part::{CommitResult, Direct, DirectResult, Waiter};
-use crate::peer::{Machines, Needs, Reply, UserCall};
+use crate::partition::{CommitResult, Direct, DirectResult, Waiter};
+use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::wire::{Item, Listed, Order, Report};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages to the actor of a part.
-pub enum Msg {
+/// Messages to the actor of a partition.
+pub enum Message {
     /// A worker reports.
-    Beat { report: Box<Report>, reply: oneshot::Sender<BeatAnswer> },
+    Heartbeat { report: Box<Report>, reply: oneshot::Sender<HeartbeatReply> },
     /// A user asks.
     User { call: UserCall, reply: Waiter },
-    /// Another part tells the leader which machines it needs.
-    Needs { needs: Needs, reply: oneshot::Sender<Reply> },
-    /// The leader asks that a machine be given to another part.
-    Give { host: String, to: u32, reply: oneshot::Sender<Reply> },
-    /// The figures of the part are asked for.
+    /// Another partition tells the leader which machines it needs.
+    CapacityReport { capacity_report: CapacityReport, reply: oneshot::Sender<PeerResponse> },
+    /// The leader asks that a machine be given to another partition.
+    TransferHost { host: String, to: u32, reply: oneshot::Sender<PeerResponse> },
+    /// The figures of the partition are asked for.
     Metrics(oneshot::Sender<String>),
     /// What a background task reports; dropped if its session is over.
     Session { session: u64, event: SessionEvent },
@@ -30,10 +30,10 @@
 /// What background tasks of a session report.
 pub enum SessionEvent {
     /// The leader's answer: machines on their way here, and those that the cloud has refused.
-    Coming { coming: Vec<Machines>, refused: Vec<Machines> },
+    PendingMachine { pending_machines: Vec<Machines>, refused: Vec<Machines> },
     /// The record of a machine as the state service has it now.
     Rechecked { host: String, record: Option<HostRecord> },
-    /// The part's records have been read.
+    /// The partition's records have been read.
     Loaded(Loaded),
     /// A direct command has ended.
     DirectDone { command: Direct, result: DirectResult },
@@ -45,7 +45,7 @@
     Inbox(Vec<Item>),
     /// The term was raised; none if that failed.
     Raised(Option<RaisedTerm>),
-    /// The part has another holder, or none.
+    /// The partition has another owner, or none.
     Superseded,
     /// A rental request has ended.
     Rented { name: String, result: RentResult },
@@ -59,14 +59,14 @@
 
 /// What becomes of a report.
 #[derive(Debug)]
-pub enum BeatAnswer {
+pub enum HeartbeatReply {
     /// The token and the orders.
     Orders { term: u64, orders: Vec<Order> },
     /// This node may not act for the machine now.
     NotEntitled,
-    /// The machine belongs to that part.
+    /// The machine belongs to that partition.
     Elsewhere(u32),
-    /// The machine is not this part's.
+    /// The machine is not this partition's.
     Unknown,
 }
 
@@ -74,14 +74,14 @@
 #[derive(Clone)]
 pub(super) struct SessionSender {
     pub(super) session: u64,
-    pub(super) tx: mpsc::Sender<Msg>,
+    pub(super) tx: mpsc::Sender<Message>,
     pub(super) current: Arc<AtomicU64>,
 }
 
 impl SessionSender {
     /// Reports to the actor; false if it has ended.
     pub(super) async fn send(&self, event: SessionEvent) -> bool {
-        self.tx.send(Msg::Session { session: self.session, event }).await.is_ok()
+        self.tx.send(Message::Session { session: self.session, event }).await.is_ok()
     }
 
     /// True while the session is under way.
--- /dev/null
+++ b/src/owner/mod.rs
@@ -0,0 +1,16 @@
+//! The actor of a partition: owns its state, is spoken to by messages, and carries
+//! out what `partition` and `leader` decide.
+
+mod active_term;
+mod actor;
+mod answers;
+mod cloud_tasks;
+mod commits;
+mod dispatch;
+mod load;
+mod messages;
+mod rounds;
+
+pub use actor::PartitionOwner;
+pub use load::{FLAVORS_KEY, Loaded};
+pub use messages::{HeartbeatReply, Message, SessionEvent};
--- a/src/holder/rounds.rs
+++ b/src/owner/rounds.rs
@@ -1,16 +1,16 @@
 //! What the actor does again and again: upkeep, passes of the scheduler, plans of machines.
 
-use super::actor::Holder;
+use super::active_term::ActiveTerm;
+use super::actor::PartitionOwner;
 use super::messages::SessionEvent;
-use super::tenure::Tenure;
 use crate::clock;
 use crate::membership;
-use crate::peer::{Ask, Needs, Reply};
+use crate::peer::{CapacityReport, PeerRequest, PeerResponse};
 use crate::task;
 
-impl Holder {
+impl PartitionOwner {
     /// Does what is due.
-    pub(super) fn drive(&self, h: &mut Tenure) {
+    pub(super) fn drive(&self, h: &mut ActiveTerm) {
         let now = clock::now_ms();
         if !self.entitled.holds(now) {
             return;
@@ -24,21 +24,21 @@
         if now >= h.next_plan_ms {
             h.next_plan_ms = now + self.settings.react_ms();
             // A waiting task's back-off may have ended, or a hold.
-            h.part.stirred = true;
+            h.partition.pass_due = true;
             timed(h, "plan_ms", "all", |h| self.plan(h, now));
         }
     }
 
     /// Looks after machines that are not heard or not needed.
-    fn upkeep(&self, h: &mut Tenure, now: u64) {
+    fn upkeep(&self, h: &mut ActiveTerm, now: u64) {
         let react = self.settings.react_ms();
         h.next_upkeep_ms = now + react / 3;
         let stalled = now > h.upkeep_ms + 2 * react;
         h.upkeep_ms = now;
-        if !stalled && h.part.cut_off(now) {
-            let _ = self.members.try_send(membership::Msg::Abdicate);
+        if !stalled && h.partition.cut_off(now) {
+            let _ = self.members.try_send(membership::Message::Abdicate);
         }
-        let (release, probe) = h.part.upkeep(now, self.bonds.unbound_ms(now));
+        let (release, probe) = h.partition.upkeep(now, self.promise_status.unbound_ms(now));
         for op in h.leader.release(release) {
             self.cloud_op(h, op);
         }
@@ -46,57 +46,59 @@
     }
 
     /// Plans machines; what is needed goes to the leader.
-    fn plan(&self, h: &mut Tenure, now: u64) {
+    fn plan(&self, h: &mut ActiveTerm, now: u64) {
         let wall = clock::wall_ms();
         if self.id == 0 {
-            h.coming = h.leader.coming(0, &h.part, now, self.patience());
+            h.pending_machines = h.leader.pending_machines(0, &h.partition, now, self.patience());
         }
-        let (needs, mut ops) = h.leader.plan(&mut h.part, &h.coming, now, wall);
+        let (capacity_report, mut ops) = h.leader.plan(&mut h.partition, &h.pending_machines, now, wall);
         if self.id == 0 {
-            ops.extend(h.leader.lead(needs, &h.part, now, self.patience()));
-            h.part.destined = h.leader.destined(0);
+            ops.extend(h.leader.lead(capacity_report, &h.partition, now, self.patience()));
+            h.partition.destined = h.leader.destined(0);
         } else {
-            self.ask_leader(h.n, needs);
+            self.ask_leader(h.n, capacity_report);
         }
         for op in ops {
             self.cloud_op(h, op);
         }
-        for host in std::mem::take(&mut h.part.recheck) {
+        for host in std::mem::take(&mut h.partition.recheck) {
             self.recheck(h.n, host);
         }
     }
 
-    /// Tells the leader what this part needs.
-    fn ask_leader(&self, session: u64, needs: Needs) {
-        let (doors, sender) = (self.doors.clone(), self.sender(session));
+    /// Tells the leader what this partition needs.
+    fn ask_leader(&self, session: u64, capacity_report: CapacityReport) {
+        let (router, sender) = (self.router.clone(), self.sender(session));
         task::spawn(async move {
-            if let Some(Reply::Coming { coming, refused }) = doors.ask(0, Ask::Needs(needs)).await {
-                sender.send(SessionEvent::Coming { coming, refused }).await;
+            if let Some(PeerResponse::PendingMachines { pending_machines, refused }) =
+                router.request(0, PeerRequest::CapacityReport(capacity_report)).await
+            {
+                sender.send(SessionEvent::PendingMachine { pending_machines, refused }).await;
             }
         });
     }
 }
 
 /// Runs the scheduler if there is something to decide.
-fn run_pass(h: &mut Tenure, now: u64) {
-    if h.part.stirred && now >= h.next_pass_ms {
-        let took = timed(h, "pass_ms", "all", |h| h.part.pass(now, clock::wall_ms()));
+fn run_pass(h: &mut ActiveTerm, now: u64) {
+    if h.partition.pass_due && now >= h.next_pass_ms {
+        let took = timed(h, "pass_ms", "all", |h| h.partition.pass(now, clock::wall_ms()));
         // Rounds widen with the load: the costlier, the rarer.
         h.next_pass_ms = now + 2 + 5 * took;
         h.next_urgent_ms = h.next_urgent_ms.max(now + took);
-    } else if h.part.urgent && now >= h.next_urgent_ms {
+    } else if h.partition.urgent_pass_due && now >= h.next_urgent_ms {
         // What is urgent need not wait for the next round of all work.
-        let took = timed(h, "pass_ms", "urgent", |h| h.part.urgent_pass(now, clock::wall_ms()));
+        let took = timed(h, "pass_ms", "urgent", |h| h.partition.urgent_pass(now, clock::wall_ms()));
         h.next_urgent_ms = now + 2 + 5 * took;
     }
 }
 
 /// Does a piece of work and notes how many milliseconds it took.
-fn timed(h: &mut Tenure, name: &'static str, label: &'static str, work: impl FnOnce(&mut Tenure)) -> u64 {
+fn timed(h: &mut ActiveTerm, name: &'static str, label: &'static str, work: impl FnOnce(&mut ActiveTerm)) -> u64 {
     let began = tokio::time::Instant::now();
     work(h);
     let took = began.elapsed().as_millis() as u64;
-    h.part.metrics.observe(name, label, took);
+    h.partition.metrics.observe(name, label, took);
     tracing::debug!(name, label, took, "done");
     took
 }
--- /dev/null
+++ b/src/partition/attempts.rs
@@ -0,0 +1,201 @@
+//! Attempts that end or are lost, and what follows for their tasks and jobs.
+
+use super::Partition;
+use crate::model::{ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange, Urgency};
+
+/// From so many failures on, a task pauses before it is tried again.
+const FAILS_BEFORE_PAUSE: u16 = 2;
+/// The pause doubles with each failure up to this one.
+const LONGEST_PAUSE_FAILS: u16 = 6;
+
+impl Partition {
+    /// An attempt has ended, for this reason.
+    pub(super) fn attempt_ended(
+        &mut self,
+        host_index: HostIndex,
+        key: TaskKey,
+        attempt: u64,
+        reason: ExitReason,
+        now: u64,
+    ) {
+        self.pass_due = true;
+        let job = &self.cluster.jobs[key.job];
+        tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task ended");
+        let shape = job.spec.shape;
+        if reason == ExitReason::Done && shape != Shape::Service {
+            self.copy_completed(host_index, key, now);
+            return;
+        }
+        if !self.free_place(host_index, key, attempt) {
+            return;
+        }
+        match reason {
+            ExitReason::Error | ExitReason::NoSuch => self.task_failed(host_index, key, reason, now),
+            ExitReason::NoRoom | ExitReason::InUse => {
+                if let Some(h) = self.cluster.host_mut(host_index) {
+                    h.blocked_until_ms = now + 2 * self.policy.react_ms;
+                }
+            }
+            _ => {}
+        }
+        if shape == Shape::Gang {
+            self.stop_all(key.job);
+        }
+    }
+
+    /// A task of an array is done, or a gang: its tasks complete together.
+    fn copy_completed(&mut self, host_index: HostIndex, key: TaskKey, now: u64) {
+        let spec = &self.cluster.jobs[key.job].spec;
+        let done: Vec<u32> = if spec.shape == Shape::Gang { (0..spec.tasks).collect() } else { vec![key.task] };
+        self.tasks_done(key.job, &done, now);
+        self.note_success(host_index, key);
+    }
+
+    /// A task is done on a machine: that one is sound, and where the task failed before, the
+    /// machine was at fault.
+    fn note_success(&mut self, sound: HostIndex, key: TaskKey) {
+        if let Some(h) = self.cluster.host_mut(sound) {
+            h.failed_jobs.clear();
+            h.succeeded_elsewhere = false;
+        }
+        let job = &self.cluster.jobs[key.job];
+        let failed = job.spec.shape == Shape::Gang || job.tasks[key.task as usize].fails > 0;
+        for host in job.failed_on.iter().filter(|_| failed) {
+            if let Some(h) = self.cluster.hosts[*host].as_mut().filter(|h| h.failed_jobs.contains(&key.job)) {
+                h.succeeded_elsewhere = true;
+            }
+        }
+    }
+
+    /// The task is idle again, if this attempt was its place; false if it was not.
+    fn free_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
+        let job = &mut self.cluster.jobs[key.job];
+        let task = &mut job.tasks[key.task as usize];
+        if task.place != Place::On(host_index, attempt) {
+            return false;
+        }
+        task.place = Place::Idle;
+        // Urgent work may be what ended, or what waits for the room.
+        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.claims.is_empty());
+        self.urgent_pass_due |= waited_for || job.spec.urgency >= Urgency::High;
+        true
+    }
+
+    /// An attempt has failed: pauses a task that fails wherever it runs, and notes the
+    /// machine.
+    fn task_failed(&mut self, host_index: HostIndex, key: TaskKey, reason: ExitReason, now: u64) {
+        let task = &mut self.cluster.jobs[key.job].tasks[key.task as usize];
+        task.fails = task.fails.saturating_add(1);
+        if task.fails >= FAILS_BEFORE_PAUSE {
+            // Fails wherever it runs: ever longer pauses, so that it
+            // doesn't retake room in each pass.
+            task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
+        }
+        if reason == ExitReason::Error {
+            self.assign_blame(host_index, key.job, now);
+        }
+    }
+
+    /// Blames the machine for a failure, or the job once it has failed on several.
+    fn assign_blame(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
+        let hosts = self.cluster.hosts.len();
+        // Long enough for another machine to boot.
+        let boot_s = self.cluster.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+        let job = &mut self.cluster.jobs[job_index];
+        job.failed_on.insert(host_index);
+        job.avoid_hosts_until_ms = now + 2 * self.policy.lease_ms + (boot_s * 1000.0) as u64;
+        let blames_job = job.failed_on.len() > 1 || hosts == 1;
+        if blames_job {
+            for h in self.cluster.hosts.iter_mut().flatten() {
+                h.failed_jobs.remove(&job_index);
+            }
+        } else if let Some(h) = self.cluster.host_mut(host_index) {
+            h.failed_jobs.insert(job_index);
+        }
+    }
+
+    /// Notes that tasks are done, which is to be recorded.
+    pub(super) fn tasks_done(&mut self, job_index: JobIndex, tasks: &[u32], now: u64) {
+        let job = &mut self.cluster.jobs[job_index];
+        let mut new = 0;
+        for t in tasks {
+            let task = &mut job.tasks[*t as usize];
+            if task.place != Place::Done {
+                task.place = Place::Done;
+                new += 1;
+            }
+        }
+        if new == 0 || job.end.is_some() {
+            return;
+        }
+        job.done += new;
+        if job.done >= job.spec.tasks {
+            // A cancellation that is on its way goes first; else the job is done.
+            if !matches!(job.unsaved, UnsavedChange::End(_)) {
+                job.unsaved = UnsavedChange::End(JobEnd::Done);
+            }
+        } else if job.unsaved == UnsavedChange::Nothing {
+            job.unsaved = UnsavedChange::Progress;
+            job.unsaved_since_ms = now;
+        }
+        self.dirty.insert(job_index);
+        // Another attempt of a task that is done has nothing left to do.
+        if job.spec.shape == Shape::Batch {
+            for h in self.cluster.hosts.iter_mut().flatten() {
+                for c in h.attempts.iter_mut().filter(|c| c.key.job == job_index && tasks.contains(&c.key.task)) {
+                    if !c.ended() && c.stop.is_none() {
+                        c.stop = Some(0.0);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Stops all attempts of a job at once: it is over, or a gang that lost a
+    /// task, whose rest must go before the next attempt.
+    pub(super) fn stop_all(&mut self, job_index: JobIndex) {
+        for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
+            let Some(h) = h else { continue };
+            for c in h.attempts.iter_mut().filter(|c| c.key.job == job_index && !c.ended()) {
+                if c.stop.is_none_or(|g| g > 0.0) {
+                    c.stop = Some(0.0);
+                    self.pending_dispatch.insert(host_index);
+                }
+            }
+        }
+    }
+
+    /// The attempt is certainly not on the machine any more.
+    pub(super) fn lose(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
+        let Some(h) = self.cluster.host_mut(host_index) else { return };
+        let ended = h.attempt_mut(key, attempt).is_some_and(|c| c.ended());
+        h.attempts.retain(|c| c.key != key || c.attempt != attempt);
+        self.pass_due = true;
+        self.attempt_lost(host_index, key, attempt, ended);
+    }
+
+    /// An attempt was lost: its task is idle again, if that was its place.
+    pub(super) fn attempt_lost(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, ended: bool) {
+        let job = &mut self.cluster.jobs[key.job];
+        let task = &mut job.tasks[key.task as usize];
+        if task.place == Place::On(host_index, attempt) {
+            task.place = Place::Idle;
+            self.urgent_pass_due |= job.spec.urgency >= Urgency::High;
+            self.metrics.count("tasks_lost", &job.spec.class);
+            if !ended && job.spec.shape == Shape::Gang {
+                self.stop_all(key.job);
+            }
+        }
+    }
+
+    /// All attempts are gone: the machine, or its lease, ended.
+    pub(super) fn lose_all(&mut self, host_index: HostIndex) {
+        let Some(h) = self.cluster.host_mut(host_index) else { return };
+        let attempts = std::mem::take(&mut h.attempts);
+        h.has_unknown_tasks = false;
+        for c in attempts {
+            self.attempt_lost(host_index, c.key, c.attempt, c.ended());
+        }
+        self.pass_due = true;
+    }
+}
--- a/src/part/direct.rs
+++ b/src/partition/direct.rs
@@ -1,26 +1,26 @@
 //! Commands that are sent straight to a worker.
 
 use super::reports::REPLY_ORDERS;
-use super::upkeep::DEAF;
-use super::{Direct, DirectResult, Part, Via};
-use crate::model::{Copy, HostIx, TaskPhase};
+use super::upkeep::UNREACHABLE_AFTER_MISSES;
+use super::{Direct, DirectResult, Partition, ReportSource};
+use crate::model::{HostIndex, TaskAttempt, TaskPhase};
 use crate::wire::Order;
 
-/// After a command without an answer: the pause, as a part of the reaction time.
+/// After a command without an answer: the pause, as a partition of the reaction time.
 const RETRY_DIVISOR: u64 = 4;
 /// After an answer that left something to be told: the same.
 const FOLLOW_UP_DIVISOR: u64 = 20;
 
-impl Part {
+impl Partition {
     /// True if a machine must wait before it can be sent its next command.
-    pub fn held_up(&self, hix: HostIx, now: u64) -> bool {
-        self.world.host(hix).is_some_and(|h| h.do_in_flight || now < h.do_after_ms)
+    pub fn held_up(&self, host_index: HostIndex, now: u64) -> bool {
+        self.cluster.host(host_index).is_some_and(|h| h.do_in_flight || now < h.do_after_ms)
     }
 
     /// The direct command that a machine is due, if any.
-    pub fn direct(&mut self, hix: HostIx, now: u64, probe: bool) -> Option<Direct> {
+    pub fn direct(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<Direct> {
         let term = self.term;
-        let h = self.world.hosts.get_mut(hix)?.as_mut()?;
+        let h = self.cluster.hosts.get_mut(host_index)?.as_mut()?;
         let addr = h.addr?;
         if h.do_in_flight || now < h.do_after_ms {
             return None;
@@ -28,10 +28,10 @@
         // A machine that has not seen our token is shown it, and its tasks are
         // read from the answer. Its tenure may not be known yet: then the answer
         // tells it.
-        let probe = probe || !h.shown();
+        let probe = probe || !h.token_confirmed();
         let mut orders = Vec::new();
-        for c in h.copies.iter_mut().filter(|_| h.accounted) {
-            let id = &self.world.jobs[c.key.job].spec.id;
+        for c in h.attempts.iter_mut().filter(|_| h.accounted) {
+            let id = &self.cluster.jobs[c.key.job].spec.id;
             match (c.phase, c.stop) {
                 (TaskPhase::Ended(_), _) => {}
                 (TaskPhase::Saving, Some(grace)) if grace > 0.0 => {}
@@ -50,15 +50,15 @@
             return None;
         }
         h.do_in_flight = true;
-        Some(Direct { host: hix, id: h.id.clone(), addr, term, tenure: h.tenure, orders })
+        Some(Direct { host: host_index, id: h.id.clone(), addr, term, tenure: h.tenure, orders })
     }
 
     /// Takes the result of a direct command.
     pub fn direct_done(&mut self, d: &Direct, result: DirectResult, now: u64) {
         let retry = now + self.policy.react_ms / RETRY_DIVISOR;
-        let Some(h) = self.world.host_mut(d.host).filter(|h| h.id == d.id) else { return };
+        let Some(h) = self.cluster.host_mut(d.host).filter(|h| h.id == d.id) else { return };
         h.do_in_flight = false;
-        for c in h.copies.iter_mut().filter(|c| c.in_flight) {
+        for c in h.attempts.iter_mut().filter(|c| c.in_flight) {
             c.in_flight = false;
             if matches!(result, DirectResult::Unclear) {
                 // It may be carried out minutes later.
@@ -68,7 +68,7 @@
         match result {
             DirectResult::Answered(r) => {
                 if r.host == d.id {
-                    self.report(&r, Via::Direct, now);
+                    self.report(&r, ReportSource::Direct, now);
                 }
                 self.follow_up(d.host, now);
             }
@@ -80,24 +80,24 @@
     }
 
     /// What came up while a command was under way can't wait for the next report.
-    fn follow_up(&mut self, hix: HostIx, now: u64) {
+    fn follow_up(&mut self, host_index: HostIndex, now: u64) {
         let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
-        if let Some(h) = self.world.host_mut(hix)
-            && (!h.shown() || h.copies.iter().any(order_due))
+        if let Some(h) = self.cluster.host_mut(host_index)
+            && (!h.token_confirmed() || h.attempts.iter().any(order_due))
         {
             h.do_after_ms = now + pause;
-            self.kick.insert(hix);
+            self.pending_dispatch.insert(host_index);
         }
     }
 
-    /// True if a copy, or a record of a machine, can only be settled by a higher token.
+    /// True if an attempt, or a record of a machine, can only be settled by a higher token.
     pub fn needs_new_term(&self) -> bool {
         self.moves_may_be_undone()
-            || self.world.each_host().any(|(_, h)| h.fence > self.term)
-            || self.world.each_host().any(|(_, h)| {
+            || self.cluster.each_host().any(|(_, h)| h.fence > self.term)
+            || self.cluster.each_host().any(|(_, h)| {
                 // One that answers nothing would not show that it has seen it.
-                h.missed < DEAF
-                    && h.copies
+                h.missed < UNREACHABLE_AFTER_MISSES
+                    && h.attempts
                         .iter()
                         .any(|c| c.risk.is_some_and(|t| t >= self.term) && (c.stop.is_some() || c.ended()))
             })
@@ -105,7 +105,7 @@
 }
 
 /// Has the worker still to be told to start or stop it?
-fn order_due(c: &Copy) -> bool {
+fn order_due(c: &TaskAttempt) -> bool {
     match (c.phase, c.stop) {
         (TaskPhase::Ended(_), _) => false,
         (TaskPhase::Saving, Some(grace)) => grace <= 0.0,
--- a/src/part/meeting_tests.rs
+++ b/src/partition/fault_combination_tests.rs
@@ -1,4 +1,4 @@
-//! Meetings of two troubles, as one part sees them.
+//! Combinations of two faults, as one partition sees them.
 
 use super::tests::*;
 use super::*;
@@ -8,33 +8,37 @@
 use tokio::sync::oneshot;
 
 /// Takes all commits that are due, with this answer to each.
-fn commits(p: &mut Part, now: u64, revision: u64) {
+fn commits(p: &mut Partition, now: u64, revision: u64) {
     while p.next_commit(now, 32).is_some() {
         p.committed(CommitResult::Done { revision }).unwrap();
     }
 }
 
-fn cancel(p: &mut Part, id: &str, now: u64, recordable: bool) -> oneshot::Receiver<UserAnswer> {
+fn cancel(p: &mut Partition, id: &str, now: u64, recordable: bool) -> oneshot::Receiver<UserAnswer> {
     let (tx, rx) = oneshot::channel();
     p.cancel(id, now, recordable, tx);
     rx
 }
 
-fn done_on_h1(p: &mut Part, now: u64) {
+fn done_on_h1(p: &mut Partition, now: u64) {
     let a = attempt(p, 0);
-    p.report(&report("h1", 1, now, 1, vec![reported("run-000001/0", a, "ended", Some("done"))]), Via::Beat, now);
+    p.report(
+        &report("h1", 1, now, 1, vec![reported("run-000001/0", a, "ended", Some("done"))]),
+        ReportSource::Heartbeat,
+        now,
+    );
 }
 
-fn phase_told(p: &Part) -> Option<JobPhase> {
+fn phase_told(p: &Partition) -> Option<JobPhase> {
     match p.status("run-000001") {
         UserAnswer::Status { phase, .. } => Some(phase),
-        UserAnswer::Later(_) => None,
+        UserAnswer::RetryLater(_) => None,
         other => panic!("{other:?}"),
     }
 }
 
 // An end that was sent may have been carried out, and another node may have read it and
-// told it. Until that is settled the holder, whose memory has no end yet, says nothing.
+// told it. Until that is settled the owner, whose memory has no end yet, says nothing.
 #[test]
 fn nothing_older_is_told_while_an_end_may_have_been_recorded() {
     for at_once in [true, false] {
@@ -44,7 +48,7 @@
         p.next_commit(1100, 32).unwrap();
         assert_eq!(phase_told(&p), None, "under way");
         let mut again = submit(&mut p, &body("run-000001", "batch", 1), 1100);
-        assert!(matches!(again.try_recv(), Ok(UserAnswer::Later(_))), "nor is a repeated submission");
+        assert!(matches!(again.try_recv(), Ok(UserAnswer::RetryLater(_))), "nor is a repeated submission");
         p.committed(CommitResult::Unclear).unwrap();
         assert_eq!(phase_told(&p), None, "it may have been carried out");
         // A later sending that is certainly refused settles nothing about the first.
@@ -82,14 +86,14 @@
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
     p.committed(CommitResult::Unclear).unwrap();
-    let value = serde_json::to_value(JobRecord::of(&p.world.jobs[0], None, 10)).unwrap();
+    let value = serde_json::to_value(JobRecord::of(&p.cluster.jobs[0], None, 10)).unwrap();
     let item = |version| Item { key: "job/run-000001".into(), value: value.clone(), version };
     p.reread(item(100));
     assert_eq!(phase_told(&p), None, "it may still come");
     p.reread(item(103));
     assert_eq!(phase_told(&p), Some(JobPhase::Pending), "it guards on a version that is gone");
     p.reread(item(101));
-    assert_eq!(p.world.jobs[0].version, 103, "an answer that was overtaken");
+    assert_eq!(p.cluster.jobs[0].version, 103, "an answer that was overtaken");
 }
 
 // The state service is out, or refuses this node: the user is refused at once, what can
@@ -98,14 +102,18 @@
 fn a_cancellation_in_an_outage_stops_what_can_be_reached() {
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
-    p.report(&report("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]), Via::Beat, 1100);
+    p.report(&report("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Heartbeat, 1100);
     let mut rx = cancel(&mut p, "run-000001", 1200, false);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Later(_))));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
     let d = p.direct(0, 1200, false).unwrap();
     assert!(matches!(d.orders[..], [Order::Stop { .. }]));
-    p.report(&report("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]), Via::Direct, 1300);
+    p.report(
+        &report("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
+        ReportSource::Direct,
+        1300,
+    );
     p.pass(1300, 1300);
-    assert_eq!(p.world.jobs[0].tasks[0].place, Place::Idle, "and not started again");
+    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "and not started again");
     commits(&mut p, 1400, 101);
     assert_eq!(phase_told(&p), Some(JobPhase::Cancelled));
 }
@@ -113,30 +121,34 @@
 #[test]
 fn a_cancellation_that_a_silent_machine_holds_up_is_refused_at_once() {
     let mut p = running("service", 1);
-    p.world.host_mut(0).unwrap().missed = DEAF;
+    p.cluster.host_mut(0).unwrap().missed = UNREACHABLE_AFTER_MISSES;
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Later(_))));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
     p.host_gone("h1");
     commits(&mut p, 1300, 101);
     assert_eq!(phase_told(&p), Some(JobPhase::Cancelled), "and recorded without being asked again");
 }
 
 // Jobs cancelled in the seconds in which work changes hands: the task is first seen when
-// its machine answers the new holder, after the user asked. It ran on, and the job could
+// its machine answers the new owner, after the user asked. It ran on, and the job could
 // neither be called cancelled nor end.
 #[test]
 fn a_task_first_seen_after_its_cancellation_was_asked_for_is_stopped() {
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
-    let mut p = part_of(5, jobs, hosts);
+    let mut p = partition_of(5, jobs, hosts);
     let mut rx = cancel(&mut p, "run-000001", 1100, true);
     assert!(p.next_commit(1100, 32).is_none() && rx.try_recv().is_err(), "it may be on h1");
     let there = report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]);
-    let orders = p.report(&there, Via::Beat, 1200);
+    let orders = p.report(&there, ReportSource::Heartbeat, 1200);
     assert!(matches!(orders[..], [Order::Stop { .. }]));
     assert!(p.next_commit(1200, 32).is_none());
-    p.report(&report("h1", 1, 8, 5, vec![reported("run-000001/0", a, "ended", Some("halted"))]), Via::Beat, 1300);
+    p.report(
+        &report("h1", 1, 8, 5, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
+        ReportSource::Heartbeat,
+        1300,
+    );
     commits(&mut p, 1300, 101);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
@@ -148,69 +160,73 @@
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
-    let mut p = part_of(5, jobs, hosts);
-    p.report(&report("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]), Via::Beat, 1100);
+    let mut p = partition_of(5, jobs, hosts);
+    p.report(&report("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]), ReportSource::Heartbeat, 1100);
     assert!(p.next_commit(1100, 32).is_none(), "not registered");
-    let quiet_from = |p: &Part| (2000..9000).find(|now| p.cut_off(*now));
+    let quiet_from = |p: &Partition| (2000..9000).find(|now| p.cut_off(*now));
     for i in 0..4 {
-        p.report(&report(&format!("g{i}"), 1, 9, 4, vec![]), Via::Beat, 1100);
+        p.report(&report(&format!("g{i}"), 1, 9, 4, vec![]), ReportSource::Heartbeat, 1100);
     }
     assert_eq!(quiet_from(&p), None, "nor does its silence count");
     // Where the task really is, it stays.
-    let orders = p.report(&report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]), Via::Beat, 1200);
+    let orders = p.report(
+        &report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]),
+        ReportSource::Heartbeat,
+        1200,
+    );
     assert!(orders.is_empty());
-    assert_eq!(p.world.jobs[0].tasks[0].place, Place::On(0, a));
+    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
     // The same of the machine itself, with what was there before.
-    let mut p = part_of(5, items(&mut old).0, items(&mut old).1);
-    p.report(&report("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]), Via::Beat, 1100);
-    p.report(&report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]), Via::Direct, 1200);
-    assert_eq!(p.world.jobs[0].tasks[0].place, Place::On(0, a));
+    let mut p = partition_of(5, items(&mut old).0, items(&mut old).1);
+    p.report(&report("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]), ReportSource::Heartbeat, 1100);
+    p.report(&report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Direct, 1200);
+    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
 }
 
-// New machines get work at once, but only after they were shown a token of this holder.
+// New machines get work at once, but only after they were shown a token of this owner.
 #[test]
 fn a_new_machine_is_asked_at_once_and_used_when_it_answers() {
-    let mut p = part();
+    let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "service", 1), 1000);
-    p.report(&report("h1", 1, 1, 0, vec![]), Via::Beat, 1000);
+    p.report(&report("h1", 1, 1, 0, vec![]), ReportSource::Heartbeat, 1000);
     commits(&mut p, 1000, 100);
     p.pass(1000, 1000);
-    assert_eq!(p.world.jobs[0].tasks[0].place, Place::Idle);
-    assert!(p.kick.contains(&0));
+    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
+    assert!(p.pending_dispatch.contains(&0));
     let d = p.direct(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
     p.direct_done(&d, DirectResult::Answered(Box::new(report("h1", 1, 2, 1, vec![]))), 1020);
     commits(&mut p, 1020, 101);
     p.pass(1030, 1030);
-    assert!(matches!(p.world.jobs[0].tasks[0].place, Place::On(0, _)));
+    assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(0, _)));
 }
 
-// Two copies of a task, one of them unwanted and told to stop: when the wanted one is
+// Two attempts of a task, one of them unwanted and told to stop: when the wanted one is
 // lost, the task is on a machine all the same and must not be started elsewhere.
 #[test]
 fn a_task_with_a_copy_that_lingers_is_not_started_again() {
     let mut old = running("service", 2);
     let (jobs, hosts) = items(&mut old);
-    let mut p = part_of(5, jobs, hosts);
+    let mut p = partition_of(5, jobs, hosts);
     let on = |host: &str, n, a| report(host, 1, n, 5, vec![reported("run-000001/0", a, "running", None)]);
-    p.report(&on("h1", 7, 8), Via::Beat, 1100);
-    p.report(&on("h2", 1, 9), Via::Beat, 1100);
-    p.report(&report("h3", 1, 1, 5, vec![]), Via::Beat, 1100);
+    p.report(&on("h1", 7, 8), ReportSource::Heartbeat, 1100);
+    p.report(&on("h2", 1, 9), ReportSource::Heartbeat, 1100);
+    p.report(&report("h3", 1, 1, 5, vec![]), ReportSource::Heartbeat, 1100);
     commits(&mut p, 1100, 101);
-    p.report(&report("h1", 1, 8, 5, vec![]), Via::Beat, 1200);
-    let place = |p: &Part, n: usize| p.world.jobs[0].tasks[n].place;
+    p.report(&report("h1", 1, 8, 5, vec![]), ReportSource::Heartbeat, 1200);
+    let place = |p: &Partition, n: usize| p.cluster.jobs[0].tasks[n].place;
     p.pass(1200, 1200);
     assert_eq!(place(&p, 0), Place::Idle, "its copy on h2 is being stopped");
     assert!(matches!(place(&p, 1), Place::On(..)), "the other one is nowhere");
-    p.report(&report("h2", 1, 2, 5, vec![]), Via::Beat, 1300);
+    p.report(&report("h2", 1, 2, 5, vec![]), ReportSource::Heartbeat, 1300);
     p.pass(1300, 1300);
     assert!(matches!(place(&p, 0), Place::On(..)));
 }
 
-// A raise of the term that was carried out late makes the next commit fail on the part's
+// A raise of the term that was carried out late makes the next commit fail on the partition's
 // key. What that commit was to say is not lost.
 #[test]
-fn what_a_superseded_commit_held_is_written_again_if_the_part_is_still_ours() {
+fn what_a_superseded_commit_held_is_written_again_if_the_partition_is_still_ours() {
     let mut p = running("batch", 1);
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
@@ -228,13 +244,13 @@
 fn a_team_at_its_limit_waits_for_what_unaccounted_machines_may_hold() {
     let mut old = running("service", 8);
     let (jobs, hosts) = items(&mut old);
-    let mut p = part_of(5, jobs, hosts);
+    let mut p = partition_of(5, jobs, hosts);
     p.policy.teams.get_mut("red").unwrap().limit.gpus = 8.0;
-    p.report(&report("h2", 1, 2, 5, vec![]), Via::Beat, 1100);
+    p.report(&report("h2", 1, 2, 5, vec![]), ReportSource::Heartbeat, 1100);
     let _rx = cancel(&mut p, "run-000001", 1100, true);
     let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
     commits(&mut p, 1100, 101);
-    let second = |p: &Part| p.world.jobs[1].tasks[0].place;
+    let second = |p: &Partition| p.cluster.jobs[1].tasks[0].place;
     p.pass(1200, 1200);
     assert_eq!(second(&p), Place::Idle, "the cancelled job may still be on h1");
     p.host_gone("h1");
@@ -247,7 +263,7 @@
 // to the user who had meanwhile asked to cancel the job.
 #[test]
 fn a_job_found_to_exist_is_not_created_again() {
-    let mut p = part();
+    let mut p = partition();
     let mut first = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     let c = p.next_commit(1000, 32).unwrap();
     p.committed(CommitResult::Unclear).unwrap();
@@ -266,24 +282,24 @@
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
-// Writes of machines' records guard on the part's key alone. One without an answer may be
-// carried out after the machine has moved to another part: first a new term, which changes
-// that key. With one part there are no moves, and no term is spent on it.
+// Writes of machines' records guard on the partition's key alone. One without an answer may be
+// carried out after the machine has moved to another partition: first a new term, which changes
+// that key. With one partition there are no moves, and no term is spent on it.
 #[test]
 fn no_machine_moves_while_a_late_write_may_undo_it() {
-    for parts in [1, 2] {
-        let mut p = part();
-        p.teams.insert("blue".into(), parts - 1);
-        p.report(&report("h1", 1, 1, 1, vec![]), Via::Beat, 1000);
+    for partitions in [1, 2] {
+        let mut p = partition();
+        p.teams.insert("blue".into(), partitions - 1);
+        p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
         p.next_commit(1000, 32).unwrap();
         p.committed(CommitResult::Unclear).unwrap();
         commits(&mut p, 1100, 101);
-        assert_eq!(p.needs_new_term(), parts > 1);
-        if parts > 1 {
-            assert!(!p.give("h1", 1), "the first write may still come");
+        assert_eq!(p.needs_new_term(), partitions > 1);
+        if partitions > 1 {
+            assert!(!p.transfer_host("h1", 1), "the first write may still come");
             p.set_term(2, 90);
-            p.report(&report("h1", 1, 2, 2, vec![]), Via::Beat, 1200);
-            assert!(!p.needs_new_term() && p.give("h1", 1));
+            p.report(&report("h1", 1, 2, 2, vec![]), ReportSource::Heartbeat, 1200);
+            assert!(!p.needs_new_term() && p.transfer_host("h1", 1));
         }
     }
 }
--- a/src/part/fleet_tests.rs
+++ b/src/partition/fleet_tests.rs
@@ -1,4 +1,4 @@
-//! A part with a scripted fleet of 1,500 machines on a fake clock. What is counted
+//! A partition with a scripted fleet of 1,500 machines on a fake clock. What is counted
 //! is work, writes and bytes, not time.
 
 use super::*;
@@ -63,9 +63,9 @@
     }
 }
 
-/// The part, its leader, its machines, and what was counted.
+/// The partition, its leader, its machines, and what was counted.
 struct Fleet {
-    part: Part,
+    partition: Partition,
     leader: Leader,
     machines: BTreeMap<String, Machine>,
     rng: StdRng,
@@ -107,10 +107,10 @@
         let guarantee = s.params.objectives[0].clone();
         s.params.objectives.push(Objective { kind: "guarantee".into(), class: None, within_s: Some(5.0), ..guarantee });
         let policy = Policy::new(&s, &Operator::default(), 0);
-        let mut part = Part::new(policy, 0, s.parts_of_teams(1), 32, 32.0);
-        part.begin(1, 77, vec![], vec![], types(), 1000);
+        let mut partition = Partition::new(policy, 0, s.partitions_of_teams(1), 32, 32.0);
+        partition.begin(1, 77, vec![], vec![], types(), 1000);
         Fleet {
-            part,
+            partition,
             leader: Leader::new(10.0),
             machines: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
@@ -146,7 +146,7 @@
             "preemptible": shape == "batch", "expected_s": 60.0, "checkpoint_every_s": 0.0, "flush_s": 0.0,
             "due_s": due});
         let (tx, rx) = oneshot::channel();
-        self.part.submit(body.to_string().as_bytes(), self.now, self.now, tx);
+        self.partition.submit(body.to_string().as_bytes(), self.now, self.now, tx);
         self.waiting.push(rx);
     }
 
@@ -168,27 +168,27 @@
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| now >= m.next_ms) {
             m.next_ms = now + REPORT;
             let r = m.report(id, now);
-            let orders = self.part.report(&r, Via::Beat, now);
-            m.fence = m.fence.max(self.part.term);
+            let orders = self.partition.report(&r, ReportSource::Heartbeat, now);
+            m.fence = m.fence.max(self.partition.term);
             m.carry_out(&orders, now, 60_000);
         }
-        if self.part.stirred && now >= self.next_pass {
-            self.part.pass(now, now);
+        if self.partition.pass_due && now >= self.next_pass {
+            self.partition.pass(now, now);
             self.next_pass = now + 200;
         }
-        for hix in std::mem::take(&mut self.part.kick) {
-            let Some(d) = self.part.direct(hix, now, false) else { continue };
+        for host_index in std::mem::take(&mut self.partition.pending_dispatch) {
+            let Some(d) = self.partition.direct(host_index, now, false) else { continue };
             let m = self.machines.get_mut(&d.id).unwrap();
             if m.next_ms == u64::MAX {
-                self.part.direct_done(&d, DirectResult::NotSent, now);
+                self.partition.direct_done(&d, DirectResult::NotSent, now);
                 continue;
             }
             m.carry_out(&d.orders, now, 60_000);
             let r = m.report(&d.id, now);
-            self.part.direct_done(&d, DirectResult::Answered(Box::new(r)), now);
+            self.partition.direct_done(&d, DirectResult::Answered(Box::new(r)), now);
         }
         if now >= self.next_commit
-            && let Some(c) = self.part.next_commit(now, 32)
+            && let Some(c) = self.partition.next_commit(now, 32)
         {
             self.next_commit = now + c.apply.len() as u64 * 7;
             self.writes += c.apply.len();
@@ -200,15 +200,15 @@
                     self.stored.remove(key);
                 }
             }
-            self.part.committed(CommitResult::Done { revision: now }).unwrap();
+            self.partition.committed(CommitResult::Done { revision: now }).unwrap();
         }
         if now >= self.next_plan {
             self.next_plan = now + 1100;
-            self.part.upkeep(now, 0);
-            let coming = self.leader.coming(0, &self.part, now, 5000);
-            let (needs, mut ops) = self.leader.plan(&mut self.part, &coming, now, now);
-            self.leader.listed(&[], &self.part, now);
-            ops.extend(self.leader.lead(needs, &self.part, now, 5000));
+            self.partition.upkeep(now, 0);
+            let pending_machines = self.leader.pending_machines(0, &self.partition, now, 5000);
+            let (capacity_report, mut ops) = self.leader.plan(&mut self.partition, &pending_machines, now, now);
+            self.leader.listed(&[], &self.partition, now);
+            ops.extend(self.leader.lead(capacity_report, &self.partition, now, 5000));
             for op in ops {
                 if let CloudOp::Rent { name, .. } = op {
                     self.rentals += 1;
@@ -233,14 +233,14 @@
         assert!(self.largest_commit <= 64 * 1024, "{} bytes", self.largest_commit);
     }
 
-    /// Another holder takes over with what is stored; the machines named are dead.
+    /// Another owner takes over with what is stored; the machines named are dead.
     fn take_over(&mut self, term: u64) {
         let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(k, _)| k.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
-        let policy = self.part.policy.clone();
-        self.part = Part::new(policy, 0, self.part.teams.clone(), 32, 32.0);
-        self.part.begin(term, 78, jobs, hosts, types(), self.now);
+        let policy = self.partition.policy.clone();
+        self.partition = Partition::new(policy, 0, self.partition.teams.clone(), 32, 32.0);
+        self.partition.begin(term, 78, jobs, hosts, types(), self.now);
     }
 }
 
@@ -259,13 +259,17 @@
             f.submit("sweep", "batch", "standard", 60, (5.0, 1.0, 35.0));
             f.submit("surge", "service", "urgent", 3, (5.0, 1.0, 35.0));
         }
-        let before = f.part.looked;
+        let before = f.partition.hosts_examined;
         f.step();
-        most = most.max(f.part.looked - before);
+        most = most.max(f.partition.hosts_examined - before);
     }
     f.check();
-    let running: usize = f.part.world.each_host().map(|(_, h)| h.copies.len()).sum();
-    assert!(running > 5000 && f.part.unplaced.len() > 50, "{running} tasks, {} jobs wait", f.part.unplaced.len());
+    let running: usize = f.partition.cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
+    assert!(
+        running > 5000 && f.partition.unplaced.len() > 50,
+        "{running} tasks, {} jobs wait",
+        f.partition.unplaced.len()
+    );
     // A pass looks at each machine once for a job that it places, not for each of its tasks.
     assert!(most <= 150 * 1500, "{most} machines looked at in a pass");
     assert!(f.writes <= 2 * f.jobs as usize + 1500, "{} writes for {} jobs", f.writes, f.jobs);
@@ -282,15 +286,15 @@
     for _ in 0..60 {
         f.step();
     }
-    assert!(!f.part.world.all_accounted, "nothing was heard of the dead ones");
+    assert!(!f.partition.cluster.all_accounted, "nothing was heard of the dead ones");
     f.check();
     dead.iter().for_each(|id| {
         f.machines.remove(id);
-        f.part.host_gone(id);
+        f.partition.host_gone(id);
     });
     for _ in 0..20 {
         f.step();
     }
-    assert!(f.part.world.all_accounted);
+    assert!(f.partition.cluster.all_accounted);
     f.check();
 }
--- a/src/part/keys.rs
+++ b/src/partition/keys.rs
@@ -6,7 +6,7 @@
 pub(super) const JOB_PREFIX: &str = "job/";
 /// Prefix of the keys of machines in the registry.
 pub(super) const HOST_PREFIX: &str = "host/";
-/// The description of a job may take one part in so many of a value: the rest is for
+/// The description of a job may take one partition in so many of a value: the rest is for
 /// its progress.
 const SPEC_SHARE: usize = 3;
 
@@ -20,9 +20,9 @@
     format!("{HOST_PREFIX}{id}")
 }
 
-/// Key that tells the holder of a part of a job that another node accepted.
-pub fn inbox_key(part: u32, id: &str) -> String {
-    format!("in/{part}/{id}")
+/// Key that tells the owner of a partition of a job that another node accepted.
+pub fn inbox_key(partition: u32, id: &str) -> String {
+    format!("in/{partition}/{id}")
 }
 
 /// The refusal of a job whose record would be too large.
--- a/src/part/mod.rs
+++ b/src/partition/mod.rs
@@ -1,14 +1,14 @@
-//! The protocol of a part, without I/O and clock: its jobs, its machines, what
+//! The protocol of a partition, without I/O and clock: its jobs, its machines, what
 //! reports and answers mean, which orders follow, what must be recorded.
 
 mod attempts;
 mod direct;
 mod drain;
 #[cfg(test)]
+mod fault_combination_tests;
+#[cfg(test)]
 mod fleet_tests;
 mod keys;
-#[cfg(test)]
-mod meeting_tests;
 mod passes;
 mod records;
 mod reports;
@@ -20,73 +20,75 @@
 mod users;
 
 pub use keys::{TOO_LONG, fits, host_key, inbox_key, job_key};
-pub use types::{Belongs, Commit, CommitResult, Direct, DirectResult, Saved, Superseded, UserAnswer, Via, Waiter};
-pub use upkeep::DEAF;
+pub use types::{
+    Commit, CommitResult, Direct, DirectResult, HostRouting, PendingWrite, ReportSource, Superseded, UserAnswer, Waiter,
+};
+pub use upkeep::UNREACHABLE_AFTER_MISSES;
 
 use crate::metrics::Metrics;
-use crate::model::{HostIx, JobIx, World};
+use crate::model::{ClusterState, HostIndex, JobIndex};
 use crate::sched::Policy;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// The state of one part, and the protocol over it.
-pub struct Part {
-    pub world: World,
+/// The state of one partition, and the protocol over it.
+pub struct Partition {
+    pub cluster: ClusterState,
     pub policy: Policy,
     pub metrics: Metrics,
     pub term: u64,
-    /// The term with which this holder began: it may have raised it since.
+    /// The term with which this owner began: it may have raised it since.
     first_term: u64,
-    /// This part's number, and whether its holder leads.
+    /// This partition's number, and whether its owner leads.
     pub id: u32,
     teams: HashMap<String, u32>,
-    /// Machines of other parts, as far as the leader knows.
+    /// Machines of other partitions, as far as the leader knows.
     pub elsewhere: HashMap<String, u32>,
     /// Machines whose record is to be read again.
     pub recheck: BTreeSet<String>,
     /// Where machines go that are on their way, by name; others stay here.
     pub destined: HashMap<String, u32>,
-    part_key: String,
-    part_version: u64,
+    partition_key: String,
+    partition_version: u64,
     begun_ms: u64,
     next_attempt: u64,
-    dirty: BTreeSet<JobIx>,
-    new_hosts: BTreeSet<HostIx>,
+    dirty: BTreeSet<JobIndex>,
+    new_hosts: BTreeSet<HostIndex>,
     /// Keys that are of no more use.
-    gone_keys: BTreeSet<String>,
+    obsolete_keys: BTreeSet<String>,
     /// Names of machines that were released: late copies of their reports mean nothing.
     released: HashSet<String>,
-    /// The version of the part's key under which a record of a machine was written without
-    /// an answer. Such a write may come late, after the machine has moved to another part
+    /// The version of the partition's key under which a record of a machine was written without
+    /// an answer. Such a write may come late, after the machine has moved to another partition
     /// or back, and undo that; it can't once the key has changed.
     open_host_write: Option<u64>,
-    in_flight: Option<Vec<Saved>>,
+    in_flight: Option<Vec<PendingWrite>>,
     /// Who waits for a job to be accepted, and for it to end.
-    submitters: HashMap<JobIx, Vec<Waiter>>,
-    cancellers: HashMap<JobIx, Vec<Waiter>>,
+    submitters: HashMap<JobIndex, Vec<Waiter>>,
+    cancellers: HashMap<JobIndex, Vec<Waiter>>,
     /// Jobs whose cancellation waits for their tasks to be gone.
-    cancelling: BTreeSet<JobIx>,
+    cancelling: BTreeSet<JobIndex>,
     /// Machines that have orders to get without waiting for their next report.
-    pub kick: BTreeSet<HostIx>,
+    pub pending_dispatch: BTreeSet<HostIndex>,
     /// Something changed that a pass may use.
-    pub stirred: bool,
+    pub pass_due: bool,
     /// The same, for urgent work.
-    pub urgent: bool,
-    pub unplaced: Vec<JobIx>,
+    pub urgent_pass_due: bool,
+    pub unplaced: Vec<JobIndex>,
     /// Machines that passes have looked at so far.
-    pub looked: u64,
+    pub hosts_examined: u64,
     txn_ops: usize,
     value_bytes: usize,
     last_upkeep_ms: u64,
 }
 
-impl Part {
-    /// A part whose records were not read yet.
-    pub fn new(policy: Policy, id: u32, teams: HashMap<String, u32>, txn_ops: usize, value_kb: f64) -> Part {
-        Part {
-            world: World { all_accounted: true, ..World::default() },
+impl Partition {
+    /// A partition whose records were not read yet.
+    pub fn new(policy: Policy, id: u32, teams: HashMap<String, u32>, txn_ops: usize, value_kb: f64) -> Partition {
+        Partition {
+            cluster: ClusterState { all_accounted: true, ..ClusterState::default() },
             policy,
             metrics: Metrics::default(),
             term: 0,
@@ -96,24 +98,24 @@
             elsewhere: HashMap::new(),
             recheck: BTreeSet::new(),
             destined: HashMap::new(),
-            part_key: crate::membership::part_key(id),
-            part_version: 0,
+            partition_key: crate::membership::partition_key(id),
+            partition_version: 0,
             begun_ms: 0,
             next_attempt: 0,
             dirty: BTreeSet::new(),
             new_hosts: BTreeSet::new(),
-            gone_keys: BTreeSet::new(),
+            obsolete_keys: BTreeSet::new(),
             released: HashSet::new(),
             open_host_write: None,
             in_flight: None,
             submitters: HashMap::new(),
             cancellers: HashMap::new(),
             cancelling: BTreeSet::new(),
-            kick: BTreeSet::new(),
-            stirred: true,
-            urgent: false,
+            pending_dispatch: BTreeSet::new(),
+            pass_due: true,
+            urgent_pass_due: false,
             unplaced: Vec::new(),
-            looked: 0,
+            hosts_examined: 0,
             txn_ops,
             value_bytes: (value_kb * KIB) as usize,
             last_upkeep_ms: 0,
--- a/src/part/passes.rs
+++ b/src/partition/passes.rs
@@ -1,16 +1,16 @@
 //! Passes over the waiting work, and what is logged of them.
 
-use super::Part;
-use crate::model::{JobIx, Urgency};
+use super::Partition;
+use crate::model::{JobIndex, Urgency};
 use crate::sched::{self, Assignment, Eviction, Outcome};
 
 /// Least rate of a fetch that its duration is computed with.
 const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
 
-impl Part {
-    /// One pass; the machines with new orders are in `kick`.
+impl Partition {
+    /// One pass; the machines with new orders are in `pending_dispatch`.
     pub fn pass(&mut self, now: u64, wall: u64) {
-        self.stirred = false;
+        self.pass_due = false;
         self.pass_from(Urgency::Low, now, wall);
     }
 
@@ -20,9 +20,9 @@
     }
 
     fn pass_from(&mut self, least: Urgency, now: u64, wall: u64) {
-        self.urgent = false;
+        self.urgent_pass_due = false;
         let next = &mut self.next_attempt;
-        let out = sched::pass(&mut self.world, &self.policy, now, wall, least, || {
+        let out = sched::pass(&mut self.cluster, &self.policy, now, wall, least, || {
             *next += 1;
             *next
         });
@@ -34,7 +34,7 @@
         }
         tracing::debug!(
             least = ?least,
-            looked = out.looked,
+            hosts_examined = out.hosts_examined,
             starts = out.starts.len(),
             stops = out.stops.len(),
             unplaced = out.unplaced.len(),
@@ -45,17 +45,17 @@
 
     /// Measures and logs a start; its machine has an order to get.
     fn note_start(&mut self, start: &Assignment, wall: u64) {
-        let job = &self.world.jobs[start.key.job];
+        let job = &self.cluster.jobs[start.key.job];
         let waited = wall.saturating_sub(job.accepted_ms);
         self.metrics.observe("decision_ms", &job.spec.class, waited);
         self.log_start(start, waited);
-        self.kick.insert(start.host);
+        self.pending_dispatch.insert(start.host);
     }
 
     fn log_start(&self, start: &Assignment, waited: u64) {
-        let Some(h) = self.world.host(start.host) else { return };
-        let spec = &self.world.jobs[start.key.job].spec;
-        let rate = |f: usize| self.world.flavors[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
+        let Some(h) = self.cluster.host(start.host) else { return };
+        let spec = &self.cluster.jobs[start.key.job].spec;
+        let rate = |f: usize| self.cluster.flavors[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
         let fetch_s = h.flavor.map_or(0.0, |f| spec.image_gb / rate(f));
         let cached = h.images.iter().any(|i| i.ready && i.name == spec.image);
         tracing::debug!(
@@ -75,8 +75,8 @@
 
     /// Counts and logs a preemption; its machine has an order to get.
     fn note_stop(&mut self, stop: &Eviction) {
-        let spec = &self.world.jobs[stop.key.job].spec;
-        let by = &self.world.jobs[stop.by].spec;
+        let spec = &self.cluster.jobs[stop.key.job].spec;
+        let by = &self.cluster.jobs[stop.by].spec;
         tracing::debug!(
             job = spec.id,
             class = spec.class,
@@ -87,23 +87,25 @@
             "preempted"
         );
         self.metrics.count("tasks_preempted", &spec.class);
-        self.kick.insert(stop.host);
+        self.pending_dispatch.insert(stop.host);
     }
 
     /// Notes which work found no room. What is less urgent than `least` was not tried.
     fn keep_unplaced(&mut self, least: Urgency, out: Outcome) {
-        let jobs = &self.world.jobs;
-        self.unplaced.retain(|ix| jobs[*ix].spec.urgency < least && jobs[*ix].active());
+        let jobs = &self.cluster.jobs;
+        self.unplaced.retain(|job_index| jobs[*job_index].spec.urgency < least && jobs[*job_index].active());
         self.unplaced.extend(out.unplaced);
-        self.looked += out.looked;
+        self.hosts_examined += out.hosts_examined;
         if !self.unplaced.is_empty() {
-            self.undrain();
+            self.cancel_drain();
         }
     }
 
     /// The lowest bin that waits for room.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
-        let bin = |ix: &JobIx| self.policy.bin(self.policy.effective_deadline_ms(&self.world.jobs[*ix], wall));
+        let bin = |job_index: &JobIndex| {
+            self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
+        };
         self.unplaced.iter().map(bin).min()
     }
 }
--- a/src/part/records.rs
+++ b/src/partition/records.rs
@@ -1,8 +1,8 @@
 //! What must be recorded: the next commit, what its answer means, records read again.
 
 use super::keys::{JOB_PREFIX, host_key, job_key};
-use super::{Commit, CommitResult, Part, Saved, Superseded};
-use crate::model::{HostIx, HostRecord, JobEnd, JobIx, JobRecord, Unsaved, Urgency};
+use super::{Commit, CommitResult, Partition, PendingWrite, Superseded};
+use crate::model::{HostIndex, HostRecord, JobEnd, JobIndex, JobRecord, UnsavedChange, Urgency};
 use crate::wire::{self, Item};
 use serde_json::Value;
 
@@ -28,14 +28,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueRecord {
     priority: WritePriority,
-    job: JobIx,
+    job: JobIndex,
 }
 
 /// A commit that is being put together.
 struct CommitBuilder {
     commit: Commit,
     /// What it will have told.
-    saved: Vec<Saved>,
+    saved: Vec<PendingWrite>,
     /// Bytes of the jobs' records in it.
     bytes: usize,
     max_ops: usize,
@@ -51,23 +51,23 @@
         self.commit.apply.len() >= self.max_ops
     }
 
-    fn apply(&mut self, change: Value, saved: Saved) {
+    fn apply(&mut self, change: Value, saved: PendingWrite) {
         self.commit.apply.push(change);
         self.saved.push(saved);
     }
 }
 
-impl Part {
+impl Partition {
     /// The next commit, if one is due: ends and creations first, then machines,
     /// then progress that has waited for a while. At most `ops` changes.
     pub fn next_commit(&mut self, now: u64, ops: usize) -> Option<Commit> {
-        if self.in_flight.is_some() || self.part_version == 0 {
+        if self.in_flight.is_some() || self.partition_version == 0 {
             return None;
         }
         self.settle_cancellations();
         let due = self.due_records(now);
         let (urgent, progress) = due.split_at(due.partition_point(|d| d.priority < WritePriority::Progress));
-        let guard = wire::guard(&self.part_key, self.part_version);
+        let guard = wire::guard(&self.partition_key, self.partition_version);
         let mut builder = CommitBuilder::new(guard, ops.min(self.txn_ops));
         self.add_job_records(urgent, &mut builder);
         self.add_host_records(&mut builder);
@@ -83,16 +83,19 @@
     /// Records of jobs that are due, in the order in which they are written.
     fn due_records(&self, now: u64) -> Vec<DueRecord> {
         let patience = PROGRESS_REPORTS * self.policy.report_ms;
-        let priority = |ix: JobIx| {
-            let job = &self.world.jobs[ix];
+        let priority = |job_index: JobIndex| {
+            let job = &self.cluster.jobs[job_index];
             match job.unsaved {
-                Unsaved::End(_) => Some(WritePriority::End),
-                Unsaved::Creation => Some(WritePriority::Creation),
-                Unsaved::Progress if now >= job.unsaved_since_ms + patience => Some(WritePriority::Progress),
+                UnsavedChange::End(_) => Some(WritePriority::End),
+                UnsavedChange::Creation => Some(WritePriority::Creation),
+                UnsavedChange::Progress if now >= job.unsaved_since_ms + patience => Some(WritePriority::Progress),
                 _ => None,
             }
         };
-        let due = self.dirty.iter().filter_map(|ix| Some(DueRecord { priority: priority(*ix)?, job: *ix }));
+        let due = self
+            .dirty
+            .iter()
+            .filter_map(|job_index| Some(DueRecord { priority: priority(*job_index)?, job: *job_index }));
         let mut due: Vec<DueRecord> = due.collect();
         due.sort_unstable();
         due
@@ -101,13 +104,13 @@
     /// Adds jobs' records while there is room for them.
     fn add_job_records(&mut self, due: &[DueRecord], builder: &mut CommitBuilder) {
         let max_ranges = (self.value_bytes / 2 / RANGE_BYTES).max(1);
-        for &DueRecord { job: ix, .. } in due {
+        for &DueRecord { job: job_index, .. } in due {
             if builder.full() || builder.bytes > COMMIT_BYTES {
                 break;
             }
-            let job = &mut self.world.jobs[ix];
+            let job = &mut self.cluster.jobs[job_index];
             let end = match job.unsaved {
-                Unsaved::End(e) => Some(e),
+                UnsavedChange::End(e) => Some(e),
                 _ => None,
             };
             let key = job_key(&job.spec.id);
@@ -117,28 +120,29 @@
                 break;
             }
             builder.commit.guards.push(wire::guard(&key, job.version));
-            builder.apply(wire::put(&key, &value, None), Saved::Job(ix, job.unsaved, job.end_open));
+            builder.apply(wire::put(&key, &value, None), PendingWrite::Job(job_index, job.unsaved, job.end_open));
             job.saving = true;
             // From its sending on another node may read the end.
             job.end_open |= end.is_some();
-            job.unsaved = Unsaved::Nothing;
-            self.dirty.remove(&ix);
+            job.unsaved = UnsavedChange::Nothing;
+            self.dirty.remove(&job_index);
         }
     }
 
-    /// Adds the records of machines that are new, or given to another part.
+    /// Adds the records of machines that are new, or given to another partition.
     fn add_host_records(&mut self, builder: &mut CommitBuilder) {
-        for hix in self.new_hosts.clone() {
+        for host_index in self.new_hosts.clone() {
             if builder.full() {
                 break;
             }
-            self.new_hosts.remove(&hix);
-            let Some(h) = self.world.host(hix) else { continue };
-            let flavor = h.flavor.map_or(String::new(), |f| self.world.flavors[f].name.clone());
-            let part = h.giving.unwrap_or(self.id);
-            let record = HostRecord { addr: h.addr, flavor, zone: h.zone.clone(), spot: h.spot, part };
+            self.new_hosts.remove(&host_index);
+            let Some(h) = self.cluster.host(host_index) else { continue };
+            let flavor = h.flavor.map_or(String::new(), |f| self.cluster.flavors[f].name.clone());
+            let partition = h.transferring_to.unwrap_or(self.id);
+            let record = HostRecord { addr: h.addr, flavor, zone: h.zone.clone(), spot: h.spot, partition };
             let Ok(value) = serde_json::to_value(record) else { continue };
-            let saved = h.giving.map_or(Saved::Host(hix), |to| Saved::Given(hix, to));
+            let saved =
+                h.transferring_to.map_or(PendingWrite::Host(host_index), |to| PendingWrite::Given(host_index, to));
             builder.apply(wire::put(&host_key(&h.id), &value, None), saved);
         }
     }
@@ -146,15 +150,15 @@
     /// Adds deletions of keys that are of no more use.
     fn add_deletions(&mut self, builder: &mut CommitBuilder) {
         while !builder.full() {
-            let Some(key) = self.gone_keys.pop_first() else { break };
-            builder.apply(wire::delete(&key), Saved::KeyGone(key));
+            let Some(key) = self.obsolete_keys.pop_first() else { break };
+            builder.apply(wire::delete(&key), PendingWrite::KeyGone(key));
         }
     }
 
-    /// May a late write undo that a machine moves between the parts?
+    /// May a late write undo that a machine moves between the partitions?
     pub(super) fn moves_may_be_undone(&self) -> bool {
-        let one_part = self.teams.values().all(|p| *p == self.id);
-        !one_part && self.open_host_write == Some(self.part_version)
+        let one_partition = self.teams.values().all(|p| *p == self.id);
+        !one_partition && self.open_host_write == Some(self.partition_version)
     }
 
     /// Is a commit under way?
@@ -163,7 +167,7 @@
     }
 
     /// Takes the result of the commit under way; returns the keys of jobs
-    /// whose records must be read again, or `Err` if the part is lost.
+    /// whose records must be read again, or `Err` if the partition is lost.
     pub fn committed(&mut self, result: CommitResult) -> Result<Vec<String>, Superseded> {
         let saved = self.in_flight.take().unwrap_or_default();
         let unclear = matches!(result, CommitResult::Unclear);
@@ -176,78 +180,82 @@
             CommitResult::Refused | CommitResult::Unclear => Vec::new(),
         };
         saved.into_iter().for_each(|s| self.not_written(s, unclear));
-        if failed.contains(&self.part_key) {
+        if failed.contains(&self.partition_key) {
             return Err(Superseded);
         }
         Ok(failed.into_iter().filter(|key| key.starts_with(JOB_PREFIX)).collect())
     }
 
     /// A change was carried out.
-    fn written(&mut self, saved: Saved, revision: u64) {
+    fn written(&mut self, saved: PendingWrite, revision: u64) {
         match saved {
-            Saved::Job(ix, what, _) => self.job_saved(ix, what, revision),
-            Saved::Host(hix) => {
-                if let Some(h) = self.world.host_mut(hix) {
+            PendingWrite::Job(job_index, what, _) => self.job_saved(job_index, what, revision),
+            PendingWrite::Host(host_index) => {
+                if let Some(h) = self.cluster.host_mut(host_index) {
                     h.registered = true;
-                    self.stirred = true;
+                    self.pass_due = true;
                 }
             }
-            Saved::Given(hix, to) => {
-                if let Some(h) = self.world.remove_host(hix) {
-                    tracing::info!(host = h.id, to, "machine given to another part");
+            PendingWrite::Given(host_index, to) => {
+                if let Some(h) = self.cluster.remove_host(host_index) {
+                    tracing::info!(host = h.id, to, "machine given to another partition");
                     self.elsewhere.insert(h.id, to);
                 }
             }
-            Saved::KeyGone(_) => {}
+            PendingWrite::KeyGone(_) => {}
         }
     }
 
     /// A change was not carried out, or maybe not if that is `unclear`.
-    fn not_written(&mut self, saved: Saved, unclear: bool) {
+    fn not_written(&mut self, saved: PendingWrite, unclear: bool) {
         match saved {
-            Saved::Job(ix, what, end_was_open) => self.job_not_written(ix, what, end_was_open, unclear),
-            Saved::Host(hix) | Saved::Given(hix, _) => self.host_not_written(hix, unclear),
-            Saved::KeyGone(key) => {
-                self.gone_keys.insert(key);
+            PendingWrite::Job(job_index, what, end_was_open) => {
+                self.job_not_written(job_index, what, end_was_open, unclear)
+            }
+            PendingWrite::Host(host_index) | PendingWrite::Given(host_index, _) => {
+                self.host_not_written(host_index, unclear)
+            }
+            PendingWrite::KeyGone(key) => {
+                self.obsolete_keys.insert(key);
             }
         }
     }
 
-    fn job_not_written(&mut self, ix: JobIx, what: Unsaved, end_was_open: bool, unclear: bool) {
-        let job = &mut self.world.jobs[ix];
+    fn job_not_written(&mut self, job_index: JobIndex, what: UnsavedChange, end_was_open: bool, unclear: bool) {
+        let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         // What was certainly refused is not open; an earlier write may be.
         job.end_open &= unclear || end_was_open;
         // Found to exist meanwhile: it need not be created any more.
-        if what == Unsaved::Creation && job.version > 0 {
+        if what == UnsavedChange::Creation && job.version > 0 {
             return;
         }
         // What came meanwhile weighs more, except against a creation or an end.
-        if !matches!(job.unsaved, Unsaved::End(_)) || matches!(what, Unsaved::End(_)) {
+        if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(what, UnsavedChange::End(_)) {
             job.unsaved = what;
         }
-        self.dirty.insert(ix);
+        self.dirty.insert(job_index);
     }
 
-    fn host_not_written(&mut self, hix: HostIx, unclear: bool) {
-        self.new_hosts.insert(hix);
+    fn host_not_written(&mut self, host_index: HostIndex, unclear: bool) {
+        self.new_hosts.insert(host_index);
         if unclear {
-            self.open_host_write = Some(self.part_version);
+            self.open_host_write = Some(self.partition_version);
         }
     }
 
     /// A job's record was written.
-    pub(super) fn job_saved(&mut self, ix: JobIx, what: Unsaved, version: u64) {
-        let job = &mut self.world.jobs[ix];
+    pub(super) fn job_saved(&mut self, job_index: JobIndex, what: UnsavedChange, version: u64) {
+        let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         job.version = version;
         // Earlier writes guard on an older version: they can't be carried out any more.
         job.end_open = false;
         match what {
-            Unsaved::End(end) => self.ended(ix, end),
-            Unsaved::Creation => {
-                self.stirred = true;
-                self.urgent |= job.spec.urgency >= Urgency::High;
+            UnsavedChange::End(end) => self.ended(job_index, end),
+            UnsavedChange::Creation => {
+                self.pass_due = true;
+                self.urgent_pass_due |= job.spec.urgency >= Urgency::High;
                 let spec = &job.spec;
                 tracing::debug!(
                     job = spec.id,
@@ -258,39 +266,39 @@
                     due_s = spec.due_s.unwrap_or(0.0),
                     "accepted"
                 );
-                self.tell_submitters(ix, true);
+                self.tell_submitters(job_index, true);
             }
             _ => {}
         }
     }
 
     /// The job's record says that it is over.
-    pub(super) fn ended(&mut self, ix: JobIx, end: JobEnd) {
-        let job = &mut self.world.jobs[ix];
+    pub(super) fn ended(&mut self, job_index: JobIndex, end: JobEnd) {
+        let job = &mut self.cluster.jobs[job_index];
         job.end = Some(end);
-        job.unsaved = Unsaved::Nothing;
+        job.unsaved = UnsavedChange::Nothing;
         job.retire();
-        self.dirty.remove(&ix);
-        self.cancelling.remove(&ix);
-        self.world.live.retain(|l| *l != ix);
-        self.stop_all(ix);
-        self.tell_end(ix);
-        self.stirred = true;
+        self.dirty.remove(&job_index);
+        self.cancelling.remove(&job_index);
+        self.cluster.live.retain(|l| *l != job_index);
+        self.stop_all(job_index);
+        self.notify_job_end(job_index);
+        self.pass_due = true;
     }
 
     /// Tells those who wait for the job to be accepted.
-    fn tell_submitters(&mut self, ix: JobIx, created: bool) {
-        let answer = self.accepted(ix, created);
-        for w in self.submitters.remove(&ix).unwrap_or_default() {
+    fn tell_submitters(&mut self, job_index: JobIndex, created: bool) {
+        let answer = self.accepted(job_index, created);
+        for w in self.submitters.remove(&job_index).unwrap_or_default() {
             let _ = w.send(answer.clone());
         }
     }
 
     /// Tells all who wait for the job how it ended.
-    fn tell_end(&mut self, ix: JobIx) {
-        let answer = self.status_of(ix);
-        let submitters = self.submitters.remove(&ix).unwrap_or_default();
-        for w in self.cancellers.remove(&ix).unwrap_or_default().into_iter().chain(submitters) {
+    fn notify_job_end(&mut self, job_index: JobIndex) {
+        let answer = self.status_of(job_index);
+        let submitters = self.submitters.remove(&job_index).unwrap_or_default();
+        for w in self.cancellers.remove(&job_index).unwrap_or_default().into_iter().chain(submitters) {
             let _ = w.send(answer.clone());
         }
     }
@@ -298,9 +306,11 @@
     /// A record as read again after a conflict: what it holds is true, what it
     /// lacks stays to be written.
     pub fn reread(&mut self, item: Item) {
-        let Some(&ix) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.world.job_ix.get(id)) else { return };
+        let Some(&job_index) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.cluster.job_index.get(id)) else {
+            return;
+        };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
-        let job = &mut self.world.jobs[ix];
+        let job = &mut self.cluster.jobs[job_index];
         // Read before the last write that is known to have been carried out.
         if item.version < job.version {
             return;
@@ -310,19 +320,19 @@
         job.version = item.version;
         if let Some(end) = record.end {
             if job.end.is_none() {
-                self.ended(ix, end);
+                self.ended(job_index, end);
             }
             return;
         }
         if created {
-            if job.unsaved == Unsaved::Creation {
-                job.unsaved = Unsaved::Nothing;
-                self.dirty.remove(&ix);
+            if job.unsaved == UnsavedChange::Creation {
+                job.unsaved = UnsavedChange::Nothing;
+                self.dirty.remove(&job_index);
             }
             // Known already, maybe by our own commit whose answer was lost.
             job.accepted_ms = record.accepted_ms;
-            self.stirred = true;
-            self.tell_submitters(ix, false);
+            self.pass_due = true;
+            self.tell_submitters(job_index, false);
         }
     }
 }
