--- a/src/part/reports.rs
+++ b/src/partition/reports.rs
@@ -1,7 +1,9 @@
 //! What reports mean, and which orders follow.
 
-use super::{Belongs, Part, Via};
-use crate::model::{Copy, ExitReason, Host, HostIx, HostRecord, Place, Shape, TaskKey, TaskPhase, Unsaved, World};
+use super::{HostRouting, Partition, ReportSource};
+use crate::model::{
+    ClusterState, ExitReason, Host, HostIndex, HostRecord, Place, Shape, TaskAttempt, TaskKey, TaskPhase, UnsavedChange,
+};
 use crate::wire::{Order, Report, ReportedTask};
 use std::collections::HashSet;
 
@@ -10,30 +12,32 @@
 
 /// What a report says that is new.
 struct News {
-    /// It was made under a token of this holder.
+    /// It was made under a token of this owner.
     current: bool,
     /// Seconds left until the machine is taken back, if that was not known.
     notice_s: Option<f64>,
 }
 
-impl Part {
-    /// Does this part take the machine's reports?
-    pub fn belongs(&mut self, r: &Report) -> Belongs {
-        if self.world.host_ix.contains_key(&r.host) || self.released.contains(&r.host) {
+impl Partition {
+    /// Does this partition take the machine's reports?
+    pub fn belongs(&mut self, r: &Report) -> HostRouting {
+        if self.cluster.host_index.contains_key(&r.host) || self.released.contains(&r.host) {
             // A worker drops what carries a lower token than it has seen: a
             // higher term first.
-            if let Some(h) = self.world.host_ix.get(&r.host).copied().and_then(|ix| self.world.host_mut(ix)) {
+            if let Some(h) =
+                self.cluster.host_index.get(&r.host).copied().and_then(|index| self.cluster.host_mut(index))
+            {
                 h.fence = h.fence.max(r.fence);
             }
-            return if r.fence > self.term { Belongs::NotYet } else { Belongs::Mine };
+            return if r.fence > self.term { HostRouting::NotYet } else { HostRouting::Mine };
         }
         if self.id == 0 && !self.elsewhere.contains_key(&r.host) {
-            return if r.fence > self.term { Belongs::NotYet } else { Belongs::Mine };
+            return if r.fence > self.term { HostRouting::NotYet } else { HostRouting::Mine };
         }
         self.recheck.insert(r.host.clone());
         match self.elsewhere.get(&r.host) {
-            Some(p) => Belongs::Elsewhere(*p),
-            None => Belongs::Unknown,
+            Some(p) => HostRouting::Elsewhere(*p),
+            None => HostRouting::Unknown,
         }
     }
 
@@ -41,22 +45,22 @@
     pub fn rechecked(&mut self, id: &str, record: Option<HostRecord>, now: u64) {
         match record {
             // It is looked up again with its next report.
-            Some(r) if r.part == self.id && self.moves_may_be_undone() => {}
-            Some(r) if r.part == self.id => {
+            Some(r) if r.partition == self.id && self.moves_may_be_undone() => {}
+            Some(r) if r.partition == self.id => {
                 self.elsewhere.remove(id);
-                if !self.world.host_ix.contains_key(id) {
+                if !self.cluster.host_index.contains_key(id) {
                     // The giver made sure that nothing is left on it.
                     let term = self.term;
-                    let hix = self.add_registered(id.to_string(), r, now);
-                    if let Some(h) = self.world.host_mut(hix) {
+                    let host_index = self.add_registered(id.to_string(), r, now);
+                    if let Some(h) = self.cluster.host_mut(host_index) {
                         h.accounted = true;
                         h.min_fence = term;
-                        tracing::info!(host = h.id, "machine joins this part");
+                        tracing::info!(host = h.id, "machine joins this partition");
                     }
                 }
             }
             Some(r) => {
-                self.elsewhere.insert(id.to_string(), r.part);
+                self.elsewhere.insert(id.to_string(), r.partition);
             }
             None => {
                 self.elsewhere.remove(id);
@@ -64,85 +68,85 @@
         }
     }
 
-    /// Gives a free machine to another part; false if it is not free.
-    pub fn give(&mut self, id: &str, to: u32) -> bool {
+    /// Gives a free machine to another partition; false if it is not free.
+    pub fn transfer_host(&mut self, id: &str, to: u32) -> bool {
         let undone = self.moves_may_be_undone();
-        let Some(&hix) = self.world.host_ix.get(id) else { return false };
-        let Some(h) = self.world.host_mut(hix) else { return false };
-        let free = h.copies.is_empty() && h.claims.is_empty() && !h.do_in_flight && !h.strays;
-        if !free || undone || !h.registered || !h.accounted || h.releasing || h.notice || h.giving.is_some() {
+        let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
+        let Some(h) = self.cluster.host_mut(host_index) else { return false };
+        let free = h.attempts.is_empty() && h.claims.is_empty() && !h.do_in_flight && !h.has_unknown_tasks;
+        if !free || undone || !h.registered || !h.accounted || h.releasing || h.notice || h.transferring_to.is_some() {
             return false;
         }
-        h.giving = Some(to);
-        self.new_hosts.insert(hix);
+        h.transferring_to = Some(to);
+        self.new_hosts.insert(host_index);
         true
     }
 
     /// Takes a report and returns the orders of its reply.
-    pub fn report(&mut self, r: &Report, via: Via, now: u64) -> Vec<Order> {
+    pub fn report(&mut self, r: &Report, via: ReportSource, now: u64) -> Vec<Order> {
         if self.released.contains(&r.host) {
             return Vec::new();
         }
-        let hix = self.reporting_host(r, now);
-        let Some(h) = self.world.host_mut(hix) else { return Vec::new() };
-        if via == Via::Beat {
+        let host_index = self.reporting_host(r, now);
+        let Some(h) = self.cluster.host_mut(host_index) else { return Vec::new() };
+        if via == ReportSource::Heartbeat {
             h.answered_ms = now;
         }
         // Late copies of older reports change nothing.
         if (r.tenure, r.serial) <= (h.tenure, h.serial) {
             return Vec::new();
         }
-        self.session_seen(hix, r, now);
-        let Some(news) = self.state_seen(hix, r, via, now) else { return Vec::new() };
+        self.session_seen(host_index, r, now);
+        let Some(news) = self.state_seen(host_index, r, via, now) else { return Vec::new() };
         if !news.current {
-            self.kick.insert(hix);
+            self.pending_dispatch.insert(host_index);
             return Vec::new();
         }
-        self.account_for(hix, r);
+        self.account_for(host_index, r);
         let mut orders = Vec::new();
-        self.reported_tasks(hix, r, &mut orders, now);
-        self.missing_tasks(hix, r, via);
+        self.reported_tasks(host_index, r, &mut orders, now);
+        self.missing_tasks(host_index, r, via);
         if let Some(left_s) = news.notice_s {
-            self.give_up(hix, left_s, now);
+            self.stop_doomed_tasks(host_index, left_s, now);
         }
-        if via == Via::Beat {
-            self.orders_for(hix, &mut orders);
+        if via == ReportSource::Heartbeat {
+            self.pending_orders(host_index, &mut orders);
         }
-        if let Some(h) = self.world.host_mut(hix).filter(|h| !h.copies.is_empty()) {
+        if let Some(h) = self.cluster.host_mut(host_index).filter(|h| !h.attempts.is_empty()) {
             h.idle_since_ms = now;
         }
         orders
     }
 
     /// The machine that reports, added if it is new.
-    fn reporting_host(&mut self, r: &Report, now: u64) -> HostIx {
-        if let Some(&hix) = self.world.host_ix.get(&r.host) {
-            return hix;
+    fn reporting_host(&mut self, r: &Report, now: u64) -> HostIndex {
+        if let Some(&host_index) = self.cluster.host_index.get(&r.host) {
+            return host_index;
         }
-        let flavor = self.world.flavor(&r.flavor);
+        let flavor = self.cluster.flavor(&r.flavor);
         let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
         h.min_fence = self.first_term;
-        // Rented for another part: it is given away once it is registered.
-        h.giving = self.destined.remove(&r.host).filter(|p| *p != self.id);
-        self.world.add_host(h)
+        // Rented for another partition: it is given away once it is registered.
+        h.transferring_to = self.destined.remove(&r.host).filter(|p| *p != self.id);
+        self.cluster.add_host(h)
     }
 
     /// A session that is new to us: a lease that was before it has ended.
-    fn session_seen(&mut self, hix: HostIx, r: &Report, now: u64) {
-        let Some(h) = self.world.host_mut(hix).filter(|h| r.tenure > h.tenure) else { return };
+    fn session_seen(&mut self, host_index: HostIndex, r: &Report, now: u64) {
+        let Some(h) = self.cluster.host_mut(host_index).filter(|h| r.tenure > h.tenure) else { return };
         // A session's lease counts from its beginning, whenever we answered.
         h.answered_ms = h.answered_ms.max(now);
         if h.tenure > 0 {
             tracing::info!(host = h.id, tenure = r.tenure, "machine lost its lease");
-            self.lose_all(hix);
+            self.lose_all(host_index);
         }
     }
 
     /// Takes what the report says of the machine itself.
-    fn state_seen(&mut self, hix: HostIx, r: &Report, via: Via, now: u64) -> Option<News> {
-        let flavor = self.world.flavor(&r.flavor);
-        let h = self.world.host_mut(hix)?;
-        // A late copy of a report from before this holder's time may be the first that
+    fn state_seen(&mut self, host_index: HostIndex, r: &Report, via: ReportSource, now: u64) -> Option<News> {
+        let flavor = self.cluster.flavor(&r.flavor);
+        let h = self.cluster.host_mut(host_index)?;
+        // A late copy of a report from before this owner's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
         let current = r.fence >= h.min_fence;
         h.tenure = r.tenure;
@@ -151,7 +155,7 @@
         h.addr = Some(r.addr);
         h.flavor = flavor;
         h.heard_ms = now;
-        if via == Via::Direct {
+        if via == ReportSource::Direct {
             h.missed = 0;
         }
         let notice_s = r.warning_s.filter(|_| !h.notice);
@@ -160,7 +164,7 @@
             tracing::info!(host = h.id, "machine will be taken back");
         }
         // A worker that has seen a higher token refuses older direct commands.
-        for c in &mut h.copies {
+        for c in &mut h.attempts {
             if c.risk.is_some_and(|t| r.fence > t) {
                 c.risk = None;
             }
@@ -168,13 +172,13 @@
         Some(News { current, notice_s })
     }
 
-    /// The machine has reported under a token of this holder.
-    fn account_for(&mut self, hix: HostIx, r: &Report) {
-        let Some(h) = self.world.host_mut(hix) else { return };
-        if !h.vouched() {
-            // Not in the registry: no holder before us placed anything on it.
+    /// The machine has reported under a token of this owner.
+    fn account_for(&mut self, host_index: HostIndex, r: &Report) {
+        let Some(h) = self.cluster.host_mut(host_index) else { return };
+        if !h.confirmed() {
+            // Not in the registry: no owner before us placed anything on it.
             tracing::info!(host = r.host, flavor = r.flavor, zone = r.zone, spot = r.spot, "machine is up");
-            self.new_hosts.insert(hix);
+            self.new_hosts.insert(host_index);
         }
         if !h.accounted {
             h.accounted = true;
@@ -184,53 +188,54 @@
 
     /// Stops the array tasks that would hardly end before the machine is taken:
     /// they begin anew elsewhere now, and not when its loss is certain.
-    pub(super) fn give_up(&mut self, hix: HostIx, left_s: f64, now: u64) {
-        let World { jobs, hosts, .. } = &mut self.world;
-        let Some(h) = hosts[hix].as_mut() else { return };
-        for c in h.copies.iter_mut().filter(|c| !c.ended() && c.stop.is_none()) {
+    pub(super) fn stop_doomed_tasks(&mut self, host_index: HostIndex, left_s: f64, now: u64) {
+        let ClusterState { jobs, hosts, .. } = &mut self.cluster;
+        let Some(h) = hosts[host_index].as_mut() else { return };
+        for c in h.attempts.iter_mut().filter(|c| !c.ended() && c.stop.is_none()) {
             let spec = &jobs[c.key.job].spec;
             let ran_s = now.saturating_sub(c.since_ms) as f64 / 1000.0;
             if spec.shape == Shape::Batch && spec.expected_s - ran_s > left_s {
                 c.stop = Some(spec.grace_s());
-                self.kick.insert(hix);
+                self.pending_dispatch.insert(host_index);
             }
         }
     }
 
     /// Takes what the report says of tasks.
-    pub(super) fn reported_tasks(&mut self, hix: HostIx, r: &Report, orders: &mut Vec<Order>, now: u64) {
-        let mut strays = false;
+    pub(super) fn reported_tasks(&mut self, host_index: HostIndex, r: &Report, orders: &mut Vec<Order>, now: u64) {
+        let mut has_unknown_tasks = false;
         for t in &r.tasks {
             let Some((job, task)) = t.key() else { continue };
-            let known = self.world.job_ix.get(job).filter(|ix| task < self.world.jobs[**ix].spec.tasks);
+            let known =
+                self.cluster.job_index.get(job).filter(|job_index| task < self.cluster.jobs[**job_index].spec.tasks);
             match known {
-                Some(&job) => self.reported_task(hix, TaskKey { job, task }, t, now),
+                Some(&job) => self.reported_task(host_index, TaskKey { job, task }, t, now),
                 None => {
-                    strays = true;
+                    has_unknown_tasks = true;
                     orders.push(removal(t));
                 }
             }
         }
-        if let Some(h) = self.world.host_mut(hix) {
-            if h.strays && !strays {
-                self.stirred = true;
+        if let Some(h) = self.cluster.host_mut(host_index) {
+            if h.has_unknown_tasks && !has_unknown_tasks {
+                self.pass_due = true;
             }
-            h.strays = strays;
+            h.has_unknown_tasks = has_unknown_tasks;
         }
     }
 
-    fn reported_task(&mut self, hix: HostIx, key: TaskKey, t: &ReportedTask, now: u64) {
-        let known = self.world.host_mut(hix).and_then(|h| h.copy_mut(key, t.attempt)).map(|c| c.phase);
+    fn reported_task(&mut self, host_index: HostIndex, key: TaskKey, t: &ReportedTask, now: u64) {
+        let known = self.cluster.host_mut(host_index).and_then(|h| h.attempt_mut(key, t.attempt)).map(|c| c.phase);
         let before = known.unwrap_or_else(|| {
-            self.adopt(hix, key, t.attempt, t.phase(), now);
+            self.adopt(host_index, key, t.attempt, t.phase(), now);
             TaskPhase::Sent
         });
-        self.phase_seen(hix, key, t.attempt, before, t.phase(), now);
+        self.phase_seen(host_index, key, t.attempt, before, t.phase(), now);
     }
 
-    /// A copy that we did not start: an earlier holder did, or a late order.
-    pub(super) fn adopt(&mut self, hix: HostIx, key: TaskKey, attempt: u64, phase: TaskPhase, now: u64) {
-        let job = &mut self.world.jobs[key.job];
+    /// An attempt that we did not start: an earlier owner did, or a late order.
+    pub(super) fn adopt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, phase: TaskPhase, now: u64) {
+        let job = &mut self.cluster.jobs[key.job];
         let idle = job.tasks[key.task as usize].place == Place::Idle;
         let ended = matches!(phase, TaskPhase::Ended(_));
         // What is first seen after its user asked for the cancellation must go, too.
@@ -242,31 +247,32 @@
             wanted = attempt == job.gang_attempt;
         }
         if wanted {
-            job.tasks[key.task as usize].place = Place::On(hix, attempt);
+            job.tasks[key.task as usize].place = Place::On(host_index, attempt);
         }
-        let spec = &self.world.jobs[key.job].spec;
+        let spec = &self.cluster.jobs[key.job].spec;
         let (image, gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
-        let cache = self.world.host(hix).and_then(|h| h.flavor).map_or(0.0, |f| self.world.flavors[f].cache_gb);
-        if let Some(h) = self.world.host_mut(hix) {
+        let cache =
+            self.cluster.host(host_index).and_then(|h| h.flavor).map_or(0.0, |f| self.cluster.flavors[f].cache_gb);
+        if let Some(h) = self.cluster.host_mut(host_index) {
             h.use_image(&image, gb, cache, now);
             let stop = (!wanted && !ended).then_some(0.0);
-            h.copies.push(Copy { stop, ..Copy::sent(key, attempt, demand, now) });
+            h.attempts.push(TaskAttempt { stop, ..TaskAttempt::sent(key, attempt, demand, now) });
         }
     }
 
     /// Takes the phase of an attempt that was in phase `before`.
     pub(super) fn phase_seen(
         &mut self,
-        hix: HostIx,
+        host_index: HostIndex,
         key: TaskKey,
         attempt: u64,
         before: TaskPhase,
         phase: TaskPhase,
         now: u64,
     ) {
-        let World { jobs, hosts, .. } = &mut self.world;
-        let Some(h) = hosts[hix].as_mut() else { return };
-        let Some(c) = h.copy_mut(key, attempt) else { return };
+        let ClusterState { jobs, hosts, .. } = &mut self.cluster;
+        let Some(h) = hosts[host_index].as_mut() else { return };
+        let Some(c) = h.attempt_mut(key, attempt) else { return };
         c.phase = phase;
         let job = &mut jobs[key.job];
         job.tasks[key.task as usize].located |= !c.ended();
@@ -278,14 +284,14 @@
                     self.note_running(key, attempt, after_order_ms);
                 }
             }
-            TaskPhase::Ended(reason) if before != phase => self.copy_ended(hix, key, attempt, reason, now),
+            TaskPhase::Ended(reason) if before != phase => self.attempt_ended(host_index, key, attempt, reason, now),
             _ => {}
         }
     }
 
     /// Logs and measures that an attempt has begun to run.
     fn note_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
-        let spec = &self.world.jobs[key.job].spec;
+        let spec = &self.cluster.jobs[key.job].spec;
         tracing::debug!(
             job = spec.id,
             class = spec.class,
@@ -298,46 +304,48 @@
     }
 
     /// Copies that we know of and the report does not.
-    pub(super) fn missing_tasks(&mut self, hix: HostIx, r: &Report, via: Via) {
-        let Some(h) = self.world.host(hix) else { return };
+    pub(super) fn missing_tasks(&mut self, host_index: HostIndex, r: &Report, via: ReportSource) {
+        let Some(h) = self.cluster.host(host_index) else { return };
         let listed: HashSet<(&str, u64)> = r.tasks.iter().map(|t| (t.task.as_str(), t.attempt)).collect();
         let gone: Vec<(TaskKey, u64)> = h
-            .copies
+            .attempts
             .iter()
             .filter(|c| {
-                let name = format!("{}/{}", self.world.jobs[c.key.job].spec.id, c.key.task);
+                let name = format!("{}/{}", self.cluster.jobs[c.key.job].spec.id, c.key.task);
                 if listed.contains(&(name.as_str(), c.attempt)) {
                     return false;
                 }
                 match c.phase {
                     // Its `run` may still come: from a direct command that had
                     // no answer, or from a reply that is not over yet.
-                    TaskPhase::Sent => c.stop.is_some() && via == Via::Beat && c.risk.is_none() && !c.in_flight,
+                    TaskPhase::Sent => {
+                        c.stop.is_some() && via == ReportSource::Heartbeat && c.risk.is_none() && !c.in_flight
+                    }
                     _ => true,
                 }
             })
             .map(|c| (c.key, c.attempt))
             .collect();
         for (key, attempt) in gone {
-            self.lose(hix, key, attempt);
+            self.lose(host_index, key, attempt);
         }
     }
 
     /// The orders of a reply: everything that the worker should have done and,
     /// by its report, has not.
-    pub(super) fn orders_for(&mut self, hix: HostIx, orders: &mut Vec<Order>) {
-        let Some(h) = self.world.host(hix) else { return };
-        for c in &h.copies {
+    pub(super) fn pending_orders(&mut self, host_index: HostIndex, orders: &mut Vec<Order>) {
+        let Some(h) = self.cluster.host(host_index) else { return };
+        for c in &h.attempts {
             if orders.len() >= REPLY_ORDERS {
                 break;
             }
-            let job = &self.world.jobs[c.key.job];
+            let job = &self.cluster.jobs[c.key.job];
             let id = &job.spec.id;
             match (c.phase, c.stop) {
                 (TaskPhase::Ended(reason), _) => {
                     let safe = reason != ExitReason::Done
                         || job.end.is_some()
-                        || (job.unsaved == Unsaved::Nothing && !job.saving);
+                        || (job.unsaved == UnsavedChange::Nothing && !job.saving);
                     if safe && c.risk.is_none() && !c.in_flight {
                         orders.push(Order::reap(id, c));
                     }
--- a/src/part/takeover.rs
+++ b/src/partition/takeover.rs
@@ -1,8 +1,8 @@
-//! Taking a part over: its records, its terms and the machines of the last holder.
+//! Taking a partition over: its records, its terms and the machines of the last owner.
 
-use super::Part;
+use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
-use crate::model::{Demand, Flavor, Host, HostIx, HostKind, HostRecord, JobRecord};
+use crate::model::{Demand, Flavor, Host, HostIndex, HostKind, HostRecord, JobRecord};
 use crate::wire::Item;
 
 /// Bits of an attempt's number below the term that it began in.
@@ -11,7 +11,7 @@
 /// What a machine of unknown type may hold.
 const UNBOUNDED: Demand = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
 
-impl Part {
+impl Partition {
     /// Begins a term with what the state service holds. Nothing is known of
     /// the machines until they report under this term.
     pub fn begin(
@@ -27,7 +27,7 @@
         self.first_term = term;
         self.begun_ms = now;
         self.last_upkeep_ms = now;
-        self.world.flavors = flavors;
+        self.cluster.flavors = flavors;
         for item in jobs {
             self.load_job(item, now);
         }
@@ -37,54 +37,54 @@
         self.recount();
     }
 
-    /// Takes a job of this part from its record.
+    /// Takes a job of this partition from its record.
     fn load_job(&mut self, item: Item, now: u64) {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
                 if self.teams.get(&record.spec.team).is_none_or(|p| *p == self.id) {
-                    self.world.add_job(record.into_job(item.version, now));
+                    self.cluster.add_job(record.into_job(item.version, now));
                 }
             }
             Err(e) => tracing::error!(key = item.key, error = %e, "unreadable job record"),
         }
     }
 
-    /// Takes a machine from its record: as one of this part, or as another's.
+    /// Takes a machine from its record: as one of this partition, or as another's.
     fn load_host(&mut self, item: Item, now: u64) {
         let Some(id) = item.key.strip_prefix(HOST_PREFIX) else { return };
         match serde_json::from_value::<HostRecord>(item.value) {
-            Ok(record) if record.part == self.id => {
+            Ok(record) if record.partition == self.id => {
                 self.add_registered(id.to_string(), record, now);
             }
             Ok(record) => {
-                self.elsewhere.insert(id.to_string(), record.part);
+                self.elsewhere.insert(id.to_string(), record.partition);
             }
             Err(e) => tracing::error!(key = item.key, error = %e, "unreadable machine record"),
         }
     }
 
-    /// Adds a machine that the registry assigns to this part.
-    pub(super) fn add_registered(&mut self, id: String, r: HostRecord, now: u64) -> HostIx {
-        let flavor = self.world.flavor(&r.flavor);
+    /// Adds a machine that the registry assigns to this partition.
+    pub(super) fn add_registered(&mut self, id: String, r: HostRecord, now: u64) -> HostIndex {
+        let flavor = self.cluster.flavor(&r.flavor);
         let mut h = Host::new(id, r.zone, r.spot, flavor, now);
         h.addr = r.addr;
         h.registered = true;
         h.min_fence = self.first_term;
-        self.world.add_host(h)
+        self.cluster.add_host(h)
     }
 
     /// A job that another node accepted while it could not reach this one. It
-    /// was not there when the records were read, so no earlier holder has
+    /// was not there when the records were read, so no earlier owner has
     /// started any of it.
     pub fn adopt_job(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
-        self.gone_keys.insert(inbox_key(self.id, &record.spec.id));
-        if !self.world.job_ix.contains_key(&record.spec.id) {
+        self.obsolete_keys.insert(inbox_key(self.id, &record.spec.id));
+        if !self.cluster.job_index.contains_key(&record.spec.id) {
             tracing::info!(job = record.spec.id, "job accepted by another node");
             let mut job = record.into_job(item.version, now);
             job.fresh = true;
-            self.world.add_job(job);
-            self.stirred = true;
+            self.cluster.add_job(job);
+            self.pass_due = true;
         }
     }
 
@@ -95,43 +95,43 @@
             self.next_attempt = term << ATTEMPT_BITS;
         }
         self.term = term;
-        self.part_version = version;
+        self.partition_version = version;
     }
 
     /// Takes the machine types as the cloud tells them now. Places in the list
     /// stay, for machines refer to them.
     pub fn set_flavors(&mut self, flavors: Vec<Flavor>) {
         for f in flavors {
-            match self.world.flavors.iter_mut().find(|o| o.name == f.name) {
+            match self.cluster.flavors.iter_mut().find(|o| o.name == f.name) {
                 Some(old) => *old = f,
-                None => self.world.flavors.push(f),
+                None => self.cluster.flavors.push(f),
             }
         }
-        self.stirred = true;
+        self.pass_due = true;
     }
 
-    /// Looks again which machines of the last holder are still unaccounted for.
+    /// Looks again which machines of the last owner are still unaccounted for.
     pub(super) fn recount(&mut self) {
         let mut open = Demand::default();
         let mut kinds = Vec::new();
         let mut all = true;
-        for (_, h) in self.world.each_host().filter(|(_, h)| h.registered && !h.accounted) {
+        for (_, h) in self.cluster.each_host().filter(|(_, h)| h.registered && !h.accounted) {
             all = false;
             let kind = HostKind { flavor: h.flavor, zone: h.zone.clone(), spot: h.spot };
             if !kinds.contains(&kind) {
                 kinds.push(kind);
             }
             match h.flavor {
-                Some(f) => open.add(&self.world.flavors[f].cap),
+                Some(f) => open.add(&self.cluster.flavors[f].cap),
                 None => open.add(&UNBOUNDED),
             }
         }
-        if all && !self.world.all_accounted {
+        if all && !self.cluster.all_accounted {
             tracing::info!(term = self.term, "all machines accounted for");
-            self.stirred = true;
+            self.pass_due = true;
         }
-        self.world.unaccounted = open;
-        self.world.unaccounted_kinds = kinds;
-        self.world.all_accounted = all;
+        self.cluster.unaccounted = open;
+        self.cluster.unaccounted_kinds = kinds;
+        self.cluster.all_accounted = all;
     }
 }
--- a/src/part/types.rs
+++ b/src/partition/types.rs
@@ -1,22 +1,22 @@
-//! Messages, answers and commits that a part takes and gives.
+//! Messages, answers and commits that a partition takes and gives.
 
-use crate::model::{HostIx, JobIx, JobPhase, Unsaved};
+use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
 use crate::wire::{Order, Report};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// How a report came. Only a reply to a beat proves that the replies before
+/// How a report came. Only a reply to a heartbeat proves that the replies before
 /// it are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Via {
-    Beat,
+pub enum ReportSource {
+    Heartbeat,
     Direct,
 }
 
 /// A direct command to be sent.
 #[derive(Debug)]
 pub struct Direct {
-    pub host: HostIx,
+    pub host: HostIndex,
     pub id: String,
     pub addr: SocketAddr,
     pub term: u64,
@@ -35,11 +35,11 @@
 
 /// What a commit under way will have told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Saved {
+pub enum PendingWrite {
     /// Whether an earlier write of the job's end was open already.
-    Job(JobIx, Unsaved, bool),
-    Host(HostIx),
-    Given(HostIx, u32),
+    Job(JobIndex, UnsavedChange, bool),
+    Host(HostIndex),
+    Given(HostIndex, u32),
     KeyGone(String),
 }
 
@@ -59,9 +59,9 @@
     Unclear,
 }
 
-/// Whether a part takes a machine's reports.
+/// Whether a partition takes a machine's reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Belongs {
+pub enum HostRouting {
     Mine,
     /// Ours, but only under a term that is still to come.
     NotYet,
@@ -69,7 +69,7 @@
     Unknown,
 }
 
-/// The part has another holder, or none: its key is not as it was.
+/// The partition has another owner, or none: its key is not as it was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Superseded;
 
@@ -90,7 +90,7 @@
     Malformed(String),
     Impossible(String),
     Unknown,
-    Later(&'static str),
+    RetryLater(&'static str),
     /// More is waiting to be recorded than can be soon: again in so many seconds.
     Busy(u64),
 }
--- a/src/part/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -1,13 +1,13 @@
 //! Silent machines: expiry of their leases, probes, and their release.
 
-use super::Part;
+use super::Partition;
 use super::keys::host_key;
 use crate::clock::DRIFT;
-use crate::model::{Host, HostIx};
+use crate::model::{Host, HostIndex};
 use std::collections::{HashMap, HashSet};
 
 /// So many direct commands in a row without an answer are no chance.
-pub const DEAF: u32 = 2;
+pub const UNREACHABLE_AFTER_MISSES: u32 = 2;
 /// A zone is never taken for cut off for the silence of one machine in fewer than these.
 const LEAST_ZONE: usize = 3;
 /// Fewest machines by whose silence this node is taken for cut off.
@@ -31,15 +31,15 @@
 #[derive(Debug, Default)]
 struct Survey {
     /// Machines whose lease has surely expired.
-    expired: Vec<HostIx>,
+    expired: Vec<HostIndex>,
     /// Machines to be released, unless their zone is cut off.
-    silent: Vec<HostIx>,
+    silent: Vec<HostIndex>,
     /// Machines to be asked directly.
-    probe: Vec<HostIx>,
+    probe: Vec<HostIndex>,
     cut_off_zones: HashSet<String>,
 }
 
-impl Part {
+impl Partition {
     /// For how long a sound machine may be silent: reports come a quarter late at
     /// the most, and take a moment.
     pub(super) fn quiet_ms(&self) -> u64 {
@@ -55,7 +55,7 @@
     /// be asked directly.
     ///
     /// `unbound_ms`: another controller may have kept leases alive until then.
-    pub fn upkeep(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIx>) {
+    pub fn upkeep(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIndex>) {
         self.forgive_own_pause(now);
         let survey = self.survey(now, unbound_ms);
         self.expire_leases(survey.expired);
@@ -71,7 +71,7 @@
         if gap <= 2 * self.policy.react_ms {
             return;
         }
-        for h in self.world.hosts.iter_mut().flatten() {
+        for h in self.cluster.hosts.iter_mut().flatten() {
             h.heard_ms = (h.heard_ms + gap).min(now);
             h.missed = 0;
         }
@@ -81,22 +81,22 @@
     fn survey(&self, now: u64, unbound_ms: u64) -> Survey {
         let mut survey = Survey::default();
         let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
-        for (hix, h) in self.world.each_host().filter(|(_, h)| !h.releasing) {
+        for (host_index, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing) {
             let quiet = now.saturating_sub(h.heard_ms) > self.quiet_ms();
-            if h.vouched() {
+            if h.confirmed() {
                 if self.lease_expired(h, now, unbound_ms) {
-                    survey.expired.push(hix);
+                    survey.expired.push(host_index);
                 }
                 let zone = zones.entry(&h.zone).or_default();
                 zone.all += 1;
-                zone.quiet += usize::from(quiet || h.missed >= DEAF);
+                zone.quiet += usize::from(quiet || h.missed >= UNREACHABLE_AFTER_MISSES);
             }
             if self.unreachable(h, now) {
-                survey.silent.push(hix);
+                survey.silent.push(host_index);
             }
             // After a takeover all are asked at once: most look for us elsewhere first.
-            if quiet || !h.shown() || h.missed > 0 {
-                survey.probe.push(hix);
+            if quiet || !h.token_confirmed() || h.missed > 0 {
+                survey.probe.push(host_index);
             }
         }
         // Many machines of a zone that fall silent together: it is rather the zone
@@ -110,7 +110,7 @@
     /// Has its lease surely expired, with something to be given up?
     fn lease_expired(&self, h: &Host, now: u64, unbound_ms: u64) -> bool {
         let outlived = (self.policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + self.policy.react_ms;
-        let holds = !h.copies.is_empty() || !h.accounted;
+        let holds = !h.attempts.is_empty() || !h.accounted;
         holds && now > h.answered_ms.max(unbound_ms) + outlived
     }
 
@@ -119,15 +119,15 @@
         let quiet = now.saturating_sub(h.heard_ms);
         let lease = self.policy.lease_ms;
         let missed_ms = u64::from(h.missed) * self.policy.react_ms;
-        let deaf = h.missed >= DEAF && (quiet > self.lost_ms() || missed_ms > lease);
+        let deaf = h.missed >= UNREACHABLE_AFTER_MISSES && (quiet > self.lost_ms() || missed_ms > lease);
         deaf || (h.addr.is_none() && quiet > lease)
     }
 
     /// What was on these machines is gone: their leases have expired.
-    fn expire_leases(&mut self, expired: Vec<HostIx>) {
-        for hix in expired {
-            self.lose_all(hix);
-            if let Some(h) = self.world.host_mut(hix) {
+    fn expire_leases(&mut self, expired: Vec<HostIndex>) {
+        for host_index in expired {
+            self.lose_all(host_index);
+            if let Some(h) = self.cluster.host_mut(host_index) {
                 tracing::info!(host = h.id, "lease surely outlived");
                 h.accounted = true;
             }
@@ -137,11 +137,11 @@
 
     /// Marks silent machines for release, except in zones that are cut off; returns
     /// their names.
-    fn release_silent(&mut self, silent: Vec<HostIx>, cut_off_zones: &HashSet<String>) -> Vec<String> {
+    fn release_silent(&mut self, silent: Vec<HostIndex>, cut_off_zones: &HashSet<String>) -> Vec<String> {
         let mut release = Vec::new();
-        for hix in silent {
-            let lone = |h: &&mut Host| !h.vouched() || !cut_off_zones.contains(&h.zone);
-            let Some(h) = self.world.host_mut(hix).filter(lone) else { continue };
+        for host_index in silent {
+            let lone = |h: &&mut Host| !h.confirmed() || !cut_off_zones.contains(&h.zone);
+            let Some(h) = self.cluster.host_mut(host_index).filter(lone) else { continue };
             h.releasing = true;
             tracing::info!(host = h.id, "machine is silent, releasing it");
             release.push(h.id.clone());
@@ -152,7 +152,7 @@
     /// May machines be rented and returned? What is up is known, or as much as
     /// will be for now.
     pub fn counted(&self, now: u64) -> bool {
-        self.world.all_accounted || now > self.begun_ms + self.lost_ms()
+        self.cluster.all_accounted || now > self.begun_ms + self.lost_ms()
     }
 
     /// True if most machines that were heard before, or asked twice in vain, are
@@ -160,11 +160,11 @@
     /// may not be.
     pub fn cut_off(&self, now: u64) -> bool {
         let (mut all, mut known, mut silent) = (0, 0, 0);
-        for (_, h) in self.world.each_host().filter(|(_, h)| !h.releasing && h.vouched()) {
+        for (_, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing && h.confirmed()) {
             all += 1;
             // After a takeover those that were not asked yet may be on their way here.
             let heard = h.tenure > 0;
-            if heard || h.missed >= DEAF {
+            if heard || h.missed >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
                 let patience = if heard { self.policy.react_ms } else { 0 };
                 silent += usize::from(now.saturating_sub(h.heard_ms) > self.quiet_ms() + patience);
@@ -175,18 +175,18 @@
 
     /// Marks a machine for release; true if it was not marked yet.
     pub fn mark_releasing(&mut self, id: &str) -> bool {
-        let Some(&hix) = self.world.host_ix.get(id) else { return true };
-        self.world.host_mut(hix).is_some_and(|h| !std::mem::replace(&mut h.releasing, true))
+        let Some(&host_index) = self.cluster.host_index.get(id) else { return true };
+        self.cluster.host_mut(host_index).is_some_and(|h| !std::mem::replace(&mut h.releasing, true))
     }
 
     /// The cloud has confirmed: the machine and all on it are gone.
     pub fn host_gone(&mut self, id: &str) {
         self.released.insert(id.to_string());
-        let Some(&hix) = self.world.host_ix.get(id) else { return };
-        self.lose_all(hix);
-        self.new_hosts.remove(&hix);
-        if self.world.remove_host(hix).is_some_and(|h| h.registered) {
-            self.gone_keys.insert(host_key(id));
+        let Some(&host_index) = self.cluster.host_index.get(id) else { return };
+        self.lose_all(host_index);
+        self.new_hosts.remove(&host_index);
+        if self.cluster.remove_host(host_index).is_some_and(|h| h.registered) {
+            self.obsolete_keys.insert(host_key(id));
         }
         self.recount();
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -17,17 +17,17 @@
 const MAX_FRAME: usize = 128 * 1024;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// Promise not to act for this part for a while.
-    Promise { part: u32, holder: String, term: u64, for_ms: u64, state_ok: bool },
+pub enum PeerRequest {
+    /// Promise not to act for this partition for a while.
+    Promise { partition: u32, owner: String, term: u64, for_ms: u64, state_ok: bool },
     /// The asker has stopped acting under this term: its promise binds no more.
-    Release { part: u32, term: u64 },
-    /// A user's request for the holder of a part.
-    User { part: u32, call: UserCall },
-    /// To the leader: what a part needs, and could do without.
-    Needs(Needs),
-    /// From the leader: give this machine, if it is free, to another part.
-    Give { part: u32, host: String, to: u32 },
+    Release { partition: u32, term: u64 },
+    /// A user's request for the owner of a partition.
+    User { partition: u32, call: UserCall },
+    /// To the leader: what a partition needs, and could do without.
+    CapacityReport(CapacityReport),
+    /// From the leader: give this machine, if it is free, to another partition.
+    TransferHost { partition: u32, host: String, to: u32 },
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -47,8 +47,8 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Needs {
-    pub part: u32,
+pub struct CapacityReport {
+    pub partition: u32,
     /// The lowest bin that waits for room, if any does.
     pub lowest_bin: Option<u64>,
     /// How many machines it believes to be on their way to it.
@@ -59,12 +59,12 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum PeerResponse {
     Promised,
     No,
-    /// Machines that are on their way to the part.
-    Coming {
-        coming: Vec<Machines>,
+    /// Machines that are on their way to the partition.
+    PendingMachines {
+        pending_machines: Vec<Machines>,
         refused: Vec<Machines>,
     },
     User {
@@ -107,8 +107,8 @@
 /// Serves the other controllers for ever.
 pub async fn serve<H, F>(listener: impl Listener, handler: H)
 where
-    H: Fn(Ask) -> F + Send + Sync + 'static,
-    F: Future<Output = Reply> + Send + 'static,
+    H: Fn(PeerRequest) -> F + Send + Sync + 'static,
+    F: Future<Output = PeerResponse> + Send + 'static,
 {
     let handler = Arc::new(handler);
     loop {
@@ -121,10 +121,10 @@
         let (tx, rx) = mpsc::channel::<Vec<u8>>(64);
         task::spawn(write_frames(write, rx));
         task::spawn(async move {
-            while let Some((n, ask)) = read_frame::<Ask>(&mut read).await {
+            while let Some((n, request)) = read_frame::<PeerRequest>(&mut read).await {
                 let (handler, tx) = (handler.clone(), tx.clone());
                 task::spawn(async move {
-                    if let Some(frame) = encode(n, handler(ask).await) {
+                    if let Some(frame) = encode(n, handler(request).await) {
                         let _ = tx.send(frame).await;
                     }
                 });
@@ -142,8 +142,8 @@
 }
 
 enum ToPeer {
-    Ask(Ask, oneshot::Sender<Reply>),
-    Reply(u64, u64, Reply),
+    Request(PeerRequest, oneshot::Sender<PeerResponse>),
+    Response(u64, u64, PeerResponse),
     Broken(u64),
     Abandoned,
 }
@@ -169,9 +169,9 @@
         Peer { name, tx }
     }
 
-    pub async fn ask(&self, ask: Ask, limit: Duration) -> Option<Reply> {
+    pub async fn request(&self, request: PeerRequest, limit: Duration) -> Option<PeerResponse> {
         let (tx, rx) = oneshot::channel();
-        self.tx.try_send(ToPeer::Ask(ask, tx)).ok()?;
+        self.tx.try_send(ToPeer::Request(request, tx)).ok()?;
         match timeout(limit, rx).await {
             Ok(r) => r.ok(),
             Err(_) => {
@@ -192,22 +192,22 @@
     let mut next = 0u64;
     let mut life = 0u64;
     let mut open: Option<mpsc::Sender<Vec<u8>>> = None;
-    let mut waiting: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
+    let mut waiting: HashMap<u64, oneshot::Sender<PeerResponse>> = HashMap::new();
     while let Some(m) = rx.recv().await {
         match m {
-            ToPeer::Ask(ask, reply) => {
+            ToPeer::Request(request, reply) => {
                 if open.is_none() {
                     life += 1;
                     open = connect(&net, addr, connect_limit, life, &tx).await;
                 }
                 next += 1;
-                if let (Some(frame), Some(out)) = (encode(next, ask), open.as_ref())
+                if let (Some(frame), Some(out)) = (encode(next, request), open.as_ref())
                     && out.try_send(frame).is_ok()
                 {
                     waiting.insert(next, reply);
                 }
             }
-            ToPeer::Reply(l, n, r) if l == life => {
+            ToPeer::Response(l, n, r) if l == life => {
                 if let Some(w) = waiting.remove(&n) {
                     let _ = w.send(r);
                 }
@@ -221,7 +221,7 @@
                 life += 1;
                 waiting.clear();
             }
-            ToPeer::Reply(..) | ToPeer::Broken(_) => {}
+            ToPeer::Response(..) | ToPeer::Broken(_) => {}
         }
     }
 }
@@ -239,8 +239,8 @@
     task::spawn(write_frames(write, frames));
     let tx = tx.clone();
     task::spawn(async move {
-        while let Some((n, r)) = read_frame::<Reply>(&mut read).await {
-            if tx.send(ToPeer::Reply(life, n, r)).await.is_err() {
+        while let Some((n, r)) = read_frame::<PeerResponse>(&mut read).await {
+            if tx.send(ToPeer::Response(life, n, r)).await.is_err() {
                 return;
             }
         }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -7,17 +7,20 @@
 async fn peers_ask_and_answer_and_survive_a_silent_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    tokio::spawn(serve(listener, |ask| async move {
-        match ask {
-            Ask::Give { .. } => std::future::pending().await,
-            Ask::Promise { term: 3, .. } => Reply::Promised,
-            _ => Reply::No,
+    tokio::spawn(serve(listener, |request| async move {
+        match request {
+            PeerRequest::TransferHost { .. } => std::future::pending().await,
+            PeerRequest::Promise { term: 3, .. } => PeerResponse::Promised,
+            _ => PeerResponse::No,
         }
     }));
     let p = Peer::start("b".into(), addr, Duration::from_millis(500));
-    let ask = |term| Ask::Promise { part: 0, holder: "a".into(), term, for_ms: 5, state_ok: true };
+    let request = |term| PeerRequest::Promise { partition: 0, owner: "a".into(), term, for_ms: 5, state_ok: true };
     let limit = Duration::from_millis(500);
-    assert_eq!(p.ask(ask(3), limit).await, Some(Reply::Promised));
-    assert_eq!(p.ask(Ask::Give { part: 0, host: "x".into(), to: 1 }, Duration::from_millis(30)).await, None);
-    assert_eq!(p.ask(ask(4), limit).await, Some(Reply::No));
+    assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Promised));
+    assert_eq!(
+        p.request(PeerRequest::TransferHost { partition: 0, host: "x".into(), to: 1 }, Duration::from_millis(30)).await,
+        None
+    );
+    assert_eq!(p.request(request(4), limit).await, Some(PeerResponse::No));
 }
--- /dev/null
+++ b/src/router.rs
@@ -0,0 +1,166 @@
+//! The ways to the owners of the partitions: the actors on this node, or the other
+//! controllers.
+
+use crate::clock;
+use crate::http::Response;
+use crate::membership::{self, Entitlement, Ownership, PromiseStatus};
+use crate::owner;
+use crate::partition::UserAnswer;
+use crate::peer::{Peer, PeerRequest, PeerResponse, UserCall};
+use crate::wire;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::timeout;
+
+pub const SLOW: &str = "no decision in time";
+
+/// The way to one partition on this node.
+#[derive(Clone)]
+pub struct PartitionHandle {
+    pub ownership: watch::Receiver<Ownership>,
+    pub entitled: Entitlement,
+    pub promise_status: PromiseStatus,
+    pub owner: mpsc::Sender<owner::Message>,
+    pub members: mpsc::Sender<membership::Message>,
+}
+
+/// The ways to all partitions; cheap to clone.
+#[derive(Clone)]
+pub struct Router {
+    pub partitions: Arc<Vec<PartitionHandle>>,
+    pub peers: Arc<Vec<Peer>>,
+    pub grant_ttl_ms: u64,
+    /// When the owner of each partition was last heard to be at work.
+    pub heard_ms: Arc<Vec<AtomicU64>>,
+}
+
+impl Router {
+    pub fn mine(&self, partition: u32) -> bool {
+        self.partitions.get(partition as usize).is_some_and(|d| d.ownership.borrow().mine)
+    }
+
+    /// The node that holds a partition, as far as is known here.
+    pub fn owner(&self, partition: u32) -> Option<String> {
+        self.partitions.get(partition as usize)?.ownership.borrow().owner.clone()
+    }
+
+    /// Asks the owner of a partition, here or elsewhere.
+    pub async fn request(&self, partition: u32, request: PeerRequest) -> Option<PeerResponse> {
+        if self.mine(partition) {
+            return Some(self.answer(request).await);
+        }
+        let name = self.owner(partition)?;
+        let peer = self.peers.iter().find(|p| p.name == name)?;
+        // A submission can be accepted without the owner: it need not wait
+        // for one that may be gone.
+        let submits = matches!(request, PeerRequest::User { call: UserCall::Submit(_), .. });
+        let limit = match submits {
+            true if self.at_work(partition) => self.grant_ttl_ms / 5,
+            true => self.grant_ttl_ms / 10,
+            false => self.grant_ttl_ms * 2 / 5,
+        };
+        peer.request(request, Duration::from_millis(limit)).await
+    }
+
+    /// Has the owner of the partition asked for a promise just now? It does so five
+    /// times in the life of one.
+    pub fn at_work(&self, partition: u32) -> bool {
+        let heard = self.heard_ms.get(partition as usize).map_or(0, |h| h.load(Ordering::Relaxed));
+        heard > 0 && clock::now_ms() < heard + self.grant_ttl_ms / 4
+    }
+
+    /// Asks the owner of a partition on behalf of a user.
+    pub async fn user(&self, partition: u32, call: UserCall) -> Option<Response> {
+        match self.request(partition, PeerRequest::User { partition, call }).await? {
+            PeerResponse::User { status, body, retry_after_s } => {
+                Some(Response { status, body, retry_after_s, allow: None, content_type: "application/json" })
+            }
+            _ => None,
+        }
+    }
+
+    /// Answers another controller, or this one, from the actors on this node.
+    pub async fn answer(&self, request: PeerRequest) -> PeerResponse {
+        match request {
+            PeerRequest::Promise { partition, owner, term, for_ms, state_ok } => {
+                let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
+                if let Some(h) = self.heard_ms.get(partition as usize) {
+                    h.store(clock::now_ms(), Ordering::Relaxed);
+                }
+                let (reply, rx) = oneshot::channel();
+                let m = membership::Message::Promise { owner, term, for_ms, state_ok, reply };
+                if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
+                    PeerResponse::Promised
+                } else {
+                    PeerResponse::No
+                }
+            }
+            PeerRequest::Release { partition, term } => {
+                if let Some(handle) = self.partitions.get(partition as usize) {
+                    let _ = handle.members.try_send(membership::Message::Release { term });
+                }
+                PeerResponse::Promised
+            }
+            PeerRequest::User { partition, call } => {
+                let r = self.local(partition, call).await;
+                PeerResponse::User { status: r.status, body: r.body, retry_after_s: r.retry_after_s }
+            }
+            PeerRequest::CapacityReport(capacity_report) => {
+                self.actor(0, |reply| owner::Message::CapacityReport { capacity_report, reply }).await
+            }
+            PeerRequest::TransferHost { partition, host, to } => {
+                self.actor(partition, |reply| owner::Message::TransferHost { host, to, reply }).await
+            }
+        }
+    }
+
+    async fn actor(
+        &self,
+        partition: u32,
+        m: impl FnOnce(oneshot::Sender<PeerResponse>) -> owner::Message,
+    ) -> PeerResponse {
+        let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
+        let (reply, rx) = oneshot::channel();
+        match handle.owner.try_send(m(reply)) {
+            Ok(()) => rx.await.unwrap_or(PeerResponse::No),
+            Err(_) => PeerResponse::No,
+        }
+    }
+
+    async fn local(&self, partition: u32, call: UserCall) -> Response {
+        let Some(handle) = self.partitions.get(partition as usize) else { return Response::later("no such partition") };
+        let (tx, rx) = oneshot::channel();
+        let submits = matches!(call, UserCall::Submit(_));
+        if handle.owner.try_send(owner::Message::User { call, reply: tx }).is_err() {
+            return Response::later("too many requests");
+        }
+        // A commit that takes longer is answered by the retry.
+        match timeout(Duration::from_millis(self.grant_ttl_ms), rx).await {
+            Ok(Ok(a)) => to_response(a),
+            _ if submits => Response::busy(SLOW, 1),
+            _ => Response::later(SLOW),
+        }
+    }
+}
+
+fn to_response(a: UserAnswer) -> Response {
+    match a {
+        UserAnswer::Accepted { created, id, phase } => {
+            let status = if created { 201 } else { 200 };
+            Response::json(status, &wire::job_answer(&id, phase, 0, 0))
+        }
+        UserAnswer::Status { id, phase, done, running } => {
+            Response::json(200, &wire::job_answer(&id, phase, done, running))
+        }
+        UserAnswer::Malformed(m) => Response::error(400, &m),
+        UserAnswer::Impossible(m) => Response::error(422, &m),
+        UserAnswer::Unknown => Response::error(404, "no such job"),
+        UserAnswer::RetryLater(m) => Response::later(m),
+        UserAnswer::Busy(after_s) => Response::busy("too many submissions", after_s),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -1,10 +1,10 @@
 //! What decisions look up again and again: room by machine, where each job's
-//! copies are, which machines have an image. Counted once for a pass or plan
+//! attempts are, which machines have an image. Counted once for a pass or plan
 //! and kept up to date while it places, so that a decision costs what it looks
 //! at, and not machines times running tasks.
 
 use super::usable;
-use crate::model::{Claim, Demand, Host, HostIx, JobIx, Spec, World};
+use crate::model::{Claim, ClusterState, Demand, Host, HostIndex, JobIndex, Spec};
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
@@ -23,12 +23,12 @@
 
 /// Tasks of a job by zone.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Counts {
+pub struct ZoneCounts {
     by_zone: Vec<u32>,
     total: u32,
 }
 
-impl Counts {
+impl ZoneCounts {
     /// Counts one more task in a zone.
     pub fn add(&mut self, zone: usize) {
         if self.by_zone.len() <= zone {
@@ -54,7 +54,7 @@
 
 /// Where a job's tasks may be, with names resolved.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Want {
+pub struct TaskRequirements {
     /// By machine type; a type that is too small is not allowed.
     flavors: Vec<bool>,
     pub demand: Demand,
@@ -65,9 +65,9 @@
     limit: u32,
 }
 
-impl Want {
+impl TaskRequirements {
     /// May the tasks be on such a machine, as far as zone counts allow?
-    pub fn allows(&self, flavor: usize, zone: usize, spot: bool, counts: &Counts) -> bool {
+    pub fn allows(&self, flavor: usize, zone: usize, spot: bool, counts: &ZoneCounts) -> bool {
         self.flavors[flavor]
             && (self.spot || !spot)
             && self.zone.is_none_or(|z| z == Some(zone))
@@ -76,12 +76,12 @@
     }
 
     /// The same for a machine that is up.
-    pub fn takes(&self, s: &Slot, counts: &Counts) -> bool {
+    pub fn takes(&self, s: &Slot, counts: &ZoneCounts) -> bool {
         s.usable && self.allows(s.flavor, s.zone, s.spot, counts)
     }
 
     /// The same for any number of tasks that are already there.
-    pub fn like(&self, other: &Want) -> bool {
+    pub fn like(&self, other: &TaskRequirements) -> bool {
         self.flavors == other.flavors
             && self.demand == other.demand
             && self.spot == other.spot
@@ -89,37 +89,37 @@
     }
 }
 
-/// Room by machine, and where the copies of each job are.
+/// Room by machine, and where the attempts of each job are.
 #[derive(Debug, Default)]
 pub struct Index {
     pub slots: Vec<Slot>,
     zones: Vec<String>,
-    /// Job and machine of each copy that has not ended, sorted.
-    at: Vec<(JobIx, HostIx)>,
+    /// Job and machine of each attempt that has not ended, sorted.
+    at: Vec<(JobIndex, HostIndex)>,
     /// The same for what was placed since.
-    placed: HashMap<JobIx, Vec<HostIx>>,
+    placed: HashMap<JobIndex, Vec<HostIndex>>,
     /// How many machines hold room for each job.
-    claims: HashMap<JobIx, usize>,
-    /// What each team's copies take, fetching ones included.
+    claims: HashMap<JobIndex, usize>,
+    /// What each team's attempts take, fetching ones included.
     pub usage: HashMap<String, Demand>,
     /// The same once all that is being stopped is gone.
     pub staying: HashMap<String, Demand>,
-    warm: OnceCell<HashMap<String, Vec<HostIx>>>,
+    warm: OnceCell<HashMap<String, Vec<HostIndex>>>,
 }
 
 impl Index {
     /// Counts what is on all machines.
-    pub fn new(world: &World, now: u64) -> Index {
-        let mut index = Index { slots: Vec::with_capacity(world.hosts.len()), ..Index::default() };
-        for zone in world.flavors.iter().flat_map(|f| &f.zones) {
+    pub fn new(cluster: &ClusterState, now: u64) -> Index {
+        let mut index = Index { slots: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
+        for zone in cluster.flavors.iter().flat_map(|f| &f.zones) {
             index.zone_or_insert(zone);
         }
-        for (hix, host) in world.hosts.iter().enumerate() {
-            let slot = host.as_ref().map_or_else(Slot::default, |h| index.count_host(world, hix, h, now));
+        for (host_index, host) in cluster.hosts.iter().enumerate() {
+            let slot = host.as_ref().map_or_else(Slot::default, |h| index.count_host(cluster, host_index, h, now));
             index.slots.push(slot);
         }
         index.at.sort_unstable();
-        index.count_teams(world);
+        index.count_teams(cluster);
         index
     }
 
@@ -131,21 +131,21 @@
     }
 
     /// Counts what is on one machine.
-    fn count_host(&mut self, world: &World, hix: HostIx, h: &Host, now: u64) -> Slot {
+    fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, h: &Host, now: u64) -> Slot {
         let mut slot = Slot {
             usable: h.flavor.is_some() && usable(h, now),
             flavor: h.flavor.unwrap_or(0),
             zone: self.zone_or_insert(&h.zone),
             spot: h.spot,
-            free: h.flavor.map_or(Demand::default(), |f| world.flavors[f].cap),
+            free: h.flavor.map_or(Demand::default(), |f| cluster.flavors[f].cap),
             claimed: Demand::default(),
             claims: h.claims.len(),
         };
-        for c in h.copies.iter().filter(|c| !c.ended()) {
+        for c in h.attempts.iter().filter(|c| !c.ended()) {
             slot.free.sub(&c.demand);
-            self.at.push((c.key.job, hix));
+            self.at.push((c.key.job, host_index));
             if c.stop.is_some() {
-                sum(&mut self.staying, &world.jobs[c.key.job].spec.team, &c.demand.times(-1.0));
+                sum(&mut self.staying, &cluster.jobs[c.key.job].spec.team, &c.demand.times(-1.0));
             }
         }
         for c in &h.claims {
@@ -155,11 +155,11 @@
         slot
     }
 
-    /// Counts what the copies of each team's jobs take.
-    fn count_teams(&mut self, world: &World) {
-        for copies in self.at.chunk_by(|a, b| a.0 == b.0) {
-            let spec = &world.jobs[copies[0].0].spec;
-            let all = spec.demand.times(copies.len() as f64);
+    /// Counts what the attempts of each team's jobs take.
+    fn count_teams(&mut self, cluster: &ClusterState) {
+        for attempts in self.at.chunk_by(|a, b| a.0 == b.0) {
+            let spec = &cluster.jobs[attempts[0].0].spec;
+            let all = spec.demand.times(attempts.len() as f64);
             sum(&mut self.usage, &spec.team, &all);
             sum(&mut self.staying, &spec.team, &all);
         }
@@ -181,9 +181,9 @@
     }
 
     /// Where the tasks of a job may be.
-    pub fn want(&self, world: &World, spec: &Spec) -> Want {
-        Want {
-            flavors: world.flavors.iter().map(|f| spec.allows_flavor(f)).collect(),
+    pub fn requirements(&self, cluster: &ClusterState, spec: &Spec) -> TaskRequirements {
+        TaskRequirements {
+            flavors: cluster.flavors.iter().map(|f| spec.allows_flavor(f)).collect(),
             demand: spec.demand,
             spot: spec.spot,
             zone: spec.zone.as_deref().map(|z| self.zone(z)),
@@ -192,57 +192,57 @@
         }
     }
 
-    /// The machines of a job's copies that have not ended, one entry a copy.
-    pub fn hosts_of(&self, job: JobIx) -> impl Iterator<Item = HostIx> + '_ {
+    /// The machines of a job's attempts that have not ended, one entry an attempt.
+    pub fn hosts_of(&self, job: JobIndex) -> impl Iterator<Item = HostIndex> + '_ {
         let first = self.at.partition_point(|a| a.0 < job);
         let before = self.at[first..].iter().take_while(move |a| a.0 == job).map(|a| a.1);
         before.chain(self.placed.get(&job).into_iter().flatten().copied())
     }
 
     /// Copies of the job by zone.
-    pub fn counts(&self, job: JobIx) -> Counts {
-        let mut counts = Counts::default();
+    pub fn counts(&self, job: JobIndex) -> ZoneCounts {
+        let mut counts = ZoneCounts::default();
         self.hosts_of(job).for_each(|h| counts.add(self.slots[h].zone));
         counts
     }
 
     /// How many machines hold room for the job.
-    pub fn claims_of(&self, job: JobIx) -> usize {
+    pub fn claims_of(&self, job: JobIndex) -> usize {
         self.claims.get(&job).copied().unwrap_or(0)
     }
 
     /// What a machine has free for a job, less what is held for others.
-    pub fn free_for(&self, world: &World, hix: HostIx, job: JobIx) -> Demand {
-        let slot = &self.slots[hix];
+    pub fn free_for(&self, cluster: &ClusterState, host_index: HostIndex, job: JobIndex) -> Demand {
+        let slot = &self.slots[host_index];
         let mut free = slot.free;
         if slot.claims > 0 {
-            let claims = world.host(hix).map_or(&[][..], |h| &h.claims);
+            let claims = cluster.host(host_index).map_or(&[][..], |h| &h.claims);
             claims.iter().filter(|c| c.job != job).for_each(|c| free.sub(&c.demand));
         }
         free
     }
 
     /// A task was placed.
-    pub fn start(&mut self, spec: &Spec, job: JobIx, hix: HostIx) {
-        self.slots[hix].free.sub(&spec.demand);
-        self.placed.entry(job).or_default().push(hix);
+    pub fn start(&mut self, spec: &Spec, job: JobIndex, host_index: HostIndex) {
+        self.slots[host_index].free.sub(&spec.demand);
+        self.placed.entry(job).or_default().push(host_index);
         sum(&mut self.usage, &spec.team, &spec.demand);
         sum(&mut self.staying, &spec.team, &spec.demand);
     }
 
-    /// A copy is being stopped.
+    /// An attempt is being stopped.
     pub fn stop(&mut self, spec: &Spec) {
         sum(&mut self.staying, &spec.team, &spec.demand.times(-1.0));
     }
 
     /// The claims on a machine changed from `before`.
-    pub fn reclaim(&mut self, before: &[Claim], after: &[Claim], hix: HostIx) {
+    pub fn reclaim(&mut self, before: &[Claim], after: &[Claim], host_index: HostIndex) {
         for c in before {
             if let Some(n) = self.claims.get_mut(&c.job) {
                 *n = n.saturating_sub(1);
             }
         }
-        let slot = &mut self.slots[hix];
+        let slot = &mut self.slots[host_index];
         slot.claims = after.len();
         slot.claimed = Demand::default();
         for c in after {
@@ -275,15 +275,15 @@
     }
 
     /// Machines that had the image ready when first asked.
-    pub fn warm(&self, world: &World, image: &str) -> &[HostIx] {
+    pub fn warm(&self, cluster: &ClusterState, image: &str) -> &[HostIndex] {
         let warm = self.warm.get_or_init(|| {
-            let mut warm: HashMap<String, Vec<HostIx>> = HashMap::new();
-            for (hix, h) in world.each_host() {
+            let mut warm: HashMap<String, Vec<HostIndex>> = HashMap::new();
+            for (host_index, h) in cluster.each_host() {
                 for i in h.images.iter().filter(|i| i.ready) {
                     match warm.get_mut(&i.name) {
-                        Some(hosts) => hosts.push(hix),
+                        Some(hosts) => hosts.push(host_index),
                         None => {
-                            warm.insert(i.name.clone(), vec![hix]);
+                            warm.insert(i.name.clone(), vec![host_index]);
                         }
                     }
                 }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -10,7 +10,7 @@
 
 pub use index::Index;
 pub use pass::{Assignment, Eviction, Outcome, pass};
-pub use plan::{ClassFlow, Coming, Drain, Plan, Rental, plan, reserves};
+pub use plan::{ClassFlow, Drain, PendingMachine, Plan, Rental, plan, reserves};
 pub use policy::{Policy, TeamRule};
 
 use crate::model::{Flavor, Host, Shape, Spec};
@@ -34,14 +34,14 @@
 /// May tasks be placed on the machine now?
 pub fn usable(h: &Host, now: u64) -> bool {
     h.registered
-        && !h.strays
+        && !h.has_unknown_tasks
         && !h.notice
         && !h.releasing
         && !h.draining
-        && h.giving.is_none()
-        && h.shown()
+        && h.transferring_to.is_none()
+        && h.token_confirmed()
         && h.blocked_until_ms <= now
         && !h.faulty()
         && h.addr.is_some()
-        && h.missed < crate::part::DEAF
+        && h.missed < crate::partition::UNREACHABLE_AFTER_MISSES
 }
--- a/src/sched/pass/claims.rs
+++ b/src/sched/pass/claims.rs
@@ -1,59 +1,61 @@
 //! Room that is held for jobs.
 
 use super::Pass;
-use super::need::Need;
-use crate::model::{Claim, HostIx, JobIx};
-use crate::sched::index::Counts;
+use super::request::PlacementRequest;
+use crate::model::{Claim, HostIndex, JobIndex};
+use crate::sched::index::ZoneCounts;
 
 impl Pass<'_> {
     /// Holds room on a machine.
-    pub(super) fn claim(&mut self, hix: HostIx, claim: Claim) {
-        if let Some(h) = self.world.host_mut(hix) {
+    pub(super) fn claim(&mut self, host_index: HostIndex, claim: Claim) {
+        if let Some(h) = self.cluster.host_mut(host_index) {
             let before = h.claims.clone();
             h.claims.push(claim);
-            self.index.reclaim(&before, &h.claims, hix);
+            self.index.reclaim(&before, &h.claims, host_index);
         }
     }
 
     /// Gives up the room that is held for a job.
-    pub(super) fn unclaim(&mut self, ix: JobIx) {
-        if self.index.claims_of(ix) == 0 {
+    pub(super) fn release_claim(&mut self, job_index: JobIndex) {
+        if self.index.claims_of(job_index) == 0 {
             return;
         }
-        for (hix, h) in self.world.hosts.iter_mut().enumerate() {
-            let Some(h) = h.as_mut().filter(|h| h.claims.iter().any(|c| c.job == ix)) else { continue };
+        for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
+            let Some(h) = h.as_mut().filter(|h| h.claims.iter().any(|c| c.job == job_index)) else { continue };
             let before = h.claims.clone();
-            h.claims.retain(|c| c.job != ix);
-            self.index.reclaim(&before, &h.claims, hix);
+            h.claims.retain(|c| c.job != job_index);
+            self.index.reclaim(&before, &h.claims, host_index);
         }
     }
 
     /// How many tasks room is held for where zones still allow them, which are
     /// counted; what is held elsewhere is given up. Room in a zone that the job's
     /// other tasks filled meanwhile would keep the last one waiting for its end.
-    pub(super) fn claims_of_use(&mut self, need: &Need, counts: &mut Counts) -> usize {
-        if self.index.claims_of(need.ix) == 0 {
+    pub(super) fn claims_of_use(&mut self, request: &PlacementRequest, counts: &mut ZoneCounts) -> usize {
+        if self.index.claims_of(request.job_index) == 0 {
             return 0;
         }
         let mut of_use = 0;
-        for hix in 0..self.index.slots.len() {
-            if self.index.slots[hix].claims == 0 {
+        for host_index in 0..self.index.slots.len() {
+            if self.index.slots[host_index].claims == 0 {
                 continue;
             }
-            let Some(h) = self.world.hosts[hix].as_mut().filter(|h| h.claims.iter().any(|c| c.job == need.ix)) else {
+            let Some(h) =
+                self.cluster.hosts[host_index].as_mut().filter(|h| h.claims.iter().any(|c| c.job == request.job_index))
+            else {
                 continue;
             };
             let before = h.claims.clone();
-            let slot = &self.index.slots[hix];
+            let slot = &self.index.slots[host_index];
             h.claims.retain(|c| {
-                let fits = c.job != need.ix || need.want.takes(slot, counts);
-                if fits && c.job == need.ix {
+                let fits = c.job != request.job_index || request.requirements.takes(slot, counts);
+                if fits && c.job == request.job_index {
                     counts.add(slot.zone);
                     of_use += 1;
                 }
                 fits
             });
-            self.index.reclaim(&before, &h.claims, hix);
+            self.index.reclaim(&before, &h.claims, host_index);
         }
         of_use
     }
--- a/src/sched/pass/cost.rs
+++ b/src/sched/pass/cost.rs
@@ -1,14 +1,14 @@
 //! What it costs to place a task on a machine.
 
 use super::Pass;
-use super::need::Need;
-use crate::model::{Demand, Host, HostIx};
+use super::request::PlacementRequest;
+use crate::model::{Demand, Host, HostIndex};
 
 /// The cost of a start that comes too late, next to which a machine's other
 /// drawbacks are small.
-pub(super) const LATE: f64 = 3.0;
+pub(super) const LATE_START_COST: f64 = 3.0;
 /// The cost of a replica that moves, next to 1 for a task that is stopped.
-pub(super) const MOVED: f64 = 0.3;
+pub(super) const MOVE_COST: f64 = 0.3;
 /// The cost of leaving all of one resource without any of another.
 const STRANDED: f64 = 4.0;
 /// The cost of a spot machine for work that can't be lost once more, or of another for
@@ -37,30 +37,30 @@
 
 impl Pass<'_> {
     /// Seconds until the job's image would be on the machine.
-    pub(super) fn fetch_s(&self, need: &Need, hix: HostIx) -> f64 {
-        let rate = self.world.flavors[self.index.slots[hix].flavor].fetch_gb_per_s;
-        self.world.host(hix).map_or(f64::INFINITY, |h| h.fetch_s(&need.image, need.image_gb, rate))
+    pub(super) fn fetch_s(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
+        let rate = self.cluster.flavors[self.index.slots[host_index].flavor].fetch_gb_per_s;
+        self.cluster.host(host_index).map_or(f64::INFINITY, |h| h.fetch_s(&request.image, request.image_gb, rate))
     }
 
     /// What it costs to place a task of the job on the machine.
-    pub(super) fn cost(&self, need: &Need, hix: HostIx) -> f64 {
-        let Some(h) = self.world.host(hix) else { return f64::INFINITY };
-        let slot = &self.index.slots[hix];
-        let cap = &self.world.flavors[slot.flavor].cap;
+    pub(super) fn cost(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
+        let Some(h) = self.cluster.host(host_index) else { return f64::INFINITY };
+        let slot = &self.index.slots[host_index];
+        let cap = &self.cluster.flavors[slot.flavor].cap;
         let before = slot.free;
         let mut after = before;
-        after.sub(&need.want.demand);
-        let mut cost = self.delay_cost(need, hix);
+        after.sub(&request.requirements.demand);
+        let mut cost = self.delay_cost(request, host_index);
         // Room of one resource that is stranded by lack of another.
         cost += STRANDED * (imbalance(&after, cap) - imbalance(&before, cap));
         // Room that other work can find on this type alone costs little while
         // there is plenty, much when what is expected needs the rest.
-        let lost = need.trespass.iter().filter(|t| t.reserve.loses(slot.flavor, &before, &after));
+        let lost = request.reserved_costs.iter().filter(|t| t.reserve.loses(slot.flavor, &before, &after));
         cost += lost.map(|t| t.cost).fold(0.0, f64::max);
-        cost += self.market_cost(need, h);
-        cost += self.sharing_cost(need, hix);
+        cost += self.market_cost(request, h);
+        cost += self.sharing_cost(request, host_index);
         // Room that is held for this very job.
-        if need.held && h.claims.iter().any(|c| c.job == need.ix) {
+        if request.held && h.claims.iter().any(|c| c.job == request.job_index) {
             cost -= HELD;
         }
         // Fuller machines first, so that others can be returned.
@@ -69,33 +69,34 @@
     }
 
     /// What it costs that the image must be fetched first.
-    fn delay_cost(&self, need: &Need, hix: HostIx) -> f64 {
-        let fetch = self.fetch_s(need, hix);
-        let mut cost = fetch / need.within_s;
-        cost += LATE * late(fetch, need.wait_s.unwrap_or(need.slack_s.max(0.0)));
-        cost + need.guarantee_s.map_or(0.0, |left| LATE * late(fetch, left))
+    fn delay_cost(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
+        let fetch = self.fetch_s(request, host_index);
+        let mut cost = fetch / request.within_s;
+        cost += LATE_START_COST * late(fetch, request.wait_s.unwrap_or(request.slack_s.max(0.0)));
+        cost + request.guarantee_s.map_or(0.0, |left| LATE_START_COST * late(fetch, left))
     }
 
     /// What it costs that the machine is of the wrong market: cheap ones are for work that
     /// can be lost once and still be in time.
-    fn market_cost(&self, need: &Need, h: &Host) -> f64 {
-        if need.want.spot && h.spot == need.last_chance { WRONG_MARKET } else { 0.0 }
+    fn market_cost(&self, request: &PlacementRequest, h: &Host) -> f64 {
+        if request.requirements.spot && h.spot == request.last_chance { WRONG_MARKET } else { 0.0 }
     }
 
     /// What it costs that other replicas of the job are on the machine.
-    fn sharing_cost(&self, need: &Need, hix: HostIx) -> f64 {
-        if !need.service {
+    fn sharing_cost(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
+        if !request.service {
             return 0.0;
         }
-        SHARED_HOST * self.index.hosts_of(need.ix).filter(|o| *o == hix).count() as f64
+        SHARED_HOST * self.index.hosts_of(request.job_index).filter(|o| *o == host_index).count() as f64
     }
 
     /// What may be lost to have a replica's image sooner than on this machine:
     /// more, the likelier it is too late here, and for larger replicas.
-    pub(super) fn image_late(&self, need: &Need, hix: HostIx) -> Option<f64> {
-        let fetch = self.fetch_s(need, hix);
+    pub(super) fn image_late(&self, request: &PlacementRequest, host_index: HostIndex) -> Option<f64> {
+        let fetch = self.fetch_s(request, host_index);
         let by = |left: Option<f64>| left.map_or(0.0, |left| late(fetch, left));
-        let gain = LATE * by(need.wait_s) + LATE / 2.0 * by(need.guarantee_s);
-        (need.service && gain >= MOVED).then(|| gain.min(LATE / 2.0) * need.want.demand.gpus.max(1.0))
+        let gain = LATE_START_COST * by(request.wait_s) + LATE_START_COST / 2.0 * by(request.guarantee_s);
+        (request.service && gain >= MOVE_COST)
+            .then(|| gain.min(LATE_START_COST / 2.0) * request.requirements.demand.gpus.max(1.0))
     }
 }
--- a/src/sched/pass/gang.rs
+++ b/src/sched/pass/gang.rs
@@ -2,10 +2,10 @@
 
 use super::Pass;
 use super::candidates::Candidate;
-use super::need::Need;
-use super::preemption::Reach;
-use crate::model::{Claim, Demand, Host, HostIx, Shape, TaskKey};
-use crate::sched::index::{Counts, Slot};
+use super::preemption::PreemptionScope;
+use super::request::PlacementRequest;
+use crate::model::{Claim, Demand, Host, HostIndex, Shape, TaskKey};
+use crate::sched::index::{Slot, ZoneCounts};
 
 /// The cost of holding room for a task that frees only when other work ends.
 const UNSURE: f64 = 10.0;
@@ -15,18 +15,18 @@
     /// Cost of a task there.
     cost: f64,
     tasks: u32,
-    host: HostIx,
+    host: HostIndex,
 }
 
 impl Pass<'_> {
     /// Starts a gang whole or not at all; false if room lacked.
-    pub(super) fn place_gang(&mut self, need: &Need, attempt: &mut impl FnMut() -> u64) -> bool {
-        let ix = need.ix;
-        let job = &self.world.jobs[ix];
+    pub(super) fn place_gang(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
+        let job_index = request.job_index;
+        let job = &self.cluster.jobs[job_index];
         // The next attempt waits until every task of the last one is gone.
-        let placeable = self.world.placeable(job);
+        let placeable = self.cluster.placeable(job);
         let waits = job.tasks.iter().any(|t| t.retry_ms > self.now || !placeable.open(t));
-        if waits || self.index.hosts_of(ix).next().is_some() {
+        if waits || self.index.hosts_of(job_index).next().is_some() {
             return true;
         }
         if !self.within_limit(&job.spec, f64::from(job.spec.tasks)) {
@@ -34,10 +34,10 @@
         }
         let zones: Vec<Option<usize>> =
             if job.spec.one_zone { self.index.zones().map(Some).collect() } else { vec![None] };
-        let candidates = self.candidates(need);
+        let candidates = self.candidates(request);
         for zone in zones {
-            if let Some(hosts) = self.gang_hosts(need, &candidates, zone) {
-                self.start_gang(need, hosts, attempt());
+            if let Some(hosts) = self.gang_hosts(request, &candidates, zone) {
+                self.start_gang(request, hosts, attempt());
                 return true;
             }
         }
@@ -45,50 +45,55 @@
     }
 
     /// A machine for each task of a gang, in one zone if it must be.
-    fn gang_hosts(&mut self, need: &Need, all: &[Candidate], zone: Option<usize>) -> Option<Vec<HostIx>> {
-        let tasks = self.world.jobs[need.ix].spec.tasks as usize;
+    fn gang_hosts(
+        &mut self,
+        request: &PlacementRequest,
+        all: &[Candidate],
+        zone: Option<usize>,
+    ) -> Option<Vec<HostIndex>> {
+        let tasks = self.cluster.jobs[request.job_index].spec.tasks as usize;
         let saved = self.index.slots.clone();
         let in_zone = |c: &Candidate| zone.is_none_or(|z| z == self.index.slots[c.host].zone);
         let mut left: Vec<_> = all.iter().copied().filter(in_zone).collect();
-        let mut counts = Counts::default();
+        let mut counts = ZoneCounts::default();
         let mut hosts = Vec::new();
         while hosts.len() < tasks {
-            let Some(host) = self.best(need, &left, &counts) else { break };
-            self.index.slots[host].free.sub(&need.want.demand);
+            let Some(host) = self.best(request, &left, &counts) else { break };
+            self.index.slots[host].free.sub(&request.requirements.demand);
             counts.add(self.index.slots[host].zone);
-            self.renew(need, &mut left, host);
+            self.renew(request, &mut left, host);
             hosts.push(host);
         }
         self.index.slots = saved;
         (hosts.len() == tasks).then_some(hosts)
     }
 
-    fn start_gang(&mut self, need: &Need, hosts: Vec<HostIx>, attempt: u64) {
-        self.world.jobs[need.ix].gang_attempt = attempt;
+    fn start_gang(&mut self, request: &PlacementRequest, hosts: Vec<HostIndex>, attempt: u64) {
+        self.cluster.jobs[request.job_index].gang_attempt = attempt;
         for (task, host) in hosts.into_iter().enumerate() {
-            self.start(TaskKey { job: need.ix, task: task as u32 }, host, attempt);
+            self.start(TaskKey { job: request.job_index, task: task as u32 }, host, attempt);
         }
-        self.unclaim(need.ix);
+        self.release_claim(request.job_index);
     }
 
     /// Holds room for the leading gang on the machines that are nearest to
     /// having it, for a bounded time; then others have their turn as long.
-    pub(super) fn hold_for_gang(&mut self, need: &Need) {
-        let Some(until_ms) = self.hold_until(need) else { return };
-        let reach = self.reach(need);
-        let tasks = self.world.jobs[need.ix].spec.tasks;
-        for hosts in self.gang_rooms(need, reach) {
+    pub(super) fn hold_for_gang(&mut self, request: &PlacementRequest) {
+        let Some(until_ms) = self.hold_until(request) else { return };
+        let scope = self.scope(request);
+        let tasks = self.cluster.jobs[request.job_index].spec.tasks;
+        for hosts in self.gang_rooms(request, scope) {
             if hosts.iter().map(|h| h.tasks).sum::<u32>() >= tasks {
-                self.hold_on(need, reach, hosts, until_ms);
+                self.hold_on(request, scope, hosts, until_ms);
                 return;
             }
         }
     }
 
     /// Until when room is held for a gang; none while others have their turn.
-    fn hold_until(&mut self, need: &Need) -> Option<u64> {
+    fn hold_until(&mut self, request: &PlacementRequest) -> Option<u64> {
         let (now, hold) = (self.now, self.policy.hold_ms);
-        let job = &mut self.world.jobs[need.ix];
+        let job = &mut self.cluster.jobs[request.job_index];
         if now < job.no_hold_until_ms {
             return None;
         }
@@ -97,25 +102,25 @@
         } else if now >= job.hold_until_ms {
             job.hold_until_ms = 0;
             job.no_hold_until_ms = now + hold;
-            self.unclaim(need.ix);
+            self.release_claim(request.job_index);
             return None;
         }
         Some(job.hold_until_ms)
     }
 
     /// Where a gang could have room: by zone if it must be in one, else all together.
-    fn gang_rooms(&self, need: &Need, reach: Reach) -> Vec<Vec<GangRoom>> {
-        let one_zone = self.world.jobs[need.ix].spec.one_zone;
-        let none = Counts::default();
+    fn gang_rooms(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Vec<GangRoom>> {
+        let one_zone = self.cluster.jobs[request.job_index].spec.one_zone;
+        let none = ZoneCounts::default();
         let mut by_zone: Vec<Vec<GangRoom>> = Vec::new();
         by_zone.resize_with(self.index.zones().len().max(1), Vec::new);
-        for (hix, slot) in self.index.slots.iter().enumerate() {
-            let Some(h) = self.world.host(hix) else { continue };
-            let others = h.claims.iter().any(|c| c.job != need.ix);
-            if !need.want.takes(slot, &none) || need.shuns.contains(&hix) || others {
+        for (host_index, slot) in self.index.slots.iter().enumerate() {
+            let Some(h) = self.cluster.host(host_index) else { continue };
+            let others = h.claims.iter().any(|c| c.job != request.job_index);
+            if !request.requirements.takes(slot, &none) || request.avoided_hosts.contains(&host_index) || others {
                 continue;
             }
-            if let Some(room) = self.gang_room(need, reach, hix, h, slot) {
+            if let Some(room) = self.gang_room(request, scope, host_index, h, slot) {
                 by_zone[if one_zone { slot.zone } else { 0 }].push(room);
             }
         }
@@ -123,13 +128,23 @@
     }
 
     /// How many tasks of a gang one machine could take, if any.
-    fn gang_room(&self, need: &Need, reach: Reach, hix: HostIx, h: &Host, slot: &Slot) -> Option<GangRoom> {
-        let tasks = self.world.jobs[need.ix].spec.tasks;
-        let demand = need.want.demand;
+    fn gang_room(
+        &self,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
+        host_index: HostIndex,
+        h: &Host,
+        slot: &Slot,
+    ) -> Option<GangRoom> {
+        let tasks = self.cluster.jobs[request.job_index].spec.tasks;
+        let demand = request.requirements.demand;
         let mut n = 0;
         let mut cost = 0.0;
         while n < tasks {
-            let Some(vacancy) = self.vacate(need, reach, hix, &demand.times(f64::from(n + 1))) else { break };
+            let Some(vacancy) = self.plan_displacements(request, scope, host_index, &demand.times(f64::from(n + 1)))
+            else {
+                break;
+            };
             cost = vacancy.cost;
             n += 1;
         }
@@ -139,15 +154,15 @@
             n += 1;
         }
         cost += UNSURE * f64::from(n - sure);
-        (n > 0).then(|| GangRoom { cost: cost / f64::from(n), tasks: n, host: hix })
+        (n > 0).then(|| GangRoom { cost: cost / f64::from(n), tasks: n, host: host_index })
     }
 
     /// Room that a machine will have some time: work that may not be stopped ends,
     /// unless it is a replica, and what frees then is held as well.
     fn room_in_time(&self, h: &Host, slot: &Slot) -> Demand {
-        let mut room = self.world.flavors[slot.flavor].cap;
-        for c in h.copies.iter().filter(|c| !c.ended()) {
-            if self.world.jobs[c.key.job].spec.shape == Shape::Service {
+        let mut room = self.cluster.flavors[slot.flavor].cap;
+        for c in h.attempts.iter().filter(|c| !c.ended()) {
+            if self.cluster.jobs[c.key.job].spec.shape == Shape::Service {
                 room.sub(&c.demand);
             }
         }
@@ -155,21 +170,21 @@
     }
 
     /// Holds room for all tasks of a gang on the cheapest of these machines.
-    fn hold_on(&mut self, need: &Need, reach: Reach, mut hosts: Vec<GangRoom>, until_ms: u64) {
-        let tasks = self.world.jobs[need.ix].spec.tasks;
+    fn hold_on(&mut self, request: &PlacementRequest, scope: PreemptionScope, mut hosts: Vec<GangRoom>, until_ms: u64) {
+        let tasks = self.cluster.jobs[request.job_index].spec.tasks;
         hosts.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let certain = hosts.iter().filter(|h| h.cost < UNSURE / f64::from(tasks));
         let sure = certain.map(|h| h.tasks).sum::<u32>() >= tasks;
         let mut left = tasks;
-        self.unclaim(need.ix);
+        self.release_claim(request.job_index);
         for GangRoom { tasks, host, .. } in hosts {
             let n = tasks.min(left);
             left -= n;
-            let demand = need.want.demand.times(f64::from(n));
-            self.claim(host, Claim { job: need.ix, demand, until_ms });
+            let demand = request.requirements.demand.times(f64::from(n));
+            self.claim(host, Claim { job: request.job_index, demand, until_ms });
             // Nothing is stopped unless the whole gang can start then.
-            if sure && let Some(vacancy) = self.vacate(need, reach, host, &demand) {
-                self.clear(need.ix, host, &vacancy.departures);
+            if sure && let Some(vacancy) = self.plan_displacements(request, scope, host, &demand) {
+                self.clear(request.job_index, host, &vacancy.departures);
             }
             if left == 0 {
                 return;
--- a/src/sched/pass/queue.rs
+++ b/src/sched/pass/queue.rs
@@ -1,7 +1,7 @@
 //! The order in which a pass looks at jobs.
 
 use super::Pass;
-use crate::model::{Job, JobIx, Shape, Urgency};
+use crate::model::{Job, JobIndex, Shape, Urgency};
 use std::cmp::Reverse;
 
 /// Where a job is in the queue; the lowest is first.
@@ -12,17 +12,17 @@
     yields: bool,
     bin: u64,
     accepted_ms: u64,
-    job: JobIx,
+    job: JobIndex,
 }
 
 impl Pass<'_> {
     /// Jobs with tasks to place: of those that may preempt one another the more
     /// urgent first, as preemption would turn any other order round; then the
     /// lowest bin, then the older.
-    pub(super) fn queue(&self, least: Urgency) -> Vec<JobIx> {
-        let live = self.world.live.iter().copied();
-        let waiting = live.filter(|ix| self.waits_for_place(&self.world.jobs[*ix], least));
-        let mut queue: Vec<QueueRank> = waiting.map(|ix| self.queue_rank(ix)).collect();
+    pub(super) fn queue(&self, least: Urgency) -> Vec<JobIndex> {
+        let live = self.cluster.live.iter().copied();
+        let waiting = live.filter(|job_index| self.waits_for_place(&self.cluster.jobs[*job_index], least));
+        let mut queue: Vec<QueueRank> = waiting.map(|job_index| self.queue_rank(job_index)).collect();
         queue.sort_unstable();
         queue.into_iter().map(|rank| rank.job).collect()
     }
@@ -31,19 +31,19 @@
     fn waits_for_place(&self, job: &Job, least: Urgency) -> bool {
         // A task that may be on a machine not accounted for waits; what
         // was seen alive since is certainly nowhere else.
-        let placeable = self.world.placeable(job);
+        let placeable = self.cluster.placeable(job);
         job.spec.urgency >= least
             && job.active()
             && job.tasks.iter().any(|t| t.retry_ms <= self.now && placeable.open(t))
     }
 
-    fn queue_rank(&self, ix: JobIx) -> QueueRank {
-        let job = &self.world.jobs[ix];
+    fn queue_rank(&self, job_index: JobIndex) -> QueueRank {
+        let job = &self.cluster.jobs[job_index];
         let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
         // What may stop any equal work for its guarantee would do so next.
         let waits = self.wall.saturating_sub(job.accepted_ms) >= self.policy.hold_ms;
         let pushes = waits && job.spec.shape == Shape::Batch && self.within_guarantee(&job.spec);
         let urgency = Reverse(job.spec.urgency);
-        QueueRank { urgency, yields: !pushes, bin, accepted_ms: job.accepted_ms, job: ix }
+        QueueRank { urgency, yields: !pushes, bin, accepted_ms: job.accepted_ms, job: job_index }
     }
 }
--- a/src/sched/pass/need.rs
+++ b/src/sched/pass/request.rs
@@ -1,8 +1,8 @@
 //! What a pass needs to know of a job that it places.
 
 use super::Pass;
-use crate::model::{Flavor, HostIx, Job, JobIx, Reserve, Shape, Spec};
-use crate::sched::index::Want;
+use crate::model::{Flavor, HostIndex, Job, JobIndex, Reserve, Shape, Spec};
+use crate::sched::index::TaskRequirements;
 use std::collections::HashSet;
 
 /// A class's objective for the start counts as no shorter than this.
@@ -19,9 +19,9 @@
 }
 
 /// What a pass needs to know of the job that it places, worked out once.
-pub(super) struct Need {
-    pub(super) ix: JobIx,
-    pub(super) want: Want,
+pub(super) struct PlacementRequest {
+    pub(super) job_index: JobIndex,
+    pub(super) requirements: TaskRequirements,
     pub(super) image: String,
     pub(super) image_gb: f64,
     pub(super) service: bool,
@@ -35,27 +35,27 @@
     pub(super) wait_s: Option<f64>,
     pub(super) guarantee_s: Option<f64>,
     /// What taking another class's room costs.
-    pub(super) trespass: Vec<Trespass>,
+    pub(super) reserved_costs: Vec<Trespass>,
     pub(super) held: bool,
     /// Machines on which it failed.
-    pub(super) shuns: HashSet<HostIx>,
+    pub(super) avoided_hosts: HashSet<HostIndex>,
     /// Without accelerators, and not to take the places of work with them:
     /// there is too little room for that, and machines may still come.
-    pub(super) modest: bool,
+    pub(super) without_accelerators: bool,
 }
 
 impl Pass<'_> {
     /// Works out what the pass needs to know of a job.
-    pub(super) fn need(&self, ix: JobIx) -> Need {
-        let job = &self.world.jobs[ix];
+    pub(super) fn request(&self, job_index: JobIndex) -> PlacementRequest {
+        let job = &self.cluster.jobs[job_index];
         let spec = &job.spec;
         let left_ms = self.policy.soft_deadline_ms(job) as f64 - self.wall as f64;
         // A replica that was lost is down until it is back: each second counts.
         let lost_s = self.policy.react_ms as f64 / 1000.0;
         let within = self.policy.waits.get(&spec.class).map(|w| w.0).or(self.policy.guarantee_s);
-        Need {
-            ix,
-            want: self.index.want(self.world, spec),
+        PlacementRequest {
+            job_index,
+            requirements: self.index.requirements(self.cluster, spec),
             image: spec.image.clone(),
             image_gb: spec.image_gb,
             service: spec.shape == Shape::Service,
@@ -64,10 +64,10 @@
             last_chance: spec.due_s.is_some_and(|_| left_ms / 1000.0 < 2.0 * spec.expected_s),
             wait_s: spec.due_s.is_none().then(|| if left_ms > 0.0 { left_ms / 1000.0 } else { lost_s }),
             guarantee_s: self.guarantee_left_s(job),
-            trespass: self.trespasses(spec),
-            held: self.index.claims_of(ix) > 0,
-            shuns: job.shuns(self.world, self.now).clone(),
-            modest: self.modest(job),
+            reserved_costs: self.trespasses(spec),
+            held: self.index.claims_of(job_index) > 0,
+            avoided_hosts: job.avoided_hosts(self.cluster, self.now).clone(),
+            without_accelerators: self.without_accelerators(job),
         }
     }
 
@@ -81,31 +81,33 @@
     /// The classes whose room its tasks could take, with what that costs.
     fn trespasses(&self, spec: &Spec) -> Vec<Trespass> {
         let without_gpus = spec.demand.gpus <= 0.0;
-        let concerns = |r: &&Reserve| r.class != spec.class && (r.sole() || (without_gpus && r.demand.gpus > 0.0));
-        let cost = |r: &Reserve| if self.scarce.contains(&r.class) { SCARCE_TRESPASS } else { TRESPASS };
-        let reserves = self.world.reserves.iter().filter(concerns);
+        let concerns =
+            |r: &&Reserve| r.class != spec.class && (r.single_flavor() || (without_gpus && r.demand.gpus > 0.0));
+        let cost = |r: &Reserve| if self.scarce_classes.contains(&r.class) { SCARCE_TRESPASS } else { TRESPASS };
+        let reserves = self.cluster.reserves.iter().filter(concerns);
         reserves.map(|r| Trespass { reserve: r.clone(), cost: cost(r) }).collect()
     }
 
     /// Is it to leave machines with accelerators to work that needs them?
-    fn modest(&self, job: &Job) -> bool {
+    fn without_accelerators(&self, job: &Job) -> bool {
         let spec = &job.spec;
         spec.demand.gpus <= 0.0
-            && self.world.hungry
+            && self.cluster.accelerators_short
             && self.wall < job.accepted_ms + self.boot_ms(spec)
-            && self.own_may_come(spec)
+            && self.cpu_host_may_come(spec)
     }
 
     /// May machines without accelerators still be had for it?
-    fn own_may_come(&self, spec: &Spec) -> bool {
-        let own =
-            |(i, f): (usize, &Flavor)| f.cap.gpus <= 0.0 && spec.allows_flavor(f) && !self.world.exhausted.contains(&i);
-        self.world.flavors.iter().enumerate().any(own)
+    fn cpu_host_may_come(&self, spec: &Spec) -> bool {
+        let own = |(i, f): (usize, &Flavor)| {
+            f.cap.gpus <= 0.0 && spec.allows_flavor(f) && !self.cluster.exhausted.contains(&i)
+        };
+        self.cluster.flavors.iter().enumerate().any(own)
     }
 
     /// How long the machine takes to boot on which the work costs least.
     fn boot_ms(&self, spec: &Spec) -> u64 {
-        let allowed = self.world.flavors.iter().filter(|f| spec.allows_flavor(f));
+        let allowed = self.cluster.flavors.iter().filter(|f| spec.allows_flavor(f));
         let cost = |f: &Flavor| f.price / f.cap.slots(&spec.demand).max(1.0);
         allowed.min_by(|a, b| cost(a).total_cmp(&cost(b))).map_or(0, |f| (f.boot_s * 1000.0) as u64)
     }
--- a/src/sched/pass/room.rs
+++ b/src/sched/pass/room.rs
@@ -2,12 +2,12 @@
 //! least.
 
 use super::candidates::Candidate;
-use super::cost::MOVED;
-use super::need::Need;
-use super::preemption::Reach;
+use super::cost::MOVE_COST;
+use super::preemption::PreemptionScope;
+use super::request::PlacementRequest;
 use super::{Eviction, Pass};
-use crate::model::{Claim, Copy, Demand, Host, HostIx, JobIx, Shape, Task, Urgency};
-use crate::sched::index::{Counts, Want};
+use crate::model::{Claim, Demand, Host, HostIndex, JobIndex, Shape, Task, TaskAttempt, Urgency};
+use crate::sched::index::{TaskRequirements, ZoneCounts};
 use std::cmp::Reverse;
 
 /// Room that is made for a task is held for so many times what an order takes
@@ -32,12 +32,12 @@
 /// The same for a replica.
 const SERVICE_PLACE_WEIGHT: f64 = 1.0;
 
-/// A copy that would leave its machine.
+/// An attempt that would leave its machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Departure {
-    copy: Copy,
+    copy: TaskAttempt,
     /// Where it is moved; none if it is stopped.
-    destination: Option<HostIx>,
+    destination: Option<HostIndex>,
 }
 
 /// Room that can be had on a machine.
@@ -48,25 +48,25 @@
     pub(super) departures: Vec<Departure>,
 }
 
-/// A copy that may leave its machine.
+/// An attempt that may leave its machine.
 struct Victim<'a> {
-    copy: &'a Copy,
+    copy: &'a TaskAttempt,
     /// It may be stopped, and not only moved.
     evict: bool,
 }
 
 /// Room that is promised to a replica that moves.
 struct Promise {
-    host: HostIx,
+    host: HostIndex,
     demand: Demand,
 }
 
 /// A kind of task for which no machine could make room, with all that it may stop.
-pub(super) struct Wall {
-    pub(super) want: Want,
+pub(super) struct BlockedRequirements {
+    pub(super) requirements: TaskRequirements,
     pub(super) urgency: Urgency,
     pub(super) team: String,
-    pub(super) reach: Reach,
+    pub(super) scope: PreemptionScope,
     /// The image that this holds for, if not for any.
     pub(super) image: Option<String>,
 }
@@ -74,33 +74,35 @@
 impl Pass<'_> {
     /// A machine with free room and the image for a running replica, so that
     /// moving it there costs it next to nothing. `taken` is promised already.
-    fn refuge(&self, from: HostIx, c: &Copy, taken: &[Promise]) -> Option<HostIx> {
-        let spec = &self.world.jobs[c.key.job].spec;
+    fn relocation_target(&self, from: HostIndex, c: &TaskAttempt, taken: &[Promise]) -> Option<HostIndex> {
+        let spec = &self.cluster.jobs[c.key.job].spec;
         if spec.shape != Shape::Service || !c.running() || c.stop.is_some() || !self.settled(c) {
             return None;
         }
-        let room_for = |hix: HostIx| {
-            let s = &self.index.slots[hix];
+        let room_for = |host_index: HostIndex| {
+            let s = &self.index.slots[host_index];
             let mut room = s.free;
             room.sub(&s.claimed);
-            taken.iter().filter(|t| t.host == hix).for_each(|t| room.sub(&t.demand));
-            s.usable && hix != from && spec.demand.fits(&room)
+            taken.iter().filter(|t| t.host == host_index).for_each(|t| room.sub(&t.demand));
+            s.usable && host_index != from && spec.demand.fits(&room)
         };
-        let warm = self.index.warm(self.world, &spec.image);
+        let warm = self.index.warm(self.cluster, &spec.image);
         let mut open = warm.iter().copied().filter(|h| room_for(*h)).peekable();
         open.peek()?;
-        let need = self.need(c.key.job);
+        let request = self.request(c.key.job);
         let mut counts = self.index.counts(c.key.job);
         counts.sub(self.index.slots[from].zone);
         let mut best: Option<Candidate> = None;
-        for hix in open {
+        for host_index in open {
             let ready = |h: &Host| h.images.iter().any(|i| i.ready && i.name == spec.image);
-            if !need.want.takes(&self.index.slots[hix], &counts) || !self.world.host(hix).is_some_and(ready) {
+            if !request.requirements.takes(&self.index.slots[host_index], &counts)
+                || !self.cluster.host(host_index).is_some_and(ready)
+            {
                 continue;
             }
-            let cost = self.cost(&need, hix);
+            let cost = self.cost(&request, host_index);
             if best.is_none_or(|b| cost < b.cost) {
-                best = Some(Candidate { cost, host: hix });
+                best = Some(Candidate { cost, host: host_index });
             }
         }
         best.map(|b| b.host)
@@ -108,33 +110,39 @@
 
     /// What would have to leave the machine so that `demand` fits, and where
     /// to, if it is moved; with a measure of what that costs.
-    pub(super) fn vacate(&self, need: &Need, reach: Reach, hix: HostIx, demand: &Demand) -> Option<Vacancy> {
-        self.looked.set(self.looked.get() + 1);
-        let h = self.world.host(hix)?;
-        let mut room = self.index.slots[hix].free;
-        for c in h.copies.iter().filter(|c| !c.ended() && c.stop.is_some()) {
+    pub(super) fn plan_displacements(
+        &self,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
+        host_index: HostIndex,
+        demand: &Demand,
+    ) -> Option<Vacancy> {
+        self.hosts_examined.set(self.hosts_examined.get() + 1);
+        let h = self.cluster.host(host_index)?;
+        let mut room = self.index.slots[host_index].free;
+        for c in h.attempts.iter().filter(|c| !c.ended() && c.stop.is_some()) {
             room.add(&c.demand);
         }
         if demand.fits(&room) {
             return Some(Vacancy { cost: 0.0, departures: Vec::new() });
         }
-        let victims = self.victims(need, self.reach_on(reach, need, hix), h);
+        let victims = self.victims(request, self.scope_on(scope, request, host_index), h);
         // Most is settled by a look at what could leave at best.
         let mut most = room;
         victims.iter().for_each(|v| most.add(&v.copy.demand));
         if !demand.fits(&most) {
             return None;
         }
-        self.depart(victims, hix, room, demand)
+        self.depart(victims, host_index, room, demand)
     }
 
-    /// The copies that may leave a machine, in the order in which they would.
-    fn victims<'a>(&self, need: &Need, reach: Reach, h: &'a Host) -> Vec<Victim<'a>> {
-        let spec = &self.world.jobs[need.ix].spec;
+    /// The attempts that may leave a machine, in the order in which they would.
+    fn victims<'a>(&self, request: &PlacementRequest, scope: PreemptionScope, h: &'a Host) -> Vec<Victim<'a>> {
+        let spec = &self.cluster.jobs[request.job_index].spec;
         let mut victims: Vec<Victim> = Vec::new();
-        for copy in h.copies.iter().filter(|c| !c.ended() && c.stop.is_none()) {
-            let evict = self.may_evict(spec, reach, copy);
-            let service = self.world.jobs[copy.key.job].spec.shape == Shape::Service;
+        for copy in h.attempts.iter().filter(|c| !c.ended() && c.stop.is_none()) {
+            let evict = self.may_evict(spec, scope, copy);
+            let service = self.cluster.jobs[copy.key.job].spec.shape == Shape::Service;
             let moves = copy.running() && self.settled(copy) && service;
             if evict || moves {
                 victims.push(Victim { copy, evict });
@@ -145,9 +153,15 @@
 
     /// Takes victims until `demand` fits into `room` with what they leave: the least
     /// urgent first; of those, the ones that lose least.
-    fn depart(&self, mut victims: Vec<Victim>, hix: HostIx, mut room: Demand, demand: &Demand) -> Option<Vacancy> {
-        let urgency = |c: &Copy| self.world.jobs[c.key.job].spec.urgency;
-        victims.sort_by_key(|v| (urgency(v.copy), !self.second_chance(v.copy), Reverse(v.copy.since_ms)));
+    fn depart(
+        &self,
+        mut victims: Vec<Victim>,
+        host_index: HostIndex,
+        mut room: Demand,
+        demand: &Demand,
+    ) -> Option<Vacancy> {
+        let urgency = |c: &TaskAttempt| self.cluster.jobs[c.key.job].spec.urgency;
+        victims.sort_by_key(|v| (urgency(v.copy), !self.restart_in_time(v.copy), Reverse(v.copy.since_ms)));
         let mut departures = Vec::new();
         let mut taken = Vec::new();
         let mut cost = 0.0;
@@ -155,10 +169,10 @@
             if demand.fits(&room) {
                 break;
             }
-            let destination = self.refuge(hix, copy, &taken);
+            let destination = self.relocation_target(host_index, copy, &taken);
             if let Some(host) = destination {
                 taken.push(Promise { host, demand: copy.demand });
-                cost += MOVED;
+                cost += MOVE_COST;
             } else if evict {
                 cost = self.add_stop_cost(cost, copy);
             } else {
@@ -170,45 +184,45 @@
         demand.fits(&room).then_some(Vacancy { cost, departures })
     }
 
-    /// `cost` with that of stopping a copy.
-    fn add_stop_cost(&self, cost: f64, copy: &Copy) -> f64 {
-        let victim = &self.world.jobs[copy.key.job].spec;
+    /// `cost` with that of stopping an attempt.
+    fn add_stop_cost(&self, cost: f64, copy: &TaskAttempt) -> f64 {
+        let victim = &self.cluster.jobs[copy.key.job].spec;
         let stopped = match victim.shape {
             Shape::Gang => STOPPED_GANG + STOPPED_GANG_TASK * f64::from(victim.tasks),
             Shape::Service => STOPPED_REPLICA,
-            Shape::Batch if self.hardly_begun(copy) => STOPPED_EARLY,
+            Shape::Batch if self.started_recently(copy) => STOPPED_EARLY,
             Shape::Batch => STOPPED_TASK,
         };
-        let late = if self.second_chance(copy) { 0.0 } else { STOPPED_LATE };
+        let late = if self.restart_in_time(copy) { 0.0 } else { STOPPED_LATE };
         cost + stopped + late
     }
 
-    /// Carries out what `vacate` found.
-    pub(super) fn clear(&mut self, by: JobIx, hix: HostIx, departures: &[Departure]) {
+    /// Carries out what `plan_displacements` found.
+    pub(super) fn clear(&mut self, by: JobIndex, host_index: HostIndex, departures: &[Departure]) {
         let until_ms = self.now + MADE * self.policy.react_ms;
         for Departure { copy, destination } in departures {
             if let Some(to) = destination {
                 self.claim(*to, Claim { job: copy.key.job, demand: copy.demand, until_ms });
             }
-            let grace_s = self.world.jobs[copy.key.job].spec.grace_s();
-            self.stop_job_part(by, hix, copy, grace_s);
+            let grace_s = self.cluster.jobs[copy.key.job].spec.grace_s();
+            self.stop_tasks_of_job(by, host_index, copy, grace_s);
         }
     }
 
     /// Orders a stop; a gang stops whole.
-    fn stop_job_part(&mut self, by: JobIx, hix: HostIx, copy: &Copy, grace_s: f64) {
-        let Copy { key, attempt, .. } = *copy;
-        let whole = self.world.jobs[key.job].spec.shape == Shape::Gang;
-        let mut hosts: Vec<HostIx> = if whole { self.index.hosts_of(key.job).collect() } else { vec![hix] };
+    fn stop_tasks_of_job(&mut self, by: JobIndex, host_index: HostIndex, copy: &TaskAttempt, grace_s: f64) {
+        let TaskAttempt { key, attempt, .. } = *copy;
+        let whole = self.cluster.jobs[key.job].spec.shape == Shape::Gang;
+        let mut hosts: Vec<HostIndex> = if whole { self.index.hosts_of(key.job).collect() } else { vec![host_index] };
         hosts.sort_unstable();
         hosts.dedup();
         for i in hosts {
-            let Some(h) = self.world.hosts[i].as_mut() else { continue };
-            for c in h.copies.iter_mut().filter(|c| !c.ended() && c.stop.is_none()) {
-                let same = i == hix && c.key == key && c.attempt == attempt;
+            let Some(h) = self.cluster.hosts[i].as_mut() else { continue };
+            for c in h.attempts.iter_mut().filter(|c| !c.ended() && c.stop.is_none()) {
+                let same = i == host_index && c.key == key && c.attempt == attempt;
                 if same || (whole && c.key.job == key.job) {
                     c.stop = Some(grace_s);
-                    self.index.stop(&self.world.jobs[key.job].spec);
+                    self.index.stop(&self.cluster.jobs[key.job].spec);
                     self.out.stops.push(Eviction { host: i, key: c.key, attempt: c.attempt, grace_s, by });
                 }
             }
@@ -217,64 +231,70 @@
 
     /// Preempts lesser work for a job that found no room, on the machine where
     /// that costs least, and holds the room for it.
-    pub(super) fn make_room(&mut self, need: &Need) {
-        let reach = self.reach(need);
-        if self.known_in_vain(need, reach) {
+    pub(super) fn make_room(&mut self, request: &PlacementRequest) {
+        let scope = self.scope(request);
+        if self.known_in_vain(request, scope) {
             return;
         }
-        let mut counts = self.index.counts(need.ix);
-        let waiting = self.waiting_tasks(need);
-        let left = waiting.saturating_sub(self.claims_of_use(need, &mut counts));
+        let mut counts = self.index.counts(request.job_index);
+        let waiting = self.waiting_tasks(request);
+        let left = waiting.saturating_sub(self.claims_of_use(request, &mut counts));
         if left == 0 {
             return;
         }
-        let mut costs = self.room_costs(need, reach);
-        if costs.is_empty() && !need.modest && need.shuns.is_empty() {
-            self.note_in_vain(need, reach);
+        let mut costs = self.room_costs(request, scope);
+        if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
+            self.note_in_vain(request, scope);
         }
         // The least cost last.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        self.take_cheapest(need, reach, costs, counts, left);
+        self.take_cheapest(request, scope, costs, counts, left);
     }
 
     /// Was it in vain for a job like this one? Then it is so again.
-    fn known_in_vain(&self, need: &Need, reach: Reach) -> bool {
-        let spec = &self.world.jobs[need.ix].spec;
-        self.walled.iter().any(|w| {
+    fn known_in_vain(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
+        let spec = &self.cluster.jobs[request.job_index].spec;
+        self.blocked.iter().any(|w| {
             w.urgency >= spec.urgency
                 && w.team == spec.team
-                && w.reach >= reach
-                && w.image.as_ref().is_none_or(|i| *i == need.image)
-                && w.want.like(&need.want)
+                && w.scope >= scope
+                && w.image.as_ref().is_none_or(|i| *i == request.image)
+                && w.requirements.like(&request.requirements)
         })
     }
 
-    fn note_in_vain(&mut self, need: &Need, reach: Reach) {
-        let spec = &self.world.jobs[need.ix].spec;
+    fn note_in_vain(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
+        let spec = &self.cluster.jobs[request.job_index].spec;
         let (urgency, team) = (spec.urgency, spec.team.clone());
         // How far a job may go for its guarantee depends on its image, too.
-        let image = (reach == Reach::Begun).then(|| need.image.clone());
-        self.walled.push(Wall { want: need.want.clone(), urgency, team, reach, image });
+        let image = (scope == PreemptionScope::Begun).then(|| request.image.clone());
+        self.blocked.push(BlockedRequirements {
+            requirements: request.requirements.clone(),
+            urgency,
+            team,
+            scope,
+            image,
+        });
     }
 
     /// How many tasks of the job wait for a place.
-    fn waiting_tasks(&self, need: &Need) -> usize {
-        let job = &self.world.jobs[need.ix];
-        let placeable = self.world.placeable(job);
+    fn waiting_tasks(&self, request: &PlacementRequest) -> usize {
+        let job = &self.cluster.jobs[request.job_index];
+        let placeable = self.cluster.placeable(job);
         let open = |t: &&Task| t.retry_ms <= self.now && placeable.open(t);
         job.tasks.iter().filter(open).count()
     }
 
     /// What room for a task would cost on each machine where it can be made.
-    fn room_costs(&self, need: &Need, reach: Reach) -> Vec<Candidate> {
-        let none = Counts::default();
+    fn room_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
+        let none = ZoneCounts::default();
         let mut costs = Vec::new();
         for (host, slot) in self.index.slots.iter().enumerate() {
-            let left_to_others = need.modest && self.world.flavors[slot.flavor].cap.gpus > 0.0;
-            if !need.want.takes(slot, &none) || left_to_others {
+            let left_to_others = request.without_accelerators && self.cluster.flavors[slot.flavor].cap.gpus > 0.0;
+            if !request.requirements.takes(slot, &none) || left_to_others {
                 continue;
             }
-            if let Some(Vacancy { cost, .. }) = self.room_at(need, reach, host) {
+            if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
                 costs.push(Candidate { cost, host });
             }
         }
@@ -285,49 +305,50 @@
     /// its turn comes: what was done for the tasks before may have made it dearer.
     fn take_cheapest(
         &mut self,
-        need: &Need,
-        reach: Reach,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
         mut costs: Vec<Candidate>,
-        mut counts: Counts,
+        mut counts: ZoneCounts,
         mut left: usize,
     ) {
         while left > 0
             && let Some(Candidate { host, .. }) = costs.pop()
         {
-            if !need.want.takes(&self.index.slots[host], &counts) {
+            if !request.requirements.takes(&self.index.slots[host], &counts) {
                 continue;
             }
-            let Some(vacancy) = self.room_at(need, reach, host) else { continue };
+            let Some(vacancy) = self.room_at(request, scope, host) else { continue };
             if costs.last().is_some_and(|next| next.cost < vacancy.cost) {
                 insert_by_cost(&mut costs, Candidate { cost: vacancy.cost, host });
                 continue;
             }
             left -= 1;
             counts.add(self.index.slots[host].zone);
-            self.clear(need.ix, host, &vacancy.departures);
+            self.clear(request.job_index, host, &vacancy.departures);
             let until_ms = self.now + MADE * self.policy.react_ms;
-            self.claim(host, Claim { job: need.ix, demand: need.want.demand, until_ms });
-            if let Some(Vacancy { cost, .. }) = self.room_at(need, reach, host) {
+            self.claim(host, Claim { job: request.job_index, demand: request.requirements.demand, until_ms });
+            if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
                 insert_by_cost(&mut costs, Candidate { cost, host });
             }
         }
     }
 
     /// What room for one more task would cost on a machine, and what has to leave it.
-    fn room_at(&self, need: &Need, reach: Reach, hix: HostIx) -> Option<Vacancy> {
-        let s = &self.index.slots[hix];
+    fn room_at(&self, request: &PlacementRequest, scope: PreemptionScope, host_index: HostIndex) -> Option<Vacancy> {
+        let s = &self.index.slots[host_index];
         // Room that is held for a gang is left to it; beside others' there may be more.
-        let gangs = |c: &Claim| c.job != need.ix && self.world.jobs[c.job].spec.shape == Shape::Gang;
-        if need.shuns.contains(&hix) || s.claims > 0 && self.world.host(hix).is_some_and(|h| h.claims.iter().any(gangs))
+        let gangs = |c: &Claim| c.job != request.job_index && self.cluster.jobs[c.job].spec.shape == Shape::Gang;
+        if request.avoided_hosts.contains(&host_index)
+            || s.claims > 0 && self.cluster.host(host_index).is_some_and(|h| h.claims.iter().any(gangs))
         {
             return None;
         }
-        let mut demand = need.want.demand;
+        let mut demand = request.requirements.demand;
         demand.add(&s.claimed);
-        let mut vacancy = self.vacate(need, reach, hix, &demand)?;
+        let mut vacancy = self.plan_displacements(request, scope, host_index, &demand)?;
         // A replica is worth waiting work to start where its image is.
-        let weight = if need.service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
-        vacancy.cost += weight * self.cost(need, hix);
+        let weight = if request.service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
+        vacancy.cost += weight * self.cost(request, host_index);
         Some(vacancy)
     }
 }
--- a/src/sched/pass/tasks.rs
+++ b/src/sched/pass/tasks.rs
@@ -1,15 +1,15 @@
 //! Placement of arrays and services, task by task.
 
-use super::need::Need;
+use super::request::PlacementRequest;
 use super::room::Vacancy;
 use super::{Assignment, Pass};
-use crate::model::{Claim, Copy, HostIx, Place, TaskKey};
-use crate::sched::index::Counts;
+use crate::model::{Claim, HostIndex, Place, TaskAttempt, TaskKey};
+use crate::sched::index::ZoneCounts;
 
 impl Pass<'_> {
     /// Starts an attempt of a task on a machine.
-    pub(super) fn start(&mut self, key: TaskKey, host: HostIx, attempt: u64) {
-        let job = &mut self.world.jobs[key.job];
+    pub(super) fn start(&mut self, key: TaskKey, host: HostIndex, attempt: u64) {
+        let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
         task.place = Place::On(host, attempt);
         task.located = true;
@@ -17,8 +17,8 @@
         self.index.start(&job.spec, key.job, host);
         let (image, gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
-        let cache = self.world.flavors[self.index.slots[host].flavor].cache_gb;
-        if let Some(h) = self.world.host_mut(host) {
+        let cache = self.cluster.flavors[self.index.slots[host].flavor].cache_gb;
+        if let Some(h) = self.cluster.host_mut(host) {
             // Room held for this job is used up by its tasks.
             if let Some(i) = h.claims.iter().position(|c| c.job == key.job) {
                 let before = h.claims.clone();
@@ -29,37 +29,39 @@
                 self.index.reclaim(&before, &h.claims, host);
             }
             h.use_image(&image, gb, cache, now);
-            h.copies.push(Copy::sent(key, attempt, demand, now));
+            h.attempts.push(TaskAttempt::sent(key, attempt, demand, now));
         }
         self.out.starts.push(Assignment { key, host, attempt });
     }
 
     /// Places the idle tasks of an array or service; false if room lacked.
-    pub(super) fn place_tasks(&mut self, need: &Need, attempt: &mut impl FnMut() -> u64) -> bool {
-        let ix = need.ix;
-        let mut counts = self.index.counts(ix);
+    pub(super) fn place_tasks(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
+        let job_index = request.job_index;
+        let mut counts = self.index.counts(job_index);
         let mut candidates = None;
-        let placeable = self.world.placeable(&self.world.jobs[ix]);
-        let lingering = self.world.lingering(ix, self.index.hosts_of(ix));
-        for n in 0..self.world.jobs[ix].tasks.len() {
-            let t = self.world.jobs[ix].tasks[n];
+        let placeable = self.cluster.placeable(&self.cluster.jobs[job_index]);
+        let lingering = self.cluster.lingering(job_index, self.index.hosts_of(job_index));
+        for n in 0..self.cluster.jobs[job_index].tasks.len() {
+            let t = self.cluster.jobs[job_index].tasks[n];
             if t.retry_ms > self.now || !placeable.open(&t) || lingering.contains(&(n as u32)) {
                 continue;
             }
-            if !self.within_limit(&self.world.jobs[ix].spec, 1.0) {
+            if !self.within_limit(&self.cluster.jobs[job_index].spec, 1.0) {
                 return true; // waits for its own team, not for room
             }
-            let mut found = candidates.take().unwrap_or_else(|| self.candidates(need));
-            let Some(host) = self.best(need, &found, &counts) else { return false };
+            let mut found = candidates.take().unwrap_or_else(|| self.candidates(request));
+            let Some(host) = self.best(request, &found, &counts) else { return false };
             // Room that was made for this job is as good as it gets.
-            let made = self.world.host(host).is_some_and(|h| h.claims.iter().any(|c| c.job == ix));
-            if !made && self.image_late(need, host).is_some_and(|most| self.better_soon(need, &counts, most)) {
+            let made = self.cluster.host(host).is_some_and(|h| h.claims.iter().any(|c| c.job == job_index));
+            if !made
+                && self.image_late(request, host).is_some_and(|most| self.wait_for_better_host(request, &counts, most))
+            {
                 candidates = None;
                 continue;
             }
             counts.add(self.index.slots[host].zone);
-            self.start(TaskKey { job: ix, task: n as u32 }, host, attempt());
-            self.renew(need, &mut found, host);
+            self.start(TaskKey { job: job_index, task: n as u32 }, host, attempt());
+            self.renew(request, &mut found, host);
             candidates = Some(found);
         }
         true
@@ -67,25 +69,25 @@
 
     /// Makes room where the image is ready, or sooner there, if only a little
     /// lesser work stands in the way; the task then waits for that room.
-    fn better_soon(&mut self, need: &Need, counts: &Counts, most: f64) -> bool {
-        if !self.may_wait_for_image(need) {
+    fn wait_for_better_host(&mut self, request: &PlacementRequest, counts: &ZoneCounts, most: f64) -> bool {
+        if !self.may_wait_for_image(request) {
             return false;
         }
-        if self.index.claims_of(need.ix) > 0 {
+        if self.index.claims_of(request.job_index) > 0 {
             return true;
         }
-        let Some((hix, vacancy)) = self.cheapest_with_image(need, counts, most) else { return false };
-        self.clear(need.ix, hix, &vacancy.departures);
+        let Some((host_index, vacancy)) = self.cheapest_with_image(request, counts, most) else { return false };
+        self.clear(request.job_index, host_index, &vacancy.departures);
         let until_ms = self.now + self.policy.react_ms;
-        self.claim(hix, Claim { job: need.ix, demand: need.want.demand, until_ms });
+        self.claim(host_index, Claim { job: request.job_index, demand: request.requirements.demand, until_ms });
         true
     }
 
     /// May it wait for room next to its image, or has it waited long enough? Bounded:
     /// what is held may be gone, and then any room will do.
-    fn may_wait_for_image(&mut self, need: &Need) -> bool {
+    fn may_wait_for_image(&mut self, request: &PlacementRequest) -> bool {
         let (now, wait) = (self.now, 2 * self.policy.react_ms);
-        let job = &mut self.world.jobs[need.ix];
+        let job = &mut self.cluster.jobs[request.job_index];
         if job.soon_until_ms == 0 {
             job.soon_until_ms = now + wait;
             return true;
@@ -94,17 +96,27 @@
     }
 
     /// Where room costs least among machines that have the image sooner.
-    fn cheapest_with_image(&self, need: &Need, counts: &Counts, most: f64) -> Option<(HostIx, Vacancy)> {
-        let reach = self.reach(need);
-        let mut best: Option<(HostIx, Vacancy)> = None;
-        for (hix, slot) in self.index.slots.iter().enumerate() {
-            let here = slot.claims == 0 && need.want.takes(slot, counts) && !need.shuns.contains(&hix);
-            if !here || self.image_late(need, hix).is_some_and(|m| m > most / 2.0) {
+    fn cheapest_with_image(
+        &self,
+        request: &PlacementRequest,
+        counts: &ZoneCounts,
+        most: f64,
+    ) -> Option<(HostIndex, Vacancy)> {
+        let scope = self.scope(request);
+        let mut best: Option<(HostIndex, Vacancy)> = None;
+        for (host_index, slot) in self.index.slots.iter().enumerate() {
+            let here = slot.claims == 0
+                && request.requirements.takes(slot, counts)
+                && !request.avoided_hosts.contains(&host_index);
+            if !here || self.image_late(request, host_index).is_some_and(|m| m > most / 2.0) {
                 continue;
             }
-            let Some(vacancy) = self.vacate(need, reach, hix, &need.want.demand) else { continue };
+            let Some(vacancy) = self.plan_displacements(request, scope, host_index, &request.requirements.demand)
+            else {
+                continue;
+            };
             if vacancy.cost <= most && best.as_ref().is_none_or(|(_, b)| vacancy.cost < b.cost) {
-                best = Some((hix, vacancy));
+                best = Some((host_index, vacancy));
             }
         }
         best
--- a/src/sched/plan.rs
+++ b/src/sched/plan.rs
@@ -1,13 +1,13 @@
 //! What to rent, what to return and which machine to empty.
 
 use super::Policy;
-use super::index::{Counts, Index};
+use super::index::{Index, ZoneCounts};
 use crate::model::*;
 use std::collections::{HashMap, HashSet};
 
 /// Machines that were asked for and are not up yet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Coming {
+pub struct PendingMachine {
     pub flavor: usize,
     pub zone: String,
     pub spot: bool,
@@ -37,7 +37,7 @@
 pub struct Plan {
     pub rent: Vec<Rental>,
     /// Machines that nothing waiting or expected needs.
-    pub spare: Vec<HostIx>,
+    pub spare: Vec<HostIndex>,
     /// Machines whose work fits elsewhere, so that they can be returned.
     pub drain: Vec<Drain>,
 }
@@ -45,8 +45,8 @@
 /// A machine to be emptied: its replicas move, the rest runs out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Drain {
-    pub host: HostIx,
-    pub moves: Vec<(TaskKey, u64, HostIx)>,
+    pub host: HostIndex,
+    pub moves: Vec<(TaskKey, u64, HostIndex)>,
 }
 
 struct Bin {
@@ -54,7 +54,7 @@
     flavor: usize,
     zone: usize,
     spot: bool,
-    host: Option<HostIx>,
+    host: Option<HostIndex>,
     used: bool,
 }
 
@@ -62,38 +62,38 @@
 /// arrivals expected during a boot, are fitted into free room, machines that
 /// are coming, and new ones.
 pub fn plan(
-    world: &World,
+    cluster: &ClusterState,
     policy: &Policy,
     now: u64,
-    unplaced: &[JobIx],
+    unplaced: &[JobIndex],
     flows: &[ClassFlow],
-    coming: &[Coming],
+    pending_machines: &[PendingMachine],
     refused: &dyn Fn(usize, &str, bool) -> bool,
 ) -> Plan {
-    let index = Index::new(world, now);
+    let index = Index::new(cluster, now);
     let mut bins: Vec<Bin> = Vec::new();
-    for (hix, h) in world.each_host() {
-        let s = &index.slots[hix];
+    for (host_index, h) in cluster.each_host() {
+        let s = &index.slots[host_index];
         if s.usable {
-            let used = !h.copies.is_empty() || !h.claims.is_empty();
-            bins.push(Bin { free: s.free, flavor: s.flavor, zone: s.zone, spot: s.spot, host: Some(hix), used });
+            let used = !h.attempts.is_empty() || !h.claims.is_empty();
+            bins.push(Bin { free: s.free, flavor: s.flavor, zone: s.zone, spot: s.spot, host: Some(host_index), used });
         }
     }
-    for c in coming {
+    for c in pending_machines {
         let Some(zone) = index.zone(&c.zone) else { continue };
-        let free = world.flavors[c.flavor].cap;
+        let free = cluster.flavors[c.flavor].cap;
         bins.push(Bin { free, flavor: c.flavor, zone, spot: c.spot, host: None, used: true });
     }
     let have = bins.len();
-    for ix in unplaced {
-        let job = &world.jobs[*ix];
-        let placeable = world.placeable(job);
+    for job_index in unplaced {
+        let job = &cluster.jobs[*job_index];
+        let placeable = cluster.placeable(job);
         let n = job.tasks.iter().filter(|t| placeable.open(t)).count();
-        fit(world, &index, &mut bins, &job.spec, n, job.shuns(world, now), refused);
+        fit(cluster, &index, &mut bins, &job.spec, n, job.avoided_hosts(cluster, now), refused);
     }
     for flow in flows {
-        let n = headroom(world, policy, flow);
-        fit(world, &index, &mut bins, &flow.spec, n, &HashSet::new(), refused);
+        let n = headroom(cluster, policy, flow);
+        fit(cluster, &index, &mut bins, &flow.spec, n, &HashSet::new(), refused);
     }
     let mut rent: Vec<Rental> = Vec::new();
     for b in &bins[have..] {
@@ -107,29 +107,29 @@
     bins.truncate(have);
     // Warm room is worth more than its price while work waits now and then:
     // machines are emptied after a lull in which they could have been had twice.
-    let boot_s = world.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
-    let lull = now.saturating_sub(world.waited_ms) as f64 > 2.0 * boot_s * 1000.0;
-    let drain = if unplaced.is_empty() && lull { consolidate(world, &index, &bins) } else { Vec::new() };
+    let boot_s = cluster.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+    let lull = now.saturating_sub(cluster.waited_ms) as f64 > 2.0 * boot_s * 1000.0;
+    let drain = if unplaced.is_empty() && lull { consolidate(cluster, &index, &bins) } else { Vec::new() };
     Plan { rent, spare, drain }
 }
 
 /// Fits `n` tasks like `spec` into the bins; opens new ones where needed.
 fn fit(
-    world: &World,
+    cluster: &ClusterState,
     index: &Index,
     bins: &mut Vec<Bin>,
     spec: &Spec,
     n: usize,
-    shuns: &HashSet<HostIx>,
+    avoided_hosts: &HashSet<HostIndex>,
     refused: &dyn Fn(usize, &str, bool) -> bool,
 ) {
-    let want = index.want(world, spec);
-    let mut counts = Counts::default();
+    let requirements = index.requirements(cluster, spec);
+    let mut counts = ZoneCounts::default();
     // Work that may run on cheap machines leaves the others alone while there
     // are any to be had.
     let only_spot =
         spec.spot
-            && world.flavors.iter().enumerate().any(|(i, f)| {
+            && cluster.flavors.iter().enumerate().any(|(i, f)| {
                 spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z) && !refused(i, z, true))
             });
     // Machines in use first, so that idle ones are not called needed.
@@ -137,30 +137,32 @@
     order.extend((0..bins.len()).filter(|i| !bins[*i].used));
     // Work without accelerators first takes what the work with them leaves
     // over; then machines of its own; last, what can be had.
-    let mut modest = spec.demand.gpus <= 0.0;
+    let mut without_accelerators = spec.demand.gpus <= 0.0;
     let mut at = 0;
     for _ in 0..n {
         loop {
             // What one task of them does not fit into, none does.
             while order.get(at).is_some_and(|i| {
                 let b = &bins[*i];
-                let allowed = want.allows(b.flavor, b.zone, b.spot, &counts)
+                let allowed = requirements.allows(b.flavor, b.zone, b.spot, &counts)
                     && (b.spot || !only_spot)
-                    && !b.host.is_some_and(|h| shuns.contains(&h));
-                !allowed || !spec.demand.fits(&b.free) || (modest && strands(world, spec, b.flavor, &b.free))
+                    && !b.host.is_some_and(|h| avoided_hosts.contains(&h));
+                !allowed
+                    || !spec.demand.fits(&b.free)
+                    || (without_accelerators && strands_accelerators(cluster, spec, b.flavor, &b.free))
             }) {
                 at += 1;
             }
             if at < order.len() {
                 break;
             }
-            if let Some(b) = cheapest(world, index, spec, &counts, refused) {
+            if let Some(b) = cheapest(cluster, index, spec, &counts, refused) {
                 bins.push(b);
                 order.push(bins.len() - 1);
                 // It is for this work, whatever else it could be used for.
                 break;
             }
-            if !std::mem::replace(&mut modest, false) {
+            if !std::mem::replace(&mut without_accelerators, false) {
                 return;
             }
             at = 0;
@@ -173,25 +175,25 @@
 }
 
 /// Would a task without accelerators cost work with them a place here?
-pub fn strands(world: &World, spec: &Spec, flavor: usize, free: &Demand) -> bool {
-    if spec.demand.gpus > 0.0 || world.flavors[flavor].cap.gpus <= 0.0 {
+pub fn strands_accelerators(cluster: &ClusterState, spec: &Spec, flavor: usize, free: &Demand) -> bool {
+    if spec.demand.gpus > 0.0 || cluster.flavors[flavor].cap.gpus <= 0.0 {
         return false;
     }
     let mut after = *free;
     after.sub(&spec.demand);
-    world.reserves.iter().any(|r| r.demand.gpus > 0.0 && r.loses(flavor, free, &after))
+    cluster.reserves.iter().any(|r| r.demand.gpus > 0.0 && r.loses(flavor, free, &after))
 }
 
 /// The machine to rent on which a task like `spec` costs least.
 fn cheapest(
-    world: &World,
+    cluster: &ClusterState,
     index: &Index,
     spec: &Spec,
-    counts: &Counts,
+    counts: &ZoneCounts,
     refused: &dyn Fn(usize, &str, bool) -> bool,
 ) -> Option<Bin> {
     let mut best: Option<(f64, u32, Bin)> = None;
-    for (i, f) in world.flavors.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
+    for (i, f) in cluster.flavors.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
         let per = f.cap.slots(&spec.demand).max(1.0);
         for name in f.zones.iter().filter(|z| spec.allows_zone(z)) {
             let Some(zone) = index.zone(name) else { continue };
@@ -215,48 +217,48 @@
 }
 
 /// Least cost of a task on machines that are full of its like.
-fn least_cost(world: &World, spec: &Spec) -> f64 {
+fn least_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
     let per_task = |f: &Flavor| f.price / f.cap.slots(&spec.demand).max(1.0);
-    world.flavors.iter().filter(|f| spec.allows_flavor(f)).map(per_task).fold(f64::INFINITY, f64::min)
+    cluster.flavors.iter().filter(|f| spec.allows_flavor(f)).map(per_task).fold(f64::INFINITY, f64::min)
 }
 
 /// A machine is worth emptying while its work would cost less than this share
 /// of its price elsewhere.
-const WASTEFUL: f64 = 0.75;
+const DRAIN_COST_SHARE: f64 = 0.75;
 
 /// Machines are emptied one in so many at a time: what moves is down for a moment.
-const EMPTIED: usize = 64;
+const HOSTS_PER_DRAIN: usize = 64;
 
 /// The most wasteful machines whose replicas all fit, with their images ready,
 /// on machines that are used better. `bins` holds what is free beyond all that
 /// is waiting or expected.
-fn consolidate(world: &World, index: &Index, bins: &[Bin]) -> Vec<Drain> {
-    let under_way = world.each_host().filter(|(_, h)| h.draining && !h.copies.is_empty()).count();
-    let most = world.host_ix.len().div_ceil(EMPTIED).saturating_sub(under_way);
+fn consolidate(cluster: &ClusterState, index: &Index, bins: &[Bin]) -> Vec<Drain> {
+    let under_way = cluster.each_host().filter(|(_, h)| h.draining && !h.attempts.is_empty()).count();
+    let most = cluster.host_index.len().div_ceil(HOSTS_PER_DRAIN).saturating_sub(under_way);
     if most == 0 {
         return Vec::new();
     }
     let mut costs: HashMap<&str, f64> = HashMap::new();
-    let mut worth: Vec<(f64, HostIx)> = Vec::new();
+    let mut worth: Vec<(f64, HostIndex)> = Vec::new();
     for b in bins {
-        let Some((hix, h)) = b.host.and_then(|i| Some((i, world.host(i)?))) else { continue };
+        let Some((host_index, h)) = b.host.and_then(|i| Some((i, cluster.host(i)?))) else { continue };
         let value: f64 = h
-            .copies
+            .attempts
             .iter()
             .map(|c| {
-                let spec = &world.jobs[c.key.job].spec;
-                *costs.entry(&spec.class).or_insert_with(|| least_cost(world, spec))
+                let spec = &cluster.jobs[c.key.job].spec;
+                *costs.entry(&spec.class).or_insert_with(|| least_cost(cluster, spec))
             })
             .sum();
-        worth.push((value / world.flavors[b.flavor].price(h.spot).max(1e-6), hix));
+        worth.push((value / cluster.flavors[b.flavor].price(h.spot).max(1e-6), host_index));
     }
     worth.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let rank: HashMap<HostIx, f64> = worth.iter().map(|w| (w.1, w.0)).collect();
+    let rank: HashMap<HostIndex, f64> = worth.iter().map(|w| (w.1, w.0)).collect();
     let mut drains = Vec::new();
     let mut taken = Vec::new();
-    for (w, hix) in worth.iter().filter(|w| w.0 > 0.0 && w.0 < WASTEFUL) {
-        let better = |to: HostIx| rank.get(&to).is_some_and(|r| r > w);
-        drains.extend(drain_of(world, index, bins, *hix, &better, &mut taken));
+    for (w, host_index) in worth.iter().filter(|w| w.0 > 0.0 && w.0 < DRAIN_COST_SHARE) {
+        let better = |to: HostIndex| rank.get(&to).is_some_and(|r| r > w);
+        drains.extend(drain_of(cluster, index, bins, *host_index, &better, &mut taken));
         if drains.len() == most {
             break;
         }
@@ -266,35 +268,35 @@
 
 /// How a machine could be emptied; `taken` is room that is promised already.
 fn drain_of(
-    world: &World,
+    cluster: &ClusterState,
     index: &Index,
     bins: &[Bin],
-    host: HostIx,
-    better: &dyn Fn(HostIx) -> bool,
+    host: HostIndex,
+    better: &dyn Fn(HostIndex) -> bool,
     taken: &mut Vec<(usize, Demand)>,
 ) -> Option<Drain> {
-    let h = world.host(host)?;
+    let h = cluster.host(host)?;
     // One that takes others in stays, or they would have to move again.
     if !h.claims.is_empty() || taken.iter().any(|t| bins[t.0].host == Some(host)) {
         return None;
     }
     let promised = taken.len();
     let mut moves = Vec::new();
-    for c in h.copies.iter().filter(|c| !c.ended()) {
-        let spec = &world.jobs[c.key.job].spec;
+    for c in h.attempts.iter().filter(|c| !c.ended()) {
+        let spec = &cluster.jobs[c.key.job].spec;
         let to = match spec.shape {
             _ if c.stop.is_some() || !c.running() => None,
             Shape::Gang => None,
             Shape::Batch => continue,
             Shape::Service => {
-                let want = index.want(world, spec);
+                let requirements = index.requirements(cluster, spec);
                 let mut counts = index.counts(c.key.job);
                 counts.sub(index.slots[host].zone);
                 bins.iter().enumerate().find(|(i, b)| {
-                    let Some(o) = b.host.and_then(|o| world.host(o)) else { return false };
+                    let Some(o) = b.host.and_then(|o| cluster.host(o)) else { return false };
                     let mut room = b.free;
                     spec.demand.fits(&room)
-                        && want.allows(b.flavor, b.zone, b.spot, &counts)
+                        && requirements.allows(b.flavor, b.zone, b.spot, &counts)
                         && o.claims.is_empty()
                         && b.host.is_some_and(better)
                         && o.images.iter().any(|im| im.ready && im.name == spec.image)
@@ -320,20 +322,20 @@
 }
 
 /// The reserves that follow from the arrivals seen.
-pub fn reserves(world: &World, policy: &Policy, flows: &[ClassFlow]) -> Vec<Reserve> {
+pub fn reserves(cluster: &ClusterState, policy: &Policy, flows: &[ClassFlow]) -> Vec<Reserve> {
     let reserve = |f: &ClassFlow| Reserve {
         class: f.spec.class.clone(),
-        flavors: world.flavors.iter().map(|l| f.spec.allows_flavor(l)).collect(),
+        flavors: cluster.flavors.iter().map(|l| f.spec.allows_flavor(l)).collect(),
         demand: f.spec.demand,
-        tasks: headroom(world, policy, f) as f64,
+        tasks: headroom(cluster, policy, f) as f64,
     };
     flows.iter().map(reserve).collect()
 }
 
 /// Tasks of a class for which room is kept: arrivals and departures during a
 /// boot both vary; as much as the class's objective asks for.
-fn headroom(world: &World, policy: &Policy, flow: &ClassFlow) -> usize {
-    let allowed = world.flavors.iter().filter(|f| flow.spec.allows_flavor(f));
+fn headroom(cluster: &ClusterState, policy: &Policy, flow: &ClassFlow) -> usize {
+    let allowed = cluster.flavors.iter().filter(|f| flow.spec.allows_flavor(f));
     let boot_s = allowed.map(|f| f.boot_s).reduce(f64::min).unwrap_or(0.0);
     let share = policy.waits.get(&flow.spec.class).map_or(0.9, |w| w.1);
     // Work that may wait needs room ahead only as far as a boot is longer.
--- a/src/sched/policy.rs
+++ b/src/sched/policy.rs
@@ -85,11 +85,11 @@
     pub fn effective_deadline_ms(&self, job: &Job, wall: u64) -> u64 {
         let soft = self.soft_deadline_ms(job);
         let Some(due_s) = job.spec.due_s else { return soft };
-        let needs = (job.spec.expected_s * 500.0) as u64;
+        let capacity_report = (job.spec.expected_s * 500.0) as u64;
         let stride = (due_s * 500.0) as u64;
-        if wall + needs <= soft {
+        if wall + capacity_report <= soft {
             soft
-        } else if wall + needs <= soft + stride {
+        } else if wall + capacity_report <= soft + stride {
             soft + stride
         } else {
             soft + stride + (self.default_deadline_s * 1000.0) as u64
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::config::{Operator, tests::settings};
 use crate::model::{
-    Claim, Copy, Demand, Flavor, Host, HostIx, Job, JobIx, Place, Shape, Spec, TaskKey, TaskPhase, Urgency, World,
+    Claim, ClusterState, Demand, Flavor, Host, HostIndex, Job, JobIndex, Place, Shape, Spec, TaskAttempt, TaskKey,
+    TaskPhase, Urgency,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -46,8 +47,9 @@
     }
 }
 
-fn world(hosts: &[(&str, bool)]) -> World {
-    let mut w = World { all_accounted: true, flavors: vec![flavor("g8", 8.0, &["a", "b"])], ..World::default() };
+fn cluster(hosts: &[(&str, bool)]) -> ClusterState {
+    let mut w =
+        ClusterState { all_accounted: true, flavors: vec![flavor("g8", 8.0, &["a", "b"])], ..ClusterState::default() };
     for (i, (zone, spot)) in hosts.iter().enumerate() {
         let mut h = Host::new(format!("h{i}"), zone.to_string(), *spot, Some(0), 0);
         h.registered = true;
@@ -58,13 +60,13 @@
     w
 }
 
-fn add(w: &mut World, spec: Spec, accepted_ms: u64) -> JobIx {
+fn add(w: &mut ClusterState, spec: Spec, accepted_ms: u64) -> JobIndex {
     let mut j = Job::new(spec, accepted_ms, 0);
     j.version = 1;
     w.add_job(j)
 }
 
-fn run(w: &mut World, now: u64) -> Outcome {
+fn run(w: &mut ClusterState, now: u64) -> Outcome {
     let mut n = 1000 * now;
     pass(w, &policy(), now, now, Urgency::Low, || {
         n += 1;
@@ -92,21 +94,21 @@
 
 #[test]
 fn the_lowest_bin_goes_first() {
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     for (id, due) in [("run-000001", 500.0), ("run-000002", 100.0), ("run-000003", 300.0)] {
         let mut s = spec(id, Shape::Batch, 4, 1.0);
         s.due_s = Some(due);
         add(&mut w, s, 0);
     }
     let out = run(&mut w, 1);
-    let placed: Vec<JobIx> = out.starts.iter().map(|s| s.key.job).collect();
+    let placed: Vec<JobIndex> = out.starts.iter().map(|s| s.key.job).collect();
     assert_eq!(placed, [1, 1, 1, 1, 2, 2, 2, 2]);
     assert_eq!(out.unplaced, [0]);
 }
 
 #[test]
 fn a_gang_starts_whole_and_room_is_held_for_the_leading_one() {
-    let mut w = world(&[("a", false), ("a", false)]);
+    let mut w = cluster(&[("a", false), ("a", false)]);
     add(&mut w, spec("run-000001", Shape::Batch, 6, 1.0), 0);
     run(&mut w, 1);
     let mut gang = spec("run-000002", Shape::Gang, 2, 8.0);
@@ -124,7 +126,7 @@
 
 #[test]
 fn the_more_urgent_preempts_and_equals_do_not() {
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     add(&mut w, spec("run-000001", Shape::Batch, 8, 1.0), 0);
     run(&mut w, 1);
     add(&mut w, spec("run-000002", Shape::Batch, 1, 1.0), 0);
@@ -138,14 +140,14 @@
 
 #[test]
 fn guarantees_are_given_back_without_two_teams_taking_turns() {
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     add(&mut w, spec("run-000001", Shape::Batch, 8, 1.0), 0);
     run(&mut w, 1); // red: 8 of 8 guaranteed
     let mut s = spec("run-000002", Shape::Batch, 8, 1.0);
     s.team = "blue".into();
     add(&mut w, s, 0);
     assert!(run(&mut w, 2).stops.is_empty(), "red is within its guarantee");
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     let mut s = spec("run-000001", Shape::Batch, 8, 1.0);
     s.team = "blue".into(); // 8 of 4 guaranteed
     add(&mut w, s, 0);
@@ -160,14 +162,14 @@
 #[test]
 fn a_replica_moves_out_of_a_gangs_way() {
     // Two machines with room for two, one replica on each.
-    let mut w = world(&[("a", false), ("a", false)]);
+    let mut w = cluster(&[("a", false), ("a", false)]);
     w.flavors[0].cap.gpus = 2.0;
     for id in ["run-000001", "run-000003"] {
         add(&mut w, spec(id, Shape::Service, 1, 1.0), 0);
     }
     w.host_mut(0).unwrap().blocked_until_ms = 10;
     run(&mut w, 1);
-    w.host_mut(1).unwrap().copies.truncate(1);
+    w.host_mut(1).unwrap().attempts.truncate(1);
     w.jobs[1].tasks[0].place = Place::Idle;
     w.host_mut(0).unwrap().blocked_until_ms = 0;
     w.host_mut(1).unwrap().blocked_until_ms = 10;
@@ -175,8 +177,8 @@
     for h in w.hosts.iter_mut().flatten() {
         h.blocked_until_ms = 0;
         h.image_ready("i");
-        assert_eq!(h.copies.len(), 1);
-        h.copies[0].phase = TaskPhase::Running;
+        assert_eq!(h.attempts.len(), 1);
+        h.attempts[0].phase = TaskPhase::Running;
     }
     add(&mut w, spec("run-000002", Shape::Gang, 1, 2.0), 0);
     let settled = 3 * policy().lease_ms + 3;
@@ -187,12 +189,12 @@
 // machine that held room for them was taken out of use.
 #[test]
 fn a_replica_does_not_wait_for_ever_for_room_that_is_held_elsewhere() {
-    let mut w = world(&[("a", false), ("a", false)]);
-    let ix = add(&mut w, spec("run-000001", Shape::Service, 1, 1.0), 0);
+    let mut w = cluster(&[("a", false), ("a", false)]);
+    let job_index = add(&mut w, spec("run-000001", Shape::Service, 1, 1.0), 0);
     let late = 60_000;
-    let demand = w.jobs[ix].spec.demand;
+    let demand = w.jobs[job_index].spec.demand;
     let h = w.host_mut(0).unwrap();
-    h.claims.push(Claim { job: ix, demand, until_ms: late + 50_000 });
+    h.claims.push(Claim { job: job_index, demand, until_ms: late + 50_000 });
     h.draining = true;
     assert!(run(&mut w, late).starts.is_empty(), "the other machine has no image");
     assert_eq!(run(&mut w, late + 2 * policy().report_ms).starts.len(), 1);
@@ -202,16 +204,16 @@
 // for them, as its image was not there either.
 #[test]
 fn a_replica_takes_the_room_that_was_made_for_it_at_once() {
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     add(&mut w, spec("run-000001", Shape::Batch, 8, 1.0), 0);
     run(&mut w, 1);
     let mut s = spec("run-000002", Shape::Service, 1, 1.0);
     (s.urgency, s.image) = (Urgency::High, "cold".into());
-    let ix = add(&mut w, s, 1);
+    let job_index = add(&mut w, s, 1);
     let stopped = run(&mut w, 2).stops[0];
-    w.host_mut(0).unwrap().copies.retain(|c| c.key != stopped.key);
+    w.host_mut(0).unwrap().attempts.retain(|c| c.key != stopped.key);
     w.jobs[0].tasks[stopped.key.task as usize].place = Place::Idle;
-    assert!(run(&mut w, 3).starts.iter().any(|s| s.key.job == ix));
+    assert!(run(&mut w, 3).starts.iter().any(|s| s.key.job == job_index));
 }
 
 // Found by reading, after a takeover without the recorded machine types: their
@@ -220,22 +222,25 @@
 // that the first of them then filled, and the other waited for the end of the hold.
 #[test]
 fn room_is_made_for_replicas_where_zones_allow_them_together() {
-    let mut w = world(&[("a", false), ("a", false), ("b", false)]);
+    let mut w = cluster(&[("a", false), ("a", false), ("b", false)]);
     add(&mut w, Spec { team: "blue".into(), ..spec("run-000001", Shape::Batch, 24, 1.0) }, 0);
     run(&mut w, 1);
     let mut s = Spec { spread: true, ..spec("run-000002", Shape::Service, 2, 4.0) };
     s.urgency = Urgency::High;
-    let ix = add(&mut w, s, 10);
+    let job_index = add(&mut w, s, 10);
     run(&mut w, 11);
-    let zones = |w: &World| -> Vec<String> {
-        w.each_host().filter(|(_, h)| h.claims.iter().any(|c| c.job == ix)).map(|(_, h)| h.zone.clone()).collect()
+    let zones = |w: &ClusterState| -> Vec<String> {
+        w.each_host()
+            .filter(|(_, h)| h.claims.iter().any(|c| c.job == job_index))
+            .map(|(_, h)| h.zone.clone())
+            .collect()
     };
     assert_eq!(zones(&w), ["a", "b"]);
     // A hold that has become useless is given up.
-    let key = TaskKey { job: ix, task: 0 };
-    w.jobs[ix].tasks[0].place = Place::On(1, 9);
-    let demand = w.jobs[ix].spec.demand;
-    w.hosts[1].as_mut().unwrap().copies = vec![Copy::sent(key, 9, demand, 12)];
+    let key = TaskKey { job: job_index, task: 0 };
+    w.jobs[job_index].tasks[0].place = Place::On(1, 9);
+    let demand = w.jobs[job_index].spec.demand;
+    w.hosts[1].as_mut().unwrap().attempts = vec![TaskAttempt::sent(key, 9, demand, 12)];
     run(&mut w, 12);
     assert_eq!(zones(&w), ["b"]);
 }
@@ -244,7 +249,7 @@
 // time, so that lost lookups stopped a hundred replicas while arrays ran beside.
 #[test]
 fn several_jobs_get_room_on_a_machine_before_replicas_are_stopped() {
-    let mut w = world(&[("a", false), ("a", false)]);
+    let mut w = cluster(&[("a", false), ("a", false)]);
     let blue = |s: Spec| Spec { team: "blue".into(), ..s };
     add(&mut w, blue(spec("run-000001", Shape::Batch, 8, 1.0)), 0);
     run(&mut w, 1);
@@ -256,13 +261,13 @@
         add(&mut w, s, 3);
     }
     let out = run(&mut w, 4);
-    let stopped: Vec<JobIx> = out.stops.iter().map(|s| s.key.job).collect();
+    let stopped: Vec<JobIndex> = out.stops.iter().map(|s| s.key.job).collect();
     assert_eq!(stopped, [0; 6], "array tasks, on one machine");
 }
 
 #[test]
 fn a_machine_type_may_become_known_between_a_plan_and_a_pass() {
-    let mut w = world(&[("a", false)]);
+    let mut w = cluster(&[("a", false)]);
     let flavors = std::mem::take(&mut w.flavors);
     let flow = ClassFlow { spec: spec("run-000001", Shape::Service, 1, 1.0), rate: 1.0, burst: 1.0 };
     w.reserves = reserves(&w, &policy(), &[flow]);
@@ -277,7 +282,7 @@
 // tasks, and a pass took seconds.
 #[test]
 fn a_pass_over_three_hundred_full_machines_looks_at_each_once_for_a_kind_of_work() {
-    let mut w = world(&[("a", false); 300]);
+    let mut w = cluster(&[("a", false); 300]);
     // Blue has no limit.
     let blue = |id: String, shape, tasks| Spec { team: "blue".into(), ..spec(&id, shape, tasks, 1.0) };
     for n in 0..60 {
@@ -289,14 +294,14 @@
     }
     let out = run(&mut w, 1100);
     assert_eq!((out.unplaced.len(), out.starts.len()), (200, 0));
-    assert!(out.looked <= 2 * 300, "{} machines looked at", out.looked);
+    assert!(out.hosts_examined <= 2 * 300, "{} machines looked at", out.hosts_examined);
     // What is more urgent finds its room by one look at each machine a task.
     let mut s = blue("run-300000".into(), Shape::Service, 4);
     s.urgency = Urgency::High;
     add(&mut w, s, 1100);
     let out = run(&mut w, 1200);
     assert_eq!(out.stops.len(), 4);
-    assert!(out.looked <= 9 * 300, "{} machines looked at", out.looked);
+    assert!(out.hosts_examined <= 9 * 300, "{} machines looked at", out.hosts_examined);
 }
 
 #[test]
@@ -321,7 +326,7 @@
 #[test]
 fn the_plan_rents_what_waits_where_it_is_cheapest_and_may_be_had() {
     let w = {
-        let mut w = world(&[]);
+        let mut w = cluster(&[]);
         let mut s = spec("run-000001", Shape::Batch, 16, 1.0);
         s.spot = true;
         add(&mut w, s, 0);
@@ -333,27 +338,30 @@
     let r = rent(&|_, _, spot| spot);
     assert!(r.iter().all(|r| !r.spot) && r.iter().map(|r| r.count).sum::<usize>() == 2, "{r:?}");
     assert!(rent(&|_, _, _| true).is_empty());
-    let coming = vec![Coming { flavor: 0, zone: "a".into(), spot: true }; 2];
-    assert!(plan(&w, &policy(), 0, &[0], &[], &coming, &|_, _, _| false).rent.is_empty(), "they are on their way");
+    let pending_machines = vec![PendingMachine { flavor: 0, zone: "a".into(), spot: true }; 2];
+    assert!(
+        plan(&w, &policy(), 0, &[0], &[], &pending_machines, &|_, _, _| false).rent.is_empty(),
+        "they are on their way"
+    );
 }
 
 #[test]
 fn a_wasteful_machine_is_emptied_where_its_replicas_fit() {
-    let mut w = world(&[("a", false), ("a", false)]);
+    let mut w = cluster(&[("a", false), ("a", false)]);
     for (host, n) in [(0, 4), (1, 1)] {
-        let ix = add(&mut w, spec(&format!("run-00000{host}"), Shape::Service, n, 1.0), 0);
+        let job_index = add(&mut w, spec(&format!("run-00000{host}"), Shape::Service, n, 1.0), 0);
         for t in 0..n {
-            let key = TaskKey { job: ix, task: t };
-            let demand = w.jobs[ix].spec.demand;
-            let copy = Copy { phase: TaskPhase::Running, ..Copy::sent(key, 1, demand, 0) };
-            w.jobs[ix].tasks[t as usize].place = Place::On(host, 1);
+            let key = TaskKey { job: job_index, task: t };
+            let demand = w.jobs[job_index].spec.demand;
+            let copy = TaskAttempt { phase: TaskPhase::Running, ..TaskAttempt::sent(key, 1, demand, 0) };
+            w.jobs[job_index].tasks[t as usize].place = Place::On(host, 1);
             let h = w.host_mut(host).unwrap();
-            h.copies.push(copy);
+            h.attempts.push(copy);
             h.use_image("i", 10.0, 100.0, 1);
             h.image_ready("i");
         }
     }
-    let drain = |w: &World, now| plan(w, &policy(), now, &[], &[], &[], &|_, _, _| true).drain;
+    let drain = |w: &ClusterState, now| plan(w, &policy(), now, &[], &[], &[], &|_, _, _| true).drain;
     assert!(drain(&w, 60_000).is_empty(), "work waited two boots ago");
     let d = drain(&w, 60_001).remove(0);
     assert_eq!((d.host, d.moves.len(), d.moves[0].2), (1, 1, 0));
@@ -386,7 +394,7 @@
         gone in prop::collection::vec((0usize..40, any::<bool>()), 0..12),
     ) {
         let hosts: Vec<(&str, bool)> = hosts.iter().map(|(z, s)| (if *z { "a" } else { "b" }, *s)).collect();
-        let mut w = world(&hosts);
+        let mut w = cluster(&hosts);
         for (i, mut s) in specs.into_iter().enumerate() {
             s.id = format!("run-{i:06}");
             add(&mut w, s, i as u64 * 700);
@@ -414,80 +422,80 @@
             for (team, used) in Index::new(&w, 0).usage {
                 prop_assert!(used.fits(&p.teams[&team].limit), "{} uses {:?}", team, used);
             }
-            for (ix, job) in w.jobs.iter().enumerate() {
+            for (job_index, job) in w.jobs.iter().enumerate() {
                 let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
                 for (_, h) in w.each_host() {
-                    let n = h.copies.iter().filter(|c| c.key.job == ix).count() as u32;
+                    let n = h.attempts.iter().filter(|c| c.key.job == job_index).count() as u32;
                     if n > 0 {
                         *zones.entry(&h.zone).or_default() += n;
                     }
                 }
                 prop_assert!(zones.values().all(|n| *n <= job.spec.zone_limit()));
                 prop_assert!(!job.spec.one_zone || zones.len() < 2);
-                let started = out.starts.iter().filter(|s| s.key.job == ix).count() as u32;
+                let started = out.starts.iter().filter(|s| s.key.job == job_index).count() as u32;
                 prop_assert!(job.spec.shape != Shape::Gang || started == 0 || started == job.spec.tasks);
             }
             // What is stopped goes; some of the rest ends by itself.
-            let mut ended: Vec<(HostIx, TaskKey)> = out.stops.iter().map(|s| (s.host, s.key)).collect();
+            let mut ended: Vec<(HostIndex, TaskKey)> = out.stops.iter().map(|s| (s.host, s.key)).collect();
             if let Some((n, _)) = gone.next() {
-                ended.extend(w.each_host().flat_map(|(i, h)| h.copies.iter().map(move |c| (i, c.key))).nth(n));
+                ended.extend(w.each_host().flat_map(|(i, h)| h.attempts.iter().map(move |c| (i, c.key))).nth(n));
             }
-            for (hix, key) in ended {
-                w.host_mut(hix).unwrap().copies.retain(|c| c.key != key);
+            for (host_index, key) in ended {
+                w.host_mut(host_index).unwrap().attempts.retain(|c| c.key != key);
                 w.jobs[key.job].tasks[key.task as usize].place = Place::Idle;
             }
         }
     }
 }
 
-// Found in simulated time (random troubles, seed 181): an array's last task was placed on
+// Found in simulated time (random faults, seed 181): an array's last task was placed on
 // the one faulty machine again and again, ever later, while it would have run elsewhere.
 #[test]
 fn a_job_keeps_away_for_a_while_from_where_it_failed_unless_it_fails_everywhere() {
-    let mut w = world(&[("a", false), ("a", false), ("a", false)]);
-    let ix = add(&mut w, spec("run-000001", Shape::Batch, 1, 1.0), 0);
-    w.jobs[ix].failed_on.insert(0);
-    w.jobs[ix].shuns_until_ms = 2000;
+    let mut w = cluster(&[("a", false), ("a", false), ("a", false)]);
+    let job_index = add(&mut w, spec("run-000001", Shape::Batch, 1, 1.0), 0);
+    w.jobs[job_index].failed_on.insert(0);
+    w.jobs[job_index].avoid_hosts_until_ms = 2000;
     for h in [1, 2] {
         w.hosts[h].as_mut().unwrap().notice = true;
     }
-    let placed = |w: &mut World, now| !run(w, now).starts.is_empty();
+    let placed = |w: &mut ClusterState, now| !run(w, now).starts.is_empty();
     assert!(!placed(&mut w, 1000), "only the faulty one has room");
-    let rented = plan(&w, &policy(), 1000, &[ix], &[], &[], &|_, _, _| false).rent;
+    let rented = plan(&w, &policy(), 1000, &[job_index], &[], &[], &|_, _, _| false).rent;
     assert_eq!(rented.len(), 1, "so that another is needed");
-    let mut everywhere = w.jobs[ix].clone();
+    let mut everywhere = w.jobs[job_index].clone();
     everywhere.failed_on.extend([1, 2]);
-    let before = std::mem::replace(&mut w.jobs[ix], everywhere);
+    let before = std::mem::replace(&mut w.jobs[job_index], everywhere);
     assert!(placed(&mut w, 1000), "then the job is at fault");
-    w.jobs[ix] = before;
-    w.hosts[0].as_mut().unwrap().copies.clear();
+    w.jobs[job_index] = before;
+    w.hosts[0].as_mut().unwrap().attempts.clear();
     assert!(placed(&mut w, 2000), "nor does it wait for ever");
 }
 
 /// Two machines in two zones, and a gang that needs both and has failed on these machines.
-fn failed_gang(failed_on: &[HostIx]) -> (World, JobIx) {
-    let mut w = world(&[("a", false), ("b", false)]);
+fn failed_gang(failed_on: &[HostIndex]) -> (ClusterState, JobIndex) {
+    let mut w = cluster(&[("a", false), ("b", false)]);
     let mut gang = spec("run-000001", Shape::Gang, 2, 1.0);
     gang.spread = true;
-    let ix = add(&mut w, gang, 0);
-    w.jobs[ix].failed_on.extend(failed_on);
-    w.jobs[ix].shuns_until_ms = 2000;
-    (w, ix)
+    let job_index = add(&mut w, gang, 0);
+    w.jobs[job_index].failed_on.extend(failed_on);
+    w.jobs[job_index].avoid_hosts_until_ms = 2000;
+    (w, job_index)
 }
 
 // Found in simulated time (random faults, seed 497): one of two machines was faulty, and the
 // gang returned to it for ever.
 #[test]
 fn a_gang_waits_for_another_machine_rather_than_return_to_the_faulty_one_of_two() {
-    let (mut w, ix) = failed_gang(&[0]);
+    let (mut w, job_index) = failed_gang(&[0]);
     assert!(run(&mut w, 1000).starts.is_empty(), "one of its places is on the faulty machine");
-    let rented = plan(&w, &policy(), 1000, &[ix], &[], &[], &|_, _, _| false).rent;
+    let rented = plan(&w, &policy(), 1000, &[job_index], &[], &[], &|_, _, _| false).rent;
     assert_eq!(rented.iter().map(|r| (r.zone.as_str(), r.count)).collect::<Vec<_>>(), [("a", 1)]);
     let mut another = Host::new("h2".into(), "a".into(), false, Some(0), 0);
     (another.registered, another.accounted) = (true, true);
     another.addr = Some("10.0.0.1:9000".parse().unwrap());
     w.add_host(another);
-    let mut hosts: Vec<HostIx> = run(&mut w, 1000).starts.iter().map(|s| s.host).collect();
+    let mut hosts: Vec<HostIndex> = run(&mut w, 1000).starts.iter().map(|s| s.host).collect();
     hosts.sort_unstable();
     assert_eq!(hosts, [1, 2]);
 }
--- a/src/whereabouts.rs
+++ b/src/task_locations.rs
@@ -1,11 +1,11 @@
 //! Where tasks may be: the one place that decides it, for placement, for limits and
 //! for what users are told.
 //!
-//! A task may be on a machine that has a copy of it which has not ended, and on any
-//! machine of the last holder that is not accounted for and that its job allows, unless
+//! A task may be on a machine that has an attempt of it which has not ended, and on any
+//! machine of the last owner that is not accounted for and that its job allows, unless
 //! it was located: then it was on a machine that is.
 
-use crate::model::{Copy, Demand, HostIx, HostKind, Job, JobIx, Place, Task, World};
+use crate::model::{ClusterState, Demand, HostIndex, HostKind, Job, JobIndex, Place, Task, TaskAttempt};
 use std::collections::{HashMap, HashSet};
 
 /// Which idle tasks of a job may be placed.
@@ -28,7 +28,7 @@
     }
 }
 
-impl World {
+impl ClusterState {
     /// Can none of the job's tasks be on a machine that is not accounted for?
     pub fn clear(&self, job: &Job) -> bool {
         let spec = &job.spec;
@@ -55,27 +55,28 @@
         Placeable::Located
     }
 
-    /// Tasks of the job that are placed nowhere and have a copy on one of `hosts` all
+    /// Tasks of the job that are placed nowhere and have an attempt on one of `hosts` all
     /// the same, which has not ended: one that a late order started, or that was not
     /// wanted when it was first seen. Started elsewhere, the task would run twice.
-    pub fn lingering(&self, ix: JobIx, hosts: impl Iterator<Item = HostIx>) -> HashSet<u32> {
-        let idle =
-            |c: &&Copy| c.key.job == ix && !c.ended() && self.jobs[ix].tasks[c.key.task as usize].place == Place::Idle;
-        let copies = hosts.filter_map(|h| self.host(h)).flat_map(|h| h.copies.iter());
-        copies.filter(idle).map(|c| c.key.task).collect()
+    pub fn lingering(&self, job_index: JobIndex, hosts: impl Iterator<Item = HostIndex>) -> HashSet<u32> {
+        let idle = |c: &&TaskAttempt| {
+            c.key.job == job_index && !c.ended() && self.jobs[job_index].tasks[c.key.task as usize].place == Place::Idle
+        };
+        let attempts = hosts.filter_map(|h| self.host(h)).flat_map(|h| h.attempts.iter());
+        attempts.filter(idle).map(|c| c.key.task).collect()
     }
 
-    /// Jobs with a copy on a machine, or on its way there, that has not ended.
-    pub fn jobs_on_machines(&self) -> HashSet<JobIx> {
-        self.each_host().flat_map(|(_, h)| h.copies.iter()).filter(|c| !c.ended()).map(|c| c.key.job).collect()
+    /// Jobs with an attempt on a machine, or on its way there, that has not ended.
+    pub fn jobs_on_machines(&self) -> HashSet<JobIndex> {
+        self.each_host().flat_map(|(_, h)| h.attempts.iter()).filter(|c| !c.ended()).map(|c| c.key.job).collect()
     }
 
     /// Is no task of the job on any machine, nor can one be started by an order that
     /// is still on its way? `on_machines` is as `jobs_on_machines` told.
-    pub fn gone(&self, ix: JobIx, on_machines: &HashSet<JobIx>) -> bool {
-        let job = &self.jobs[ix];
+    pub fn gone(&self, job_index: JobIndex, on_machines: &HashSet<JobIndex>) -> bool {
+        let job = &self.jobs[job_index];
         let clear = self.clear(job);
-        !on_machines.contains(&ix)
+        !on_machines.contains(&job_index)
             && job.tasks.iter().all(|t| match t.place {
                 Place::On(..) => false,
                 Place::Idle => clear || t.located,
@@ -90,7 +91,7 @@
         if self.all_accounted {
             return sums;
         }
-        for job in self.live.iter().map(|ix| &self.jobs[*ix]).filter(|j| !self.clear(j)) {
+        for job in self.live.iter().map(|job_index| &self.jobs[*job_index]).filter(|j| !self.clear(j)) {
             let n = job.tasks.iter().filter(|t| t.place == Place::Idle && !t.located).count();
             sums.entry(job.spec.team.clone()).or_default().add(&job.spec.demand.times(n as f64));
         }
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -111,8 +111,8 @@
 }
 
 /// The body of a request for a grant, or for its extension.
-pub fn grant_body(life_ms: u64) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "life_ms": life_ms })).unwrap_or_default()
+pub fn grant_body(grant_ttl_ms: u64) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "life_ms": grant_ttl_ms })).unwrap_or_default()
 }
 
 /// Paths of the state service.
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,6 +1,6 @@
 //! Messages between workers and the service: reports, orders and direct commands.
 
-use crate::model::{Copy, ExitReason, TaskPhase};
+use crate::model::{ExitReason, TaskAttempt, TaskPhase};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -136,18 +136,18 @@
 }
 
 impl Order {
-    /// The order to start a copy of a task.
-    pub fn run(job: &str, c: &Copy) -> Order {
+    /// The order to start an attempt of a task.
+    pub fn run(job: &str, c: &TaskAttempt) -> Order {
         Order::Run { task: format!("{job}/{}", c.key.task), attempt: c.attempt }
     }
 
-    /// The order to stop a copy of a task.
-    pub fn stop(job: &str, c: &Copy, grace_s: f64) -> Order {
+    /// The order to stop an attempt of a task.
+    pub fn stop(job: &str, c: &TaskAttempt, grace_s: f64) -> Order {
         Order::Stop { task: format!("{job}/{}", c.key.task), attempt: c.attempt, grace_s }
     }
 
-    /// The order to forget a copy of a task.
-    pub fn reap(job: &str, c: &Copy) -> Order {
+    /// The order to forget an attempt of a task.
+    pub fn reap(job: &str, c: &TaskAttempt) -> Order {
         Order::Reap { task: format!("{job}/{}", c.key.task), attempt: c.attempt }
     }
 }
@@ -162,7 +162,7 @@
     serde_json::to_vec(&json!({ "fence": term, "tenure": tenure, "orders": orders })).unwrap_or_default()
 }
 
-/// The refusal of a report by a node that does not hold the machine's part.
+/// The refusal of a report by a node that does not hold the machine's partition.
 pub fn redirect(node: Option<&str>) -> Value {
     match node {
         Some(n) => json!({ "reports_to": n }),
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -2,10 +2,10 @@
 
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
-use badgerdrift::clients::{Cloud, Fail, RentResult, State};
+use badgerdrift::clients::{Cloud, RentResult, RequestError, State};
 use badgerdrift::config::{Settings, load_settings};
 use badgerdrift::http::{self, Request, Response};
-use badgerdrift::part::CommitResult;
+use badgerdrift::partition::CommitResult;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -62,11 +62,11 @@
     assert_eq!(state.get("a/1").await.unwrap().0.unwrap().version, 3);
     let (none, revision) = state.get("none").await.unwrap();
     assert!(none.is_none() && revision == 9);
-    assert_eq!(state.get("babble").await.err(), Some(Fail::Refused), "what can't be read is no answer");
-    assert_eq!(state.get("busy").await.err(), Some(Fail::Refused));
-    assert_eq!(state.changes("a/", 1, 0).await.err(), Some(Fail::Missing), "the keys must be read again");
-    assert_eq!(state.extend_grant(4, 2500).await, Err(Fail::Missing));
-    assert_eq!(state.new_grant(2500).await, Err(Fail::Refused));
+    assert_eq!(state.get("babble").await.err(), Some(RequestError::Refused), "what can't be read is no answer");
+    assert_eq!(state.get("busy").await.err(), Some(RequestError::Refused));
+    assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::Missing), "the keys must be read again");
+    assert_eq!(state.extend_grant(4, 2500).await, Err(RequestError::Missing));
+    assert_eq!(state.new_grant(2500).await, Err(RequestError::Refused));
     assert!(matches!(state.commit(&[], &[]).await, CommitResult::Conflict { failed } if failed == ["a/1"]));
 }
 
--- a/tests/meetings/answers.rs
+++ b/tests/fault_combinations/answers.rs
@@ -18,7 +18,7 @@
                     sim.submit(j)
                 })
                 .collect();
-            let all = |w: &world::World| w.jobs.values().all(|j| j.accepted.is_some());
+            let all = |w: &world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
             sim.until("all are accepted", s(30), all).await;
             let leader = sim.leader().expect("there is a leader");
             let cut_off = (leader + 1) % NODES;
--- a/tests/meetings/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -1,4 +1,4 @@
-//! Jobs are cancelled while their machines or their holder are out of reach.
+//! Jobs are cancelled while their machines or their owner are out of reach.
 
 use crate::scenario::{days, long_jobs, machines, others, s};
 use crate::sim::{NODES, seeds, simulate, world};
@@ -88,7 +88,7 @@
             j.run_s = 2.0;
             let id = sim.submit(j);
             let done = id.clone();
-            let ended = |w: &world::World| w.jobs[&done].all_done();
+            let ended = |w: &world::SimulationState| w.jobs[&done].all_done();
             while !ended(&sim.g.w.lock().unwrap()) {
                 sim.run(Duration::from_millis(5 + n as u64)).await;
             }
--- a/tests/meetings/faulty_machines.rs
+++ b/tests/fault_combinations/faulty_machines.rs
@@ -1,7 +1,7 @@
 //! Machines on which every task fails.
 
 use crate::scenario::{days_without_headroom, s};
-use crate::sim::world::World;
+use crate::sim::world::SimulationState;
 
 /// Within this time another machine has booted, and the gang has run on it.
 const DONE_S: u64 = 60;
@@ -27,7 +27,8 @@
             machine.id.clone()
         };
         sim.until("the gang is done", s(DONE_S), |w| w.jobs[&gang].done_told.is_some()).await;
-        sim.until("the faulty machine is returned", s(RETURNED_S), |w: &World| !w.machines[&faulty].exists()).await;
+        sim.until("the faulty machine is returned", s(RETURNED_S), |w: &SimulationState| !w.machines[&faulty].exists())
+            .await;
         let start = format!("{faulty} starts {gang}/");
         let starts = sim.g.w.lock().unwrap().history.iter().filter(|h| h.contains(&start)).count();
         assert!((1..=STARTS_THERE).contains(&starts), "seed {}: {starts} starts on {faulty}", sim.g.seed);
--- a/tests/meetings/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -1,4 +1,4 @@
-//! The holder of the jobs is cut off, refused or ends.
+//! The owner of the jobs is cut off, refused or ends.
 
 use crate::scenario::{days, long_jobs, machines, others, s};
 use crate::sim::net::Cut;
@@ -33,9 +33,9 @@
 }
 
 // The reads of a takeover fail, and are tried again until the outage is over: each try
-// must not ask for two more, and the part must not begin twice.
+// must not ask for two more, and the partition must not begin twice.
 #[test]
-fn an_outage_begins_between_taking_the_part_and_reading_its_records() {
+fn an_outage_begins_between_taking_the_partition_and_reading_its_records() {
     days(async |sim| {
         long_jobs(sim, 60.0).await;
         let leader = sim.leader().expect("there is a leader");
@@ -160,7 +160,7 @@
                 (j.cards, j.run_s) = (0.5, 5.0);
                 ids.push(sim.submit(j));
             }
-            let all = |w: &world::World| w.jobs.values().all(|j| j.accepted.is_some());
+            let all = |w: &world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
             sim.until("all are accepted", s(10), all).await;
             let old = sim.leader().expect("there is a leader");
             sim.cut(controller(old), state_of(old), Some(Cut::Hold));
--- a/tests/meetings/main.rs
+++ b/tests/fault_combinations/main.rs
@@ -1,5 +1,5 @@
-//! Troubles that meet: whole deployments in simulated time. A failed day prints
-//! its seed; `BADGERDRIFT_SEED=7 cargo test --test meetings random` runs it again.
+//! Combinations of faults: whole deployments in simulated time. A failed day prints
+//! its seed; `BADGERDRIFT_SEED=7 cargo test --test fault_combinations random` runs it again.
 
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
--- a/tests/meetings/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::{days_without_headroom, s};
 use crate::sim::Sim;
-use crate::sim::world::{World, secs};
+use crate::sim::world::{SimulationState, secs};
 use tokio::time::Instant;
 
 /// Starts of each task while its job fails for a minute: with pauses that double they are few.
@@ -33,7 +33,7 @@
     sim.submit(j)
 }
 
-fn charged(w: &World) -> Vec<String> {
+fn charged(w: &SimulationState) -> Vec<String> {
     w.machines.values().filter(|m| m.exists()).map(|m| m.id.clone()).collect()
 }
 
@@ -84,7 +84,7 @@
         };
         assert!(failing.is_empty(), "seed {}: begun late: {failing:?}", sim.g.seed);
         mistaken.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
-        let cancelled = |w: &World| mistaken.iter().all(|id| w.jobs[id].cancelled.is_some());
+        let cancelled = |w: &SimulationState| mistaken.iter().all(|id| w.jobs[id].cancelled.is_some());
         sim.until("all are cancelled", s(10), cancelled).await;
         // Where they failed others still run.
         let before = sim.g.w.lock().unwrap().machines.len();
--- a/tests/meetings/random_days.rs
+++ b/tests/fault_combinations/random_days.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_day_without_troubles_is_settled() {
+fn a_day_without_faults_is_settled() {
     simulate(1, async |mut sim| {
         sim.random_day(60.0, 0).await;
         sim.settle().await;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn random_troubles_break_no_rule() {
+fn random_faults_break_no_rule() {
     run_all(&seeds((1..=12).chain([FAULTY_MACHINE_OF_TWO])), |seed| {
         let setup = Setup { time_of_day_stands: true, ..Setup::default() };
         simulate_with(setup, seed, async |mut sim| {
--- a/tests/meetings/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -1,7 +1,7 @@
 //! Machines that are rented come up late, or never, while they are charged.
 
 use crate::scenario::{charged, days_without_headroom, s};
-use crate::sim::world::{BootFaults, World, secs};
+use crate::sim::world::{BootFaults, SimulationState, secs};
 use crate::sim::{Setup, Sim, seeds, simulate_with};
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn all_began(w: &World) -> bool {
+fn all_began(w: &SimulationState) -> bool {
     w.jobs.values().all(|j| j.began.is_some())
 }
 
@@ -39,7 +39,7 @@
 
 async fn until_all_are_returned(sim: &Sim) {
     sim.until("all work is done", s(120), |w| w.jobs.values().all(|j| j.over())).await;
-    let none = |w: &World| w.machines.values().all(|m| !m.exists());
+    let none = |w: &SimulationState| w.machines.values().all(|m| !m.exists());
     sim.until("all machines are returned", s(RETURNED_S), none).await;
 }
 
@@ -53,7 +53,7 @@
         sim.boot_faults(BootFaults::default());
         let never_up: Vec<String> = sim.g.w.lock().unwrap().machines.keys().cloned().collect();
         until_all_began(sim, 2 * NEEDED).await;
-        let returned = |w: &World| never_up.iter().all(|id| !w.machines[id].exists());
+        let returned = |w: &SimulationState| never_up.iter().all(|id| !w.machines[id].exists());
         sim.until("what never comes up is returned", s(REPLACED_S), returned).await;
         let rented = sim.g.w.lock().unwrap().machines.len();
         assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.g.seed);
@@ -84,7 +84,7 @@
 #[test]
 fn work_goes_on_while_most_boots_fail() {
     const WAVES: usize = 6;
-    const MOST_CHARGED: usize = 12;
+    const MAX_CHARGED: usize = 12;
     days_without_headroom(async |sim| {
         sim.boot_faults(BootFaults { never: 0.33, late: 0.5, late_by: 3.5 });
         sim.run(s(5)).await;
@@ -106,7 +106,7 @@
             (w.jobs.values().filter(|j| j.began.is_some()).count(), w.jobs.len(), w.machines.len())
         };
         println!("seed {}: {begun} of {all} jobs have begun; {rented} machines, {most} at once", sim.g.seed);
-        assert!(most <= MOST_CHARGED, "seed {}: {most} machines were charged", sim.g.seed);
+        assert!(most <= MAX_CHARGED, "seed {}: {most} machines were charged", sim.g.seed);
         assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.g.seed);
     });
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -74,13 +74,13 @@
     toml::from_str(&text).unwrap()
 }
 
-fn spawn(s: Settings, parts: u32) -> Node {
+fn spawn(s: Settings, partitions: u32) -> Node {
     let (kill, dead) = oneshot::channel::<()>();
     std::thread::spawn(move || {
         let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         rt.block_on(async {
             tokio::select! {
-                r = node::run(s, Operator { parts, idle_keep: 60.0, ..Operator::default() }) => r.unwrap(),
+                r = node::run(s, Operator { partitions, idle_keep: 60.0, ..Operator::default() }) => r.unwrap(),
                 _ = dead => {}
             }
         });
@@ -94,15 +94,15 @@
     world: Shared,
     nodes: Vec<Option<Node>>,
     client: Client,
-    parts: u32,
+    partitions: u32,
 }
 
 impl Fleet {
-    async fn start(n: usize, parts: u32) -> Fleet {
+    async fn start(n: usize, partitions: u32) -> Fleet {
         let addrs: Vec<_> = (0..n).map(|_| (free_addr(), free_addr())).collect();
         let (world, state, cloud) = stand_ins::start(addrs.iter().map(|a| a.0).collect()).await;
         let mut f =
-            Fleet { addrs, outside: (state, cloud), world, nodes: Vec::new(), client: Client::default(), parts };
+            Fleet { addrs, outside: (state, cloud), world, nodes: Vec::new(), client: Client::default(), partitions };
         for i in 0..n {
             f.nodes.push(None);
             f.restart(i);
@@ -112,7 +112,7 @@
 
     fn restart(&mut self, i: usize) {
         let s = settings(i, &self.addrs, self.outside.0, self.outside.1);
-        self.nodes[i] = Some(spawn(s, self.parts));
+        self.nodes[i] = Some(spawn(s, self.partitions));
     }
 
     async fn call(&self, i: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
@@ -248,7 +248,7 @@
 }
 
 // Found on days of our own at the next size: all leases ran out in an outage in which
-// every controller had ended, as nobody could know who held the part.
+// every controller had ended, as nobody could know who held the partition.
 #[tokio::test]
 async fn running_work_outlives_a_crash_of_every_controller_in_an_outage() {
     let mut f = Fleet::start(3, 1).await;
@@ -274,7 +274,7 @@
 }
 
 #[tokio::test]
-async fn three_parts_are_held_and_taken_over() {
+async fn three_partitions_are_held_and_taken_over() {
     let mut f = Fleet::start(3, 3).await;
     f.until(0, "GET", "/ready", "", |s, _| s == 200).await;
     f.submit(0, "run-000001", "service", 2).await;
--- a/tests/sim/cloud.rs
+++ b/tests/sim/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud as the controllers see it.
 
-use super::ground::Ground;
+use super::ground::SimulationContext;
 use super::machines;
 use super::world::{FLAVORS, ZONES};
 use badgerdrift::http::{Request, Response};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-pub async fn cloud(g: Ground, req: Request) -> Response {
+pub async fn cloud(g: SimulationContext, req: Request) -> Response {
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
     let lag = g.w.lock().unwrap().rng.random_range(5..80);
     sleep(Duration::from_millis(lag)).await;
--- a/tests/sim/ground.rs
+++ b/tests/sim/ground.rs
@@ -10,14 +10,14 @@
 
 /// What every part of a simulated day works with.
 #[derive(Clone)]
-pub struct Ground {
+pub struct SimulationContext {
     pub seed: u64,
     pub w: Shared,
     pub fabric: Fabric,
     pub user: Client,
 }
 
-impl Ground {
+impl SimulationContext {
     pub fn log(&self, what: String) {
         self.w.lock().unwrap().log(what);
     }
@@ -33,7 +33,7 @@
     }
 
     /// Serves port 80 of a host.
-    pub(super) fn serve<F>(&self, at: IpAddr, handler: impl Fn(Ground, Request) -> F + Send + Sync + 'static)
+    pub(super) fn serve<F>(&self, at: IpAddr, handler: impl Fn(SimulationContext, Request) -> F + Send + Sync + 'static)
     where
         F: Future<Output = Response> + Send + 'static,
     {
--- a/tests/sim/machines.rs
+++ b/tests/sim/machines.rs
@@ -1,7 +1,7 @@
 //! The workers' side of the protocol: reports, direct commands, late copies.
 
 use super::deployment::{NODES, PATIENCE, door};
-use super::ground::Ground;
+use super::ground::SimulationContext;
 use super::world::{LEASE_S, REPORT_S, secs};
 use badgerdrift::http::{self, Client, Response};
 use rand::RngExt;
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Starts the worker of a machine that was rented.
-pub fn boot(g: &Ground, id: String) {
+pub fn boot(g: &SimulationContext, id: String) {
     let (net, life, addr, up) = {
         let mut w = g.w.lock().unwrap();
         let m = w.machines.get_mut(&id).unwrap();
@@ -34,7 +34,7 @@
     });
 }
 
-pub fn remove(g: &Ground, id: &str, why: &str) {
+pub fn remove(g: &SimulationContext, id: &str, why: &str) {
     let life = {
         let mut w = g.w.lock().unwrap();
         w.remove(id, why);
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn die(g: &Ground, id: &str) {
+pub fn die(g: &SimulationContext, id: &str) {
     let life = {
         let mut w = g.w.lock().unwrap();
         w.die(id);
@@ -56,12 +56,12 @@
     }
 }
 
-fn exists(g: &Ground, id: &str) -> bool {
+fn exists(g: &SimulationContext, id: &str) -> bool {
     g.w.lock().unwrap().machines[id].exists()
 }
 
 /// A machine that hangs does nothing; false if it is gone after that.
-async fn awake(g: &Ground, id: &str) -> bool {
+async fn awake(g: &SimulationContext, id: &str) -> bool {
     loop {
         let until = g.w.lock().unwrap().machines[id].hang;
         if until <= Instant::now() {
@@ -71,7 +71,7 @@
     }
 }
 
-async fn direct(g: Ground, id: String, req: http::Request) -> Response {
+async fn direct(g: SimulationContext, id: String, req: http::Request) -> Response {
     let deaf = g.w.lock().unwrap().machines[&id].deaf > Instant::now();
     if deaf || !awake(&g, &id).await {
         sleep(PATIENCE).await;
@@ -89,7 +89,7 @@
     Response::json(if done { 200 } else { 409 }, &w.report(&id))
 }
 
-async fn reports(g: Ground, id: String, client: Client) {
+async fn reports(g: SimulationContext, id: String, client: Client) {
     let mut at = {
         let mut w = g.w.lock().unwrap();
         w.rng.random_range(0..NODES)
@@ -176,7 +176,7 @@
 
 /// Some reports are copied, and the copies come late: at one or all controllers,
 /// after seconds or more than a lease, or as the next leader begins.
-fn copies(g: &Ground, id: &str, body: &str) {
+fn copies(g: &SimulationContext, id: &str, body: &str) {
     let (ip, after, to) = {
         let mut w = g.w.lock().unwrap();
         let ip = w.machines[id].addr.ip();
@@ -203,7 +203,7 @@
     send_copy(g, ip, body.into(), after, to);
 }
 
-fn send_copy(g: &Ground, ip: IpAddr, body: String, after: Duration, to: Vec<usize>) {
+fn send_copy(g: &SimulationContext, ip: IpAddr, body: String, after: Duration, to: Vec<usize>) {
     for node in to {
         let (g, body) = (g.clone(), body.clone());
         tokio::spawn(async move {
@@ -218,7 +218,7 @@
 
 /// A leader begins: what was kept reaches every controller, again and again in
 /// its first moments.
-pub fn release_kept(g: &Ground) {
+pub fn release_kept(g: &SimulationContext) {
     let kept: Vec<(IpAddr, String)> = std::mem::take(&mut g.w.lock().unwrap().kept).into_values().flatten().collect();
     for (ip, body) in kept {
         for ms in [0, 20, 60, 150, 400, 1000] {
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -3,6 +3,7 @@
 
 mod cloud;
 mod deployment;
+mod faults;
 mod ground;
 mod jobs;
 mod machines;
@@ -11,12 +12,11 @@
 mod run;
 mod settle;
 mod state_service;
-mod troubles;
 mod users;
 pub mod world;
 
 pub use deployment::{NODES, cloud_of, controller, state_of};
-pub use ground::Ground;
+pub use ground::SimulationContext;
 pub use run::{seeds, simulate, simulate_with};
 
 use badgerdrift::config::Operator;
@@ -31,7 +31,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use world::{BootFaults, Shared, World};
+use world::{BootFaults, Shared, SimulationState};
 
 /// The time of day at which each simulated day begins.
 const MORNING_MS: u64 = 1_800_000_000_000;
@@ -60,7 +60,7 @@
 }
 
 pub struct Sim {
-    pub g: Ground,
+    pub g: SimulationContext,
     /// Number of the process of each controller; none while it is down.
     lives: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
@@ -73,9 +73,9 @@
     pub fn new(seed: u64, setup: Setup) -> Sim {
         clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
         let fabric = Fabric::new(seed ^ 0x5eed);
-        let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(World::new(seed, NODES)));
+        let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
         let user = Client::on(&fabric.process(deployment::users()).0, 16);
-        let g = Ground { seed, w, fabric, user };
+        let g = SimulationContext { seed, w, fabric, user };
         for i in 0..NODES {
             g.serve(state_of(i), move |g, req| state_service::state(g, i, req));
             g.serve(cloud_of(i), cloud::cloud);
@@ -198,7 +198,7 @@
     }
 
     /// Lets time pass until something holds.
-    pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&World) -> bool) {
+    pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&SimulationState) -> bool) {
         let end = Instant::now() + most;
         while !holds(&self.g.w.lock().unwrap()) {
             if Instant::now() >= end {
--- a/tests/sim/net.rs
+++ b/tests/sim/net.rs
@@ -1,6 +1,6 @@
 //! A network in memory: latency from the seed, and cuts between pairs of hosts.
 
-use badgerdrift::net::{Later, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
+use badgerdrift::net::{BoxFuture, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{HashMap, VecDeque};
@@ -241,11 +241,11 @@
 }
 
 impl Network for Process {
-    fn connect(&self, addr: SocketAddr) -> Later<'_, Box<dyn Stream>> {
+    fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>> {
         Box::pin(self.connect_to(addr))
     }
 
-    fn bind(&self, addr: SocketAddr) -> Later<'_, Box<dyn Listener>> {
+    fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
             let mut inner = self.fabric.0.lock().unwrap();
             if inner.bound.get(&addr).is_some_and(|b| !b.tx.is_closed()) {
@@ -261,7 +261,7 @@
 struct MemListener(tokio::sync::Mutex<mpsc::UnboundedReceiver<Box<dyn Stream>>>);
 
 impl Listener for MemListener {
-    fn accept(&self) -> Later<'_, Box<dyn Stream>> {
+    fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>> {
         Box::pin(async move {
             match self.0.lock().await.recv().await {
                 Some(s) => Ok(s),
--- a/tests/sim/settle.rs
+++ b/tests/sim/settle.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl Sim {
-    /// All troubles are over: within a bounded time everything is done.
+    /// All faults are over: within a bounded time everything is done.
     pub async fn settle(&mut self) {
         self.g.log("all troubles end".into());
         self.state_down(false);
--- a/tests/sim/state_service.rs
+++ b/tests/sim/state_service.rs
@@ -1,7 +1,7 @@
 //! The state service, as each of the controllers sees it.
 
 use super::deployment::PATIENCE;
-use super::ground::Ground;
+use super::ground::SimulationContext;
 use super::machines;
 use super::world::secs;
 use badgerdrift::http::{Request, Response};
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep};
 
 /// The state service, as one of the controllers sees it.
-pub async fn state(g: Ground, node: usize, req: Request) -> Response {
-    let down = |g: &Ground| {
+pub async fn state(g: SimulationContext, node: usize, req: Request) -> Response {
+    let down = |g: &SimulationContext| {
         let w = g.w.lock().unwrap();
         w.store.down || w.refused[node]
     };
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,7 +1,7 @@
 //! Users: they submit, poll, repeat themselves, cancel, and ask at every node.
 
 use super::deployment::{NODES, door};
-use super::ground::Ground;
+use super::ground::SimulationContext;
 use crate::sim::world::secs;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 /// One request; what is answered is checked.
-async fn ask(g: &Ground, id: &str, node: usize, what: &str) -> (u16, Value) {
+async fn ask(g: &SimulationContext, id: &str, node: usize, what: &str) -> (u16, Value) {
     let (method, path, body, limit) = match what {
         "submit" => {
             let mut w = g.w.lock().unwrap();
@@ -36,15 +36,15 @@
 }
 
 /// Right after an answer, at every node.
-pub fn ask_all(g: &Ground, id: &str) {
+pub fn ask_all(g: &SimulationContext, id: &str) {
     at_every_node(g, id, "poll");
 }
 
-pub fn submit_again(g: &Ground, id: &str) {
+pub fn submit_again(g: &SimulationContext, id: &str) {
     at_every_node(g, id, "submit");
 }
 
-fn at_every_node(g: &Ground, id: &str, what: &'static str) {
+fn at_every_node(g: &SimulationContext, id: &str, what: &'static str) {
     for node in 0..NODES {
         let (g, id) = (g.clone(), id.to_string());
         tokio::spawn(async move {
@@ -54,7 +54,7 @@
     }
 }
 
-pub async fn cancel(g: Ground, id: String, nodes: Vec<usize>, seed: u64) {
+pub async fn cancel(g: SimulationContext, id: String, nodes: Vec<usize>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut i = rng.random_range(0..nodes.len());
     loop {
@@ -69,7 +69,7 @@
 }
 
 /// The whole life of a job as its user sees it.
-pub async fn user(g: Ground, id: String, seed: u64) {
+pub async fn user(g: SimulationContext, id: String, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let began = Instant::now();
     loop {
@@ -103,7 +103,7 @@
 }
 
 /// Asks about jobs that nobody has submitted.
-pub async fn stranger(g: Ground, seed: u64) {
+pub async fn stranger(g: SimulationContext, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
         let rate = g.w.lock().unwrap().poll_rate;
--- a/tests/sim/world/gang.rs
+++ b/tests/sim/world/gang.rs
@@ -1,6 +1,6 @@
 //! Gangs: their tasks start together, complete together and miss one another.
 
-use super::World;
+use super::SimulationState;
 use super::machine::Phase;
 use super::parameters::{GANG_PEER_S, secs};
 use rand::RngExt;
@@ -14,7 +14,7 @@
     failed: bool,
 }
 
-impl World {
+impl SimulationState {
     pub(super) fn gangs_step(&mut self, now: Instant) {
         // Members of each attempt: machine, key, phase, whether it executes, when due.
         type Member = (String, (String, u64), Phase, bool, Instant);
--- a/tests/sim/world/machine.rs
+++ b/tests/sim/world/machine.rs
@@ -33,7 +33,7 @@
 
 /// A task on a machine, under one attempt.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct TaskAttempt {
     pub job: String,
     pub n: u32,
     pub phase: Phase,
@@ -60,7 +60,7 @@
     pub(super) serial: u64,
     pub fence: u64,
     pub(super) lease_from: Instant,
-    pub copies: BTreeMap<(String, u64), Copy>,
+    pub copies: BTreeMap<(String, u64), TaskAttempt>,
     pub deaf: Instant,
     pub mute: Instant,
     pub hang: Instant,
--- a/tests/sim/world/mod.rs
+++ b/tests/sim/world/mod.rs
@@ -29,7 +29,7 @@
 use terms::Term;
 use tokio::time::Instant;
 
-pub struct World {
+pub struct SimulationState {
     pub rng: StdRng,
     pub start: Instant,
     pub store: Store,
@@ -69,11 +69,11 @@
     pub broken: Option<String>,
 }
 
-pub type Shared = Arc<Mutex<World>>;
+pub type Shared = Arc<Mutex<SimulationState>>;
 
-impl World {
-    pub fn new(seed: u64, nodes: usize) -> World {
-        World {
+impl SimulationState {
+    pub fn new(seed: u64, nodes: usize) -> SimulationState {
+        SimulationState {
             rng: StdRng::seed_from_u64(seed),
             start: Instant::now(),
             store: Store::default(),
--- a/tests/sim/world/rental.rs
+++ b/tests/sim/world/rental.rs
@@ -1,6 +1,6 @@
 //! What the cloud does: it rents machines, takes them away and lists them.
 
-use super::World;
+use super::SimulationState;
 use super::machine::{Machine, Phase};
 use super::parameters::{FLAVORS, LIST_LAG_S, secs};
 use rand::RngExt;
@@ -22,7 +22,7 @@
     pub late_by: f64,
 }
 
-impl World {
+impl SimulationState {
     /// When a machine that is rented now will be up; none if never.
     fn boot_end(&mut self, startup_s: f64) -> Option<Instant> {
         let usual = startup_s * self.rng.random_range(0.6..1.5);
--- a/tests/sim/world/rules.rs
+++ b/tests/sim/world/rules.rs
@@ -1,16 +1,16 @@
 //! The rules, checked at every start of a task and at every answer to a user.
 
-use super::World;
+use super::SimulationState;
 use super::job::Job;
-use super::machine::{Copy, Machine};
+use super::machine::{Machine, TaskAttempt};
 use super::parameters::team_limit;
 use serde_json::Value;
 use tokio::time::Instant;
 
-impl World {
+impl SimulationState {
     pub(super) fn check_start(&mut self, id: &str, key: &(String, u64), job: &Job) {
         let m = &self.machines[id];
-        let on: Vec<(&Machine, &(String, u64), &Copy)> = self
+        let on: Vec<(&Machine, &(String, u64), &TaskAttempt)> = self
             .machines
             .values()
             .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
--- a/tests/sim/world/terms.rs
+++ b/tests/sim/world/terms.rs
@@ -1,6 +1,6 @@
 //! Who held the jobs under which term, and whether anybody acts on a term that is over.
 
-use super::World;
+use super::SimulationState;
 use super::parameters::secs;
 use serde_json::Value;
 use tokio::time::Instant;
@@ -12,29 +12,29 @@
 /// A term, as the state service recorded it.
 pub struct Term {
     number: u64,
-    holder: String,
+    owner: String,
     since: Instant,
 }
 
-impl World {
+impl SimulationState {
     /// A controller has written the record of its term.
     pub fn note_term(&mut self, record: &Value) {
-        let (Some(number), Some(holder)) = (record["term"].as_u64(), record["holder"].as_str()) else { return };
+        let (Some(number), Some(owner)) = (record["term"].as_u64(), record["holder"].as_str()) else { return };
         if self.terms.last().is_none_or(|last| last.number < number) {
-            self.terms.push(Term { number, holder: holder.into(), since: Instant::now() });
+            self.terms.push(Term { number, owner: owner.into(), since: Instant::now() });
         }
     }
 
-    /// Orders reach a worker: they must not be of a holder that another one has followed.
+    /// Orders reach a worker: they must not be of an owner that another one has followed.
     pub(super) fn check_entitlement(&mut self, worker: &str, message: &Value) {
         let orders = message["orders"].as_array().is_some_and(|orders| !orders.is_empty());
         let (true, true, Some(token)) = (self.check_terms, orders, message["fence"].as_u64()) else { return };
         let Some(at) = self.terms.iter().position(|term| term.number == token) else { return };
-        let holder = &self.terms[at].holder;
-        let Some(next) = self.terms[at..].iter().find(|term| term.holder != *holder) else { return };
+        let owner = &self.terms[at].owner;
+        let Some(next) = self.terms[at..].iter().find(|term| term.owner != *owner) else { return };
         if next.since + secs(IN_FLIGHT_S) < Instant::now() {
             let ago = next.since.elapsed().as_secs_f64();
-            let what = format!("{holder} gives {worker} orders {ago:.3} s after {} took over: {message}", next.holder);
+            let what = format!("{owner} gives {worker} orders {ago:.3} s after {} took over: {message}", next.owner);
             self.fail(what);
         }
     }
--- a/tests/sim/world/worker.rs
+++ b/tests/sim/world/worker.rs
@@ -1,8 +1,8 @@
 //! What a worker does with replies and direct commands: leases, tokens, starts and stops.
 
-use super::World;
+use super::SimulationState;
 use super::job::Job;
-use super::machine::{Copy, Machine, Phase};
+use super::machine::{Machine, Phase, TaskAttempt};
 use super::parameters::{GANG_WAIT_S, LEASE_S, secs};
 use rand::RngExt;
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
 /// A task of a job that was submitted with a mistake fails after so long.
 const MISTAKE_SHOWS_S: f64 = 1.0;
 
-impl World {
+impl SimulationState {
     pub fn report(&mut self, id: &str) -> Value {
         let now = Instant::now();
         let m = self.machines.get_mut(id).unwrap();
@@ -119,7 +119,7 @@
         };
         let fetch = secs(self.rng.random_range(0.1..1.5));
         let phase = if refused.is_some() { Phase::Ended } else { Phase::Fetching };
-        let c = Copy { job: job_id.into(), n, phase, why: refused, stored: false, due: now + fetch, since: now };
+        let c = TaskAttempt { job: job_id.into(), n, phase, why: refused, stored: false, due: now + fetch, since: now };
         if let Some(why) = refused {
             self.log(format!("{id} refuses {} try {}: {why}", key.0, key.1));
         }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Default)]
-pub struct World {
+pub struct SimulationState {
     pub store: Store,
     machines: BTreeMap<String, Machine>,
     rentals: HashMap<String, Vec<String>>,
@@ -41,7 +41,7 @@
     pub finish: bool,
 }
 
-pub type Shared = Arc<Mutex<World>>;
+pub type Shared = Arc<Mutex<SimulationState>>;
 
 async fn state(w: Shared, req: Request) -> Response {
     if !req.path.starts_with("/changes") {
@@ -122,7 +122,7 @@
 }
 
 impl Worker {
-    fn report(&mut self, w: &World) -> Value {
+    fn report(&mut self, w: &SimulationState) -> Value {
         self.serial += 1;
         let m = &w.machines[&self.id];
         let tasks: Vec<Value> = self
@@ -134,7 +134,7 @@
             "tenure": self.tenure, "serial": self.serial, "fence": self.fence, "warning_s": null, "shards": tasks})
     }
 
-    fn execute(&mut self, w: &mut World, orders: &Value) {
+    fn execute(&mut self, w: &mut SimulationState, orders: &Value) {
         for o in orders.as_array().into_iter().flatten() {
             let task = o["shard"].as_str().unwrap().to_string();
             let key = (task.clone(), o["try_no"].as_u64().unwrap());
@@ -160,7 +160,7 @@
         }
     }
 
-    fn end_all(&mut self, w: &mut World) {
+    fn end_all(&mut self, w: &mut SimulationState) {
         self.tasks.clear();
         w.on.retain(|(_, h), _| *h != self.id);
         self.tenure += 1;
