--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -12,6 +12,7 @@
 mod passes;
 mod records;
 mod reports;
+mod running_counts;
 mod takeover;
 #[cfg(test)]
 pub mod tests;
@@ -72,6 +73,8 @@
     cancelling: BTreeSet<JobIndex>,
     /// Machines that have orders to get without waiting for their next report.
     pub pending_dispatch: BTreeSet<HostIndex>,
+    /// Running tasks of large jobs, counted now and then.
+    running_counts: running_counts::RunningCounts,
     /// Something changed that a pass may use.
     pub pass_due: bool,
     /// The same, for urgent work.
@@ -114,6 +117,7 @@
             cancellers: HashMap::new(),
             cancelling: BTreeSet::new(),
             pending_dispatch: BTreeSet::new(),
+            running_counts: running_counts::RunningCounts::new(),
             pass_due: true,
             done_since_pass: false,
             urgent_pass_due: false,
--- a/src/partition/tests.rs
+++ b/src/partition/tests.rs
@@ -705,3 +705,35 @@
     let orders = p.report(&report(&id, 1, 2, 1, running), ReportSource::Heartbeat, 1200);
     assert!(orders.iter().any(|o| matches!(o, Order::Stop { .. })), "{orders:?}");
 }
+
+// Each poll about an array had looked at each of its tasks and at all attempts on its machine.
+#[test]
+fn the_running_tasks_of_a_large_array_are_counted_with_the_upkeep() {
+    const TASKS: u32 = 70;
+    let mut p = partition();
+    for n in 0..12 {
+        p.report(&report(&format!("h{n}"), 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    }
+    let _rx = submit(&mut p, &body("run-000001", "batch", TASKS), 1000);
+    commit(&mut p, 1000, 100);
+    p.pass(1000, 1000);
+    let mut told = Vec::new();
+    for (serial, phase) in [(2, "running"), (3, "ended")] {
+        for n in 0..12 {
+            let id = format!("h{n}");
+            let attempts = p.cluster.host(p.cluster.host_index[&id]).unwrap().attempts.clone();
+            // Every other task of a machine goes on.
+            let phase = |i: usize| if serial == 3 && i.is_multiple_of(2) { phase } else { "running" };
+            let tasks = attempts
+                .iter()
+                .enumerate()
+                .map(|(i, a)| reported(&format!("run-000001/{}", a.key.task), a.attempt, phase(i), Some("done")));
+            p.report(&report(&id, 1, serial, 1, tasks.collect()), ReportSource::Heartbeat, 1000 + serial);
+        }
+        p.upkeep(1000 + serial, 0);
+        let UserAnswer::Status { running, .. } = p.status("run-000001") else { panic!("no status") };
+        assert_eq!(running, p.count_running(0));
+        told.push(running);
+    }
+    assert!(told[0] > told[1] && told[1] > 0, "{told:?}");
+}
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -57,6 +57,7 @@
     /// `unbound_ms`: another controller may have kept leases alive until then.
     pub fn upkeep(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIndex>) {
         self.forgive_own_pause(now);
+        self.refresh_running_counts();
         let survey = self.survey(now, unbound_ms);
         self.expire_leases(survey.expired);
         let release = self.release_silent(survey.silent, &survey.cut_off_zones);
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -3,7 +3,7 @@
 use super::keys::{TOO_LONG, fits};
 use super::upkeep::UNREACHABLE_AFTER_MISSES;
 use super::{Partition, UserAnswer, Waiter};
-use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Place, Spec, Task, UnsavedChange};
+use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UnsavedChange};
 use crate::{sched, wire};
 
 /// Submissions are refused once those before them take a quarter of a lease to record:
@@ -90,19 +90,6 @@
         }
     }
 
-    /// How many of the job's tasks run.
-    pub(super) fn running(&self, job_index: JobIndex) -> u32 {
-        let runs = |n: usize, t: &Task| match t.place {
-            Place::On(host_index, attempt) => self.cluster.host(host_index).is_some_and(|h| {
-                h.attempts
-                    .iter()
-                    .any(|c| c.key.job == job_index && c.key.task as usize == n && c.attempt == attempt && c.running())
-            }),
-            _ => false,
-        };
-        self.cluster.jobs[job_index].tasks.iter().enumerate().filter(|(n, t)| runs(*n, t)).count() as u32
-    }
-
     /// What a user is told who asks for a job.
     pub fn status(&self, id: &str) -> UserAnswer {
         match self.cluster.job_index.get(id) {
