--- a/src/sched/pass/gang.rs
+++ b/src/sched/pass/gang.rs
@@ -184,7 +184,7 @@
             self.claim(host, Claim { job: request.job_index, demand, until_ms });
             // Nothing is stopped unless the whole gang can start then.
             if sure && let Some(vacancy) = self.plan_displacements(request, scope, host, &demand) {
-                self.clear(request.job_index, host, &vacancy.departures);
+                self.clear(request, host, &vacancy.departures);
             }
             if left == 0 {
                 return;
--- a/src/sched/pass/room.rs
+++ b/src/sched/pass/room.rs
@@ -6,7 +6,7 @@
 use super::preemption::PreemptionScope;
 use super::request::PlacementRequest;
 use super::{Eviction, Pass};
-use crate::model::{Claim, Demand, Host, HostIndex, JobIndex, Shape, Task, TaskAttempt, Urgency};
+use crate::model::{Claim, Demand, Host, HostIndex, JobIndex, Shape, Spec, Task, TaskAttempt, Urgency};
 use crate::sched::index::{TaskRequirements, ZoneCounts};
 use std::cmp::Reverse;
 
@@ -198,17 +198,27 @@
     }
 
     /// Carries out what `plan_displacements` found.
-    pub(super) fn clear(&mut self, by: JobIndex, host_index: HostIndex, departures: &[Departure]) {
+    pub(super) fn clear(&mut self, request: &PlacementRequest, host_index: HostIndex, departures: &[Departure]) {
         let until_ms = self.now + MADE * self.policy.react_ms;
         for Departure { copy, destination } in departures {
             if let Some(to) = destination {
                 self.claim(*to, Claim { job: copy.key.job, demand: copy.demand, until_ms });
             }
-            let grace_s = self.cluster.jobs[copy.key.job].spec.grace_s();
-            self.stop_tasks_of_job(by, host_index, copy, grace_s);
+            let grace_s = self.stop_grace_s(request, host_index, &self.cluster.jobs[copy.key.job].spec);
+            self.stop_tasks_of_job(request.job_index, host_index, copy, grace_s);
         }
     }
 
+    /// Seconds that a stopped task has to save. An array task has none where a start that
+    /// could be in time would be late for its class's objective by then: it goes on from its
+    /// last checkpoint. A gang would lose as much with each of its tasks, and keeps its time.
+    fn stop_grace_s(&self, request: &PlacementRequest, host_index: HostIndex, victim: &Spec) -> f64 {
+        let grace_s = victim.grace_s();
+        let fetch_s = self.fetch_s(request, host_index);
+        let late_by_saving = request.wait_s.is_some_and(|left_s| fetch_s <= left_s && left_s < fetch_s + grace_s);
+        if late_by_saving && victim.shape == Shape::Batch { 0.0 } else { grace_s }
+    }
+
     /// Orders a stop; a gang stops whole.
     fn stop_tasks_of_job(&mut self, by: JobIndex, host_index: HostIndex, copy: &TaskAttempt, grace_s: f64) {
         let TaskAttempt { key, attempt, .. } = *copy;
@@ -324,7 +334,7 @@
             }
             left -= 1;
             counts.add(self.index.slots[host].zone);
-            self.clear(request.job_index, host, &vacancy.departures);
+            self.clear(request, host, &vacancy.departures);
             let until_ms = self.now + MADE * self.policy.react_ms;
             self.claim(host, Claim { job: request.job_index, demand: request.requirements.demand, until_ms });
             if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
--- a/src/sched/pass/tasks.rs
+++ b/src/sched/pass/tasks.rs
@@ -77,7 +77,7 @@
             return true;
         }
         let Some((host_index, vacancy)) = self.cheapest_with_image(request, counts, most) else { return false };
-        self.clear(request.job_index, host_index, &vacancy.departures);
+        self.clear(request, host_index, &vacancy.departures);
         let until_ms = self.now + self.policy.react_ms;
         self.claim(host_index, Claim { job: request.job_index, demand: request.requirements.demand, until_ms });
         true
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -500,6 +500,33 @@
     }
 }
 
+// A lookup wanted within a second waited three for a guest's array task to save.
+#[test]
+fn an_array_task_saves_only_if_what_stops_it_is_still_in_time() {
+    let stop_after = |image_ready: bool, waited_ms: u64, shape: Shape| {
+        let mut cluster = cluster(&[("a", false)]);
+        let mut victim = spec("run-000001", shape, 1, 8.0);
+        victim.image = "other".into();
+        (victim.checkpoint_s, victim.save_s) = (30.0, 1.5);
+        add(&mut cluster, victim, 0);
+        run(&mut cluster, 1);
+        let host = cluster.host_mut(0).unwrap();
+        host.use_image("i", 10.0, 100.0, 1);
+        host.images.iter_mut().for_each(|i| i.ready = image_ready);
+        let mut lookup = spec("run-000002", Shape::Service, 1, 8.0);
+        lookup.urgency = Urgency::High;
+        add(&mut cluster, lookup, 10_000);
+        let stops = run(&mut cluster, 10_000 + waited_ms).stops;
+        assert_eq!(stops.len(), 1);
+        stops[0].grace_s
+    };
+    // Wanted within 2 s.
+    assert_eq!(stop_after(true, 100, Shape::Batch), 1.5, "there is time to save");
+    assert_eq!(stop_after(true, 1000, Shape::Batch), 0.0, "it would be late by the saving");
+    assert_eq!(stop_after(true, 1000, Shape::Gang), 1.5, "a gang loses too much");
+    assert_eq!(stop_after(false, 1000, Shape::Batch), 1.5, "it is late by its image all the same");
+}
+
 // Found in simulated time (random faults, seed 181): an array's last task was placed on
 // the one faulty machine again and again, ever later, while it would have run elsewhere.
 #[test]
