--- a/src/api.rs
+++ b/src/api.rs
@@ -3,21 +3,25 @@
 use crate::clients::State;
 use crate::clock;
 use crate::http::{Request, Response};
-use crate::model::{Flavor, JobEnd, JobPhase, JobRecord, Spec};
+use crate::job_reads::{JobReads, READ_LIMIT, RecordedJob};
+use crate::model::{Flavor, JobPhase, JobRecord, Spec};
 use crate::owner::{self, HeartbeatReply};
 use crate::partition::{CommitResult, inbox_key, job_key};
 use crate::peer::UserCall;
-use crate::router::{Router, SLOW};
+use crate::refusal::RefusalReason;
+use crate::router::Router;
 use crate::sched::{self, Policy};
 use crate::wire::{self, Report};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::oneshot;
+use tokio::time::Instant;
 
 /// What answering needs; cheap to clone.
 #[derive(Clone)]
 pub struct Api {
     pub state: State,
+    pub job_reads: JobReads,
     pub router: Router,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
@@ -87,7 +91,7 @@
         if state_ok && held {
             Response::json(200, &serde_json::json!({ "ready": true }))
         } else {
-            Response::later("not ready")
+            RefusalReason::NotReady.response()
         }
     }
 
@@ -104,6 +108,7 @@
             body: text.into_bytes(),
             retry_after_s: None,
             allow: None,
+            refusal: None,
             content_type: "text/plain; version=0.0.4",
         }
     }
@@ -126,7 +131,7 @@
             let (tx, rx) = oneshot::channel();
             let m = owner::Message::Heartbeat { report: Box::new(report.clone()), reply: tx };
             if self.router.partitions[partition as usize].owner.try_send(m).is_err() {
-                return Response::later("too many reports");
+                return RefusalReason::TooManyReports.response();
             }
             match rx.await {
                 Ok(HeartbeatReply::Orders { term, orders }) => {
@@ -137,16 +142,16 @@
                 }
                 Ok(HeartbeatReply::Elsewhere(p)) => belongs = p,
                 Ok(HeartbeatReply::Unknown) => {}
-                _ => return Response::later("not entitled to act"),
+                _ => return RefusalReason::NotEntitled.response(),
             }
         }
         if !self.router.mine(belongs) {
             return match self.router.owner(belongs) {
                 Some(h) => Response::json(421, &wire::redirect(Some(&h))),
-                None => Response::later("nobody holds the machine"),
+                None => RefusalReason::MachineUnowned.response(),
             };
         }
-        Response::later("not entitled to act")
+        RefusalReason::NotEntitled.response()
     }
 
     /// Whether this node keeps the worker's lease alive for an owner that neither
@@ -186,12 +191,12 @@
             Some(r) if r.status != 503 => r,
             // A second way in would only add to the work that the owner has.
             None if self.router.at_work(partition) && self.state.answers(self.router.grant_ttl_ms) => {
-                Response::busy(SLOW, 1)
+                RefusalReason::SubmissionSlow.response()
             }
             // Nobody holds the partition now, or can't be reached, or the job's end is
             // being recorded.
             other => {
-                let later = other.unwrap_or_else(|| Response::later("the holder of the jobs can't be reached"));
+                let later = other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response());
                 match self.fresh(&spec.id, true).await {
                     known if known.status == 200 => known,
                     unknown if unknown.status == 404 => self.accept(partition, &spec).await.unwrap_or(later),
@@ -265,7 +270,7 @@
                     }
                     return r;
                 }
-                other => unclear = Some(other.unwrap_or_else(|| Response::later("the job's holder can't be reached"))),
+                other => unclear = Some(other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response())),
             }
             if hint == Some(partition) {
                 // It was there, and a job stays in its partition.
@@ -281,30 +286,15 @@
 
     /// Answers from the job's record, read now.
     async fn fresh(&self, id: &str, status: bool) -> Response {
-        // Known to be silent: refused at once, not after a time-out.
-        if !self.state.answers(self.router.grant_ttl_ms) {
-            return Response::later("the state service gives no answer");
-        }
-        if !self.state.within_budget() {
-            return Response::later("too many requests");
-        }
-        match self.state.get(&job_key(id)).await {
-            Ok((Some(item), _)) => match serde_json::from_value::<JobRecord>(item.value) {
-                Ok(r) => {
-                    let phase = match r.end {
-                        Some(JobEnd::Done) => JobPhase::Done,
-                        Some(JobEnd::Cancelled) => JobPhase::Cancelled,
-                        None if status => JobPhase::Pending,
-                        None => return Response::later("the holder of the jobs can't be reached"),
-                    };
-                    let recorded = r.done.iter().map(|d| d.1 - d.0).sum();
-                    let done = if r.end == Some(JobEnd::Done) { r.spec.tasks } else { recorded };
-                    Response::json(200, &wire::job_answer(id, phase, done, 0))
-                }
-                Err(_) => Response::later("the job's record can't be read"),
-            },
-            Ok((None, _)) => Response::error(404, "no such job"),
-            Err(_) => Response::later("the state service gives no answer"),
+        let deadline = Instant::now() + 2 * READ_LIMIT;
+        match self.job_reads.read(id, deadline).await {
+            Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
+            Ok(RecordedJob::Live { done }) if status => {
+                Response::json(200, &wire::job_answer(id, JobPhase::Pending, done, 0))
+            }
+            Ok(RecordedJob::Live { .. }) => RefusalReason::OwnerUnreachable.response(),
+            Ok(RecordedJob::Ended { end, done }) => Response::json(200, &wire::job_answer(id, end.phase(), done, 0)),
+            Err(reason) => reason.response(),
         }
     }
 }
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -138,7 +138,12 @@
 
     /// A key, if it is there, and the revision up to which that is known.
     pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
-        let (status, body) = self.call("GET", &store::key(key), None, self.timeout).await?;
+        self.get_within(key, self.timeout).await
+    }
+
+    /// The same, with a time-out of the caller's.
+    pub async fn get_within(&self, key: &str, limit: Duration) -> Result<(Option<Item>, u64), RequestError> {
+        let (status, body) = self.call("GET", &store::key(key), None, limit).await?;
         match status {
             200 => {
                 let item: Item = serde_json::from_slice(&body).map_err(|_| RequestError::Refused)?;
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,5 +1,7 @@
 //! Requests and responses.
 
+use crate::refusal::RefusalReason;
+
 /// Most that a request's body may hold.
 pub const MAX_BODY: usize = 64 * 1024;
 pub(super) const TOO_LARGE: &str = "body: must be at most 64 KiB";
@@ -26,6 +28,8 @@
     pub retry_after_s: Option<u64>,
     /// The methods that the path has, if another was used.
     pub allow: Option<&'static str>,
+    /// Why it is a refusal, if it is one; for the counters, and not sent.
+    pub refusal: Option<RefusalReason>,
     /// The media type of the body.
     pub content_type: &'static str,
 }
@@ -34,23 +38,13 @@
     /// A response with a JSON body.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Response {
         let body = serde_json::to_vec(value).unwrap_or_default();
-        Response { status, body, retry_after_s: None, allow: None, content_type: "application/json" }
+        Response { status, body, retry_after_s: None, allow: None, refusal: None, content_type: "application/json" }
     }
 
     /// A refusal with a message.
     pub fn error(status: u16, message: &str) -> Response {
         Response::json(status, &serde_json::json!({ "error": message }))
     }
-
-    /// The owner works, and has more to do than it can now.
-    pub fn busy(message: &str, after_s: u64) -> Response {
-        Response { retry_after_s: Some(after_s), ..Response::error(429, message) }
-    }
-
-    /// What can't be served now is answered at once, with when to come back.
-    pub fn later(message: &str) -> Response {
-        Response { retry_after_s: Some(1), ..Response::error(503, message) }
-    }
 }
 
 /// The reason phrase of a status.
--- /dev/null
+++ b/src/job_reads.rs
@@ -0,0 +1,159 @@
+//! Fresh reads of job records, shared by the questions that came before them.
+//!
+//! A read may answer every question that arrived before it was sent, and none that
+//! arrived later: another node may have told something newer meanwhile. So a storm of
+//! questions about one job costs one read at a time.
+
+use crate::clients::State;
+use crate::model::{JobEnd, JobRecord};
+use crate::partition::job_key;
+use crate::refusal::RefusalReason;
+use crate::task;
+use std::collections::HashMap;
+use std::future::Future;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{Instant, timeout_at};
+
+/// Longest that one read may take. A poll may wait for two of them, the one under way
+/// and the next.
+pub const READ_LIMIT: Duration = Duration::from_millis(500);
+
+/// What a job's record says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RecordedJob {
+    Missing,
+    Live { done: u32 },
+    Ended { end: JobEnd, done: u32 },
+}
+
+impl RecordedJob {
+    fn of(record: &JobRecord) -> RecordedJob {
+        let recorded = record.done.iter().map(|range| range.1 - range.0).sum();
+        match record.end {
+            Some(JobEnd::Done) => RecordedJob::Ended { end: JobEnd::Done, done: record.spec.tasks },
+            Some(end) => RecordedJob::Ended { end, done: recorded },
+            None => RecordedJob::Live { done: recorded },
+        }
+    }
+}
+
+/// The result of a read, as all its questions get it.
+pub type ReadResult = Result<RecordedJob, RefusalReason>;
+
+/// Questions by key that wait for a read which is not sent yet. A key is listed for as
+/// long as it is being read.
+type Waiting<T> = Arc<Mutex<HashMap<String, Vec<oneshot::Sender<T>>>>>;
+
+/// At most one read of a key at a time.
+#[derive(Clone)]
+pub struct SharedReads<T> {
+    waiting: Waiting<T>,
+}
+
+impl<T> Default for SharedReads<T> {
+    fn default() -> SharedReads<T> {
+        SharedReads { waiting: Arc::default() }
+    }
+}
+
+impl<T: Clone + Send + 'static> SharedReads<T> {
+    /// Enters a question for the next read of the key. `admit` is asked only where the
+    /// question needs a read that no other has asked for; none if it refuses.
+    pub fn enter<F, R>(&self, key: &str, admit: impl FnOnce() -> bool, read: F) -> Option<oneshot::Receiver<T>>
+    where
+        F: Fn() -> R + Send + 'static,
+        R: Future<Output = T> + Send + 'static,
+    {
+        let (answer, receiver) = oneshot::channel();
+        let mut waiting = self.waiting.lock().ok()?;
+        if let Some(next) = waiting.get_mut(key) {
+            if next.is_empty() && !admit() {
+                return None;
+            }
+            next.push(answer);
+            return Some(receiver);
+        }
+        if !admit() {
+            return None;
+        }
+        waiting.insert(key.to_string(), vec![answer]);
+        task::spawn(read_in_turn(self.waiting.clone(), key.to_string(), read));
+        Some(receiver)
+    }
+}
+
+/// Reads a key for as long as questions wait for it.
+async fn read_in_turn<T, F, R>(waiting: Waiting<T>, key: String, read: F)
+where
+    T: Clone,
+    F: Fn() -> R,
+    R: Future<Output = T>,
+{
+    while let Some(questions) = take_questions(&waiting, &key) {
+        let result = read().await;
+        for question in questions {
+            let _ = question.send(result.clone());
+        }
+    }
+}
+
+/// The questions of the next read; none, and the key is forgotten, if there are none.
+fn take_questions<T>(waiting: &Waiting<T>, key: &str) -> Option<Vec<oneshot::Sender<T>>> {
+    let mut waiting = waiting.lock().ok()?;
+    let next = waiting.get_mut(key)?;
+    next.retain(|question| !question.is_closed());
+    if next.is_empty() {
+        waiting.remove(key);
+        return None;
+    }
+    Some(std::mem::take(next))
+}
+
+/// Reads job records afresh for users; cheap to clone.
+#[derive(Clone)]
+pub struct JobReads {
+    state: State,
+    grant_ttl_ms: u64,
+    shared: SharedReads<ReadResult>,
+}
+
+impl JobReads {
+    pub fn new(state: State, grant_ttl_ms: u64) -> JobReads {
+        JobReads { state, grant_ttl_ms, shared: SharedReads::default() }
+    }
+
+    /// What the job's record says in a read that is sent after this call.
+    pub async fn read(&self, id: &str, deadline: Instant) -> ReadResult {
+        // Known to be silent: refused at once, not after a time-out.
+        if !self.state.answers(self.grant_ttl_ms) {
+            return Err(RefusalReason::StateServiceSilent);
+        }
+        let key = job_key(id);
+        let (state, read_key) = (self.state.clone(), key.clone());
+        let read = move || read_record(state.clone(), read_key.clone());
+        let admit = || self.state.within_budget();
+        let Some(answer) = self.shared.enter(&key, admit, read) else {
+            return Err(RefusalReason::TooManyReads);
+        };
+        match timeout_at(deadline, answer).await {
+            Ok(Ok(result)) => result,
+            _ => Err(RefusalReason::StateServiceSilent),
+        }
+    }
+}
+
+async fn read_record(state: State, key: String) -> ReadResult {
+    match state.get_within(&key, READ_LIMIT).await {
+        Ok((Some(item), _)) => match serde_json::from_value::<JobRecord>(item.value) {
+            Ok(record) => Ok(RecordedJob::of(&record)),
+            Err(_) => Err(RefusalReason::RecordUnreadable),
+        },
+        Ok((None, _)) => Ok(RecordedJob::Missing),
+        Err(_) => Err(RefusalReason::StateServiceSilent),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -32,6 +32,16 @@
     Cancelled,
 }
 
+impl JobEnd {
+    /// How users are told of it.
+    pub fn phase(self) -> JobPhase {
+        match self {
+            JobEnd::Done => JobPhase::Done,
+            JobEnd::Cancelled => JobPhase::Cancelled,
+        }
+    }
+}
+
 /// A job avoids so many machines at the most.
 const MAX_AVOIDED_HOSTS: usize = 3;
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -3,6 +3,7 @@
 use crate::api::Api;
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Seed, Settings};
+use crate::job_reads::JobReads;
 use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus, Succession};
 use crate::net::Net;
 use crate::owner::PartitionOwner;
@@ -102,7 +103,8 @@
     let teams = Arc::new(settings.partitions_of_teams(operator.partitions));
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let value_bytes = (settings.params.state.value_kb * 1024.0) as usize;
-    let api = Api { state, router, teams, policy, value_bytes, route_hints: Default::default() };
+    let job_reads = JobReads::new(state.clone(), grant_ttl_ms);
+    let api = Api { state, job_reads, router, teams, policy, value_bytes, route_hints: Default::default() };
     // A quarter of the sockets is for what this node opens itself.
     let max_open = settings.params.limits.max_sockets * 3 / 4;
     let patience = Duration::from_millis(settings.lease_ms() / 2);
--- a/src/owner/actor.rs
+++ b/src/owner/actor.rs
@@ -11,6 +11,7 @@
 use crate::membership::{self, Entitlement, OwnershipChange, PromiseStatus};
 use crate::partition::{Partition, UserAnswer};
 use crate::peer::PeerResponse;
+use crate::refusal::RefusalReason;
 use crate::router::Router;
 use crate::sched::Policy;
 use std::sync::Arc;
@@ -168,7 +169,7 @@
             }
             Message::User { call, reply } if entitled && h.loaded => self.user(h, call, reply, now),
             Message::User { reply, .. } => {
-                let _ = reply.send(UserAnswer::RetryLater("the jobs are being taken over"));
+                let _ = reply.send(UserAnswer::RetryLater(RefusalReason::TakeoverUnderWay));
             }
             Message::Metrics(reply) => {
                 let _ = reply.send(h.partition.metrics.text());
--- a/src/owner/answers.rs
+++ b/src/owner/answers.rs
@@ -6,6 +6,7 @@
 use crate::clock;
 use crate::partition::{HostRouting, ReportSource, UserAnswer, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
+use crate::refusal::RefusalReason;
 use crate::sched::PendingMachine;
 use crate::wire::Report;
 
@@ -66,7 +67,7 @@
         let silent = !self.state.answers(self.settings.grant_ttl_ms());
         match call {
             UserCall::Submit(_) if silent => {
-                let _ = reply.send(UserAnswer::RetryLater("the state service gives no answer"));
+                let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => h.partition.submit(&body, now, clock::wall_ms(), reply),
             UserCall::Status(id) => {
@@ -84,7 +85,7 @@
             let _ = reply.send(HeartbeatReply::NotEntitled);
         }
         Message::User { reply, .. } => {
-            let _ = reply.send(UserAnswer::RetryLater("this node does not hold the jobs"));
+            let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotOwner));
         }
         Message::Metrics(reply) => {
             let _ = reply.send(String::new());
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -1,6 +1,7 @@
 //! Messages, answers and commits that a partition takes and gives.
 
 use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
+use crate::refusal::RefusalReason;
 use crate::wire::{Order, Report};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -90,7 +91,7 @@
     Malformed(String),
     Impossible(String),
     Unknown,
-    RetryLater(&'static str),
+    RetryLater(RefusalReason),
     /// More is waiting to be recorded than can be soon: again in so many seconds.
     Busy(u64),
 }
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -4,6 +4,7 @@
 use super::upkeep::UNREACHABLE_AFTER_MISSES;
 use super::{Partition, UserAnswer, Waiter};
 use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UnsavedChange};
+use crate::refusal::RefusalReason;
 use crate::{sched, wire};
 
 /// Submissions are refused once those before them take a quarter of a lease to record:
@@ -29,7 +30,7 @@
         }
         let answer = match spec {
             Err(message) => UserAnswer::Malformed(message),
-            Ok(_) if self.cluster.flavors.is_empty() => UserAnswer::RetryLater("the machine types are not known yet"),
+            Ok(_) if self.cluster.flavors.is_empty() => UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown),
             Ok(spec) => match sched::impossible(&spec, &self.policy, &self.cluster.flavors) {
                 Some(message) => UserAnswer::Impossible(message),
                 None if !fits(&spec, self.value_bytes) => UserAnswer::Malformed(TOO_LONG.into()),
@@ -73,10 +74,10 @@
     fn answerable_phase(&self, job_index: JobIndex) -> Result<(JobPhase, u32), UserAnswer> {
         let job = &self.cluster.jobs[job_index];
         if job.version == 0 {
-            return Err(UserAnswer::RetryLater("the job is not accepted yet"));
+            return Err(UserAnswer::RetryLater(RefusalReason::JobNotAccepted));
         }
         if job.end.is_none() && job.end_open {
-            return Err(UserAnswer::RetryLater("the job's end is being recorded"));
+            return Err(UserAnswer::RetryLater(RefusalReason::EndBeingRecorded));
         }
         let running = if job.end.is_some() { 0 } else { self.running(job_index) };
         Ok((job.phase(running), running))
@@ -126,9 +127,9 @@
             self.cancelling.insert(job_index);
         }
         if !recordable {
-            let _ = waiter.send(UserAnswer::RetryLater("the state service gives no answer"));
+            let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
         } else if self.may_be_unreachable(job_index, now) {
-            let _ = waiter.send(UserAnswer::RetryLater("some of the job's machines can't be reached"));
+            let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::MachineUnreachable));
         } else {
             let waiters = self.cancellers.entry(job_index).or_default();
             waiters.retain(|w| !w.is_closed());
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -2,6 +2,7 @@
 //! a body, requests and replies matched by number.
 
 use crate::net::{Listener, Net, ReadHalf, WriteHalf};
+use crate::refusal::RefusalReason;
 use crate::task;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -71,6 +72,9 @@
         status: u16,
         body: Vec<u8>,
         retry_after_s: Option<u64>,
+        /// Why the owner refuses, for the counters of the node that asked.
+        #[serde(default)]
+        refusal: Option<RefusalReason>,
     },
 }
 
--- /dev/null
+++ b/src/refusal.rs
@@ -0,0 +1,81 @@
+//! Why a request of a user or a worker is refused for now.
+
+use crate::http::Response;
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// Seconds after which a refused request may come again.
+const RETRY_AFTER_S: u64 = 1;
+
+/// The reasons of refusals that a later attempt may not meet.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum RefusalReason {
+    EndBeingRecorded,
+    OwnerUnreachable,
+    JobNotAccepted,
+    MachineTypesUnknown,
+    MachineUnowned,
+    MachineUnreachable,
+    NoDecisionInTime,
+    NoSuchPartition,
+    NotEntitled,
+    NotOwner,
+    NotReady,
+    RecordUnreadable,
+    StateServiceSilent,
+    SubmissionSlow,
+    TakeoverUnderWay,
+    TooManyReads,
+    TooManyReports,
+    TooManyRequests,
+    TooManySubmissions,
+}
+
+impl RefusalReason {
+    /// 429 where there is more to do than can be done now, else 503.
+    pub fn status(self) -> u16 {
+        match self {
+            RefusalReason::SubmissionSlow | RefusalReason::TooManyReads | RefusalReason::TooManySubmissions => 429,
+            _ => 503,
+        }
+    }
+
+    /// The refusal, with the usual time until the next attempt.
+    pub fn response(self) -> Response {
+        self.response_after(RETRY_AFTER_S)
+    }
+
+    /// The refusal of a request that may come again after so many seconds.
+    pub fn response_after(self, retry_after_s: u64) -> Response {
+        let refusal = Response::error(self.status(), &self.to_string());
+        Response { retry_after_s: Some(retry_after_s), refusal: Some(self), ..refusal }
+    }
+}
+
+impl fmt::Display for RefusalReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            RefusalReason::EndBeingRecorded => "the job's end is being recorded",
+            RefusalReason::OwnerUnreachable => "the owner of the jobs can't be reached",
+            RefusalReason::JobNotAccepted => "the job is not accepted yet",
+            RefusalReason::MachineTypesUnknown => "the machine types are not known yet",
+            RefusalReason::MachineUnowned => "nobody owns the machine",
+            RefusalReason::MachineUnreachable => "some of the job's machines can't be reached",
+            RefusalReason::NoDecisionInTime | RefusalReason::SubmissionSlow => "no decision in time",
+            RefusalReason::NoSuchPartition => "no such partition",
+            RefusalReason::NotEntitled => "not entitled to act",
+            RefusalReason::NotOwner => "this node does not own the jobs",
+            RefusalReason::NotReady => "not ready",
+            RefusalReason::RecordUnreadable => "the job's record can't be read",
+            RefusalReason::StateServiceSilent => "the state service gives no answer",
+            RefusalReason::TakeoverUnderWay => "the jobs are being taken over",
+            RefusalReason::TooManyReads => "too many reads of job records",
+            RefusalReason::TooManyReports => "too many reports",
+            RefusalReason::TooManyRequests => "too many requests",
+            RefusalReason::TooManySubmissions => "too many submissions",
+        })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/router.rs
+++ b/src/router.rs
@@ -7,6 +7,7 @@
 use crate::owner;
 use crate::partition::UserAnswer;
 use crate::peer::{Peer, PeerRequest, PeerResponse, UserCall};
+use crate::refusal::RefusalReason;
 use crate::wire;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,8 +15,6 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-pub const SLOW: &str = "no decision in time";
-
 /// The way to one partition on this node.
 #[derive(Clone)]
 pub struct PartitionHandle {
@@ -74,8 +73,8 @@
     /// Asks the owner of a partition on behalf of a user.
     pub async fn user(&self, partition: u32, call: UserCall) -> Option<Response> {
         match self.request(partition, PeerRequest::User { partition, call }).await? {
-            PeerResponse::User { status, body, retry_after_s } => {
-                Some(Response { status, body, retry_after_s, allow: None, content_type: "application/json" })
+            PeerResponse::User { status, body, retry_after_s, refusal } => {
+                Some(Response { status, body, retry_after_s, allow: None, refusal, content_type: "application/json" })
             }
             _ => None,
         }
@@ -105,7 +104,12 @@
             }
             PeerRequest::User { partition, call } => {
                 let r = self.local(partition, call).await;
-                PeerResponse::User { status: r.status, body: r.body, retry_after_s: r.retry_after_s }
+                PeerResponse::User {
+                    status: r.status,
+                    body: r.body,
+                    retry_after_s: r.retry_after_s,
+                    refusal: r.refusal,
+                }
             }
             PeerRequest::CapacityReport(capacity_report) => {
                 self.actor(0, |reply| owner::Message::CapacityReport { capacity_report, reply }).await
@@ -130,17 +134,19 @@
     }
 
     async fn local(&self, partition: u32, call: UserCall) -> Response {
-        let Some(handle) = self.partitions.get(partition as usize) else { return Response::later("no such partition") };
+        let Some(handle) = self.partitions.get(partition as usize) else {
+            return RefusalReason::NoSuchPartition.response();
+        };
         let (tx, rx) = oneshot::channel();
         let submits = matches!(call, UserCall::Submit(_));
         if handle.owner.try_send(owner::Message::User { call, reply: tx }).is_err() {
-            return Response::later("too many requests");
+            return RefusalReason::TooManyRequests.response();
         }
         // A commit that takes longer is answered by the retry.
         match timeout(Duration::from_millis(self.grant_ttl_ms), rx).await {
             Ok(Ok(a)) => to_response(a),
-            _ if submits => Response::busy(SLOW, 1),
-            _ => Response::later(SLOW),
+            _ if submits => RefusalReason::SubmissionSlow.response(),
+            _ => RefusalReason::NoDecisionInTime.response(),
         }
     }
 }
@@ -157,8 +163,8 @@
         UserAnswer::Malformed(m) => Response::error(400, &m),
         UserAnswer::Impossible(m) => Response::error(422, &m),
         UserAnswer::Unknown => Response::error(404, "no such job"),
-        UserAnswer::RetryLater(m) => Response::later(m),
-        UserAnswer::Busy(after_s) => Response::busy("too many submissions", after_s),
+        UserAnswer::RetryLater(reason) => reason.response(),
+        UserAnswer::Busy(after_s) => RefusalReason::TooManySubmissions.response_after(after_s),
     }
 }
 
