--- a/src/api.rs
+++ b/src/api.rs
@@ -2,6 +2,7 @@
 
 use crate::clients::State;
 use crate::clock;
+use crate::ended_jobs::EndedJobs;
 use crate::http::{Request, Response};
 use crate::job_reads::{JobReads, READ_LIMIT, RecordedJob};
 use crate::model::{Flavor, JobPhase, JobRecord, Spec};
@@ -22,6 +23,7 @@
 pub struct Api {
     pub state: State,
     pub job_reads: JobReads,
+    pub ended_jobs: EndedJobs,
     pub router: Router,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
@@ -186,6 +188,9 @@
                 };
             }
         };
+        if let Some(ended) = self.ended_jobs.get(&spec.id) {
+            return ended.response(&spec.id);
+        }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
         let answer = match self.router.user(partition, UserCall::Submit(body)).await {
             Some(r) if r.status != 503 => r,
@@ -218,6 +223,9 @@
 
     /// A known job is answered as such even where its content is refused now.
     async fn unless_known(&self, id: &str, refusal: Response) -> Response {
+        if let Some(ended) = self.ended_jobs.get(id) {
+            return ended.response(id);
+        }
         match self.fresh(id, true).await {
             unknown if unknown.status == 404 => refusal,
             known => known,
@@ -256,6 +264,9 @@
         if !wire::is_job_id(id) {
             return Response::error(404, "no such job");
         }
+        if let Some(ended) = self.ended_jobs.get(id) {
+            return ended.response(id);
+        }
         let status = matches!(call, UserCall::Status(_));
         let hint = self.route_hints.lock().ok().and_then(|p| p.jobs.get(id).copied());
         let all = 0..self.router.partitions.len() as u32;
@@ -268,6 +279,7 @@
                     if let Ok(mut p) = self.route_hints.lock() {
                         remember(&mut p.jobs, id, partition);
                     }
+                    self.ended_jobs.insert_told(id, &r);
                     return r;
                 }
                 other => unclear = Some(other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response())),
@@ -293,7 +305,10 @@
                 Response::json(200, &wire::job_answer(id, JobPhase::Pending, done, 0))
             }
             Ok(RecordedJob::Live { .. }) => RefusalReason::OwnerUnreachable.response(),
-            Ok(RecordedJob::Ended { end, done }) => Response::json(200, &wire::job_answer(id, end.phase(), done, 0)),
+            Ok(RecordedJob::Ended(ended)) => {
+                self.ended_jobs.insert(id, ended);
+                ended.response(id)
+            }
             Err(reason) => reason.response(),
         }
     }
@@ -302,3 +317,6 @@
 fn not_allowed(allow: &'static str) -> Response {
     Response { allow: Some(allow), ..Response::error(405, "method not allowed") }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/ended_jobs.rs
@@ -0,0 +1,77 @@
+//! Ends of jobs that this node has read or passed on.
+//!
+//! An end never changes once it is recorded, so that a remembered one may be told without
+//! asking anybody. Nothing else is remembered: that a job lives or is missing may change.
+
+use crate::http::Response;
+use crate::model::JobEnd;
+use crate::wire;
+use std::collections::{HashMap, VecDeque};
+use std::sync::{Arc, Mutex};
+
+/// Most ends that are remembered; beyond them the one learned first is forgotten.
+pub const MAX_ENDED_JOBS: usize = 20_000;
+
+/// How a job ended, and how many of its tasks were done by then.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EndedJob {
+    /// Whether it was done or cancelled.
+    pub end: JobEnd,
+    /// Tasks that were done.
+    pub done: u32,
+}
+
+impl EndedJob {
+    /// What users are told of it.
+    pub fn response(self, id: &str) -> Response {
+        Response::json(200, &wire::job_answer(id, self.end.phase(), self.done, 0))
+    }
+}
+
+/// Ends by job id, first in, first out; cheap to clone.
+#[derive(Clone, Default)]
+pub struct EndedJobs {
+    ends: Arc<Mutex<EndMap>>,
+}
+
+#[derive(Default)]
+struct EndMap {
+    by_id: HashMap<Arc<str>, EndedJob>,
+    oldest_first: VecDeque<Arc<str>>,
+}
+
+impl EndedJobs {
+    /// The end of a job, if it is remembered.
+    pub fn get(&self, id: &str) -> Option<EndedJob> {
+        self.ends.lock().ok()?.by_id.get(id).copied()
+    }
+
+    /// Remembers an end; what was learned first of a job stays.
+    pub fn insert(&self, id: &str, ended: EndedJob) {
+        let Ok(mut ends) = self.ends.lock() else { return };
+        if ends.by_id.contains_key(id) {
+            return;
+        }
+        if ends.oldest_first.len() >= MAX_ENDED_JOBS
+            && let Some(oldest) = ends.oldest_first.pop_front()
+        {
+            ends.by_id.remove(&oldest);
+        }
+        let id: Arc<str> = id.into();
+        ends.oldest_first.push_back(id.clone());
+        ends.by_id.insert(id, ended);
+    }
+
+    /// Remembers the end that an owner's answer about a job tells, if it tells one.
+    pub fn insert_told(&self, id: &str, answer: &Response) {
+        if answer.status != 200 {
+            return;
+        }
+        if let Some((end, done)) = wire::told_end(&answer.body) {
+            self.insert(id, EndedJob { end, done });
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/ended_jobs/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+use crate::model::JobPhase;
+
+const DONE: EndedJob = EndedJob { end: JobEnd::Done, done: 3 };
+
+fn answer(status: u16, phase: JobPhase) -> Response {
+    Response::json(status, &wire::job_answer("a", phase, 3, 0))
+}
+
+#[test]
+fn only_ends_that_an_owner_told_are_remembered() {
+    let ended = EndedJobs::default();
+    ended.insert_told("a", &answer(200, JobPhase::Pending));
+    ended.insert_told("a", &answer(200, JobPhase::Running));
+    ended.insert_told("a", &answer(503, JobPhase::Done));
+    ended.insert_told("a", &Response::error(404, "no such job"));
+    assert_eq!(ended.get("a"), None);
+    ended.insert_told("a", &answer(200, JobPhase::Done));
+    assert_eq!(ended.get("a"), Some(DONE));
+    ended.insert_told("b", &answer(200, JobPhase::Cancelled));
+    assert_eq!(ended.get("b"), Some(EndedJob { end: JobEnd::Cancelled, done: 3 }));
+}
+
+#[test]
+fn what_was_learned_first_of_a_job_stays() {
+    let ended = EndedJobs::default();
+    ended.insert("a", DONE);
+    ended.insert("a", EndedJob { done: 2, ..DONE });
+    assert_eq!(ended.get("a"), Some(DONE));
+}
+
+#[test]
+fn the_end_learned_first_is_forgotten_first() {
+    let ended = EndedJobs::default();
+    for n in 0..=MAX_ENDED_JOBS {
+        ended.insert(&n.to_string(), DONE);
+    }
+    assert_eq!(ended.ends.lock().unwrap().by_id.len(), MAX_ENDED_JOBS);
+    assert_eq!(ended.get("0"), None);
+    assert_eq!(ended.get("1"), Some(DONE));
+    assert_eq!(ended.get(&MAX_ENDED_JOBS.to_string()), Some(DONE));
+}
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -5,6 +5,7 @@
 //! questions about one job costs one read at a time.
 
 use crate::clients::State;
+use crate::ended_jobs::EndedJob;
 use crate::model::{JobEnd, JobRecord};
 use crate::partition::job_key;
 use crate::refusal::RefusalReason;
@@ -25,15 +26,15 @@
 pub enum RecordedJob {
     Missing,
     Live { done: u32 },
-    Ended { end: JobEnd, done: u32 },
+    Ended(EndedJob),
 }
 
 impl RecordedJob {
     fn of(record: &JobRecord) -> RecordedJob {
         let recorded = record.done.iter().map(|range| range.1 - range.0).sum();
         match record.end {
-            Some(JobEnd::Done) => RecordedJob::Ended { end: JobEnd::Done, done: record.spec.tasks },
-            Some(end) => RecordedJob::Ended { end, done: recorded },
+            Some(JobEnd::Done) => RecordedJob::Ended(EndedJob { end: JobEnd::Done, done: record.spec.tasks }),
+            Some(end) => RecordedJob::Ended(EndedJob { end, done: recorded }),
             None => RecordedJob::Live { done: recorded },
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod clients;
 pub mod clock;
 pub mod config;
+pub mod ended_jobs;
 pub mod http;
 pub mod job_reads;
 pub mod leader;
--- a/src/node.rs
+++ b/src/node.rs
@@ -104,7 +104,16 @@
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let value_bytes = (settings.params.state.value_kb * 1024.0) as usize;
     let job_reads = JobReads::new(state.clone(), grant_ttl_ms);
-    let api = Api { state, job_reads, router, teams, policy, value_bytes, route_hints: Default::default() };
+    let api = Api {
+        state,
+        job_reads,
+        ended_jobs: Default::default(),
+        router,
+        teams,
+        policy,
+        value_bytes,
+        route_hints: Default::default(),
+    };
     // A quarter of the sockets is for what this node opens itself.
     let max_open = settings.params.limits.max_sockets * 3 / 4;
     let patience = Duration::from_millis(settings.lease_ms() / 2);
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,7 @@
 //! Messages between users and the service: submissions of jobs and answers about them.
 
-use crate::model::{Demand, JobPhase, Shape, Spec, Urgency};
+use crate::model::{Demand, JobEnd, JobPhase, Shape, Spec, Urgency};
+use serde::Deserialize;
 use serde_json::{Value, json};
 
 /// Most tasks of a job.
@@ -153,6 +154,19 @@
     json!({ "id": id, "phase": phase_name(phase), "done": done, "running": running })
 }
 
+/// The end that an answer about a job tells, and how many tasks were done by then; none
+/// if the job has not ended.
+pub fn told_end(answer: &[u8]) -> Option<(JobEnd, u32)> {
+    #[derive(Deserialize)]
+    struct Answer {
+        phase: String,
+        done: u32,
+    }
+    let answer: Answer = serde_json::from_slice(answer).ok()?;
+    let end = [JobEnd::Done, JobEnd::Cancelled].into_iter().find(|end| phase_name(end.phase()) == answer.phase)?;
+    Some((end, answer.done))
+}
+
 fn phase_name(phase: JobPhase) -> &'static str {
     match phase {
         JobPhase::Pending => "pending",
