--- a/src/api.rs
+++ b/src/api.rs
@@ -9,6 +9,7 @@
 use crate::owner::{self, HeartbeatReply};
 use crate::partition::{CommitResult, inbox_key, job_key};
 use crate::peer::UserCall;
+use crate::read_budget::{Purpose, ReadBudget};
 use crate::refusal::RefusalReason;
 use crate::router::Router;
 use crate::sched::{self, Policy};
@@ -23,6 +24,7 @@
 pub struct Api {
     pub state: State,
     pub job_reads: JobReads,
+    pub read_budget: ReadBudget,
     pub ended_jobs: EndedJobs,
     pub router: Router,
     /// Part of each team.
@@ -41,6 +43,9 @@
     kept: HashMap<String, u64>,
 }
 
+/// Requests of an acceptance without the owner: the machine types, and the commit.
+const ACCEPTANCE_REQUESTS: usize = 2;
+
 /// Most hints that are kept of a kind.
 const MAX_HINTS: usize = 20_000;
 
@@ -202,8 +207,9 @@
             // being recorded.
             other => {
                 let later = other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response());
-                match self.fresh(&spec.id, true).await {
+                match self.fresh(&spec.id, true, Purpose::Change).await {
                     known if known.status == 200 => known,
+                    excess if excess.status == 429 => excess,
                     unknown if unknown.status == 404 => self.accept(partition, &spec).await.unwrap_or(later),
                     _ => later,
                 }
@@ -226,7 +232,7 @@
         if let Some(ended) = self.ended_jobs.get(id) {
             return ended.response(id);
         }
-        match self.fresh(id, true).await {
+        match self.fresh(id, true, Purpose::Change).await {
             unknown if unknown.status == 404 => refusal,
             known => known,
         }
@@ -235,8 +241,8 @@
     /// Accepts a job without its partition's owner: the record is what counts. The
     /// next owner reads it; a present one is told by a key in its inbox.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
-        if !self.state.within_budget() {
-            return None;
+        if !self.read_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
+            return Some(RefusalReason::TooManySubmissions.response());
         }
         let flavors = self.state.get(owner::FLAVORS_KEY).await.ok()?.0?;
         let flavors: Vec<Flavor> = serde_json::from_value(flavors.value).ok()?;
@@ -255,7 +261,7 @@
         ];
         match self.state.commit(&[wire::guard(&job_key(&id), 0)], &apply).await {
             CommitResult::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, JobPhase::Pending, 0, 0))),
-            CommitResult::Conflict { .. } => Some(self.fresh(&id, true).await),
+            CommitResult::Conflict { .. } => Some(self.fresh(&id, true, Purpose::Change).await),
             _ => None,
         }
     }
@@ -292,14 +298,17 @@
         match unclear {
             Some(r) if !status => r,
             // Only a fresh read can say that a job is not there.
-            _ => self.fresh(id, status).await,
+            _ => {
+                let purpose = if status { Purpose::Poll } else { Purpose::Change };
+                self.fresh(id, status, purpose).await
+            }
         }
     }
 
     /// Answers from the job's record, read now.
-    async fn fresh(&self, id: &str, status: bool) -> Response {
+    async fn fresh(&self, id: &str, status: bool, purpose: Purpose) -> Response {
         let deadline = Instant::now() + 2 * READ_LIMIT;
-        match self.job_reads.read(id, deadline).await {
+        match self.job_reads.read(id, purpose, deadline).await {
             Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
             Ok(RecordedJob::Live { done }) if status => {
                 Response::json(200, &wire::job_answer(id, JobPhase::Pending, done, 0))
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -63,8 +63,10 @@
     tokio::time::sleep(Duration::from_millis(2)).await;
     state.get("none").await.unwrap();
     let grant_ttl_ms = settings.grant_ttl_ms();
+    let read_budget = ReadBudget::new(settings.params.state.rps, 1);
     Api {
-        job_reads: JobReads::new(state.clone(), grant_ttl_ms),
+        job_reads: JobReads::new(state.clone(), read_budget.clone(), grant_ttl_ms),
+        read_budget,
         state,
         ended_jobs: EndedJobs::default(),
         router: Router {
@@ -145,3 +147,17 @@
     service.put(Some(JobEnd::Done));
     assert_eq!(phase(&poll(&api).await), (200, "done".to_string()));
 }
+
+#[tokio::test]
+async fn what_exceeds_the_budget_is_refused_at_once_with_when_to_come_back() {
+    let service = StateService::default();
+    let api = api_at(&service).await;
+    while api.read_budget.admits(Purpose::Poll) {}
+    let poll = poll(&api).await;
+    assert_eq!((poll.status, poll.retry_after_s), (429, Some(1)));
+    assert_eq!(service.reads(), 0);
+    while api.read_budget.admits(Purpose::Change) {}
+    let submission = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
+    assert_eq!((submission.status, submission.retry_after_s), (429, Some(1)));
+    assert_eq!(service.reads(), 0);
+}
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -77,7 +77,6 @@
     http: Client,
     addr: SocketAddr,
     timeout: Duration,
-    budget: Arc<std::sync::Mutex<TokenBucket>>,
     last_ok: Arc<AtomicU64>,
 }
 
@@ -87,13 +86,10 @@
     }
 
     pub fn on(net: &Net, s: &Settings) -> State {
-        let now = clock::now_ms();
         State {
             http: Client::on(net, SMALL_IDLE_POOL),
             addr: s.endpoints.state,
             timeout: Duration::from_millis(s.react_ms()),
-            // Half for each controller: the owner needs most, and seldom that.
-            budget: Arc::new(std::sync::Mutex::new(TokenBucket::new(s.params.state.rps * 0.5, 1.0, now))),
             last_ok: Arc::new(AtomicU64::new(0)),
         }
     }
@@ -131,11 +127,6 @@
         last > 0 && clock::now_ms().saturating_sub(last) < grant_ttl_ms / 2
     }
 
-    /// True if an ordinary request may be made now.
-    pub fn within_budget(&self) -> bool {
-        self.budget.lock().is_ok_and(|mut b| b.take(clock::now_ms()))
-    }
-
     /// A key, if it is there, and the revision up to which that is known.
     pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
         self.get_within(key, self.timeout).await
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -8,6 +8,7 @@
 use crate::ended_jobs::EndedJob;
 use crate::model::{JobEnd, JobRecord};
 use crate::partition::job_key;
+use crate::read_budget::{Purpose, ReadBudget};
 use crate::refusal::RefusalReason;
 use crate::task;
 use std::collections::HashMap;
@@ -116,17 +117,18 @@
 #[derive(Clone)]
 pub struct JobReads {
     state: State,
+    budget: ReadBudget,
     grant_ttl_ms: u64,
     shared: SharedReads<ReadResult>,
 }
 
 impl JobReads {
-    pub fn new(state: State, grant_ttl_ms: u64) -> JobReads {
-        JobReads { state, grant_ttl_ms, shared: SharedReads::default() }
+    pub fn new(state: State, budget: ReadBudget, grant_ttl_ms: u64) -> JobReads {
+        JobReads { state, budget, grant_ttl_ms, shared: SharedReads::default() }
     }
 
     /// What the job's record says in a read that is sent after this call.
-    pub async fn read(&self, id: &str, deadline: Instant) -> ReadResult {
+    pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
         // Known to be silent: refused at once, not after a time-out.
         if !self.state.answers(self.grant_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
@@ -134,7 +136,7 @@
         let key = job_key(id);
         let (state, read_key) = (self.state.clone(), key.clone());
         let read = move || read_record(state.clone(), read_key.clone());
-        let admit = || self.state.within_budget();
+        let admit = || self.budget.admits(purpose);
         let Some(answer) = self.shared.enter(&key, admit, read) else {
             return Err(RefusalReason::TooManyReads);
         };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod owner;
 pub mod partition;
 pub mod peer;
+pub mod read_budget;
 pub mod refusal;
 pub mod router;
 pub mod sched;
