--- a/src/api.rs
+++ b/src/api.rs
@@ -13,6 +13,7 @@
 use crate::refusal::RefusalReason;
 use crate::router::Router;
 use crate::sched::{self, Policy};
+use crate::user_metrics::UserMetrics;
 use crate::wire::{self, Report};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -26,6 +27,7 @@
     pub job_reads: JobReads,
     pub read_budget: ReadBudget,
     pub ended_jobs: EndedJobs,
+    pub metrics: UserMetrics,
     pub router: Router,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
@@ -62,7 +64,9 @@
     /// Answers a request; refusals are told at `debug`.
     pub async fn handle(self, req: Request) -> Response {
         let what = tracing::enabled!(tracing::Level::DEBUG).then(|| format!("{} {}", req.method, req.path));
+        let metrics = self.metrics.clone();
         let r = self.answer(req).await;
+        metrics.count_answer(&r);
         if let Some(what) = what.filter(|_| r.status >= 400 && r.status != 404) {
             tracing::debug!(what, status = r.status, why = %String::from_utf8_lossy(&r.body), "refused");
         }
@@ -78,7 +82,7 @@
             ("GET", ["v1", "jobs", id]) => self.job(id, UserCall::Status(id.to_string())).await,
             ("POST", ["v1", "jobs", id, "withdraw"]) => self.job(id, UserCall::Cancel(id.to_string())).await,
             ("GET", ["ready"]) => self.ready(),
-            ("GET", ["metrics"]) => self.metrics().await,
+            ("GET", ["metrics"]) => self.metrics_text().await,
             (_, ["agent", "beat"] | ["v1", "jobs"] | ["v1", "jobs", _, "withdraw"]) => not_allowed("POST"),
             (_, ["v1", "jobs", _] | ["ready"] | ["metrics"]) => not_allowed("GET"),
             _ => Response::error(404, "no such path"),
@@ -102,8 +106,8 @@
         }
     }
 
-    async fn metrics(&self) -> Response {
-        let mut text = String::new();
+    async fn metrics_text(&self) -> Response {
+        let mut text = self.metrics.text(self.job_reads.shared_count());
         for handle in self.router.partitions.iter() {
             let (tx, rx) = oneshot::channel();
             if handle.owner.try_send(owner::Message::Metrics(tx)).is_ok() {
@@ -270,10 +274,13 @@
         if !wire::is_job_id(id) {
             return Response::error(404, "no such job");
         }
+        let status = matches!(call, UserCall::Status(_));
         if let Some(ended) = self.ended_jobs.get(id) {
+            if status {
+                self.metrics.count_remembered_poll();
+            }
             return ended.response(id);
         }
-        let status = matches!(call, UserCall::Status(_));
         let hint = self.route_hints.lock().ok().and_then(|p| p.jobs.get(id).copied());
         let all = 0..self.router.partitions.len() as u32;
         let order: Vec<u32> = hint.into_iter().chain(all.filter(|p| Some(*p) != hint)).collect();
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -69,6 +69,7 @@
         read_budget,
         state,
         ended_jobs: EndedJobs::default(),
+        metrics: UserMetrics::default(),
         router: Router {
             partitions: Default::default(),
             peers: Default::default(),
@@ -161,3 +162,21 @@
     assert_eq!((submission.status, submission.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
 }
+
+#[tokio::test]
+async fn refusals_and_spared_reads_are_counted_at_metrics() {
+    let service = StateService::default();
+    let api = api_at(&service).await;
+    service.put(Some(JobEnd::Done));
+    let (first, shares_its_read) = tokio::join!(poll(&api), poll(&api));
+    assert_eq!((first.status, shares_its_read.status), (200, 200));
+    poll(&api).await;
+    while api.read_budget.admits(Purpose::Poll) {}
+    call(&api, "GET", "/v1/jobs/run-000002".to_string(), Vec::new()).await;
+    let text = call(&api, "GET", "/metrics".to_string(), Vec::new()).await.body;
+    let expected = "\
+        badgerdrift_refusals_total{reason=\"too_many_reads\",status=\"429\"} 1\n\
+        badgerdrift_polls_from_remembered_ends_total 1\n\
+        badgerdrift_shared_reads_total 1\n";
+    assert_eq!(String::from_utf8(text).unwrap(), expected);
+}
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -13,6 +13,7 @@
 use crate::task;
 use std::collections::HashMap;
 use std::future::Future;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -52,11 +53,13 @@
 #[derive(Clone)]
 pub struct SharedReads<T> {
     waiting: Waiting<T>,
+    /// Questions that needed no read of their own.
+    shared: Arc<AtomicU64>,
 }
 
 impl<T> Default for SharedReads<T> {
     fn default() -> SharedReads<T> {
-        SharedReads { waiting: Arc::default() }
+        SharedReads { waiting: Arc::default(), shared: Arc::default() }
     }
 }
 
@@ -71,7 +74,9 @@
         let (answer, receiver) = oneshot::channel();
         let mut waiting = self.waiting.lock().ok()?;
         if let Some(next) = waiting.get_mut(key) {
-            if next.is_empty() && !admit() {
+            if !next.is_empty() {
+                self.shared.fetch_add(1, Ordering::Relaxed);
+            } else if !admit() {
                 return None;
             }
             next.push(answer);
@@ -127,6 +132,11 @@
         JobReads { state, budget, grant_ttl_ms, shared: SharedReads::default() }
     }
 
+    /// Questions so far that shared a read which another had asked for.
+    pub fn shared_count(&self) -> u64 {
+        self.shared.shared.load(Ordering::Relaxed)
+    }
+
     /// What the job's record says in a read that is sent after this call.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
         // Known to be silent: refused at once, not after a time-out.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,4 +25,5 @@
 pub mod sched;
 pub mod task;
 pub mod task_locations;
+pub mod user_metrics;
 pub mod wire;
--- a/src/node.rs
+++ b/src/node.rs
@@ -111,6 +111,7 @@
         job_reads,
         read_budget,
         ended_jobs: Default::default(),
+        metrics: Default::default(),
         router,
         teams,
         policy,
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -9,6 +9,7 @@
 
 /// The reasons of refusals that a later attempt may not meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
     EndBeingRecorded,
     OwnerUnreachable,
@@ -40,6 +41,11 @@
         }
     }
 
+    /// Its name in metrics.
+    pub fn label(self) -> String {
+        serde_json::to_value(self).ok().and_then(|name| name.as_str().map(String::from)).unwrap_or_default()
+    }
+
     /// The refusal, with the usual time until the next attempt.
     pub fn response(self) -> Response {
         self.response_after(RETRY_AFTER_S)
--- /dev/null
+++ b/src/user_metrics/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+#[test]
+fn refusals_are_told_by_reason_and_status() {
+    let metrics = UserMetrics::default();
+    metrics.count_answer(&RefusalReason::TooManyReads.response());
+    metrics.count_answer(&RefusalReason::TooManyReads.response());
+    metrics.count_answer(&RefusalReason::StateServiceSilent.response());
+    metrics.count_answer(&Response::error(404, "no such job"));
+    metrics.count_remembered_poll();
+    let expected = "\
+        badgerdrift_refusals_total{reason=\"state_service_silent\",status=\"503\"} 1\n\
+        badgerdrift_refusals_total{reason=\"too_many_reads\",status=\"429\"} 2\n\
+        badgerdrift_polls_from_remembered_ends_total 1\n\
+        badgerdrift_shared_reads_total 7\n";
+    assert_eq!(metrics.text(7), expected);
+}
