--- a/src/api.rs
+++ b/src/api.rs
@@ -9,8 +9,8 @@
 use crate::owner::{self, HeartbeatReply};
 use crate::partition::{CommitResult, inbox_key, job_key};
 use crate::peer::UserCall;
-use crate::read_budget::{Purpose, ReadBudget};
 use crate::refusal::RefusalReason;
+use crate::request_budget::{Purpose, RequestBudget};
 use crate::router::Router;
 use crate::sched::{self, Policy};
 use crate::user_metrics::UserMetrics;
@@ -25,7 +25,7 @@
 pub struct Api {
     pub state: State,
     pub job_reads: JobReads,
-    pub read_budget: ReadBudget,
+    pub request_budget: RequestBudget,
     pub ended_jobs: EndedJobs,
     pub metrics: UserMetrics,
     pub router: Router,
@@ -245,7 +245,7 @@
     /// Accepts a job without its partition's owner: the record is what counts. The
     /// next owner reads it; a present one is told by a key in its inbox.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
-        if !self.read_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
+        if !self.request_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
         let flavors = self.state.get(owner::FLAVORS_KEY).await.ok()?.0?;
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -63,10 +63,10 @@
     tokio::time::sleep(Duration::from_millis(2)).await;
     state.get("none").await.unwrap();
     let grant_ttl_ms = settings.grant_ttl_ms();
-    let read_budget = ReadBudget::new(settings.params.state.rps, 1);
+    let request_budget = RequestBudget::new(settings.params.state.rps, 1);
     Api {
-        job_reads: JobReads::new(state.clone(), read_budget.clone(), grant_ttl_ms),
-        read_budget,
+        job_reads: JobReads::new(state.clone(), request_budget.clone(), grant_ttl_ms),
+        request_budget,
         state,
         ended_jobs: EndedJobs::default(),
         metrics: UserMetrics::default(),
@@ -153,11 +153,11 @@
 async fn what_exceeds_the_budget_is_refused_at_once_with_when_to_come_back() {
     let service = StateService::default();
     let api = api_at(&service).await;
-    while api.read_budget.admits(Purpose::Poll) {}
+    while api.request_budget.admits(Purpose::Poll) {}
     let poll = poll(&api).await;
     assert_eq!((poll.status, poll.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
-    while api.read_budget.admits(Purpose::Change) {}
+    while api.request_budget.admits(Purpose::Change) {}
     let submission = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
     assert_eq!((submission.status, submission.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
@@ -171,7 +171,7 @@
     let (first, shares_its_read) = tokio::join!(poll(&api), poll(&api));
     assert_eq!((first.status, shares_its_read.status), (200, 200));
     poll(&api).await;
-    while api.read_budget.admits(Purpose::Poll) {}
+    while api.request_budget.admits(Purpose::Poll) {}
     call(&api, "GET", "/v1/jobs/run-000002".to_string(), Vec::new()).await;
     let text = call(&api, "GET", "/metrics".to_string(), Vec::new()).await.body;
     let expected = "\
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -8,8 +8,8 @@
 use crate::ended_jobs::EndedJob;
 use crate::model::{JobEnd, JobRecord};
 use crate::partition::job_key;
-use crate::read_budget::{Purpose, ReadBudget};
 use crate::refusal::RefusalReason;
+use crate::request_budget::{Purpose, RequestBudget};
 use crate::task;
 use std::collections::HashMap;
 use std::future::Future;
@@ -122,13 +122,13 @@
 #[derive(Clone)]
 pub struct JobReads {
     state: State,
-    budget: ReadBudget,
+    budget: RequestBudget,
     grant_ttl_ms: u64,
     shared: SharedReads<ReadResult>,
 }
 
 impl JobReads {
-    pub fn new(state: State, budget: ReadBudget, grant_ttl_ms: u64) -> JobReads {
+    pub fn new(state: State, budget: RequestBudget, grant_ttl_ms: u64) -> JobReads {
         JobReads { state, budget, grant_ttl_ms, shared: SharedReads::default() }
     }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -8,7 +8,7 @@
 use crate::net::Net;
 use crate::owner::PartitionOwner;
 use crate::peer::{self, Peer};
-use crate::read_budget::ReadBudget;
+use crate::request_budget::RequestBudget;
 use crate::router::{PartitionHandle, Router};
 use crate::sched::Policy;
 use crate::{clock, http, task};
@@ -104,12 +104,12 @@
     let teams = Arc::new(settings.partitions_of_teams(operator.partitions));
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let value_bytes = (settings.params.state.value_kb * 1024.0) as usize;
-    let read_budget = ReadBudget::new(settings.params.state.rps, nodes.len());
-    let job_reads = JobReads::new(state.clone(), read_budget.clone(), grant_ttl_ms);
+    let request_budget = RequestBudget::new(settings.params.state.rps, nodes.len());
+    let job_reads = JobReads::new(state.clone(), request_budget.clone(), grant_ttl_ms);
     let api = Api {
         state,
         job_reads,
-        read_budget,
+        request_budget,
         ended_jobs: Default::default(),
         metrics: Default::default(),
         router,
--- a/src/read_budget.rs
+++ b/src/request_budget.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex};
 
 /// Share of the service's rate that the polls at all controllers may take.
-const POLL_SHARE: f64 = 0.4;
+const POLL_SHARE: f64 = 0.3;
 /// Share of the service's rate that submissions and cancellations at all controllers may take.
-const CHANGE_SHARE: f64 = 0.2;
+const CHANGE_SHARE: f64 = 0.4;
 /// Seconds' worth of requests that may be made at once.
 const BURST_S: f64 = 1.0;
 /// Requests that may be made at once in any case: a submission that is accepted without
@@ -29,21 +29,21 @@
 
 /// The requests that users of this node may cause; cheap to clone.
 #[derive(Clone)]
-pub struct ReadBudget {
+pub struct RequestBudget {
     polls: Arc<Mutex<TokenBucket>>,
     changes: Arc<Mutex<TokenBucket>>,
 }
 
-impl ReadBudget {
+impl RequestBudget {
     /// The budget of one of so many controllers at a state service of this rate.
-    pub fn new(requests_per_s: f64, controllers: usize) -> ReadBudget {
+    pub fn new(requests_per_s: f64, controllers: usize) -> RequestBudget {
         let own_rate = requests_per_s / controllers.max(1) as f64;
         let bucket = |share: f64| {
             let rate = own_rate * share;
             let burst_s = BURST_S.max(MIN_BURST / rate);
             Arc::new(Mutex::new(TokenBucket::new(rate, burst_s, clock::now_ms())))
         };
-        ReadBudget { polls: bucket(POLL_SHARE), changes: bucket(CHANGE_SHARE) }
+        RequestBudget { polls: bucket(POLL_SHARE), changes: bucket(CHANGE_SHARE) }
     }
 
     /// True if a request may be made now, which is then counted.
