--- a/src/api.rs
+++ b/src/api.rs
@@ -23,16 +23,25 @@
 /// What answering needs; cheap to clone.
 #[derive(Clone)]
 pub struct Api {
+    /// Client of the state service.
     pub state: State,
+    /// Fresh reads of job records.
     pub job_reads: JobReads,
+    /// Requests to the state service that users of this node may cause.
     pub read_budget: ReadBudget,
+    /// Ends of jobs that this node has read or passed on.
     pub ended_jobs: EndedJobs,
+    /// Counters of what users and workers are told.
     pub metrics: UserMetrics,
+    /// The ways to the owners of the partitions.
     pub router: Router,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
+    /// Settings that decisions depend on.
     pub policy: Arc<Policy>,
+    /// Largest value that the state service takes, in bytes.
     pub value_bytes: usize,
+    /// In which partition jobs and machines were last found.
     pub route_hints: Arc<Mutex<RouteHints>>,
 }
 
--- a/src/boot_times.rs
+++ b/src/boot_times.rs
@@ -24,8 +24,11 @@
 /// What boots are told apart by: machine type, zone, and whether it is a spot machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MachineKind {
+    /// Index of the machine type.
     pub flavor: usize,
+    /// Zone of the machine.
     pub zone: String,
+    /// True for spot machines.
     pub spot: bool,
 }
 
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -38,10 +38,12 @@
         self.tokens.max(0.0) as usize
     }
 
+    /// Takes `n` tokens, also if fewer are at hand: the bucket then fills up from below 0.
     pub fn spend(&mut self, n: usize) {
         self.tokens -= n as f64;
     }
 
+    /// Takes one token if there is one; false if there is none.
     pub fn take(&mut self, now: u64) -> bool {
         let ok = self.available_tokens(now) >= 1;
         if ok {
@@ -81,10 +83,12 @@
 }
 
 impl State {
+    /// A client over TCP.
     pub fn new(s: &Settings) -> State {
         State::on(&Net::default(), s)
     }
 
+    /// A client over a given network.
     pub fn on(net: &Net, s: &Settings) -> State {
         State {
             http: Client::on(net, SMALL_IDLE_POOL),
@@ -167,6 +171,7 @@
         }
     }
 
+    /// Makes the changes in `apply` if all conditions in `guards` hold.
     pub async fn commit(&self, guards: &[Value], apply: &[Value]) -> CommitResult {
         let body = wire::commit_body(guards, apply);
         match self.call("POST", store::COMMIT, Some(&body), self.timeout).await {
@@ -187,6 +192,7 @@
         }
     }
 
+    /// Asks for a grant that lives for so many milliseconds; returns its id.
     pub async fn new_grant(&self, grant_ttl_ms: u64) -> Result<u64, RequestError> {
         let (status, body) =
             self.call("POST", store::GRANTS, Some(&wire::grant_body(grant_ttl_ms)), self.timeout).await?;
@@ -196,6 +202,7 @@
         serde_json::from_slice::<Grant>(&body).map(|g| g.id).map_err(|_| RequestError::Unclear)
     }
 
+    /// Lets a grant live for so many milliseconds from now; `Missing` if it has ended.
     pub async fn extend_grant(&self, id: u64, grant_ttl_ms: u64) -> Result<(), RequestError> {
         let body = wire::grant_body(grant_ttl_ms);
         let limit = Duration::from_millis(grant_ttl_ms / 3);
@@ -206,6 +213,7 @@
         }
     }
 
+    /// Ends a grant; the keys that are attached to it go with it.
     pub async fn end_grant(&self, id: u64) -> Result<(), RequestError> {
         self.call("DELETE", &store::grant(id), None, self.timeout).await.map(|_| ())
     }
@@ -234,18 +242,23 @@
 /// What became of a rental request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RentResult {
+    /// The machines were rented; with their ids.
     Rented(Vec<String>),
+    /// The cloud has no such machines now.
     NoCapacity,
+    /// The cloud does not accept the request.
     Malformed,
     /// Ask again under the same name.
     Again,
 }
 
 impl Cloud {
+    /// A client over TCP.
     pub fn new(s: &Settings) -> Cloud {
         Cloud::on(&Net::default(), s)
     }
 
+    /// A client over a given network.
     pub fn on(net: &Net, s: &Settings) -> Cloud {
         Cloud {
             http: Client::on(net, SMALL_IDLE_POOL),
@@ -265,6 +278,7 @@
         Ok(self.http.call(self.addr, method, path, body, self.timeout).await?)
     }
 
+    /// The machine types, at least one; `None` if there was no usable answer.
     pub async fn flavors(&self) -> Option<Vec<Flavor>> {
         let (status, body) = self.call("GET", "/flavors", None).await.ok()?;
         if status != 200 {
@@ -273,6 +287,7 @@
         wire::parse_flavors(&body).filter(|f| !f.is_empty())
     }
 
+    /// Rents machines. The name identifies the request, so that it can be repeated.
     pub async fn rent(&self, name: &str, flavor: &str, zone: &str, spot: bool, count: usize) -> RentResult {
         let body = wire::rent_body(name, flavor, zone, spot, count);
         match self.call("POST", "/hosts", Some(&body)).await {
@@ -289,6 +304,7 @@
         matches!(self.call("POST", "/hosts/release", Some(&body)).await, Ok((200, _)))
     }
 
+    /// All machines, page by page; `None` if a page had no usable answer.
     pub async fn list(&self) -> Option<Vec<Listed>> {
         let mut out: Vec<Listed> = Vec::new();
         loop {
@@ -318,10 +334,12 @@
 }
 
 impl Worker {
+    /// A client over TCP.
     pub fn new(s: &Settings) -> Worker {
         Worker::on(&Net::default(), s)
     }
 
+    /// A client over a given network.
     pub fn on(net: &Net, s: &Settings) -> Worker {
         // Of a thousand machines few are sent orders at a time: what stays open
         // to the others would use up the sockets that their reports need.
@@ -335,6 +353,7 @@
         }
     }
 
+    /// Sends a direct command, once fewer than the allowed number are under way.
     pub async fn direct(&self, addr: SocketAddr, body: &[u8]) -> DirectResult {
         let Ok(_place) = self.under_way.acquire().await else { return DirectResult::NotSent };
         match self.http.call(addr, "POST", wire::DO_PATH, Some(body), self.timeout).await {
@@ -353,6 +372,7 @@
         (self.under_way.available_permits(), self.kept)
     }
 
+    /// Closes the idle connections to a worker that is gone.
     pub fn forget(&self, addr: SocketAddr) {
         self.http.forget(addr);
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,54 +9,81 @@
 /// What the platform hands over.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// Name of this controller, unique in the deployment.
     pub node: String,
+    /// Zone in which this controller runs; one of `params.zones`.
     pub site: String,
+    /// Address at which users and workers are served.
     pub serve_on: SocketAddr,
+    /// Address at which the other controllers are served.
     pub internal_addr: SocketAddr,
+    /// The other controllers of the deployment; empty if this is the only one.
     #[serde(default)]
     pub seeds: Vec<Seed>,
+    /// Addresses of the services that the controller depends on.
     pub endpoints: Endpoints,
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
 /// Another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seed {
+    /// Name of the controller.
     pub node: String,
+    /// Zone in which it runs.
     pub site: String,
+    /// Its internal address.
     pub endpoint: SocketAddr,
 }
 
+/// Addresses of the services that a controller depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
+    /// The cloud's API.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
+/// Parameters of the deployment: zones, teams, objectives and limits of the services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
+    /// Names of the zones, at least one.
     pub zones: Vec<String>,
+    /// Time bound of the platform in milliseconds; 0 if absent. Checked, otherwise unused.
     #[serde(default)]
     pub time_bound_ms: f64,
+    /// The teams that may submit jobs, at least one.
     pub teams: Vec<Team>,
+    /// Service objectives; empty if there are none.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// Periods and timeouts of the workers.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: StateLimits,
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
+    /// Limits of this process.
     pub limits: Limits,
 }
 
 /// A team's guarantee and limit; 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Name of the team, as in submissions.
     pub name: String,
+    /// Guaranteed CPU cores.
     #[serde(default)]
     pub cpus: f64,
+    /// Most CPU cores in use at a time.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Guaranteed accelerators.
     #[serde(default)]
     pub gpus: f64,
+    /// Most accelerators in use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -64,40 +91,61 @@
 /// An aim on starting or finishing, as the settings repeat it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What is aimed at: `wait` and `guarantee` are used, other kinds are ignored.
     pub kind: String,
+    /// Job class that it applies to; `None` if it names none.
     #[serde(default)]
     pub class: Option<String>,
+    /// Seconds within which the work is to start or finish.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Share of the jobs, from 0 to 1, that must meet it; `None` leaves the default.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
+/// Periods and timeouts of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Interval between two reports of a worker.
     pub report_s: f64,
+    /// Life of a worker's lease: without an answer for so long it stops its tasks.
     pub lease_s: f64,
+    /// How long the tasks of a gang wait on their machines for the gang to be complete; room is
+    /// held for a gang for as long.
     pub gang_wait_s: f64,
+    /// How long, at most, the tasks of a gang run on after one of them has stopped.
     pub gang_peer_s: f64,
+    /// How long, at most, tasks of a job may still run after it was reported cancelled.
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests per second, for all controllers together.
     pub rps: f64,
+    /// Changes per second.
     pub write_rps: f64,
+    /// Largest value in KiB.
     pub value_kb: f64,
+    /// Most changes in one commit.
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Seconds by which the list of machines may lag behind.
     pub list_lag_s: f64,
 }
 
+/// Limits of a controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
+    /// Most sockets that it may have open.
     pub max_sockets: usize,
 }
 
@@ -290,10 +338,12 @@
         (self.lease_ms() / 20).max(1000).min(self.report_ms())
     }
 
+    /// Life of a worker's lease in milliseconds.
     pub fn lease_ms(&self) -> u64 {
         (self.params.workers.lease_s * 1000.0) as u64
     }
 
+    /// Interval between two reports of a worker in milliseconds.
     pub fn report_ms(&self) -> u64 {
         (self.params.workers.report_s * 1000.0) as u64
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,5 +1,8 @@
+//! Tests of the settings, and settings for the tests of other modules.
+
 use super::*;
 
+/// A settings file that is accepted.
 pub fn example() -> String {
     r#"
 node = "n0"
@@ -53,6 +56,7 @@
     .to_string()
 }
 
+/// The settings that [`example`] holds.
 pub fn settings() -> Settings {
     toml::from_str(&example()).unwrap()
 }
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -26,8 +26,14 @@
 /// What a job's record says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordedJob {
+    /// There is no record.
     Missing,
-    Live { done: u32 },
+    /// The job has not ended.
+    Live {
+        /// Tasks that are recorded as done.
+        done: u32,
+    },
+    /// The job has ended.
     Ended(EndedJob),
 }
 
@@ -128,6 +134,8 @@
 }
 
 impl JobReads {
+    /// Reads of this state service, as many as the budget admits. It counts as silent without an
+    /// answer for half of `grant_ttl_ms`, in milliseconds.
     pub fn new(state: State, budget: ReadBudget, grant_ttl_ms: u64) -> JobReads {
         JobReads { state, budget, grant_ttl_ms, shared: SharedReads::default() }
     }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -18,21 +18,29 @@
 /// What the cloud is to be asked.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudOp {
+    /// Rent machines.
     Rent {
+        /// Name of the request, by which it can be repeated.
         name: String,
+        /// The machines.
         rental: Rental,
         /// How long to wait before the request is sent.
         pause_ms: u64,
     },
+    /// Return the machines with these ids.
     Release(Vec<String>),
     /// Have the machine's partition give it to another one.
     TransferHost {
+        /// Partition that the machine belongs to.
         from: u32,
+        /// Id of the machine.
         host: String,
+        /// Partition that is to get it.
         to: u32,
     },
 }
 
+/// What the leader knows of rentals, of machines on their way and of the partitions' needs.
 #[derive(Debug, Default)]
 pub struct Leader {
     /// Rental requests without a known outcome, by name.
@@ -68,6 +76,7 @@
 const MAX_RELEASED: usize = 100;
 
 impl Leader {
+    /// A leader that knows nothing yet; the cloud's list lags by up to `list_lag_s`.
     pub fn new(list_lag_s: f64) -> Leader {
         Leader { lag_ms: (list_lag_s * 1000.0) as u64, ..Leader::default() }
     }
@@ -245,6 +254,7 @@
         new.chunks(MAX_RELEASED).map(|c| CloudOp::Release(c.to_vec())).collect()
     }
 
+    /// Notes that the cloud has confirmed the return of these machines.
     pub fn released(&mut self, ids: &[String]) {
         for id in ids {
             self.kinds.remove(id);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! `docs/design.md` tells how it works and why.
 
+#![warn(missing_docs)]
+
 pub mod api;
 pub mod boot_times;
 pub mod clients;
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -17,7 +17,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum OwnershipChange {
     /// This node holds the partition from now on.
-    Begin { term: u64, version: u64, grant: u64, start_ms: u64 },
+    Begin {
+        /// Term under which it holds the partition.
+        term: u64,
+        /// Version of the partition's key.
+        version: u64,
+        /// Id of the grant that the key is attached to.
+        grant: u64,
+        /// Wall time at which the system began.
+        start_ms: u64,
+    },
     /// It holds the partition no more.
     End,
 }
@@ -26,23 +35,61 @@
 #[derive(Debug)]
 pub enum Message {
     /// An owner asks this node not to take the partition for a while.
-    Promise { owner: String, term: u64, for_ms: u64, state_ok: bool, reply: oneshot::Sender<bool> },
+    Promise {
+        /// Name of the node that asks.
+        owner: String,
+        /// The term that the promise is for.
+        term: u64,
+        /// Duration of the promise in milliseconds.
+        for_ms: u64,
+        /// True if the state service has answered the asker lately.
+        state_ok: bool,
+        /// Takes true if the promise is given.
+        reply: oneshot::Sender<bool>,
+    },
     /// The asker of a promise has stopped acting.
-    Release { term: u64 },
+    Release {
+        /// The term that the promise was for.
+        term: u64,
+    },
     /// The partition's actor found its commits superseded.
     Superseded,
     /// The partition's actor hears its workers no more, and others may.
     Abdicate,
     /// The first look at the state service after the start.
-    RecordRead { record: Option<PartitionRecord>, unbound: bool },
+    RecordRead {
+        /// The partition's key; `None` if nobody holds the partition, or `unbound`.
+        record: Option<PartitionRecord>,
+        /// True if no promise of this node's earlier life binds it.
+        unbound: bool,
+    },
     /// The partition's key as the state service has it now.
     Seen(Option<PartitionRecord>),
     /// The answer to a renewal of the grant.
-    Extended { grant: u64, sent: u64, result: Result<(), RequestError> },
+    Extended {
+        /// Id of the grant.
+        grant: u64,
+        /// Steady time at which the request was sent.
+        sent: u64,
+        /// The outcome of the request.
+        result: Result<(), RequestError>,
+    },
     /// The answer of another controller to a request for a promise.
-    Promised { peer: usize, sent: u64, ok: bool },
+    Promised {
+        /// Index of the other controller.
+        peer: usize,
+        /// Steady time at which the request was sent.
+        sent: u64,
+        /// True if the promise was given.
+        ok: bool,
+    },
     /// The end of an attempt to take the partition.
-    Acquired { sent: u64, result: Option<Acquired> },
+    Acquired {
+        /// Steady time at which the attempt began.
+        sent: u64,
+        /// What was taken; `None` if the attempt failed.
+        result: Option<Acquired>,
+    },
 }
 
 /// A partition that was taken: its grant, its term and the version of its key.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -15,6 +15,7 @@
 const MAX_OBSERVED_MS: u64 = 3_600_000;
 
 impl Metrics {
+    /// Records a duration in milliseconds in a histogram; durations over an hour count as one.
     pub fn observe(&mut self, name: &'static str, label: &str, ms: u64) {
         let h = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit keeps a histogram at a few kilobytes.
@@ -23,10 +24,12 @@
         h.saturating_record(ms.clamp(1, MAX_OBSERVED_MS));
     }
 
+    /// Raises a counter by one.
     pub fn count(&mut self, name: &'static str, label: &str) {
         *self.counters.entry((name, label.to_string())).or_default() += 1;
     }
 
+    /// All figures in the text format of `GET /metrics`.
     pub fn text(&self) -> String {
         let mut out = String::new();
         for ((name, label), h) in &self.histograms {
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -6,10 +6,13 @@
 /// Room that a class is expected to need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reserve {
+    /// Name of the job class.
     pub class: String,
     /// Where it can run, by machine type.
     pub flavors: Vec<bool>,
+    /// What one task of the class takes.
     pub demand: Demand,
+    /// Expected number of tasks.
     pub tasks: f64,
 }
 
@@ -33,17 +36,24 @@
 pub struct HostKind {
     /// The machine type, if it is known.
     pub flavor: Option<usize>,
+    /// Zone of the machines.
     pub zone: String,
+    /// True for spot machines.
     pub spot: bool,
 }
 
 /// Everything that one partition knows.
 #[derive(Debug, Default)]
 pub struct ClusterState {
+    /// All jobs, by [`JobIndex`]; none is removed.
     pub jobs: Vec<Job>,
+    /// Index of each job by its id.
     pub job_index: HashMap<String, JobIndex>,
+    /// All machines, by [`HostIndex`]; `None` where one was removed.
     pub hosts: Vec<Option<Host>>,
+    /// Index of each machine by its id; removed ones are left out.
     pub host_index: HashMap<String, HostIndex>,
+    /// The machine types of the cloud.
     pub flavors: Vec<Flavor>,
     /// Jobs that are not over.
     pub live: Vec<JobIndex>,
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -13,16 +13,22 @@
 /// Room on a machine that is held for one job until a set time.
 #[derive(Debug, Clone, Copy)]
 pub struct Claim {
+    /// The job that the room is held for.
     pub job: JobIndex,
+    /// How much room is held.
     pub demand: Demand,
+    /// Steady time at which the claim ends.
     pub until_ms: u64,
 }
 
 /// An image in the cache of a machine.
 #[derive(Debug, Clone)]
 pub struct CachedImage {
+    /// Name of the image.
     pub name: String,
+    /// Size in gigabytes.
     pub gb: f64,
+    /// Steady time at which a task last needed it.
     pub used_ms: u64,
     /// False while it is fetched.
     pub ready: bool,
@@ -31,13 +37,21 @@
 /// A machine, with all that is known of it.
 #[derive(Debug, Clone)]
 pub struct Host {
+    /// The cloud's id of the machine.
     pub id: String,
+    /// Where its worker takes direct commands; `None` until a report or record tells it.
     pub addr: Option<SocketAddr>,
+    /// Index of its type in `ClusterState::flavors`; `None` if the type is not known.
     pub flavor: Option<usize>,
+    /// Zone in which it stands.
     pub zone: String,
+    /// True if the cloud may take it back.
     pub spot: bool,
+    /// Session of its worker, from the last report; 0 if there was none.
     pub tenure: u64,
+    /// Number of the last report in that session; 0 if there was none.
     pub serial: u64,
+    /// Highest fencing token that the worker is known to have seen; 0 if none.
     pub fence: u64,
     /// What the worker says counts once it has seen this token, the first one of this
     /// owner: a report with a lower one may be a late copy, from a machine that is gone.
@@ -46,6 +60,7 @@
     pub transferring_to: Option<u32>,
     /// Steady time of the last report, and of the last answer that may have renewed the lease.
     pub heard_ms: u64,
+    /// Steady time of the last answer that may have renewed the worker's lease.
     pub answered_ms: u64,
     /// In the registry, so that a successor knows that it may hold tasks.
     pub registered: bool,
@@ -53,23 +68,33 @@
     pub accounted: bool,
     /// Reports tasks that this partition does not know.
     pub has_unknown_tasks: bool,
+    /// The cloud has announced that it takes the machine back.
     pub notice: bool,
+    /// Its return to the cloud was decided: nothing is placed on it any more.
     pub releasing: bool,
     /// Being emptied, to be returned.
     pub draining: bool,
     /// Direct commands in a row that had no answer.
     pub missed: u32,
+    /// A direct command to it is under way.
     pub do_in_flight: bool,
+    /// Steady time before which no further direct command is sent; 0 if there is no wait.
     pub do_after_ms: u64,
+    /// Steady time before which nothing is placed on it, as it refused a task; 0 if it did not.
     pub blocked_until_ms: u64,
     /// Jobs that failed here and on no other machine, since it last completed a task.
     pub failed_jobs: HashSet<JobIndex>,
     /// What failed here has succeeded on another machine.
     pub succeeded_elsewhere: bool,
+    /// Steady time of the last report after which it had attempts, or at which it became known.
     pub idle_since_ms: u64,
+    /// Steady time at which this owner came to know the machine.
     pub up_ms: u64,
+    /// Attempts of tasks that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
+    /// Room that is held for jobs.
     pub claims: Vec<Claim>,
+    /// Images in its cache or being fetched, as far as this owner knows.
     pub images: Vec<CachedImage>,
 }
 
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -10,25 +10,35 @@
 /// The phase of a job that its user is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobPhase {
+    /// Accepted; no task runs.
     Pending,
+    /// At least one task runs.
     Running,
+    /// All tasks are done.
     Done,
+    /// Cancelled, and all its tasks are gone.
     Cancelled,
 }
 
 /// What the record of a job still has to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnsavedChange {
+    /// The record is up to date.
     Nothing,
+    /// More tasks are done than it tells.
     Progress,
+    /// The job has ended.
     End(JobEnd),
+    /// There is no record yet.
     Creation,
 }
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
+    /// All its tasks are done.
     Done,
+    /// Its user cancelled it.
     Cancelled,
 }
 
@@ -48,25 +58,32 @@
 /// A job, with the state of its tasks and of its record.
 #[derive(Debug, Clone)]
 pub struct Job {
+    /// What its user asked for.
     pub spec: Spec,
+    /// Wall time at which it was accepted.
     pub accepted_ms: u64,
     /// Version of its record; 0 while it is not created.
     pub version: u64,
     /// The end that its record holds.
     pub end: Option<JobEnd>,
+    /// The change that is to be written next.
     pub unsaved: UnsavedChange,
+    /// Steady time at which unsaved progress began.
     pub unsaved_since_ms: u64,
     /// Its record is in a commit under way.
     pub saving: bool,
     /// A write of its end was sent and may be carried out or not, now or later. Until
     /// that is settled another node may read the end, and tell it.
     pub end_open: bool,
+    /// The state of each task, by its number.
     pub tasks: Vec<Task>,
     /// Tasks that are done, whether recorded or not.
     pub done: u32,
     /// The attempt of a gang that is starting or running.
     pub gang_attempt: u64,
+    /// Steady time until which room is held for the gang; 0 if none is.
     pub hold_until_ms: u64,
+    /// Steady time before which no room is held again after a hold in vain; 0 if there was none.
     pub no_hold_until_ms: u64,
     /// Until when it waits for room next to its image; 0 if it does not yet.
     pub soon_until_ms: u64,
@@ -76,6 +93,7 @@
     pub cancelling: bool,
     /// Machines on which its tasks failed, and until when it keeps away from them.
     pub failed_on: HashSet<HostIndex>,
+    /// Steady time until which the machines in `failed_on` are avoided; 0 if none is.
     pub avoid_hosts_until_ms: u64,
 }
 
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -7,8 +7,11 @@
 /// A job as its record in the state service tells it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// What its user asked for.
     pub spec: Spec,
+    /// Wall time at which it was accepted.
     pub accepted_ms: u64,
+    /// How it ended; `None` while it is under way.
     pub end: Option<JobEnd>,
     /// Done tasks as ranges, first and one past the last.
     pub done: Vec<(u32, u32)>,
@@ -52,9 +55,13 @@
 /// A machine that may hold tasks, as the registry tells it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
+    /// Where its worker takes direct commands; `None` if not known.
     pub addr: Option<SocketAddr>,
+    /// Name of its type.
     pub flavor: String,
+    /// Zone in which it stands.
     pub zone: String,
+    /// True if the cloud may take it back.
     pub spot: bool,
     /// The partition that it belongs to.
     #[serde(default, rename = "part")]
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -5,8 +5,11 @@
 /// Amounts that a task takes, or that a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Demand {
+    /// CPU cores.
     pub cpus: f64,
+    /// Accelerators.
     pub gpus: f64,
+    /// Memory in gigabytes.
     pub mem: f64,
 }
 
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -6,40 +6,65 @@
 /// How the tasks of a job belong together: independent, all at once, or replicas that stay up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// Independent tasks, each of which ends by itself.
     Batch,
+    /// Tasks that run only all at once.
     Gang,
+    /// Replicas that stay up until the job is cancelled.
     Service,
 }
 
 /// Lowest first, so that the order of the values is the order of priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Urgency {
+    /// `best_effort` in submissions.
     Low,
+    /// `standard` in submissions.
     Normal,
+    /// `urgent` in submissions.
     High,
+    /// `production` in submissions.
     Production,
 }
 
 /// A job as its user described it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
+    /// The id that the user gave the job.
     pub id: String,
+    /// Name of the job class.
     pub class: String,
+    /// Name of the team that the job counts for.
     pub team: String,
+    /// How its tasks belong together.
     pub shape: Shape,
+    /// Its priority.
     pub urgency: Urgency,
+    /// Number of tasks, at least 1.
     pub tasks: u32,
+    /// What one task takes of its machine.
     pub demand: Demand,
+    /// Name of the image that each task needs on its machine.
     pub image: String,
+    /// Size of the image in gigabytes.
     pub image_gb: f64,
+    /// Names of the machine types that it may run on; `None` allows all.
     pub flavors: Option<Vec<String>>,
+    /// The only zone that it may run in; `None` allows all.
     pub zone: Option<String>,
+    /// All tasks must be in the same zone.
     pub one_zone: bool,
+    /// No zone may have more than half of the tasks, rounded up.
     pub spread: bool,
+    /// It may run on spot machines.
     pub spot: bool,
+    /// Expected run time of a task in seconds.
     pub expected_s: f64,
+    /// Seconds between two checkpoints of a task; 0 if it saves none.
     pub checkpoint_s: f64,
+    /// Seconds that a task takes to save its state when it is stopped.
     pub save_s: f64,
+    /// Deadline in seconds after acceptance; `None` if it has none.
     pub due_s: Option<f64>,
 }
 
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -5,39 +5,58 @@
 /// Identifies a task: its job, and its number in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
+    /// The job.
     pub job: JobIndex,
+    /// Number of the task in the job, from 0.
     pub task: u32,
 }
 
 /// Where a task stands in its job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Place {
+    /// Not placed on any machine.
     Idle,
+    /// Placed on this machine, as the attempt of this number.
     On(HostIndex, u64),
+    /// Completed.
     Done,
 }
 
 /// The state of one task of a job.
 #[derive(Debug, Clone, Copy)]
 pub struct Task {
+    /// Where it is placed.
     pub place: Place,
     /// Seen alive, or started, by this owner: it is on no machine that is not
     /// accounted for.
     pub located: bool,
+    /// Failures so far, up to the largest value.
     pub fails: u16,
+    /// Steady time before which it is not placed again; 0 if there is no wait.
     pub retry_ms: u64,
 }
 
 /// Why an attempt ended, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ExitReason {
+    /// It completed.
     Done,
-    Stopped { saved: bool },
+    /// It was told to stop.
+    Stopped {
+        /// True if its state was saved.
+        saved: bool,
+    },
+    /// Other tasks of its gang stopped.
     MatesGone,
+    /// Its gang was not complete in time.
     Incomplete,
+    /// It failed.
     Error,
+    /// The worker had no room for it.
     NoRoom,
+    /// Another attempt of the task was still on the machine.
     InUse,
+    /// The worker does not know the task.
     NoSuch,
 }
 
@@ -46,21 +65,30 @@
 pub enum TaskPhase {
     /// Ordered, and not yet seen in a report.
     Sent,
+    /// Waits for its image.
     Fetching,
+    /// Waits for the other tasks of its gang.
     Gathering,
+    /// Runs.
     Running,
+    /// Told to stop, and saves its state.
     Saving,
+    /// Ended, and still listed by its worker.
     Ended(ExitReason),
 }
 
 /// One attempt of a task on a machine, for as long as it may be there.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskAttempt {
+    /// The task.
     pub key: TaskKey,
+    /// Number of the attempt, which is not used again.
     pub attempt: u64,
     /// What it takes of its machine.
     pub demand: Demand,
+    /// How far it is.
     pub phase: TaskPhase,
+    /// Steady time at which it was ordered, or first seen by this owner.
     pub since_ms: u64,
     /// Told to stop, with this grace.
     pub stop: Option<f64>,
--- a/src/net.rs
+++ b/src/net.rs
@@ -8,8 +8,11 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream};
 
+/// A boxed future of an I/O operation, so that the traits here can be used as objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
+/// The reading direction of a connection.
 pub type ReadHalf = Box<dyn AsyncRead + Send + Unpin>;
+/// The writing direction of a connection.
 pub type WriteHalf = Box<dyn AsyncWrite + Send + Unpin>;
 
 /// An open connection.
@@ -22,12 +25,15 @@
 
 /// A bound address.
 pub trait Listener: Send + Sync + 'static {
+    /// Waits for the next connection.
     fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>>;
 }
 
 /// What connections are made over.
 pub trait Network: Send + Sync + 'static {
+    /// Opens a connection to an address.
     fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>>;
+    /// Binds an address, to accept connections at it.
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>>;
 }
 
@@ -36,14 +42,17 @@
 pub struct Net(Arc<dyn Network>);
 
 impl Net {
+    /// A handle of the given network.
     pub fn new(network: impl Network) -> Net {
         Net(Arc::new(network))
     }
 
+    /// Opens a connection to an address.
     pub async fn connect(&self, addr: SocketAddr) -> io::Result<Box<dyn Stream>> {
         self.0.connect(addr).await
     }
 
+    /// Binds an address, to accept connections at it.
     pub async fn bind(&self, addr: SocketAddr) -> io::Result<Box<dyn Listener>> {
         self.0.bind(addr).await
     }
--- a/src/owner/messages.rs
+++ b/src/owner/messages.rs
@@ -14,29 +14,71 @@
 /// Messages to the actor of a partition.
 pub enum Message {
     /// A worker reports.
-    Heartbeat { report: Box<Report>, reply: oneshot::Sender<HeartbeatReply> },
+    Heartbeat {
+        /// The report.
+        report: Box<Report>,
+        /// Takes the reply to it.
+        reply: oneshot::Sender<HeartbeatReply>,
+    },
     /// A user asks.
-    User { call: UserCall, reply: Waiter },
+    User {
+        /// What the user asks.
+        call: UserCall,
+        /// Takes the answer.
+        reply: Waiter,
+    },
     /// Another partition tells the leader which machines it needs.
-    CapacityReport { capacity_report: CapacityReport, reply: oneshot::Sender<PeerResponse> },
+    CapacityReport {
+        /// The report.
+        capacity_report: CapacityReport,
+        /// Takes the leader's answer.
+        reply: oneshot::Sender<PeerResponse>,
+    },
     /// The leader asks that a machine be given to another partition.
-    TransferHost { host: String, to: u32, reply: oneshot::Sender<PeerResponse> },
+    TransferHost {
+        /// Id of the machine.
+        host: String,
+        /// The partition that is to get it.
+        to: u32,
+        /// Takes the confirmation.
+        reply: oneshot::Sender<PeerResponse>,
+    },
     /// The figures of the partition are asked for.
     Metrics(oneshot::Sender<String>),
     /// What a background task reports; dropped if its session is over.
-    Session { session: u64, event: SessionEvent },
+    Session {
+        /// Number of the session that the task belongs to.
+        session: u64,
+        /// The report.
+        event: SessionEvent,
+    },
 }
 
 /// What background tasks of a session report.
 pub enum SessionEvent {
     /// The leader's answer: machines on their way here, and those that the cloud has refused.
-    PendingMachine { pending_machines: Vec<Machines>, refused: Vec<Machines> },
+    PendingMachine {
+        /// Machines on their way to this partition.
+        pending_machines: Vec<Machines>,
+        /// Kinds of machines that cannot be had now.
+        refused: Vec<Machines>,
+    },
     /// The record of a machine as the state service has it now.
-    Rechecked { host: String, record: Option<HostRecord> },
+    Rechecked {
+        /// Id of the machine.
+        host: String,
+        /// Its record; `None` if there is none.
+        record: Option<HostRecord>,
+    },
     /// The partition's records have been read.
     Loaded(Loaded),
     /// A direct command has ended.
-    DirectDone { command: Direct, result: DirectResult },
+    DirectDone {
+        /// The command.
+        command: Direct,
+        /// How it ended.
+        result: DirectResult,
+    },
     /// A commit has ended.
     Committed(CommitResult),
     /// Records that were read again after a conflict.
@@ -48,9 +90,19 @@
     /// The partition has another owner, or none.
     Superseded,
     /// A rental request has ended.
-    Rented { name: String, result: RentResult },
+    Rented {
+        /// Name of the request.
+        name: String,
+        /// How it ended.
+        result: RentResult,
+    },
     /// A request to release machines has ended.
-    Released { hosts: Vec<String>, confirmed: bool },
+    Released {
+        /// Ids of the machines.
+        hosts: Vec<String>,
+        /// True if the cloud has confirmed that they are gone.
+        confirmed: bool,
+    },
     /// The cloud's list of machines.
     Listed(Vec<Listed>),
     /// The cloud's machine types.
@@ -61,7 +113,12 @@
 #[derive(Debug)]
 pub enum HeartbeatReply {
     /// The token and the orders.
-    Orders { term: u64, orders: Vec<Order> },
+    Orders {
+        /// The fencing token: the owner's term.
+        term: u64,
+        /// What the worker is to do.
+        orders: Vec<Order>,
+    },
     /// This node may not act for the machine now.
     NotEntitled,
     /// The machine belongs to that partition.
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -36,9 +36,13 @@
 
 /// The state of one partition, and the protocol over it.
 pub struct Partition {
+    /// Its jobs, machines and machine types.
     pub cluster: ClusterState,
+    /// Settings that decisions depend on.
     pub policy: Policy,
+    /// Figures for `GET /metrics`.
     pub metrics: Metrics,
+    /// The owner's term, which is its fencing token; 0 before the records were read.
     pub term: u64,
     /// The term with which this owner began: it may have raised it since.
     first_term: u64,
@@ -81,6 +85,7 @@
     pub urgent_pass_due: bool,
     /// Tasks of arrays were done since the last pass.
     done_since_pass: bool,
+    /// Jobs with tasks that found no room in the last pass.
     pub unplaced: Vec<JobIndex>,
     /// Machines that passes have looked at so far.
     pub hosts_examined: u64,
--- a/src/partition/tests.rs
+++ b/src/partition/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of a partition's protocol, and partitions for the tests of other modules.
+
 use super::*;
 use crate::config::{Operator, tests::settings};
 use crate::model::{Demand, Flavor, Host, HostIndex, HostRecord, Job, JobPhase, JobRecord, Place, TaskAttempt};
@@ -22,6 +24,7 @@
     }
 }
 
+/// A partition that was taken over with these records.
 pub fn partition_of(term: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
@@ -30,10 +33,12 @@
     p
 }
 
+/// A new partition, without jobs and machines.
 pub fn partition() -> Partition {
     partition_of(1, vec![], vec![])
 }
 
+/// A report of a machine with these tasks.
 pub fn report(host: &str, tenure: u64, serial: u64, fence: u64, tasks: Vec<wire::ReportedTask>) -> Report {
     let mut r: Report = serde_json::from_value(json!({"host": host, "addr": "10.1.0.1:9000", "flavor": "g8",
         "region": "a", "tenure": tenure, "serial": serial, "fence": fence}))
@@ -42,6 +47,7 @@
     r
 }
 
+/// A submission of a job.
 pub fn body(id: &str, shape: &str, tasks: u32) -> Vec<u8> {
     json!({"id": id, "jobclass": "chat", "owner": "red", "shape": shape, "urgency": "standard", "shards": tasks,
         "cores": 2.0, "cards": 1.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0, "flavors": null, "region": null,
@@ -51,12 +57,14 @@
     .into_bytes()
 }
 
+/// Submits a job; the receiver gets the answer.
 pub fn submit(p: &mut Partition, b: &[u8], now: u64) -> oneshot::Receiver<UserAnswer> {
     let (tx, rx) = oneshot::channel();
     p.submit(b, now, now, tx);
     rx
 }
 
+/// Takes the next commit, which must be due, as made at this revision.
 pub fn commit(p: &mut Partition, now: u64, revision: u64) {
     assert!(p.next_commit(now, 32).is_some());
     assert_eq!(p.committed(CommitResult::Done { revision }), Ok(vec![]));
@@ -73,6 +81,7 @@
     p
 }
 
+/// Number of the `n`-th attempt on the first machine.
 pub fn attempt(p: &Partition, n: usize) -> u64 {
     p.cluster.host(0).unwrap().attempts[n].attempt
 }
@@ -277,6 +286,7 @@
     assert!(p.next_attempt > last);
 }
 
+/// The records of the jobs and machines of a partition.
 pub fn items(p: &mut Partition) -> (Vec<Item>, Vec<Item>) {
     let item = |key, value, version| Item { key, value, version };
     let job = |j: &Job| item(job_key(&j.spec.id), serde_json::to_value(JobRecord::of(j, None, 10)).unwrap(), 100);
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -10,18 +10,26 @@
 /// it are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportSource {
+    /// Sent by the worker on its own, at regular intervals.
     Heartbeat,
+    /// The answer to a direct command.
     Direct,
 }
 
 /// A direct command to be sent.
 #[derive(Debug)]
 pub struct Direct {
+    /// The machine, in the partition's state.
     pub host: HostIndex,
+    /// Id of the machine.
     pub id: String,
+    /// Where its worker takes direct commands.
     pub addr: SocketAddr,
+    /// The fencing token: the owner's term when the command was made.
     pub term: u64,
+    /// Session of the worker that the command is meant for; 0 if not known yet.
     pub tenure: u64,
+    /// What the worker is to do; empty for a mere probe.
     pub orders: Vec<Order>,
 }
 
@@ -30,7 +38,9 @@
 pub enum DirectResult {
     /// 200 or 409, with the worker's report.
     Answered(Box<Report>),
+    /// The worker cannot have received it.
     NotSent,
+    /// The worker may have received it, or may still do so.
     Unclear,
 }
 
@@ -39,34 +49,52 @@
 pub enum PendingWrite {
     /// Whether an earlier write of the job's end was open already.
     Job(JobIndex, UnsavedChange, bool),
+    /// The record of a machine.
     Host(HostIndex),
+    /// The record of a machine that moves to the partition of this number.
     Given(HostIndex, u32),
+    /// The deletion of this key.
     KeyGone(String),
 }
 
 /// A commit to be sent.
 #[derive(Debug)]
 pub struct Commit {
+    /// Conditions that must all hold.
     pub guards: Vec<Value>,
+    /// Changes, which are made all or not at all.
     pub apply: Vec<Value>,
 }
 
 /// How a commit ended.
 #[derive(Debug)]
 pub enum CommitResult {
-    Done { revision: u64 },
-    Conflict { failed: Vec<String> },
+    /// The changes were made.
+    Done {
+        /// Revision of the state service that they were made at.
+        revision: u64,
+    },
+    /// Nothing was changed, as a condition did not hold.
+    Conflict {
+        /// Keys whose conditions did not hold.
+        failed: Vec<String>,
+    },
+    /// Nothing was changed.
     Refused,
+    /// The changes may have been made, or may still be.
     Unclear,
 }
 
 /// Whether a partition takes a machine's reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRouting {
+    /// The partition takes them.
     Mine,
     /// Ours, but only under a term that is still to come.
     NotYet,
+    /// The machine belongs to the partition of this number.
     Elsewhere(u32),
+    /// Not this partition's, and it does not know whose.
     Unknown,
 }
 
@@ -77,20 +105,33 @@
 /// What a user is told.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserAnswer {
+    /// The job is recorded.
     Accepted {
+        /// True if this submission created it; false if it was known already.
         created: bool,
+        /// Id of the job.
         id: String,
+        /// Phase of the job.
         phase: JobPhase,
     },
+    /// The state of a job.
     Status {
+        /// Id of the job.
         id: String,
+        /// Phase of the job.
         phase: JobPhase,
+        /// Tasks that are done.
         done: u32,
+        /// Tasks that run.
         running: u32,
     },
+    /// The submission does not follow the protocol; with the reason.
     Malformed(String),
+    /// The submission is well-formed but cannot be served; with the reason.
     Impossible(String),
+    /// There is no such job.
     Unknown,
+    /// Cannot be answered now; with the reason.
     RetryLater(RefusalReason),
     /// More is waiting to be recorded than can be soon: again in so many seconds.
     Busy(u64),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -17,60 +17,109 @@
 /// Most that a frame may hold: a request's body with what is around it.
 const MAX_FRAME: usize = 128 * 1024;
 
+/// A request to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Promise not to act for this partition for a while.
-    Promise { partition: u32, owner: String, term: u64, for_ms: u64, state_ok: bool },
+    Promise {
+        /// Number of the partition.
+        partition: u32,
+        /// Name of the node that asks.
+        owner: String,
+        /// The term that the promise is for.
+        term: u64,
+        /// Duration of the promise in milliseconds.
+        for_ms: u64,
+        /// True if the state service has answered the asker lately.
+        state_ok: bool,
+    },
     /// The asker has stopped acting under this term: its promise binds no more.
-    Release { partition: u32, term: u64 },
+    Release {
+        /// Number of the partition.
+        partition: u32,
+        /// The term that the promise was for.
+        term: u64,
+    },
     /// A user's request for the owner of a partition.
-    User { partition: u32, call: UserCall },
+    User {
+        /// Number of the partition.
+        partition: u32,
+        /// What the user asks.
+        call: UserCall,
+    },
     /// To the leader: what a partition needs, and could do without.
     CapacityReport(CapacityReport),
     /// From the leader: give this machine, if it is free, to another partition.
-    TransferHost { partition: u32, host: String, to: u32 },
+    TransferHost {
+        /// Partition that the machine belongs to.
+        partition: u32,
+        /// Id of the machine.
+        host: String,
+        /// Partition that is to get it.
+        to: u32,
+    },
 }
 
+/// A user's request about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum UserCall {
+    /// Accept a job; with the body of the submission.
     Submit(Vec<u8>),
+    /// Tell the state of the job with this id.
     Status(String),
+    /// Cancel the job with this id.
     Cancel(String),
 }
 
 /// Machines of one kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
+    /// Name of the machine type.
     pub flavor: String,
+    /// Zone of the machines.
     pub zone: String,
+    /// True for spot machines.
     pub spot: bool,
+    /// Number of machines.
     pub count: usize,
 }
 
+/// What a partition needs, and could do without.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CapacityReport {
+    /// Number of the partition.
     pub partition: u32,
     /// The lowest bin that waits for room, if any does.
     pub lowest_bin: Option<u64>,
     /// How many machines it believes to be on their way to it.
     pub assumed: usize,
+    /// Machines that it lacks.
     pub wanted: Vec<Machines>,
     /// Free machines that nothing here needs.
     pub spare: Vec<String>,
 }
 
+/// The response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
+    /// The promise is given, or the request is carried out.
     Promised,
+    /// The request is refused, or cannot be carried out.
     No,
     /// Machines that are on their way to the partition.
     PendingMachines {
+        /// Machines that are on their way to the partition.
         pending_machines: Vec<Machines>,
+        /// Kinds of machines that cannot be had now.
         refused: Vec<Machines>,
     },
+    /// The response for the user.
     User {
+        /// The HTTP status code.
         status: u16,
+        /// The body, in JSON.
         body: Vec<u8>,
+        /// Seconds after which to ask again; `None` if the answer is final.
         retry_after_s: Option<u64>,
         /// Why the owner refuses, for the counters of the node that asked.
         #[serde(default)]
@@ -155,6 +204,7 @@
 /// The way to one other controller.
 #[derive(Clone)]
 pub struct Peer {
+    /// Name of the other controller.
     pub name: String,
     tx: mpsc::Sender<ToPeer>,
 }
@@ -173,6 +223,7 @@
         Peer { name, tx }
     }
 
+    /// Sends a request; `None` if there was no response within the limit or the connection broke.
     pub async fn request(&self, request: PeerRequest, limit: Duration) -> Option<PeerResponse> {
         let (tx, rx) = oneshot::channel();
         self.tx.try_send(ToPeer::Request(request, tx)).ok()?;
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -11,24 +11,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
+    /// A write of the job's end was sent and may or may not have been made.
     EndBeingRecorded,
+    /// The owner of the jobs is not known or gave no answer.
     OwnerUnreachable,
+    /// The job's record is not written yet.
     JobNotAccepted,
+    /// The cloud has not told its machine types yet.
     MachineTypesUnknown,
+    /// No node is known to own the partition of a machine that reports.
     MachineUnowned,
+    /// A cancelled job may have tasks on machines that give no answer.
     MachineUnreachable,
+    /// The partition's actor took too long over a poll or a cancellation.
     NoDecisionInTime,
+    /// The partition's number is out of range.
     NoSuchPartition,
+    /// This node may not act for a machine that reports at present, or does not know it.
     NotEntitled,
+    /// This node has lost, or does not have, the partition.
     NotOwner,
+    /// The node cannot take requests, as `GET /ready` tells.
     NotReady,
+    /// The job's record is not in a form that this version reads.
     RecordUnreadable,
+    /// The state service gave no answer in time.
     StateServiceSilent,
+    /// The partition's actor or the state service took too long over a submission.
     SubmissionSlow,
+    /// The new owner has not read the partition's records yet.
     TakeoverUnderWay,
+    /// The budget for reads of job records is used up.
     TooManyReads,
+    /// The queue of the partition's actor is full; a worker reports again.
     TooManyReports,
+    /// The queue of the partition's actor is full.
     TooManyRequests,
+    /// More submissions wait than can be recorded soon, or their budget is used up.
     TooManySubmissions,
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -18,24 +18,33 @@
 /// The way to one partition on this node.
 #[derive(Clone)]
 pub struct PartitionHandle {
+    /// Who holds the partition, as far as this node knows.
     pub ownership: watch::Receiver<Ownership>,
+    /// Whether this node may act for it now.
     pub entitled: Entitlement,
+    /// The promises about it that bind this node, or others to it.
     pub promise_status: PromiseStatus,
+    /// Mailbox of the actor that does the partition's work while this node holds it.
     pub owner: mpsc::Sender<owner::Message>,
+    /// Mailbox of its membership actor.
     pub members: mpsc::Sender<membership::Message>,
 }
 
 /// The ways to all partitions; cheap to clone.
 #[derive(Clone)]
 pub struct Router {
+    /// The partitions, by number.
     pub partitions: Arc<Vec<PartitionHandle>>,
+    /// The other controllers.
     pub peers: Arc<Vec<Peer>>,
+    /// Life of an owner's grant in milliseconds, from which the time limits derive.
     pub grant_ttl_ms: u64,
     /// When the owner of each partition was last heard to be at work.
     pub heard_ms: Arc<Vec<AtomicU64>>,
 }
 
 impl Router {
+    /// Does this node hold the partition?
     pub fn mine(&self, partition: u32) -> bool {
         self.partitions.get(partition as usize).is_some_and(|d| d.ownership.borrow().mine)
     }
--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -11,13 +11,19 @@
 /// A machine as placement sees it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Slot {
+    /// Its type is known, and tasks may be placed on it now.
     pub usable: bool,
+    /// Index of its type; 0 if that is not known.
     pub flavor: usize,
+    /// Index of its zone in [`Index`].
     pub zone: usize,
+    /// True for a spot machine.
     pub spot: bool,
+    /// Room that no attempt takes; claimed room counts as free.
     pub free: Demand,
     /// Room that is held for jobs.
     pub claimed: Demand,
+    /// Number of claims on it.
     pub claims: usize,
 }
 
@@ -57,7 +63,9 @@
 pub struct TaskRequirements {
     /// By machine type; a type that is too small is not allowed.
     flavors: Vec<bool>,
+    /// What one task takes.
     pub demand: Demand,
+    /// Spot machines are allowed.
     pub spot: bool,
     /// The only allowed zone; one without machines has no place.
     zone: Option<Option<usize>>,
@@ -92,6 +100,7 @@
 /// Room by machine, and where the attempts of each job are.
 #[derive(Debug, Default)]
 pub struct Index {
+    /// The machines, by [`HostIndex`].
     pub slots: Vec<Slot>,
     zones: Vec<String>,
     /// Job and machine of each attempt that has not ended, sorted.
--- a/src/sched/pass/mod.rs
+++ b/src/sched/pass/mod.rs
@@ -25,17 +25,24 @@
 /// Start this attempt on that machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Assignment {
+    /// The task.
     pub key: TaskKey,
+    /// The machine.
     pub host: HostIndex,
+    /// Number of the new attempt.
     pub attempt: u64,
 }
 
 /// Stop this attempt, to make room.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Eviction {
+    /// The machine that it is on.
     pub host: HostIndex,
+    /// The task.
     pub key: TaskKey,
+    /// Number of the attempt.
     pub attempt: u64,
+    /// Seconds that it has for saving its state; 0 if it saves none.
     pub grace_s: f64,
     /// The job that gets the room.
     pub by: JobIndex,
@@ -44,7 +51,9 @@
 /// What a pass decided.
 #[derive(Debug, Default)]
 pub struct Outcome {
+    /// Attempts to be started.
     pub starts: Vec<Assignment>,
+    /// Attempts to be stopped.
     pub stops: Vec<Eviction>,
     /// Jobs with tasks that found no room.
     pub unplaced: Vec<JobIndex>,
--- a/src/sched/plan.rs
+++ b/src/sched/plan.rs
@@ -8,8 +8,11 @@
 /// Machines that were asked for and are not up yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingMachine {
+    /// Index of its type.
     pub flavor: usize,
+    /// Zone that it was asked for in.
     pub zone: String,
+    /// True for a spot machine.
     pub spot: bool,
 }
 
@@ -19,7 +22,10 @@
     /// The cloud has refused it.
     Refused,
     /// At its price times this factor, which is above 1 for kinds that come up late or never.
-    Available { cost_factor: f64 },
+    Available {
+        /// What to multiply the price by, at least 1.
+        cost_factor: f64,
+    },
 }
 
 /// The supply of a machine type in a zone, as spot machines or as ordinary ones.
@@ -28,9 +34,13 @@
 /// A request for machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
+    /// Index of the machine type.
     pub flavor: usize,
+    /// Zone in which the machines are to be.
     pub zone: String,
+    /// True for spot machines.
     pub spot: bool,
+    /// Number of machines.
     pub count: usize,
 }
 
@@ -42,11 +52,14 @@
     /// Tasks that arrive in a second, and the mean of the squared job sizes
     /// over the mean size.
     pub rate: f64,
+    /// Mean of the squared job sizes over the mean size: how many tasks come at once.
     pub burst: f64,
 }
 
+/// What a partition should rent, could return and should empty.
 #[derive(Debug, Default)]
 pub struct Plan {
+    /// Machines that are lacking, grouped by kind.
     pub rent: Vec<Rental>,
     /// Machines that nothing waiting or expected needs.
     pub spare: Vec<HostIndex>,
@@ -57,7 +70,9 @@
 /// A machine to be emptied: its replicas move, the rest runs out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Drain {
+    /// The machine.
     pub host: HostIndex,
+    /// Replicas that move: the task, its attempt on this machine, and the machine it goes to.
     pub moves: Vec<(TaskKey, u64, HostIndex)>,
 }
 
--- a/src/sched/policy.rs
+++ b/src/sched/policy.rs
@@ -10,10 +10,15 @@
 /// What decisions depend on besides the world.
 #[derive(Debug, Clone)]
 pub struct Policy {
+    /// Width of a bin of soft deadlines, in seconds.
     pub bin_width_s: f64,
+    /// Soft deadline in seconds of a job that has neither `due_s` nor an objective.
     pub default_deadline_s: f64,
+    /// Scales the spare room kept for arrivals during a boot; 0 keeps none.
     pub headroom: f64,
+    /// Idle machines are kept for this many of their boot times.
     pub idle_keep: f64,
+    /// Guarantee and limit of each team, by its name.
     pub teams: HashMap<String, TeamRule>,
     /// By class: start objective and the share that must meet it.
     pub waits: HashMap<String, (f64, f64)>,
@@ -21,7 +26,9 @@
     pub guarantee_s: Option<f64>,
     /// How long room is held for a gang or a preempting job.
     pub hold_ms: u64,
+    /// Life of a worker's lease in milliseconds.
     pub lease_ms: u64,
+    /// Interval between two reports of a worker in milliseconds.
     pub report_ms: u64,
     /// Within how long an order that is sent directly shows its effect.
     pub react_ms: u64,
@@ -34,7 +41,9 @@
 /// What a team is guaranteed, and what it may use at most.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamRule {
+    /// Guaranteed amounts; 0 where nothing is guaranteed. Memory is not restricted.
     pub guarantee: Demand,
+    /// Largest amounts in use at a time; infinite where there is no limit.
     pub limit: Demand,
 }
 
--- a/src/task_locations.rs
+++ b/src/task_locations.rs
@@ -11,8 +11,11 @@
 /// Which idle tasks of a job may be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placeable {
+    /// Every idle task.
     All,
+    /// Only tasks that were located.
     Located,
+    /// No task.
     None,
 }
 
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,12 +1,16 @@
+//! Tests of the protocols' messages, and messages for the tests of other modules.
+
 use super::{ReportedTask, parse_submission};
 use crate::model::Shape;
 use serde_json::{Value, json};
 
+/// A task of a report.
 pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> ReportedTask {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
         .expect("a task of a report")
 }
 
+/// A submission that is accepted, with a field that the protocol does not name.
 pub fn submission() -> Value {
     json!({"id":"run-000412","jobclass":"train","owner":"vision","shape":"group","urgency":"urgent","shards":16,
  "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -112,24 +112,31 @@
 pub enum Order {
     /// Start an attempt of a task.
     Run {
+        /// Job id and task number.
         #[serde(rename = "shard")]
         task: String,
+        /// Number of the new attempt.
         #[serde(rename = "try_no")]
         attempt: u64,
     },
     /// End an attempt, with time to save its state.
     Stop {
+        /// Job id and task number.
         #[serde(rename = "shard")]
         task: String,
+        /// Number of the attempt.
         #[serde(rename = "try_no")]
         attempt: u64,
+        /// Seconds that it has for saving its state.
         #[serde(rename = "drain_s")]
         grace_s: f64,
     },
     /// Forget an attempt that has ended.
     Reap {
+        /// Job id and task number.
         #[serde(rename = "shard")]
         task: String,
+        /// Number of the attempt.
         #[serde(rename = "try_no")]
         attempt: u64,
     },
