--- a/src/api.rs
+++ b/src/api.rs
@@ -3,6 +3,7 @@
 use crate::clients::State;
 use crate::clock;
 use crate::http::{Request, Response};
+use crate::metrics::{SharedMetrics, gauge_line};
 use crate::model::{Flavor, JobEnd, JobPhase, JobRecord, Spec};
 use crate::owner::{self, HeartbeatReply};
 use crate::partition::{CommitResult, inbox_key, job_key};
@@ -19,6 +20,8 @@
 pub struct Api {
     pub state: State,
     pub router: Router,
+    /// Figures of this node, apart from those of its partitions.
+    pub metrics: SharedMetrics,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
     pub policy: Arc<Policy>,
@@ -92,7 +95,8 @@
     }
 
     async fn metrics(&self) -> Response {
-        let mut text = String::new();
+        let mut text = self.metrics.text();
+        text.push_str(&gauge_line("silent_peers", self.router.silent_peers()));
         for handle in self.router.partitions.iter() {
             let (tx, rx) = oneshot::channel();
             if handle.owner.try_send(owner::Message::Metrics(tx)).is_ok() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod owner;
 pub mod partition;
 pub mod peer;
+pub mod peer_health;
 pub mod router;
 pub mod sched;
 pub mod task;
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -9,6 +9,7 @@
 use super::watch::watch_partition;
 use crate::clients::{RequestError, State};
 use crate::clock;
+use crate::metrics::SharedMetrics;
 use crate::peer::{Peer, PeerRequest, PeerResponse};
 use crate::task;
 use std::sync::Arc;
@@ -42,6 +43,8 @@
     pub ownership_changes: mpsc::Sender<OwnershipChange>,
     /// Partitions that this node holds, so that partitions spread over the nodes.
     pub held: Arc<AtomicUsize>,
+    /// Counts of the partitions taken and lost.
+    pub metrics: SharedMetrics,
     /// Pause before a first take, for a partition that is rather another node's.
     pub initial_delay_ms: u64,
 }
@@ -248,6 +251,7 @@
 
     async fn taken(&self, rules: &mut MembershipRules, t: &Acquired, sent: u64) {
         tracing::info!(partition = self.partition, term = t.term, "partition taken");
+        self.metrics.count("partitions_taken", &self.partition.to_string());
         self.held.fetch_add(1, Ordering::Relaxed);
         rules.begin(t, sent);
         rules.record = Some(PartitionRecord { owner: rules.node.clone(), term: t.term, grant: t.grant });
@@ -257,6 +261,7 @@
 
     async fn step_down(&self, rules: &mut MembershipRules, why: &str) {
         tracing::warn!(partition = self.partition, why, "partition lost");
+        self.metrics.count("partitions_lost", why);
         self.held.fetch_sub(1, Ordering::Relaxed);
         if let Role::Holding { grant, .. } = rules.role {
             let state = self.state.clone();
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -3,6 +3,7 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::Write;
+use std::sync::{Arc, Mutex, PoisonError};
 
 /// Figures by name and label.
 #[derive(Default)]
@@ -43,5 +44,26 @@
     }
 }
 
+/// Figures of a whole node; cheap to clone.
+#[derive(Clone, Default)]
+pub struct SharedMetrics(Arc<Mutex<Metrics>>);
+
+impl SharedMetrics {
+    /// Adds one to a counter.
+    pub fn count(&self, name: &'static str, label: &str) {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).count(name, label);
+    }
+
+    /// All figures in the text format.
+    pub fn text(&self) -> String {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner).text()
+    }
+}
+
+/// A figure without a label that goes up and down, as a line of the text format.
+pub fn gauge_line(name: &str, value: usize) -> String {
+    format!("badgerdrift_{name} {value}\n")
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/node.rs
+++ b/src/node.rs
@@ -4,9 +4,10 @@
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Seed, Settings};
 use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus, Succession};
+use crate::metrics::SharedMetrics;
 use crate::net::Net;
 use crate::owner::PartitionOwner;
-use crate::peer::{self, Peer};
+use crate::peer::{self, Peer, PeerLimits};
 use crate::router::{PartitionHandle, Router};
 use crate::sched::Policy;
 use crate::{clock, http, task};
@@ -30,11 +31,12 @@
     let grant_ttl_ms = settings.grant_ttl_ms();
     let state = State::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
-    let connect_limit = Duration::from_millis(grant_ttl_ms / 4);
-    let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, connect_limit);
+    let limits = PeerLimits::of_grant(grant_ttl_ms);
+    let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
     let held = Arc::new(AtomicUsize::new(0));
+    let metrics = SharedMetrics::default();
     let succession = Succession::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
     let mut nodes: Vec<&str> = settings.seeds.iter().map(|s| s.node.as_str()).collect();
     nodes.push(&settings.node);
@@ -64,6 +66,7 @@
             ownership: ownership_tx,
             ownership_changes: ownership_changes_tx,
             held: held.clone(),
+            metrics: metrics.clone(),
             initial_delay_ms: if operator.partitions > 1 && !ours { grant_ttl_ms / 5 } else { 0 },
         };
         members.push((membership, members_tx.clone(), members_rx));
@@ -102,7 +105,7 @@
     let teams = Arc::new(settings.partitions_of_teams(operator.partitions));
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let value_bytes = (settings.params.state.value_kb * 1024.0) as usize;
-    let api = Api { state, router, teams, policy, value_bytes, route_hints: Default::default() };
+    let api = Api { state, router, metrics, teams, policy, value_bytes, route_hints: Default::default() };
     // A quarter of the sockets is for what this node opens itself.
     let max_open = settings.params.limits.max_sockets * 3 / 4;
     let patience = Duration::from_millis(settings.lease_ms() / 2);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,20 +1,25 @@
 //! What controllers say to each other: CBOR messages in frames of a length and
 //! a body, requests and replies matched by number.
 
-use crate::net::{Listener, Net, ReadHalf, WriteHalf};
+use crate::clock;
+use crate::net::{Listener, Net};
+use crate::peer_health::{HealthLimits, SharedPeerHealth};
 use crate::task;
+use connections::{Connections, Connector};
+use frames::{encode, read_frame, write_frames};
 use serde::{Deserialize, Serialize};
-use std::collections::HashMap;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::timeout;
+use tokio::time::{Instant, timeout};
 
-/// Most that a frame may hold: a request's body with what is around it.
-const MAX_FRAME: usize = 128 * 1024;
+mod connections;
+mod frames;
+
+/// Messages to the actor of a peer that wait, at the most.
+const MAX_QUEUED: usize = 256;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
@@ -74,36 +79,6 @@
     },
 }
 
-#[derive(Serialize, Deserialize)]
-struct Numbered<T> {
-    n: u64,
-    body: T,
-}
-
-fn encode<T: Serialize>(n: u64, body: T) -> Option<Vec<u8>> {
-    let mut out = vec![0; 4];
-    ciborium::into_writer(&Numbered { n, body }, &mut out).ok()?;
-    let len = out.len() - 4;
-    if len > MAX_FRAME {
-        return None;
-    }
-    out[..4].copy_from_slice(&(len as u32).to_be_bytes());
-    Some(out)
-}
-
-async fn read_frame<T: for<'a> Deserialize<'a>>(stream: &mut ReadHalf) -> Option<(u64, T)> {
-    let mut len = [0; 4];
-    stream.read_exact(&mut len).await.ok()?;
-    let len = u32::from_be_bytes(len) as usize;
-    if len > MAX_FRAME {
-        return None;
-    }
-    let mut body = vec![0; len];
-    stream.read_exact(&mut body).await.ok()?;
-    let m: Numbered<T> = ciborium::from_reader(body.as_slice()).ok()?;
-    Some((m.n, m.body))
-}
-
 /// Serves the other controllers for ever.
 pub async fn serve<H, F>(listener: impl Listener, handler: H)
 where
@@ -133,121 +108,84 @@
     }
 }
 
-async fn write_frames(mut write: WriteHalf, mut rx: mpsc::Receiver<Vec<u8>>) {
-    while let Some(frame) = rx.recv().await {
-        if write.write_all(&frame).await.is_err() {
-            return;
-        }
-    }
-}
-
+/// A message to the actor of a peer. Connections and requests are told by their numbers.
 enum ToPeer {
+    /// Send a request, and its response to the asker.
     Request(PeerRequest, oneshot::Sender<PeerResponse>),
-    Response(u64, u64, PeerResponse),
-    Broken(u64),
+    /// A response has come on a connection.
+    Response { connection: u64, request: u64, response: PeerResponse },
+    /// A connection could not be opened, or has ended.
+    Broken { connection: u64 },
+    /// An asker has given its request up: nobody receives the response.
     Abandoned,
 }
 
+/// How long a peer is waited for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PeerLimits {
+    /// How long an attempt to connect may take.
+    pub connect: Duration,
+    /// When the peer counts as silent.
+    pub health: HealthLimits,
+}
+
+impl PeerLimits {
+    /// The limits for a life of a grant.
+    pub fn of_grant(grant_ttl_ms: u64) -> PeerLimits {
+        PeerLimits { connect: Duration::from_millis(grant_ttl_ms / 4), health: HealthLimits::of_grant(grant_ttl_ms) }
+    }
+}
+
 /// The way to one other controller.
 #[derive(Clone)]
 pub struct Peer {
     pub name: String,
+    /// Whether the controller is silent; told of whatever else is heard from it.
+    pub health: SharedPeerHealth,
+    connect_limit: Duration,
     tx: mpsc::Sender<ToPeer>,
 }
 
 impl Peer {
     /// Starts the actor that owns the connection. One that leaves requests
     /// unanswered is given up, as a cut may hold what is sent on it.
-    pub fn start(name: String, addr: SocketAddr, connect_limit: Duration) -> Peer {
-        Peer::start_on(Net::default(), name, addr, connect_limit)
+    pub fn start(name: String, addr: SocketAddr, limits: PeerLimits) -> Peer {
+        Peer::start_on(Net::default(), name, addr, limits)
     }
 
     /// The same over a given network.
-    pub fn start_on(net: Net, name: String, addr: SocketAddr, connect_limit: Duration) -> Peer {
-        let (tx, rx) = mpsc::channel(256);
-        task::spawn(run(net, addr, connect_limit, tx.clone(), rx));
-        Peer { name, tx }
+    pub fn start_on(net: Net, name: String, addr: SocketAddr, limits: PeerLimits) -> Peer {
+        let (tx, rx) = mpsc::channel(MAX_QUEUED);
+        let health = SharedPeerHealth::new(&name, limits.health);
+        let connector = Connector { net, addr, limit: limits.connect, events: tx.clone() };
+        task::spawn(Connections::new(connector, health.clone()).run(rx));
+        Peer { name, health, connect_limit: limits.connect, tx }
     }
 
+    /// The response to a request, if it comes within the limit. A user's request to a silent
+    /// peer fails at once, unless it is the one that probes it; all others are always sent.
     pub async fn request(&self, request: PeerRequest, limit: Duration) -> Option<PeerResponse> {
-        let (tx, rx) = oneshot::channel();
-        self.tx.try_send(ToPeer::Request(request, tx)).ok()?;
-        match timeout(limit, rx).await {
-            Ok(r) => r.ok(),
+        if matches!(request, PeerRequest::User { .. }) && !self.health.may_ask() {
+            return None;
+        }
+        let (sent, sent_ms) = (Instant::now(), clock::now_ms());
+        let (reply, response) = oneshot::channel();
+        self.tx.try_send(ToPeer::Request(request, reply)).ok()?;
+        // The receiver is dropped before the actor hears that the request is abandoned.
+        let outcome = timeout(limit, response).await;
+        match outcome {
+            Ok(Ok(response)) => return Some(response),
+            // Refused at once, or its connection has hung.
+            Ok(Err(_)) if sent.elapsed() < self.connect_limit => return None,
+            Ok(Err(_)) => {}
             Err(_) => {
                 let _ = self.tx.try_send(ToPeer::Abandoned);
-                None
             }
         }
+        self.health.unanswered(sent_ms);
+        None
     }
 }
 
-async fn run(
-    net: Net,
-    addr: SocketAddr,
-    connect_limit: Duration,
-    tx: mpsc::Sender<ToPeer>,
-    mut rx: mpsc::Receiver<ToPeer>,
-) {
-    let mut next = 0u64;
-    let mut life = 0u64;
-    let mut open: Option<mpsc::Sender<Vec<u8>>> = None;
-    let mut waiting: HashMap<u64, oneshot::Sender<PeerResponse>> = HashMap::new();
-    while let Some(m) = rx.recv().await {
-        match m {
-            ToPeer::Request(request, reply) => {
-                if open.is_none() {
-                    life += 1;
-                    open = connect(&net, addr, connect_limit, life, &tx).await;
-                }
-                next += 1;
-                if let (Some(frame), Some(out)) = (encode(next, request), open.as_ref())
-                    && out.try_send(frame).is_ok()
-                {
-                    waiting.insert(next, reply);
-                }
-            }
-            ToPeer::Response(l, n, r) if l == life => {
-                if let Some(w) = waiting.remove(&n) {
-                    let _ = w.send(r);
-                }
-            }
-            ToPeer::Broken(l) if l == life => {
-                open = None;
-                waiting.clear();
-            }
-            ToPeer::Abandoned => {
-                open = None;
-                life += 1;
-                waiting.clear();
-            }
-            ToPeer::Response(..) | ToPeer::Broken(_) => {}
-        }
-    }
-}
-
-async fn connect(
-    net: &Net,
-    addr: SocketAddr,
-    limit: Duration,
-    life: u64,
-    tx: &mpsc::Sender<ToPeer>,
-) -> Option<mpsc::Sender<Vec<u8>>> {
-    let stream = timeout(limit, net.connect(addr)).await.ok()?.ok()?;
-    let (mut read, write) = stream.halves();
-    let (out, frames) = mpsc::channel(256);
-    task::spawn(write_frames(write, frames));
-    let tx = tx.clone();
-    task::spawn(async move {
-        while let Some((n, r)) = read_frame::<PeerResponse>(&mut read).await {
-            if tx.send(ToPeer::Response(life, n, r)).await.is_err() {
-                return;
-            }
-        }
-        let _ = tx.send(ToPeer::Broken(life)).await;
-    });
-    Some(out)
-}
-
 #[cfg(test)]
-mod tests;
+pub mod tests;
--- /dev/null
+++ b/src/peer/connections.rs
@@ -0,0 +1,172 @@
+//! The actor that owns the connections to one peer and the requests that wait there.
+
+use super::frames::{encode, read_frame, write_frames};
+use super::{MAX_QUEUED, PeerRequest, PeerResponse, ToPeer};
+use crate::net::{Net, ReadHalf};
+use crate::peer_health::SharedPeerHealth;
+use crate::task;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::AbortHandle;
+use tokio::time::timeout;
+
+/// What opens connections to a peer.
+pub(super) struct Connector {
+    pub(super) net: Net,
+    pub(super) addr: SocketAddr,
+    /// How long an attempt to connect may take.
+    pub(super) limit: Duration,
+    /// Where connections tell what happens on them.
+    pub(super) events: mpsc::Sender<ToPeer>,
+}
+
+/// A connection, or the attempt to open one.
+struct Connection {
+    number: u64,
+    /// Frames wait here until the connection is open. None: it takes no more requests.
+    frames: Option<mpsc::Sender<Vec<u8>>>,
+    /// Responses that came on it.
+    responses: u64,
+    task: AbortHandle,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// A request without a response.
+struct Waiting {
+    connection: u64,
+    /// Responses that had come on the connection when the request was sent.
+    responses_before: u64,
+    reply: oneshot::Sender<PeerResponse>,
+}
+
+/// The connections to one peer: the one in use, and earlier ones on which requests wait.
+pub(super) struct Connections {
+    connector: Connector,
+    health: SharedPeerHealth,
+    connections: Vec<Connection>,
+    waiting: HashMap<u64, Waiting>,
+    last_connection: u64,
+    last_request: u64,
+}
+
+impl Connections {
+    pub(super) fn new(connector: Connector, health: SharedPeerHealth) -> Connections {
+        Connections {
+            connector,
+            health,
+            connections: Vec::new(),
+            waiting: HashMap::new(),
+            last_connection: 0,
+            last_request: 0,
+        }
+    }
+
+    /// Handles messages until nobody can send any more.
+    pub(super) async fn run(mut self, mut messages: mpsc::Receiver<ToPeer>) {
+        while let Some(message) = messages.recv().await {
+            match message {
+                ToPeer::Request(request, reply) => self.send(request, reply),
+                ToPeer::Response { connection, request, response } => self.received(connection, request, response),
+                ToPeer::Broken { connection } => self.broken(connection),
+                ToPeer::Abandoned => self.drop_abandoned(),
+            }
+            self.close_unused();
+        }
+    }
+
+    /// Sends a request on the connection in use; drops the reply if that can't be done.
+    fn send(&mut self, request: PeerRequest, reply: oneshot::Sender<PeerResponse>) {
+        self.last_request += 1;
+        let Some(frame) = encode(self.last_request, request) else { return };
+        let connection = self.connection_in_use();
+        let Some(frames) = &connection.frames else { return };
+        if frames.try_send(frame).is_err() {
+            return;
+        }
+        let waiting = Waiting { connection: connection.number, responses_before: connection.responses, reply };
+        self.waiting.insert(self.last_request, waiting);
+    }
+
+    fn connection_in_use(&mut self) -> &mut Connection {
+        let index = self.connections.iter().position(|c| c.frames.is_some()).unwrap_or_else(|| {
+            self.last_connection += 1;
+            self.connections.push(self.connector.open(self.last_connection));
+            self.connections.len() - 1
+        });
+        &mut self.connections[index]
+    }
+
+    fn received(&mut self, connection: u64, request: u64, response: PeerResponse) {
+        self.health.heard();
+        let Some(connection) = self.connections.iter_mut().find(|c| c.number == connection) else { return };
+        connection.responses += 1;
+        if let Some(waiting) = self.waiting.remove(&request) {
+            let _ = waiting.reply.send(response);
+        }
+    }
+
+    fn broken(&mut self, connection: u64) {
+        self.connections.retain(|c| c.number != connection);
+        self.waiting.retain(|_, w| w.connection != connection);
+    }
+
+    /// Drops the requests that were given up. A connection on which nothing has come
+    /// since one of them was sent takes no more: a cut may hold what is on it.
+    fn drop_abandoned(&mut self) {
+        let connections = &mut self.connections;
+        self.waiting.retain(|_, waiting| {
+            if !waiting.reply.is_closed() {
+                return true;
+            }
+            if let Some(c) = connections.iter_mut().find(|c| c.number == waiting.connection)
+                && c.responses == waiting.responses_before
+            {
+                c.frames = None;
+            }
+            false
+        });
+    }
+
+    /// Closes the connections that take no more requests and on which none waits.
+    fn close_unused(&mut self) {
+        let waiting = &self.waiting;
+        self.connections.retain(|c| c.frames.is_some() || waiting.values().any(|w| w.connection == c.number));
+    }
+}
+
+impl Connector {
+    /// Starts a connection; what is to be sent on it waits until it is open.
+    fn open(&self, number: u64) -> Connection {
+        let (frames_tx, frames) = mpsc::channel(MAX_QUEUED);
+        let (net, addr, limit, events) = (self.net.clone(), self.addr, self.limit, self.events.clone());
+        let task = task::spawn(async move {
+            match timeout(limit, net.connect(addr)).await {
+                Ok(Ok(stream)) => {
+                    let (read, write) = stream.halves();
+                    tokio::join!(write_frames(write, frames), read_responses(read, number, events));
+                }
+                _ => {
+                    let _ = events.send(ToPeer::Broken { connection: number }).await;
+                }
+            }
+        });
+        Connection { number, frames: Some(frames_tx), responses: 0, task: task.abort_handle() }
+    }
+}
+
+/// Tells the responses that come on a connection, and its end.
+async fn read_responses(mut read: ReadHalf, connection: u64, events: mpsc::Sender<ToPeer>) {
+    while let Some((request, response)) = read_frame(&mut read).await {
+        if events.send(ToPeer::Response { connection, request, response }).await.is_err() {
+            return;
+        }
+    }
+    let _ = events.send(ToPeer::Broken { connection }).await;
+}
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,7 +1,15 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use super::*;
+use crate::net::{BoxFuture, Network, ReadHalf, Stream, WriteHalf};
+use std::io;
+use std::pin::Pin;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf, duplex};
 use tokio::net::TcpListener;
+use tokio::sync::Mutex;
+use tokio::time::{Instant, sleep};
 
 #[tokio::test]
 async fn peers_ask_and_answer_and_survive_a_silent_one() {
@@ -14,7 +22,7 @@
             _ => PeerResponse::No,
         }
     }));
-    let p = Peer::start("b".into(), addr, Duration::from_millis(500));
+    let p = Peer::start("b".into(), addr, PeerLimits::of_grant(2000));
     let request = |term| PeerRequest::Promise { partition: 0, owner: "a".into(), term, for_ms: 5, state_ok: true };
     let limit = Duration::from_millis(500);
     assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Promised));
@@ -24,3 +32,215 @@
     );
     assert_eq!(p.request(request(4), limit).await, Some(PeerResponse::No));
 }
+
+/// A connection in memory.
+struct MemoryStream(DuplexStream);
+
+impl AsyncRead for MemoryStream {
+    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_read(cx, buf)
+    }
+}
+
+impl AsyncWrite for MemoryStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.0).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(cx)
+    }
+}
+
+impl Stream for MemoryStream {
+    fn is_closed(&self) -> bool {
+        false
+    }
+
+    fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf) {
+        let (read, write) = tokio::io::split(self.0);
+        (Box::new(read), Box::new(write))
+    }
+}
+
+/// A network with one peer on it, which accepts connections after a while or never.
+struct ScriptedNetwork {
+    connect_after: Option<Duration>,
+    accepted: mpsc::UnboundedSender<DuplexStream>,
+}
+
+/// The connections that the peer has accepted.
+pub struct Accepted(Mutex<mpsc::UnboundedReceiver<DuplexStream>>);
+
+impl Network for ScriptedNetwork {
+    fn connect(&self, _: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>> {
+        Box::pin(async {
+            match self.connect_after {
+                Some(time) => sleep(time).await,
+                None => std::future::pending().await,
+            }
+            let (near, far) = duplex(1 << 20);
+            let _ = self.accepted.send(far);
+            Ok(Box::new(MemoryStream(near)) as Box<dyn Stream>)
+        })
+    }
+
+    fn bind(&self, _: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
+        Box::pin(std::future::pending())
+    }
+}
+
+impl Listener for Accepted {
+    fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>> {
+        Box::pin(async {
+            match self.0.lock().await.recv().await {
+                Some(stream) => Ok(Box::new(MemoryStream(stream)) as Box<dyn Stream>),
+                None => std::future::pending().await,
+            }
+        })
+    }
+}
+
+impl Accepted {
+    /// How many connections wait to be served.
+    fn count(&self) -> usize {
+        self.0.try_lock().unwrap().len()
+    }
+}
+
+/// Life of a grant in these tests.
+pub const GRANT_TTL_MS: u64 = 2500;
+
+/// A peer "b", and the connections that it accepts and leaves unanswered.
+pub fn scripted_peer(connect_after: Option<Duration>) -> (Peer, Accepted) {
+    let (accepted, rx) = mpsc::unbounded_channel();
+    let net = Net::new(ScriptedNetwork { connect_after, accepted });
+    let addr = "127.0.0.1:1".parse().unwrap();
+    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::of_grant(GRANT_TTL_MS));
+    (peer, Accepted(Mutex::new(rx)))
+}
+
+fn release(term: u64) -> PeerRequest {
+    PeerRequest::Release { partition: 0, term }
+}
+
+fn poll() -> PeerRequest {
+    PeerRequest::User { partition: 0, call: UserCall::Status("run-000001".into()) }
+}
+
+fn start(peer: &Peer, request: PeerRequest, limit: Duration) -> tokio::task::JoinHandle<Option<PeerResponse>> {
+    let peer = peer.clone();
+    tokio::spawn(async move { peer.request(request, limit).await })
+}
+
+/// Answers releases after as many milliseconds as their term says.
+async fn answer_after_term(request: PeerRequest) -> PeerResponse {
+    if let PeerRequest::Release { term, .. } = request {
+        sleep(Duration::from_millis(term)).await;
+    }
+    PeerResponse::Promised
+}
+
+// Each request used to wait for the attempts to connect of those before it.
+#[tokio::test(start_paused = true)]
+async fn requests_to_a_peer_that_hangs_at_connect_fail_together() {
+    let (peer, _accepted) = scripted_peer(None);
+    let begin = Instant::now();
+    let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(10))).collect();
+    for request in requests {
+        assert_eq!(request.await.unwrap(), None);
+    }
+    let connect_limit = PeerLimits::of_grant(GRANT_TTL_MS).connect;
+    assert!(begin.elapsed() < connect_limit + Duration::from_millis(50), "{:?}", begin.elapsed());
+}
+
+#[tokio::test(start_paused = true)]
+async fn requests_wait_for_the_connection_and_are_sent_once_it_is_open() {
+    let (peer, accepted) = scripted_peer(Some(Duration::from_millis(300)));
+    tokio::spawn(serve(accepted, answer_after_term));
+    let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(1))).collect();
+    for request in requests {
+        assert_eq!(request.await.unwrap(), Some(PeerResponse::Promised));
+    }
+}
+
+// A promise was lost whenever a submission on the same connection was given up.
+#[tokio::test(start_paused = true)]
+async fn a_request_that_is_given_up_takes_no_other_with_it() {
+    let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
+    tokio::spawn(serve(accepted, answer_after_term));
+    let slow = start(&peer, release(200), Duration::from_millis(500));
+    assert_eq!(peer.request(release(5000), Duration::from_millis(100)).await, None);
+    assert_eq!(slow.await.unwrap(), Some(PeerResponse::Promised));
+}
+
+// A cut may hold what is sent on a connection, also after it has ended elsewhere.
+#[tokio::test(start_paused = true)]
+async fn a_connection_without_a_response_since_a_request_takes_no_more() {
+    let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
+    for connections in 1..4 {
+        assert_eq!(peer.request(release(0), Duration::from_millis(100)).await, None);
+        assert_eq!(accepted.count(), connections);
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_connection_on_which_responses_come_is_kept() {
+    let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
+    let (opened, (forward, forwarded)) = (Arc::new(AtomicUsize::new(0)), mpsc::unbounded_channel());
+    let count = opened.clone();
+    tokio::spawn(async move {
+        while let Some(stream) = accepted.0.lock().await.recv().await {
+            count.fetch_add(1, Ordering::Relaxed);
+            let _ = forward.send(stream);
+        }
+    });
+    tokio::spawn(serve(Accepted(Mutex::new(forwarded)), answer_after_term));
+    let given_up = start(&peer, release(5000), Duration::from_millis(100));
+    sleep(Duration::from_millis(10)).await;
+    for _ in 0..3 {
+        assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Promised));
+    }
+    assert_eq!(given_up.await.unwrap(), None);
+    assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Promised));
+    assert_eq!(opened.load(Ordering::Relaxed), 1);
+}
+
+#[tokio::test(start_paused = true)]
+async fn users_do_not_wait_for_a_peer_that_never_answers() {
+    let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
+    let limit = Duration::from_millis(500);
+    for _ in 0..2 {
+        assert!(!peer.health.is_silent());
+        assert_eq!(peer.request(poll(), limit).await, None);
+    }
+    assert!(peer.health.is_silent());
+    let begin = Instant::now();
+    for _ in 0..20 {
+        assert_eq!(peer.request(poll(), limit).await, None);
+    }
+    assert_eq!(begin.elapsed(), Duration::ZERO);
+    let connections = accepted.count();
+    assert_eq!(peer.request(release(0), limit).await, None);
+    assert_eq!(accepted.count(), connections + 1, "releases and promises are sent all the same");
+
+    // It goes on: the next probe is answered, and all requests after it.
+    tokio::spawn(serve(accepted, answer_after_term));
+    sleep(Duration::from_millis(PeerLimits::of_grant(GRANT_TTL_MS).health.probe_interval_ms)).await;
+    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Promised));
+    assert!(!peer.health.is_silent());
+    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Promised));
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_peer_that_hangs_at_connect_is_silent() {
+    let (peer, _accepted) = scripted_peer(None);
+    for _ in 0..2 {
+        assert_eq!(peer.request(poll(), Duration::from_secs(10)).await, None);
+    }
+    assert!(peer.health.is_silent());
+}
--- /dev/null
+++ b/src/peer_health.rs
@@ -0,0 +1,144 @@
+//! Judges from unanswered requests whether another controller is silent, so that users
+//! are not kept waiting for it.
+
+use crate::clock;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// Requests in a row that a peer leaves unanswered before it counts as silent.
+const MAX_UNANSWERED: u32 = 2;
+
+/// Bounds of the judgement, in milliseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct HealthLimits {
+    /// A peer that was heard within this time is not silent, only slow.
+    pub quiet_ms: u64,
+    /// Interval of the user requests that probe a silent peer.
+    pub probe_interval_ms: u64,
+}
+
+impl HealthLimits {
+    /// An owner asks for promises five times in a grant's life: two of them are missing.
+    /// Probes are half a life apart.
+    pub fn of_grant(grant_ttl_ms: u64) -> HealthLimits {
+        HealthLimits { quiet_ms: grant_ttl_ms * 2 / 5, probe_interval_ms: grant_ttl_ms / 2 }
+    }
+}
+
+/// What an event changed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HealthChange {
+    /// The peer counts as silent from now on.
+    FoundSilent,
+    /// The peer answers again.
+    Recovered,
+    /// It is judged as before.
+    Unchanged,
+}
+
+/// What is known of one peer.
+#[derive(Debug)]
+pub struct PeerHealth {
+    limits: HealthLimits,
+    /// Requests without an answer since the peer was last heard.
+    unanswered: u32,
+    heard_ms: Option<u64>,
+    /// While it is silent: when it was found to be, or was last probed.
+    probed_ms: Option<u64>,
+}
+
+impl PeerHealth {
+    /// A peer that is taken to be healthy.
+    pub fn new(limits: HealthLimits) -> PeerHealth {
+        PeerHealth { limits, unanswered: 0, heard_ms: None, probed_ms: None }
+    }
+
+    /// A response or a request has come from the peer.
+    pub fn heard(&mut self, now_ms: u64) -> HealthChange {
+        self.unanswered = 0;
+        self.heard_ms = Some(now_ms);
+        match self.probed_ms.take() {
+            Some(_) => HealthChange::Recovered,
+            None => HealthChange::Unchanged,
+        }
+    }
+
+    /// A request that was sent then is given up without an answer.
+    pub fn unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
+        if self.heard_ms.is_some_and(|heard| heard >= sent_ms) {
+            return HealthChange::Unchanged;
+        }
+        self.unanswered = self.unanswered.saturating_add(1);
+        let quiet = self.heard_ms.is_none_or(|heard| now_ms >= heard + self.limits.quiet_ms);
+        if self.is_silent() || self.unanswered < MAX_UNANSWERED || !quiet {
+            return HealthChange::Unchanged;
+        }
+        self.probed_ms = Some(now_ms);
+        HealthChange::FoundSilent
+    }
+
+    /// May a user's request be sent now? To a silent peer one is sent in each interval.
+    pub fn may_ask(&mut self, now_ms: u64) -> bool {
+        let Some(probed_ms) = self.probed_ms else { return true };
+        let due = now_ms >= probed_ms + self.limits.probe_interval_ms;
+        if due {
+            self.probed_ms = Some(now_ms);
+        }
+        due
+    }
+
+    /// True while the peer counts as silent.
+    pub fn is_silent(&self) -> bool {
+        self.probed_ms.is_some()
+    }
+}
+
+/// The health of a named peer, shared by all who ask it; cheap to clone. Logs the changes.
+#[derive(Debug, Clone)]
+pub struct SharedPeerHealth {
+    name: Arc<str>,
+    health: Arc<Mutex<PeerHealth>>,
+}
+
+impl SharedPeerHealth {
+    /// A peer that is taken to be healthy.
+    pub fn new(name: &str, limits: HealthLimits) -> SharedPeerHealth {
+        SharedPeerHealth { name: name.into(), health: Arc::new(Mutex::new(PeerHealth::new(limits))) }
+    }
+
+    /// See [`PeerHealth::heard`].
+    pub fn heard(&self) {
+        let change = self.lock().heard(clock::now_ms());
+        self.log(change);
+    }
+
+    /// See [`PeerHealth::unanswered`].
+    pub fn unanswered(&self, sent_ms: u64) {
+        let change = self.lock().unanswered(sent_ms, clock::now_ms());
+        self.log(change);
+    }
+
+    /// See [`PeerHealth::may_ask`].
+    pub fn may_ask(&self) -> bool {
+        self.lock().may_ask(clock::now_ms())
+    }
+
+    /// See [`PeerHealth::is_silent`].
+    pub fn is_silent(&self) -> bool {
+        self.lock().is_silent()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, PeerHealth> {
+        self.health.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn log(&self, change: HealthChange) {
+        match change {
+            HealthChange::FoundSilent => tracing::info!(peer = %self.name, "controller is silent"),
+            HealthChange::Recovered => tracing::info!(peer = %self.name, "controller answers again"),
+            HealthChange::Unchanged => {}
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/router.rs
+++ b/src/router.rs
@@ -56,12 +56,17 @@
         // A submission can be accepted without the owner: it need not wait
         // for one that may be gone.
         let submits = matches!(request, PeerRequest::User { call: UserCall::Submit(_), .. });
-        let limit = match submits {
+        let limit_ms = match submits {
             true if self.at_work(partition) => self.grant_ttl_ms / 5,
             true => self.grant_ttl_ms / 10,
             false => self.grant_ttl_ms * 2 / 5,
         };
-        peer.request(request, Duration::from_millis(limit)).await
+        peer.request(request, Duration::from_millis(limit_ms)).await
+    }
+
+    /// How many of the other controllers are silent.
+    pub fn silent_peers(&self) -> usize {
+        self.peers.iter().filter(|p| p.health.is_silent()).count()
     }
 
     /// Has the owner of the partition asked for a promise just now? It does so five
@@ -85,6 +90,9 @@
     pub async fn answer(&self, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Promise { partition, owner, term, for_ms, state_ok } => {
+                if let Some(peer) = self.peers.iter().find(|p| p.name == owner) {
+                    peer.health.heard();
+                }
                 let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
                 if let Some(h) = self.heard_ms.get(partition as usize) {
                     h.store(clock::now_ms(), Ordering::Relaxed);
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -1,4 +1,52 @@
 use super::*;
+use crate::peer::tests::{GRANT_TTL_MS, scripted_peer};
+use tokio::time::Instant;
+
+/// A router to one partition, held here or by the given peer, and what its owner's actor is sent.
+fn router(owner: Option<Peer>, grant_ttl_ms: u64) -> (Router, mpsc::Receiver<owner::Message>) {
+    let (owner_tx, owner_rx) = mpsc::channel(64);
+    let ownership = Ownership { owner: owner.as_ref().map(|p| p.name.clone()), mine: owner.is_none() };
+    let handle = PartitionHandle {
+        ownership: watch::channel(ownership).1,
+        entitled: Entitlement::default(),
+        promise_status: PromiseStatus::default(),
+        owner: owner_tx,
+        members: mpsc::channel(1).0,
+    };
+    let router = Router {
+        partitions: Arc::new(vec![handle]),
+        peers: Arc::new(owner.into_iter().collect()),
+        grant_ttl_ms,
+        heard_ms: Arc::new(vec![AtomicU64::new(0)]),
+    };
+    (router, owner_rx)
+}
+
+fn poll() -> UserCall {
+    UserCall::Status("run-000001".into())
+}
+
+async fn wait_ms(router: &Router, call: UserCall) -> u128 {
+    let begin = Instant::now();
+    router.user(0, call).await;
+    begin.elapsed().as_millis()
+}
+
+#[tokio::test(start_paused = true)]
+async fn polls_do_not_wait_for_an_owner_that_is_silent_until_it_asks_for_a_promise() {
+    let (peer, _accepted) = scripted_peer(Some(Duration::ZERO));
+    let (router, _owner) = router(Some(peer), GRANT_TTL_MS);
+    let (first, second) = (wait_ms(&router, poll()).await, wait_ms(&router, poll()).await);
+    assert!(first > 0 && second > 0);
+    assert_eq!(router.silent_peers(), 1);
+    for _ in 0..20 {
+        assert_eq!(wait_ms(&router, poll()).await, 0);
+    }
+    let promise = PeerRequest::Promise { partition: 0, owner: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    router.answer(promise).await;
+    assert_eq!(router.silent_peers(), 0);
+    assert!(wait_ms(&router, poll()).await > 0);
+}
 
 // Found on the grown deployments: 500 submissions of the first ten seconds went
 // a second way past an owner that was only slow, and used up its writes.
