--- a/src/api.rs
+++ b/src/api.rs
@@ -12,8 +12,14 @@
 use crate::sched::{self, Policy};
 use crate::wire::{self, Report};
 use std::collections::HashMap;
+use std::future::Future;
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+/// Longest wait for the answer to a submission or a cancellation: users wait 5 s.
+const MAX_USER_WAIT: Duration = Duration::from_millis(4500);
 
 /// What answering needs; cheap to clone.
 #[derive(Clone)]
@@ -66,9 +72,9 @@
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (req.method.as_str(), segments.as_slice()) {
             ("POST", ["agent", "beat"]) => self.heartbeat(&req.body).await,
-            ("POST", ["v1", "jobs"]) => self.submit(req.body).await,
+            ("POST", ["v1", "jobs"]) => in_time(self.submit(req.body)).await,
             ("GET", ["v1", "jobs", id]) => self.job(id, UserCall::Status(id.to_string())).await,
-            ("POST", ["v1", "jobs", id, "withdraw"]) => self.job(id, UserCall::Cancel(id.to_string())).await,
+            ("POST", ["v1", "jobs", id, "withdraw"]) => in_time(self.job(id, UserCall::Cancel(id.to_string()))).await,
             ("GET", ["ready"]) => self.ready(),
             ("GET", ["metrics"]) => self.metrics().await,
             (_, ["agent", "beat"] | ["v1", "jobs"] | ["v1", "jobs", _, "withdraw"]) => not_allowed("POST"),
@@ -313,6 +319,15 @@
     }
 }
 
+/// An answer that comes before its user has given up; whether the request was carried out
+/// is told to the retry.
+async fn in_time(answer: impl Future<Output = Response>) -> Response {
+    timeout(MAX_USER_WAIT, answer).await.unwrap_or_else(|_| Response::later(SLOW))
+}
+
 fn not_allowed(allow: &'static str) -> Response {
     Response { allow: Some(allow), ..Response::error(405, "method not allowed") }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/router.rs
+++ b/src/router.rs
@@ -16,6 +16,13 @@
 
 pub const SLOW: &str = "no decision in time";
 
+/// Longest wait for an owner that is polled or told to cancel. A user waits 2 s for a poll:
+/// a fresh read of the record still fits in.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(1200);
+
+/// Longest wait for the commit of a submission or a cancellation, for which a user waits 5 s.
+const MAX_COMMIT_WAIT: Duration = Duration::from_millis(4000);
+
 /// The way to one partition on this node.
 #[derive(Clone)]
 pub struct PartitionHandle {
@@ -61,7 +68,7 @@
             true => self.grant_ttl_ms / 10,
             false => self.grant_ttl_ms * 2 / 5,
         };
-        peer.request(request, Duration::from_millis(limit_ms)).await
+        peer.request(request, Duration::from_millis(limit_ms).min(MAX_POLL_WAIT)).await
     }
 
     /// How many of the other controllers are silent.
@@ -141,11 +148,12 @@
         let Some(handle) = self.partitions.get(partition as usize) else { return Response::later("no such partition") };
         let (tx, rx) = oneshot::channel();
         let submits = matches!(call, UserCall::Submit(_));
+        let longest = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
         if handle.owner.try_send(owner::Message::User { call, reply: tx }).is_err() {
             return Response::later("too many requests");
         }
         // A commit that takes longer is answered by the retry.
-        match timeout(Duration::from_millis(self.grant_ttl_ms), rx).await {
+        match timeout(Duration::from_millis(self.grant_ttl_ms).min(longest), rx).await {
             Ok(Ok(a)) => to_response(a),
             _ if submits => Response::busy(SLOW, 1),
             _ => Response::later(SLOW),
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -32,6 +32,21 @@
     begin.elapsed().as_millis()
 }
 
+// A user waits 2 s for a poll and 5 s for the rest; long leases have long grants.
+#[tokio::test(start_paused = true)]
+async fn users_are_answered_in_time_also_with_long_grants() {
+    const LONG_GRANT_MS: u64 = 60_000;
+    const MAX_POLL_MS: u128 = 1300;
+    let (elsewhere, _accepted) = scripted_peer(Some(Duration::ZERO));
+    let (router_to_peer, _owner) = router(Some(elsewhere), LONG_GRANT_MS);
+    assert!(wait_ms(&router_to_peer, poll()).await <= MAX_POLL_MS);
+    assert!(wait_ms(&router_to_peer, UserCall::Cancel("run-000001".into())).await <= MAX_POLL_MS);
+    let (router_here, _owner) = router(None, LONG_GRANT_MS);
+    assert!(wait_ms(&router_here, poll()).await <= MAX_POLL_MS);
+    assert!(wait_ms(&router_here, UserCall::Cancel("run-000001".into())).await <= 4500);
+    assert!(wait_ms(&router_here, UserCall::Submit(Vec::new())).await <= 4500);
+}
+
 #[tokio::test(start_paused = true)]
 async fn polls_do_not_wait_for_an_owner_that_is_silent_until_it_asks_for_a_promise() {
     let (peer, _accepted) = scripted_peer(Some(Duration::ZERO));
