--- a/src/api.rs
+++ b/src/api.rs
@@ -5,6 +5,7 @@
 use crate::ended_jobs::EndedJobs;
 use crate::http::{Request, Response};
 use crate::job_reads::{JobReads, READ_LIMIT, RecordedJob};
+use crate::metrics::{SharedMetrics, gauge_line};
 use crate::model::{Flavor, JobPhase, JobRecord, Spec};
 use crate::owner::{self, HeartbeatReply};
 use crate::partition::{CommitResult, inbox_key, job_key};
@@ -16,9 +17,14 @@
 use crate::user_metrics::UserMetrics;
 use crate::wire::{self, Report};
 use std::collections::HashMap;
+use std::future::Future;
 use std::sync::{Arc, Mutex};
+use std::time::Duration;
 use tokio::sync::oneshot;
-use tokio::time::Instant;
+use tokio::time::{Instant, timeout};
+
+/// Longest wait for the answer to a submission or a cancellation: users wait 5 s.
+const MAX_USER_WAIT: Duration = Duration::from_millis(4500);
 
 /// What answering needs; cheap to clone.
 #[derive(Clone)]
@@ -35,6 +41,8 @@
     pub metrics: UserMetrics,
     /// The ways to the owners of the partitions.
     pub router: Router,
+    /// Figures of this node, apart from those of its partitions.
+    pub node_metrics: SharedMetrics,
     /// Part of each team.
     pub teams: Arc<HashMap<String, u32>>,
     /// Settings that decisions depend on.
@@ -87,9 +95,9 @@
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (req.method.as_str(), segments.as_slice()) {
             ("POST", ["agent", "beat"]) => self.heartbeat(&req.body).await,
-            ("POST", ["v1", "jobs"]) => self.submit(req.body).await,
+            ("POST", ["v1", "jobs"]) => in_time(self.submit(req.body)).await,
             ("GET", ["v1", "jobs", id]) => self.job(id, UserCall::Status(id.to_string())).await,
-            ("POST", ["v1", "jobs", id, "withdraw"]) => self.job(id, UserCall::Cancel(id.to_string())).await,
+            ("POST", ["v1", "jobs", id, "withdraw"]) => in_time(self.job(id, UserCall::Cancel(id.to_string()))).await,
             ("GET", ["ready"]) => self.ready(),
             ("GET", ["metrics"]) => self.metrics_text().await,
             (_, ["agent", "beat"] | ["v1", "jobs"] | ["v1", "jobs", _, "withdraw"]) => not_allowed("POST"),
@@ -117,6 +125,8 @@
 
     async fn metrics_text(&self) -> Response {
         let mut text = self.metrics.text(self.job_reads.shared_count());
+        text.push_str(&self.node_metrics.text());
+        text.push_str(&gauge_line("silent_peers", self.router.silent_peers()));
         for handle in self.router.partitions.iter() {
             let (tx, rx) = oneshot::channel();
             if handle.owner.try_send(owner::Message::Metrics(tx)).is_ok() {
@@ -339,6 +349,12 @@
     }
 }
 
+/// An answer that comes before its user has given up; whether the request was carried out
+/// is told to the retry.
+async fn in_time(answer: impl Future<Output = Response>) -> Response {
+    timeout(MAX_USER_WAIT, answer).await.unwrap_or_else(|_| RefusalReason::NoDecisionInTime.response())
+}
+
 fn not_allowed(allow: &'static str) -> Response {
     Response { allow: Some(allow), ..Response::error(405, "method not allowed") }
 }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -70,6 +70,7 @@
         state,
         ended_jobs: EndedJobs::default(),
         metrics: UserMetrics::default(),
+        node_metrics: Default::default(),
         router: Router {
             partitions: Default::default(),
             peers: Default::default(),
@@ -177,6 +178,17 @@
     let expected = "\
         badgerdrift_refusals_total{reason=\"too_many_reads\",status=\"429\"} 1\n\
         badgerdrift_polls_from_remembered_ends_total 1\n\
-        badgerdrift_shared_reads_total 1\n";
+        badgerdrift_shared_reads_total 1\n\
+        badgerdrift_silent_peers 0\n";
     assert_eq!(String::from_utf8(text).unwrap(), expected);
 }
+
+// The state service's time-outs add up to more where several calls follow each other.
+#[tokio::test(start_paused = true)]
+async fn an_answer_comes_before_its_user_has_given_up() {
+    let start = Instant::now();
+    assert_eq!(in_time(std::future::pending()).await.status, 503);
+    assert_eq!(start.elapsed(), MAX_USER_WAIT);
+    assert!(MAX_USER_WAIT < Duration::from_secs(5));
+    assert_eq!(in_time(async { RefusalReason::NoDecisionInTime.response() }).await.status, 503);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod owner;
 pub mod partition;
 pub mod peer;
+pub mod peer_health;
 pub mod refusal;
 pub mod request_budget;
 pub mod router;
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,9 +5,10 @@
 use crate::config::{Operator, Seed, Settings};
 use crate::job_reads::JobReads;
 use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus, Succession};
+use crate::metrics::SharedMetrics;
 use crate::net::Net;
 use crate::owner::PartitionOwner;
-use crate::peer::{self, Peer};
+use crate::peer::{self, Peer, PeerLimits};
 use crate::request_budget::RequestBudget;
 use crate::router::{PartitionHandle, Router};
 use crate::sched::Policy;
@@ -32,11 +33,12 @@
     let grant_ttl_ms = settings.grant_ttl_ms();
     let state = State::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
-    let connect_limit = Duration::from_millis(grant_ttl_ms / 4);
-    let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, connect_limit);
+    let limits = PeerLimits::of_grant(grant_ttl_ms);
+    let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
     let held = Arc::new(AtomicUsize::new(0));
+    let metrics = SharedMetrics::default();
     let succession = Succession::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
     let mut nodes: Vec<&str> = settings.seeds.iter().map(|s| s.node.as_str()).collect();
     nodes.push(&settings.node);
@@ -66,6 +68,7 @@
             ownership: ownership_tx,
             ownership_changes: ownership_changes_tx,
             held: held.clone(),
+            metrics: metrics.clone(),
             initial_delay_ms: if operator.partitions > 1 && !ours { grant_ttl_ms / 5 } else { 0 },
         };
         members.push((membership, members_tx.clone(), members_rx));
@@ -112,6 +115,7 @@
         request_budget,
         ended_jobs: Default::default(),
         metrics: Default::default(),
+        node_metrics: metrics,
         router,
         teams,
         policy,
--- a/src/router.rs
+++ b/src/router.rs
@@ -15,6 +15,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
+/// Longest wait for an owner that is polled or told to cancel. A user waits 2 s for a poll:
+/// a fresh read of the record still fits in.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(1200);
+
+/// Longest wait for the commit of a submission or a cancellation, for which a user waits 5 s.
+const MAX_COMMIT_WAIT: Duration = Duration::from_millis(4000);
+
 /// The way to one partition on this node.
 #[derive(Clone)]
 pub struct PartitionHandle {
@@ -64,12 +71,17 @@
         // A submission can be accepted without the owner: it need not wait
         // for one that may be gone.
         let submits = matches!(request, PeerRequest::User { call: UserCall::Submit(_), .. });
-        let limit = match submits {
+        let limit_ms = match submits {
             true if self.at_work(partition) => self.grant_ttl_ms / 5,
             true => self.grant_ttl_ms / 10,
             false => self.grant_ttl_ms * 2 / 5,
         };
-        peer.request(request, Duration::from_millis(limit)).await
+        peer.request(request, Duration::from_millis(limit_ms).min(MAX_POLL_WAIT)).await
+    }
+
+    /// How many of the other controllers are silent.
+    pub fn silent_peers(&self) -> usize {
+        self.peers.iter().filter(|p| p.health.is_silent()).count()
     }
 
     /// Has the owner of the partition asked for a promise just now? It does so five
@@ -93,6 +105,9 @@
     pub async fn answer(&self, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Promise { partition, owner, term, for_ms, state_ok } => {
+                if let Some(peer) = self.peers.iter().find(|p| p.name == owner) {
+                    peer.health.heard();
+                }
                 let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
                 if let Some(h) = self.heard_ms.get(partition as usize) {
                     h.store(clock::now_ms(), Ordering::Relaxed);
@@ -148,11 +163,12 @@
         };
         let (tx, rx) = oneshot::channel();
         let submits = matches!(call, UserCall::Submit(_));
+        let longest = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
         if handle.owner.try_send(owner::Message::User { call, reply: tx }).is_err() {
             return RefusalReason::TooManyRequests.response();
         }
         // A commit that takes longer is answered by the retry.
-        match timeout(Duration::from_millis(self.grant_ttl_ms), rx).await {
+        match timeout(Duration::from_millis(self.grant_ttl_ms).min(longest), rx).await {
             Ok(Ok(a)) => to_response(a),
             _ if submits => RefusalReason::SubmissionSlow.response(),
             _ => RefusalReason::NoDecisionInTime.response(),
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -1,4 +1,67 @@
 use super::*;
+use crate::peer::tests::{GRANT_TTL_MS, scripted_peer};
+use tokio::time::Instant;
+
+/// A router to one partition, held here or by the given peer, and what its owner's actor is sent.
+fn router(owner: Option<Peer>, grant_ttl_ms: u64) -> (Router, mpsc::Receiver<owner::Message>) {
+    let (owner_tx, owner_rx) = mpsc::channel(64);
+    let ownership = Ownership { owner: owner.as_ref().map(|p| p.name.clone()), mine: owner.is_none() };
+    let handle = PartitionHandle {
+        ownership: watch::channel(ownership).1,
+        entitled: Entitlement::default(),
+        promise_status: PromiseStatus::default(),
+        owner: owner_tx,
+        members: mpsc::channel(1).0,
+    };
+    let router = Router {
+        partitions: Arc::new(vec![handle]),
+        peers: Arc::new(owner.into_iter().collect()),
+        grant_ttl_ms,
+        heard_ms: Arc::new(vec![AtomicU64::new(0)]),
+    };
+    (router, owner_rx)
+}
+
+fn poll() -> UserCall {
+    UserCall::Status("run-000001".into())
+}
+
+async fn wait_ms(router: &Router, call: UserCall) -> u128 {
+    let begin = Instant::now();
+    router.user(0, call).await;
+    begin.elapsed().as_millis()
+}
+
+// A user waits 2 s for a poll and 5 s for the rest; long leases have long grants.
+#[tokio::test(start_paused = true)]
+async fn users_are_answered_in_time_also_with_long_grants() {
+    const LONG_GRANT_MS: u64 = 60_000;
+    const MAX_POLL_MS: u128 = 1300;
+    let (elsewhere, _accepted) = scripted_peer(Some(Duration::ZERO));
+    let (router_to_peer, _owner) = router(Some(elsewhere), LONG_GRANT_MS);
+    assert!(wait_ms(&router_to_peer, poll()).await <= MAX_POLL_MS);
+    assert!(wait_ms(&router_to_peer, UserCall::Cancel("run-000001".into())).await <= MAX_POLL_MS);
+    let (router_here, _owner) = router(None, LONG_GRANT_MS);
+    assert!(wait_ms(&router_here, poll()).await <= MAX_POLL_MS);
+    assert!(wait_ms(&router_here, UserCall::Cancel("run-000001".into())).await <= 4500);
+    assert!(wait_ms(&router_here, UserCall::Submit(Vec::new())).await <= 4500);
+}
+
+#[tokio::test(start_paused = true)]
+async fn polls_do_not_wait_for_an_owner_that_is_silent_until_it_asks_for_a_promise() {
+    let (peer, _accepted) = scripted_peer(Some(Duration::ZERO));
+    let (router, _owner) = router(Some(peer), GRANT_TTL_MS);
+    let (first, second) = (wait_ms(&router, poll()).await, wait_ms(&router, poll()).await);
+    assert!(first > 0 && second > 0);
+    assert_eq!(router.silent_peers(), 1);
+    for _ in 0..20 {
+        assert_eq!(wait_ms(&router, poll()).await, 0);
+    }
+    let promise = PeerRequest::Promise { partition: 0, owner: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    router.answer(promise).await;
+    assert_eq!(router.silent_peers(), 0);
+    assert!(wait_ms(&router, poll()).await > 0);
+}
 
 // Found on the grown deployments: 500 submissions of the first ten seconds went
 // a second way past an owner that was only slow, and used up its writes.
