--- a/src/config.rs
+++ b/src/config.rs
@@ -147,6 +147,9 @@
 pub struct Limits {
     /// Most sockets that it may have open.
     pub max_sockets: usize,
+    /// Share of a processor core that it may use; none if that is not limited.
+    #[serde(default)]
+    pub core_share: Option<f64>,
 }
 
 /// The operators' own settings.
@@ -278,6 +281,9 @@
     if p.limits.max_sockets < 16 {
         return Err("params.limits.max_sockets: must be at least 16".into());
     }
+    if let Some(share) = p.limits.core_share {
+        positive("params.limits.core_share", share)?;
+    }
     Ok(())
 }
 
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -79,6 +79,8 @@
     pub tasks: Vec<Task>,
     /// Tasks that are done, whether recorded or not.
     pub done: u32,
+    /// Done tasks that its record tells, as ranges in order, first and one past the last.
+    pub recorded_done: Vec<(u32, u32)>,
     /// The attempt of a gang that is starting or running.
     pub gang_attempt: u64,
     /// Steady time until which room is held for the gang; 0 if none is.
@@ -112,6 +114,7 @@
             end_open: false,
             tasks,
             done: 0,
+            recorded_done: Vec::new(),
             gang_attempt: 0,
             hold_until_ms: 0,
             no_hold_until_ms: 0,
@@ -123,6 +126,13 @@
         }
     }
 
+    /// Does its record tell that the task is done? Then its attempts may be forgotten, also
+    /// while further tasks end all the time and more is to be recorded.
+    pub fn recorded_as_done(&self, task: u32) -> bool {
+        let next = self.recorded_done.partition_point(|range| range.0 <= task);
+        next > 0 && task < self.recorded_done[next - 1].1
+    }
+
     /// May its tasks be started?
     pub fn active(&self) -> bool {
         self.version > 0 && self.end.is_none() && !self.cancelling && !matches!(self.unsaved, UnsavedChange::End(_))
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -39,12 +39,13 @@
         let mut job = Job::new(self.spec, self.accepted_ms, now);
         job.version = version;
         job.end = self.end;
-        for (a, b) in self.done {
-            for t in a..b.min(job.spec.tasks) {
+        for (a, b) in &self.done {
+            for t in *a..(*b).min(job.spec.tasks) {
                 job.tasks[t as usize].place = Place::Done;
                 job.done += 1;
             }
         }
+        job.recorded_done = self.done;
         if job.end.is_some() {
             job.retire();
         }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -22,7 +22,8 @@
 
 pub use keys::{TOO_LONG, fits, host_key, inbox_key, job_key};
 pub use types::{
-    Commit, CommitResult, Direct, DirectResult, HostRouting, PendingWrite, ReportSource, Superseded, UserAnswer, Waiter,
+    Commit, CommitResult, Direct, DirectResult, HostRouting, JobWrite, PendingWrite, ReportSource, Superseded,
+    UserAnswer, Waiter,
 };
 pub use upkeep::UNREACHABLE_AFTER_MISSES;
 
--- a/src/partition/records.rs
+++ b/src/partition/records.rs
@@ -1,10 +1,11 @@
 //! What must be recorded: the next commit, what its answer means, records read again.
 
 use super::keys::{JOB_PREFIX, host_key, job_key};
-use super::{Commit, CommitResult, Partition, PendingWrite, Superseded};
+use super::{Commit, CommitResult, JobWrite, Partition, PendingWrite, Superseded};
 use crate::model::{HostIndex, HostRecord, JobEnd, JobIndex, JobRecord, UnsavedChange, Urgency};
 use crate::wire::{self, Item};
 use serde_json::Value;
+use std::cmp::Reverse;
 
 /// Ranges that certainly fit into half of a value: two numbers of six digits
 /// and what is around them.
@@ -24,10 +25,11 @@
     Progress,
 }
 
-/// A job's record that is due to be written.
+/// A job's record that is due to be written: those of more urgent jobs go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueRecord {
     priority: WritePriority,
+    urgency: Reverse<Urgency>,
     job: JobIndex,
 }
 
@@ -92,10 +94,13 @@
                 _ => None,
             }
         };
-        let due = self
-            .dirty
-            .iter()
-            .filter_map(|job_index| Some(DueRecord { priority: priority(*job_index)?, job: *job_index }));
+        let due = self.dirty.iter().filter_map(|job_index| {
+            Some(DueRecord {
+                priority: priority(*job_index)?,
+                urgency: Reverse(self.cluster.jobs[*job_index].spec.urgency),
+                job: *job_index,
+            })
+        });
         let mut due: Vec<DueRecord> = due.collect();
         due.sort_unstable();
         due
@@ -114,13 +119,15 @@
                 _ => None,
             };
             let key = job_key(&job.spec.id);
-            let Ok(value) = serde_json::to_value(JobRecord::of(job, end, max_ranges)) else { continue };
+            let record = JobRecord::of(job, end, max_ranges);
+            let Ok(value) = serde_json::to_value(&record) else { continue };
             builder.bytes += value.to_string().len() + 2 * key.len() + CHANGE_BYTES;
             if builder.bytes > COMMIT_BYTES && !builder.commit.apply.is_empty() {
                 break;
             }
             builder.commit.guards.push(wire::guard(&key, job.version));
-            builder.apply(wire::put(&key, &value, None), PendingWrite::Job(job_index, job.unsaved, job.end_open));
+            let write = JobWrite { job: job_index, change: job.unsaved, end_was_open: job.end_open, done: record.done };
+            builder.apply(wire::put(&key, &value, None), PendingWrite::Job(write));
             job.saving = true;
             // From its sending on another node may read the end.
             job.end_open |= end.is_some();
@@ -189,7 +196,10 @@
     /// A change was carried out.
     fn written(&mut self, saved: PendingWrite, revision: u64) {
         match saved {
-            PendingWrite::Job(job_index, what, _) => self.job_saved(job_index, what, revision),
+            PendingWrite::Job(write) => {
+                self.cluster.jobs[write.job].recorded_done = write.done;
+                self.job_saved(write.job, write.change, revision);
+            }
             PendingWrite::Host(host_index) => {
                 if let Some(h) = self.cluster.host_mut(host_index) {
                     h.registered = true;
@@ -209,9 +219,7 @@
     /// A change was not carried out, or maybe not if that is `unclear`.
     fn not_written(&mut self, saved: PendingWrite, unclear: bool) {
         match saved {
-            PendingWrite::Job(job_index, what, end_was_open) => {
-                self.job_not_written(job_index, what, end_was_open, unclear)
-            }
+            PendingWrite::Job(write) => self.job_not_written(write.job, write.change, write.end_was_open, unclear),
             PendingWrite::Host(host_index) | PendingWrite::Given(host_index, _) => {
                 self.host_not_written(host_index, unclear)
             }
--- a/src/partition/reports.rs
+++ b/src/partition/reports.rs
@@ -371,6 +371,7 @@
                 (TaskPhase::Ended(reason), _) => {
                     let safe = reason != ExitReason::Done
                         || job.end.is_some()
+                        || job.recorded_as_done(c.key.task)
                         || (job.unsaved == UnsavedChange::Nothing && !job.saving);
                     if safe && c.risk.is_none() && !c.in_flight {
                         orders.push(Order::reap(id, c));
--- a/src/partition/tests.rs
+++ b/src/partition/tests.rs
@@ -747,3 +747,45 @@
     }
     assert!(told[0] > told[1] && told[1] > 0, "{told:?}");
 }
+
+// Something was to be recorded all the time while an array of 100,000 short tasks ran, and no
+// ended attempt was reaped: the reports grew until controllers went beyond their memory.
+#[test]
+fn recorded_tasks_are_reaped_while_others_end_all_the_time() {
+    let mut p = partition();
+    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    let _rx = submit(&mut p, &body("run-000001", "batch", 3), 1000);
+    commit(&mut p, 1000, 100);
+    p.pass(1000, 1000);
+    let attempts: Vec<u64> = (0..3).map(|n| attempt(&p, n)).collect();
+    let listed = |ended: usize| -> Vec<wire::ReportedTask> {
+        let phase = |n: usize| if n < ended { "ended" } else { "running" };
+        let task = |n: usize| reported(&format!("run-000001/{n}"), attempts[n], phase(n), Some("done"));
+        (0..3).map(task).collect()
+    };
+    let reaped = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Reap { .. })).count();
+    let orders = p.report(&report("h1", 1, 2, 1, listed(1)), ReportSource::Heartbeat, 2000);
+    assert_eq!(reaped(&orders), 0, "not recorded yet");
+    let progress_due = 2000 + 10 * p.policy.report_ms;
+    commit(&mut p, progress_due, 101);
+    let orders = p.report(&report("h1", 1, 3, 1, listed(2)), ReportSource::Heartbeat, progress_due + 1);
+    assert_eq!(reaped(&orders), 1, "the first is recorded, the second is not");
+}
+
+// A swarm of best-effort jobs kept replicas out, whose users were told to come back later.
+#[test]
+fn urgent_jobs_are_recorded_before_a_swarm_of_lesser_ones() {
+    let mut p = partition();
+    let with_urgency = |n: usize, urgency: &str| -> Vec<u8> {
+        let mut job: serde_json::Value = serde_json::from_slice(&body(&format!("run-{n:06}"), "batch", 1)).unwrap();
+        job["urgency"] = json!(urgency);
+        job.to_string().into_bytes()
+    };
+    let busy = |answer: &mut oneshot::Receiver<UserAnswer>| matches!(answer.try_recv(), Ok(UserAnswer::Busy(_)));
+    let mut swarm: Vec<_> = (0..500).map(|n| submit(&mut p, &with_urgency(n, "best_effort"), 1000)).collect();
+    assert!(busy(swarm.last_mut().unwrap()), "more than can be recorded soon");
+    let mut urgent = submit(&mut p, &with_urgency(900, "production"), 1000);
+    assert!(!busy(&mut urgent));
+    let first = &p.next_commit(1000, 1).unwrap().apply[0];
+    assert!(first.to_string().contains("run-000900"), "{first}");
+}
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -44,11 +44,24 @@
     Unclear,
 }
 
+/// A job's record in a commit under way.
+#[derive(Debug, Clone, PartialEq)]
+pub struct JobWrite {
+    /// The job.
+    pub job: JobIndex,
+    /// The change that it tells.
+    pub change: UnsavedChange,
+    /// Whether an earlier write of the job's end was open already.
+    pub end_was_open: bool,
+    /// The done tasks that it tells, as ranges, first and one past the last.
+    pub done: Vec<(u32, u32)>,
+}
+
 /// What a commit under way will have told.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingWrite {
-    /// Whether an earlier write of the job's end was open already.
-    Job(JobIndex, UnsavedChange, bool),
+    /// The record of a job.
+    Job(JobWrite),
     /// The record of a machine.
     Host(HostIndex),
     /// The record of a machine that moves to the partition of this number.
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -3,7 +3,7 @@
 use super::keys::{TOO_LONG, fits};
 use super::upkeep::UNREACHABLE_AFTER_MISSES;
 use super::{Partition, UserAnswer, Waiter};
-use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UnsavedChange};
+use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UnsavedChange, Urgency};
 use crate::refusal::RefusalReason;
 use crate::{sched, wire};
 
@@ -34,8 +34,8 @@
             Ok(spec) => match sched::impossible(&spec, &self.policy, &self.cluster.flavors) {
                 Some(message) => UserAnswer::Impossible(message),
                 None if !fits(&spec, self.value_bytes) => UserAnswer::Malformed(TOO_LONG.into()),
-                None if self.backlog_s() * BACKLOG_MS_PER_S > self.policy.lease_ms as f64 => {
-                    UserAnswer::Busy(self.backlog_s().ceil() as u64)
+                None if self.backlog_s(spec.urgency) * BACKLOG_MS_PER_S > self.policy.lease_ms as f64 => {
+                    UserAnswer::Busy(self.backlog_s(spec.urgency).ceil() as u64)
                 }
                 None => {
                     let job_index = self.add_submitted(spec, now, wall);
@@ -57,14 +57,12 @@
         job_index
     }
 
-    /// Seconds that it takes to record what was submitted before.
-    fn backlog_s(&self) -> f64 {
-        let new = self
-            .dirty
-            .iter()
-            .filter(|job_index| self.cluster.jobs[**job_index].unsaved == UnsavedChange::Creation)
-            .count();
-        new as f64 / self.policy.writes_per_s
+    /// Seconds that it takes to record the jobs that were submitted before and are as urgent
+    /// or more: a swarm of lesser jobs doesn't keep urgent ones out.
+    fn backlog_s(&self, urgency: Urgency) -> f64 {
+        let jobs = self.dirty.iter().map(|job_index| &self.cluster.jobs[*job_index]);
+        let goes_first = |job: &&Job| job.unsaved == UnsavedChange::Creation && job.spec.urgency >= urgency;
+        jobs.filter(goes_first).count() as f64 / self.policy.writes_per_s
     }
 
     /// The one place that decides whether a user may be told of a job from memory, and
--- a/src/sched/pass/limits.rs
+++ b/src/sched/pass/limits.rs
@@ -1,7 +1,7 @@
 //! The limits and guarantees of teams.
 
 use super::Pass;
-use crate::model::Spec;
+use crate::model::{Shape, Spec, Urgency};
 
 /// Sums of decimal amounts may be off by rounding.
 const ROUNDING: f64 = 1e-6;
@@ -19,6 +19,13 @@
         total.fits(&team.limit)
     }
 
+    /// Do the attempts on all machines leave no more to this work? An array of thousands of
+    /// short tasks would use up the owner's processor time and memory with its reports.
+    pub(super) fn too_many_attempts(&self, spec: &Spec) -> bool {
+        let attempts = self.attempts_before + self.out.starts.len();
+        spec.urgency == Urgency::Low && spec.shape == Shape::Batch && attempts >= self.policy.max_attempts
+    }
+
     /// Would the job's team be within its guarantee with one more task?
     pub(super) fn within_guarantee(&self, spec: &Spec) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
--- a/src/sched/pass/mod.rs
+++ b/src/sched/pass/mod.rs
@@ -66,6 +66,8 @@
     cluster: &'a mut ClusterState,
     policy: &'a Policy,
     now: u64,
+    /// Attempts on all machines when the pass began, ended ones included.
+    attempts_before: usize,
     wall: u64,
     index: Index,
     /// Classes whose one machine type has no more room than is expected to be needed.
@@ -110,7 +112,9 @@
     }
     let index = Index::new(cluster, now);
     let unseen = cluster.unseen();
+    let attempts_before = cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
     let mut p = Pass {
+        attempts_before,
         scarce_classes: scarce_classes(cluster, &index),
         index,
         cluster,
--- a/src/sched/pass/tasks.rs
+++ b/src/sched/pass/tasks.rs
@@ -49,6 +49,9 @@
             if !self.within_limit(&self.cluster.jobs[job_index].spec, 1.0) {
                 return true; // waits for its own team, not for room
             }
+            if self.too_many_attempts(&self.cluster.jobs[job_index].spec) {
+                return true; // waits for others to end, not for room
+            }
             let mut found = candidates.take().unwrap_or_else(|| self.candidates(request));
             let Some(host) = self.best(request, &found, &counts) else { return false };
             // Room that was made for this job is as good as it gets.
--- a/src/sched/policy.rs
+++ b/src/sched/policy.rs
@@ -34,6 +34,9 @@
     pub react_ms: u64,
     /// Records that can be written in a second.
     pub writes_per_s: f64,
+    /// Attempts on machines beyond which no work of the lowest urgency is started: what the
+    /// reports list costs the owner processor time and memory.
+    pub max_attempts: usize,
     /// Wall time of the system's start, from the state service.
     pub start_ms: u64,
 }
@@ -57,6 +60,15 @@
     }
 }
 
+/// Attempts that an owner with a whole core can follow beside its other work. Each is listed
+/// in one or two reports a second, which takes some microseconds.
+const ATTEMPTS_PER_CORE: f64 = 60_000.0;
+
+/// Attempts that an owner with this share of a core can follow; no bound if none is known.
+fn max_attempts(core_share: Option<f64>) -> usize {
+    core_share.map_or(usize::MAX, |share| (share * ATTEMPTS_PER_CORE) as usize)
+}
+
 /// 0 in the settings means no limit.
 fn limit(v: f64) -> f64 {
     if v > 0.0 { v } else { f64::INFINITY }
@@ -88,6 +100,7 @@
             report_ms: s.report_ms(),
             react_ms: s.react_ms(),
             writes_per_s: s.writes_per_s(),
+            max_attempts: max_attempts(s.params.limits.core_share),
             start_ms,
         }
     }
--- a/src/sched/tests.rs
+++ b/src/sched/tests.rs
@@ -384,6 +384,36 @@
     );
 }
 
+// An array of 100,000 short tasks filled all machines: with the reports of fifty thousand attempts
+// controllers went beyond their memory.
+#[test]
+fn work_of_the_lowest_urgency_starts_no_more_than_the_owner_can_follow() {
+    let mut policy = policy();
+    policy.max_attempts = 5;
+    let mut attempt = 0;
+    let mut pass_over = |cluster: &mut ClusterState, now| {
+        pass(cluster, &policy, now, now, Urgency::Low, || {
+            attempt += 1;
+            attempt
+        })
+    };
+    let mut cluster = cluster(&[("a", false), ("a", false)]);
+    let mut idle_time_work = spec("run-000001", Shape::Batch, 10, 1.0);
+    idle_time_work.urgency = Urgency::Low;
+    add(&mut cluster, idle_time_work, 0);
+    let first = pass_over(&mut cluster, 1);
+    assert_eq!(first.starts.len(), 5);
+    assert!(first.unplaced.is_empty(), "no machine is rented for the rest");
+    add(&mut cluster, spec("run-000002", Shape::Batch, 3, 1.0), 0);
+    assert_eq!(pass_over(&mut cluster, 2).starts.len(), 3, "more urgent work is not held back");
+    let ended = first.starts[0];
+    cluster.host_mut(ended.host).unwrap().attempts.retain(|a| a.attempt != ended.attempt);
+    cluster.jobs[0].tasks[ended.key.task as usize].place = Place::Done;
+    assert!(pass_over(&mut cluster, 3).starts.is_empty(), "seven are left");
+    cluster.hosts.iter_mut().flatten().for_each(|h| h.attempts.retain(|a| a.key.job == 0));
+    assert_eq!(pass_over(&mut cluster, 4).starts.iter().filter(|s| s.key.job == 0).count(), 1);
+}
+
 // Found in simulated time (seed 9): between its first report and its registration a machine was
 // neither expected nor in use, and another one was rented in its place.
 #[test]
