--- a/tests/versions/main.rs
+++ b/tests/versions/main.rs
@@ -2,5 +2,8 @@
 
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
+mod configuration_records;
 mod frames;
+mod peer_frames;
 mod records;
+mod stored_records;
