--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -21,7 +21,7 @@
         if let Some(fence) = self.keeps(&report) {
             return Response::json(200, &wire::orders(fence, &[]));
         }
-        // Where it was last, then the other partitions of this node; the leader's
+        // Where it was last, then the other partitions of this node; the provisioner's
         // knows where a machine belongs.
         let mut todo: Vec<u32> = (0..self.router.partitions.len() as u32).filter(|p| self.router.mine(*p)).collect();
         todo.sort_by_key(|p| (Some(*p) != hint, *p));
--- a/src/owner/active_term.rs
+++ b/src/owner/active_term.rs
@@ -2,14 +2,14 @@
 
 use super::followed::{FollowedConfiguration, KnownExternals};
 use crate::clients::TokenBucket;
-use crate::leader::Leader;
 use crate::partition::Partition;
+use crate::provisioner::Provisioner;
 use crate::sched::PendingMachine;
 
 /// One period of ownership of the partition.
 pub(super) struct ActiveTerm {
     pub(super) partition: Partition,
-    pub(super) leader: Leader,
+    pub(super) provisioner: Provisioner,
     /// Number of the period of ownership: answers to an earlier one are dropped.
     pub(super) n: u64,
     pub(super) grant: u64,
@@ -36,6 +36,6 @@
     pub(super) followed: FollowedConfiguration,
     /// Unclear records of warm pools and loans are being read.
     pub(super) reading_unclear: bool,
-    /// What the leader says is on its way here.
+    /// What the provisioner says is on its way here.
     pub(super) pending_machines: Vec<PendingMachine>,
 }
--- a/src/owner/actor.rs
+++ b/src/owner/actor.rs
@@ -9,11 +9,11 @@
 use crate::bounds::Bounds;
 use crate::clients::TokenBucket;
 use crate::clock;
-use crate::leader::Leader;
 use crate::membership::OwnershipChange;
 use crate::metrics::labelled_gauge_line;
 use crate::partition::{Partition, UserAnswer};
 use crate::peer::PeerResponse;
+use crate::provisioner::Provisioner;
 use crate::refusal::RefusalReason;
 use crate::sched::Policy;
 use std::sync::atomic::Ordering;
@@ -103,7 +103,7 @@
         self.load(n);
         ActiveTerm {
             partition,
-            leader: Leader::new(self.settings.params.cloud.list_lag_s),
+            provisioner: Provisioner::new(self.settings.params.cloud.list_lag_s),
             n,
             grant,
             version,
@@ -204,8 +204,8 @@
             SessionEvent::Rented { name, result } => self.rented(h, &name, result, now),
             SessionEvent::Released { hosts, confirmed } => self.released(h, hosts, confirmed),
             SessionEvent::Listed(list) => {
-                for op in h.leader.listed(&list, &h.partition, now) {
-                    self.cloud_op(h, op);
+                for op in h.provisioner.listed(&list, &h.partition, now) {
+                    self.cloud_request(h, op);
                 }
             }
             SessionEvent::Flavors(flavors) => {
--- a/src/owner/answers.rs
+++ b/src/owner/answers.rs
@@ -37,18 +37,19 @@
         }
     }
 
-    /// As the leader, answers a partition that tells which machines it needs.
+    /// As the provisioner, answers a partition that tells which machines it needs.
     pub(super) fn capacity_report(
         &self,
         h: &mut ActiveTerm,
         capacity_report: CapacityReport,
         now: u64,
     ) -> PeerResponse {
-        let (pending_machines, refused) = h.leader.capacity_report(capacity_report, &h.partition, now, self.patience());
+        let (pending_machines, refused) =
+            h.provisioner.capacity_report(capacity_report, &h.partition, now, self.patience());
         PeerResponse::PendingMachines { pending_machines, refused }
     }
 
-    /// Takes in the answer of the leader.
+    /// Takes in the answer of the provisioner.
     pub(super) fn pending_machines(
         &self,
         h: &mut ActiveTerm,
@@ -62,7 +63,7 @@
             Some(std::iter::repeat_n(machine, m.count))
         });
         h.pending_machines = pending.flatten().collect();
-        h.leader.set_refused(refused, &h.partition, now + self.patience());
+        h.provisioner.set_refused(refused, &h.partition, now + self.patience());
     }
 
     /// Answers a user.
--- a/src/owner/cloud_tasks.rs
+++ b/src/owner/cloud_tasks.rs
@@ -5,9 +5,9 @@
 use super::partition_owner::PartitionOwner;
 use super::stored_records::flavor_changes;
 use crate::clients::{Cloud, RentResult, State};
-use crate::leader::CloudOp;
 use crate::model::Flavor;
 use crate::peer::PeerRequest;
+use crate::provisioner::CloudRequest;
 use crate::sched::Rental;
 use crate::task;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 
 impl PartitionOwner {
     /// Starts an operation.
-    pub(super) fn cloud_op(&self, h: &mut ActiveTerm, op: CloudOp) {
+    pub(super) fn cloud_request(&self, h: &mut ActiveTerm, op: CloudRequest) {
         match op {
-            CloudOp::Rent { name, rental, pause_ms } => self.rent(h, name, rental, pause_ms),
-            CloudOp::TransferHost { from, host, to } => {
+            CloudRequest::Rent { name, rental, pause_ms } => self.rent(h, name, rental, pause_ms),
+            CloudRequest::TransferHost { from, host, to } => {
                 let router = self.router.clone();
                 task::spawn(async move {
                     router.request(from, PeerRequest::TransferHost { partition: from, host, to }).await
                 });
             }
-            CloudOp::Release(hosts) => self.release(h, hosts),
+            CloudRequest::Release(hosts) => self.release(h, hosts),
         }
     }
 
@@ -62,18 +62,18 @@
 
     /// Takes in how a rental request ended.
     pub(super) fn rented(&self, h: &mut ActiveTerm, name: &str, result: RentResult, now: u64) {
-        if let Some(op) = h.leader.rented(name, result, now) {
-            self.cloud_op(h, op);
+        if let Some(op) = h.provisioner.rented(name, result, now) {
+            self.cloud_request(h, op);
         }
     }
 
     /// Takes in how a request to release machines ended.
     pub(super) fn released(&self, h: &mut ActiveTerm, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
-            self.cloud_op(h, CloudOp::Release(hosts));
+            self.cloud_request(h, CloudRequest::Release(hosts));
             return;
         }
-        h.leader.released(&hosts);
+        h.provisioner.released(&hosts);
         for id in &hosts {
             if let Some(addr) =
                 h.partition.cluster.host_index.get(id).and_then(|index| h.partition.cluster.host(*index)?.addr)
--- a/src/owner/messages.rs
+++ b/src/owner/messages.rs
@@ -30,14 +30,14 @@
         /// Takes the answer.
         reply: Waiter,
     },
-    /// Another partition tells the leader which machines it needs.
+    /// Another partition tells the provisioner which machines it needs.
     CapacityReport {
         /// The report.
         capacity_report: CapacityReport,
-        /// Takes the leader's answer.
+        /// Takes the provisioner's answer.
         reply: oneshot::Sender<PeerResponse>,
     },
-    /// The leader asks that a machine be given to another partition.
+    /// The provisioner asks that a machine be given to another partition.
     TransferHost {
         /// Id of the machine.
         host: String,
@@ -63,7 +63,7 @@
 
 /// What background tasks of a session report.
 pub enum SessionEvent {
-    /// The leader's answer: machines on their way here, and those that the cloud has refused.
+    /// The provisioner's answer: machines on their way here, and those that the cloud has refused.
     PendingMachine {
         /// Machines on their way to this partition.
         pending_machines: Vec<Machines>,
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,5 +1,5 @@
 //! The actor of a partition: owns its state, is spoken to by messages, and carries
-//! out what `partition` and `leader` decide.
+//! out what `partition` and `provisioner` decide.
 
 mod active_term;
 mod actor;
--- a/src/owner/pools.rs
+++ b/src/owner/pools.rs
@@ -12,7 +12,7 @@
         if self.pools.is_none() {
             return;
         }
-        let boot_ms = h.leader.expected_boot_ms(&h.partition, now);
+        let boot_ms = h.provisioner.expected_boot_ms(&h.partition, now);
         h.partition.maintain_pools(boot_ms, now, clock::wall_ms());
     }
 
--- a/src/owner/rounds.rs
+++ b/src/owner/rounds.rs
@@ -45,37 +45,37 @@
             let _ = self.members.try_send(membership::Message::Abdicate);
         }
         let (release, probe) = h.partition.upkeep(now, self.promise_status.unbound_ms(now));
-        for op in h.leader.release(release) {
-            self.cloud_op(h, op);
+        for op in h.provisioner.release(release) {
+            self.cloud_request(h, op);
         }
         self.probe(h, probe, now);
     }
 
-    /// Plans machines; what is needed goes to the leader.
+    /// Plans machines; what is needed goes to the provisioner.
     fn plan(&self, h: &mut ActiveTerm, now: u64) {
         let wall = clock::wall_ms();
         h.partition.claims_recordable = self.state.answers(self.settings.grant_ttl_ms());
         self.maintain_pools(h, now);
         self.maintain_loans(h, now);
         if self.id == 0 {
-            h.pending_machines = h.leader.pending_machines(0, &h.partition, now, self.patience());
+            h.pending_machines = h.provisioner.pending_machines(0, &h.partition, now, self.patience());
         }
-        let (capacity_report, mut ops) = h.leader.plan(&mut h.partition, &h.pending_machines, now, wall);
+        let (capacity_report, mut ops) = h.provisioner.plan(&mut h.partition, &h.pending_machines, now, wall);
         if self.id == 0 {
-            ops.extend(h.leader.lead(capacity_report, &h.partition, now, self.patience()));
-            h.partition.destined = h.leader.destined(0);
+            ops.extend(h.provisioner.lead(capacity_report, &h.partition, now, self.patience()));
+            h.partition.destined = h.provisioner.destined(0);
         } else {
             self.ask_leader(h.n, capacity_report);
         }
         for op in ops {
-            self.cloud_op(h, op);
+            self.cloud_request(h, op);
         }
         for host in std::mem::take(&mut h.partition.recheck) {
             self.recheck(h.n, host);
         }
     }
 
-    /// Tells the leader what this partition needs.
+    /// Tells the provisioner what this partition needs.
     fn ask_leader(&self, session: u64, capacity_report: CapacityReport) {
         let (router, sender) = (self.router.clone(), self.sender(session));
         task::spawn(async move {
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -54,7 +54,7 @@
     /// This partition's number, and whether its owner leads.
     pub id: u32,
     teams: HashMap<String, u32>,
-    /// Machines of other partitions, as far as the leader knows.
+    /// Machines of other partitions, as far as the provisioner knows.
     pub elsewhere: HashMap<String, u32>,
     /// Machines whose record is to be read again.
     pub recheck: BTreeSet<String>,
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -4,8 +4,8 @@
 use super::*;
 use crate::clients::RentResult;
 use crate::config::{Objective, Operator, tests::settings};
-use crate::leader::{CloudOp, Leader};
 use crate::model::{Demand, Flavor};
+use crate::provisioner::{CloudRequest, Provisioner};
 use crate::wire::tests::reported;
 use crate::wire::{self, Item, Order, Report};
 use rand::rngs::StdRng;
@@ -71,7 +71,7 @@
 /// The partition, its leader, its machines, and what was counted.
 struct Fleet {
     partition: Partition,
-    leader: Leader,
+    provisioner: Provisioner,
     machines: BTreeMap<String, Machine>,
     rng: StdRng,
     now: u64,
@@ -121,7 +121,7 @@
         partition.begin(1, 77, vec![], vec![], types(), 1000);
         Fleet {
             partition,
-            leader: Leader::new(10.0),
+            provisioner: Provisioner::new(10.0),
             machines: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
             now: 1000,
@@ -220,15 +220,15 @@
         if now >= self.next_plan {
             self.next_plan = now + 1100;
             self.partition.upkeep(now, 0);
-            let pending_machines = self.leader.pending_machines(0, &self.partition, now, 5000);
-            let (capacity_report, mut ops) = self.leader.plan(&mut self.partition, &pending_machines, now, now);
-            self.leader.listed(&[], &self.partition, now);
-            ops.extend(self.leader.lead(capacity_report, &self.partition, now, 5000));
+            let pending_machines = self.provisioner.pending_machines(0, &self.partition, now, 5000);
+            let (capacity_report, mut ops) = self.provisioner.plan(&mut self.partition, &pending_machines, now, now);
+            self.provisioner.listed(&[], &self.partition, now);
+            ops.extend(self.provisioner.lead(capacity_report, &self.partition, now, 5000));
             for op in ops {
-                if let CloudOp::Rent { name, .. } = op {
+                if let CloudRequest::Rent { name, .. } = op {
                     self.rentals += 1;
                     // This cloud has no more: what is up is all there is.
-                    self.leader.rented(&name, RentResult::NoCapacity, now);
+                    self.provisioner.rented(&name, RentResult::NoCapacity, now);
                 }
             }
         }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -58,7 +58,7 @@
         /// What the user asks.
         call: UserCall,
     },
-    /// To the leader: what a partition needs, and could do without.
+    /// To the provisioner: what a partition needs, and could do without.
     CapacityReport(CapacityReport),
     /// A request about the configuration that the regions of a fleet share.
     Configuration(ConfigurationRequest),
@@ -66,7 +66,7 @@
     Pools(PoolsRequest),
     /// A question about loans between teams.
     Loans(LoansRequest),
-    /// From the leader: give this machine, if it is free, to another partition.
+    /// From the provisioner: give this machine, if it is free, to another partition.
     TransferHost {
         /// Partition that the machine belongs to.
         partition: u32,
--- a/src/leader.rs
+++ b/src/provisioner.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the cloud: which machines are coming, which requests
+//! The provisioner's side of the cloud: which machines are coming, which requests
 //! were refused, what to rent and return. Decisions come from `sched::plan`.
 
 mod boots;
@@ -18,7 +18,7 @@
 
 /// What the cloud is to be asked.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudOp {
+pub enum CloudRequest {
     /// Rent machines.
     Rent {
         /// Name of the request, by which it can be repeated.
@@ -41,9 +41,9 @@
     },
 }
 
-/// What the leader knows of rentals, of machines on their way and of the partitions' needs.
+/// What the provisioner knows of rentals, of machines on their way and of the partitions' needs.
 #[derive(Debug, Default)]
-pub struct Leader {
+pub struct Provisioner {
     /// Rental requests without a known outcome, by name.
     renting: BTreeMap<String, RentalRequest>,
     /// What the other partitions said last, and when.
@@ -76,10 +76,10 @@
 /// Most names of one release, by the protocol.
 const MAX_RELEASED: usize = 100;
 
-impl Leader {
+impl Provisioner {
     /// A leader that knows nothing yet; the cloud's list lags by up to `list_lag_s`.
-    pub fn new(list_lag_s: f64) -> Leader {
-        Leader { lag_ms: (list_lag_s * 1000.0) as u64, ..Leader::default() }
+    pub fn new(list_lag_s: f64) -> Provisioner {
+        Provisioner { lag_ms: (list_lag_s * 1000.0) as u64, ..Provisioner::default() }
     }
 
     /// What another partition needs; answered with what is on its way there and
@@ -106,7 +106,7 @@
         (frame_sizes::machines_for_frame(pending), refused.filter_map(|(k, _)| named(k.0, k.1.clone(), k.2)).collect())
     }
 
-    /// What the leader said can't be had now.
+    /// What the provisioner said can't be had now.
     pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused.clear();
         for m in refused {
@@ -124,7 +124,7 @@
         pending_machines: &[PendingMachine],
         now: u64,
         wall: u64,
-    ) -> (CapacityReport, Vec<CloudOp>) {
+    ) -> (CapacityReport, Vec<CloudRequest>) {
         for (name, label) in self.events.drain(..) {
             partition.metrics.count(name, &label);
         }
@@ -201,11 +201,17 @@
         }
     }
 
-    /// The leader's round over the needs of all partitions, the one with the lowest
+    /// The provisioner's round over the needs of all partitions, the one with the lowest
     /// waiting bin first: free machines of other partitions move to it, the rest is
     /// rented. Nothing is rented before a list was read that shows what the last leader
     /// rented, for its machines may be on their way.
-    pub fn lead(&mut self, own: CapacityReport, partition: &Partition, now: u64, patience_ms: u64) -> Vec<CloudOp> {
+    pub fn lead(
+        &mut self,
+        own: CapacityReport,
+        partition: &Partition,
+        now: u64,
+        patience_ms: u64,
+    ) -> Vec<CloudRequest> {
         let cluster = &partition.cluster;
         let mut ops = Vec::new();
         if !self.predecessor_known || cluster.flavors.is_empty() {
@@ -231,7 +237,7 @@
                     let Some(i) = spare.iter().position(fits) else { break };
                     let (from, host) = spare.swap_remove(i);
                     self.moving.insert(host.clone(), (p, like.clone(), now + patience_ms));
-                    ops.push(CloudOp::TransferHost { from, host, to: p });
+                    ops.push(CloudRequest::TransferHost { from, host, to: p });
                     left -= 1;
                 }
                 let key = (flavor, m.zone.clone(), m.spot);
@@ -250,16 +256,16 @@
                     "renting"
                 );
                 self.renting.insert(name.clone(), RentalRequest::new(p, rental.clone()));
-                ops.push(CloudOp::Rent { name, rental, pause_ms: 0 });
+                ops.push(CloudRequest::Rent { name, rental, pause_ms: 0 });
             }
         }
         ops
     }
 
     /// Asks for the return of machines that are not being returned yet.
-    pub fn release(&mut self, ids: impl IntoIterator<Item = String>) -> Vec<CloudOp> {
+    pub fn release(&mut self, ids: impl IntoIterator<Item = String>) -> Vec<CloudRequest> {
         let new: Vec<String> = ids.into_iter().filter(|id| self.releasing.insert(id.clone())).collect();
-        new.chunks(MAX_RELEASED).map(|c| CloudOp::Release(c.to_vec())).collect()
+        new.chunks(MAX_RELEASED).map(|c| CloudRequest::Release(c.to_vec())).collect()
     }
 
     /// Notes that the cloud has confirmed the return of these machines.
--- a/src/leader/boots.rs
+++ b/src/provisioner/boots.rs
@@ -1,7 +1,7 @@
 //! Machines that were rented and have not reported yet: which of them are on their way,
 //! which are late, and which will never come up.
 
-use super::{CloudOp, Leader};
+use super::{CloudRequest, Provisioner};
 use crate::boot_times::MachineKind;
 use crate::model::Flavor;
 use crate::partition::Partition;
@@ -90,7 +90,7 @@
     (flavor.boot_s * 1000.0) as u64
 }
 
-impl Leader {
+impl Provisioner {
     /// Machines that are on their way to a partition and count as its capacity.
     pub fn pending_machines(
         &mut self,
@@ -186,14 +186,18 @@
         }
     }
 
-    /// Which partition each machine on its way is for, where that is not the leader's.
-    pub fn destined(&self, leader: u32) -> HashMap<String, u32> {
-        self.booting.iter().filter(|(_, b)| b.partition != leader).map(|(id, b)| (id.clone(), b.partition)).collect()
+    /// Which partition each machine on its way is for, where that is not the provisioner's.
+    pub fn destined(&self, provisioner: u32) -> HashMap<String, u32> {
+        self.booting
+            .iter()
+            .filter(|(_, b)| b.partition != provisioner)
+            .map(|(id, b)| (id.clone(), b.partition))
+            .collect()
     }
 
     /// Takes a list of machines; returns those to be released: failed ones,
     /// and those that never come up.
-    pub fn listed(&mut self, list: &[Listed], partition: &Partition, now: u64) -> Vec<CloudOp> {
+    pub fn listed(&mut self, list: &[Listed], partition: &Partition, now: u64) -> Vec<CloudRequest> {
         self.note_begin(partition, now);
         self.predecessor_known |= self.predecessor_listed_ms.is_some_and(|t| now >= t);
         self.forget_abandoned(now);
--- a/src/leader/rentals.rs
+++ b/src/provisioner/rentals.rs
@@ -1,7 +1,7 @@
 //! Rental requests and their outcomes.
 
 use super::boots::BootingMachine;
-use super::{CloudOp, Leader};
+use super::{CloudRequest, Provisioner};
 use crate::clients::RentResult;
 use crate::sched::{PendingMachine, Rental};
 
@@ -28,9 +28,9 @@
     }
 }
 
-impl Leader {
+impl Provisioner {
     /// Takes the outcome of a rental request; returns the request if it is to be repeated.
-    pub fn rented(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudOp> {
+    pub fn rented(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudRequest> {
         let request = self.renting.get(name)?.clone();
         self.events.push(("rentals", outcome_label(&result, &request.rental).to_string()));
         match result {
@@ -72,13 +72,13 @@
 
     /// The outcome of a request is not known: it is sent again under the same name, which
     /// rents nothing twice. After many tries it is given up, and the kind avoided.
-    fn repeat(&mut self, name: &str, now: u64) -> Option<CloudOp> {
+    fn repeat(&mut self, name: &str, now: u64) -> Option<CloudRequest> {
         let request = self.renting.get_mut(name)?;
         let rental = request.rental.clone();
         if request.tries < MAX_TRIES {
             let pause_ms = self.react_ms * (1 << (request.tries - 1)).min(MAX_PAUSE_RATIO);
             request.tries += 1;
-            return Some(CloudOp::Rent { name: name.to_string(), rental, pause_ms });
+            return Some(CloudRequest::Rent { name: name.to_string(), rental, pause_ms });
         }
         tracing::info!(name, zone = rental.zone, spot = rental.spot, "rental without an outcome");
         self.events.push(("rentals", "abandoned".to_string()));
--- a/src/leader/tests/frame_sizes.rs
+++ b/src/provisioner/tests/frame_sizes.rs
@@ -22,28 +22,28 @@
     bench
 }
 
-// A frame that is too long is not sent: the leader would never hear of this partition again.
+// A frame that is too long is not sent: the provisioner would never hear of this partition again.
 #[test]
 fn what_a_partition_with_six_thousand_idle_machines_tells_the_leader_fits_into_a_frame() {
     let mut bench = bench_with_idle_machines(6000);
     bench.partition.pass(bench.now, bench.now);
-    let (capacity_report, _) = bench.leader.plan(&mut bench.partition, &[], bench.now, bench.now);
+    let (capacity_report, _) = bench.provisioner.plan(&mut bench.partition, &[], bench.now, bench.now);
     assert!(capacity_report.spare.len() > 1000, "{} are told", capacity_report.spare.len());
     assert!(bytes(&PeerRequest::CapacityReport(capacity_report)) < MAX_FRAME);
 }
 
-// The same of the leader's answer: the partition would believe that nothing is on its way.
+// The same of the provisioner's answer: the partition would believe that nothing is on its way.
 #[test]
 fn six_thousand_machines_on_their_way_are_told_in_a_frame_and_none_is_lost() {
     let mut bench = Bench::of(partition());
     for n in 0..120 {
         let rental = Rental { flavor: 0, zone: ["a", "b"][n % 2].into(), spot: false, count: 50 };
-        bench.leader.renting.insert(format!("r-1-{n}"), RentalRequest::new(1, rental));
+        bench.provisioner.renting.insert(format!("r-1-{n}"), RentalRequest::new(1, rental));
     }
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
     let (pending_machines, refused) =
-        bench.leader.capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
+        bench.provisioner.capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
     assert_eq!(pending_machines.iter().map(|machines| machines.count).sum::<usize>(), 6000);
     assert_eq!(pending_machines.len(), 2, "one entry a kind");
     assert!(bytes(&PeerResponse::PendingMachines { pending_machines, refused }) < MAX_FRAME);
@@ -54,10 +54,11 @@
 fn few_machines_on_their_way_are_told_one_by_one() {
     let mut bench = Bench::of(partition());
     let rental = Rental { flavor: 0, zone: "a".into(), spot: false, count: 50 };
-    bench.leader.renting.insert("r-1-1".into(), RentalRequest::new(1, rental));
+    bench.provisioner.renting.insert("r-1-1".into(), RentalRequest::new(1, rental));
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
-    let (pending_machines, _) = bench.leader.capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
+    let (pending_machines, _) =
+        bench.provisioner.capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
     assert_eq!(pending_machines.len(), 50);
     assert!(pending_machines.iter().all(|machines| machines.count == 1));
 }
@@ -66,9 +67,9 @@
 #[test]
 fn six_thousand_machines_are_released_in_requests_that_the_cloud_takes() {
     let mut bench = Bench::of(partition());
-    let ops = bench.leader.release((0..6000).map(|n| format!("host-{n:06}")));
+    let ops = bench.provisioner.release((0..6000).map(|n| format!("host-{n:06}")));
     let sizes: Vec<usize> =
-        ops.iter().map(|op| if let CloudOp::Release(hosts) = op { hosts.len() } else { 0 }).collect();
+        ops.iter().map(|op| if let CloudRequest::Release(hosts) = op { hosts.len() } else { 0 }).collect();
     assert_eq!((sizes.len(), sizes.iter().sum::<usize>()), (60, 6000));
     assert!(sizes.iter().all(|size| *size <= MAX_RELEASED));
 }
--- a/src/leader/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the leader's books, and a cloud for them.
+//! Tests of the provisioner's books, and a cloud for them.
 
 mod frame_sizes;
 mod late_boots;
@@ -48,11 +48,11 @@
 /// A leader with its partition and a scripted cloud, on a clock of their own.
 pub(super) struct Bench {
     pub(super) partition: Partition,
-    pub(super) leader: Leader,
+    pub(super) provisioner: Provisioner,
     pub(super) now: u64,
     pub(super) boot_ms: BootMs,
     pub(super) machines: BTreeMap<String, Machine>,
-    /// All machines ever rented by the leader, in order.
+    /// All machines ever rented by the provisioner, in order.
     pub(super) rented: Vec<String>,
     /// When the next list comes; never in an outage of the list.
     pub(super) next_list_ms: u64,
@@ -76,7 +76,7 @@
         partition.policy.headroom = 0.0;
         Bench {
             partition,
-            leader: Leader::new(LAG_S),
+            provisioner: Provisioner::new(LAG_S),
             now: 1000,
             boot_ms: usual,
             machines: BTreeMap::new(),
@@ -147,31 +147,32 @@
     }
 
     /// The owner's round; returns what the cloud is asked.
-    pub(super) fn round(&mut self) -> Vec<CloudOp> {
+    pub(super) fn round(&mut self) -> Vec<CloudRequest> {
         self.partition.pass(self.now, self.now);
-        let pending_machines = self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
-        let (capacity_report, mut ops) = self.leader.plan(&mut self.partition, &pending_machines, self.now, self.now);
-        ops.extend(self.leader.lead(capacity_report, &self.partition, self.now, PATIENCE_MS));
+        let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
+        let (capacity_report, mut ops) =
+            self.provisioner.plan(&mut self.partition, &pending_machines, self.now, self.now);
+        ops.extend(self.provisioner.lead(capacity_report, &self.partition, self.now, PATIENCE_MS));
         ops
     }
 
-    pub(super) fn carry_out(&mut self, ops: Vec<CloudOp>) {
+    pub(super) fn carry_out(&mut self, ops: Vec<CloudRequest>) {
         for op in ops {
             match op {
-                CloudOp::Rent { name, pause_ms, .. } if self.rents_unanswered => {
+                CloudRequest::Rent { name, pause_ms, .. } if self.rents_unanswered => {
                     self.unanswered.push((self.now + pause_ms, name));
                 }
-                CloudOp::Rent { name, rental, .. } => {
+                CloudRequest::Rent { name, rental, .. } => {
                     let ids: Vec<String> = (0..rental.count).map(|_| self.machine(&rental.zone)).collect();
                     self.rented.extend(ids.clone());
-                    self.leader.rented(&name, RentResult::Rented(ids), self.now);
+                    self.provisioner.rented(&name, RentResult::Rented(ids), self.now);
                 }
-                CloudOp::Release(ids) => {
+                CloudRequest::Release(ids) => {
                     ids.iter().for_each(|id| drop(self.machines.remove(id)));
-                    self.leader.released(&ids);
+                    self.provisioner.released(&ids);
                     ids.iter().for_each(|id| self.partition.host_gone(id));
                 }
-                CloudOp::TransferHost { .. } => panic!("there is one part"),
+                CloudRequest::TransferHost { .. } => panic!("there is one part"),
             }
         }
     }
@@ -182,7 +183,7 @@
         let sent: Vec<String> =
             self.unanswered.iter().filter(|(at, _)| (now - ROUND_MS..now).contains(at)).map(|u| u.1.clone()).collect();
         for name in sent {
-            let again = self.leader.rented(&name, RentResult::Again, now);
+            let again = self.provisioner.rented(&name, RentResult::Again, now);
             self.carry_out(again.into_iter().collect());
         }
     }
@@ -217,26 +218,26 @@
         }
     }
 
-    pub(super) fn list(&mut self, machines: &[Listed]) -> Vec<CloudOp> {
-        self.leader.listed(machines, &self.partition, self.now)
+    pub(super) fn list(&mut self, machines: &[Listed]) -> Vec<CloudRequest> {
+        self.provisioner.listed(machines, &self.partition, self.now)
     }
 
     /// A machine was rented for this partition, and the scripted cloud knows nothing of it.
     pub(super) fn rent(&mut self, id: &str, zone: &str) {
         let rental = Rental { flavor: 0, zone: zone.into(), spot: false, count: 1 };
         let name = format!("of-{id}");
-        self.leader.renting.insert(name.clone(), RentalRequest::new(0, rental));
-        self.leader.rented(&name, RentResult::Rented(vec![id.into()]), self.now);
+        self.provisioner.renting.insert(name.clone(), RentalRequest::new(0, rental));
+        self.provisioner.rented(&name, RentResult::Rented(vec![id.into()]), self.now);
     }
 
     pub(super) fn comes_up(&mut self, id: &str) {
         let term = self.partition.term;
         self.partition.report(&report(id, 1, 1, term, vec![]), ReportSource::Heartbeat, self.now);
-        self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
+        self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
 
     pub(super) fn pending_machines(&mut self) -> usize {
-        self.leader.pending_machines(0, &self.partition, self.now, PATIENCE_MS).len()
+        self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS).len()
     }
 }
 
@@ -245,9 +246,9 @@
     serde_json::from_value(json!({"id": id, "flavor": "g8", "region": zone, "phase": phase, "held_s": held_s})).unwrap()
 }
 
-pub(super) fn released(ops: &[CloudOp]) -> Vec<String> {
+pub(super) fn released(ops: &[CloudRequest]) -> Vec<String> {
     let ids = ops.iter().filter_map(|op| match op {
-        CloudOp::Release(ids) => Some(ids.clone()),
+        CloudRequest::Release(ids) => Some(ids.clone()),
         _ => None,
     });
     ids.flatten().collect()
--- a/src/leader/tests/rental_requests.rs
+++ b/src/provisioner/tests/rental_requests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_new_leader_awaits_the_list_of_what_the_last_one_rented() {
     let mut bench = Bench::of(partition_of(2, vec![], vec![]));
-    // The last leader's, rented just before it ended, and not in the first lists.
+    // The last provisioner's, rented just before it ended, and not in the first lists.
     (0..3).for_each(|_| drop(bench.machine("a")));
     bench.submit("run-000001", 4);
     bench.run(LAG_MS / 2);
