--- a/src/api.rs
+++ b/src/api.rs
@@ -7,7 +7,7 @@
 use crate::job_reads::{JobReads, READ_LIMIT, RecordedJob};
 use crate::metrics::{SharedMetrics, gauge_line, labelled_gauge_line};
 use crate::model::{JobEnd, JobPhase};
-use crate::owner;
+use crate::partition_leader;
 use crate::peer::UserCall;
 use crate::refusal::RefusalReason;
 use crate::request_budget::{Purpose, RequestBudget};
@@ -41,7 +41,7 @@
     pub ended_jobs: EndedJobs,
     /// Counters of what users and workers are told.
     pub metrics: UserMetrics,
-    /// The ways to the owners of the partitions.
+    /// The ways to the leaders of the partitions.
     pub router: Router,
     /// Figures of this node, apart from those of its partitions.
     pub node_metrics: SharedMetrics,
@@ -91,8 +91,8 @@
         let last = self.state.last_ok_ms();
         let state_ok = last > 0 && now.saturating_sub(last) < self.router.grant_ttl_ms;
         let held = self.router.partitions.iter().all(|d| {
-            let ownership = d.ownership.borrow();
-            if ownership.mine { d.entitled.holds(now) } else { ownership.owner.is_some() }
+            let leader_status = d.leader_status.borrow();
+            if leader_status.is_self { d.entitled.holds(now) } else { leader_status.leader.is_some() }
         });
         if state_ok && held {
             Response::json(200, &serde_json::json!({ "ready": true }))
@@ -114,7 +114,7 @@
         }
         for handle in self.router.partitions.iter() {
             let (tx, rx) = oneshot::channel();
-            if handle.owner.try_send(owner::Message::Metrics(tx)).is_ok() {
+            if handle.leader.try_send(partition_leader::Message::Metrics(tx)).is_ok() {
                 text.push_str(&rx.await.unwrap_or_default());
             }
         }
@@ -153,7 +153,7 @@
                     self.ended_jobs.insert_told(id, &r);
                     return r;
                 }
-                other => unclear = Some(other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response())),
+                other => unclear = Some(other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response())),
             }
             if hint == Some(partition) {
                 // It was there, and a job stays in its partition.
@@ -178,7 +178,7 @@
             Ok(RecordedJob::Live(job)) => match self.needs_cancelled(&job.waits_on, purpose, deadline).await {
                 Ok(true) => self.ended(id, EndedJob { end: JobEnd::Cancelled, done: job.done }),
                 Ok(false) if status => Response::json(200, &wire::job_answer(id, JobPhase::Pending, job.done, 0)),
-                Ok(false) => RefusalReason::OwnerUnreachable.response(),
+                Ok(false) => RefusalReason::LeaderUnreachable.response(),
                 Err(reason) => reason.response(),
             },
             Ok(RecordedJob::Ended { ended, .. }) => self.ended(id, ended),
--- a/src/api/predecessors.rs
+++ b/src/api/predecessors.rs
@@ -1,4 +1,4 @@
-//! Jobs that others wait for, as their records tell them now: where no owner can be asked.
+//! Jobs that others wait for, as their records tell them now: where no leader can be asked.
 
 use super::Api;
 use crate::http::Response;
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,11 +1,11 @@
-//! Submissions: passed on to the owner of the team's partition, or accepted without it.
+//! Submissions: passed on to the leader of the team's partition, or accepted without it.
 
 use super::Api;
 use crate::clock;
 use crate::http::Response;
 use crate::model::{JobRecord, Spec};
-use crate::owner;
 use crate::partition::{CommitResult, inbox_key, job_key};
+use crate::partition_leader;
 use crate::peer::UserCall;
 use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, PredecessorUnclear};
 use crate::request_budget::Purpose;
@@ -13,13 +13,13 @@
 use crate::wire;
 use std::sync::Arc;
 
-/// Requests of an acceptance without the owner: the machine types, and the commit.
+/// Requests of an acceptance without the leader: the machine types, and the commit.
 const ACCEPTANCE_REQUESTS: usize = 2;
 
 impl Api {
     /// Answers a submission.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
-        // What is malformed needs no owner to say so.
+        // What is malformed needs no leader to say so.
         let spec = match wire::parse_submission(&body) {
             Ok(spec) => spec,
             Err(e) => {
@@ -38,23 +38,23 @@
             return self.unless_known(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
-        // An owner that is not known to be of this version might not let the job wait.
+        // A leader that is not known to be of this version might not let the job wait.
         let asked = match waits && !self.router.owner_is_current(partition) {
             true => None,
             false => self.router.user(partition, UserCall::Submit(body)).await,
         };
         let answer = match asked {
             Some(r) if r.status != 503 => r,
-            // What keeps the owner from accepting it would not keep this node from it.
+            // What keeps the leader from accepting it would not keep this node from it.
             Some(r) if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | PredecessorUnclear)) => r,
-            // A second way in would only add to the work that the owner has.
+            // A second way in would only add to the work that the leader has.
             None if self.router.at_work(partition) && self.state.answers(self.router.grant_ttl_ms) => {
                 RefusalReason::SubmissionSlow.response()
             }
             // Nobody holds the partition now, or can't be reached, or the job's end is
             // being recorded.
             other => {
-                let later = other.unwrap_or_else(|| RefusalReason::OwnerUnreachable.response());
+                let later = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
                 match self.fresh(&spec.id, true, Purpose::Change).await {
                     known if known.status == 200 => known,
                     excess if excess.status == 429 => excess,
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Accepts a job without its partition's owner: the record is what counts. The
-    /// next owner reads it; a present one is told by a key in its inbox.
+    /// Accepts a job without its partition's leader: the record is what counts. The
+    /// next leader reads it; a present one is told by a key in its inbox.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
         if !self.request_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
-        let flavors = owner::kept_flavors(&self.state).await.filter(|flavors| !flavors.is_empty())?;
+        let flavors = partition_leader::kept_flavors(&self.state).await.filter(|flavors| !flavors.is_empty())?;
         let (policy, up_to_date) = self.current_policy();
         if let Some(why) = sched::impossible(spec, &policy, &flavors) {
             return Some(match why.is_for_now(up_to_date) {
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -7,7 +7,7 @@
 use crate::config::{Operator, Settings, tests::settings};
 use crate::frame_format::FrameFormat;
 use crate::http;
-use crate::membership::Ownership;
+use crate::membership::LeaderStatus;
 use crate::model::{JobEnd, JobRecord, Predecessors};
 use crate::net::Net;
 use crate::partition::{UserAnswer, job_key};
@@ -83,7 +83,7 @@
     partition::tests::body(ID, "batch", 2)
 }
 
-/// The interface of a node that knows no owner, at this state service.
+/// The interface of a node that knows no leader, at this state service.
 async fn api_at(service: &StateService) -> Api {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut settings: Settings = settings();
@@ -135,18 +135,25 @@
     (response.status, answer["phase"].as_str().unwrap_or_default().to_string())
 }
 
-/// An owner on this node that gives this answer to the one user who asks. Its mailbox is
+/// A leader on this node that gives this answer to the one user who asks. Its mailbox is
 /// closed once the task has ended.
-fn owned_here(api: &mut Api, answer: UserAnswer) -> (watch::Sender<Ownership>, tokio::task::JoinHandle<()>) {
-    let (owner, mut messages) = mpsc::channel(1);
-    let (ownership_tx, ownership) = watch::channel(Ownership { mine: true, ..Ownership::default() });
+fn led_here(api: &mut Api, answer: UserAnswer) -> (watch::Sender<LeaderStatus>, tokio::task::JoinHandle<()>) {
+    let (leader, mut messages) = mpsc::channel(1);
+    let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_self: true, ..LeaderStatus::default() });
     let members = mpsc::channel(1).0;
-    let handle =
-        PartitionHandle { ownership, entitled: Default::default(), promise_status: Default::default(), owner, members };
+    let handle = PartitionHandle {
+        leader_status,
+        entitled: Default::default(),
+        promise_status: Default::default(),
+        leader,
+        members,
+    };
     api.router.partitions = Arc::new(vec![handle]);
     let mailbox = task::spawn(async move {
-        let Some(owner::Message::User { reply, .. }) = messages.recv().await else { panic!("the owner is asked") };
+        let Some(partition_leader::Message::User { reply, .. }) = messages.recv().await else {
+            panic!("the leader is asked")
+        };
         reply.send(answer).unwrap();
     });
-    (ownership_tx, mailbox)
+    (leader_status_tx, mailbox)
 }
--- a/src/api/tests/answers.rs
+++ b/src/api/tests/answers.rs
@@ -25,7 +25,7 @@
 async fn an_end_that_an_owner_told_is_told_again_without_the_owner() {
     let mut api = api_at(&StateService::default()).await;
     let done = UserAnswer::Status { id: ID.to_string(), phase: JobPhase::Done, done: 2, running: 0 };
-    let (_ownership, mailbox) = owned_here(&mut api, done);
+    let (_ownership, mailbox) = led_here(&mut api, done);
     let told = poll(&api).await;
     mailbox.await.unwrap();
     let again = poll(&api).await;
--- a/src/api/tests/predecessors.rs
+++ b/src/api/tests/predecessors.rs
@@ -109,14 +109,14 @@
     assert_eq!(submit_waiting(&api, THIRD, json!([ID])).await.status, 201);
 }
 
-// Accepted past the owner, an old next owner would start it at once.
+// Accepted past the leader, an old next leader would start it at once.
 #[tokio::test]
 async fn what_the_owner_refuses_for_an_old_controller_or_an_unclear_one_is_not_accepted_past_it() {
     for reason in [RefusalReason::ControllerOutdated, RefusalReason::PredecessorUnclear] {
         let service = StateService::default();
         let mut api = api_at(&service).await;
         service.put(None);
-        let _owner = owned_here(&mut api, UserAnswer::RetryLater(reason));
+        let _owner = led_here(&mut api, UserAnswer::RetryLater(reason));
         assert_eq!(submit_waiting(&api, SECOND, json!([ID])).await.status, 503);
         assert!(service.written("job/run-000002").is_none());
     }
@@ -128,10 +128,10 @@
     let service = StateService::default();
     let mut api = api_beside(&service, FrameFormat::CURRENT).await;
     service.put(None);
-    let (ownership, _mailbox) = owned_here(&mut api, UserAnswer::Unknown);
+    let (leader_status, _mailbox) = led_here(&mut api, UserAnswer::Unknown);
     assert!(api.router.owner_is_current(0), "it is this node");
-    let other = Ownership { mine: false, owner: Some("worker-1".into()) };
-    ownership.send(other).unwrap();
+    let other = LeaderStatus { is_self: false, leader: Some("worker-1".into()) };
+    leader_status.send(other).unwrap();
     assert!(api.router.owner_is_current(0));
     let unheard = crate::peer::Peer::start(
         "worker-1".into(),
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,9 +1,9 @@
-//! Reports of workers: passed on to the owner of their machine, or answered for one that is gone.
+//! Reports of workers: passed on to the leader of their machine, or answered for one that is gone.
 
 use super::Api;
 use crate::clock;
 use crate::http::Response;
-use crate::owner::{self, HeartbeatReply};
+use crate::partition_leader::{self, HeartbeatReply};
 use crate::refusal::RefusalReason;
 use crate::wire::{self, Report};
 use std::sync::Arc;
@@ -23,13 +23,13 @@
         }
         // Where it was last, then the other partitions of this node; the provisioner's
         // knows where a machine belongs.
-        let mut todo: Vec<u32> = (0..self.router.partitions.len() as u32).filter(|p| self.router.mine(*p)).collect();
+        let mut todo: Vec<u32> = (0..self.router.partitions.len() as u32).filter(|p| self.router.is_self(*p)).collect();
         todo.sort_by_key(|p| (Some(*p) != hint, *p));
         let mut belongs = 0;
         for partition in todo {
             let (tx, rx) = oneshot::channel();
-            let m = owner::Message::Heartbeat { report: report.clone(), reply: tx };
-            if self.router.partitions[partition as usize].owner.try_send(m).is_err() {
+            let m = partition_leader::Message::Heartbeat { report: report.clone(), reply: tx };
+            if self.router.partitions[partition as usize].leader.try_send(m).is_err() {
                 return RefusalReason::TooManyReports.response();
             }
             match rx.await {
@@ -44,21 +44,21 @@
                 _ => return RefusalReason::NotEntitled.response(),
             }
         }
-        if !self.router.mine(belongs) {
-            return match self.router.owner(belongs) {
+        if !self.router.is_self(belongs) {
+            return match self.router.leader(belongs) {
                 Some(h) => Response::json(421, &wire::redirect(Some(&h))),
-                None => RefusalReason::MachineUnowned.response(),
+                None => RefusalReason::MachineWithoutLeader.response(),
             };
         }
         RefusalReason::NotEntitled.response()
     }
 
-    /// Whether this node keeps the worker's lease alive for an owner that neither
+    /// Whether this node keeps the worker's lease alive for a leader that neither
     /// of them can reach, as in a zone that is cut off or after all controllers
     /// ended in an outage: the token with which it answers, which is the worker's
-    /// own. Nothing is ordered. It is bound by no promise, so that no owner counts
+    /// own. Nothing is ordered. It is bound by no promise, so that no leader counts
     /// on the end of leases meanwhile (`membership::PromiseStatus`). A worker that has
-    /// seen a later term was asked by an owner since: it is to look for that one.
+    /// seen a later term was asked by a leader since: it is to look for that one.
     fn keeps(&self, r: &Report) -> Option<u64> {
         let (now, grant_ttl_ms) = (clock::now_ms(), self.router.grant_ttl_ms);
         let alone = !self.state.answers(grant_ttl_ms)
--- a/src/bounds.rs
+++ b/src/bounds.rs
@@ -26,7 +26,7 @@
 /// What an attempt takes, with its task and its part of the report that is being read: twice the
 /// 0.2 KB that were measured with 40 attempts on each of 6,000 machines.
 const ATTEMPT_BYTES: f64 = 400.0;
-/// Entries of attempts in workers' reports that an owner with a whole core can follow in a
+/// Entries of attempts in workers' reports that a leader with a whole core can follow in a
 /// second beside its other work.
 const ENTRIES_PER_CORE: f64 = 60_000.0;
 
@@ -34,10 +34,10 @@
 /// reckoned with: workers with short tasks report more often than they have to.
 pub const MOST_ENTRIES_PER_S: f64 = 1.0;
 
-/// Messages that wait for the owner of a partition. It does not grow with the fleet: a report that
-/// waits longer than its worker does is answered in vain, and an owner that is late answers none
+/// Messages that wait for the leader of a partition. It does not grow with the fleet: a report that
+/// waits longer than its worker does is answered in vain, and a leader that is late answers none
 /// in time. What does not fit is refused at once.
-pub const QUEUED_FOR_OWNER: usize = 1024;
+pub const QUEUED_FOR_LEADER: usize = 1024;
 
 /// Part of the sockets that the server may use; the rest is for what this node opens itself.
 const SERVER_SHARE: (usize, usize) = (3, 4);
@@ -48,8 +48,8 @@
 /// Direct commands to workers under way at a time, as a part of the sockets.
 const DIRECT_COMMANDS_PART: usize = 8;
 
-/// Machines that an owner with a whole core may ask in a second how they are, beside its other
-/// work. An owner with a small share that asked all machines at once after a takeover would
+/// Machines that a leader with a whole core may ask in a second how they are, beside its other
+/// work. A leader with a small share that asked all machines at once after a failover would
 /// answer neither their reports nor users for seconds.
 const PROBES_PER_CORE: f64 = 1000.0;
 /// Fewest machines that may be asked in a second.
@@ -70,7 +70,7 @@
     pub direct_commands: usize,
     /// Machines that may be asked in a second how they are; none if that is not limited.
     pub probes_per_s: Option<f64>,
-    /// How many attempts an owner follows.
+    /// How many attempts a leader follows.
     pub attempts: AttemptBounds,
 }
 
@@ -97,7 +97,7 @@
     (memory_mb * BYTES_PER_MB * share / bytes) as usize
 }
 
-/// How many attempts an owner can follow, by its memory and its processor.
+/// How many attempts a leader can follow, by its memory and its processor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptBounds {
     /// Attempts that fit into its memory.
--- a/src/bounds/tests.rs
+++ b/src/bounds/tests.rs
@@ -38,7 +38,7 @@
     assert!(bounds.worker_connections >= 1 && bounds.direct_commands >= 1);
 }
 
-// Asked all at once, the machines of a taken-over fleet held up an owner with a small share.
+// Asked all at once, the machines of a taken-over fleet held up a leader with a small share.
 #[test]
 fn questions_to_machines_follow_the_processor_share() {
     let rate = |core_share| {
--- a/src/config.rs
+++ b/src/config.rs
@@ -263,8 +263,8 @@
         out
     }
 
-    /// Life of an owner's grant: an eighth of a worker's lease, so that a
-    /// takeover ends well within it, but as long as a controller may be held up
+    /// Life of a leader's grant: an eighth of a worker's lease, so that a
+    /// failover ends well within it, but as long as a controller may be held up
     /// without losing its partition, where a quarter of the lease allows that.
     pub fn grant_ttl_ms(&self) -> u64 {
         let lease = self.lease_ms();
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -47,7 +47,7 @@
     pub(super) heard: BTreeMap<RegionName, Heard>,
     heard_for_ms: u64,
     pub(super) obeyed: Obeyed,
-    /// What the owner on this node has recorded, if it is on this node.
+    /// What the leader on this node has recorded, if it is on this node.
     recorded_here: Obeyed,
     /// A confirmation is not asked for again before then.
     confirm_after_ms: u64,
@@ -279,7 +279,7 @@
         stored.record.acceptor.applied > 0 || others_began
     }
 
-    /// This node's owner has recorded that it obeys a version.
+    /// This node's leader has recorded that it obeys a version.
     fn note_obeyed(&mut self, obeyed: Obeyed) {
         self.obeyed = obeyed;
         self.recorded_here = obeyed;
@@ -287,7 +287,7 @@
         self.confirm();
     }
 
-    /// Has what this node's owner has recorded confirmed, where other regions wait for that; again
+    /// Has what this node's leader has recorded confirmed, where other regions wait for that; again
     /// after a while if it did not come into the log.
     fn confirm(&mut self) {
         let now = clock::now_ms();
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -19,7 +19,7 @@
     Heard(super::messages::Digest),
     /// All controllers of the region know the shared configuration.
     AllCapable,
-    /// This node's owner has recorded that it obeys a version.
+    /// This node's leader has recorded that it obeys a version.
     Obeyed(Obeyed),
 }
 
@@ -28,13 +28,13 @@
 pub struct Published {
     /// The configuration in the region's last version.
     pub state: Arc<ConfigState>,
-    /// May the region's owner start tasks?
+    /// May the region's leader start tasks?
     pub may_start_tasks: bool,
     /// The last version that is known of any region.
     pub latest: u64,
     /// So many regions, this one included, were heard lately.
     pub regions_heard: usize,
-    /// The version that the region's owner obeys, as recorded.
+    /// The version that the region's leader obeys, as recorded.
     pub obeyed: u64,
 }
 
@@ -75,7 +75,7 @@
         self.tx.send(Message::Changed(reply)).await.is_ok() && done.await == Ok(true)
     }
 
-    /// This node's owner has recorded that it obeys a version.
+    /// This node's leader has recorded that it obeys a version.
     pub fn obeyed(&self, obeyed: Obeyed) {
         let _ = self.tx.try_send(Message::Obeyed(obeyed));
     }
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -11,7 +11,7 @@
 pub enum ConfigurationRequest {
     /// From the same region: does the controller know the shared configuration?
     Capable,
-    /// From another region: what has this one applied, and what does its owner obey?
+    /// From another region: what has this one applied, and what does its leader obey?
     Digest,
     /// A part of the agreement on a version.
     Agreement {
@@ -94,7 +94,7 @@
     pub version: Option<u64>,
     /// It has taken no part in any agreement.
     pub untouched: bool,
-    /// The version that its owner obeys.
+    /// The version that its leader obeys.
     pub obeyed: u64,
 }
 
@@ -105,7 +105,7 @@
     pub region: RegionName,
     /// The last version that it is known to have applied.
     pub version: u64,
-    /// The last version that its owner is known to obey.
+    /// The last version that its leader is known to obey.
     pub obeyed: u64,
     /// How it stands to the last version known here.
     pub condition: RegionCondition,
@@ -114,9 +114,9 @@
 /// How a region stands to the last version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegionCondition {
-    /// Its owner obeys it.
+    /// Its leader obeys it.
     InForce,
-    /// Its owner does not obey it yet.
+    /// Its leader does not obey it yet.
     Pending,
     /// It has not been heard for so many seconds.
     UnreachableSince {
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -2,7 +2,7 @@
 //! `badgerdrift_fleet_config`, which decides what is agreed on and who may use what.
 //!
 //! [`ConfigurationActor`] owns this region's record and is its acceptor. A task proposes what
-//! operators and the owner ask for, one watches the region's state service, and one exchanges
+//! operators and the leader ask for, one watches the region's state service, and one exchanges
 //! versions with the other regions. All of it is off unless the controller is told of a fleet.
 
 mod actor;
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -16,7 +16,7 @@
 pub(super) const REGION_KEY: &str = "config/region";
 const DOCUMENT_PREFIX: &str = "config/doc/";
 const LOG_PREFIX: &str = "config/log/";
-/// Key of what the region's owner obeys.
+/// Key of what the region's leader obeys.
 pub(super) const OBEYED_KEY: &str = "config/obeyed";
 /// Versions of the log that are kept for regions that were cut off.
 const KEPT_VERSIONS: u64 = 10_000;
@@ -32,14 +32,14 @@
     pub recorded: Vec<RecordedChange>,
 }
 
-/// What the region's owner obeys.
+/// What the region's leader obeys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Obeyed {
     /// The version from which on it starts tasks.
     pub version: u64,
     /// The version whose limits all teams keep to: what was beyond them has ended.
     pub kept: u64,
-    /// The owner's term.
+    /// The leader's term.
     pub term: u64,
 }
 
@@ -147,13 +147,13 @@
     item.map(|item| serde_json::from_value(item.value).map_err(|_| LoadError::Unreadable)).transpose()
 }
 
-/// What the region's owner obeys, as recorded.
+/// What the region's leader obeys, as recorded.
 pub(super) async fn load_obeyed(state: &State) -> Result<Obeyed, LoadError> {
     let item = state.get(OBEYED_KEY).await?.0;
     Ok(item.and_then(|item| serde_json::from_value(item.value).ok()).unwrap_or_default())
 }
 
-/// The change that records what the region's owner obeys.
+/// The change that records what the region's leader obeys.
 pub fn obeyed_change(obeyed: &Obeyed) -> Value {
     wire::put(OBEYED_KEY, &json!(obeyed), None)
 }
--- a/src/ended_jobs.rs
+++ b/src/ended_jobs.rs
@@ -65,7 +65,7 @@
         ends.by_id.insert(id, ended);
     }
 
-    /// Remembers the end that an owner's answer about a job tells, if it tells one.
+    /// Remembers the end that a leader's answer about a job tells, if it tells one.
     pub fn insert_told(&self, id: &str, answer: &Response) {
         if answer.status != 200 {
             return;
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -1,11 +1,11 @@
 //! The actor of a partition's membership: carries out what the rules say.
 
 use super::entitlement::{Entitlement, PromiseStatus};
-use super::messages::{Acquired, Message, Ownership, OwnershipChange};
+use super::failover::{read_previous_leader, take};
+use super::messages::{AcquiredLeadership, LeaderStatus, LeadershipChange, Message};
 use super::records::PartitionRecord;
 use super::rules::{MembershipRules, Role};
 use super::succession::Succession;
-use super::takeover::{read_previous_owner, take};
 use super::watch::watch_partition;
 use crate::clients::{RequestError, State};
 use crate::clock;
@@ -38,9 +38,9 @@
     /// Published: the promises given and had.
     pub promise_status: PromiseStatus,
     /// Published: who holds the partition.
-    pub ownership: watch::Sender<Ownership>,
+    pub leader_status: watch::Sender<LeaderStatus>,
     /// The way to the partition's actor.
-    pub ownership_changes: mpsc::Sender<OwnershipChange>,
+    pub leadership_changes: mpsc::Sender<LeadershipChange>,
     /// Partitions that this node holds, so that partitions spread over the nodes.
     pub held: Arc<AtomicUsize>,
     /// Counts of the partitions taken and lost.
@@ -56,7 +56,7 @@
         rules.record_read = false;
         self.promise_status.set(&rules);
         // Promises are given meanwhile: in an outage the look takes as long as that.
-        task::spawn(read_previous_owner(
+        task::spawn(read_previous_leader(
             self.state.clone(),
             self.partition,
             self.node.clone(),
@@ -75,8 +75,8 @@
                 _ = tick.tick() => self.renew(&mut rules, &tx),
             }
             self.publish(&mut rules);
-            if rules.may_take(clock::now_ms()) {
-                rules.role = Role::Taking;
+            if rules.may_campaign(clock::now_ms()) {
+                rules.role = Role::Candidate;
                 task::spawn(take(self.state.clone(), self.partition, self.node.clone(), self.grant_ttl_ms, tx.clone()));
             }
         }
@@ -87,17 +87,17 @@
         self.entitled.set(rules.entitled_until());
         rules.note_term();
         self.promise_status.set(rules);
-        let mine = matches!(rules.role, Role::Holding { .. });
-        let owner = if mine { Some(self.node.clone()) } else { rules.record.as_ref().map(|r| r.owner.clone()) };
-        let ownership = Ownership { owner, mine };
-        self.ownership.send_if_modified(|s| std::mem::replace(s, ownership.clone()) != ownership);
+        let is_self = matches!(rules.role, Role::Leader { .. });
+        let leader = if is_self { Some(self.node.clone()) } else { rules.record.as_ref().map(|r| r.leader.clone()) };
+        let leader_status = LeaderStatus { leader, is_self };
+        self.leader_status.send_if_modified(|s| std::mem::replace(s, leader_status.clone()) != leader_status);
     }
 
     /// Renews the grant and the promises of the partition that this node holds.
     fn renew(&self, rules: &mut MembershipRules, tx: &mpsc::Sender<Message>) {
         let sent = clock::now_ms();
         rules.note_lapse(sent);
-        let Role::Holding { grant, term, lapsed, .. } = rules.role else { return };
+        let Role::Leader { grant, term, lapsed, .. } = rules.role else { return };
         self.renew_grant(grant, sent, tx);
         // Promises would only keep the others from keeping leases alive.
         if !lapsed {
@@ -116,7 +116,7 @@
     fn renew_promises(&self, term: u64, sent: u64, tx: &mpsc::Sender<Message>) {
         let request = PeerRequest::Promise {
             partition: self.partition,
-            owner: self.node.clone(),
+            leader: self.node.clone(),
             term,
             for_ms: self.grant_ttl_ms,
             state_ok: self.state.answers(self.grant_ttl_ms),
@@ -134,8 +134,8 @@
     async fn handle(&self, rules: &mut MembershipRules, m: Message) {
         let now = clock::now_ms();
         match m {
-            Message::Promise { owner, term, for_ms, state_ok, reply } => {
-                let ok = self.promise(rules, now, owner, term, for_ms, state_ok).await;
+            Message::Promise { leader, term, for_ms, state_ok, reply } => {
+                let ok = self.promise(rules, now, leader, term, for_ms, state_ok).await;
                 let _ = reply.send(ok);
             }
             Message::RecordRead { record, unbound } => self.previous_owner_read(rules, now, record, unbound),
@@ -144,26 +144,26 @@
             Message::Promised { peer, sent, ok: true } => rules.promised(peer, sent, now),
             Message::Promised { ok: false, .. } => {}
             Message::Release { term } => rules.release(now, term),
-            Message::Abdicate => self.abdicate(rules, now).await,
+            Message::YieldLeadership => self.yield_leadership(rules, now).await,
             Message::Superseded => {
-                if matches!(rules.role, Role::Holding { .. }) {
+                if matches!(rules.role, Role::Leader { .. }) {
                     self.step_down(rules, "superseded").await;
                 }
             }
-            Message::Acquired { sent, result: Some(taken) } => self.taken(rules, &taken, sent).await,
-            Message::Acquired { result: None, .. } => {
-                rules.role = Role::Idle;
+            Message::AcquiredLeadership { sent, result: Some(taken) } => self.taken(rules, &taken, sent).await,
+            Message::AcquiredLeadership { result: None, .. } => {
+                rules.role = Role::Follower;
                 rules.retry_after = now + self.grant_ttl_ms / 10;
             }
         }
     }
 
-    /// Answers an owner that asks for a promise.
+    /// Answers a leader that asks for a promise.
     async fn promise(
         &self,
         rules: &mut MembershipRules,
         now: u64,
-        owner: String,
+        leader: String,
         term: u64,
         for_ms: u64,
         state_ok: bool,
@@ -172,10 +172,10 @@
             self.step_down(rules, "another holds it").await;
         }
         let own_state_ok = self.state.answers(self.grant_ttl_ms);
-        let ok = rules.promise(now, (&owner, term), for_ms, state_ok, own_state_ok);
+        let ok = rules.promise(now, (&leader, term), for_ms, state_ok, own_state_ok);
         // Without the state service, who asks is the only news of who holds the partition.
         if ok && !own_state_ok {
-            rules.record = Some(PartitionRecord { owner, term, grant: 0 });
+            rules.record = Some(PartitionRecord { leader, term, grant: 0 });
         }
         ok
     }
@@ -196,19 +196,19 @@
     }
 
     fn seen(&self, rules: &mut MembershipRules, now: u64, record: Option<PartitionRecord>) {
-        // What an owner sees of itself is no news, and may be old.
-        if matches!(rules.role, Role::Holding { .. }) {
+        // What a leader sees of itself is no news, and may be old.
+        if matches!(rules.role, Role::Leader { .. }) {
             return;
         }
         if let (None, Some(lost)) = (&record, &rules.record) {
-            rules.retry_after = rules.retry_after.max(now + self.takeover_delay_ms(&lost.owner));
+            rules.retry_after = rules.retry_after.max(now + self.failover_delay_ms(&lost.leader));
         }
         rules.record = record;
     }
 
-    /// How long this node leaves the partition of a lost owner to others: who holds less
+    /// How long this node leaves the partition of a lost leader to others: who holds less
     /// goes first, then whom the workers try next.
-    fn takeover_delay_ms(&self, lost_owner: &str) -> u64 {
+    fn failover_delay_ms(&self, lost_owner: &str) -> u64 {
         let held = self.held.load(Ordering::Relaxed) as u64;
         let nodes_before = self.succession.nodes_before(lost_owner) as u64;
         held * self.grant_ttl_ms / 10 + nodes_before * self.grant_ttl_ms / 5
@@ -225,7 +225,7 @@
         match result {
             Ok(()) => rules.extended(of, sent, now),
             Err(RequestError::Missing) => {
-                if matches!(rules.role, Role::Holding { grant, .. } if grant == of) {
+                if matches!(rules.role, Role::Leader { grant, .. } if grant == of) {
                     self.step_down(rules, "the grant has ended").await;
                 }
             }
@@ -234,10 +234,10 @@
     }
 
     /// Leaves the partition to the others, and lets them know at once.
-    async fn abdicate(&self, rules: &mut MembershipRules, now: u64) {
+    async fn yield_leadership(&self, rules: &mut MembershipRules, now: u64) {
         let pause_ms = 2 * self.lease_ms;
-        let Role::Holding { term, .. } = rules.role else { return };
-        if !rules.may_abdicate(now, pause_ms) {
+        let Role::Leader { term, .. } = rules.role else { return };
+        if !rules.may_yield_leadership(now, pause_ms) {
             return;
         }
         self.step_down(rules, "its workers are not heard").await;
@@ -249,28 +249,28 @@
         }
     }
 
-    async fn taken(&self, rules: &mut MembershipRules, t: &Acquired, sent: u64) {
+    async fn taken(&self, rules: &mut MembershipRules, t: &AcquiredLeadership, sent: u64) {
         tracing::info!(partition = self.partition, term = t.term, "partition taken");
         self.metrics.count("partitions_taken", &self.partition.to_string());
         self.held.fetch_add(1, Ordering::Relaxed);
         rules.begin(t, sent);
-        rules.record = Some(PartitionRecord { owner: rules.node.clone(), term: t.term, grant: t.grant });
+        rules.record = Some(PartitionRecord { leader: rules.node.clone(), term: t.term, grant: t.grant });
         let (term, version, grant, start_ms) = (t.term, t.version, t.grant, t.start_ms);
-        let _ = self.ownership_changes.send(OwnershipChange::Begin { term, version, grant, start_ms }).await;
+        let _ = self.leadership_changes.send(LeadershipChange::Begin { term, version, grant, start_ms }).await;
     }
 
     async fn step_down(&self, rules: &mut MembershipRules, why: &str) {
         tracing::warn!(partition = self.partition, why, "partition lost");
         self.metrics.count("partitions_lost", why);
         self.held.fetch_sub(1, Ordering::Relaxed);
-        if let Role::Holding { grant, .. } = rules.role {
+        if let Role::Leader { grant, .. } = rules.role {
             let state = self.state.clone();
             task::spawn(async move { state.end_grant(grant).await });
         }
-        rules.role = Role::Idle;
+        rules.role = Role::Follower;
         rules.record = None;
         rules.retry_after = clock::now_ms() + self.grant_ttl_ms / 5;
         self.entitled.set(0);
-        let _ = self.ownership_changes.send(OwnershipChange::End).await;
+        let _ = self.leadership_changes.send(LeadershipChange::End).await;
     }
 }
--- a/src/membership/entitlement.rs
+++ b/src/membership/entitlement.rs
@@ -20,10 +20,10 @@
     }
 }
 
-/// Whether leases may live on without the owner's doing, on the steady clock.
+/// Whether leases may live on without the leader's doing, on the steady clock.
 ///
 /// A controller that is bound by no promise may keep the tasks of workers alive
-/// that find nobody else (`api`). An owner counts on the end of a lease only for
+/// that find nobody else (`api`). A leader counts on the end of a lease only for
 /// the time in which all other controllers were bound to it.
 #[derive(Debug, Clone, Default)]
 pub struct PromiseStatus(Arc<BondState>);
@@ -37,12 +37,12 @@
 }
 
 impl PromiseStatus {
-    /// Until when this node is bound to leave leases to an owner.
+    /// Until when this node is bound to leave leases to a leader.
     pub fn bound_until(&self) -> u64 {
         self.0.bound_until.load(Ordering::Relaxed)
     }
 
-    /// As an owner: the last instant at which another controller may have been unbound.
+    /// As a leader: the last instant at which another controller may have been unbound.
     pub fn unbound_ms(&self, now: u64) -> u64 {
         let gap = self.0.gap_ms.load(Ordering::Relaxed);
         let until = self.0.all_bound_until.load(Ordering::Relaxed);
--- a/src/membership/takeover.rs
+++ b/src/membership/failover.rs
@@ -1,6 +1,6 @@
 //! Taking a partition, and raising the term of one that is held.
 
-use super::messages::{Acquired, Message};
+use super::messages::{AcquiredLeadership, Message};
 use super::records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
 use crate::clients::State;
 use crate::clock;
@@ -36,7 +36,7 @@
 }
 
 /// At the start: is this node bound by promises that it does not remember?
-pub(super) async fn read_previous_owner(
+pub(super) async fn read_previous_leader(
     state: State,
     partition: u32,
     node: String,
@@ -46,11 +46,11 @@
     let (mut record, term) = read_partition_and_term(&state, partition, Duration::from_millis(grant_ttl_ms / 5)).await;
     let unbound = match (&record, term) {
         // Our own earlier life held it: that one is over.
-        (Some(r), _) if r.owner == node => {
+        (Some(r), _) if r.leader == node => {
             tracing::info!(term = r.term, "ending the grant of an earlier life");
             state.end_grant(r.grant).await.is_ok()
         }
-        (None, Some(t)) => t.owners.get(&partition).is_none_or(|h| *h == node),
+        (None, Some(t)) => t.leaders.get(&partition).is_none_or(|h| *h == node),
         (None, None) => true,
         _ => false,
     };
@@ -82,15 +82,15 @@
 pub(super) async fn take(state: State, partition: u32, node: String, grant_ttl_ms: u64, tx: mpsc::Sender<Message>) {
     let sent = clock::now_ms();
     let result = try_take(&state, partition, &node, grant_ttl_ms).await;
-    let _ = tx.send(Message::Acquired { sent, result }).await;
+    let _ = tx.send(Message::AcquiredLeadership { sent, result }).await;
 }
 
-async fn try_take(state: &State, partition: u32, node: &str, grant_ttl_ms: u64) -> Option<Acquired> {
+async fn try_take(state: &State, partition: u32, node: &str, grant_ttl_ms: u64) -> Option<AcquiredLeadership> {
     let (item, _) = state.get(TERM_KEY).await.ok()?;
     let last = match item {
         Some(i) => LastTerm { record: serde_json::from_value(i.value).ok()?, version: i.version },
         None => {
-            let record = TermRecord { n: 0, start_ms: clock::wall_ms(), owners: BTreeMap::new() };
+            let record = TermRecord { n: 0, start_ms: clock::wall_ms(), leaders: BTreeMap::new() };
             LastTerm { record, version: 0 }
         }
     };
@@ -120,13 +120,17 @@
 }
 
 /// Commits the term after `last` and puts the partition under it.
-async fn next_term(state: &State, claim: &PartitionClaim<'_>, last: &LastTerm) -> Result<Acquired, CommitResult> {
+async fn next_term(
+    state: &State,
+    claim: &PartitionClaim<'_>,
+    last: &LastTerm,
+) -> Result<AcquiredLeadership, CommitResult> {
     let (grant, start_ms) = (claim.grant, last.record.start_ms);
     let term = last.record.n + 1;
     let record = json!({ "holder": claim.node, "term": term, "grant": grant });
-    let mut owners = last.record.owners.clone();
-    owners.insert(claim.partition, claim.node.to_string());
-    let next = json!({ "n": term, "start_ms": start_ms, "holders": owners });
+    let mut leaders = last.record.leaders.clone();
+    leaders.insert(claim.partition, claim.node.to_string());
+    let next = json!({ "n": term, "start_ms": start_ms, "holders": leaders });
     let key = partition_key(claim.partition);
     let guards = [wire::guard(&key, claim.version), wire::guard(TERM_KEY, last.version)];
     let apply = [wire::put(&key, &record, Some(grant)), wire::put(TERM_KEY, &next, None)];
@@ -139,5 +143,5 @@
         },
         other => return Err(other),
     };
-    Ok(Acquired { grant, term, version, start_ms })
+    Ok(AcquiredLeadership { grant, term, version, start_ms })
 }
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -4,18 +4,18 @@
 use crate::clients::RequestError;
 use tokio::sync::oneshot;
 
-/// What the rest of the node knows of the partition's owner.
+/// What the rest of the node knows of the partition's leader.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ownership {
+pub struct LeaderStatus {
     /// Name of the node that holds the partition, if known.
-    pub owner: Option<String>,
+    pub leader: Option<String>,
     /// True if that is this node.
-    pub mine: bool,
+    pub is_self: bool,
 }
 
 /// What the partition's actor is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OwnershipChange {
+pub enum LeadershipChange {
     /// This node holds the partition from now on.
     Begin {
         /// Term under which it holds the partition.
@@ -34,10 +34,10 @@
 /// Messages to a membership actor.
 #[derive(Debug)]
 pub enum Message {
-    /// An owner asks this node not to take the partition for a while.
+    /// A leader asks this node not to take the partition for a while.
     Promise {
         /// Name of the node that asks.
-        owner: String,
+        leader: String,
         /// The term that the promise is for.
         term: u64,
         /// Duration of the promise in milliseconds.
@@ -55,7 +55,7 @@
     /// The partition's actor found its commits superseded.
     Superseded,
     /// The partition's actor hears its workers no more, and others may.
-    Abdicate,
+    YieldLeadership,
     /// The first look at the state service after the start.
     RecordRead {
         /// The partition's key; `None` if nobody holds the partition, or `unbound`.
@@ -84,17 +84,17 @@
         ok: bool,
     },
     /// The end of an attempt to take the partition.
-    Acquired {
+    AcquiredLeadership {
         /// Steady time at which the attempt began.
         sent: u64,
         /// What was taken; `None` if the attempt failed.
-        result: Option<Acquired>,
+        result: Option<AcquiredLeadership>,
     },
 }
 
 /// A partition that was taken: its grant, its term and the version of its key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Acquired {
+pub struct AcquiredLeadership {
     /// The grant that the key is attached to.
     pub grant: u64,
     /// The term of the partition.
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -16,7 +16,7 @@
 pub struct PartitionRecord {
     /// Name of the node that holds the partition.
     #[serde(rename = "holder")]
-    pub owner: String,
+    pub leader: String,
     /// The term under which the node holds the partition.
     pub term: u64,
     /// The grant that the key is attached to.
@@ -32,5 +32,5 @@
     pub start_ms: u64,
     /// Who held each partition last.
     #[serde(default, rename = "holders")]
-    pub owners: BTreeMap<u32, String>,
+    pub leaders: BTreeMap<u32, String>,
 }
--- a/src/membership/rules.rs
+++ b/src/membership/rules.rs
@@ -1,15 +1,15 @@
 //! The rules of membership as a state machine, without I/O.
 
-use super::messages::Acquired;
+use super::messages::AcquiredLeadership;
 use super::records::PartitionRecord;
 use crate::clock::DRIFT;
 
 /// What this node is to the partition.
 #[derive(Debug)]
 pub(super) enum Role {
-    Idle,
-    Taking,
-    Holding {
+    Follower,
+    Candidate,
+    Leader {
         grant: u64,
         term: u64,
         granted_until: u64,
@@ -32,7 +32,7 @@
     promised_until: u64,
     promised_term: u64,
     /// Not again before then: if nobody hears the workers, it is not our fault.
-    abdicate_after: u64,
+    yield_after: u64,
     /// A restarted node waits out the promises of its earlier life.
     act_after: u64,
     /// False until the first look at the state service.
@@ -60,10 +60,10 @@
             node: node.into(),
             grant_ttl_ms,
             peers,
-            role: Role::Idle,
+            role: Role::Follower,
             promised_until: 0,
             promised_term: 0,
-            abdicate_after: 0,
+            yield_after: 0,
             act_after: now + longer(grant_ttl_ms),
             record_read: true,
             last_term: 0,
@@ -73,14 +73,14 @@
     }
 
     /// No promise of an earlier life binds: the system is new, or this node
-    /// itself was the last owner, so that nobody relied on its promises.
+    /// itself was the last leader, so that nobody relied on its promises.
     pub fn unbound(&mut self) {
         self.act_after = 0;
     }
 
     /// May this node try to take the partition now?
-    pub fn may_take(&self, now: u64) -> bool {
-        matches!(self.role, Role::Idle)
+    pub fn may_campaign(&self, now: u64) -> bool {
+        matches!(self.role, Role::Follower)
             && self.record_read
             && self.record.is_none()
             && now >= self.act_after
@@ -88,19 +88,19 @@
             && now >= self.retry_after
     }
 
-    /// An owner asks not to be superseded for a while. Refused while this node
+    /// A leader asks not to be superseded for a while. Refused while this node
     /// itself takes or holds the partition, or sees that only the asker has lost
     /// the state service.
     pub fn promise(
         &mut self,
         now: u64,
-        (owner, term): (&str, u64),
+        (leader, term): (&str, u64),
         for_ms: u64,
         asker_state_ok: bool,
         own_state_ok: bool,
     ) -> bool {
-        let later = |r: &PartitionRecord| r.owner != owner && r.term > term;
-        let ok = matches!(self.role, Role::Idle)
+        let later = |r: &PartitionRecord| r.leader != leader && r.term > term;
+        let ok = matches!(self.role, Role::Follower)
             && (asker_state_ok || !own_state_ok)
             && for_ms <= self.grant_ttl_ms
             && !self.record.as_ref().is_some_and(later);
@@ -112,18 +112,18 @@
     }
 
     /// A release counts for the latest promise only: a late copy of an older
-    /// one must not undo what binds this node to another owner.
+    /// one must not undo what binds this node to another leader.
     pub fn release(&mut self, now: u64, term: u64) {
         if self.promised_term == term {
             self.promised_until = self.promised_until.min(now);
         }
     }
 
-    /// May an owner that hears its workers no more leave the partition to others?
-    pub fn may_abdicate(&mut self, now: u64, pause_ms: u64) -> bool {
-        let ok = self.peers > 0 && matches!(self.role, Role::Holding { .. }) && now >= self.abdicate_after;
+    /// May a leader that hears its workers no more leave the partition to others?
+    pub fn may_yield_leadership(&mut self, now: u64, pause_ms: u64) -> bool {
+        let ok = self.peers > 0 && matches!(self.role, Role::Leader { .. }) && now >= self.yield_after;
         if ok {
-            self.abdicate_after = now + 2 * pause_ms;
+            self.yield_after = now + 2 * pause_ms;
         }
         ok
     }
@@ -131,8 +131,8 @@
     /// Until when this node may act.
     pub fn entitled_until(&self) -> u64 {
         match &self.role {
-            Role::Holding { granted_until, lapsed: true, .. } => *granted_until,
-            Role::Holding { granted_until, promised_until, .. } => {
+            Role::Leader { granted_until, lapsed: true, .. } => *granted_until,
+            Role::Leader { granted_until, promised_until, .. } => {
                 let promised =
                     if self.peers == 0 { u64::MAX } else { promised_until.iter().copied().min().unwrap_or(0) };
                 (*granted_until).max(promised)
@@ -144,27 +144,27 @@
     /// Notes the latest term that is known.
     pub(super) fn note_term(&mut self) {
         let of_role = match self.role {
-            Role::Holding { term, .. } => term,
+            Role::Leader { term, .. } => term,
             _ => 0,
         };
         let seen = self.record.as_ref().map_or(0, |r| r.term);
         self.last_term = self.last_term.max(seen).max(of_role).max(self.promised_term);
     }
 
-    /// Until when this node is bound to leave leases to an owner.
+    /// Until when this node is bound to leave leases to a leader.
     pub(super) fn bound_until(&self) -> u64 {
         match self.role {
-            Role::Idle => self.promised_until.max(self.act_after),
-            Role::Taking => u64::MAX,
-            Role::Holding { .. } => self.entitled_until().max(self.act_after),
+            Role::Follower => self.promised_until.max(self.act_after),
+            Role::Candidate => u64::MAX,
+            Role::Leader { .. } => self.entitled_until().max(self.act_after),
         }
     }
 
-    /// As an owner: the last known instant at which another controller was not
+    /// As a leader: the last known instant at which another controller was not
     /// bound to it, and until when all are.
     pub(super) fn bound_to_us(&self) -> (u64, u64) {
         match &self.role {
-            Role::Holding { promised_until, gap_ms, .. } => {
+            Role::Leader { promised_until, gap_ms, .. } => {
                 (*gap_ms, promised_until.iter().copied().min().unwrap_or(u64::MAX))
             }
             _ => (0, 0),
@@ -174,12 +174,12 @@
     /// Another controller asks for a promise under a later term, and ours is
     /// over: it holds the partition now, whatever we can learn from the state service.
     pub(super) fn superseded_by(&self, now: u64, asker_term: u64) -> bool {
-        matches!(self.role, Role::Holding { term, .. } if term < asker_term) && now >= self.entitled_until()
+        matches!(self.role, Role::Leader { term, .. } if term < asker_term) && now >= self.entitled_until()
     }
 
     /// The partition was taken by a request sent then.
-    pub(super) fn begin(&mut self, t: &Acquired, sent: u64) {
-        self.role = Role::Holding {
+    pub(super) fn begin(&mut self, t: &AcquiredLeadership, sent: u64) {
+        self.role = Role::Leader {
             grant: t.grant,
             term: t.term,
             granted_until: sent + shorter(self.grant_ttl_ms),
@@ -193,7 +193,7 @@
     pub(super) fn extended(&mut self, of: u64, sent: u64, now: u64) {
         self.note_lapse(now);
         let until = sent + shorter(self.grant_ttl_ms);
-        if let Role::Holding { grant, granted_until, lapsed, .. } = &mut self.role
+        if let Role::Leader { grant, granted_until, lapsed, .. } = &mut self.role
             && *grant == of
         {
             *granted_until = (*granted_until).max(until);
@@ -205,7 +205,7 @@
     /// Promises go on from an entitlement that holds; they bring none back.
     pub(super) fn note_lapse(&mut self, now: u64) {
         let over = now >= self.entitled_until();
-        if let Role::Holding { lapsed, .. } = &mut self.role {
+        if let Role::Leader { lapsed, .. } = &mut self.role {
             *lapsed |= over;
         }
     }
@@ -214,7 +214,7 @@
     pub(super) fn promised(&mut self, peer: usize, sent: u64, now: u64) {
         self.note_lapse(now);
         let until = sent + shorter(self.grant_ttl_ms);
-        if let Role::Holding { promised_until, gap_ms, .. } = &mut self.role
+        if let Role::Leader { promised_until, gap_ms, .. } = &mut self.role
             && let Some(p) = promised_until.get_mut(peer)
         {
             // Bound without a break only if this answer came while the last one held.
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,4 @@
-use super::{Acquired, Entitlement, MembershipRules, PartitionRecord, Succession, TermRecord, partition_key};
+use super::{AcquiredLeadership, Entitlement, MembershipRules, PartitionRecord, Succession, TermRecord, partition_key};
 use crate::clock;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 
 fn holding(peers: usize) -> MembershipRules {
     let mut r = MembershipRules::new("a", LIFE, peers, 0);
-    r.begin(&Acquired { grant: 1, term: 7, version: 3, start_ms: 0 }, 1000);
+    r.begin(&AcquiredLeadership { grant: 1, term: 7, version: 3, start_ms: 0 }, 1000);
     r
 }
 
@@ -48,7 +48,7 @@
 }
 
 // Leases may be kept alive by a controller that is bound by no promise: the
-// owner must know of every moment in which one was not.
+// leader must know of every moment in which one was not.
 #[test]
 fn a_break_between_promises_is_known_to_the_owner_and_frees_the_other() {
     let mut r = holding(1);
@@ -79,12 +79,12 @@
 fn a_promise_binds_longer_than_the_asker_counts_it() {
     let mut r = MembershipRules::new("b", LIFE, 2, 0);
     r.unbound();
-    assert!(r.may_take(10));
+    assert!(r.may_campaign(10));
     assert!(r.promise(1000, ("a", 7), LIFE, true, true));
     let mut asker = holding(1);
     asker.promised(0, 1000, 1001);
-    assert!(!r.may_take(asker.entitled_until()));
-    assert!(r.may_take(1000 + LIFE + 10));
+    assert!(!r.may_campaign(asker.entitled_until()));
+    assert!(r.may_campaign(1000 + LIFE + 10));
 }
 
 #[test]
@@ -98,11 +98,11 @@
 #[test]
 fn a_restarted_node_waits_out_promises_it_has_forgotten() {
     let mut r = MembershipRules::new("b", LIFE, 2, 10_000);
-    assert!(!r.may_take(10_000 + LIFE));
-    assert!(r.may_take(10_000 + LIFE + 10));
+    assert!(!r.may_campaign(10_000 + LIFE));
+    assert!(r.may_campaign(10_000 + LIFE + 10));
     r = MembershipRules::new("b", LIFE, 2, 10_000);
     r.unbound();
-    assert!(r.may_take(10_000), "nobody relied on them");
+    assert!(r.may_campaign(10_000), "nobody relied on them");
 }
 
 #[test]
@@ -111,22 +111,22 @@
     r.unbound();
     assert!(r.promise(1000, ("a", 7), LIFE, true, true));
     r.release(1100, 7);
-    assert!(r.may_take(1100));
+    assert!(r.may_campaign(1100));
     assert!(r.promise(1200, ("a", 8), LIFE, true, true));
     r.release(1300, 7);
-    assert!(!r.may_take(1300));
+    assert!(!r.may_campaign(1300));
 }
 
 #[test]
 fn an_owner_does_not_abdicate_again_and_again() {
     let mut r = holding(2);
-    assert!(r.may_abdicate(1000, 20_000));
-    assert!(!r.may_abdicate(30_000, 20_000));
-    assert!(r.may_abdicate(50_000, 20_000));
-    assert!(!holding(0).may_abdicate(1000, 20_000), "there is nobody else");
+    assert!(r.may_yield_leadership(1000, 20_000));
+    assert!(!r.may_yield_leadership(30_000, 20_000));
+    assert!(r.may_yield_leadership(50_000, 20_000));
+    assert!(!holding(0).may_yield_leadership(1000, 20_000), "there is nobody else");
 }
 
-// Found on a day of our own (the gap with a crash inside, went_back): an owner that was cut
+// Found on a day of our own (the gap with a crash inside, went_back): a leader that was cut
 // off had been followed by another, which called a job done and ended in the outage. The
 // others then promised to the first one again, and it answered from its old memory.
 #[test]
@@ -155,7 +155,7 @@
 #[test]
 fn nobody_promises_to_an_owner_that_was_followed_by_another() {
     let mut r = MembershipRules::new("c", LIFE, 2, 0);
-    r.record = Some(PartitionRecord { owner: "b".into(), term: 8, grant: 2 });
+    r.record = Some(PartitionRecord { leader: "b".into(), term: 8, grant: 2 });
     assert!(!r.promise(1000, ("a", 7), LIFE, false, false));
     assert!(r.promise(1000, ("b", 7), LIFE, false, false), "one that raised its term meanwhile");
     assert!(r.promise(1000, ("a", 9), LIFE, false, false));
@@ -165,9 +165,9 @@
 // an earlier build read and write the same records.
 #[test]
 fn stored_records_keep_their_spelling() {
-    let partition = PartitionRecord { owner: "a".into(), term: 7, grant: 1 };
+    let partition = PartitionRecord { leader: "a".into(), term: 7, grant: 1 };
     assert_eq!(serde_json::to_value(partition).unwrap(), json!({ "holder": "a", "term": 7, "grant": 1 }));
-    let term = TermRecord { n: 7, start_ms: 5, owners: BTreeMap::from([(0, "a".to_string())]) };
+    let term = TermRecord { n: 7, start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
     assert_eq!(serde_json::to_value(term).unwrap(), json!({ "n": 7, "start_ms": 5, "holders": { "0": "a" } }));
     let host = crate::model::HostRecord { addr: None, flavor: "s".into(), zone: "z".into(), spot: false, partition: 2 };
     let stored = json!({ "addr": null, "flavor": "s", "zone": "z", "spot": false, "part": 2 });
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -73,7 +73,7 @@
     pub unaccounted: Demand,
     /// Their kinds, each one once.
     pub unaccounted_kinds: Vec<HostKind>,
-    /// False until every machine of the last owner is accounted for.
+    /// False until every machine of the last leader is accounted for.
     pub all_accounted: bool,
 }
 
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -71,7 +71,7 @@
     /// Highest fencing token that the worker is known to have seen; 0 if none.
     pub fence: u64,
     /// What the worker says counts once it has seen this token, the first one of this
-    /// owner: a report with a lower one may be a late copy, from a machine that is gone.
+    /// leader: a report with a lower one may be a late copy, from a machine that is gone.
     pub min_fence: u64,
     /// The partition that it is being given to.
     pub transferring_to: Option<u32>,
@@ -79,11 +79,11 @@
     pub heard_ms: u64,
     /// Steady time of the last answer that may have renewed the worker's lease.
     pub answered_ms: u64,
-    /// Steady time of the answer to a report that showed the worker this owner's token; 0 if none.
+    /// Steady time of the answer to a report that showed the worker this leader's token; 0 if none.
     pub token_shown_ms: u64,
     /// In the registry, so that a successor knows that it may hold tasks.
     pub registered: bool,
-    /// Has reported under this owner's token, or surely lost all it had.
+    /// Has reported under this leader's token, or surely lost all it had.
     pub accounted: bool,
     /// Reports tasks that this partition does not know.
     pub has_unknown_tasks: bool,
@@ -109,13 +109,13 @@
     pub succeeded_elsewhere: bool,
     /// Steady time of the last report after which it had attempts, or at which it became known.
     pub idle_since_ms: u64,
-    /// Steady time at which this owner came to know the machine.
+    /// Steady time at which this leader came to know the machine.
     pub up_ms: u64,
     /// Attempts of tasks that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
     /// Room that is held for jobs.
     pub claims: Vec<Claim>,
-    /// Images in its cache or being fetched, as far as this owner knows.
+    /// Images in its cache or being fetched, as far as this leader knows.
     pub images: Vec<CachedImage>,
 }
 
@@ -176,7 +176,7 @@
         self.attempts.iter_mut().find(|c| c.key == key && c.attempt == attempt)
     }
 
-    /// Has its worker seen a token of this owner? Then no order of an earlier one can
+    /// Has its worker seen a token of this leader? Then no order of an earlier one can
     /// reach it any more.
     pub fn token_confirmed(&self) -> bool {
         self.accounted && self.fence >= self.min_fence
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -27,7 +27,7 @@
 pub struct Task {
     /// Where it is placed.
     pub place: Place,
-    /// Seen alive, or started, by this owner: it is on no machine that is not
+    /// Seen alive, or started, by this leader: it is on no machine that is not
     /// accounted for.
     pub located: bool,
     /// Failures so far, up to the largest value.
@@ -88,7 +88,7 @@
     pub demand: Demand,
     /// How far it is.
     pub phase: TaskPhase,
-    /// Steady time at which it was ordered, or first seen by this owner.
+    /// Steady time at which it was ordered, or first seen by this leader.
     pub since_ms: u64,
     /// Told to stop, with this grace.
     pub stop: Option<f64>,
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,16 +1,16 @@
 //! Puts a controller together and runs it.
 
 use crate::api::{Api, RouteHints};
-use crate::bounds::{Bounds, QUEUED_FOR_OWNER};
+use crate::bounds::{Bounds, QUEUED_FOR_LEADER};
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Seed, Settings};
 use crate::configuration::{self, FleetSettings};
 use crate::ended_jobs::EndedJobs;
 use crate::job_reads::JobReads;
-use crate::membership::{Entitlement, Membership, Ownership, PromiseStatus, Succession};
+use crate::membership::{Entitlement, LeaderStatus, Membership, PromiseStatus, Succession};
 use crate::metrics::SharedMetrics;
 use crate::net::Net;
-use crate::owner::PartitionOwner;
+use crate::partition_leader::PartitionLeader;
 use crate::peer::{self, Peer, PeerLimits};
 use crate::request_budget::RequestBudget;
 use crate::router::{PartitionHandle, Router};
@@ -64,13 +64,13 @@
 
     let mut handles = Vec::new();
     let mut members = Vec::new();
-    let mut owners = Vec::new();
+    let mut leaders = Vec::new();
     for partition in 0..operator.partitions {
         let (entitled, promise_status) = (Entitlement::default(), PromiseStatus::default());
-        let (ownership_tx, ownership) = watch::channel(Ownership::default());
-        let (ownership_changes_tx, ownership_changes) = mpsc::channel(8);
+        let (leader_status_tx, leader_status) = watch::channel(LeaderStatus::default());
+        let (leadership_changes_tx, leadership_changes) = mpsc::channel(8);
         let (members_tx, members_rx) = mpsc::channel(256);
-        let (owner_tx, owner_rx) = mpsc::channel(QUEUED_FOR_OWNER);
+        let (leader_tx, leader_rx) = mpsc::channel(QUEUED_FOR_LEADER);
         let ours = partition as usize % nodes.len() == own;
         let membership = Membership {
             partition,
@@ -82,15 +82,21 @@
             succession: succession.clone(),
             entitled: entitled.clone(),
             promise_status: promise_status.clone(),
-            ownership: ownership_tx,
-            ownership_changes: ownership_changes_tx,
+            leader_status: leader_status_tx,
+            leadership_changes: leadership_changes_tx,
             held: held.clone(),
             metrics: metrics.clone(),
             initial_delay_ms: if operator.partitions > 1 && !ours { grant_ttl_ms / 5 } else { 0 },
         };
         members.push((membership, members_tx.clone(), members_rx));
-        owners.push((ownership_changes, owner_rx));
-        handles.push(PartitionHandle { ownership, entitled, promise_status, owner: owner_tx, members: members_tx });
+        leaders.push((leadership_changes, leader_rx));
+        handles.push(PartitionHandle {
+            leader_status,
+            entitled,
+            promise_status,
+            leader: leader_tx,
+            members: members_tx,
+        });
     }
     let heard_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
     let pools = subsystems.warm_pools.map(Arc::new);
@@ -104,9 +110,9 @@
     for (membership, tx, rx) in members {
         task::spawn(membership.run(tx, rx));
     }
-    for (id, (ownership_changes, rx)) in (0..).zip(owners) {
+    for (id, (leadership_changes, rx)) in (0..).zip(leaders) {
         let handle = &router.partitions[id as usize];
-        let owner = PartitionOwner {
+        let leader = PartitionLeader {
             id,
             settings: settings.clone(),
             operator: operator.clone(),
@@ -119,10 +125,10 @@
             promise_status: handle.promise_status.clone(),
             members: handle.members.clone(),
             router: router.clone(),
-            tx: handle.owner.clone(),
+            tx: handle.leader.clone(),
             current: Arc::new(AtomicU64::new(0)),
         };
-        task::spawn(owner.run(ownership_changes, rx));
+        task::spawn(leader.run(leadership_changes, rx));
     }
 
     let for_peers = router.clone();
--- a/src/partition/attempt_phases.rs
+++ b/src/partition/attempt_phases.rs
@@ -4,7 +4,7 @@
 use crate::model::{ClusterState, HostIndex, Place, Shape, TaskAttempt, TaskKey, TaskPhase};
 
 impl Partition {
-    /// An attempt that we did not start: an earlier owner did, or a late order.
+    /// An attempt that we did not start: an earlier leader did, or a late order.
     pub(super) fn adopt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, phase: TaskPhase, now: u64) {
         let job = &mut self.cluster.jobs[key.job];
         let idle = job.tasks[key.task as usize].place == Place::Idle;
@@ -47,7 +47,7 @@
         c.phase = phase;
         let job = &mut jobs[key.job];
         if phase == TaskPhase::Saving && c.stop.is_none() && self.loans.is_some() {
-            // An earlier owner has stopped it: it is on its way out, and its team's use is less by it.
+            // An earlier leader has stopped it: it is on its way out, and its team's use is less by it.
             c.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
         }
         job.tasks[key.task as usize].located |= !c.ended();
--- a/src/partition/borrowing/commits.rs
+++ b/src/partition/borrowing/commits.rs
@@ -1,4 +1,4 @@
-//! The records of loans: read at a takeover, written with the partition's others.
+//! The records of loans: read at a failover, written with the partition's others.
 
 use super::PartitionLoans;
 use crate::partition::Partition;
@@ -19,7 +19,7 @@
 }
 
 impl Partition {
-    /// Begins with the records of the last owner's loans.
+    /// Begins with the records of the last leader's loans.
     pub fn begin_loans(&mut self, items: Vec<Item>) {
         if let Some(own) = &mut self.loans {
             own.loans.restore(items.into_iter().filter_map(record));
--- a/src/partition/borrowing/maintenance.rs
+++ b/src/partition/borrowing/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is looked after with every plan: loans that could not be recorded, what the last owner
+//! What is looked after with every plan: loans that could not be recorded, what the last leader
 //! left, needs that are gone and work that runs again.
 
 use super::demand::{TeamDemands, missing_tasks};
--- a/src/partition/takeover.rs
+++ b/src/partition/failover.rs
@@ -1,4 +1,4 @@
-//! Taking a partition over: its records, its terms and the machines of the last owner.
+//! Taking a partition over: its records, its terms and the machines of the last leader.
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
@@ -83,7 +83,7 @@
     }
 
     /// A job that another node accepted while it could not reach this one. It
-    /// was not there when the records were read, so no earlier owner has
+    /// was not there when the records were read, so no earlier leader has
     /// started any of it.
     pub fn adopt_job(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
@@ -121,7 +121,7 @@
     }
 
     /// The same if one was accounted for since. Until then it counts as one that is not, which
-    /// holds back more and never less. After a takeover thousands are accounted for within a
+    /// holds back more and never less. After a failover thousands are accounted for within a
     /// second: a look at all machines for each of them would take longer than all else.
     pub fn refresh_unaccounted(&mut self) {
         if self.recount_due {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Looks again which machines of the last owner are still unaccounted for.
+    /// Looks again which machines of the last leader are still unaccounted for.
     pub(super) fn recount(&mut self) {
         self.recount_due = false;
         let mut open = Demand::default();
--- a/src/partition/keys.rs
+++ b/src/partition/keys.rs
@@ -15,7 +15,7 @@
     format!("{HOST_PREFIX}{id}")
 }
 
-/// Key that tells the owner of a partition of a job that another node accepted.
+/// Key that tells the leader of a partition of a job that another node accepted.
 pub fn inbox_key(partition: u32, id: &str) -> String {
     format!("in/{partition}/{id}")
 }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -7,6 +7,7 @@
 mod critical_path;
 mod direct;
 mod drain;
+mod failover;
 mod host_routing;
 mod keys;
 mod next_commit;
@@ -16,7 +17,6 @@
 mod report_load;
 mod reports;
 mod running_counts;
-mod takeover;
 #[cfg(test)]
 pub mod tests;
 mod types;
@@ -47,11 +47,11 @@
     pub policy: Policy,
     /// Figures for `GET /metrics`.
     pub metrics: Metrics,
-    /// The owner's term, which is its fencing token; 0 before the records were read.
+    /// The leader's term, which is its fencing token; 0 before the records were read.
     pub term: u64,
-    /// The term with which this owner began: it may have raised it since.
+    /// The term with which this leader began: it may have raised it since.
     first_term: u64,
-    /// This partition's number, and whether its owner leads.
+    /// This partition's number, and whether its leader leads.
     pub id: u32,
     teams: HashMap<String, u32>,
     /// Machines of other partitions, as far as the provisioner knows.
@@ -82,7 +82,7 @@
     /// or back, and undo that; it can't once the key has changed.
     open_host_write: Option<u64>,
     in_flight: Option<Vec<PendingWrite>>,
-    /// Machines of the last owner were accounted for since they were last counted.
+    /// Machines of the last leader were accounted for since they were last counted.
     recount_due: bool,
     /// Who waits for a job to be accepted, and for it to end.
     submitters: HashMap<JobIndex, Vec<Waiter>>,
--- a/src/partition/report_load.rs
+++ b/src/partition/report_load.rs
@@ -1,4 +1,4 @@
-//! How often attempts are listed in workers' reports: what following them costs the owner.
+//! How often attempts are listed in workers' reports: what following them costs the leader.
 
 use crate::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
 
@@ -26,7 +26,7 @@
         self.entries += entries as u64;
     }
 
-    /// Most attempts that the owner can follow, of which there are `attempts` now.
+    /// Most attempts that the leader can follow, of which there are `attempts` now.
     pub(super) fn most_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
         let measured_ms = now.saturating_sub(self.began_ms);
         if measured_ms >= MEASURED_REPORTS * self.report_ms {
--- a/src/partition/reports.rs
+++ b/src/partition/reports.rs
@@ -9,7 +9,7 @@
 
 /// What a report says that is new.
 struct News {
-    /// It was made under a token of this owner.
+    /// It was made under a token of this leader.
     current: bool,
     /// Seconds left until the machine is taken back, if that was not known.
     notice_s: Option<f64>,
@@ -57,9 +57,9 @@
         orders
     }
 
-    /// The worker has not seen this owner's token yet. A machine of the last owner learns it from
+    /// The worker has not seen this leader's token yet. A machine of the last leader learns it from
     /// the answer to its report, and reports again for that: a direct command to each of them
-    /// would double the work of a takeover. A new machine is told directly, to be of use at once,
+    /// would double the work of a failover. A new machine is told directly, to be of use at once,
     /// and so is one to which the answer made no difference.
     fn show_token(&mut self, host_index: HostIndex, via: ReportSource, now: u64) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
@@ -98,7 +98,7 @@
     fn state_seen(&mut self, host_index: HostIndex, r: &Report, via: ReportSource, now: u64) -> Option<News> {
         let flavor = self.cluster.flavor(&r.flavor);
         let h = self.cluster.host_mut(host_index)?;
-        // A late copy of a report from before this owner's time may be the first that
+        // A late copy of a report from before this leader's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
         let current = r.fence >= h.min_fence;
         h.tenure = r.tenure;
@@ -125,11 +125,11 @@
         Some(News { current, notice_s })
     }
 
-    /// The machine has reported under a token of this owner.
+    /// The machine has reported under a token of this leader.
     fn account_for(&mut self, host_index: HostIndex, r: &Report) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         if !h.confirmed() {
-            // Not in the registry: no owner before us placed anything on it.
+            // Not in the registry: no leader before us placed anything on it.
             tracing::info!(host = r.host, flavor = r.flavor, zone = r.zone, spot = r.spot, "machine is up");
             self.new_hosts.insert(host_index);
         }
--- a/src/partition/running_counts.rs
+++ b/src/partition/running_counts.rs
@@ -1,6 +1,6 @@
 //! How many tasks of a job run, as users are told.
 //!
-//! Counted at each question for small jobs. For large ones that would cost the owner more than
+//! Counted at each question for small jobs. For large ones that would cost the leader more than
 //! all else when users ask many times a second about an array of thousands of tasks, so these
 //! are counted together, from one look at all attempts, with each upkeep. The protocol allows
 //! the number to lag.
--- a/src/partition/tests/acceptance.rs
+++ b/src/partition/tests/acceptance.rs
@@ -90,7 +90,7 @@
     assert!(first.to_string().contains("run-000900"), "{first}");
 }
 
-// A team that another region knows already was refused for good by an owner that had not heard of it.
+// A team that another region knows already was refused for good by a leader that had not heard of it.
 #[test]
 fn what_a_newer_configuration_may_allow_is_refused_for_now_only() {
     let of_team = |team: &str, shape: &str| -> Vec<u8> {
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -1,4 +1,4 @@
-//! Loans between records, orders, reports and takeovers, with scripted commits and one machine.
+//! Loans between records, orders, reports and failovers, with scripted commits and one machine.
 
 use super::*;
 use crate::model::Urgency;
@@ -11,7 +11,7 @@
 /// Time between two steps.
 const STEP_MS: u64 = 200;
 
-/// A machine of eight accelerators that a night run fills, and the owner of the partition.
+/// A machine of eight accelerators that a night run fills, and the leader of the partition.
 struct Rig {
     partition: Partition,
     now: u64,
@@ -207,7 +207,7 @@
     assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
 }
 
-/// Another owner begins with what is stored. The machine has not reported to it.
+/// Another leader begins with what is stored. The machine has not reported to it.
 fn take_over(rig: &mut Rig) {
     let items = |prefix: &str| -> Vec<Item> {
         let under = rig.records.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -241,7 +241,7 @@
     assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002"), lent), (4, 4, 3));
 }
 
-// Tasks that the last owner had stopped still saved as the machine reported to its successor, which
+// Tasks that the last leader had stopped still saved as the machine reported to its successor, which
 // took them for running: the lender had fewer left than it believed, and gave way below its floor.
 #[test]
 fn tasks_that_save_as_a_successor_begins_count_as_stopped() {
--- a/src/partition/tests/takeover.rs
+++ b/src/partition/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Tests of a takeover: what is placed before all machines are accounted for.
+//! Tests of a failover: what is placed before all machines are accounted for.
 
 use super::*;
 
@@ -14,7 +14,7 @@
     p.pass(1100, 1100);
     assert!(p.pending_dispatch.is_empty());
     // The first report is answered, but shows an older token: the old
-    // owner's command may still come.
+    // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
     p.report(&report("h1", 1, 7, 1, vec![]), ReportSource::Heartbeat, 1200);
     p.pending_dispatch.clear();
@@ -44,7 +44,7 @@
 }
 
 // The next size: some machine is always dead, hung or cut. What was seen alive since
-// the takeover is not there, and what its type can't hold is not either.
+// the failover is not there, and what its type can't hold is not either.
 #[test]
 fn a_takeover_holds_back_only_what_an_unaccounted_machine_may_hold() {
     let mut old = partition();
@@ -96,7 +96,7 @@
     }
 }
 
-// A late copy of a report speaks for a machine that the last owner had released: its
+// A late copy of a report speaks for a machine that the last leader had released: its
 // task may be on one that is not accounted for.
 #[test]
 fn a_late_copy_from_a_machine_that_is_gone_locates_nothing() {
@@ -113,7 +113,7 @@
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
 }
 
-// With 3.6% of a core a new owner of 240 machines asked each of them directly, though each had
+// With 3.6% of a core a new leader of 240 machines asked each of them directly, though each had
 // just reported to it, and answered nobody for two seconds.
 #[test]
 fn a_machine_learns_a_new_owners_token_from_the_answer_to_its_report() {
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -37,7 +37,7 @@
 }
 
 // An end that was sent may have been carried out, and another node may have read it and
-// told it. Until that is settled the owner, whose memory has no end yet, says nothing.
+// told it. Until that is settled the leader, whose memory has no end yet, says nothing.
 #[test]
 fn nothing_older_is_told_while_an_end_may_have_been_recorded() {
     for at_once in [true, false] {
@@ -129,7 +129,7 @@
 }
 
 // Jobs cancelled in the seconds in which work changes hands: the task is first seen when
-// its machine answers the new owner, after the user asked. It ran on, and the job could
+// its machine answers the new leader, after the user asked. It ran on, and the job could
 // neither be called cancelled nor end.
 #[test]
 fn a_task_first_seen_after_its_cancellation_was_asked_for_is_stopped() {
@@ -182,7 +182,7 @@
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
 }
 
-// New machines get work at once, but only after they were shown a token of this owner.
+// New machines get work at once, but only after they were shown a token of this leader.
 #[test]
 fn a_new_machine_is_asked_at_once_and_used_when_it_answers() {
     let mut p = partition();
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -248,7 +248,7 @@
         assert!(self.largest_commit <= 64 * 1024, "{} bytes", self.largest_commit);
     }
 
-    /// Another owner takes over with what is stored; the machines named are dead.
+    /// Another leader takes over with what is stored; the machines named are dead.
     fn take_over(&mut self, term: u64) {
         let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(k, _)| k.starts_with(prefix));
--- a/src/partition/tests/limits.rs
+++ b/src/partition/tests/limits.rs
@@ -51,7 +51,7 @@
     assert!(end.apply[0]["data"].to_string().len() <= RECORD_BYTES);
 }
 
-/// A partition whose owner can follow 48 entries of attempts a second, with an array of 1,000
+/// A partition whose leader can follow 48 entries of attempts a second, with an array of 1,000
 /// tasks of the lowest urgency that waits.
 fn partition_with_a_large_array() -> Partition {
     let mut s = settings();
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -3,6 +3,7 @@
 mod acceptance;
 mod borrowing;
 mod critical_path;
+mod failover;
 mod failures;
 mod fault_combinations;
 mod fleet;
@@ -12,7 +13,6 @@
 mod predecessors;
 mod recording;
 mod silence;
-mod takeover;
 mod warm_pools;
 
 use super::*;
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Tests of silent machines, and of an owner that hears none.
+//! Tests of silent machines, and of a leader that hears none.
 
 use super::*;
 
@@ -94,7 +94,7 @@
     }
 }
 
-// Found on a day of cuts: the owner kept the partition while no report reached
+// Found on a day of cuts: the leader kept the partition while no report reached
 // it, and every lease ran out.
 #[test]
 fn an_owner_that_hears_no_worker_any_more_is_cut_off() {
--- a/src/partition/tests/warm_pools/takeovers.rs
+++ b/src/partition/tests/warm_pools/failovers.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_successor_neither_gives_a_claimed_replica_away_nor_loses_it() {
-    // The owner ends before its claim is recorded, between the record and the order, or after it.
+    // The leader ends before its claim is recorded, between the record and the order, or after it.
     for (recorded, ordered) in [(false, false), (true, false), (true, true)] {
         let mut rig = Rig::new(3);
         let job = rig.submit("blue", "notes");
@@ -27,7 +27,7 @@
     }
 }
 
-// A paused owner wakes and goes on: its token is refused by the workers, its writes by the guard.
+// A paused leader wakes and goes on: its token is refused by the workers, its writes by the guard.
 #[test]
 fn an_owner_that_was_replaced_orders_nothing() {
     let mut rig = Rig::new(3);
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -1,9 +1,9 @@
-//! Warm pools between claims, commits, orders, reports and takeovers, with scripted workers that
+//! Warm pools between claims, commits, orders, reports and failovers, with scripted workers that
 //! load models and a scripted store. Several machines fail at a time.
 
 mod claims;
+mod failovers;
 mod machines;
-mod takeovers;
 
 use super::*;
 use crate::config::{Operator, Settings, tests::settings};
@@ -137,7 +137,7 @@
         rig
     }
 
-    /// Another owner begins with what is stored.
+    /// Another leader begins with what is stored.
     fn take_over(&mut self) {
         self.term += 1;
         self.late.clear();
@@ -204,7 +204,7 @@
     }
 
     fn commit(&mut self) {
-        // As the owner does: without the state service no claim is offered.
+        // As the leader does: without the state service no claim is offered.
         self.partition.claims_recordable = self.commits != Commits::Refused;
         let Some(c) = self.partition.next_commit(self.now, 32) else { return };
         let result = match self.commits {
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -25,7 +25,7 @@
     pub id: String,
     /// Where its worker takes direct commands.
     pub addr: SocketAddr,
-    /// The fencing token: the owner's term when the command was made.
+    /// The fencing token: the leader's term when the command was made.
     pub term: u64,
     /// Session of the worker that the command is meant for; 0 if not known yet.
     pub tenure: u64,
@@ -120,7 +120,7 @@
     Unknown,
 }
 
-/// The partition has another owner, or none: its key is not as it was.
+/// The partition has another leader, or none: its key is not as it was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Superseded;
 
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -93,7 +93,7 @@
             if self.unreachable(h, now) {
                 survey.silent.push(host_index);
             }
-            // After a takeover all are asked at once: most look for us elsewhere first.
+            // After a failover all are asked at once: most look for us elsewhere first.
             if quiet || h.missed > 0 || !(h.token_confirmed() || self.confirms_soon(h, now)) {
                 survey.probe.push(host_index);
             }
@@ -169,7 +169,7 @@
         let (mut all, mut known, mut silent) = (0, 0, 0);
         for (_, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing && h.confirmed()) {
             all += 1;
-            // After a takeover those that were not asked yet may be on their way here.
+            // After a failover those that were not asked yet may be on their way here.
             let heard = h.tenure > 0;
             if heard || h.missed >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
--- a/src/partition/warm_pools/commits.rs
+++ b/src/partition/warm_pools/commits.rs
@@ -1,4 +1,4 @@
-//! The records of the pools: read at a takeover, written with the partition's others.
+//! The records of the pools: read at a failover, written with the partition's others.
 
 use super::PartitionPools;
 use crate::model::{CachedImage, HostIndex};
--- a/src/partition/warm_pools/mod.rs
+++ b/src/partition/warm_pools/mod.rs
@@ -20,7 +20,7 @@
 }
 
 impl PartitionPools {
-    /// A moment by the owner's clocks.
+    /// A moment by the leader's clocks.
     fn moment(&self, now: u64) -> Moment {
         Moment { steady_ms: now, wall_ms: self.wall_ms }
     }
--- a/src/partition/warm_pools/reports.rs
+++ b/src/partition/warm_pools/reports.rs
@@ -11,7 +11,7 @@
     Seen { warm: bool },
     /// It is not there.
     Missing,
-    /// The claim that the owner before recorded was not carried out, and can't be any more.
+    /// The claim that the leader before recorded was not carried out, and can't be any more.
     ClaimNotCarriedOut,
     /// Nothing can be told from the report.
     Nothing,
@@ -52,7 +52,7 @@
             let there = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
             return match (there, slot.seen) {
                 (true, _) => SlotNews::Seen { warm: true },
-                // No order of the owner before can come any more: the machine has seen our token.
+                // No order of the leader before can come any more: the machine has seen our token.
                 (false, false) => SlotNews::ClaimNotCarriedOut,
                 (false, true) => SlotNews::Nothing,
             };
--- a/src/owner/answers.rs
+++ b/src/partition_leader/answers.rs
@@ -1,8 +1,8 @@
 //! Answers to workers, users and other partitions.
 
-use super::active_term::ActiveTerm;
+use super::context::{PartitionLeader, RETRY_LOANS, RETRY_POOLS};
+use super::leadership::Leadership;
 use super::messages::{HeartbeatReply, Message};
-use super::partition_owner::{PartitionOwner, RETRY_LOANS, RETRY_POOLS};
 use crate::clock;
 use crate::partition::{HostRouting, ReportSource, UserAnswer, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
@@ -10,11 +10,11 @@
 use crate::sched::PendingMachine;
 use crate::wire::Report;
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// Answers the report of a worker.
-    pub(super) fn heartbeat(&self, h: &mut ActiveTerm, r: &Report, now: u64) -> HeartbeatReply {
-        let term = h.partition.term;
-        if !h.loaded {
+    pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Report, now: u64) -> HeartbeatReply {
+        let term = leadership.partition.term;
+        if !leadership.loaded {
             // Leases live on while the records are read; but which machines
             // are whose is only known for sure if there is one partition.
             let sure = self.operator.partitions == 1 && r.fence <= term;
@@ -24,12 +24,12 @@
                 HeartbeatReply::NotEntitled
             };
         }
-        match h.partition.belongs(r) {
+        match leadership.partition.belongs(r) {
             HostRouting::Mine => {
-                HeartbeatReply::Orders { term, orders: h.partition.report(r, ReportSource::Heartbeat, now) }
+                HeartbeatReply::Orders { term, orders: leadership.partition.report(r, ReportSource::Heartbeat, now) }
             }
             HostRouting::NotYet => {
-                h.term_check_due = true;
+                leadership.term_check_due = true;
                 HeartbeatReply::NotEntitled
             }
             HostRouting::Elsewhere(p) => HeartbeatReply::Elsewhere(p),
@@ -40,34 +40,34 @@
     /// As the provisioner, answers a partition that tells which machines it needs.
     pub(super) fn capacity_report(
         &self,
-        h: &mut ActiveTerm,
+        leadership: &mut Leadership,
         capacity_report: CapacityReport,
         now: u64,
     ) -> PeerResponse {
         let (pending_machines, refused) =
-            h.provisioner.capacity_report(capacity_report, &h.partition, now, self.patience());
+            leadership.provisioner.capacity_report(capacity_report, &leadership.partition, now, self.patience());
         PeerResponse::PendingMachines { pending_machines, refused }
     }
 
     /// Takes in the answer of the provisioner.
     pub(super) fn pending_machines(
         &self,
-        h: &mut ActiveTerm,
+        leadership: &mut Leadership,
         pending_machines: Vec<Machines>,
         refused: &[Machines],
         now: u64,
     ) {
-        let cluster = &h.partition.cluster;
+        let cluster = &leadership.partition.cluster;
         let pending = pending_machines.into_iter().filter_map(|m| {
             let machine = PendingMachine { flavor: cluster.flavor(&m.flavor)?, zone: m.zone, spot: m.spot };
             Some(std::iter::repeat_n(machine, m.count))
         });
-        h.pending_machines = pending.flatten().collect();
-        h.provisioner.set_refused(refused, &h.partition, now + self.patience());
+        leadership.pending_machines = pending.flatten().collect();
+        leadership.provisioner.set_refused(refused, &leadership.partition, now + self.patience());
     }
 
     /// Answers a user.
-    pub(super) fn user(&self, h: &mut ActiveTerm, call: UserCall, reply: Waiter, now: u64) {
+    pub(super) fn user(&self, leadership: &mut Leadership, call: UserCall, reply: Waiter, now: u64) {
         // Refused at once: nothing can be recorded now.
         let silent = !self.state.answers(self.settings.grant_ttl_ms());
         match call {
@@ -75,25 +75,25 @@
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => {
-                h.partition.has_old_peer = self.router.has_old_peer();
-                h.partition.submit(&body, now, clock::wall_ms(), reply);
+                leadership.partition.has_old_peer = self.router.has_old_peer();
+                leadership.partition.submit(&body, now, clock::wall_ms(), reply);
             }
             UserCall::Status(id) => {
-                let _ = reply.send(h.partition.status(&id));
+                let _ = reply.send(leadership.partition.status(&id));
             }
-            UserCall::Cancel(id) => h.partition.cancel(&id, now, !silent, reply),
+            UserCall::Cancel(id) => leadership.partition.cancel(&id, now, !silent, reply),
         }
     }
 }
 
 /// Without the partition, users and workers are sent away.
-pub(super) fn handle_idle(m: Message) {
+pub(super) fn handle_while_follower(m: Message) {
     match m {
         Message::Heartbeat { reply, .. } => {
             let _ = reply.send(HeartbeatReply::NotEntitled);
         }
         Message::User { reply, .. } => {
-            let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotOwner));
+            let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotLeader));
         }
         Message::Pools(reply) => {
             let _ = reply.send(RETRY_POOLS);
@@ -107,6 +107,6 @@
         Message::CapacityReport { reply, .. } | Message::TransferHost { reply, .. } => {
             let _ = reply.send(PeerResponse::No);
         }
-        Message::Session { .. } => {}
+        Message::Background { .. } => {}
     }
 }
--- a/src/owner/cloud_tasks.rs
+++ b/src/partition_leader/cloud_tasks.rs
@@ -1,8 +1,8 @@
 //! Operations of the cloud, and the watch of its machine types and its list.
 
-use super::active_term::ActiveTerm;
-use super::messages::{SessionEvent, SessionSender};
-use super::partition_owner::PartitionOwner;
+use super::context::PartitionLeader;
+use super::leadership::Leadership;
+use super::messages::{BackgroundEvent, BackgroundSender};
 use super::stored_records::flavor_changes;
 use crate::clients::{Cloud, RentResult, State};
 use crate::model::Flavor;
@@ -16,42 +16,42 @@
 /// The machine types are read in one of so many rounds of the watch.
 const ROUNDS_PER_FLAVORS: u32 = 8;
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// Starts an operation.
-    pub(super) fn cloud_request(&self, h: &mut ActiveTerm, op: CloudRequest) {
+    pub(super) fn cloud_request(&self, leadership: &mut Leadership, op: CloudRequest) {
         match op {
-            CloudRequest::Rent { name, rental, pause_ms } => self.rent(h, name, rental, pause_ms),
+            CloudRequest::Rent { name, rental, pause_ms } => self.rent(leadership, name, rental, pause_ms),
             CloudRequest::TransferHost { from, host, to } => {
                 let router = self.router.clone();
                 task::spawn(async move {
                     router.request(from, PeerRequest::TransferHost { partition: from, host, to }).await
                 });
             }
-            CloudRequest::Release(hosts) => self.release(h, hosts),
+            CloudRequest::Release(hosts) => self.release(leadership, hosts),
         }
     }
 
-    fn rent(&self, h: &ActiveTerm, name: String, rental: Rental, pause_ms: u64) {
-        let (cloud, sender) = (self.cloud.clone(), self.sender(h.n));
-        let flavor = h.partition.cluster.flavors[rental.flavor].name.clone();
+    fn rent(&self, leadership: &Leadership, name: String, rental: Rental, pause_ms: u64) {
+        let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.n));
+        let flavor = leadership.partition.cluster.flavors[rental.flavor].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
             let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
-            sender.send(SessionEvent::Rented { name, result }).await;
+            sender.send(BackgroundEvent::Rented { name, result }).await;
         });
     }
 
-    fn release(&self, h: &mut ActiveTerm, hosts: Vec<String>) {
-        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(h.n), self.cloud_pause());
+    fn release(&self, leadership: &mut Leadership, hosts: Vec<String>) {
+        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(leadership.n), self.cloud_pause());
         for id in &hosts {
-            h.partition.mark_releasing(id);
+            leadership.partition.mark_releasing(id);
         }
         task::spawn(async move {
             let confirmed = cloud.release(&hosts).await;
             if !confirmed {
                 sleep(pause).await;
             }
-            sender.send(SessionEvent::Released { hosts, confirmed }).await;
+            sender.send(BackgroundEvent::Released { hosts, confirmed }).await;
         });
     }
 
@@ -61,32 +61,36 @@
     }
 
     /// Takes in how a rental request ended.
-    pub(super) fn rented(&self, h: &mut ActiveTerm, name: &str, result: RentResult, now: u64) {
-        if let Some(op) = h.provisioner.rented(name, result, now) {
-            self.cloud_request(h, op);
+    pub(super) fn rented(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
+        if let Some(op) = leadership.provisioner.rented(name, result, now) {
+            self.cloud_request(leadership, op);
         }
     }
 
     /// Takes in how a request to release machines ended.
-    pub(super) fn released(&self, h: &mut ActiveTerm, hosts: Vec<String>, confirmed: bool) {
+    pub(super) fn released(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
-            self.cloud_request(h, CloudRequest::Release(hosts));
+            self.cloud_request(leadership, CloudRequest::Release(hosts));
             return;
         }
-        h.provisioner.released(&hosts);
+        leadership.provisioner.released(&hosts);
         for id in &hosts {
-            if let Some(addr) =
-                h.partition.cluster.host_index.get(id).and_then(|index| h.partition.cluster.host(*index)?.addr)
+            if let Some(addr) = leadership
+                .partition
+                .cluster
+                .host_index
+                .get(id)
+                .and_then(|index| leadership.partition.cluster.host(*index)?.addr)
             {
                 self.worker.forget(addr);
             }
-            h.partition.host_gone(id);
+            leadership.partition.host_gone(id);
         }
     }
 
     /// Reads the machine types and the list for as long as the session lasts.
-    pub(super) fn watch_cloud(&self, session: u64, known: Vec<Flavor>) {
-        let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(session));
+    pub(super) fn watch_cloud(&self, leadership_epoch: u64, known: Vec<Flavor>) {
+        let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(leadership_epoch));
         let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
         let value_bytes = self.settings.write_limits().value_bytes;
         let leads = self.id == 0;
@@ -101,7 +105,7 @@
                 }
                 if leads
                     && let Some(list) = cloud.list().await
-                    && !sender.send(SessionEvent::Listed(list)).await
+                    && !sender.send(BackgroundEvent::Listed(list)).await
                 {
                     return;
                 }
@@ -120,7 +124,7 @@
 async fn read_flavors(
     cloud: &Cloud,
     state: &State,
-    sender: &SessionSender,
+    sender: &BackgroundSender,
     known: &mut Vec<Flavor>,
     value_bytes: usize,
 ) -> bool {
@@ -131,5 +135,5 @@
         }
     }
     known.clone_from(&flavors);
-    sender.send(SessionEvent::Flavors(flavors)).await
+    sender.send(BackgroundEvent::Flavors(flavors)).await
 }
--- /dev/null
+++ b/src/partition_leader/configuration.rs
@@ -0,0 +1,81 @@
+//! Following the configuration that the regions of a fleet share.
+
+use super::context::PartitionLeader;
+use super::leadership::Leadership;
+use super::messages::BackgroundEvent;
+use crate::configuration::{Obeyed, Published, obeyed_change, policy_of};
+use crate::membership::partition_key;
+use crate::model::Demand;
+use crate::partition::CommitResult;
+use crate::{task, wire};
+
+impl PartitionLeader {
+    /// Decides by the last version from now on, and records that.
+    pub(super) fn follow_configuration(&self, leadership: &mut Leadership, now: u64) {
+        let Some(configuration) = &self.router.configuration else { return };
+        let Some(published) = configuration.published() else { return };
+        let suspended = !published.may_start_tasks;
+        leadership.partition.configuration_up_to_date = published.is_up_to_date();
+        if leadership.followed.version != Some(published.state.version) || leadership.followed.suspended != suspended {
+            self.obey(leadership, &published, configuration.region());
+        }
+        self.record_obeyed(leadership, published.state.version, now);
+    }
+
+    fn obey(&self, leadership: &mut Leadership, published: &Published, region: &str) {
+        let mut policy = policy_of(&leadership.partition.policy, &published.state, region);
+        let suspended = !published.may_start_tasks;
+        if suspended {
+            policy.teams.values_mut().for_each(|team| team.limit = Demand::default());
+        }
+        leadership.partition.policy = policy;
+        leadership.partition.pass_due = true;
+        leadership.followed.version = Some(published.state.version);
+        leadership.followed.suspended = suspended;
+        tracing::debug!(version = published.state.version, suspended, "configuration in force");
+    }
+
+    /// Records the version that this leader obeys, and the one whose limits all teams keep to. The
+    /// record guards on this leader's key: whoever takes the partition over later reads this version
+    /// or a later one.
+    fn record_obeyed(&self, leadership: &mut Leadership, version: u64, now: u64) {
+        let recorded = leadership.followed.recorded;
+        let settled =
+            recorded.version == version && recorded.kept == version && recorded.term == leadership.partition.term;
+        if settled || leadership.followed.recording || now < leadership.followed.next_record_ms {
+            return;
+        }
+        let pause_ms =
+            if recorded.version == version { self.settings.react_ms() } else { self.settings.react_ms() / 8 };
+        leadership.followed.next_record_ms = now + pause_ms;
+        let kept = if !leadership.followed.suspended && leadership.partition.teams_within_limits(now) {
+            version
+        } else if recorded.term == leadership.partition.term {
+            recorded.kept
+        } else {
+            0
+        };
+        let obeyed = Obeyed { version, kept, term: leadership.partition.term };
+        if obeyed == recorded || leadership.writes.available_tokens(now) == 0 {
+            return;
+        }
+        leadership.writes.spend(1);
+        leadership.followed.recording = true;
+        let (state, sender) = (self.state.clone(), self.sender(leadership.n));
+        let guard = wire::guard(&partition_key(self.id), leadership.version);
+        task::spawn(async move {
+            let result = state.commit(&[guard], &[obeyed_change(&obeyed)]).await;
+            let recorded = matches!(result, CommitResult::Done { .. }).then_some(obeyed);
+            sender.send(BackgroundEvent::ConfigurationRecorded(recorded)).await;
+        });
+    }
+
+    /// The record was written, or that failed.
+    pub(super) fn configuration_recorded(&self, leadership: &mut Leadership, obeyed: Option<Obeyed>) {
+        leadership.followed.recording = false;
+        if let (Some(obeyed), Some(configuration)) = (obeyed, &self.router.configuration) {
+            leadership.followed.recorded = obeyed;
+            configuration.obeyed(obeyed);
+        }
+    }
+}
--- a/src/owner/partition_owner.rs
+++ b/src/partition_leader/context.rs
@@ -1,6 +1,6 @@
 //! What the actor of a partition works with.
 
-use super::messages::{Message, SessionSender};
+use super::messages::{BackgroundSender, Message};
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Settings};
 use crate::loans::LoansResponse;
@@ -13,15 +13,15 @@
 use std::sync::atomic::AtomicU64;
 use tokio::sync::mpsc;
 
-/// The answer about pools of an owner that has not read its records.
+/// The answer about pools of a leader that has not read its records.
 pub(super) const RETRY_POOLS: PoolsResponse = PoolsResponse::RetryLater(1);
 /// Writes may come in bursts of so many seconds' worth.
 pub(super) const WRITE_BURST_S: f64 = 0.8;
-/// The answer about loans of an owner that has not read its records.
+/// The answer about loans of a leader that has not read its records.
 pub(super) const RETRY_LOANS: LoansResponse = LoansResponse::RetryLater(1);
 
 /// What the actor works with.
-pub struct PartitionOwner {
+pub struct PartitionLeader {
     /// Number of the partition.
     pub id: u32,
     /// What the platform prescribes.
@@ -48,14 +48,14 @@
     pub router: Router,
     /// The way to this actor, for its background tasks.
     pub tx: mpsc::Sender<Message>,
-    /// Number of the period of ownership under way; 0 if none.
+    /// Number of the leadership epoch under way; 0 if none.
     pub current: Arc<AtomicU64>,
 }
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// The way back to this actor for background tasks of a session.
-    pub(super) fn sender(&self, session: u64) -> SessionSender {
-        SessionSender { session, tx: self.tx.clone(), current: self.current.clone() }
+    pub(super) fn sender(&self, leadership_epoch: u64) -> BackgroundSender {
+        BackgroundSender { leadership_epoch, tx: self.tx.clone(), current: self.current.clone() }
     }
 
     /// How long what one partition told another counts.
--- a/src/owner/followed.rs
+++ b/src/partition_leader/followed.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of what it follows: jobs of other partitions, and the shared configuration.
+//! What a leader knows of what it follows: jobs of other partitions, and the shared configuration.
 
 use crate::configuration::Obeyed;
 use std::collections::HashSet;
@@ -10,7 +10,7 @@
     pub(super) ids: HashSet<String>,
 }
 
-/// How far an owner follows the shared configuration.
+/// How far a leader follows the shared configuration.
 #[derive(Debug, Default)]
 pub(super) struct FollowedConfiguration {
     /// The version that decisions are made by; `None` before there is one.
--- a/src/owner/active_term.rs
+++ b/src/partition_leader/leadership.rs
@@ -6,11 +6,11 @@
 use crate::provisioner::Provisioner;
 use crate::sched::PendingMachine;
 
-/// One period of ownership of the partition.
-pub(super) struct ActiveTerm {
+/// One leadership epoch of the partition.
+pub(super) struct Leadership {
     pub(super) partition: Partition,
     pub(super) provisioner: Provisioner,
-    /// Number of the period of ownership: answers to an earlier one are dropped.
+    /// Number of the leadership epoch: answers to an earlier one are dropped.
     pub(super) n: u64,
     pub(super) grant: u64,
     pub(super) version: u64,
@@ -32,7 +32,7 @@
     pub(super) known_externals: Option<KnownExternals>,
     pub(super) externals_under_way: bool,
     pub(super) next_externals_ms: u64,
-    /// How far this owner follows the shared configuration.
+    /// How far this leader follows the shared configuration.
     pub(super) followed: FollowedConfiguration,
     /// Unclear records of warm pools and loans are being read.
     pub(super) reading_unclear: bool,
--- a/src/owner/load.rs
+++ b/src/partition_leader/load.rs
@@ -1,8 +1,8 @@
 //! Reading the partition's records from the state service.
 
-use super::active_term::ActiveTerm;
-use super::messages::SessionEvent;
-use super::partition_owner::PartitionOwner;
+use super::context::PartitionLeader;
+use super::leadership::Leadership;
+use super::messages::BackgroundEvent;
 use super::stored_records::{FurtherRecords, Loaded, read_keys};
 use crate::clients::State;
 use crate::partition;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// Reads what the state service holds, until that succeeds or the session is over.
-    pub(super) fn load(&self, session: u64) {
-        let (state, sender) = (self.state.clone(), self.sender(session));
+    pub(super) fn load(&self, leadership_epoch: u64) {
+        let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let configuration = self.router.configuration.clone();
         let further = FurtherRecords { pools: self.pools.is_some(), loans: self.borrowing.is_some() };
         task::spawn(async move {
             while sender.is_current() {
                 if let Some(loaded) = Loaded::read(&state, configuration.as_ref(), further).await {
-                    sender.send(SessionEvent::Loaded(loaded)).await;
+                    sender.send(BackgroundEvent::Loaded(loaded)).await;
                     return;
                 }
                 sleep(state.pause()).await;
@@ -29,8 +29,8 @@
     }
 
     /// Reads records again that a commit found changed.
-    pub(super) fn reread(&self, session: u64, keys: Vec<String>) {
-        let (state, sender) = (self.state.clone(), self.sender(session));
+    pub(super) fn reread(&self, leadership_epoch: u64, keys: Vec<String>) {
+        let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
             let mut items = Vec::new();
             for k in keys {
@@ -38,22 +38,22 @@
                     items.push(i);
                 }
             }
-            sender.send(SessionEvent::Reread(items)).await;
+            sender.send(BackgroundEvent::Reread(items)).await;
         });
     }
 
     /// Reads the records of pools and loans that are unclear, until all are read.
-    pub(super) fn read_unclear_records(&self, h: &mut ActiveTerm) {
-        let keys = h.partition.unclear_keys();
-        if h.reading_unclear || keys.is_empty() {
+    pub(super) fn read_unclear_records(&self, leadership: &mut Leadership) {
+        let keys = leadership.partition.unclear_keys();
+        if leadership.reading_unclear || keys.is_empty() {
             return;
         }
-        h.reading_unclear = true;
-        let (state, sender) = (self.state.clone(), self.sender(h.n));
+        leadership.reading_unclear = true;
+        let (state, sender) = (self.state.clone(), self.sender(leadership.n));
         task::spawn(async move {
             while sender.is_current() {
                 if let Some(found) = read_keys(&state, &keys).await {
-                    sender.send(SessionEvent::UnclearRead(found)).await;
+                    sender.send(BackgroundEvent::UnclearRead(found)).await;
                     return;
                 }
                 sleep(state.pause()).await;
@@ -62,25 +62,25 @@
     }
 
     /// Takes these records as they are.
-    pub(super) fn unclear_read(&self, h: &mut ActiveTerm, found: Vec<(String, Option<Item>)>) {
-        h.reading_unclear = false;
-        h.partition.unclear_keys_read(found);
+    pub(super) fn unclear_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
+        leadership.reading_unclear = false;
+        leadership.partition.unclear_keys_read(found);
     }
 
     /// Reads the record of a machine that may be another partition's now.
-    pub(super) fn recheck(&self, session: u64, host: String) {
-        let (state, sender) = (self.state.clone(), self.sender(session));
+    pub(super) fn recheck(&self, leadership_epoch: u64, host: String) {
+        let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
             if let Ok((item, _)) = state.get(&partition::host_key(&host)).await {
                 let record = item.and_then(|i| serde_json::from_value(i.value).ok());
-                sender.send(SessionEvent::Rechecked { host, record }).await;
+                sender.send(BackgroundEvent::Rechecked { host, record }).await;
             }
         });
     }
 
     /// Reads the jobs that other nodes accept, for as long as the session lasts.
-    pub(super) fn watch_inbox(&self, session: u64) {
-        let (state, sender) = (self.state.clone(), self.sender(session));
+    pub(super) fn watch_inbox(&self, leadership_epoch: u64) {
+        let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let prefix = partition::inbox_key(self.id, "");
         let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
         task::spawn(async move {
@@ -89,7 +89,7 @@
                     let (_, revision) = state.get(&prefix).await.ok()?;
                     let items = accepted_jobs(&state, &prefix).await?;
                     let any = !items.is_empty();
-                    if !sender.send(SessionEvent::Inbox(items)).await {
+                    if !sender.send(BackgroundEvent::Inbox(items)).await {
                         return None;
                     }
                     // What was read stays listed until it is deleted.
--- /dev/null
+++ b/src/partition_leader/loans.rs
@@ -0,0 +1,20 @@
+//! Loans between teams: their upkeep, and what is asked about them.
+
+use super::context::PartitionLeader;
+use super::leadership::Leadership;
+use crate::clock;
+use crate::loans::LoansResponse;
+
+impl PartitionLeader {
+    /// Looks after the loans, if there is borrowing.
+    pub(super) fn maintain_loans(&self, leadership: &mut Leadership, now: u64) {
+        if self.borrowing.is_some() {
+            leadership.partition.maintain_loans(now, clock::wall_ms());
+        }
+    }
+
+    /// How the loans are.
+    pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> LoansResponse {
+        leadership.partition.loans_status(now).map_or(LoansResponse::NoBorrowing, LoansResponse::Status)
+    }
+}
--- a/src/owner/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -53,16 +53,16 @@
     /// The figures of the partition are asked for.
     Metrics(oneshot::Sender<String>),
     /// What a background task reports; dropped if its session is over.
-    Session {
+    Background {
         /// Number of the session that the task belongs to.
-        session: u64,
+        leadership_epoch: u64,
         /// The report.
-        event: SessionEvent,
+        event: BackgroundEvent,
     },
 }
 
 /// What background tasks of a session report.
-pub enum SessionEvent {
+pub enum BackgroundEvent {
     /// The provisioner's answer: machines on their way here, and those that the cloud has refused.
     PendingMachine {
         /// Machines on their way to this partition.
@@ -105,9 +105,9 @@
     UnclearRead(Vec<(String, Option<Item>)>),
     /// The term was raised; none if that failed.
     Raised(Option<RaisedTerm>),
-    /// It was recorded that this owner obeys a version of the configuration; `None` if that failed.
+    /// It was recorded that this leader obeys a version of the configuration; `None` if that failed.
     ConfigurationRecorded(Option<Obeyed>),
-    /// The partition has another owner, or none.
+    /// The partition has another leader, or none.
     Superseded,
     /// A rental request has ended.
     Rented {
@@ -134,7 +134,7 @@
 pub enum HeartbeatReply {
     /// The token and the orders.
     Orders {
-        /// The fencing token: the owner's term.
+        /// The fencing token: the leader's term.
         term: u64,
         /// What the worker is to do.
         orders: Vec<Order>,
@@ -149,20 +149,20 @@
 
 /// The way back to the actor for the background tasks of one session.
 #[derive(Clone)]
-pub(super) struct SessionSender {
-    pub(super) session: u64,
+pub(super) struct BackgroundSender {
+    pub(super) leadership_epoch: u64,
     pub(super) tx: mpsc::Sender<Message>,
     pub(super) current: Arc<AtomicU64>,
 }
 
-impl SessionSender {
+impl BackgroundSender {
     /// Reports to the actor; false if it has ended.
-    pub(super) async fn send(&self, event: SessionEvent) -> bool {
-        self.tx.send(Message::Session { session: self.session, event }).await.is_ok()
+    pub(super) async fn send(&self, event: BackgroundEvent) -> bool {
+        self.tx.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
     /// True while the session is under way.
     pub(super) fn is_current(&self) -> bool {
-        self.current.load(Ordering::Relaxed) == self.session
+        self.current.load(Ordering::Relaxed) == self.leadership_epoch
     }
 }
--- a/src/owner/pools.rs
+++ b/src/partition_leader/pools.rs
@@ -1,19 +1,19 @@
 //! Warm pools: their upkeep, and what is asked about them.
 
-use super::active_term::ActiveTerm;
-use super::partition_owner::PartitionOwner;
+use super::context::PartitionLeader;
+use super::leadership::Leadership;
 use crate::clock;
 use crate::model::Flavor;
 use crate::warm_pools::PoolsResponse;
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// Looks after the pools, if there are any.
-    pub(super) fn maintain_pools(&self, h: &mut ActiveTerm, now: u64) {
+    pub(super) fn maintain_pools(&self, leadership: &mut Leadership, now: u64) {
         if self.pools.is_none() {
             return;
         }
-        let boot_ms = h.provisioner.expected_boot_ms(&h.partition, now);
-        h.partition.maintain_pools(boot_ms, now, clock::wall_ms());
+        let boot_ms = leadership.provisioner.expected_boot_ms(&leadership.partition, now);
+        leadership.partition.maintain_pools(boot_ms, now, clock::wall_ms());
     }
 
     /// Machine types are told by the cloud: where it gave no answer as this controller started, a
@@ -28,9 +28,9 @@
     }
 
     /// How the pools are.
-    pub(super) fn pool_status(&self, h: &ActiveTerm) -> PoolsResponse {
+    pub(super) fn pool_status(&self, leadership: &Leadership) -> PoolsResponse {
         match &self.pools {
-            Some(_) => PoolsResponse::Status(h.partition.pool_status()),
+            Some(_) => PoolsResponse::Status(leadership.partition.pool_status()),
             None => PoolsResponse::NoPools,
         }
     }
--- a/src/owner/predecessors.rs
+++ b/src/partition_leader/predecessors.rs
@@ -1,10 +1,10 @@
 //! Reading the records of jobs that others wait for: of those that a submission names and the
 //! partition does not know, and of those that belong to other partitions.
 
-use super::active_term::ActiveTerm;
+use super::context::PartitionLeader;
 use super::followed::KnownExternals;
-use super::messages::SessionEvent;
-use super::partition_owner::PartitionOwner;
+use super::leadership::Leadership;
+use super::messages::BackgroundEvent;
 use super::stored_records::ExternalRecords;
 use crate::clients::{RequestError, State};
 use crate::partition::{JOB_PREFIX, PredecessorLookup, job_key};
@@ -12,47 +12,47 @@
 use crate::wire::Item;
 use std::collections::HashSet;
 
-impl PartitionOwner {
+impl PartitionLeader {
     /// Makes the lookups that submissions wait for.
-    pub(super) fn look_up_predecessors(&self, h: &mut ActiveTerm) {
-        for lookup in h.partition.take_lookups() {
-            let (state, sender) = (self.state.clone(), self.sender(h.n));
+    pub(super) fn look_up_predecessors(&self, leadership: &mut Leadership) {
+        for lookup in leadership.partition.take_lookups() {
+            let (state, sender) = (self.state.clone(), self.sender(leadership.n));
             task::spawn(async move {
                 let submission = lookup.submission;
                 let found = read_all(&state, lookup).await;
-                sender.send(SessionEvent::PredecessorsRead { submission, found }).await;
+                sender.send(BackgroundEvent::PredecessorsRead { submission, found }).await;
             });
         }
     }
 
     /// Learns what became of jobs of other partitions that are waited for: with one request a
     /// round for all of them together, once each was read.
-    pub(super) fn read_externals(&self, h: &mut ActiveTerm, now: u64) {
-        if h.externals_under_way || now < h.next_externals_ms {
+    pub(super) fn read_externals(&self, leadership: &mut Leadership, now: u64) {
+        if leadership.externals_under_way || now < leadership.next_externals_ms {
             return;
         }
-        let ids = h.partition.external_predecessors();
+        let ids = leadership.partition.external_predecessors();
         if ids.is_empty() {
-            h.known_externals = None;
+            leadership.known_externals = None;
             return;
         }
-        h.externals_under_way = true;
-        let (state, sender, known) = (self.state.clone(), self.sender(h.n), h.known_externals.take());
+        leadership.externals_under_way = true;
+        let (state, sender, known) = (self.state.clone(), self.sender(leadership.n), leadership.known_externals.take());
         task::spawn(async move {
             let mut records = Vec::new();
             let known = read_changes(&state, ids, known, &mut records).await.ok();
-            sender.send(SessionEvent::ExternalsRead(ExternalRecords { records, known })).await;
+            sender.send(BackgroundEvent::ExternalsRead(ExternalRecords { records, known })).await;
         });
     }
 
     /// Takes in what was read of jobs of other partitions.
-    pub(super) fn externals_read(&self, h: &mut ActiveTerm, read: ExternalRecords, now: u64) {
-        h.externals_under_way = false;
-        h.next_externals_ms = now + self.settings.react_ms() / 2;
-        h.known_externals = read.known;
+    pub(super) fn externals_read(&self, leadership: &mut Leadership, read: ExternalRecords, now: u64) {
+        leadership.externals_under_way = false;
+        leadership.next_externals_ms = now + self.settings.react_ms() / 2;
+        leadership.known_externals = read.known;
         for item in read.records {
             if let Some(id) = item.key.strip_prefix(JOB_PREFIX).map(String::from) {
-                h.partition.note_predecessor(&id, item, now);
+                leadership.partition.note_predecessor(&id, item, now);
             }
         }
     }
--- a/src/owner/stored_records.rs
+++ b/src/partition_leader/stored_records.rs
@@ -1,4 +1,4 @@
-//! What an owner reads from the state service.
+//! What a leader reads from the state service.
 
 use super::followed::KnownExternals;
 use crate::clients::State;
@@ -65,7 +65,7 @@
 }
 
 impl Loaded {
-    /// Reads the records, and the configuration that the last owner obeyed or a later one.
+    /// Reads the records, and the configuration that the last leader obeyed or a later one.
     pub(super) async fn read(
         state: &State,
         configuration: Option<&ConfigurationHandle>,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -36,7 +36,8 @@
         /// Number of the partition.
         partition: u32,
         /// Name of the node that asks.
-        owner: String,
+        #[serde(rename = "owner")]
+        leader: String,
         /// The term that the promise is for.
         term: u64,
         /// Duration of the promise in milliseconds.
@@ -51,7 +52,7 @@
         /// The term that the promise was for.
         term: u64,
     },
-    /// A user's request for the owner of a partition.
+    /// A user's request for the leader of a partition.
     User {
         /// Number of the partition.
         partition: u32,
@@ -144,7 +145,7 @@
         body: Vec<u8>,
         /// Seconds after which to ask again; `None` if the answer is final.
         retry_after_s: Option<u64>,
-        /// Why the owner refuses, for the counters of the node that asked.
+        /// Why the leader refuses, for the counters of the node that asked.
         #[serde(default, deserialize_with = "known_reason")]
         refusal: Option<RefusalReason>,
     },
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -25,7 +25,7 @@
         }
     }));
     let p = Peer::start("b".into(), addr, PeerLimits::of_grant(2000));
-    let request = |term| PeerRequest::Promise { partition: 0, owner: "a".into(), term, for_ms: 5, state_ok: true };
+    let request = |term| PeerRequest::Promise { partition: 0, leader: "a".into(), term, for_ms: 5, state_ok: true };
     let limit = Duration::from_millis(500);
     assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Promised));
     assert_eq!(
--- a/src/peer_health.rs
+++ b/src/peer_health.rs
@@ -17,7 +17,7 @@
 }
 
 impl HealthLimits {
-    /// An owner asks for promises five times in a grant's life: two of them are missing.
+    /// A leader asks for promises five times in a grant's life: two of them are missing.
     /// Probes are half a life apart.
     pub fn of_grant(grant_ttl_ms: u64) -> HealthLimits {
         HealthLimits { quiet_ms: grant_ttl_ms * 2 / 5, probe_interval_ms: grant_ttl_ms / 2 }
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -23,7 +23,7 @@
 /// A leader that made no round for this multiple of `react_ms` stood still, or has just
 /// begun: reports of machines that came up meanwhile are still to be read.
 const STALL_RATIO: u64 = 3;
-/// The term of an owner before which nobody held a partition.
+/// The term of a leader before which nobody held a partition.
 const FIRST_TERM: u64 = 1;
 /// The least lag that is reckoned with.
 const LEAST_LAG_MS: u64 = 1000;
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The owner's round; returns what the cloud is asked.
+    /// The leader's round; returns what the cloud is asked.
     pub(super) fn round(&mut self) -> Vec<CloudRequest> {
         self.partition.pass(self.now, self.now);
         let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -13,14 +13,16 @@
 pub enum RefusalReason {
     /// A write of the job's end was sent and may or may not have been made.
     EndBeingRecorded,
-    /// The owner of the jobs is not known or gave no answer.
-    OwnerUnreachable,
+    /// The leader of the jobs is not known or gave no answer.
+    #[serde(rename = "owner_unreachable")]
+    LeaderUnreachable,
     /// The job's record is not written yet.
     JobNotAccepted,
     /// The cloud has not told its machine types yet.
     MachineTypesUnknown,
     /// No node is known to own the partition of a machine that reports.
-    MachineUnowned,
+    #[serde(rename = "machine_unowned")]
+    MachineWithoutLeader,
     /// A cancelled job may have tasks on machines that give no answer.
     MachineUnreachable,
     /// The partition's actor took too long over a poll or a cancellation.
@@ -30,7 +32,8 @@
     /// This node may not act for a machine that reports at present, or does not know it.
     NotEntitled,
     /// This node has lost, or does not have, the partition.
-    NotOwner,
+    #[serde(rename = "not_owner")]
+    NotLeader,
     /// The node cannot take requests, as `GET /ready` tells.
     NotReady,
     /// The job's record is not in a form that this version reads.
@@ -41,8 +44,9 @@
     SubmissionSlow,
     /// Another region may know the job's team, or a larger limit of it, already.
     ConfigurationBehind,
-    /// The new owner has not read the partition's records yet.
-    TakeoverUnderWay,
+    /// The new leader has not read the partition's records yet.
+    #[serde(rename = "takeover_under_way")]
+    FailoverUnderWay,
     /// The budget for reads of job records is used up.
     TooManyReads,
     /// A controller is of an earlier version, which would not let a job wait for others.
@@ -101,19 +105,19 @@
         f.write_str(match self {
             RefusalReason::ConfigurationBehind => "another region may know the team or its limit already",
             RefusalReason::EndBeingRecorded => "the job's end is being recorded",
-            RefusalReason::OwnerUnreachable => "the owner of the jobs can't be reached",
+            RefusalReason::LeaderUnreachable => "the owner of the jobs can't be reached",
             RefusalReason::JobNotAccepted => "the job is not accepted yet",
             RefusalReason::MachineTypesUnknown => "the machine types are not known yet",
-            RefusalReason::MachineUnowned => "nobody owns the machine",
+            RefusalReason::MachineWithoutLeader => "nobody owns the machine",
             RefusalReason::MachineUnreachable => "some of the job's machines can't be reached",
             RefusalReason::NoDecisionInTime | RefusalReason::SubmissionSlow => "no decision in time",
             RefusalReason::NoSuchPartition => "no such partition",
             RefusalReason::NotEntitled => "not entitled to act",
-            RefusalReason::NotOwner => "this node does not own the jobs",
+            RefusalReason::NotLeader => "this node does not own the jobs",
             RefusalReason::NotReady => "not ready",
             RefusalReason::RecordUnreadable => "the job's record can't be read",
             RefusalReason::StateServiceSilent => "the state service gives no answer",
-            RefusalReason::TakeoverUnderWay => "the jobs are being taken over",
+            RefusalReason::FailoverUnderWay => "the jobs are being taken over",
             RefusalReason::TooManyReads => "too many reads of job records",
             RefusalReason::ControllerOutdated => "a controller is of an earlier version",
             RefusalReason::PredecessorElsewhere => "a job that is waited for belongs to another partition",
--- a/src/request_budget.rs
+++ b/src/request_budget.rs
@@ -15,7 +15,7 @@
 /// Seconds' worth of requests that may be made at once.
 const BURST_S: f64 = 1.0;
 /// Requests that may be made at once in any case: a submission that is accepted without
-/// the owner takes so many.
+/// the leader takes so many.
 const MIN_BURST: f64 = 3.0;
 
 /// What a user's request is for.
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,4 +1,4 @@
-//! The ways to the owners of the partitions: the actors on this node, or the other
+//! The ways to the leaders of the partitions: the actors on this node, or the other
 //! controllers.
 
 use crate::clients::State;
@@ -7,9 +7,9 @@
 use crate::frame_format::FrameFormat;
 use crate::http::Response;
 use crate::loans::{LoansRequest, LoansResponse};
-use crate::membership::{self, Entitlement, Ownership, PromiseStatus};
-use crate::owner;
+use crate::membership::{self, Entitlement, LeaderStatus, PromiseStatus};
 use crate::partition::UserAnswer;
+use crate::partition_leader;
 use crate::peer::{Peer, PeerRequest, PeerResponse, UserCall};
 use crate::refusal::RefusalReason;
 use crate::warm_pools::{PoolsRequest, PoolsResponse, read_bills};
@@ -20,23 +20,23 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for an owner that is polled or told to cancel. A user waits 2 s for a poll:
+/// Longest wait for a leader that is polled or told to cancel. A user waits 2 s for a poll:
 /// a fresh read of the record still fits in.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(1200);
 
 /// Longest wait for the commit of a submission or a cancellation, for which a user waits 5 s.
 const MAX_COMMIT_WAIT: Duration = Duration::from_millis(4000);
 
-/// While a submission waits for an owner on another node, this node looks so many times in a
-/// grant's life whether the owner is at work.
+/// While a submission waits for a leader on another node, this node looks so many times in a
+/// grant's life whether the leader is at work.
 const OWNER_LOOKS: u64 = 10;
 
-/// The partition whose owner keeps warm pools and loans: there is one alone with them.
+/// The partition whose leader keeps warm pools and loans: there is one alone with them.
 const ONLY_PARTITION: u32 = 0;
 
-/// What is answered about loans while the owner can't be asked.
+/// What is answered about loans while the leader can't be asked.
 const RETRY_LOANS: LoansResponse = LoansResponse::RetryLater(1);
-/// What is answered about pools while their owner can't be asked.
+/// What is answered about pools while their leader can't be asked.
 const RETRY_POOLS: PoolsResponse = PoolsResponse::RetryLater(1);
 
 /// A partition that there is not: what is released of it changes nothing.
@@ -49,13 +49,13 @@
 #[derive(Clone)]
 pub struct PartitionHandle {
     /// Who holds the partition, as far as this node knows.
-    pub ownership: watch::Receiver<Ownership>,
+    pub leader_status: watch::Receiver<LeaderStatus>,
     /// Whether this node may act for it now.
     pub entitled: Entitlement,
     /// The promises about it that bind this node, or others to it.
     pub promise_status: PromiseStatus,
     /// Mailbox of the actor that does the partition's work while this node holds it.
-    pub owner: mpsc::Sender<owner::Message>,
+    pub leader: mpsc::Sender<partition_leader::Message>,
     /// Mailbox of its membership actor.
     pub members: mpsc::Sender<membership::Message>,
 }
@@ -78,33 +78,33 @@
     pub partitions: Arc<Vec<PartitionHandle>>,
     /// The other controllers.
     pub peers: Arc<Vec<Peer>>,
-    /// Life of an owner's grant in milliseconds, from which the time limits derive.
+    /// Life of a leader's grant in milliseconds, from which the time limits derive.
     pub grant_ttl_ms: u64,
     /// The shared configuration of a fleet, if the controller is told of one.
     pub configuration: Option<ConfigurationHandle>,
     /// The state service, where bills of warm pools are read; none without pools.
     pub bills: Option<State>,
-    /// When the owner of each partition was last heard to be at work.
+    /// When the leader of each partition was last heard to be at work.
     pub heard_ms: Arc<Vec<AtomicU64>>,
 }
 
 impl Router {
     /// Does this node hold the partition?
-    pub fn mine(&self, partition: u32) -> bool {
-        self.partitions.get(partition as usize).is_some_and(|d| d.ownership.borrow().mine)
+    pub fn is_self(&self, partition: u32) -> bool {
+        self.partitions.get(partition as usize).is_some_and(|d| d.leader_status.borrow().is_self)
     }
 
     /// The node that holds a partition, as far as is known here.
-    pub fn owner(&self, partition: u32) -> Option<String> {
-        self.partitions.get(partition as usize)?.ownership.borrow().owner.clone()
+    pub fn leader(&self, partition: u32) -> Option<String> {
+        self.partitions.get(partition as usize)?.leader_status.borrow().leader.clone()
     }
 
-    /// Asks the owner of a partition, here or elsewhere.
+    /// Asks the leader of a partition, here or elsewhere.
     pub async fn request(&self, partition: u32, request: PeerRequest) -> Option<PeerResponse> {
-        if self.mine(partition) {
+        if self.is_self(partition) {
             return Some(self.answer(request, FrameFormat::CURRENT).await);
         }
-        let name = self.owner(partition)?;
+        let name = self.leader(partition)?;
         let peer = self.peers.iter().find(|p| p.name == name)?;
         if matches!(request, PeerRequest::User { call: UserCall::Submit(_), .. }) {
             return peer.request_until(request, self.owner_is_gone(partition)).await;
@@ -113,9 +113,9 @@
         peer.request(request, limit.min(MAX_POLL_WAIT)).await
     }
 
-    /// Waits until the owner of the partition is not heard to be at work, or a submission can
-    /// wait no longer. It can be accepted without the owner, and need not wait for one that may
-    /// be gone; but one that is only slow, as after a takeover, is the one to accept it.
+    /// Waits until the leader of the partition is not heard to be at work, or a submission can
+    /// wait no longer. It can be accepted without the leader, and need not wait for one that may
+    /// be gone; but one that is only slow, as after a failover, is the one to accept it.
     async fn owner_is_gone(&self, partition: u32) {
         let begun = Instant::now();
         let look = Duration::from_millis(self.grant_ttl_ms / OWNER_LOOKS).min(MAX_POLL_WAIT);
@@ -147,10 +147,10 @@
         self.peers.iter().any(|p| p.format.is_old())
     }
 
-    /// Is the partition's owner certainly of this version?
+    /// Is the partition's leader certainly of this version?
     pub fn owner_is_current(&self, partition: u32) -> bool {
         let named = |name: String| self.peers.iter().find(|p| p.name == name);
-        self.mine(partition) || self.owner(partition).and_then(named).is_some_and(|p| p.format.is_current())
+        self.is_self(partition) || self.leader(partition).and_then(named).is_some_and(|p| p.format.is_current())
     }
 
     /// Learns the format that a peer speaks, for as long as this node runs: asks for something
@@ -164,14 +164,14 @@
         }
     }
 
-    /// Has the owner of the partition asked for a promise just now? It does so five
+    /// Has the leader of the partition asked for a promise just now? It does so five
     /// times in the life of one.
     pub fn at_work(&self, partition: u32) -> bool {
         let heard = self.heard_ms.get(partition as usize).map_or(0, |h| h.load(Ordering::Relaxed));
         heard > 0 && clock::now_ms() < heard + self.grant_ttl_ms / 4
     }
 
-    /// Asks the owner of a partition on behalf of a user.
+    /// Asks the leader of a partition on behalf of a user.
     pub async fn user(&self, partition: u32, call: UserCall) -> Option<Response> {
         match self.request(partition, PeerRequest::User { partition, call }).await? {
             PeerResponse::User { status, body, retry_after_s, refusal } => {
@@ -184,8 +184,8 @@
     /// Answers another controller, or this one, from the actors on this node.
     pub async fn answer(&self, request: PeerRequest, format: FrameFormat) -> PeerResponse {
         match request {
-            PeerRequest::Promise { partition, owner, term, for_ms, state_ok } => {
-                if let Some(peer) = self.peers.iter().find(|p| p.name == owner) {
+            PeerRequest::Promise { partition, leader, term, for_ms, state_ok } => {
+                if let Some(peer) = self.peers.iter().find(|p| p.name == leader) {
                     peer.health.heard();
                     peer.format.heard(format);
                 }
@@ -194,7 +194,7 @@
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
-                let m = membership::Message::Promise { owner, term, for_ms, state_ok, reply };
+                let m = membership::Message::Promise { leader, term, for_ms, state_ok, reply };
                 if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
                     PeerResponse::Promised
                 } else {
@@ -223,24 +223,25 @@
             PeerRequest::Pools(request) => PeerResponse::Pools(self.pools(request).await),
             PeerRequest::Loans(request) => PeerResponse::Loans(self.loans(request).await),
             PeerRequest::CapacityReport(capacity_report) => {
-                self.actor(0, |reply| owner::Message::CapacityReport { capacity_report, reply }).await
+                self.actor(0, |reply| partition_leader::Message::CapacityReport { capacity_report, reply }).await
             }
             PeerRequest::TransferHost { partition, host, to } => {
-                self.actor(partition, |reply| owner::Message::TransferHost { host, to, reply }).await
+                self.actor(partition, |reply| partition_leader::Message::TransferHost { host, to, reply }).await
             }
         }
     }
 
-    /// Answers a question about warm pools: bills from their records, the rest by the owner,
+    /// Answers a question about warm pools: bills from their records, the rest by the leader,
     /// wherever it is.
     async fn pools(&self, request: PoolsRequest) -> PoolsResponse {
         let Some(state) = &self.bills else { return PoolsResponse::NoPools };
         match request {
             PoolsRequest::Bill { from, to, team } => read_bills(state, &from, &to, team.as_deref()).await,
-            PoolsRequest::Status if self.mine(ONLY_PARTITION) => {
+            PoolsRequest::Status if self.is_self(ONLY_PARTITION) => {
                 let (reply, answer) = oneshot::channel();
-                let owner = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.owner);
-                let asked = owner.is_some_and(|owner| owner.try_send(owner::Message::Pools(reply)).is_ok());
+                let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
+                let asked =
+                    leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Pools(reply)).is_ok());
                 if asked { answer.await.unwrap_or(RETRY_POOLS) } else { RETRY_POOLS }
             }
             PoolsRequest::Status => self.ask_owner_of_pools().await.unwrap_or(RETRY_POOLS),
@@ -254,9 +255,9 @@
         }
     }
 
-    /// Answers a question about loans, by the owner wherever it is.
+    /// Answers a question about loans, by the leader wherever it is.
     async fn loans(&self, request: LoansRequest) -> LoansResponse {
-        if !self.mine(ONLY_PARTITION) {
+        if !self.is_self(ONLY_PARTITION) {
             let answer = self.ask_only_owner(PeerRequest::Loans(request)).await;
             return match answer {
                 Some(PeerResponse::Loans(response)) => response,
@@ -264,14 +265,14 @@
             };
         }
         let (reply, answer) = oneshot::channel();
-        let owner = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.owner);
-        let asked = owner.is_some_and(|owner| owner.try_send(owner::Message::Loans(reply)).is_ok());
+        let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
+        let asked = leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Loans(reply)).is_ok());
         if asked { answer.await.unwrap_or(RETRY_LOANS) } else { RETRY_LOANS }
     }
 
-    /// Asks the owner of the one partition, which is another node.
+    /// Asks the leader of the one partition, which is another node.
     async fn ask_only_owner(&self, request: PeerRequest) -> Option<PeerResponse> {
-        let name = self.owner(ONLY_PARTITION)?;
+        let name = self.leader(ONLY_PARTITION)?;
         let peer = self.peers.iter().find(|peer| peer.name == name)?;
         let limit = Duration::from_millis(self.grant_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
         peer.request(request, limit).await
@@ -280,11 +281,11 @@
     async fn actor(
         &self,
         partition: u32,
-        m: impl FnOnce(oneshot::Sender<PeerResponse>) -> owner::Message,
+        m: impl FnOnce(oneshot::Sender<PeerResponse>) -> partition_leader::Message,
     ) -> PeerResponse {
         let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
         let (reply, rx) = oneshot::channel();
-        match handle.owner.try_send(m(reply)) {
+        match handle.leader.try_send(m(reply)) {
             Ok(()) => rx.await.unwrap_or(PeerResponse::No),
             Err(_) => PeerResponse::No,
         }
@@ -297,7 +298,7 @@
         let (tx, rx) = oneshot::channel();
         let submits = matches!(call, UserCall::Submit(_));
         let longest = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
-        if handle.owner.try_send(owner::Message::User { call, reply: tx }).is_err() {
+        if handle.leader.try_send(partition_leader::Message::User { call, reply: tx }).is_err() {
             return RefusalReason::TooManyRequests.response();
         }
         // A commit that takes longer is answered by the retry.
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -2,22 +2,22 @@
 use crate::peer::tests::{GRANT_TTL_MS, scripted_peer};
 use tokio::time::Instant;
 
-/// A router to one partition, held here or by the given peer, and what its owner's actor is sent.
-fn router(owner: Option<Peer>, grant_ttl_ms: u64) -> (Router, mpsc::Receiver<owner::Message>) {
+/// A router to one partition, held here or by the given peer, and what its leader's actor is sent.
+fn router(leader: Option<Peer>, grant_ttl_ms: u64) -> (Router, mpsc::Receiver<partition_leader::Message>) {
     let (owner_tx, owner_rx) = mpsc::channel(64);
-    let ownership = Ownership { owner: owner.as_ref().map(|p| p.name.clone()), mine: owner.is_none() };
+    let leader_status = LeaderStatus { leader: leader.as_ref().map(|p| p.name.clone()), is_self: leader.is_none() };
     let handle = PartitionHandle {
-        ownership: watch::channel(ownership).1,
+        leader_status: watch::channel(leader_status).1,
         entitled: Entitlement::default(),
         promise_status: PromiseStatus::default(),
-        owner: owner_tx,
+        leader: owner_tx,
         members: mpsc::channel(1).0,
     };
     let router = Router {
         bills: None,
         configuration: None,
         partitions: Arc::new(vec![handle]),
-        peers: Arc::new(owner.into_iter().collect()),
+        peers: Arc::new(leader.into_iter().collect()),
         grant_ttl_ms,
         heard_ms: Arc::new(vec![AtomicU64::new(0)]),
     };
@@ -59,7 +59,7 @@
     for _ in 0..20 {
         assert_eq!(wait_ms(&router, poll()).await, 0);
     }
-    let promise = PeerRequest::Promise { partition: 0, owner: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    let promise = PeerRequest::Promise { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
     router.answer(promise, FrameFormat::CURRENT).await;
     assert_eq!(router.silent_peers(), 0);
     assert!(wait_ms(&router, poll()).await > 0);
@@ -72,7 +72,7 @@
     let versions =
         |router: &Router| (router.has_old_peer(), router.owner_is_current(0), router.peer_versions().unknown);
     assert_eq!(versions(&router), (false, false, 1), "it was never heard");
-    let promise = || PeerRequest::Promise { partition: 0, owner: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    let promise = || PeerRequest::Promise { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
     router.answer(promise(), FrameFormat::UNNAMED).await;
     assert_eq!(versions(&router), (true, false, 0));
     router.answer(promise(), FrameFormat::CURRENT).await;
@@ -80,7 +80,7 @@
 }
 
 // Found on the grown deployments: 500 submissions of the first ten seconds went
-// a second way past an owner that was only slow, and used up its writes.
+// a second way past a leader that was only slow, and used up its writes.
 #[tokio::test(start_paused = true)]
 async fn an_owner_counts_as_at_work_while_it_asks_for_promises() {
     let heard_ms = Arc::new(vec![AtomicU64::new(0)]);
@@ -99,7 +99,7 @@
     assert!(!router.at_work(0), "it asks five times in a life");
 }
 
-// With a small processor share a new owner was slow for two seconds: submissions to it were given
+// With a small processor share a new leader was slow for two seconds: submissions to it were given
 // up after half a second, refused, and came again a second later.
 #[tokio::test(start_paused = true)]
 async fn a_submission_waits_for_a_slow_owner_and_not_for_one_that_is_gone() {
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// Is it a new machine that has reported, and may be used once it is registered and has
-/// confirmed the owner's token? It is room that needs not be rented again.
+/// confirmed the leader's token? It is room that needs not be rented again.
 pub fn joining(h: &Host) -> bool {
     !h.registered
         && h.addr.is_some()
--- a/src/sched/pass/limits.rs
+++ b/src/sched/pass/limits.rs
@@ -21,7 +21,7 @@
     }
 
     /// Do the attempts on all machines leave no more to this work? An array of thousands of
-    /// short tasks would use up the owner's processor time and memory with its reports.
+    /// short tasks would use up the leader's processor time and memory with its reports.
     pub(super) fn too_many_attempts(&self, job: &Job) -> bool {
         let attempts = self.attempts_before + self.out.starts.len();
         job.urgency == Urgency::Low && job.spec.shape == Shape::Batch && attempts >= self.policy.max_attempts
--- a/src/sched/policy.rs
+++ b/src/sched/policy.rs
@@ -35,10 +35,10 @@
     pub react_ms: u64,
     /// Records that can be written in a second.
     pub writes_per_s: f64,
-    /// How many attempts an owner can follow.
+    /// How many attempts a leader can follow.
     pub attempt_bounds: AttemptBounds,
     /// Attempts on machines beyond which no work of the lowest urgency is started: what the
-    /// reports list costs the owner processor time and memory.
+    /// reports list costs the leader processor time and memory.
     pub max_attempts: usize,
     /// Wall time of the system's start, from the state service.
     pub start_ms: u64,
--- a/src/sched/tests/replicas.rs
+++ b/src/sched/tests/replicas.rs
@@ -59,7 +59,7 @@
     assert!(run(&mut w, 3).starts.iter().any(|s| s.key.job == job_index));
 }
 
-// Found by reading, after a takeover without the recorded machine types: their
+// Found by reading, after a failover without the recorded machine types: their
 // list grows between a plan and the next pass, which must not end the controller.
 // Found on suva's busy day at the next size: room was held for both replicas in the zone
 // that the first of them then filled, and the other waited for the end of the hold.
--- a/src/task_locations.rs
+++ b/src/task_locations.rs
@@ -2,7 +2,7 @@
 //! for what users are told.
 //!
 //! A task may be on a machine that has an attempt of it which has not ended, and on any
-//! machine of the last owner that is not accounted for and that its job allows, unless
+//! machine of the last leader that is not accounted for and that its job allows, unless
 //! it was located: then it was on a machine that is.
 
 use crate::model::{ClusterState, Demand, HostIndex, HostKind, Job, JobIndex, Place, Task, TaskAttempt};
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -5,7 +5,7 @@
 use crate::config::Settings;
 use crate::model::Flavor;
 use crate::net::Net;
-use crate::owner::kept_flavors;
+use crate::partition_leader::kept_flavors;
 use badgerdrift_warm_pools::{FieldError, KnownFleet, PoolSettings};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// keeps; the error names the first field at fault.
 ///
 /// A type that was known once does not keep a controller from starting: the cloud may have
-/// dropped it since. Neither does a cloud or a state service that gives no answer: the owner
+/// dropped it since. Neither does a cloud or a state service that gives no answer: the leader
 /// looks at the types again once they are known.
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
     let limit = Duration::from_millis(settings.react_ms());
--- a/src/write_limits.rs
+++ b/src/write_limits.rs
@@ -12,7 +12,7 @@
 const BYTES_PER_KIB: f64 = 1024.0;
 /// Share of a limit that is left free, as the service may write numbers with more digits.
 const SPARE_SHARE: f64 = 1.0 / 16.0;
-/// Share of the changes a second that are for the owner of a partition; the rest is for membership.
+/// Share of the changes a second that are for the leader of a partition; the rest is for membership.
 const OWNER_SHARE: f64 = 0.9;
 /// The description of a job may take one part in so many of a value under the present limit.
 const SPEC_SHARE: usize = 3;
@@ -26,7 +26,7 @@
     pub value_bytes: usize,
     /// Most changes in a commit, under both.
     pub commit_changes: usize,
-    /// Changes a second that the owner of a partition may make at present.
+    /// Changes a second that the leader of a partition may make at present.
     pub changes_per_s: f64,
     /// The same once the service refuses that.
     pub lower_changes_per_s: f64,
--- a/tests/fault_combinations/borrowing/faults.rs
+++ b/tests/fault_combinations/borrowing/faults.rs
@@ -112,7 +112,7 @@
     });
 }
 
-// The owner ends at the same time: its successor knows from the records what is owed.
+// The leader ends at the same time: its successor knows from the records what is owed.
 #[test]
 fn half_of_the_machines_die_and_the_owner_with_them() {
     days(async |sim| {
--- a/tests/fault_combinations/borrowing/owners.rs
+++ b/tests/fault_combinations/borrowing/owners.rs
@@ -10,18 +10,18 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A takeover, with the pause before it.
-const TAKEOVER: Duration = Duration::from_secs(25);
+/// A failover, with the pause before it.
+const FAILOVER: Duration = Duration::from_secs(25);
 
 /// The burst has its replicas after all, and all is given back in the end.
 async fn ends_well(sim: &mut Sim, desk: &str) {
-    until_at_floor(sim, "the replicas run", GAIN + TAKEOVER, |sim| cards(sim, DESK) == 4.0).await;
+    until_at_floor(sim, "the replicas run", GAIN + FAILOVER, |sim| cards(sim, DESK) == 4.0).await;
     sim.cancel(desk, &[0, 1, 2]);
     returned(sim).await;
 }
 
 async fn returned(sim: &mut Sim) {
-    until_at_floor(sim, "lent work runs again", RETURN_AFTER + RETURN + TAKEOVER, |sim| cards(sim, NIGHT) == 6.0).await;
+    until_at_floor(sim, "lent work runs again", RETURN_AFTER + RETURN + FAILOVER, |sim| cards(sim, NIGHT) == 6.0).await;
     until_at_floor(sim, "no loan is open", s(30), |sim| in_state(sim, "open") + in_state(sim, "returning") == 0).await;
     // What was lent for one need is no more than that need took.
     assert!(stopped(sim) <= 8, "seed {}: {} stops", sim.g.seed, stopped(sim));
@@ -84,7 +84,7 @@
         until_recorded(sim, "open").await;
         let first = kill_leader(sim);
         let held = |sim: &Sim| sim.leader().is_some_and(|leader| leader != first);
-        until_at_floor(sim, "another controller is owner", TAKEOVER, held).await;
+        until_at_floor(sim, "another controller is owner", FAILOVER, held).await;
         run_at_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
         let second = kill_leader(sim);
         run_at_floor(sim, s(2)).await;
@@ -107,7 +107,7 @@
     });
 }
 
-// The paused owner has stops in hand; its successor ends the loan, and the lender's work runs
+// The paused leader has stops in hand; its successor ends the loan, and the lender's work runs
 // again. None of the old orders may take effect on that.
 #[test]
 fn an_owner_that_held_still_stops_nothing_that_began_after_its_successor_ended_the_loan() {
@@ -127,7 +127,7 @@
     });
 }
 
-/// What is cut, and whether for the owner alone.
+/// What is cut, and whether for the leader alone.
 type CutOf = fn(&Sim, usize) -> Vec<(IpAddr, IpAddr)>;
 
 fn from_state(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
@@ -144,7 +144,7 @@
     in_zone.map(|machine| (controller(node), machine.addr.ip())).collect()
 }
 
-/// The owner is cut off for so long at this step of a loan.
+/// The leader is cut off for so long at this step of a loan.
 async fn cut_at(sim: &mut Sim, step: &str, cut: CutOf, kind: Cut, time: Duration) {
     full(sim).await;
     let desk = burst(sim, 4);
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -1,4 +1,4 @@
-//! Jobs are cancelled while their machines or their owner are out of reach.
+//! Jobs are cancelled while their machines or their leader are out of reach.
 
 use crate::scenario::{days, long_jobs, machines, others, s};
 use crate::simulation::{seeds, simulate};
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -1,4 +1,4 @@
-//! The owner of the jobs is cut off, refused or ends.
+//! The leader of the jobs is cut off, refused or ends.
 
 use crate::scenario::{days, long_jobs, machines, others, s};
 use crate::simulation::{seeds, simulate};
@@ -33,7 +33,7 @@
     }
 }
 
-// The reads of a takeover fail, and are tried again until the outage is over: each try
+// The reads of a failover fail, and are tried again until the outage is over: each try
 // must not ask for two more, and the partition must not begin twice.
 #[test]
 fn an_outage_begins_between_taking_the_partition_and_reading_its_records() {
--- a/tests/fault_combinations/limits.rs
+++ b/tests/fault_combinations/limits.rs
@@ -24,7 +24,7 @@
     });
 }
 
-// The owner goes on at its rate until it is refused, and keeps to the lower one then.
+// The leader goes on at its rate until it is refused, and keeps to the lower one then.
 #[test]
 fn the_rate_of_changes_is_lowered_once_it_is_refused() {
     days(async |sim| {
--- a/tests/fault_combinations/pipelines.rs
+++ b/tests/fault_combinations/pipelines.rs
@@ -164,7 +164,7 @@
     });
 }
 
-// No owner answers the submission: the accepting node checks what it names by reads.
+// No leader answers the submission: the accepting node checks what it names by reads.
 #[test]
 fn a_job_is_accepted_that_waits_for_others_while_nobody_owns_them() {
     days(async |sim| {
@@ -181,7 +181,7 @@
     });
 }
 
-// The tasks of the first job are done, and the owner ends before that is recorded.
+// The tasks of the first job are done, and the leader ends before that is recorded.
 #[test]
 fn the_owner_ends_before_the_end_of_a_needed_job_is_recorded() {
     days(async |sim| {
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -1,4 +1,4 @@
-//! Users ask about their jobs eight times as often as usual, while the owner is paused.
+//! Users ask about their jobs eight times as often as usual, while the leader is paused.
 
 use crate::scenario::{ask_closely, days, long_jobs, others, s, short_jobs};
 use badgerdrift_stand_ins::Sim;
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -342,13 +342,13 @@
         Some(self.known.lock().unwrap().states[record["acceptor"]["applied"].as_u64().unwrap() as usize].clone())
     }
 
-    /// What a region's owner obeys, as recorded.
+    /// What a region's leader obeys, as recorded.
     pub fn obeyed(&self, region: usize) -> Obeyed {
         let record = self.value(region, "config/obeyed");
         record.map_or_else(Obeyed::default, |record| serde_json::from_value(record).unwrap())
     }
 
-    /// CPUs that the owner of a region lets a team use, by the version that it has recorded.
+    /// CPUs that the leader of a region lets a team use, by the version that it has recorded.
     pub fn limit(&self, region: usize, team: &str) -> f64 {
         self.read_log(region);
         let known = self.known.lock().unwrap();
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -30,7 +30,7 @@
 fn requests() -> Vec<PeerRequest> {
     let user = |call| PeerRequest::User { partition: 0, call };
     vec![
-        PeerRequest::Promise { partition: 0, owner: "worker-0".into(), term: 7, for_ms: 2500, state_ok: true },
+        PeerRequest::Promise { partition: 0, leader: "worker-0".into(), term: 7, for_ms: 2500, state_ok: true },
         PeerRequest::Release { partition: 0, term: 7 },
         user(UserCall::Submit(b"{\"id\":\"run-000412\"}".to_vec())),
         user(UserCall::Status("run-000412".into())),
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -7,8 +7,8 @@
 use badgerdrift::configuration::{LogEntry, Obeyed, obeyed_change};
 use badgerdrift::membership::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
 use badgerdrift::model::{Flavor, HostRecord, JobRecord};
-use badgerdrift::owner::FLAVORS_KEY;
 use badgerdrift::partition::{JOB_PREFIX, host_key, inbox_key, job_key};
+use badgerdrift::partition_leader::FLAVORS_KEY;
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, loan_key};
 use badgerdrift_fleet_config::{Acceptor, Confirmations, VersionedDocument};
 use badgerdrift_warm_pools::{BillRecord, RecordKey, SlotRecord, StoredRecord};
