--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -169,7 +169,7 @@
     let [from, to] = ALL_DAYS.map(String::from);
     let request = PeerRequest::Pools(PoolsRequest::Bill { from, to, team: None });
     for number in 0..plan.scenario.controllers_per_region {
-        let limits = PeerLimits::of_grant(BILL_LIMIT.as_millis() as u64);
+        let limits = PeerLimits::for_leader_lease(BILL_LIMIT.as_millis() as u64);
         let address = plan.networks().controller_internal(number);
         let peer = Peer::start_on(Net::default(), address.to_string(), address, limits);
         if let Some(PeerResponse::Pools(PoolsResponse::Bill(rows))) = peer.request(request.clone(), BILL_LIMIT).await {
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -76,7 +76,7 @@
 
 async fn make_changes(plan: RegionPlan, per_s: f64, log: ConfigurationLog) {
     let mut rng = StdRng::seed_from_u64(plan.seed ^ (plan.region as u64 + 1) << 32);
-    let limits = PeerLimits::of_grant(ANSWER_LIMIT.as_millis() as u64);
+    let limits = PeerLimits::for_leader_lease(ANSWER_LIMIT.as_millis() as u64);
     let controllers: Vec<Peer> = (0..plan.scenario.controllers_per_region)
         .map(|number| {
             let address = plan.networks().controller_internal(number);
--- a/src/api.rs
+++ b/src/api.rs
@@ -89,10 +89,10 @@
     fn ready(&self) -> Response {
         let now = clock::now_ms();
         let last = self.state.last_ok_ms();
-        let state_ok = last > 0 && now.saturating_sub(last) < self.router.grant_ttl_ms;
+        let state_ok = last > 0 && now.saturating_sub(last) < self.router.leader_lease_ttl_ms;
         let held = self.router.partitions.iter().all(|d| {
             let leader_status = d.leader_status.borrow();
-            if leader_status.is_self { d.entitled.holds(now) } else { leader_status.leader.is_some() }
+            if leader_status.is_self { d.leader_lease.holds(now) } else { leader_status.leader.is_some() }
         });
         if state_ok && held {
             Response::json(200, &serde_json::json!({ "ready": true }))
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -98,10 +98,10 @@
     clock::now_ms();
     tokio::time::sleep(Duration::from_millis(2)).await;
     state.get("none").await.unwrap();
-    let grant_ttl_ms = settings.grant_ttl_ms();
+    let leader_lease_ttl_ms = settings.leader_lease_ttl_ms();
     let request_budget = RequestBudget::new(settings.params.state.rps, 1);
     Api {
-        job_reads: JobReads::new(state.clone(), request_budget.clone(), grant_ttl_ms),
+        job_reads: JobReads::new(state.clone(), request_budget.clone(), leader_lease_ttl_ms),
         request_budget,
         state,
         ended_jobs: EndedJobs::new(1000),
@@ -112,7 +112,7 @@
             configuration: None,
             partitions: Default::default(),
             peers: Default::default(),
-            grant_ttl_ms,
+            leader_lease_ttl_ms,
             heard_ms: Default::default(),
         },
         teams: Default::default(),
@@ -143,8 +143,8 @@
     let members = mpsc::channel(1).0;
     let handle = PartitionHandle {
         leader_status,
-        entitled: Default::default(),
-        promise_status: Default::default(),
+        leader_lease: Default::default(),
+        pledge_status: Default::default(),
         leader,
         members,
     };
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -56,19 +56,19 @@
     /// Whether this node keeps the worker's lease alive for a leader that neither
     /// of them can reach, as in a zone that is cut off or after all controllers
     /// ended in an outage: the token with which it answers, which is the worker's
-    /// own. Nothing is ordered. It is bound by no promise, so that no leader counts
-    /// on the end of leases meanwhile (`membership::PromiseStatus`). A worker that has
+    /// own. Nothing is ordered. It is bound by no pledge, so that no leader counts
+    /// on the end of leases meanwhile (`membership::PledgeStatus`). A worker that has
     /// seen a later term was asked by a leader since: it is to look for that one.
     fn keeps(&self, r: &Report) -> Option<u64> {
-        let (now, grant_ttl_ms) = (clock::now_ms(), self.router.grant_ttl_ms);
-        let alone = !self.state.answers(grant_ttl_ms)
-            && self.router.partitions.iter().all(|d| now >= d.promise_status.bound_until());
+        let (now, leader_lease_ttl_ms) = (clock::now_ms(), self.router.leader_lease_ttl_ms);
+        let alone = !self.state.answers(leader_lease_ttl_ms)
+            && self.router.partitions.iter().all(|d| now >= d.pledge_status.pledged_until_ms());
         let mut route_hints = self.route_hints.lock().ok()?;
         if !alone {
             route_hints.keep_none();
             return None;
         }
-        let known = self.router.partitions.iter().map(|d| d.promise_status.term()).max().unwrap_or(0);
+        let known = self.router.partitions.iter().map(|d| d.pledge_status.term()).max().unwrap_or(0);
         let first = route_hints.first_token(&r.host, r.fence);
         (r.fence > 0 && first == r.fence && (known == 0 || r.fence <= known)).then_some(r.fence)
     }
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::http::{CallError, Client, SMALL_IDLE_POOL};
 use crate::net::Net;
 use crate::partition::CommitResult;
-use crate::wire::{self, Changes, Grant, Item, Page, Revision, store};
+use crate::wire::{self, Changes, Item, Page, Revision, StateLease, store};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Has it answered lately? Holders ask it five times in the life of a grant.
-    pub fn answers(&self, grant_ttl_ms: u64) -> bool {
+    /// Has it answered lately? Holders ask it five times in the life of a lease.
+    pub fn answers(&self, leader_lease_ttl_ms: u64) -> bool {
         let last = self.last_ok_ms();
-        last > 0 && clock::now_ms().saturating_sub(last) < grant_ttl_ms / 2
+        last > 0 && clock::now_ms().saturating_sub(last) < leader_lease_ttl_ms / 2
     }
 
     /// A key, if it is there, and the revision up to which that is known.
@@ -160,20 +160,20 @@
         }
     }
 
-    /// Asks for a grant that lives for so many milliseconds; returns its id.
-    pub async fn new_grant(&self, grant_ttl_ms: u64) -> Result<u64, RequestError> {
+    /// Asks for a lease that lives for so many milliseconds; returns its id.
+    pub async fn new_grant(&self, leader_lease_ttl_ms: u64) -> Result<u64, RequestError> {
         let (status, body) =
-            self.call("POST", store::GRANTS, Some(&wire::grant_body(grant_ttl_ms)), self.timeout).await?;
+            self.call("POST", store::GRANTS, Some(&wire::grant_body(leader_lease_ttl_ms)), self.timeout).await?;
         if status != 200 {
             return Err(RequestError::Refused);
         }
-        serde_json::from_slice::<Grant>(&body).map(|g| g.id).map_err(|_| RequestError::Unclear)
+        serde_json::from_slice::<StateLease>(&body).map(|g| g.id).map_err(|_| RequestError::Unclear)
     }
 
-    /// Lets a grant live for so many milliseconds from now; `Missing` if it has ended.
-    pub async fn extend_grant(&self, id: u64, grant_ttl_ms: u64) -> Result<(), RequestError> {
-        let body = wire::grant_body(grant_ttl_ms);
-        let limit = Duration::from_millis(grant_ttl_ms / 3);
+    /// Lets a lease live for so many milliseconds from now; `Missing` if it has ended.
+    pub async fn extend_grant(&self, id: u64, leader_lease_ttl_ms: u64) -> Result<(), RequestError> {
+        let body = wire::grant_body(leader_lease_ttl_ms);
+        let limit = Duration::from_millis(leader_lease_ttl_ms / 3);
         match self.call("POST", &store::extend(id), Some(&body), limit).await?.0 {
             200 => Ok(()),
             404 => Err(RequestError::Missing),
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Ends a grant; the keys that are attached to it go with it.
+    /// Ends a lease; the keys that are attached to it go with it.
     pub async fn end_grant(&self, id: u64) -> Result<(), RequestError> {
         self.call("DELETE", &store::grant(id), None, self.timeout).await.map(|_| ())
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -263,10 +263,10 @@
         out
     }
 
-    /// Life of a leader's grant: an eighth of a worker's lease, so that a
+    /// Life of a leader's lease: an eighth of a worker's lease, so that a
     /// failover ends well within it, but as long as a controller may be held up
     /// without losing its partition, where a quarter of the lease allows that.
-    pub fn grant_ttl_ms(&self) -> u64 {
+    pub fn leader_lease_ttl_ms(&self) -> u64 {
         let lease = self.lease_ms();
         (lease / 8).max(MAX_STALL_MS).min(lease / 4).clamp(100, 600_000)
     }
--- a/src/config_command.rs
+++ b/src/config_command.rs
@@ -15,7 +15,7 @@
 
 /// How long an answer is waited for: as long as a controller may try to reach an agreement.
 const ANSWER_LIMIT: Duration = Duration::from_secs(20);
-/// Life of a grant from which the limits of the connection follow.
+/// Life of a lease from which the limits of the connection follow.
 const CONNECTION_GRANT_MS: u64 = 20_000;
 
 /// What is asked of a controller.
@@ -64,7 +64,7 @@
 
 /// Carries a command out through the controller at this internal address; what is to be printed.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
-    let limits = PeerLimits::of_grant(CONNECTION_GRANT_MS);
+    let limits = PeerLimits::for_leader_lease(CONNECTION_GRANT_MS);
     let connection = Connection { peer: Peer::start_on(Net::default(), controller.to_string(), controller, limits) };
     match command {
         ConfigCommand::Get { document: None } => connection.list().await,
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -74,7 +74,7 @@
     let (published_tx, published) = watch::channel(None);
     let handle = ConfigurationHandle { region: fleet.region.clone(), tx, published };
     let react = Duration::from_millis(settings.react_ms());
-    let limits = PeerLimits::of_grant(settings.grant_ttl_ms());
+    let limits = PeerLimits::for_leader_lease(settings.leader_lease_ttl_ms());
     let ways = Regions::start(net, &fleet, limits, react);
     let node = format!("{} {}", fleet.region, settings.node);
     let proposals =
--- a/src/controller_request.rs
+++ b/src/controller_request.rs
@@ -9,12 +9,12 @@
 
 /// How long an answer is waited for.
 const ANSWER_LIMIT: Duration = Duration::from_secs(5);
-/// Life of a grant from which the limits of the connection follow.
+/// Life of a lease from which the limits of the connection follow.
 const CONNECTION_GRANT_MS: u64 = 20_000;
 
 /// Asks the controller at this internal address.
 pub async fn ask(controller: SocketAddr, request: PeerRequest) -> Result<PeerResponse, CommandError> {
-    let limits = PeerLimits::of_grant(CONNECTION_GRANT_MS);
+    let limits = PeerLimits::for_leader_lease(CONNECTION_GRANT_MS);
     let peer = Peer::start_on(Net::default(), controller.to_string(), controller, limits);
     let answer = peer.request(request, ANSWER_LIMIT).await;
     answer.ok_or_else(|| CommandError::NotDone("the controller does not answer".into()))
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -147,15 +147,15 @@
 pub struct JobReads {
     state: State,
     budget: RequestBudget,
-    grant_ttl_ms: u64,
+    leader_lease_ttl_ms: u64,
     shared: SharedReads<ReadResult>,
 }
 
 impl JobReads {
     /// Reads of this state service, as many as the budget admits. It counts as silent without an
-    /// answer for half of `grant_ttl_ms`, in milliseconds.
-    pub fn new(state: State, budget: RequestBudget, grant_ttl_ms: u64) -> JobReads {
-        JobReads { state, budget, grant_ttl_ms, shared: SharedReads::default() }
+    /// answer for half of `leader_lease_ttl_ms`, in milliseconds.
+    pub fn new(state: State, budget: RequestBudget, leader_lease_ttl_ms: u64) -> JobReads {
+        JobReads { state, budget, leader_lease_ttl_ms, shared: SharedReads::default() }
     }
 
     /// Questions so far that shared a read which another had asked for.
@@ -166,7 +166,7 @@
     /// What the job's record says in a read that is sent after this call.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
         // Known to be silent: refused at once, not after a time-out.
-        if !self.state.answers(self.grant_ttl_ms) {
+        if !self.state.answers(self.leader_lease_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
         }
         let key = job_key(id);
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -1,7 +1,7 @@
 //! The actor of a partition's membership: carries out what the rules say.
 
-use super::entitlement::{Entitlement, PromiseStatus};
 use super::failover::{read_previous_leader, take};
+use super::leader_lease::{LeaderLease, PledgeStatus};
 use super::messages::{AcquiredLeadership, LeaderStatus, LeadershipChange, Message};
 use super::records::PartitionRecord;
 use super::rules::{MembershipRules, Role};
@@ -23,8 +23,8 @@
     pub partition: u32,
     /// Name of this node.
     pub node: String,
-    /// Life of grants and promises.
-    pub grant_ttl_ms: u64,
+    /// Life of leases and pledges.
+    pub leader_lease_ttl_ms: u64,
     /// Length of the leases of workers.
     pub lease_ms: u64,
     /// The state service.
@@ -34,9 +34,9 @@
     /// Which of them succeeds whom.
     pub succession: Succession,
     /// Published: until when this node may act.
-    pub entitled: Entitlement,
-    /// Published: the promises given and had.
-    pub promise_status: PromiseStatus,
+    pub leader_lease: LeaderLease,
+    /// Published: the pledges given and had.
+    pub pledge_status: PledgeStatus,
     /// Published: who holds the partition.
     pub leader_status: watch::Sender<LeaderStatus>,
     /// The way to the partition's actor.
@@ -52,19 +52,19 @@
 impl Membership {
     /// Runs until nobody can send messages any more.
     pub async fn run(self, tx: mpsc::Sender<Message>, mut rx: mpsc::Receiver<Message>) {
-        let mut rules = MembershipRules::new(&self.node, self.grant_ttl_ms, self.peers.len(), clock::now_ms());
+        let mut rules = MembershipRules::new(&self.node, self.leader_lease_ttl_ms, self.peers.len(), clock::now_ms());
         rules.record_read = false;
-        self.promise_status.set(&rules);
+        self.pledge_status.set(&rules);
         // Promises are given meanwhile: in an outage the look takes as long as that.
         task::spawn(read_previous_leader(
             self.state.clone(),
             self.partition,
             self.node.clone(),
-            self.grant_ttl_ms,
+            self.leader_lease_ttl_ms,
             tx.clone(),
         ));
-        task::spawn(watch_partition(self.state.clone(), self.partition, self.grant_ttl_ms, tx.clone()));
-        let mut tick = tokio::time::interval(Duration::from_millis(self.grant_ttl_ms / 5));
+        task::spawn(watch_partition(self.state.clone(), self.partition, self.leader_lease_ttl_ms, tx.clone()));
+        let mut tick = tokio::time::interval(Duration::from_millis(self.leader_lease_ttl_ms / 5));
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -77,56 +77,62 @@
             self.publish(&mut rules);
             if rules.may_campaign(clock::now_ms()) {
                 rules.role = Role::Candidate;
-                task::spawn(take(self.state.clone(), self.partition, self.node.clone(), self.grant_ttl_ms, tx.clone()));
+                task::spawn(take(
+                    self.state.clone(),
+                    self.partition,
+                    self.node.clone(),
+                    self.leader_lease_ttl_ms,
+                    tx.clone(),
+                ));
             }
         }
     }
 
     /// Lets the rest of the node know how things stand.
     fn publish(&self, rules: &mut MembershipRules) {
-        self.entitled.set(rules.entitled_until());
+        self.leader_lease.set(rules.lease_valid_until());
         rules.note_term();
-        self.promise_status.set(rules);
+        self.pledge_status.set(rules);
         let is_self = matches!(rules.role, Role::Leader { .. });
         let leader = if is_self { Some(self.node.clone()) } else { rules.record.as_ref().map(|r| r.leader.clone()) };
         let leader_status = LeaderStatus { leader, is_self };
         self.leader_status.send_if_modified(|s| std::mem::replace(s, leader_status.clone()) != leader_status);
     }
 
-    /// Renews the grant and the promises of the partition that this node holds.
+    /// Renews the lease and the pledges of the partition that this node holds.
     fn renew(&self, rules: &mut MembershipRules, tx: &mpsc::Sender<Message>) {
         let sent = clock::now_ms();
-        rules.note_lapse(sent);
-        let Role::Leader { grant, term, lapsed, .. } = rules.role else { return };
-        self.renew_grant(grant, sent, tx);
+        rules.note_expiry(sent);
+        let Role::Leader { lease_id, term, expired, .. } = rules.role else { return };
+        self.renew_grant(lease_id, sent, tx);
         // Promises would only keep the others from keeping leases alive.
-        if !lapsed {
+        if !expired {
             self.renew_promises(term, sent, tx);
         }
     }
 
-    fn renew_grant(&self, grant: u64, sent: u64, tx: &mpsc::Sender<Message>) {
-        let (state, life, tx) = (self.state.clone(), self.grant_ttl_ms, tx.clone());
+    fn renew_grant(&self, lease_id: u64, sent: u64, tx: &mpsc::Sender<Message>) {
+        let (state, life, tx) = (self.state.clone(), self.leader_lease_ttl_ms, tx.clone());
         task::spawn(async move {
-            let result = state.extend_grant(grant, life).await;
-            let _ = tx.send(Message::Extended { grant, sent, result }).await;
+            let result = state.extend_grant(lease_id, life).await;
+            let _ = tx.send(Message::Extended { lease_id, sent, result }).await;
         });
     }
 
     fn renew_promises(&self, term: u64, sent: u64, tx: &mpsc::Sender<Message>) {
-        let request = PeerRequest::Promise {
+        let request = PeerRequest::Pledge {
             partition: self.partition,
             leader: self.node.clone(),
             term,
-            for_ms: self.grant_ttl_ms,
-            state_ok: self.state.answers(self.grant_ttl_ms),
+            for_ms: self.leader_lease_ttl_ms,
+            state_ok: self.state.answers(self.leader_lease_ttl_ms),
         };
         for (i, p) in self.peers.iter().enumerate() {
             let (p, request, tx) = (p.clone(), request.clone(), tx.clone());
-            let limit = Duration::from_millis(self.grant_ttl_ms / 2);
+            let limit = Duration::from_millis(self.leader_lease_ttl_ms / 2);
             task::spawn(async move {
-                let ok = p.request(request, limit).await == Some(PeerResponse::Promised);
-                let _ = tx.send(Message::Promised { peer: i, sent, ok }).await;
+                let ok = p.request(request, limit).await == Some(PeerResponse::Accepted);
+                let _ = tx.send(Message::Pledged { peer: i, sent, ok }).await;
             });
         }
     }
@@ -134,16 +140,16 @@
     async fn handle(&self, rules: &mut MembershipRules, m: Message) {
         let now = clock::now_ms();
         match m {
-            Message::Promise { leader, term, for_ms, state_ok, reply } => {
-                let ok = self.promise(rules, now, leader, term, for_ms, state_ok).await;
+            Message::Pledge { leader, term, for_ms, state_ok, reply } => {
+                let ok = self.pledge(rules, now, leader, term, for_ms, state_ok).await;
                 let _ = reply.send(ok);
             }
             Message::RecordRead { record, unbound } => self.previous_owner_read(rules, now, record, unbound),
             Message::Seen(record) => self.seen(rules, now, record),
-            Message::Extended { grant, sent, result } => self.extended(rules, now, grant, sent, result).await,
-            Message::Promised { peer, sent, ok: true } => rules.promised(peer, sent, now),
-            Message::Promised { ok: false, .. } => {}
-            Message::Release { term } => rules.release(now, term),
+            Message::Extended { lease_id, sent, result } => self.extended(rules, now, lease_id, sent, result).await,
+            Message::Pledged { peer, sent, ok: true } => rules.pledged(peer, sent, now),
+            Message::Pledged { ok: false, .. } => {}
+            Message::ReleasePledge { term } => rules.release_pledge(now, term),
             Message::YieldLeadership => self.yield_leadership(rules, now).await,
             Message::Superseded => {
                 if matches!(rules.role, Role::Leader { .. }) {
@@ -153,13 +159,13 @@
             Message::AcquiredLeadership { sent, result: Some(taken) } => self.taken(rules, &taken, sent).await,
             Message::AcquiredLeadership { result: None, .. } => {
                 rules.role = Role::Follower;
-                rules.retry_after = now + self.grant_ttl_ms / 10;
+                rules.retry_after = now + self.leader_lease_ttl_ms / 10;
             }
         }
     }
 
-    /// Answers a leader that asks for a promise.
-    async fn promise(
+    /// Answers a leader that asks for a pledge.
+    async fn pledge(
         &self,
         rules: &mut MembershipRules,
         now: u64,
@@ -171,11 +177,11 @@
         if rules.superseded_by(now, term) {
             self.step_down(rules, "another holds it").await;
         }
-        let own_state_ok = self.state.answers(self.grant_ttl_ms);
-        let ok = rules.promise(now, (&leader, term), for_ms, state_ok, own_state_ok);
+        let own_state_ok = self.state.answers(self.leader_lease_ttl_ms);
+        let ok = rules.pledge(now, (&leader, term), for_ms, state_ok, own_state_ok);
         // Without the state service, who asks is the only news of who holds the partition.
         if ok && !own_state_ok {
-            rules.record = Some(PartitionRecord { leader, term, grant: 0 });
+            rules.record = Some(PartitionRecord { leader, term, lease_id: 0 });
         }
         ok
     }
@@ -211,7 +217,7 @@
     fn failover_delay_ms(&self, lost_owner: &str) -> u64 {
         let held = self.held.load(Ordering::Relaxed) as u64;
         let nodes_before = self.succession.nodes_before(lost_owner) as u64;
-        held * self.grant_ttl_ms / 10 + nodes_before * self.grant_ttl_ms / 5
+        held * self.leader_lease_ttl_ms / 10 + nodes_before * self.leader_lease_ttl_ms / 5
     }
 
     async fn extended(
@@ -225,7 +231,7 @@
         match result {
             Ok(()) => rules.extended(of, sent, now),
             Err(RequestError::Missing) => {
-                if matches!(rules.role, Role::Leader { grant, .. } if grant == of) {
+                if matches!(rules.role, Role::Leader { lease_id, .. } if lease_id == of) {
                     self.step_down(rules, "the grant has ended").await;
                 }
             }
@@ -243,8 +249,8 @@
         self.step_down(rules, "its workers are not heard").await;
         rules.retry_after = now + pause_ms;
         for p in &self.peers {
-            let (p, request) = (p.clone(), PeerRequest::Release { partition: self.partition, term });
-            let limit = Duration::from_millis(self.grant_ttl_ms / 2);
+            let (p, request) = (p.clone(), PeerRequest::ReleasePledge { partition: self.partition, term });
+            let limit = Duration::from_millis(self.leader_lease_ttl_ms / 2);
             task::spawn(async move { p.request(request, limit).await });
         }
     }
@@ -254,23 +260,23 @@
         self.metrics.count("partitions_taken", &self.partition.to_string());
         self.held.fetch_add(1, Ordering::Relaxed);
         rules.begin(t, sent);
-        rules.record = Some(PartitionRecord { leader: rules.node.clone(), term: t.term, grant: t.grant });
-        let (term, version, grant, start_ms) = (t.term, t.version, t.grant, t.start_ms);
-        let _ = self.leadership_changes.send(LeadershipChange::Begin { term, version, grant, start_ms }).await;
+        rules.record = Some(PartitionRecord { leader: rules.node.clone(), term: t.term, lease_id: t.lease_id });
+        let (term, version, lease_id, start_ms) = (t.term, t.version, t.lease_id, t.start_ms);
+        let _ = self.leadership_changes.send(LeadershipChange::Begin { term, version, lease_id, start_ms }).await;
     }
 
     async fn step_down(&self, rules: &mut MembershipRules, why: &str) {
         tracing::warn!(partition = self.partition, why, "partition lost");
         self.metrics.count("partitions_lost", why);
         self.held.fetch_sub(1, Ordering::Relaxed);
-        if let Role::Leader { grant, .. } = rules.role {
+        if let Role::Leader { lease_id, .. } = rules.role {
             let state = self.state.clone();
-            task::spawn(async move { state.end_grant(grant).await });
+            task::spawn(async move { state.end_grant(lease_id).await });
         }
         rules.role = Role::Follower;
         rules.record = None;
-        rules.retry_after = clock::now_ms() + self.grant_ttl_ms / 5;
-        self.entitled.set(0);
+        rules.retry_after = clock::now_ms() + self.leader_lease_ttl_ms / 5;
+        self.leader_lease.set(0);
         let _ = self.leadership_changes.send(LeadershipChange::End).await;
     }
 }
--- a/src/membership/failover.rs
+++ b/src/membership/failover.rs
@@ -26,7 +26,7 @@
     node: &'a str,
     /// The version that its key must have; 0 if it must not exist.
     version: u64,
-    grant: u64,
+    lease_id: u64,
 }
 
 /// The counter of terms as it was read.
@@ -35,20 +35,21 @@
     version: u64,
 }
 
-/// At the start: is this node bound by promises that it does not remember?
+/// At the start: is this node bound by pledges that it does not remember?
 pub(super) async fn read_previous_leader(
     state: State,
     partition: u32,
     node: String,
-    grant_ttl_ms: u64,
+    leader_lease_ttl_ms: u64,
     tx: mpsc::Sender<Message>,
 ) {
-    let (mut record, term) = read_partition_and_term(&state, partition, Duration::from_millis(grant_ttl_ms / 5)).await;
+    let (mut record, term) =
+        read_partition_and_term(&state, partition, Duration::from_millis(leader_lease_ttl_ms / 5)).await;
     let unbound = match (&record, term) {
         // Our own earlier life held it: that one is over.
         (Some(r), _) if r.leader == node => {
             tracing::info!(term = r.term, "ending the grant of an earlier life");
-            state.end_grant(r.grant).await.is_ok()
+            state.end_grant(r.lease_id).await.is_ok()
         }
         (None, Some(t)) => t.leaders.get(&partition).is_none_or(|h| *h == node),
         (None, None) => true,
@@ -79,13 +80,19 @@
 }
 
 /// Takes a partition that nobody holds.
-pub(super) async fn take(state: State, partition: u32, node: String, grant_ttl_ms: u64, tx: mpsc::Sender<Message>) {
+pub(super) async fn take(
+    state: State,
+    partition: u32,
+    node: String,
+    leader_lease_ttl_ms: u64,
+    tx: mpsc::Sender<Message>,
+) {
     let sent = clock::now_ms();
-    let result = try_take(&state, partition, &node, grant_ttl_ms).await;
+    let result = try_take(&state, partition, &node, leader_lease_ttl_ms).await;
     let _ = tx.send(Message::AcquiredLeadership { sent, result }).await;
 }
 
-async fn try_take(state: &State, partition: u32, node: &str, grant_ttl_ms: u64) -> Option<AcquiredLeadership> {
+async fn try_take(state: &State, partition: u32, node: &str, leader_lease_ttl_ms: u64) -> Option<AcquiredLeadership> {
     let (item, _) = state.get(TERM_KEY).await.ok()?;
     let last = match item {
         Some(i) => LastTerm { record: serde_json::from_value(i.value).ok()?, version: i.version },
@@ -94,11 +101,11 @@
             LastTerm { record, version: 0 }
         }
     };
-    let grant = state.new_grant(grant_ttl_ms).await.ok()?;
-    match next_term(state, &PartitionClaim { partition, node, version: 0, grant }, &last).await {
+    let lease_id = state.new_grant(leader_lease_ttl_ms).await.ok()?;
+    match next_term(state, &PartitionClaim { partition, node, version: 0, lease_id }, &last).await {
         Ok(taken) => Some(taken),
         Err(_) => {
-            let _ = state.end_grant(grant).await;
+            let _ = state.end_grant(lease_id).await;
             None
         }
     }
@@ -110,12 +117,12 @@
     partition: u32,
     node: &str,
     version: u64,
-    grant: u64,
+    lease_id: u64,
 ) -> Result<RaisedTerm, CommitResult> {
     let Ok((Some(item), _)) = state.get(TERM_KEY).await else { return Err(CommitResult::Refused) };
     let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitResult::Refused) };
     let last = LastTerm { record, version: item.version };
-    let taken = next_term(state, &PartitionClaim { partition, node, version, grant }, &last).await?;
+    let taken = next_term(state, &PartitionClaim { partition, node, version, lease_id }, &last).await?;
     Ok(RaisedTerm { term: taken.term, version: taken.version })
 }
 
@@ -125,15 +132,15 @@
     claim: &PartitionClaim<'_>,
     last: &LastTerm,
 ) -> Result<AcquiredLeadership, CommitResult> {
-    let (grant, start_ms) = (claim.grant, last.record.start_ms);
+    let (lease_id, start_ms) = (claim.lease_id, last.record.start_ms);
     let term = last.record.n + 1;
-    let record = json!({ "holder": claim.node, "term": term, "grant": grant });
+    let record = json!({ "holder": claim.node, "term": term, "grant": lease_id });
     let mut leaders = last.record.leaders.clone();
     leaders.insert(claim.partition, claim.node.to_string());
     let next = json!({ "n": term, "start_ms": start_ms, "holders": leaders });
     let key = partition_key(claim.partition);
     let guards = [wire::guard(&key, claim.version), wire::guard(TERM_KEY, last.version)];
-    let apply = [wire::put(&key, &record, Some(grant)), wire::put(TERM_KEY, &next, None)];
+    let apply = [wire::put(&key, &record, Some(lease_id)), wire::put(TERM_KEY, &next, None)];
     let version = match state.commit(&guards, &apply).await {
         CommitResult::Done { revision } => revision,
         // It may have been carried out: the key tells.
@@ -143,5 +150,5 @@
         },
         other => return Err(other),
     };
-    Ok(AcquiredLeadership { grant, term, version, start_ms })
+    Ok(AcquiredLeadership { lease_id, term, version, start_ms })
 }
--- a/src/membership/entitlement.rs
+++ b/src/membership/leader_lease.rs
@@ -6,9 +6,9 @@
 
 /// Until when this node may act for a partition, on the steady clock.
 #[derive(Debug, Clone, Default)]
-pub struct Entitlement(Arc<AtomicU64>);
+pub struct LeaderLease(Arc<AtomicU64>);
 
-impl Entitlement {
+impl LeaderLease {
     /// True while this node may act for the partition.
     pub fn holds(&self, now: u64) -> bool {
         now < self.0.load(Ordering::Relaxed)
@@ -22,24 +22,24 @@
 
 /// Whether leases may live on without the leader's doing, on the steady clock.
 ///
-/// A controller that is bound by no promise may keep the tasks of workers alive
+/// A controller that is bound by no pledge may keep the tasks of workers alive
 /// that find nobody else (`api`). A leader counts on the end of a lease only for
 /// the time in which all other controllers were bound to it.
 #[derive(Debug, Clone, Default)]
-pub struct PromiseStatus(Arc<BondState>);
+pub struct PledgeStatus(Arc<PledgeState>);
 
 #[derive(Debug, Default)]
-struct BondState {
-    bound_until: AtomicU64,
+struct PledgeState {
+    pledged_until_ms: AtomicU64,
     gap_ms: AtomicU64,
     all_bound_until: AtomicU64,
     term: AtomicU64,
 }
 
-impl PromiseStatus {
+impl PledgeStatus {
     /// Until when this node is bound to leave leases to a leader.
-    pub fn bound_until(&self) -> u64 {
-        self.0.bound_until.load(Ordering::Relaxed)
+    pub fn pledged_until_ms(&self) -> u64 {
+        self.0.pledged_until_ms.load(Ordering::Relaxed)
     }
 
     /// As a leader: the last instant at which another controller may have been unbound.
@@ -57,7 +57,7 @@
     /// Publishes what the rules say now.
     pub(super) fn set(&self, rules: &MembershipRules) {
         let (gap_ms, all_bound_until) = rules.bound_to_us();
-        self.0.bound_until.store(rules.bound_until(), Ordering::Relaxed);
+        self.0.pledged_until_ms.store(rules.pledged_until_ms(), Ordering::Relaxed);
         self.0.gap_ms.store(gap_ms, Ordering::Relaxed);
         self.0.all_bound_until.store(all_bound_until, Ordering::Relaxed);
         self.0.term.store(rules.last_term, Ordering::Relaxed);
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -22,8 +22,8 @@
         term: u64,
         /// Version of the partition's key.
         version: u64,
-        /// Id of the grant that the key is attached to.
-        grant: u64,
+        /// Id of the lease that the key is attached to.
+        lease_id: u64,
         /// Wall time at which the system began.
         start_ms: u64,
     },
@@ -35,21 +35,21 @@
 #[derive(Debug)]
 pub enum Message {
     /// A leader asks this node not to take the partition for a while.
-    Promise {
+    Pledge {
         /// Name of the node that asks.
         leader: String,
-        /// The term that the promise is for.
+        /// The term that the pledge is for.
         term: u64,
-        /// Duration of the promise in milliseconds.
+        /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
         state_ok: bool,
-        /// Takes true if the promise is given.
+        /// Takes true if the pledge is given.
         reply: oneshot::Sender<bool>,
     },
-    /// The asker of a promise has stopped acting.
-    Release {
-        /// The term that the promise was for.
+    /// The asker of a pledge has stopped acting.
+    ReleasePledge {
+        /// The term that the pledge was for.
         term: u64,
     },
     /// The partition's actor found its commits superseded.
@@ -60,27 +60,27 @@
     RecordRead {
         /// The partition's key; `None` if nobody holds the partition, or `unbound`.
         record: Option<PartitionRecord>,
-        /// True if no promise of this node's earlier life binds it.
+        /// True if no pledge of this node's earlier life binds it.
         unbound: bool,
     },
     /// The partition's key as the state service has it now.
     Seen(Option<PartitionRecord>),
-    /// The answer to a renewal of the grant.
+    /// The answer to a renewal of the lease.
     Extended {
-        /// Id of the grant.
-        grant: u64,
+        /// Id of the lease.
+        lease_id: u64,
         /// Steady time at which the request was sent.
         sent: u64,
         /// The outcome of the request.
         result: Result<(), RequestError>,
     },
-    /// The answer of another controller to a request for a promise.
-    Promised {
+    /// The answer of another controller to a request for a pledge.
+    Pledged {
         /// Index of the other controller.
         peer: usize,
         /// Steady time at which the request was sent.
         sent: u64,
-        /// True if the promise was given.
+        /// True if the pledge was given.
         ok: bool,
     },
     /// The end of an attempt to take the partition.
@@ -92,11 +92,11 @@
     },
 }
 
-/// A partition that was taken: its grant, its term and the version of its key.
+/// A partition that was taken: its lease, its term and the version of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AcquiredLeadership {
-    /// The grant that the key is attached to.
-    pub grant: u64,
+    /// The lease that the key is attached to.
+    pub lease_id: u64,
     /// The term of the partition.
     pub term: u64,
     /// The version of the partition's key.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,13 +1,13 @@
-//! Who holds a partition: grants of the state service, terms, promises between
+//! Who holds a partition: leases of the state service, terms, pledges between
 //! controllers, failover. One actor for each partition.
 //!
-//! A partition is held by the key `part/N`, which is attached to a grant. A leader
-//! is entitled to act until the grant could end, counted from when its last
-//! renewal was sent, or until the promises of all other controllers end.
+//! A partition is held by the key `part/N`, which is attached to a lease. A leader
+//! holds the leader lease to act until the lease could end, counted from when its last
+//! renewal was sent, or until the pledges of all other controllers end.
 
 mod actor;
-mod entitlement;
 mod failover;
+mod leader_lease;
 mod messages;
 mod records;
 mod rules;
@@ -15,8 +15,8 @@
 mod watch;
 
 pub use actor::Membership;
-pub use entitlement::{Entitlement, PromiseStatus};
 pub use failover::{RaisedTerm, raise_term};
+pub use leader_lease::{LeaderLease, PledgeStatus};
 pub use messages::{AcquiredLeadership, LeaderStatus, LeadershipChange, Message};
 pub use records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
 pub use rules::MembershipRules;
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -19,8 +19,9 @@
     pub leader: String,
     /// The term under which the node holds the partition.
     pub term: u64,
-    /// The grant that the key is attached to.
-    pub grant: u64,
+    /// The lease that the key is attached to.
+    #[serde(rename = "grant")]
+    pub lease_id: u64,
 }
 
 /// Value of the counter's key. `start_ms` is the one instant that bins count from.
--- a/src/membership/watch.rs
+++ b/src/membership/watch.rs
@@ -9,10 +9,10 @@
 use tokio::sync::mpsc;
 
 /// Follows the partition's key and keeps the health of the state service known.
-pub(super) async fn watch_partition(state: State, partition: u32, grant_ttl_ms: u64, tx: mpsc::Sender<Message>) {
+pub(super) async fn watch_partition(state: State, partition: u32, leader_lease_ttl_ms: u64, tx: mpsc::Sender<Message>) {
     let key = partition_key(partition);
-    task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(grant_ttl_ms / 4), tx.clone()));
-    let pause = Duration::from_millis(grant_ttl_ms / 5);
+    task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(leader_lease_ttl_ms / 4), tx.clone()));
+    let pause = Duration::from_millis(leader_lease_ttl_ms / 5);
     let mut after = None;
     loop {
         let from = match after {
@@ -25,7 +25,7 @@
                 revision
             }
         };
-        match state.changes(&key, from, grant_ttl_ms * 4).await {
+        match state.changes(&key, from, leader_lease_ttl_ms * 4).await {
             Ok(c) => {
                 for e in c.events.into_iter().filter(|e| e.key() == key) {
                     let record = if e.deleted() { None } else { e.value.and_then(|v| serde_json::from_value(v).ok()) };
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,7 +7,7 @@
 use crate::configuration::{self, FleetSettings};
 use crate::ended_jobs::EndedJobs;
 use crate::job_reads::JobReads;
-use crate::membership::{Entitlement, LeaderStatus, Membership, PromiseStatus, Succession};
+use crate::membership::{LeaderLease, LeaderStatus, Membership, PledgeStatus, Succession};
 use crate::metrics::SharedMetrics;
 use crate::net::Net;
 use crate::partition_leader::PartitionLeader;
@@ -46,11 +46,11 @@
     let internal = net.bind(settings.internal_addr).await?;
     tracing::info!(node = settings.node, serve_on = %settings.serve_on, "serving");
 
-    let grant_ttl_ms = settings.grant_ttl_ms();
+    let leader_lease_ttl_ms = settings.leader_lease_ttl_ms();
     let state = State::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
     let bounds = Bounds::new(&settings);
-    let limits = PeerLimits::of_grant(grant_ttl_ms);
+    let limits = PeerLimits::for_leader_lease(leader_lease_ttl_ms);
     let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
@@ -66,7 +66,7 @@
     let mut members = Vec::new();
     let mut leaders = Vec::new();
     for partition in 0..operator.partitions {
-        let (entitled, promise_status) = (Entitlement::default(), PromiseStatus::default());
+        let (leader_lease, pledge_status) = (LeaderLease::default(), PledgeStatus::default());
         let (leader_status_tx, leader_status) = watch::channel(LeaderStatus::default());
         let (leadership_changes_tx, leadership_changes) = mpsc::channel(8);
         let (members_tx, members_rx) = mpsc::channel(256);
@@ -75,25 +75,25 @@
         let membership = Membership {
             partition,
             node: settings.node.clone(),
-            grant_ttl_ms,
+            leader_lease_ttl_ms,
             lease_ms: settings.lease_ms(),
             state: state.clone(),
             peers: peers.clone(),
             succession: succession.clone(),
-            entitled: entitled.clone(),
-            promise_status: promise_status.clone(),
+            leader_lease: leader_lease.clone(),
+            pledge_status: pledge_status.clone(),
             leader_status: leader_status_tx,
             leadership_changes: leadership_changes_tx,
             held: held.clone(),
             metrics: metrics.clone(),
-            initial_delay_ms: if operator.partitions > 1 && !ours { grant_ttl_ms / 5 } else { 0 },
+            initial_delay_ms: if operator.partitions > 1 && !ours { leader_lease_ttl_ms / 5 } else { 0 },
         };
         members.push((membership, members_tx.clone(), members_rx));
         leaders.push((leadership_changes, leader_rx));
         handles.push(PartitionHandle {
             leader_status,
-            entitled,
-            promise_status,
+            leader_lease,
+            pledge_status,
             leader: leader_tx,
             members: members_tx,
         });
@@ -105,8 +105,14 @@
     let configuration = subsystems
         .fleet
         .map(|fleet| configuration::start(&net, &settings, &operator, fleet, state.clone(), &peers, metrics.clone()));
-    let router =
-        Router { partitions: Arc::new(handles), peers: Arc::new(peers), grant_ttl_ms, configuration, bills, heard_ms };
+    let router = Router {
+        partitions: Arc::new(handles),
+        peers: Arc::new(peers),
+        leader_lease_ttl_ms,
+        configuration,
+        bills,
+        heard_ms,
+    };
     for (membership, tx, rx) in members {
         task::spawn(membership.run(tx, rx));
     }
@@ -121,8 +127,8 @@
             state: state.clone(),
             cloud: cloud.clone(),
             worker: Worker::on(&net, &settings),
-            entitled: handle.entitled.clone(),
-            promise_status: handle.promise_status.clone(),
+            leader_lease: handle.leader_lease.clone(),
+            pledge_status: handle.pledge_status.clone(),
             members: handle.members.clone(),
             router: router.clone(),
             tx: handle.leader.clone(),
@@ -143,7 +149,7 @@
     let policy = Arc::new(Policy::new(&settings, &operator, 0));
     let limits = settings.write_limits();
     let request_budget = RequestBudget::new(settings.params.state.least_rps(), nodes.len());
-    let job_reads = JobReads::new(state.clone(), request_budget.clone(), grant_ttl_ms);
+    let job_reads = JobReads::new(state.clone(), request_budget.clone(), leader_lease_ttl_ms);
     let api = Api {
         state,
         job_reads,
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -38,10 +38,10 @@
             tokio::select! {
                 biased;
                 t = leadership_changes.recv() => match t {
-                    Some(LeadershipChange::Begin { term, version, grant, start_ms }) => {
+                    Some(LeadershipChange::Begin { term, version, lease_id, start_ms }) => {
                         n += 1;
                         self.current.store(n, Ordering::Relaxed);
-                        let mut leadership = self.begin(n, term, version, grant, start_ms);
+                        let mut leadership = self.begin(n, term, version, lease_id, start_ms);
                         leadership.partition.metrics = std::mem::take(&mut metrics);
                         active = Some(leadership);
                     }
@@ -89,7 +89,7 @@
         Duration::from_millis(at.saturating_sub(now).clamp(1, most))
     }
 
-    fn begin(&self, n: u64, term: u64, version: u64, grant: u64, start_ms: u64) -> Leadership {
+    fn begin(&self, n: u64, term: u64, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
         let now = clock::now_ms();
         let limits = self.settings.write_limits();
         let policy = Policy::new(&self.settings, &self.operator, start_ms);
@@ -107,7 +107,7 @@
             partition,
             provisioner: Provisioner::new(self.settings.params.cloud.list_lag_s),
             n,
-            grant,
+            lease_id,
             version,
             loaded: false,
             writes: TokenBucket::new(limits.changes_per_s, WRITE_BURST_S, now),
@@ -136,36 +136,38 @@
             return;
         };
         let now = clock::now_ms();
-        let entitled = self.entitled.holds(now);
+        let leader_lease = self.leader_lease.holds(now);
         match m {
             Message::Heartbeat { report, reply } => {
                 let answer =
-                    if entitled { self.heartbeat(leadership, &report, now) } else { HeartbeatReply::NotEntitled };
+                    if leader_lease { self.heartbeat(leadership, &report, now) } else { HeartbeatReply::NotEntitled };
                 let _ = reply.send(answer);
             }
             Message::CapacityReport { capacity_report, reply } => {
-                let known = entitled && leadership.loaded && self.id == 0;
+                let known = leader_lease && leadership.loaded && self.id == 0;
                 let _ = reply.send(if known {
                     self.capacity_report(leadership, capacity_report, now)
                 } else {
-                    PeerResponse::No
+                    PeerResponse::Rejected
                 });
             }
             Message::TransferHost { host, to, reply } => {
-                let given = entitled && leadership.loaded && leadership.partition.transfer_host(&host, to);
-                let _ = reply.send(if given { PeerResponse::Promised } else { PeerResponse::No });
+                let given = leader_lease && leadership.loaded && leadership.partition.transfer_host(&host, to);
+                let _ = reply.send(if given { PeerResponse::Accepted } else { PeerResponse::Rejected });
+            }
+            Message::User { call, reply } if leader_lease && leadership.loaded => {
+                self.user(leadership, call, reply, now)
             }
-            Message::User { call, reply } if entitled && leadership.loaded => self.user(leadership, call, reply, now),
             Message::User { reply, .. } => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::FailoverUnderWay));
             }
             Message::Pools(reply) => {
-                let answer = if entitled && leadership.loaded { self.pool_status(leadership) } else { RETRY_POOLS };
+                let answer = if leader_lease && leadership.loaded { self.pool_status(leadership) } else { RETRY_POOLS };
                 let _ = reply.send(answer);
             }
             Message::Loans(reply) => {
                 let answer =
-                    if entitled && leadership.loaded { self.loans_status(leadership, now) } else { RETRY_LOANS };
+                    if leader_lease && leadership.loaded { self.loans_status(leadership, now) } else { RETRY_LOANS };
                 let _ = reply.send(answer);
             }
             Message::Metrics(reply) => {
--- a/src/partition_leader/answers.rs
+++ b/src/partition_leader/answers.rs
@@ -69,7 +69,7 @@
     /// Answers a user.
     pub(super) fn user(&self, leadership: &mut Leadership, call: UserCall, reply: Waiter, now: u64) {
         // Refused at once: nothing can be recorded now.
-        let silent = !self.state.answers(self.settings.grant_ttl_ms());
+        let silent = !self.state.answers(self.settings.leader_lease_ttl_ms());
         match call {
             UserCall::Submit(_) if silent => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
@@ -105,7 +105,7 @@
             let _ = reply.send(String::new());
         }
         Message::CapacityReport { reply, .. } | Message::TransferHost { reply, .. } => {
-            let _ = reply.send(PeerResponse::No);
+            let _ = reply.send(PeerResponse::Rejected);
         }
         Message::Background { .. } => {}
     }
--- a/src/partition_leader/commits.rs
+++ b/src/partition_leader/commits.rs
@@ -39,11 +39,12 @@
     fn raise_term(&self, leadership: &mut Leadership) {
         leadership.raising = true;
         let (state, sender) = (self.state.clone(), self.sender(leadership.n));
-        let (id, node, version, grant) = (self.id, self.settings.node.clone(), leadership.version, leadership.grant);
+        let (id, node, version, lease_id) =
+            (self.id, self.settings.node.clone(), leadership.version, leadership.lease_id);
         task::spawn(async move {
-            let event = match membership::raise_term(&state, id, &node, version, grant).await {
+            let event = match membership::raise_term(&state, id, &node, version, lease_id).await {
                 Ok(raised) => BackgroundEvent::Raised(Some(raised)),
-                Err(CommitResult::Conflict { .. }) => read_partition_record(&state, id, grant).await,
+                Err(CommitResult::Conflict { .. }) => read_partition_record(&state, id, lease_id).await,
                 Err(_) => BackgroundEvent::Raised(None),
             };
             sender.send(event).await;
@@ -65,9 +66,9 @@
             // It may be our own raise of the term that came late.
             Err(Superseded) => {
                 leadership.raising = true;
-                let (state, sender, id, grant) =
-                    (self.state.clone(), self.sender(leadership.n), self.id, leadership.grant);
-                task::spawn(async move { sender.send(read_partition_record(&state, id, grant).await).await });
+                let (state, sender, id, lease_id) =
+                    (self.state.clone(), self.sender(leadership.n), self.id, leadership.lease_id);
+                task::spawn(async move { sender.send(read_partition_record(&state, id, lease_id).await).await });
             }
         }
     }
@@ -99,15 +100,15 @@
     /// Another node has the partition: nothing more may be done for it here.
     pub(super) fn superseded(&self, leadership: &mut Leadership) {
         leadership.loaded = false;
-        self.entitled.set(0);
+        self.leader_lease.set(0);
         let _ = self.members.try_send(membership::Message::Superseded);
     }
 }
 
 /// The partition's key is not as it was: what to tell its actor. A raise of the term that had
-/// no answer may have been carried out late: then the key's grant is still ours, and the
+/// no answer may have been carried out late: then the key's lease is still ours, and the
 /// partition goes on under the later term.
-async fn read_partition_record(state: &State, partition: u32, grant: u64) -> BackgroundEvent {
+async fn read_partition_record(state: &State, partition: u32, lease_id: u64) -> BackgroundEvent {
     let found = loop {
         match state.get(&membership::partition_key(partition)).await {
             Ok((item, _)) => break item,
@@ -117,7 +118,7 @@
     };
     let ours = found.and_then(|i| {
         let r: PartitionRecord = serde_json::from_value(i.value).ok()?;
-        (r.grant == grant).then_some(RaisedTerm { term: r.term, version: i.version })
+        (r.lease_id == lease_id).then_some(RaisedTerm { term: r.term, version: i.version })
     });
     ours.map_or(BackgroundEvent::Superseded, |raised| BackgroundEvent::Raised(Some(raised)))
 }
--- a/src/partition_leader/context.rs
+++ b/src/partition_leader/context.rs
@@ -4,7 +4,7 @@
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Settings};
 use crate::loans::LoansResponse;
-use crate::membership::{self, Entitlement, PromiseStatus};
+use crate::membership::{self, LeaderLease, PledgeStatus};
 use crate::router::Router;
 use crate::warm_pools::PoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
@@ -39,9 +39,9 @@
     /// The way to the workers.
     pub worker: Worker,
     /// Until when this node may act for the partition.
-    pub entitled: Entitlement,
+    pub leader_lease: LeaderLease,
     /// Promises between the controllers.
-    pub promise_status: PromiseStatus,
+    pub pledge_status: PledgeStatus,
     /// The way to the partition's membership actor.
     pub members: mpsc::Sender<membership::Message>,
     /// The ways to the other partitions.
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -12,7 +12,7 @@
     pub(super) provisioner: Provisioner,
     /// Number of the leadership epoch: answers to an earlier one are dropped.
     pub(super) n: u64,
-    pub(super) grant: u64,
+    pub(super) lease_id: u64,
     pub(super) version: u64,
     pub(super) loaded: bool,
     pub(super) writes: TokenBucket,
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -12,7 +12,7 @@
     /// Does what is due.
     pub(super) fn drive(&self, leadership: &mut Leadership) {
         let now = clock::now_ms();
-        if !self.entitled.holds(now) {
+        if !self.leader_lease.holds(now) {
             return;
         }
         if now >= leadership.next_upkeep_ms {
@@ -44,7 +44,7 @@
         if !stalled && leadership.partition.cut_off(now) {
             let _ = self.members.try_send(membership::Message::YieldLeadership);
         }
-        let (release, probe) = leadership.partition.upkeep(now, self.promise_status.unbound_ms(now));
+        let (release, probe) = leadership.partition.upkeep(now, self.pledge_status.unbound_ms(now));
         for op in leadership.provisioner.release(release) {
             self.cloud_request(leadership, op);
         }
@@ -54,7 +54,7 @@
     /// Plans machines; what is needed goes to the provisioner.
     fn plan(&self, leadership: &mut Leadership, now: u64) {
         let wall = clock::wall_ms();
-        leadership.partition.claims_recordable = self.state.answers(self.settings.grant_ttl_ms());
+        leadership.partition.claims_recordable = self.state.answers(self.settings.leader_lease_ttl_ms());
         self.maintain_pools(leadership, now);
         self.maintain_loans(leadership, now);
         if self.id == 0 {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -32,24 +32,26 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Promise not to act for this partition for a while.
-    Promise {
+    #[serde(rename = "Promise")]
+    Pledge {
         /// Number of the partition.
         partition: u32,
         /// Name of the node that asks.
         #[serde(rename = "owner")]
         leader: String,
-        /// The term that the promise is for.
+        /// The term that the pledge is for.
         term: u64,
-        /// Duration of the promise in milliseconds.
+        /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
         state_ok: bool,
     },
-    /// The asker has stopped acting under this term: its promise binds no more.
-    Release {
+    /// The asker has stopped acting under this term: its pledge binds no more.
+    #[serde(rename = "Release")]
+    ReleasePledge {
         /// Number of the partition.
         partition: u32,
-        /// The term that the promise was for.
+        /// The term that the pledge was for.
         term: u64,
     },
     /// A user's request for the leader of a partition.
@@ -120,10 +122,12 @@
 /// The response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The promise is given, or the request is carried out.
-    Promised,
+    /// The pledge is given, or the request is carried out.
+    #[serde(rename = "Promised")]
+    Accepted,
     /// The request is refused, or cannot be carried out.
-    No,
+    #[serde(rename = "No")]
+    Rejected,
     /// Machines that are on their way to the partition.
     PendingMachines {
         /// Machines that are on their way to the partition.
@@ -193,7 +197,7 @@
                 task::spawn(async move {
                     let response = match frame.message {
                         Some(request) => handler(request, frame.format).await,
-                        None => PeerResponse::No,
+                        None => PeerResponse::Rejected,
                     };
                     if let Some(frame) = encode(frame.number, response.readable_in(frame.format)) {
                         let _ = tx.send(frame).await;
@@ -226,9 +230,12 @@
 }
 
 impl PeerLimits {
-    /// The limits for a life of a grant.
-    pub fn of_grant(grant_ttl_ms: u64) -> PeerLimits {
-        PeerLimits { connect: Duration::from_millis(grant_ttl_ms / 4), health: HealthLimits::of_grant(grant_ttl_ms) }
+    /// The limits for a life of a lease.
+    pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> PeerLimits {
+        PeerLimits {
+            connect: Duration::from_millis(leader_lease_ttl_ms / 4),
+            health: HealthLimits::for_leader_lease(leader_lease_ttl_ms),
+        }
     }
 }
 
--- a/src/peer/connections.rs
+++ b/src/peer/connections.rs
@@ -113,7 +113,7 @@
         connection.responses += 1;
         if let Some(waiting) = self.waiting.remove(&frame.number) {
             // What can't be read is no answer to work with.
-            let _ = waiting.reply.send(frame.message.unwrap_or(PeerResponse::No));
+            let _ = waiting.reply.send(frame.message.unwrap_or(PeerResponse::Rejected));
         }
     }
 
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -20,19 +20,19 @@
     tokio::spawn(serve(listener, |request, _| async move {
         match request {
             PeerRequest::TransferHost { .. } => std::future::pending().await,
-            PeerRequest::Promise { term: 3, .. } => PeerResponse::Promised,
-            _ => PeerResponse::No,
+            PeerRequest::Pledge { term: 3, .. } => PeerResponse::Accepted,
+            _ => PeerResponse::Rejected,
         }
     }));
-    let p = Peer::start("b".into(), addr, PeerLimits::of_grant(2000));
-    let request = |term| PeerRequest::Promise { partition: 0, leader: "a".into(), term, for_ms: 5, state_ok: true };
+    let p = Peer::start("b".into(), addr, PeerLimits::for_leader_lease(2000));
+    let request = |term| PeerRequest::Pledge { partition: 0, leader: "a".into(), term, for_ms: 5, state_ok: true };
     let limit = Duration::from_millis(500);
-    assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Promised));
+    assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Accepted));
     assert_eq!(
         p.request(PeerRequest::TransferHost { partition: 0, host: "x".into(), to: 1 }, Duration::from_millis(30)).await,
         None
     );
-    assert_eq!(p.request(request(4), limit).await, Some(PeerResponse::No));
+    assert_eq!(p.request(request(4), limit).await, Some(PeerResponse::Rejected));
 }
 
 /// A connection in memory.
@@ -114,7 +114,7 @@
     }
 }
 
-/// Life of a grant in these tests.
+/// Life of a lease in these tests.
 pub const GRANT_TTL_MS: u64 = 2500;
 
 /// A peer "b", and the connections that it accepts and leaves unanswered.
@@ -122,12 +122,12 @@
     let (accepted, rx) = mpsc::unbounded_channel();
     let net = Net::new(ScriptedNetwork { connect_after, accepted });
     let addr = "127.0.0.1:1".parse().unwrap();
-    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::of_grant(GRANT_TTL_MS));
+    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::for_leader_lease(GRANT_TTL_MS));
     (peer, Accepted(Mutex::new(rx)))
 }
 
 fn release(term: u64) -> PeerRequest {
-    PeerRequest::Release { partition: 0, term }
+    PeerRequest::ReleasePledge { partition: 0, term }
 }
 
 fn poll() -> PeerRequest {
@@ -141,10 +141,10 @@
 
 /// Answers releases after as many milliseconds as their term says.
 async fn answer_after_term(request: PeerRequest, _: FrameFormat) -> PeerResponse {
-    if let PeerRequest::Release { term, .. } = request {
+    if let PeerRequest::ReleasePledge { term, .. } = request {
         sleep(Duration::from_millis(term)).await;
     }
-    PeerResponse::Promised
+    PeerResponse::Accepted
 }
 
 // Each request used to wait for the attempts to connect of those before it.
@@ -156,7 +156,7 @@
     for request in requests {
         assert_eq!(request.await.unwrap(), None);
     }
-    let connect_limit = PeerLimits::of_grant(GRANT_TTL_MS).connect;
+    let connect_limit = PeerLimits::for_leader_lease(GRANT_TTL_MS).connect;
     assert!(begin.elapsed() < connect_limit + Duration::from_millis(50), "{:?}", begin.elapsed());
 }
 
@@ -166,18 +166,18 @@
     tokio::spawn(serve(accepted, answer_after_term));
     let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(1))).collect();
     for request in requests {
-        assert_eq!(request.await.unwrap(), Some(PeerResponse::Promised));
+        assert_eq!(request.await.unwrap(), Some(PeerResponse::Accepted));
     }
 }
 
-// A promise was lost whenever a submission on the same connection was given up.
+// A pledge was lost whenever a submission on the same connection was given up.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_given_up_takes_no_other_with_it() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     tokio::spawn(serve(accepted, answer_after_term));
     let slow = start(&peer, release(200), Duration::from_millis(500));
     assert_eq!(peer.request(release(5000), Duration::from_millis(100)).await, None);
-    assert_eq!(slow.await.unwrap(), Some(PeerResponse::Promised));
+    assert_eq!(slow.await.unwrap(), Some(PeerResponse::Accepted));
 }
 
 // A cut may hold what is sent on a connection, also after it has ended elsewhere.
@@ -205,10 +205,10 @@
     let given_up = start(&peer, release(5000), Duration::from_millis(100));
     sleep(Duration::from_millis(10)).await;
     for _ in 0..3 {
-        assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Promised));
+        assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     }
     assert_eq!(given_up.await.unwrap(), None);
-    assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Promised));
+    assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     assert_eq!(opened.load(Ordering::Relaxed), 1);
 }
 
@@ -232,10 +232,10 @@
 
     // It goes on: the next probe is answered, and all requests after it.
     tokio::spawn(serve(accepted, answer_after_term));
-    sleep(Duration::from_millis(PeerLimits::of_grant(GRANT_TTL_MS).health.probe_interval_ms)).await;
-    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Promised));
+    sleep(Duration::from_millis(PeerLimits::for_leader_lease(GRANT_TTL_MS).health.probe_interval_ms)).await;
+    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
     assert!(!peer.health.is_silent());
-    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Promised));
+    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/peer_health.rs
+++ b/src/peer_health.rs
@@ -17,10 +17,10 @@
 }
 
 impl HealthLimits {
-    /// A leader asks for promises five times in a grant's life: two of them are missing.
+    /// A leader asks for pledges five times in a lease's life: two of them are missing.
     /// Probes are half a life apart.
-    pub fn of_grant(grant_ttl_ms: u64) -> HealthLimits {
-        HealthLimits { quiet_ms: grant_ttl_ms * 2 / 5, probe_interval_ms: grant_ttl_ms / 2 }
+    pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> HealthLimits {
+        HealthLimits { quiet_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
     }
 }
 
--- a/src/peer_health/tests.rs
+++ b/src/peer_health/tests.rs
@@ -38,7 +38,7 @@
     assert!(!health.is_silent());
 }
 
-// A busy leader answers late, and asks for promises all the time.
+// A busy leader answers late, and asks for pledges all the time.
 #[test]
 fn a_peer_heard_a_moment_ago_is_slow_and_not_silent() {
     let mut health = PeerHealth::new(LIMITS);
--- a/src/router.rs
+++ b/src/router.rs
@@ -7,7 +7,7 @@
 use crate::frame_format::FrameFormat;
 use crate::http::Response;
 use crate::loans::{LoansRequest, LoansResponse};
-use crate::membership::{self, Entitlement, LeaderStatus, PromiseStatus};
+use crate::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
 use crate::partition::UserAnswer;
 use crate::partition_leader;
 use crate::peer::{Peer, PeerRequest, PeerResponse, UserCall};
@@ -28,7 +28,7 @@
 const MAX_COMMIT_WAIT: Duration = Duration::from_millis(4000);
 
 /// While a submission waits for a leader on another node, this node looks so many times in a
-/// grant's life whether the leader is at work.
+/// lease's life whether the leader is at work.
 const OWNER_LOOKS: u64 = 10;
 
 /// The partition whose leader keeps warm pools and loans: there is one alone with them.
@@ -51,9 +51,9 @@
     /// Who holds the partition, as far as this node knows.
     pub leader_status: watch::Receiver<LeaderStatus>,
     /// Whether this node may act for it now.
-    pub entitled: Entitlement,
-    /// The promises about it that bind this node, or others to it.
-    pub promise_status: PromiseStatus,
+    pub leader_lease: LeaderLease,
+    /// The pledges about it that bind this node, or others to it.
+    pub pledge_status: PledgeStatus,
     /// Mailbox of the actor that does the partition's work while this node holds it.
     pub leader: mpsc::Sender<partition_leader::Message>,
     /// Mailbox of its membership actor.
@@ -78,8 +78,8 @@
     pub partitions: Arc<Vec<PartitionHandle>>,
     /// The other controllers.
     pub peers: Arc<Vec<Peer>>,
-    /// Life of a leader's grant in milliseconds, from which the time limits derive.
-    pub grant_ttl_ms: u64,
+    /// Life of a leader's lease in milliseconds, from which the time limits derive.
+    pub leader_lease_ttl_ms: u64,
     /// The shared configuration of a fleet, if the controller is told of one.
     pub configuration: Option<ConfigurationHandle>,
     /// The state service, where bills of warm pools are read; none without pools.
@@ -109,7 +109,7 @@
         if matches!(request, PeerRequest::User { call: UserCall::Submit(_), .. }) {
             return peer.request_until(request, self.owner_is_gone(partition)).await;
         }
-        let limit = Duration::from_millis(self.grant_ttl_ms * 2 / 5);
+        let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5);
         peer.request(request, limit.min(MAX_POLL_WAIT)).await
     }
 
@@ -118,7 +118,7 @@
     /// be gone; but one that is only slow, as after a failover, is the one to accept it.
     async fn owner_is_gone(&self, partition: u32) {
         let begun = Instant::now();
-        let look = Duration::from_millis(self.grant_ttl_ms / OWNER_LOOKS).min(MAX_POLL_WAIT);
+        let look = Duration::from_millis(self.leader_lease_ttl_ms / OWNER_LOOKS).min(MAX_POLL_WAIT);
         loop {
             sleep(look).await;
             if !self.at_work(partition) || begun.elapsed() + look > MAX_COMMIT_WAIT {
@@ -156,19 +156,19 @@
     /// Learns the format that a peer speaks, for as long as this node runs: asks for something
     /// that every version answers and that has no effect.
     pub async fn watch_format(self, peer: Peer) {
-        let limit = Duration::from_millis(self.grant_ttl_ms * 2 / 5);
+        let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5);
         loop {
-            peer.request(PeerRequest::Release { partition: NO_PARTITION, term: 0 }, limit).await;
+            peer.request(PeerRequest::ReleasePledge { partition: NO_PARTITION, term: 0 }, limit).await;
             let rounds = if peer.format.is_current() { FORMAT_ROUNDS } else { 1 };
             sleep(limit * rounds).await;
         }
     }
 
-    /// Has the leader of the partition asked for a promise just now? It does so five
+    /// Has the leader of the partition asked for a pledge just now? It does so five
     /// times in the life of one.
     pub fn at_work(&self, partition: u32) -> bool {
         let heard = self.heard_ms.get(partition as usize).map_or(0, |h| h.load(Ordering::Relaxed));
-        heard > 0 && clock::now_ms() < heard + self.grant_ttl_ms / 4
+        heard > 0 && clock::now_ms() < heard + self.leader_lease_ttl_ms / 4
     }
 
     /// Asks the leader of a partition on behalf of a user.
@@ -184,28 +184,28 @@
     /// Answers another controller, or this one, from the actors on this node.
     pub async fn answer(&self, request: PeerRequest, format: FrameFormat) -> PeerResponse {
         match request {
-            PeerRequest::Promise { partition, leader, term, for_ms, state_ok } => {
+            PeerRequest::Pledge { partition, leader, term, for_ms, state_ok } => {
                 if let Some(peer) = self.peers.iter().find(|p| p.name == leader) {
                     peer.health.heard();
                     peer.format.heard(format);
                 }
-                let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
+                let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::Rejected };
                 if let Some(h) = self.heard_ms.get(partition as usize) {
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
-                let m = membership::Message::Promise { leader, term, for_ms, state_ok, reply };
+                let m = membership::Message::Pledge { leader, term, for_ms, state_ok, reply };
                 if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
-                    PeerResponse::Promised
+                    PeerResponse::Accepted
                 } else {
-                    PeerResponse::No
+                    PeerResponse::Rejected
                 }
             }
-            PeerRequest::Release { partition, term } => {
+            PeerRequest::ReleasePledge { partition, term } => {
                 if let Some(handle) = self.partitions.get(partition as usize) {
-                    let _ = handle.members.try_send(membership::Message::Release { term });
+                    let _ = handle.members.try_send(membership::Message::ReleasePledge { term });
                 }
-                PeerResponse::Promised
+                PeerResponse::Accepted
             }
             PeerRequest::User { partition, call } => {
                 let r = self.local(partition, call).await;
@@ -218,7 +218,7 @@
             }
             PeerRequest::Configuration(request) => match &self.configuration {
                 Some(configuration) => PeerResponse::Configuration(configuration.answer(request).await),
-                None => PeerResponse::No,
+                None => PeerResponse::Rejected,
             },
             PeerRequest::Pools(request) => PeerResponse::Pools(self.pools(request).await),
             PeerRequest::Loans(request) => PeerResponse::Loans(self.loans(request).await),
@@ -274,7 +274,7 @@
     async fn ask_only_owner(&self, request: PeerRequest) -> Option<PeerResponse> {
         let name = self.leader(ONLY_PARTITION)?;
         let peer = self.peers.iter().find(|peer| peer.name == name)?;
-        let limit = Duration::from_millis(self.grant_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
+        let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
         peer.request(request, limit).await
     }
 
@@ -283,11 +283,11 @@
         partition: u32,
         m: impl FnOnce(oneshot::Sender<PeerResponse>) -> partition_leader::Message,
     ) -> PeerResponse {
-        let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::No };
+        let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::Rejected };
         let (reply, rx) = oneshot::channel();
         match handle.leader.try_send(m(reply)) {
-            Ok(()) => rx.await.unwrap_or(PeerResponse::No),
-            Err(_) => PeerResponse::No,
+            Ok(()) => rx.await.unwrap_or(PeerResponse::Rejected),
+            Err(_) => PeerResponse::Rejected,
         }
     }
 
@@ -302,7 +302,7 @@
             return RefusalReason::TooManyRequests.response();
         }
         // A commit that takes longer is answered by the retry.
-        match timeout(Duration::from_millis(self.grant_ttl_ms).min(longest), rx).await {
+        match timeout(Duration::from_millis(self.leader_lease_ttl_ms).min(longest), rx).await {
             Ok(Ok(a)) => to_response(a),
             _ if submits => RefusalReason::SubmissionSlow.response(),
             _ => RefusalReason::NoDecisionInTime.response(),
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -3,13 +3,13 @@
 use tokio::time::Instant;
 
 /// A router to one partition, held here or by the given peer, and what its leader's actor is sent.
-fn router(leader: Option<Peer>, grant_ttl_ms: u64) -> (Router, mpsc::Receiver<partition_leader::Message>) {
+fn router(leader: Option<Peer>, leader_lease_ttl_ms: u64) -> (Router, mpsc::Receiver<partition_leader::Message>) {
     let (owner_tx, owner_rx) = mpsc::channel(64);
     let leader_status = LeaderStatus { leader: leader.as_ref().map(|p| p.name.clone()), is_self: leader.is_none() };
     let handle = PartitionHandle {
         leader_status: watch::channel(leader_status).1,
-        entitled: Entitlement::default(),
-        promise_status: PromiseStatus::default(),
+        leader_lease: LeaderLease::default(),
+        pledge_status: PledgeStatus::default(),
         leader: owner_tx,
         members: mpsc::channel(1).0,
     };
@@ -18,7 +18,7 @@
         configuration: None,
         partitions: Arc::new(vec![handle]),
         peers: Arc::new(leader.into_iter().collect()),
-        grant_ttl_ms,
+        leader_lease_ttl_ms,
         heard_ms: Arc::new(vec![AtomicU64::new(0)]),
     };
     (router, owner_rx)
@@ -34,7 +34,7 @@
     begin.elapsed().as_millis()
 }
 
-// A user waits 2 s for a poll and 5 s for the rest; long leases have long grants.
+// A user waits 2 s for a poll and 5 s for the rest; long leases have long leases.
 #[tokio::test(start_paused = true)]
 async fn users_are_answered_in_time_also_with_long_grants() {
     const LONG_GRANT_MS: u64 = 60_000;
@@ -59,8 +59,8 @@
     for _ in 0..20 {
         assert_eq!(wait_ms(&router, poll()).await, 0);
     }
-    let promise = PeerRequest::Promise { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
-    router.answer(promise, FrameFormat::CURRENT).await;
+    let pledge = PeerRequest::Pledge { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    router.answer(pledge, FrameFormat::CURRENT).await;
     assert_eq!(router.silent_peers(), 0);
     assert!(wait_ms(&router, poll()).await > 0);
 }
@@ -72,10 +72,10 @@
     let versions =
         |router: &Router| (router.has_old_peer(), router.owner_is_current(0), router.peer_versions().unknown);
     assert_eq!(versions(&router), (false, false, 1), "it was never heard");
-    let promise = || PeerRequest::Promise { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
-    router.answer(promise(), FrameFormat::UNNAMED).await;
+    let pledge = || PeerRequest::Pledge { partition: 0, leader: "b".into(), term: 1, for_ms: 5, state_ok: true };
+    router.answer(pledge(), FrameFormat::UNNAMED).await;
     assert_eq!(versions(&router), (true, false, 0));
-    router.answer(promise(), FrameFormat::CURRENT).await;
+    router.answer(pledge(), FrameFormat::CURRENT).await;
     assert_eq!(versions(&router), (false, true, 0));
 }
 
@@ -88,7 +88,7 @@
         bills: None,
         partitions: Default::default(),
         peers: Default::default(),
-        grant_ttl_ms: 2500,
+        leader_lease_ttl_ms: 2500,
         configuration: None,
         heard_ms,
     };
@@ -111,7 +111,7 @@
     heard(0);
     let gone = wait_ms(&router, submission()).await;
     assert!((u128::from(GRANT_TTL_MS / 4)..u128::from(GRANT_TTL_MS / 2)).contains(&gone), "{gone} ms");
-    // As if it asked for promises all the time.
+    // As if it asked for pledges all the time.
     heard(60_000);
     router.peers[0].health.heard();
     let slow = wait_ms(&router, submission()).await;
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -1,4 +1,4 @@
-//! Messages between the service and the state service: keys, changes, commits and grants.
+//! Messages between the service and the state service: keys, changes, commits and leases.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -79,10 +79,10 @@
     pub failed: Vec<String>,
 }
 
-/// The answer to a request for a grant.
+/// The answer to a request for a lease.
 #[derive(Deserialize)]
-pub struct Grant {
-    /// Id of the grant.
+pub struct StateLease {
+    /// Id of the lease.
     #[serde(rename = "grant")]
     pub id: u64,
 }
@@ -92,7 +92,7 @@
     json!({ "path": key, "stamp": version })
 }
 
-/// A write of a commit; with a grant, the key ends with it.
+/// A write of a commit; with a lease, the key ends with it.
 pub fn put(key: &str, value: &Value, grant: Option<u64>) -> Value {
     match grant {
         Some(g) => json!({ "put": key, "data": value, "grant": g }),
@@ -110,16 +110,16 @@
     serde_json::to_vec(&json!({ "guards": guards, "apply": apply })).unwrap_or_default()
 }
 
-/// The body of a request for a grant, or for its extension.
-pub fn grant_body(grant_ttl_ms: u64) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "life_ms": grant_ttl_ms })).unwrap_or_default()
+/// The body of a request for a lease, or for its extension.
+pub fn grant_body(leader_lease_ttl_ms: u64) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "life_ms": leader_lease_ttl_ms })).unwrap_or_default()
 }
 
 /// Paths of the state service.
 pub mod store {
     /// Commits are posted here.
     pub const COMMIT: &str = "/commit";
-    /// New grants are asked for here.
+    /// New leases are asked for here.
     pub const GRANTS: &str = "/grants";
 
     /// One key.
@@ -141,12 +141,12 @@
         format!("/changes?under={prefix}&from={after}&hold_ms={wait_ms}")
     }
 
-    /// The extension of a grant.
+    /// The extension of a lease.
     pub fn extend(grant: u64) -> String {
         format!("/grants/{grant}/extend")
     }
 
-    /// One grant.
+    /// One lease.
     pub fn grant(grant: u64) -> String {
         format!("/grants/{grant}")
     }
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -148,7 +148,7 @@
         let fabric = Fabric::new(seed);
         let stores: Vec<Arc<Mutex<Store>>> = (0..REGIONS).map(|_| Arc::default()).collect();
         let operator_net = fabric.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
-        let limits = PeerLimits::of_grant(5000);
+        let limits = PeerLimits::for_leader_lease(5000);
         let way = |region, n| Peer::start_on(operator_net.clone(), "operator".into(), internal(region, n), limits);
         let mut fleet = Fleet {
             operators: (0..REGIONS).map(|region| (0..CONTROLLERS).map(|n| way(region, n)).collect()).collect(),
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -14,7 +14,7 @@
 
 /// Most connections to a stand-in, and how long an idle one is kept.
 const CONNECTIONS: (usize, Duration) = (100, Duration::from_secs(60));
-/// Life of a grant from which the limits of a connection follow.
+/// Life of a lease from which the limits of a connection follow.
 const GRANT_MS: u64 = 20_000;
 /// Time of the state service for an answer.
 const STATE_ANSWER: Duration = Duration::from_millis(10);
@@ -100,7 +100,7 @@
     let south = start_region(&fabric, 2);
     sleep(Duration::from_secs(30)).await;
     let net = fabric.process([10, 9, 0, 1].into()).0;
-    let limits = PeerLimits::of_grant(GRANT_MS);
+    let limits = PeerLimits::for_leader_lease(GRANT_MS);
     let peer = Peer::start_on(net.clone(), "north".into(), address(1, 81), limits);
     for version in [0, 77] {
         peer.request(change(version), ANSWER_LIMIT).await.expect("an answer");
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -30,8 +30,8 @@
 fn requests() -> Vec<PeerRequest> {
     let user = |call| PeerRequest::User { partition: 0, call };
     vec![
-        PeerRequest::Promise { partition: 0, leader: "worker-0".into(), term: 7, for_ms: 2500, state_ok: true },
-        PeerRequest::Release { partition: 0, term: 7 },
+        PeerRequest::Pledge { partition: 0, leader: "worker-0".into(), term: 7, for_ms: 2500, state_ok: true },
+        PeerRequest::ReleasePledge { partition: 0, term: 7 },
         user(UserCall::Submit(b"{\"id\":\"run-000412\"}".to_vec())),
         user(UserCall::Status("run-000412".into())),
         user(UserCall::Cancel("run-000412".into())),
@@ -55,8 +55,8 @@
 fn responses() -> Vec<PeerResponse> {
     let body = b"{\"id\":\"run-000412\",\"phase\":\"pending\"}".to_vec();
     vec![
-        PeerResponse::Promised,
-        PeerResponse::No,
+        PeerResponse::Accepted,
+        PeerResponse::Rejected,
         PeerResponse::PendingMachines { pending_machines: vec![machines(false, 1)], refused: vec![] },
         PeerResponse::User { status: 200, body, retry_after_s: None, refusal: None },
         refused(RefusalReason::EndBeingRecorded),
@@ -101,7 +101,7 @@
 async fn asking(answers: Vec<Vec<u8>>) -> (Peer, Vec<Option<PeerResponse>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
-    let peer = Peer::start("worker-1".into(), addr, PeerLimits::of_grant(4000));
+    let peer = Peer::start("worker-1".into(), addr, PeerLimits::for_leader_lease(4000));
     let script = answers.clone();
     tokio::spawn(async move {
         let mut stream = listener.accept().await.unwrap().0;
@@ -113,7 +113,7 @@
     });
     let mut heard = Vec::new();
     for _ in answers {
-        heard.push(peer.request(PeerRequest::Release { partition: 0, term: 1 }, LIMIT).await);
+        heard.push(peer.request(PeerRequest::ReleasePledge { partition: 0, term: 1 }, LIMIT).await);
     }
     (peer, heard)
 }
@@ -129,7 +129,7 @@
 
 #[tokio::test]
 async fn requests_of_the_version_in_production_are_read_and_tell_its_format() {
-    let (mut stream, mut asked) = serving(vec![PeerResponse::Promised; requests().len()]).await;
+    let (mut stream, mut asked) = serving(vec![PeerResponse::Accepted; requests().len()]).await;
     for (frame, request) in recorded(include_str!("../data/production/requests.hex")).iter().zip(requests()) {
         stream.write_all(frame).await.unwrap();
         assert_eq!(asked.recv().await.unwrap(), (request, FrameFormat::UNNAMED));
@@ -150,7 +150,7 @@
 #[tokio::test]
 async fn the_version_in_production_reads_the_requests_of_this_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerLimits::of_grant(4000));
+    let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerLimits::for_leader_lease(4000));
     assert!(!peer.format.is_old(), "a peer that is silent is not known to be old");
     let asked = peer.clone();
     tokio::spawn(async move {
@@ -201,13 +201,13 @@
 
 #[tokio::test]
 async fn a_request_of_an_unknown_kind_is_refused_and_the_connection_stays() {
-    let (mut stream, mut asked) = serving(vec![PeerResponse::Promised]).await;
+    let (mut stream, mut asked) = serving(vec![PeerResponse::Accepted]).await;
     let unknown = encoded(&json!({"n": 5, "format": 2, "body": {"Rebalance": {"partition": 0}}}));
     stream.write_all(&unknown).await.unwrap();
     let refusal = decoded::<production::PeerResponse>(&next_frame(&mut stream).await);
     assert_eq!((refusal.n, refusal.body), (5, production::PeerResponse::No));
     stream.write_all(&recorded(include_str!("../data/production/requests.hex"))[1]).await.unwrap();
-    assert_eq!(asked.recv().await.unwrap().0, PeerRequest::Release { partition: 0, term: 7 });
+    assert_eq!(asked.recv().await.unwrap().0, PeerRequest::ReleasePledge { partition: 0, term: 7 });
 }
 
 #[tokio::test]
@@ -217,6 +217,6 @@
     let answers = vec![answer(1, user), answer(2, json!("Maybe"))];
     let (peer, heard) = asking(answers).await;
     let expected = PeerResponse::User { status: 503, body: b"{}".to_vec(), retry_after_s: Some(1), refusal: None };
-    assert_eq!(heard, [Some(expected), Some(PeerResponse::No)]);
+    assert_eq!(heard, [Some(expected), Some(PeerResponse::Rejected)]);
     assert!(peer.format.is_current(), "a later version knows all that this one says");
 }
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -87,7 +87,7 @@
 async fn listened_peer() -> (Peer, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    (Peer::start("worker-1".into(), addr, PeerLimits::of_grant(LIMIT.as_millis() as u64)), listener)
+    (Peer::start("worker-1".into(), addr, PeerLimits::for_leader_lease(LIMIT.as_millis() as u64)), listener)
 }
 
 /// The frames in which a controller of this version asks these requests, one after the other.
@@ -144,7 +144,7 @@
 
 /// What a controller of this version reads in these requests.
 async fn read_requests(frames: &[(String, Vec<u8>)]) -> Vec<PeerRequest> {
-    let (mut stream, mut asked) = serving(vec![PeerResponse::No; frames.len()]).await;
+    let (mut stream, mut asked) = serving(vec![PeerResponse::Rejected; frames.len()]).await;
     let mut requests = Vec::new();
     for (name, frame) in frames {
         stream.write_all(frame).await.unwrap();
@@ -169,7 +169,7 @@
     });
     let mut responses = Vec::new();
     for (name, _) in frames {
-        let response = peer.request(PeerRequest::Release { partition: 0, term: 1 }, LIMIT).await;
+        let response = peer.request(PeerRequest::ReleasePledge { partition: 0, term: 1 }, LIMIT).await;
         responses.push(response.unwrap_or_else(|| panic!("{name} is not read")));
     }
     responses
