--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -82,7 +82,7 @@
         let claimed = w.store.claims > before;
         if claimed {
             let record = w.store.value("part/0");
-            w.note_term(&record);
+            w.note_token(&record);
         }
         (r, claimed)
     };
--- a/crates/stand-ins/src/world/terms.rs
+++ b/crates/stand-ins/src/world/terms.rs
@@ -18,7 +18,7 @@
 
 impl SimulationState {
     /// A controller has written the record of its term.
-    pub fn note_term(&mut self, record: &Value) {
+    pub fn note_token(&mut self, record: &Value) {
         let (Some(number), Some(owner)) = (record["term"].as_u64(), record["holder"].as_str()) else { return };
         if self.terms.last().is_none_or(|last| last.number < number) {
             self.terms.push(Term { number, owner: owner.into(), since: Instant::now() });
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -18,8 +18,8 @@
         let report = Arc::new(report);
         let host = report.host.clone();
         let hint = self.route_hints.lock().ok().and_then(|hints| hints.host(&host));
-        if let Some(fence) = self.keeps(&report) {
-            return Response::json(200, &wire::orders(fence, &[]));
+        if let Some(seen_token) = self.keeps(&report) {
+            return Response::json(200, &wire::orders(seen_token, &[]));
         }
         // Where it was last, then the other partitions of this node; the provisioner's
         // knows where a machine belongs.
@@ -33,11 +33,11 @@
                 return RefusalReason::TooManyReports.response();
             }
             match rx.await {
-                Ok(HeartbeatReply::Orders { term, orders }) => {
+                Ok(HeartbeatReply::Orders { fencing_token, orders }) => {
                     if let Ok(mut p) = self.route_hints.lock() {
                         p.remember_host(&host, partition);
                     }
-                    return Response::json(200, &wire::orders(term, &orders));
+                    return Response::json(200, &wire::orders(fencing_token, &orders));
                 }
                 Ok(HeartbeatReply::Elsewhere(p)) => belongs = p,
                 Ok(HeartbeatReply::Unknown) => {}
@@ -58,7 +58,7 @@
     /// ended in an outage: the token with which it answers, which is the worker's
     /// own. Nothing is ordered. It is bound by no pledge, so that no leader counts
     /// on the end of leases meanwhile (`membership::PledgeStatus`). A worker that has
-    /// seen a later term was asked by a leader since: it is to look for that one.
+    /// seen a later fencing token was asked by a leader since: it is to look for that one.
     fn keeps(&self, r: &Report) -> Option<u64> {
         let (now, leader_lease_ttl_ms) = (clock::now_ms(), self.router.leader_lease_ttl_ms);
         let alone = !self.state.answers(leader_lease_ttl_ms)
@@ -68,8 +68,8 @@
             route_hints.keep_none();
             return None;
         }
-        let known = self.router.partitions.iter().map(|d| d.pledge_status.term()).max().unwrap_or(0);
-        let first = route_hints.first_token(&r.host, r.fence);
-        (r.fence > 0 && first == r.fence && (known == 0 || r.fence <= known)).then_some(r.fence)
+        let known = self.router.partitions.iter().map(|d| d.pledge_status.fencing_token()).max().unwrap_or(0);
+        let first = route_hints.first_token(&r.host, r.seen_token);
+        (r.seen_token > 0 && first == r.seen_token && (known == 0 || r.seen_token <= known)).then_some(r.seen_token)
     }
 }
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -39,8 +39,9 @@
     pub version: u64,
     /// The version whose limits all teams keep to: what was beyond them has ended.
     pub kept: u64,
-    /// The leader's term.
-    pub term: u64,
+    /// The leader's fencing token.
+    #[serde(rename = "term")]
+    pub fencing_token: u64,
 }
 
 /// The value of [`REGION_KEY`].
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -91,7 +91,7 @@
     /// Lets the rest of the node know how things stand.
     fn publish(&self, rules: &mut MembershipRules) {
         self.leader_lease.set(rules.lease_valid_until());
-        rules.note_term();
+        rules.note_token();
         self.pledge_status.set(rules);
         let is_self = matches!(rules.role, Role::Leader { .. });
         let leader = if is_self { Some(self.node.clone()) } else { rules.record.as_ref().map(|r| r.leader.clone()) };
@@ -103,11 +103,11 @@
     fn renew(&self, rules: &mut MembershipRules, tx: &mpsc::Sender<Message>) {
         let sent = clock::now_ms();
         rules.note_expiry(sent);
-        let Role::Leader { lease_id, term, expired, .. } = rules.role else { return };
+        let Role::Leader { lease_id, fencing_token, expired, .. } = rules.role else { return };
         self.renew_grant(lease_id, sent, tx);
         // Promises would only keep the others from keeping leases alive.
         if !expired {
-            self.renew_promises(term, sent, tx);
+            self.renew_promises(fencing_token, sent, tx);
         }
     }
 
@@ -119,11 +119,11 @@
         });
     }
 
-    fn renew_promises(&self, term: u64, sent: u64, tx: &mpsc::Sender<Message>) {
+    fn renew_promises(&self, fencing_token: u64, sent: u64, tx: &mpsc::Sender<Message>) {
         let request = PeerRequest::Pledge {
             partition: self.partition,
             leader: self.node.clone(),
-            term,
+            fencing_token,
             for_ms: self.leader_lease_ttl_ms,
             state_ok: self.state.answers(self.leader_lease_ttl_ms),
         };
@@ -140,8 +140,8 @@
     async fn handle(&self, rules: &mut MembershipRules, m: Message) {
         let now = clock::now_ms();
         match m {
-            Message::Pledge { leader, term, for_ms, state_ok, reply } => {
-                let ok = self.pledge(rules, now, leader, term, for_ms, state_ok).await;
+            Message::Pledge { leader, fencing_token, for_ms, state_ok, reply } => {
+                let ok = self.pledge(rules, now, leader, fencing_token, for_ms, state_ok).await;
                 let _ = reply.send(ok);
             }
             Message::RecordRead { record, unbound } => self.previous_owner_read(rules, now, record, unbound),
@@ -149,7 +149,7 @@
             Message::Extended { lease_id, sent, result } => self.extended(rules, now, lease_id, sent, result).await,
             Message::Pledged { peer, sent, ok: true } => rules.pledged(peer, sent, now),
             Message::Pledged { ok: false, .. } => {}
-            Message::ReleasePledge { term } => rules.release_pledge(now, term),
+            Message::ReleasePledge { fencing_token } => rules.release_pledge(now, fencing_token),
             Message::YieldLeadership => self.yield_leadership(rules, now).await,
             Message::Superseded => {
                 if matches!(rules.role, Role::Leader { .. }) {
@@ -170,18 +170,18 @@
         rules: &mut MembershipRules,
         now: u64,
         leader: String,
-        term: u64,
+        fencing_token: u64,
         for_ms: u64,
         state_ok: bool,
     ) -> bool {
-        if rules.superseded_by(now, term) {
+        if rules.superseded_by(now, fencing_token) {
             self.step_down(rules, "another holds it").await;
         }
         let own_state_ok = self.state.answers(self.leader_lease_ttl_ms);
-        let ok = rules.pledge(now, (&leader, term), for_ms, state_ok, own_state_ok);
+        let ok = rules.pledge(now, (&leader, fencing_token), for_ms, state_ok, own_state_ok);
         // Without the state service, who asks is the only news of who holds the partition.
         if ok && !own_state_ok {
-            rules.record = Some(PartitionRecord { leader, term, lease_id: 0 });
+            rules.record = Some(PartitionRecord { leader, fencing_token, lease_id: 0 });
         }
         ok
     }
@@ -242,27 +242,29 @@
     /// Leaves the partition to the others, and lets them know at once.
     async fn yield_leadership(&self, rules: &mut MembershipRules, now: u64) {
         let pause_ms = 2 * self.lease_ms;
-        let Role::Leader { term, .. } = rules.role else { return };
+        let Role::Leader { fencing_token, .. } = rules.role else { return };
         if !rules.may_yield_leadership(now, pause_ms) {
             return;
         }
         self.step_down(rules, "its workers are not heard").await;
         rules.retry_after = now + pause_ms;
         for p in &self.peers {
-            let (p, request) = (p.clone(), PeerRequest::ReleasePledge { partition: self.partition, term });
+            let (p, request) = (p.clone(), PeerRequest::ReleasePledge { partition: self.partition, fencing_token });
             let limit = Duration::from_millis(self.leader_lease_ttl_ms / 2);
             task::spawn(async move { p.request(request, limit).await });
         }
     }
 
     async fn taken(&self, rules: &mut MembershipRules, t: &AcquiredLeadership, sent: u64) {
-        tracing::info!(partition = self.partition, term = t.term, "partition taken");
+        tracing::info!(partition = self.partition, fencing_token = t.fencing_token, "partition taken");
         self.metrics.count("partitions_taken", &self.partition.to_string());
         self.held.fetch_add(1, Ordering::Relaxed);
         rules.begin(t, sent);
-        rules.record = Some(PartitionRecord { leader: rules.node.clone(), term: t.term, lease_id: t.lease_id });
-        let (term, version, lease_id, start_ms) = (t.term, t.version, t.lease_id, t.start_ms);
-        let _ = self.leadership_changes.send(LeadershipChange::Begin { term, version, lease_id, start_ms }).await;
+        rules.record =
+            Some(PartitionRecord { leader: rules.node.clone(), fencing_token: t.fencing_token, lease_id: t.lease_id });
+        let (fencing_token, version, lease_id, start_ms) = (t.fencing_token, t.version, t.lease_id, t.start_ms);
+        let _ =
+            self.leadership_changes.send(LeadershipChange::Begin { fencing_token, version, lease_id, start_ms }).await;
     }
 
     async fn step_down(&self, rules: &mut MembershipRules, why: &str) {
--- a/src/membership/failover.rs
+++ b/src/membership/failover.rs
@@ -1,7 +1,7 @@
-//! Taking a partition, and raising the term of one that is held.
+//! Taking a partition, and raising the fencing token of one that is held.
 
 use super::messages::{AcquiredLeadership, Message};
-use super::records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
+use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use crate::clients::State;
 use crate::clock;
 use crate::partition::CommitResult;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The term that a held partition was raised to, and the version of its key since.
+/// The fencing token that a held partition was raised to, and the version of its key since.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RaisedTerm {
-    /// The term.
-    pub term: u64,
+pub struct RaisedToken {
+    /// The fencing token.
+    pub fencing_token: u64,
     /// The version of the partition's key.
     pub version: u64,
 }
 
-/// The partition that is to come under a new term.
+/// The partition that is to come under a new fencing token.
 struct PartitionClaim<'a> {
     partition: u32,
     node: &'a str,
@@ -29,9 +29,9 @@
     lease_id: u64,
 }
 
-/// The counter of terms as it was read.
-struct LastTerm {
-    record: TermRecord,
+/// The counter of fencing tokens as it was read.
+struct LastToken {
+    record: FencingTokenRecord,
     version: u64,
 }
 
@@ -43,12 +43,12 @@
     leader_lease_ttl_ms: u64,
     tx: mpsc::Sender<Message>,
 ) {
-    let (mut record, term) =
+    let (mut record, fencing_token) =
         read_partition_and_term(&state, partition, Duration::from_millis(leader_lease_ttl_ms / 5)).await;
-    let unbound = match (&record, term) {
+    let unbound = match (&record, fencing_token) {
         // Our own earlier life held it: that one is over.
         (Some(r), _) if r.leader == node => {
-            tracing::info!(term = r.term, "ending the grant of an earlier life");
+            tracing::info!(fencing_token = r.fencing_token, "ending the grant of an earlier life");
             state.end_grant(r.lease_id).await.is_ok()
         }
         (None, Some(t)) => t.leaders.get(&partition).is_none_or(|h| *h == node),
@@ -61,22 +61,22 @@
     let _ = tx.send(Message::RecordRead { record, unbound }).await;
 }
 
-/// Reads the partition's key and the counter of terms, until that succeeds.
+/// Reads the partition's key and the counter of fencing tokens, until that succeeds.
 async fn read_partition_and_term(
     state: &State,
     partition: u32,
     pause: Duration,
-) -> (Option<PartitionRecord>, Option<TermRecord>) {
+) -> (Option<PartitionRecord>, Option<FencingTokenRecord>) {
     let key = partition_key(partition);
-    let (partition, term) = loop {
-        match (state.get(&key).await, state.get(TERM_KEY).await) {
-            (Ok(partition), Ok(term)) => break (partition.0, term.0),
+    let (partition, fencing_token) = loop {
+        match (state.get(&key).await, state.get(FENCING_TOKEN_KEY).await) {
+            (Ok(partition), Ok(fencing_token)) => break (partition.0, fencing_token.0),
             _ => tokio::time::sleep(pause).await,
         }
     };
     let record = partition.and_then(|p| serde_json::from_value(p.value).ok());
-    let term = term.and_then(|t| serde_json::from_value(t.value).ok());
-    (record, term)
+    let fencing_token = fencing_token.and_then(|t| serde_json::from_value(t.value).ok());
+    (record, fencing_token)
 }
 
 /// Takes a partition that nobody holds.
@@ -93,12 +93,12 @@
 }
 
 async fn try_take(state: &State, partition: u32, node: &str, leader_lease_ttl_ms: u64) -> Option<AcquiredLeadership> {
-    let (item, _) = state.get(TERM_KEY).await.ok()?;
+    let (item, _) = state.get(FENCING_TOKEN_KEY).await.ok()?;
     let last = match item {
-        Some(i) => LastTerm { record: serde_json::from_value(i.value).ok()?, version: i.version },
+        Some(i) => LastToken { record: serde_json::from_value(i.value).ok()?, version: i.version },
         None => {
-            let record = TermRecord { n: 0, start_ms: clock::wall_ms(), leaders: BTreeMap::new() };
-            LastTerm { record, version: 0 }
+            let record = FencingTokenRecord { n: 0, start_ms: clock::wall_ms(), leaders: BTreeMap::new() };
+            LastToken { record, version: 0 }
         }
     };
     let lease_id = state.new_grant(leader_lease_ttl_ms).await.ok()?;
@@ -111,36 +111,36 @@
     }
 }
 
-/// A fresh term for a partition that is held: all workers will refuse older tokens.
-pub async fn raise_term(
+/// A fresh fencing token for a partition that is held: all workers will refuse older tokens.
+pub async fn raise_fencing_token(
     state: &State,
     partition: u32,
     node: &str,
     version: u64,
     lease_id: u64,
-) -> Result<RaisedTerm, CommitResult> {
-    let Ok((Some(item), _)) = state.get(TERM_KEY).await else { return Err(CommitResult::Refused) };
+) -> Result<RaisedToken, CommitResult> {
+    let Ok((Some(item), _)) = state.get(FENCING_TOKEN_KEY).await else { return Err(CommitResult::Refused) };
     let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitResult::Refused) };
-    let last = LastTerm { record, version: item.version };
+    let last = LastToken { record, version: item.version };
     let taken = next_term(state, &PartitionClaim { partition, node, version, lease_id }, &last).await?;
-    Ok(RaisedTerm { term: taken.term, version: taken.version })
+    Ok(RaisedToken { fencing_token: taken.fencing_token, version: taken.version })
 }
 
-/// Commits the term after `last` and puts the partition under it.
+/// Commits the fencing token after `last` and puts the partition under it.
 async fn next_term(
     state: &State,
     claim: &PartitionClaim<'_>,
-    last: &LastTerm,
+    last: &LastToken,
 ) -> Result<AcquiredLeadership, CommitResult> {
     let (lease_id, start_ms) = (claim.lease_id, last.record.start_ms);
-    let term = last.record.n + 1;
-    let record = json!({ "holder": claim.node, "term": term, "grant": lease_id });
+    let fencing_token = last.record.n + 1;
+    let record = json!({ "holder": claim.node, "term": fencing_token, "grant": lease_id });
     let mut leaders = last.record.leaders.clone();
     leaders.insert(claim.partition, claim.node.to_string());
-    let next = json!({ "n": term, "start_ms": start_ms, "holders": leaders });
+    let next = json!({ "n": fencing_token, "start_ms": start_ms, "holders": leaders });
     let key = partition_key(claim.partition);
-    let guards = [wire::guard(&key, claim.version), wire::guard(TERM_KEY, last.version)];
-    let apply = [wire::put(&key, &record, Some(lease_id)), wire::put(TERM_KEY, &next, None)];
+    let guards = [wire::guard(&key, claim.version), wire::guard(FENCING_TOKEN_KEY, last.version)];
+    let apply = [wire::put(&key, &record, Some(lease_id)), wire::put(FENCING_TOKEN_KEY, &next, None)];
     let version = match state.commit(&guards, &apply).await {
         CommitResult::Done { revision } => revision,
         // It may have been carried out: the key tells.
@@ -150,5 +150,5 @@
         },
         other => return Err(other),
     };
-    Ok(AcquiredLeadership { lease_id, term, version, start_ms })
+    Ok(AcquiredLeadership { lease_id, fencing_token, version, start_ms })
 }
--- a/src/membership/leader_lease.rs
+++ b/src/membership/leader_lease.rs
@@ -33,7 +33,7 @@
     pledged_until_ms: AtomicU64,
     gap_ms: AtomicU64,
     all_bound_until: AtomicU64,
-    term: AtomicU64,
+    fencing_token: AtomicU64,
 }
 
 impl PledgeStatus {
@@ -49,9 +49,9 @@
         if now <= until { gap } else { now }
     }
 
-    /// The last term of the partition that this node knows of; 0 if none.
-    pub fn term(&self) -> u64 {
-        self.0.term.load(Ordering::Relaxed)
+    /// The last fencing token of the partition that this node knows of; 0 if none.
+    pub fn fencing_token(&self) -> u64 {
+        self.0.fencing_token.load(Ordering::Relaxed)
     }
 
     /// Publishes what the rules say now.
@@ -60,6 +60,6 @@
         self.0.pledged_until_ms.store(rules.pledged_until_ms(), Ordering::Relaxed);
         self.0.gap_ms.store(gap_ms, Ordering::Relaxed);
         self.0.all_bound_until.store(all_bound_until, Ordering::Relaxed);
-        self.0.term.store(rules.last_term, Ordering::Relaxed);
+        self.0.fencing_token.store(rules.last_token, Ordering::Relaxed);
     }
 }
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -19,7 +19,7 @@
     /// This node holds the partition from now on.
     Begin {
         /// Term under which it holds the partition.
-        term: u64,
+        fencing_token: u64,
         /// Version of the partition's key.
         version: u64,
         /// Id of the lease that the key is attached to.
@@ -38,8 +38,8 @@
     Pledge {
         /// Name of the node that asks.
         leader: String,
-        /// The term that the pledge is for.
-        term: u64,
+        /// The fencing token that the pledge is for.
+        fencing_token: u64,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
@@ -49,8 +49,8 @@
     },
     /// The asker of a pledge has stopped acting.
     ReleasePledge {
-        /// The term that the pledge was for.
-        term: u64,
+        /// The fencing token that the pledge was for.
+        fencing_token: u64,
     },
     /// The partition's actor found its commits superseded.
     Superseded,
@@ -92,13 +92,13 @@
     },
 }
 
-/// A partition that was taken: its lease, its term and the version of its key.
+/// A partition that was taken: its lease, its fencing token and the version of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AcquiredLeadership {
     /// The lease that the key is attached to.
     pub lease_id: u64,
-    /// The term of the partition.
-    pub term: u64,
+    /// The fencing token of the partition.
+    pub fencing_token: u64,
     /// The version of the partition's key.
     pub version: u64,
     /// Wall time at which the system began.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who holds a partition: leases of the state service, terms, pledges between
+//! Who holds a partition: leases of the state service, fencing tokens, pledges between
 //! controllers, failover. One actor for each partition.
 //!
 //! A partition is held by the key `part/N`, which is attached to a lease. A leader
@@ -15,10 +15,10 @@
 mod watch;
 
 pub use actor::Membership;
-pub use failover::{RaisedTerm, raise_term};
+pub use failover::{RaisedToken, raise_fencing_token};
 pub use leader_lease::{LeaderLease, PledgeStatus};
 pub use messages::{AcquiredLeadership, LeaderStatus, LeadershipChange, Message};
-pub use records::{PartitionRecord, TERM_KEY, TermRecord, partition_key};
+pub use records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 pub use rules::MembershipRules;
 pub use succession::Succession;
 
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,10 +1,10 @@
-//! What the state service keeps of partitions and terms: keys and values.
+//! What the state service keeps of partitions and fencing tokens: keys and values.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Key of the global counter of terms.
-pub const TERM_KEY: &str = "term";
+/// Key of the global counter of fencing tokens.
+pub const FENCING_TOKEN_KEY: &str = "term";
 
 /// Key of a partition.
 pub fn partition_key(partition: u32) -> String {
@@ -17,8 +17,9 @@
     /// Name of the node that holds the partition.
     #[serde(rename = "holder")]
     pub leader: String,
-    /// The term under which the node holds the partition.
-    pub term: u64,
+    /// The fencing token under which the node holds the partition.
+    #[serde(rename = "term")]
+    pub fencing_token: u64,
     /// The lease that the key is attached to.
     #[serde(rename = "grant")]
     pub lease_id: u64,
@@ -26,8 +27,8 @@
 
 /// Value of the counter's key. `start_ms` is the one instant that bins count from.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TermRecord {
-    /// The last term that was given out.
+pub struct FencingTokenRecord {
+    /// The last fencing token that was given out.
     pub n: u64,
     /// Wall time at which the system began.
     pub start_ms: u64,
--- a/src/membership/rules.rs
+++ b/src/membership/rules.rs
@@ -11,7 +11,7 @@
     Candidate,
     Leader {
         lease_id: u64,
-        term: u64,
+        fencing_token: u64,
         state_lease_until: u64,
         pledged_until: Vec<u64>,
         gap_ms: u64,
@@ -28,17 +28,17 @@
     leader_lease_ttl_ms: u64,
     peers: usize,
     pub(super) role: Role,
-    /// Promises that this node has given end then, and the term they were for.
+    /// Promises that this node has given end then, and the fencing token they were for.
     pledged_until: u64,
-    pledged_term: u64,
+    pledged_token: u64,
     /// Not again before then: if nobody hears the workers, it is not our fault.
     yield_after: u64,
     /// A restarted node waits out the pledges of its earlier life.
     act_after: u64,
     /// False until the first look at the state service.
     pub(super) record_read: bool,
-    /// The last term that this node knows of.
-    pub(super) last_term: u64,
+    /// The last fencing token that this node knows of.
+    pub(super) last_token: u64,
     pub(super) record: Option<PartitionRecord>,
     pub(super) retry_after: u64,
 }
@@ -62,11 +62,11 @@
             peers,
             role: Role::Follower,
             pledged_until: 0,
-            pledged_term: 0,
+            pledged_token: 0,
             yield_after: 0,
             act_after: now + longer(leader_lease_ttl_ms),
             record_read: true,
-            last_term: 0,
+            last_token: 0,
             record: None,
             retry_after: 0,
         }
@@ -94,27 +94,27 @@
     pub fn pledge(
         &mut self,
         now: u64,
-        (leader, term): (&str, u64),
+        (leader, fencing_token): (&str, u64),
         for_ms: u64,
         asker_state_ok: bool,
         own_state_ok: bool,
     ) -> bool {
-        let later = |r: &PartitionRecord| r.leader != leader && r.term > term;
+        let later = |r: &PartitionRecord| r.leader != leader && r.fencing_token > fencing_token;
         let ok = matches!(self.role, Role::Follower)
             && (asker_state_ok || !own_state_ok)
             && for_ms <= self.leader_lease_ttl_ms
             && !self.record.as_ref().is_some_and(later);
         if ok {
             self.pledged_until = self.pledged_until.max(now + longer(for_ms));
-            self.pledged_term = self.pledged_term.max(term);
+            self.pledged_token = self.pledged_token.max(fencing_token);
         }
         ok
     }
 
     /// A release counts for the latest pledge only: a late copy of an older
     /// one must not undo what binds this node to another leader.
-    pub fn release_pledge(&mut self, now: u64, term: u64) {
-        if self.pledged_term == term {
+    pub fn release_pledge(&mut self, now: u64, fencing_token: u64) {
+        if self.pledged_token == fencing_token {
             self.pledged_until = self.pledged_until.min(now);
         }
     }
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Notes the latest term that is known.
-    pub(super) fn note_term(&mut self) {
+    /// Notes the latest fencing token that is known.
+    pub(super) fn note_token(&mut self) {
         let of_role = match self.role {
-            Role::Leader { term, .. } => term,
+            Role::Leader { fencing_token, .. } => fencing_token,
             _ => 0,
         };
-        let seen = self.record.as_ref().map_or(0, |r| r.term);
-        self.last_term = self.last_term.max(seen).max(of_role).max(self.pledged_term);
+        let seen = self.record.as_ref().map_or(0, |r| r.fencing_token);
+        self.last_token = self.last_token.max(seen).max(of_role).max(self.pledged_token);
     }
 
     /// Until when this node is bound to leave leases to a leader.
@@ -170,17 +170,18 @@
         }
     }
 
-    /// Another controller asks for a pledge under a later term, and ours is
+    /// Another controller asks for a pledge under a later fencing token, and ours is
     /// over: it holds the partition now, whatever we can learn from the state service.
-    pub(super) fn superseded_by(&self, now: u64, asker_term: u64) -> bool {
-        matches!(self.role, Role::Leader { term, .. } if term < asker_term) && now >= self.lease_valid_until()
+    pub(super) fn superseded_by(&self, now: u64, asker_token: u64) -> bool {
+        matches!(self.role, Role::Leader { fencing_token, .. } if fencing_token < asker_token)
+            && now >= self.lease_valid_until()
     }
 
     /// The partition was taken by a request sent then.
     pub(super) fn begin(&mut self, t: &AcquiredLeadership, sent: u64) {
         self.role = Role::Leader {
             lease_id: t.lease_id,
-            term: t.term,
+            fencing_token: t.fencing_token,
             state_lease_until: sent + shorter(self.leader_lease_ttl_ms),
             pledged_until: vec![0; self.peers],
             gap_ms: 0,
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,6 @@
-use super::{AcquiredLeadership, LeaderLease, MembershipRules, PartitionRecord, Succession, TermRecord, partition_key};
+use super::{
+    AcquiredLeadership, FencingTokenRecord, LeaderLease, MembershipRules, PartitionRecord, Succession, partition_key,
+};
 use crate::clock;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -8,7 +10,7 @@
 
 fn holding(peers: usize) -> MembershipRules {
     let mut r = MembershipRules::new("a", LIFE, peers, 0);
-    r.begin(&AcquiredLeadership { lease_id: 1, term: 7, version: 3, start_ms: 0 }, 1000);
+    r.begin(&AcquiredLeadership { lease_id: 1, fencing_token: 7, version: 3, start_ms: 0 }, 1000);
     r
 }
 
@@ -155,7 +157,7 @@
 #[test]
 fn nobody_promises_to_an_owner_that_was_followed_by_another() {
     let mut r = MembershipRules::new("c", LIFE, 2, 0);
-    r.record = Some(PartitionRecord { leader: "b".into(), term: 8, lease_id: 2 });
+    r.record = Some(PartitionRecord { leader: "b".into(), fencing_token: 8, lease_id: 2 });
     assert!(!r.pledge(1000, ("a", 7), LIFE, false, false));
     assert!(r.pledge(1000, ("b", 7), LIFE, false, false), "one that raised its term meanwhile");
     assert!(r.pledge(1000, ("a", 9), LIFE, false, false));
@@ -165,10 +167,10 @@
 // an earlier build read and write the same records.
 #[test]
 fn stored_records_keep_their_spelling() {
-    let partition = PartitionRecord { leader: "a".into(), term: 7, lease_id: 1 };
+    let partition = PartitionRecord { leader: "a".into(), fencing_token: 7, lease_id: 1 };
     assert_eq!(serde_json::to_value(partition).unwrap(), json!({ "holder": "a", "term": 7, "grant": 1 }));
-    let term = TermRecord { n: 7, start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
-    assert_eq!(serde_json::to_value(term).unwrap(), json!({ "n": 7, "start_ms": 5, "holders": { "0": "a" } }));
+    let fencing_token = FencingTokenRecord { n: 7, start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
+    assert_eq!(serde_json::to_value(fencing_token).unwrap(), json!({ "n": 7, "start_ms": 5, "holders": { "0": "a" } }));
     let host = crate::model::HostRecord { addr: None, flavor: "s".into(), zone: "z".into(), spot: false, partition: 2 };
     let stored = json!({ "addr": null, "flavor": "s", "zone": "z", "spot": false, "part": 2 });
     assert_eq!(serde_json::to_value(host).unwrap(), stored);
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -69,10 +69,10 @@
     /// Number of the last report in that session; 0 if there was none.
     pub serial: u64,
     /// Highest fencing token that the worker is known to have seen; 0 if none.
-    pub fence: u64,
+    pub seen_token: u64,
     /// What the worker says counts once it has seen this token, the first one of this
     /// leader: a report with a lower one may be a late copy, from a machine that is gone.
-    pub min_fence: u64,
+    pub required_token: u64,
     /// The partition that it is being given to.
     pub transferring_to: Option<u32>,
     /// Steady time of the last report, and of the last answer that may have renewed the lease.
@@ -130,8 +130,8 @@
             spot,
             tenure: 0,
             serial: 0,
-            fence: 0,
-            min_fence: 0,
+            seen_token: 0,
+            required_token: 0,
             transferring_to: None,
             heard_ms: now,
             answered_ms: now,
@@ -179,7 +179,7 @@
     /// Has its worker seen a token of this leader? Then no order of an earlier one can
     /// reach it any more.
     pub fn token_confirmed(&self) -> bool {
-        self.accounted && self.fence >= self.min_fence
+        self.accounted && self.seen_token >= self.required_token
     }
 
     /// More than a report that may be a late copy says that it exists.
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -101,7 +101,7 @@
     pub no_hold_until_ms: u64,
     /// Until when it waits for room next to its image; 0 if it does not yet.
     pub soon_until_ms: u64,
-    /// Accepted in this term: no earlier leader can have started its tasks.
+    /// Accepted in this fencing token: no earlier leader can have started its tasks.
     pub fresh: bool,
     /// Its user has asked for its cancellation, which is said once all its tasks are gone.
     pub cancelling: bool,
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -92,7 +92,7 @@
     pub since_ms: u64,
     /// Told to stop, with this grace.
     pub stop: Option<f64>,
-    /// Highest term of a direct command with its `run` that had no answer.
+    /// Highest fencing token of a direct command with its `run` that had no answer.
     pub risk: Option<u64>,
     /// Its `run` is in a direct command under way.
     pub in_flight: bool,
--- a/src/partition/direct.rs
+++ b/src/partition/direct.rs
@@ -18,7 +18,7 @@
 
     /// The direct command that a machine is due, if any.
     pub fn direct(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<Direct> {
-        let term = self.term;
+        let fencing_token = self.fencing_token;
         // Before the tasks: one may need the room of a slot that is unloaded.
         let slot_orders = self.slot_orders(host_index);
         let h = self.cluster.hosts.get_mut(host_index)?.as_mut()?;
@@ -53,7 +53,7 @@
             return None;
         }
         h.do_in_flight = true;
-        Some(Direct { host: host_index, id: h.id.clone(), addr, term, tenure: h.tenure, orders })
+        Some(Direct { host: host_index, id: h.id.clone(), addr, fencing_token, tenure: h.tenure, orders })
     }
 
     /// Takes the result of a direct command.
@@ -65,7 +65,7 @@
             c.in_flight = false;
             if matches!(result, DirectResult::Unclear) {
                 // It may be carried out minutes later.
-                c.risk = Some(c.risk.unwrap_or(0).max(d.term));
+                c.risk = Some(c.risk.unwrap_or(0).max(d.fencing_token));
             }
         }
         match result {
@@ -94,15 +94,15 @@
     }
 
     /// True if an attempt, or a record of a machine, can only be settled by a higher token.
-    pub fn needs_new_term(&self) -> bool {
+    pub fn needs_higher_token(&self) -> bool {
         self.moves_may_be_undone()
-            || self.cluster.each_host().any(|(_, h)| h.fence > self.term)
+            || self.cluster.each_host().any(|(_, h)| h.seen_token > self.fencing_token)
             || self.cluster.each_host().any(|(_, h)| {
                 // One that answers nothing would not show that it has seen it.
                 h.missed < UNREACHABLE_AFTER_MISSES
                     && h.attempts
                         .iter()
-                        .any(|c| c.risk.is_some_and(|t| t >= self.term) && (c.stop.is_some() || c.ended()))
+                        .any(|c| c.risk.is_some_and(|t| t >= self.fencing_token) && (c.stop.is_some() || c.ended()))
             })
     }
 }
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -1,30 +1,30 @@
-//! Taking a partition over: its records, its terms and the machines of the last leader.
+//! Taking a partition over: its records, its fencing tokens and the machines of the last leader.
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
 use crate::model::{Demand, Flavor, Host, HostIndex, HostKind, HostRecord, JobRecord};
 use crate::wire::Item;
 
-/// Bits of an attempt's number below the term that it began in.
+/// Bits of an attempt's number below the fencing token that it began in.
 const ATTEMPT_BITS: u32 = 32;
 
 /// What a machine of unknown type may hold.
 const UNBOUNDED: Demand = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
 
 impl Partition {
-    /// Begins a term with what the state service holds. Nothing is known of
-    /// the machines until they report under this term.
+    /// Begins a fencing token with what the state service holds. Nothing is known of
+    /// the machines until they report under this fencing token.
     pub fn begin(
         &mut self,
-        term: u64,
+        fencing_token: u64,
         version: u64,
         jobs: Vec<Item>,
         hosts: Vec<Item>,
         flavors: Vec<Flavor>,
         now: u64,
     ) {
-        self.set_term(term, version);
-        self.first_term = term;
+        self.set_fencing_token(fencing_token, version);
+        self.first_token = fencing_token;
         self.begun_ms = now;
         self.last_upkeep_ms = now;
         self.cluster.flavors = flavors;
@@ -78,7 +78,7 @@
         let mut h = Host::new(id, r.zone, r.spot, flavor, now);
         h.addr = r.addr;
         h.registered = true;
-        h.min_fence = self.first_term;
+        h.required_token = self.first_token;
         self.cluster.add_host(h)
     }
 
@@ -98,13 +98,13 @@
         }
     }
 
-    /// A new term: attempts count on from it, so that none repeats. The same one again,
+    /// A new fencing token: attempts count on from it, so that none repeats. The same one again,
     /// with the key's version as it is now, begins no count anew.
-    pub fn set_term(&mut self, term: u64, version: u64) {
-        if term > self.term {
-            self.next_attempt = term << ATTEMPT_BITS;
+    pub fn set_fencing_token(&mut self, fencing_token: u64, version: u64) {
+        if fencing_token > self.fencing_token {
+            self.next_attempt = fencing_token << ATTEMPT_BITS;
         }
-        self.term = term;
+        self.fencing_token = fencing_token;
         self.partition_version = version;
     }
 
@@ -147,7 +147,7 @@
             }
         }
         if all && !self.cluster.all_accounted {
-            tracing::info!(term = self.term, "all machines accounted for");
+            tracing::info!(fencing_token = self.fencing_token, "all machines accounted for");
             self.pass_due = true;
         }
         self.cluster.unaccounted = open;
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -9,16 +9,16 @@
     pub fn belongs(&mut self, r: &Report) -> HostRouting {
         if self.cluster.host_index.contains_key(&r.host) || self.released.contains(&r.host) {
             // A worker drops what carries a lower token than it has seen: a
-            // higher term first.
+            // higher fencing token first.
             if let Some(h) =
                 self.cluster.host_index.get(&r.host).copied().and_then(|index| self.cluster.host_mut(index))
             {
-                h.fence = h.fence.max(r.fence);
+                h.seen_token = h.seen_token.max(r.seen_token);
             }
-            return if r.fence > self.term { HostRouting::NotYet } else { HostRouting::Mine };
+            return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
         }
         if self.id == 0 && !self.elsewhere.contains_key(&r.host) {
-            return if r.fence > self.term { HostRouting::NotYet } else { HostRouting::Mine };
+            return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
         }
         self.recheck.insert(r.host.clone());
         match self.elsewhere.get(&r.host) {
@@ -36,11 +36,11 @@
                 self.elsewhere.remove(id);
                 if !self.cluster.host_index.contains_key(id) {
                     // The giver made sure that nothing is left on it.
-                    let term = self.term;
+                    let fencing_token = self.fencing_token;
                     let host_index = self.add_registered(id.to_string(), r, now);
                     if let Some(h) = self.cluster.host_mut(host_index) {
                         h.accounted = true;
-                        h.min_fence = term;
+                        h.required_token = fencing_token;
                         tracing::info!(host = h.id, "machine joins this partition");
                     }
                 }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -47,10 +47,10 @@
     pub policy: Policy,
     /// Figures for `GET /metrics`.
     pub metrics: Metrics,
-    /// The leader's term, which is its fencing token; 0 before the records were read.
-    pub term: u64,
-    /// The term with which this leader began: it may have raised it since.
-    first_term: u64,
+    /// The leader's fencing token, which is its fencing token; 0 before the records were read.
+    pub fencing_token: u64,
+    /// The fencing token with which this leader began: it may have raised it since.
+    first_token: u64,
     /// This partition's number, and whether its leader leads.
     pub id: u32,
     teams: HashMap<String, u32>,
@@ -129,8 +129,8 @@
             cluster: ClusterState { all_accounted: true, ..ClusterState::default() },
             policy,
             metrics: Metrics::default(),
-            term: 0,
-            first_term: 0,
+            fencing_token: 0,
+            first_token: 0,
             id,
             teams,
             elsewhere: HashMap::new(),
--- a/src/partition/reports.rs
+++ b/src/partition/reports.rs
@@ -77,7 +77,7 @@
         }
         let flavor = self.cluster.flavor(&r.flavor);
         let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
-        h.min_fence = self.first_term;
+        h.required_token = self.first_token;
         // Rented for another partition: it is given away once it is registered.
         h.transferring_to = self.destined.remove(&r.host).filter(|p| *p != self.id);
         self.cluster.add_host(h)
@@ -100,10 +100,10 @@
         let h = self.cluster.host_mut(host_index)?;
         // A late copy of a report from before this leader's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
-        let current = r.fence >= h.min_fence;
+        let current = r.seen_token >= h.required_token;
         h.tenure = r.tenure;
         h.serial = r.serial;
-        h.fence = h.fence.max(r.fence);
+        h.seen_token = h.seen_token.max(r.seen_token);
         h.addr = Some(r.addr);
         h.loads_models = r.slots.is_some();
         h.flavor = flavor;
@@ -118,7 +118,7 @@
         }
         // A worker that has seen a higher token refuses older direct commands.
         for c in &mut h.attempts {
-            if c.risk.is_some_and(|t| r.fence > t) {
+            if c.risk.is_some_and(|t| r.seen_token > t) {
                 c.risk = None;
             }
         }
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -107,7 +107,7 @@
         self.serial += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
         let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
-        let report = report("h1", 1, self.serial, self.partition.term, tasks);
+        let report = report("h1", 1, self.serial, self.partition.fencing_token, tasks);
         let orders = self.partition.report(&report, ReportSource::Heartbeat, self.now);
         for order in &orders {
             match order {
@@ -217,7 +217,7 @@
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
     let hosts = self::items(&mut rig.partition).1;
-    rig.partition = partition_of(rig.partition.term + 1, jobs, hosts);
+    rig.partition = partition_of(rig.partition.fencing_token + 1, jobs, hosts);
     rig.set_up();
     rig.partition.begin_loans(loans);
 }
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -222,7 +222,7 @@
     assert!(matches!(place(&p, 0), Place::On(..)));
 }
 
-// A raise of the term that was carried out late makes the next commit fail on the partition's
+// A raise of the fencing token that was carried out late makes the next commit fail on the partition's
 // key. What that commit was to say is not lost.
 #[test]
 fn what_a_superseded_commit_held_is_written_again_if_the_partition_is_still_ours() {
@@ -230,7 +230,7 @@
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
     assert_eq!(p.committed(CommitResult::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
-    p.set_term(2, 90);
+    p.set_fencing_token(2, 90);
     let c = p.next_commit(1200, 32).unwrap();
     assert_eq!(c.guards[0], wire::guard("part/0", 90));
     p.committed(CommitResult::Done { revision: 101 }).unwrap();
@@ -282,8 +282,8 @@
 }
 
 // Writes of machines' records guard on the partition's key alone. One without an answer may be
-// carried out after the machine has moved to another partition: first a new term, which changes
-// that key. With one partition there are no moves, and no term is spent on it.
+// carried out after the machine has moved to another partition: first a new fencing token, which changes
+// that key. With one partition there are no moves, and no fencing token is spent on it.
 #[test]
 fn no_machine_moves_while_a_late_write_may_undo_it() {
     for partitions in [1, 2] {
@@ -293,12 +293,12 @@
         p.next_commit(1000, 32).unwrap();
         p.committed(CommitResult::Unclear).unwrap();
         commits(&mut p, 1100, 101);
-        assert_eq!(p.needs_new_term(), partitions > 1);
+        assert_eq!(p.needs_higher_token(), partitions > 1);
         if partitions > 1 {
             assert!(!p.transfer_host("h1", 1), "the first write may still come");
-            p.set_term(2, 90);
+            p.set_fencing_token(2, 90);
             p.report(&report("h1", 1, 2, 2, vec![]), ReportSource::Heartbeat, 1200);
-            assert!(!p.needs_new_term() && p.transfer_host("h1", 1));
+            assert!(!p.needs_higher_token() && p.transfer_host("h1", 1));
         }
     }
 }
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -22,7 +22,7 @@
     flavor: String,
     zone: String,
     serial: u64,
-    fence: u64,
+    seen_token: u64,
     next_ms: u64,
     /// By task: attempt, whether it ended, and when it will have, with why.
     tasks: BTreeMap<String, (u64, bool, u64, &'static str)>,
@@ -61,7 +61,7 @@
         });
         let tasks = tasks.collect();
         let mut r: Report = serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.flavor,
-            "region": self.zone, "tenure": 1, "serial": self.serial, "fence": self.fence}))
+            "region": self.zone, "tenure": 1, "serial": self.serial, "fence": self.seen_token}))
         .unwrap();
         r.tasks = tasks;
         r
@@ -142,7 +142,7 @@
         let id = format!("host-{:06}", self.machines.len());
         let next_ms = self.now + self.rng.random_range(0..REPORT);
         let (flavor, zone) = (flavor.to_string(), zone.to_string());
-        let m = Machine { flavor, zone, serial: 0, fence: 0, next_ms, tasks: BTreeMap::new() };
+        let m = Machine { flavor, zone, serial: 0, seen_token: 0, next_ms, tasks: BTreeMap::new() };
         self.machines.insert(id, m);
     }
 
@@ -180,9 +180,9 @@
             m.next_ms = now + REPORT;
             let r = m.report(id, now);
             let orders = self.partition.report(&r, ReportSource::Heartbeat, now);
-            if self.partition.term > m.fence {
+            if self.partition.fencing_token > m.seen_token {
                 // A higher token is a change, which is reported after half a second.
-                m.fence = self.partition.term;
+                m.seen_token = self.partition.fencing_token;
                 m.next_ms = now + REPORT_AFTER_CHANGE;
             }
             m.carry_out(&orders, now, 60_000);
@@ -249,13 +249,13 @@
     }
 
     /// Another leader takes over with what is stored; the machines named are dead.
-    fn take_over(&mut self, term: u64) {
+    fn take_over(&mut self, fencing_token: u64) {
         let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(k, _)| k.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
         let policy = self.partition.policy.clone();
         self.partition = Partition::new(policy, 0, self.partition.teams.clone(), settings().write_limits());
-        self.partition.begin(term, 78, jobs, hosts, types(), self.now);
+        self.partition.begin(fencing_token, 78, jobs, hosts, types(), self.now);
     }
 }
 
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -46,11 +46,11 @@
 }
 
 /// A partition that was taken over with these records.
-pub fn partition_of(term: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
+pub fn partition_of(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
     let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(term, 77, jobs, hosts, vec![flavor()], 1000);
+    p.begin(fencing_token, 77, jobs, hosts, vec![flavor()], 1000);
     p
 }
 
@@ -60,9 +60,9 @@
 }
 
 /// A report of a machine with these tasks.
-pub fn report(host: &str, tenure: u64, serial: u64, fence: u64, tasks: Vec<wire::ReportedTask>) -> Report {
+pub fn report(host: &str, tenure: u64, serial: u64, seen_token: u64, tasks: Vec<wire::ReportedTask>) -> Report {
     let mut r: Report = serde_json::from_value(json!({"host": host, "addr": "10.1.0.1:9000", "flavor": "g8",
-        "region": "a", "tenure": tenure, "serial": serial, "fence": fence}))
+        "region": "a", "tenure": tenure, "serial": serial, "fence": seen_token}))
     .unwrap();
     r.tasks = tasks;
     r
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -32,14 +32,14 @@
     // The machine does not list it, and it may still come.
     let orders = p.report(&report("h1", 1, 2, 1, vec![]), ReportSource::Heartbeat, 2100);
     assert_eq!(runs(&orders), 1, "the same attempt, again");
-    assert!(!p.needs_new_term());
+    assert!(!p.needs_higher_token());
     let (tx, _rx) = oneshot::channel();
     p.cancel("run-000001", 1000, true, tx);
     assert!(p.next_commit(2200, 32).is_none(), "not said while it may still come");
-    assert!(p.needs_new_term());
+    assert!(p.needs_higher_token());
     p.report(&report("h1", 1, 3, 1, vec![]), ReportSource::Heartbeat, 2300);
     assert_eq!(p.cluster.host(0).unwrap().attempts.len(), 1);
-    p.set_term(2, 78);
+    p.set_fencing_token(2, 78);
     p.report(&report("h1", 1, 4, 2, vec![]), ReportSource::Heartbeat, 2400);
     assert!(p.cluster.host(0).unwrap().attempts.is_empty());
     commit(&mut p, 2500, 101);
@@ -58,7 +58,7 @@
     );
     p.direct_done(&d, DirectResult::Unclear, 2000);
     assert_eq!(reaps(&p.report(&report("h1", 1, 3, 1, ended()), ReportSource::Heartbeat, 2100)), 0);
-    p.set_term(2, 78);
+    p.set_fencing_token(2, 78);
     assert_eq!(reaps(&p.report(&report("h1", 1, 4, 2, ended()), ReportSource::Heartbeat, 2200)), 1);
 }
 
@@ -82,9 +82,9 @@
     let mut p = running("batch", 3);
     let last = p.cluster.host(0).unwrap().attempts.iter().map(|c| c.attempt).max().unwrap();
     let next = p.next_attempt;
-    p.set_term(p.term, 78);
+    p.set_fencing_token(p.fencing_token, 78);
     assert_eq!(p.next_attempt, next, "nor does one when the key was looked at and found as it was");
-    p.set_term(2, 79);
+    p.set_fencing_token(2, 79);
     assert!(p.next_attempt > last);
 }
 
--- a/src/partition/tests/recording.rs
+++ b/src/partition/tests/recording.rs
@@ -86,9 +86,9 @@
     assert!(p.transfer_host("h2", 1));
     commit(&mut p, 1200, 102);
     assert_eq!(p.belongs(&report("h2", 1, 2, 1, vec![])), HostRouting::Elsewhere(1));
-    // One that comes from a partition with a higher term needs a higher one here.
+    // One that comes from a partition with a higher fencing token needs a higher one here.
     let record = HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     p.rechecked("h3", Some(record), 1300);
     assert_eq!(p.belongs(&report("h3", 1, 5, 4, vec![])), HostRouting::NotYet);
-    assert!(p.needs_new_term());
+    assert!(p.needs_higher_token());
 }
--- a/src/partition/tests/warm_pools/failovers.rs
+++ b/src/partition/tests/warm_pools/failovers.rs
@@ -36,10 +36,10 @@
     let host = *rig.partition.pending_dispatch.first().unwrap();
     rig.commit();
     let late = rig.partition.direct(host, rig.now, false).unwrap();
-    let old_term = late.term;
+    let old_term = late.fencing_token;
     rig.take_over();
     rig.rounds(4);
-    assert!(old_term < rig.workers[&late.id].fence, "the worker refuses the late order");
+    assert!(old_term < rig.workers[&late.id].seen_token, "the worker refuses the late order");
     assert_eq!(rig.runs(&job), 1);
 }
 
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -30,7 +30,7 @@
 fn a_worker_that_lost_its_lease_keeps_nothing_warm() {
     let mut rig = Rig::new(2);
     for worker in rig.workers.values_mut() {
-        *worker = Worker { tenure: worker.tenure + 1, fence: worker.fence, ..Worker::default() };
+        *worker = Worker { tenure: worker.tenure + 1, seen_token: worker.seen_token, ..Worker::default() };
     }
     let job = rig.submit("blue", "notes");
     rig.now += ROUND_MS;
@@ -142,7 +142,7 @@
     let before: Vec<u64> = rig.partition.pool_slots().map(|slot| slot.id).collect();
     assert_eq!(before.len(), POOL_SIZE);
     for worker in rig.workers.values_mut() {
-        *worker = Worker { tenure: worker.tenure + 1, fence: worker.fence, ..Worker::default() };
+        *worker = Worker { tenure: worker.tenure + 1, seen_token: worker.seen_token, ..Worker::default() };
     }
     rig.rounds(4);
     let after: Vec<(u64, u64)> = rig.partition.pool_slots().map(|slot| (slot.id, slot.tenure)).collect();
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -34,7 +34,7 @@
 struct Worker {
     tenure: u64,
     serial: u64,
-    fence: u64,
+    seen_token: u64,
     /// Loaded models, and whether they are ready.
     slots: BTreeMap<u64, bool>,
     /// Running tasks: their attempts, and the slot that each took over.
@@ -72,7 +72,7 @@
         self.serial += 1;
         let running = self.tasks.iter().map(|(task, (attempt, _))| reported(task, *attempt, "running", None));
         let ended = self.ended.iter().map(|(task, attempt)| reported(task, *attempt, "ended", Some("halted")));
-        let mut r = report(host, self.tenure, self.serial, self.fence, running.chain(ended).collect());
+        let mut r = report(host, self.tenure, self.serial, self.seen_token, running.chain(ended).collect());
         r.slots = Some(self.slots.iter().map(|(slot, ready)| ReportedSlot { slot: *slot, ready: *ready }).collect());
         r
     }
@@ -89,7 +89,7 @@
     late: Vec<Commit>,
     workers: BTreeMap<String, Worker>,
     now: u64,
-    term: u64,
+    fencing_token: u64,
     loads: usize,
     jobs: u32,
 }
@@ -126,7 +126,7 @@
             late: Vec::new(),
             workers: BTreeMap::new(),
             now: 1000,
-            term: 0,
+            fencing_token: 0,
             loads: 0,
             jobs: 0,
         };
@@ -139,7 +139,7 @@
 
     /// Another leader begins with what is stored.
     fn take_over(&mut self) {
-        self.term += 1;
+        self.fencing_token += 1;
         self.late.clear();
         let items = |prefix: &str| -> Vec<Item> {
             let under = self.store.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -151,7 +151,7 @@
         let teams = self.settings.partitions_of_teams(1);
         let mut p = Partition::new(policy, 0, teams, self.settings.write_limits());
         p.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
-        p.begin(self.term, self.term, items("job/"), items("host/"), vec![flavor()], self.now);
+        p.begin(self.fencing_token, self.fencing_token, items("job/"), items("host/"), vec![flavor()], self.now);
         p.begin_pools(items("pool/"), self.now);
         self.partition = p;
     }
@@ -179,7 +179,7 @@
         if worker.silent {
             return;
         }
-        worker.fence = worker.fence.max(self.term);
+        worker.seen_token = worker.seen_token.max(self.fencing_token);
         let r = worker.report(id);
         let orders = self.partition.report(&r, ReportSource::Heartbeat, self.now);
         self.loads += orders.iter().filter(|order| matches!(order, Order::Load { .. })).count();
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -25,8 +25,8 @@
     pub id: String,
     /// Where its worker takes direct commands.
     pub addr: SocketAddr,
-    /// The fencing token: the leader's term when the command was made.
-    pub term: u64,
+    /// The fencing token: the leader's fencing token when the command was made.
+    pub fencing_token: u64,
     /// Session of the worker that the command is meant for; 0 if not known yet.
     pub tenure: u64,
     /// What the worker is to do; empty for a mere probe.
@@ -112,7 +112,7 @@
 pub enum HostRouting {
     /// The partition takes them.
     Mine,
-    /// Ours, but only under a term that is still to come.
+    /// Ours, but only under a fencing token that is still to come.
     NotYet,
     /// The machine belongs to the partition of this number.
     Elsewhere(u32),
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -38,10 +38,10 @@
             tokio::select! {
                 biased;
                 t = leadership_changes.recv() => match t {
-                    Some(LeadershipChange::Begin { term, version, lease_id, start_ms }) => {
+                    Some(LeadershipChange::Begin { fencing_token, version, lease_id, start_ms }) => {
                         n += 1;
                         self.current.store(n, Ordering::Relaxed);
-                        let mut leadership = self.begin(n, term, version, lease_id, start_ms);
+                        let mut leadership = self.begin(n, fencing_token, version, lease_id, start_ms);
                         leadership.partition.metrics = std::mem::take(&mut metrics);
                         active = Some(leadership);
                     }
@@ -89,13 +89,13 @@
         Duration::from_millis(at.saturating_sub(now).clamp(1, most))
     }
 
-    fn begin(&self, n: u64, term: u64, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
+    fn begin(&self, n: u64, fencing_token: u64, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
         let now = clock::now_ms();
         let limits = self.settings.write_limits();
         let policy = Policy::new(&self.settings, &self.operator, start_ms);
         let teams = self.settings.partitions_of_teams(self.operator.partitions);
         let mut partition = Partition::new(policy, self.id, teams, limits);
-        partition.set_term(term, version);
+        partition.set_fencing_token(fencing_token, version);
         if let Some(pools) = &self.pools {
             partition.enable_pools(pools.as_ref().clone(), now, clock::wall_ms());
         }
@@ -113,7 +113,7 @@
             writes: TokenBucket::new(limits.changes_per_s, WRITE_BURST_S, now),
             raising: false,
             raise_after_ms: 0,
-            term_check_due: true,
+            token_check_due: true,
             commit_after_ms: 0,
             next_pass_ms: 0,
             next_urgent_ms: 0,
@@ -231,13 +231,13 @@
         if leadership.loaded {
             return;
         }
-        let (term, version) = (leadership.partition.term, leadership.version);
-        leadership.partition.begin(term, version, l.jobs, l.hosts, l.flavors, now);
+        let (fencing_token, version) = (leadership.partition.fencing_token, leadership.version);
+        leadership.partition.begin(fencing_token, version, l.jobs, l.hosts, l.flavors, now);
         leadership.partition.begin_pools(l.pool_records, now);
         leadership.partition.begin_loans(l.loan_records);
         leadership.loaded = true;
         tracing::info!(
-            term,
+            fencing_token,
             jobs = leadership.partition.cluster.live.len(),
             hosts = leadership.partition.cluster.host_index.len(),
             "loaded"
--- a/src/partition_leader/answers.rs
+++ b/src/partition_leader/answers.rs
@@ -13,23 +13,24 @@
 impl PartitionLeader {
     /// Answers the report of a worker.
     pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Report, now: u64) -> HeartbeatReply {
-        let term = leadership.partition.term;
+        let fencing_token = leadership.partition.fencing_token;
         if !leadership.loaded {
             // Leases live on while the records are read; but which machines
             // are whose is only known for sure if there is one partition.
-            let sure = self.operator.partitions == 1 && r.fence <= term;
+            let sure = self.operator.partitions == 1 && r.seen_token <= fencing_token;
             return if sure {
-                HeartbeatReply::Orders { term, orders: Vec::new() }
+                HeartbeatReply::Orders { fencing_token, orders: Vec::new() }
             } else {
                 HeartbeatReply::NotEntitled
             };
         }
         match leadership.partition.belongs(r) {
-            HostRouting::Mine => {
-                HeartbeatReply::Orders { term, orders: leadership.partition.report(r, ReportSource::Heartbeat, now) }
-            }
+            HostRouting::Mine => HeartbeatReply::Orders {
+                fencing_token,
+                orders: leadership.partition.report(r, ReportSource::Heartbeat, now),
+            },
             HostRouting::NotYet => {
-                leadership.term_check_due = true;
+                leadership.token_check_due = true;
                 HeartbeatReply::NotEntitled
             }
             HostRouting::Elsewhere(p) => HeartbeatReply::Elsewhere(p),
--- a/src/partition_leader/commits.rs
+++ b/src/partition_leader/commits.rs
@@ -1,24 +1,24 @@
-//! Commits of the partition's records, and raises of its term.
+//! Commits of the partition's records, and raises of its fencing token.
 
 use super::context::{PartitionLeader, WRITE_BURST_S};
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::clients::{State, TokenBucket};
-use crate::membership::{self, PartitionRecord, RaisedTerm};
+use crate::membership::{self, PartitionRecord, RaisedToken};
 use crate::partition::{CommitResult, Superseded};
 use crate::task;
 use tokio::time::sleep;
 
 impl PartitionLeader {
-    /// Commits what has changed, or raises the term if that must come first.
+    /// Commits what has changed, or raises the fencing token if that must come first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
         if leadership.raising || leadership.partition.committing() || now < leadership.commit_after_ms {
             return;
         }
-        if leadership.term_check_due && now >= leadership.raise_after_ms {
-            leadership.term_check_due = false;
-            if leadership.partition.needs_new_term() {
-                self.raise_term(leadership);
+        if leadership.token_check_due && now >= leadership.raise_after_ms {
+            leadership.token_check_due = false;
+            if leadership.partition.needs_higher_token() {
+                self.raise_fencing_token(leadership);
                 return;
             }
         }
@@ -36,13 +36,13 @@
         }
     }
 
-    fn raise_term(&self, leadership: &mut Leadership) {
+    fn raise_fencing_token(&self, leadership: &mut Leadership) {
         leadership.raising = true;
         let (state, sender) = (self.state.clone(), self.sender(leadership.n));
         let (id, node, version, lease_id) =
             (self.id, self.settings.node.clone(), leadership.version, leadership.lease_id);
         task::spawn(async move {
-            let event = match membership::raise_term(&state, id, &node, version, lease_id).await {
+            let event = match membership::raise_fencing_token(&state, id, &node, version, lease_id).await {
                 Ok(raised) => BackgroundEvent::Raised(Some(raised)),
                 Err(CommitResult::Conflict { .. }) => read_partition_record(&state, id, lease_id).await,
                 Err(_) => BackgroundEvent::Raised(None),
@@ -63,7 +63,7 @@
         match leadership.partition.committed(result) {
             Ok(keys) if !keys.is_empty() => self.reread(leadership.n, keys),
             Ok(_) => {}
-            // It may be our own raise of the term that came late.
+            // It may be our own raise of the fencing token that came late.
             Err(Superseded) => {
                 leadership.raising = true;
                 let (state, sender, id, lease_id) =
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Takes in how a raise of the term ended.
-    pub(super) fn raised(&self, leadership: &mut Leadership, raised: Option<RaisedTerm>, now: u64) {
+    /// Takes in how a raise of the fencing token ended.
+    pub(super) fn raised(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
         leadership.raising = false;
         leadership.raise_after_ms = now + self.settings.react_ms();
-        if let Some(RaisedTerm { term, version }) = raised {
-            tracing::info!(term, "raised the term");
-            leadership.partition.set_term(term, version);
+        if let Some(RaisedToken { fencing_token, version }) = raised {
+            tracing::info!(fencing_token, "raised the term");
+            leadership.partition.set_fencing_token(fencing_token, version);
             leadership.version = version;
         }
     }
@@ -105,9 +105,9 @@
     }
 }
 
-/// The partition's key is not as it was: what to tell its actor. A raise of the term that had
+/// The partition's key is not as it was: what to tell its actor. A raise of the fencing token that had
 /// no answer may have been carried out late: then the key's lease is still ours, and the
-/// partition goes on under the later term.
+/// partition goes on under the later fencing token.
 async fn read_partition_record(state: &State, partition: u32, lease_id: u64) -> BackgroundEvent {
     let found = loop {
         match state.get(&membership::partition_key(partition)).await {
@@ -118,7 +118,7 @@
     };
     let ours = found.and_then(|i| {
         let r: PartitionRecord = serde_json::from_value(i.value).ok()?;
-        (r.lease_id == lease_id).then_some(RaisedTerm { term: r.term, version: i.version })
+        (r.lease_id == lease_id).then_some(RaisedToken { fencing_token: r.fencing_token, version: i.version })
     });
     ours.map_or(BackgroundEvent::Superseded, |raised| BackgroundEvent::Raised(Some(raised)))
 }
--- a/src/partition_leader/configuration.rs
+++ b/src/partition_leader/configuration.rs
@@ -40,8 +40,9 @@
     /// or a later one.
     fn record_obeyed(&self, leadership: &mut Leadership, version: u64, now: u64) {
         let recorded = leadership.followed.recorded;
-        let settled =
-            recorded.version == version && recorded.kept == version && recorded.term == leadership.partition.term;
+        let settled = recorded.version == version
+            && recorded.kept == version
+            && recorded.fencing_token == leadership.partition.fencing_token;
         if settled || leadership.followed.recording || now < leadership.followed.next_record_ms {
             return;
         }
@@ -50,12 +51,12 @@
         leadership.followed.next_record_ms = now + pause_ms;
         let kept = if !leadership.followed.suspended && leadership.partition.teams_within_limits(now) {
             version
-        } else if recorded.term == leadership.partition.term {
+        } else if recorded.fencing_token == leadership.partition.fencing_token {
             recorded.kept
         } else {
             0
         };
-        let obeyed = Obeyed { version, kept, term: leadership.partition.term };
+        let obeyed = Obeyed { version, kept, fencing_token: leadership.partition.fencing_token };
         if obeyed == recorded || leadership.writes.available_tokens(now) == 0 {
             return;
         }
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -18,8 +18,8 @@
     pub(super) writes: TokenBucket,
     pub(super) raising: bool,
     pub(super) raise_after_ms: u64,
-    /// Whether the term must be raised is to be looked at: that takes a look at all attempts.
-    pub(super) term_check_due: bool,
+    /// Whether the fencing token must be raised is to be looked at: that takes a look at all attempts.
+    pub(super) token_check_due: bool,
     pub(super) commit_after_ms: u64,
     pub(super) next_pass_ms: u64,
     pub(super) next_urgent_ms: u64,
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -4,7 +4,7 @@
 use crate::clients::RentResult;
 use crate::configuration::Obeyed;
 use crate::loans::LoansResponse;
-use crate::membership::RaisedTerm;
+use crate::membership::RaisedToken;
 use crate::model::{Flavor, HostRecord};
 use crate::partition::{CommitResult, Direct, DirectResult, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
@@ -103,8 +103,8 @@
     ExternalsRead(ExternalRecords),
     /// Records of warm pools and loans that were unclear, by key; `None` where there is none.
     UnclearRead(Vec<(String, Option<Item>)>),
-    /// The term was raised; none if that failed.
-    Raised(Option<RaisedTerm>),
+    /// The fencing token was raised; none if that failed.
+    Raised(Option<RaisedToken>),
     /// It was recorded that this leader obeys a version of the configuration; `None` if that failed.
     ConfigurationRecorded(Option<Obeyed>),
     /// The partition has another leader, or none.
@@ -134,8 +134,8 @@
 pub enum HeartbeatReply {
     /// The token and the orders.
     Orders {
-        /// The fencing token: the leader's term.
-        term: u64,
+        /// The fencing token: the leader's fencing token.
+        fencing_token: u64,
         /// What the worker is to do.
         orders: Vec<Order>,
     },
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -38,7 +38,7 @@
     fn upkeep(&self, leadership: &mut Leadership, now: u64) {
         let react = self.settings.react_ms();
         leadership.next_upkeep_ms = now + react / 3;
-        leadership.term_check_due = true;
+        leadership.token_check_due = true;
         let stalled = now > leadership.upkeep_ms + 2 * react;
         leadership.upkeep_ms = now;
         if !stalled && leadership.partition.cut_off(now) {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -39,20 +39,22 @@
         /// Name of the node that asks.
         #[serde(rename = "owner")]
         leader: String,
-        /// The term that the pledge is for.
-        term: u64,
+        /// The fencing token that the pledge is for.
+        #[serde(rename = "term")]
+        fencing_token: u64,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
         state_ok: bool,
     },
-    /// The asker has stopped acting under this term: its pledge binds no more.
+    /// The asker has stopped acting under this fencing token: its pledge binds no more.
     #[serde(rename = "Release")]
     ReleasePledge {
         /// Number of the partition.
         partition: u32,
-        /// The term that the pledge was for.
-        term: u64,
+        /// The fencing token that the pledge was for.
+        #[serde(rename = "term")]
+        fencing_token: u64,
     },
     /// A user's request for the leader of a partition.
     User {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -20,12 +20,18 @@
     tokio::spawn(serve(listener, |request, _| async move {
         match request {
             PeerRequest::TransferHost { .. } => std::future::pending().await,
-            PeerRequest::Pledge { term: 3, .. } => PeerResponse::Accepted,
+            PeerRequest::Pledge { fencing_token: 3, .. } => PeerResponse::Accepted,
             _ => PeerResponse::Rejected,
         }
     }));
     let p = Peer::start("b".into(), addr, PeerLimits::for_leader_lease(2000));
-    let request = |term| PeerRequest::Pledge { partition: 0, leader: "a".into(), term, for_ms: 5, state_ok: true };
+    let request = |fencing_token| PeerRequest::Pledge {
+        partition: 0,
+        leader: "a".into(),
+        fencing_token,
+        for_ms: 5,
+        state_ok: true,
+    };
     let limit = Duration::from_millis(500);
     assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Accepted));
     assert_eq!(
@@ -126,8 +132,8 @@
     (peer, Accepted(Mutex::new(rx)))
 }
 
-fn release(term: u64) -> PeerRequest {
-    PeerRequest::ReleasePledge { partition: 0, term }
+fn release(fencing_token: u64) -> PeerRequest {
+    PeerRequest::ReleasePledge { partition: 0, fencing_token }
 }
 
 fn poll() -> PeerRequest {
@@ -139,10 +145,10 @@
     tokio::spawn(async move { peer.request(request, limit).await })
 }
 
-/// Answers releases after as many milliseconds as their term says.
+/// Answers releases after as many milliseconds as their fencing token says.
 async fn answer_after_term(request: PeerRequest, _: FrameFormat) -> PeerResponse {
-    if let PeerRequest::ReleasePledge { term, .. } = request {
-        sleep(Duration::from_millis(term)).await;
+    if let PeerRequest::ReleasePledge { fencing_token, .. } = request {
+        sleep(Duration::from_millis(fencing_token)).await;
     }
     PeerResponse::Accepted
 }
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -246,7 +246,7 @@
                 }
                 let rental = Rental { flavor, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
                 self.serial += 1;
-                let name = format!("r-{}-{}", partition.term, self.serial);
+                let name = format!("r-{}-{}", partition.fencing_token, self.serial);
                 tracing::info!(
                     name,
                     flavor = m.flavor,
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -23,7 +23,7 @@
 /// A leader that made no round for this multiple of `react_ms` stood still, or has just
 /// begun: reports of machines that came up meanwhile are still to be read.
 const STALL_RATIO: u64 = 3;
-/// The term of a leader before which nobody held a partition.
+/// The fencing token of a leader before which nobody held a partition.
 const FIRST_TERM: u64 = 1;
 /// The least lag that is reckoned with.
 const LEAST_LAG_MS: u64 = 1000;
@@ -157,7 +157,7 @@
     /// Notes when this leader began: what its predecessor rented just before is listed a
     /// lag later. The very first leader has none.
     fn note_begin(&mut self, partition: &Partition, now: u64) {
-        let lag_ms = if partition.term > FIRST_TERM { self.lag_ms } else { 0 };
+        let lag_ms = if partition.fencing_token > FIRST_TERM { self.lag_ms } else { 0 };
         self.predecessor_listed_ms.get_or_insert(now + lag_ms);
     }
 
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -125,14 +125,14 @@
 
     /// Machines that are up report, and do as they are told.
     pub(super) fn report(&mut self) {
-        let (now, term) = (self.now, self.partition.term);
+        let (now, fencing_token) = (self.now, self.partition.fencing_token);
         for (id, machine) in &mut self.machines {
             if machine.up_ms.is_none_or(|t| now < t) {
                 continue;
             }
             machine.serial += 1;
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
-            let mut r = report(id, 1, machine.serial, term, tasks.collect());
+            let mut r = report(id, 1, machine.serial, fencing_token, tasks.collect());
             r.zone.clone_from(&machine.zone);
             for order in self.partition.report(&r, ReportSource::Heartbeat, now) {
                 match order {
@@ -231,8 +231,8 @@
     }
 
     pub(super) fn comes_up(&mut self, id: &str) {
-        let term = self.partition.term;
-        self.partition.report(&report(id, 1, 1, term, vec![]), ReportSource::Heartbeat, self.now);
+        let fencing_token = self.partition.fencing_token;
+        self.partition.report(&report(id, 1, 1, fencing_token, vec![]), ReportSource::Heartbeat, self.now);
         self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -158,7 +158,7 @@
     pub async fn watch_format(self, peer: Peer) {
         let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5);
         loop {
-            peer.request(PeerRequest::ReleasePledge { partition: NO_PARTITION, term: 0 }, limit).await;
+            peer.request(PeerRequest::ReleasePledge { partition: NO_PARTITION, fencing_token: 0 }, limit).await;
             let rounds = if peer.format.is_current() { FORMAT_ROUNDS } else { 1 };
             sleep(limit * rounds).await;
         }
@@ -184,7 +184,7 @@
     /// Answers another controller, or this one, from the actors on this node.
     pub async fn answer(&self, request: PeerRequest, format: FrameFormat) -> PeerResponse {
         match request {
-            PeerRequest::Pledge { partition, leader, term, for_ms, state_ok } => {
+            PeerRequest::Pledge { partition, leader, fencing_token, for_ms, state_ok } => {
                 if let Some(peer) = self.peers.iter().find(|p| p.name == leader) {
                     peer.health.heard();
                     peer.format.heard(format);
@@ -194,16 +194,16 @@
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
-                let m = membership::Message::Pledge { leader, term, for_ms, state_ok, reply };
+                let m = membership::Message::Pledge { leader, fencing_token, for_ms, state_ok, reply };
                 if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
                     PeerResponse::Accepted
                 } else {
                     PeerResponse::Rejected
                 }
             }
-            PeerRequest::ReleasePledge { partition, term } => {
+            PeerRequest::ReleasePledge { partition, fencing_token } => {
                 if let Some(handle) = self.partitions.get(partition as usize) {
-                    let _ = handle.members.try_send(membership::Message::ReleasePledge { term });
+                    let _ = handle.members.try_send(membership::Message::ReleasePledge { fencing_token });
                 }
                 PeerResponse::Accepted
             }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -26,7 +26,8 @@
     pub serial: u64,
     /// The latest token that the worker has seen.
     #[serde(default)]
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub seen_token: u64,
     /// Seconds until the cloud takes the machine back, if it has said so.
     #[serde(default)]
     pub warning_s: Option<f64>,
@@ -214,13 +215,13 @@
 }
 
 /// The reply to a report.
-pub fn orders(term: u64, orders: &[Order]) -> Value {
-    json!({ "fence": term, "orders": orders })
+pub fn orders(fencing_token: u64, orders: &[Order]) -> Value {
+    json!({ "fence": fencing_token, "orders": orders })
 }
 
 /// The body of a direct command.
-pub fn direct(term: u64, tenure: u64, orders: &[Order]) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "fence": term, "tenure": tenure, "orders": orders })).unwrap_or_default()
+pub fn direct(fencing_token: u64, tenure: u64, orders: &[Order]) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": tenure, "orders": orders })).unwrap_or_default()
 }
 
 /// The refusal of a report by a node that does not hold the machine's partition.
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -8,7 +8,7 @@
 /// Longer than each of these days, and short enough for a day to be settled after it.
 const LONG_S: f64 = 120.0;
 
-/// Orders on a term that is over break a rule from now on.
+/// Orders on a fencing token that is over break a rule from now on.
 fn check_terms(sim: &Sim) {
     sim.g.w.lock().unwrap().check_terms = true;
 }
--- a/tests/fleet_configuration/faults.rs
+++ b/tests/fleet_configuration/faults.rs
@@ -79,7 +79,7 @@
         let before = fleet.obeyed(0);
         let owner = fleet.owner(0).unwrap();
         fleet.kill(0, owner);
-        fleet.until("taken over", 30.0, || fleet.obeyed(0).term > before.term).await;
+        fleet.until("taken over", 30.0, || fleet.obeyed(0).fencing_token > before.fencing_token).await;
         assert!(fleet.obeyed(0).version >= before.version);
         assert_eq!(fleet.limit(0, "red"), 1.0);
     });
@@ -95,10 +95,10 @@
         let version = fleet.take(1, "red", [0.0, 15.0, 15.0]).await;
         fleet.until("obeyed by the next owner", 60.0, || fleet.obeyed(0).version >= version).await;
         fleet.until("division moved", 20.0, || fleet.limit(1, "red") == 15.0).await;
-        let term = fleet.obeyed(0).term;
+        let fencing_token = fleet.obeyed(0).fencing_token;
         fleet.pause(0, owner, false);
         fleet.run(20.0).await;
-        assert!(fleet.obeyed(0).term >= term && fleet.obeyed(0).version >= version);
+        assert!(fleet.obeyed(0).fencing_token >= fencing_token && fleet.obeyed(0).version >= version);
         assert_eq!(fleet.limit(0, "red"), 0.0);
     });
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -114,7 +114,7 @@
     id: String,
     serial: u64,
     tenure: u64,
-    fence: u64,
+    seen_token: u64,
     began: Instant,
     tasks: BTreeMap<(String, u64), (&'static str, Option<&'static str>)>,
 }
@@ -129,7 +129,7 @@
             .map(|((t, a), (p, why))| json!({"shard": t, "try_no": a, "phase": p, "exit_reason": why}))
             .collect();
         json!({"host": self.id, "addr": m.addr, "flavor": m.flavor, "region": m.region, "preemptible": m.spot,
-            "tenure": self.tenure, "serial": self.serial, "fence": self.fence, "warning_s": null, "shards": tasks})
+            "tenure": self.tenure, "serial": self.serial, "fence": self.seen_token, "warning_s": null, "shards": tasks})
     }
 
     fn execute(&mut self, w: &mut SimulationState, orders: &Value) {
@@ -167,7 +167,7 @@
 }
 
 fn worker(w: Shared, id: String, listener: TcpListener, nodes: Vec<SocketAddr>) {
-    let me = Worker { id, serial: 0, tenure: 1, fence: 0, began: Instant::now(), tasks: BTreeMap::new() };
+    let me = Worker { id, serial: 0, tenure: 1, seen_token: 0, began: Instant::now(), tasks: BTreeMap::new() };
     let me = Arc::new(Mutex::new(me));
     let (w2, me2) = (w.clone(), me.clone());
     tokio::spawn(http::serve(listener, 100, Duration::from_secs(5), move |req| {
@@ -178,10 +178,10 @@
             if !w.machines.contains_key(&me.id) {
                 return Response::error(503, "gone");
             }
-            let fence = body["fence"].as_u64().unwrap();
-            let ok = fence >= me.fence && body["tenure"].as_u64() == Some(me.tenure);
+            let seen_token = body["fence"].as_u64().unwrap();
+            let ok = seen_token >= me.seen_token && body["tenure"].as_u64() == Some(me.tenure);
             if ok {
-                me.fence = fence;
+                me.seen_token = seen_token;
                 me.execute(&mut w, &body["orders"]);
             }
             Response::json(if ok { 200 } else { 409 }, &me.report(&w))
@@ -214,9 +214,9 @@
                 Ok((200, body)) => {
                     let v: Value = serde_json::from_slice(&body).unwrap();
                     let (mut w, mut me) = (w.lock().unwrap(), me.lock().unwrap());
-                    let fence = v["fence"].as_u64().unwrap();
-                    if fence >= me.fence && w.machines.contains_key(&me.id) {
-                        me.fence = fence;
+                    let seen_token = v["fence"].as_u64().unwrap();
+                    if seen_token >= me.seen_token && w.machines.contains_key(&me.id) {
+                        me.seen_token = seen_token;
                         me.began = sent;
                         me.execute(&mut w, &v["orders"]);
                     }
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -30,8 +30,8 @@
 fn requests() -> Vec<PeerRequest> {
     let user = |call| PeerRequest::User { partition: 0, call };
     vec![
-        PeerRequest::Pledge { partition: 0, leader: "worker-0".into(), term: 7, for_ms: 2500, state_ok: true },
-        PeerRequest::ReleasePledge { partition: 0, term: 7 },
+        PeerRequest::Pledge { partition: 0, leader: "worker-0".into(), fencing_token: 7, for_ms: 2500, state_ok: true },
+        PeerRequest::ReleasePledge { partition: 0, fencing_token: 7 },
         user(UserCall::Submit(b"{\"id\":\"run-000412\"}".to_vec())),
         user(UserCall::Status("run-000412".into())),
         user(UserCall::Cancel("run-000412".into())),
@@ -113,7 +113,7 @@
     });
     let mut heard = Vec::new();
     for _ in answers {
-        heard.push(peer.request(PeerRequest::ReleasePledge { partition: 0, term: 1 }, LIMIT).await);
+        heard.push(peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: 1 }, LIMIT).await);
     }
     (peer, heard)
 }
@@ -207,7 +207,7 @@
     let refusal = decoded::<production::PeerResponse>(&next_frame(&mut stream).await);
     assert_eq!((refusal.n, refusal.body), (5, production::PeerResponse::No));
     stream.write_all(&recorded(include_str!("../data/production/requests.hex"))[1]).await.unwrap();
-    assert_eq!(asked.recv().await.unwrap().0, PeerRequest::ReleasePledge { partition: 0, term: 7 });
+    assert_eq!(asked.recv().await.unwrap().0, PeerRequest::ReleasePledge { partition: 0, fencing_token: 7 });
 }
 
 #[tokio::test]
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -169,7 +169,7 @@
     });
     let mut responses = Vec::new();
     for (name, _) in frames {
-        let response = peer.request(PeerRequest::ReleasePledge { partition: 0, term: 1 }, LIMIT).await;
+        let response = peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: 1 }, LIMIT).await;
         responses.push(response.unwrap_or_else(|| panic!("{name} is not read")));
     }
     responses
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -1,6 +1,6 @@
 //! Records in the state service.
 
-use badgerdrift::membership::{PartitionRecord, TermRecord};
+use badgerdrift::membership::{FencingTokenRecord, PartitionRecord};
 use badgerdrift::model::{Flavor, HostRecord, Job, JobEnd, JobRecord, Predecessors};
 use badgerdrift_stand_ins::production_format as production;
 use serde::Serialize;
@@ -30,7 +30,7 @@
             "job" => rewritten::<JobRecord>(value),
             "host" => rewritten::<HostRecord>(value),
             "part" => rewritten::<PartitionRecord>(value),
-            "term" => rewritten::<TermRecord>(value),
+            "term" => rewritten::<FencingTokenRecord>(value),
             "flavors" => rewritten::<Vec<Flavor>>(value),
             other => panic!("no such record: {other}"),
         };
