--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -14,7 +14,7 @@
     /// Id of the machine.
     pub host: String,
     /// Session of its worker.
-    pub tenure: u64,
+    pub agent_epoch: u64,
     /// What the replica's part of the machine costs in an hour.
     pub price_per_hour: MicroUnits,
     /// The machine has the image already, and room is all that is held.
@@ -70,7 +70,7 @@
             size_gb: model.size_gb,
             keep: declared.keep,
             host: place.host,
-            tenure: place.tenure,
+            agent_epoch: place.agent_epoch,
             amounts: declared.amounts(),
             payer: declared.payer.clone(),
             price_per_hour: place.price_per_hour,
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -52,7 +52,7 @@
         size_gb: record.size_gb,
         keep: record.keep,
         host: record.host,
-        tenure: record.tenure,
+        agent_epoch: record.agent_epoch,
         amounts: record.amounts,
         payer: record.payer,
         price_per_hour: record.price_per_hour,
--- a/crates/warm-pools/src/pools/writes.rs
+++ b/crates/warm-pools/src/pools/writes.rs
@@ -281,7 +281,7 @@
             size_gb: self.size_gb,
             keep: self.keep,
             host: self.host.clone(),
-            tenure: self.tenure,
+            agent_epoch: self.agent_epoch,
             amounts: self.amounts,
             payer: self.payer.clone(),
             price_per_hour: self.price_per_hour,
--- a/crates/warm-pools/src/records.rs
+++ b/crates/warm-pools/src/records.rs
@@ -56,7 +56,8 @@
     /// Id of its machine.
     pub host: String,
     /// Session of the worker in which it began.
-    pub tenure: u64,
+    #[serde(rename = "tenure")]
+    pub agent_epoch: u64,
     /// What it takes of the machine.
     pub amounts: Amounts,
     /// The team that pays while it is idle.
--- a/crates/warm-pools/src/slot.rs
+++ b/crates/warm-pools/src/slot.rs
@@ -121,7 +121,7 @@
     /// Id of its machine.
     pub host: String,
     /// Session of the machine's worker in which it began; 0 if it is not known.
-    pub tenure: u64,
+    pub agent_epoch: u64,
     /// What it takes of the machine.
     pub amounts: Amounts,
     /// The team that pays while it is idle.
--- a/crates/warm-pools/tests/common/mod.rs
+++ b/crates/warm-pools/tests/common/mod.rs
@@ -43,7 +43,7 @@
 }
 
 pub fn place(host: &str) -> SlotPlace {
-    SlotPlace { host: host.into(), tenure: 1, price_per_hour: 3_600_000, warm: false }
+    SlotPlace { host: host.into(), agent_epoch: 1, price_per_hour: 3_600_000, warm: false }
 }
 
 /// Records as a state service holds them.
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -65,9 +65,9 @@
     /// True if the cloud may take it back.
     pub spot: bool,
     /// Session of its worker, from the last report; 0 if there was none.
-    pub tenure: u64,
+    pub agent_epoch: u64,
     /// Number of the last report in that session; 0 if there was none.
-    pub serial: u64,
+    pub sequence: u64,
     /// Highest fencing token that the worker is known to have seen; 0 if none.
     pub seen_token: u64,
     /// What the worker says counts once it has seen this token, the first one of this
@@ -128,8 +128,8 @@
             flavor,
             zone,
             spot,
-            tenure: 0,
-            serial: 0,
+            agent_epoch: 0,
+            sequence: 0,
             seen_token: 0,
             required_token: 0,
             transferring_to: None,
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -97,7 +97,7 @@
     /// Its `run` is in a direct command under way.
     pub in_flight: bool,
     /// Serial of the last report of its machine that listed it; 0 if none did.
-    pub listed_serial: u64,
+    pub listed_sequence: u64,
     /// The claim of a warm pool's slot that it begins with is not recorded yet: it must not be
     /// ordered.
     pub awaits_record: bool,
@@ -120,7 +120,7 @@
             stop: None,
             risk: None,
             in_flight: false,
-            listed_serial: 0,
+            listed_sequence: 0,
             awaits_record: false,
             slot: None,
             stop_awaits_record: false,
--- a/src/partition/direct.rs
+++ b/src/partition/direct.rs
@@ -27,7 +27,7 @@
             return None;
         }
         // A machine that has not seen our token is shown it, and its tasks are
-        // read from the answer. Its tenure may not be known yet: then the answer
+        // read from the answer. Its agent epoch may not be known yet: then the answer
         // tells it.
         let probe = probe || !h.token_confirmed();
         let mut orders = slot_orders;
@@ -53,7 +53,7 @@
             return None;
         }
         h.do_in_flight = true;
-        Some(Direct { host: host_index, id: h.id.clone(), addr, fencing_token, tenure: h.tenure, orders })
+        Some(Direct { host: host_index, id: h.id.clone(), addr, fencing_token, agent_epoch: h.agent_epoch, orders })
     }
 
     /// Takes the result of a direct command.
--- a/src/partition/reports.rs
+++ b/src/partition/reports.rs
@@ -28,7 +28,7 @@
         }
         self.report_load.listed(r.tasks.len());
         // Late copies of older reports change nothing.
-        if (r.tenure, r.serial) <= (h.tenure, h.serial) {
+        if (r.agent_epoch, r.sequence) <= (h.agent_epoch, h.sequence) {
             return Vec::new();
         }
         self.session_seen(host_index, r, now);
@@ -85,11 +85,11 @@
 
     /// A session that is new to us: a lease that was before it has ended.
     fn session_seen(&mut self, host_index: HostIndex, r: &Report, now: u64) {
-        let Some(h) = self.cluster.host_mut(host_index).filter(|h| r.tenure > h.tenure) else { return };
+        let Some(h) = self.cluster.host_mut(host_index).filter(|h| r.agent_epoch > h.agent_epoch) else { return };
         // A session's lease counts from its beginning, whenever we answered.
         h.answered_ms = h.answered_ms.max(now);
-        if h.tenure > 0 {
-            tracing::info!(host = h.id, tenure = r.tenure, "machine lost its lease");
+        if h.agent_epoch > 0 {
+            tracing::info!(host = h.id, agent_epoch = r.agent_epoch, "machine lost its lease");
             self.lose_all(host_index);
         }
     }
@@ -101,8 +101,8 @@
         // A late copy of a report from before this leader's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
         let current = r.seen_token >= h.required_token;
-        h.tenure = r.tenure;
-        h.serial = r.serial;
+        h.agent_epoch = r.agent_epoch;
+        h.sequence = r.sequence;
         h.seen_token = h.seen_token.max(r.seen_token);
         h.addr = Some(r.addr);
         h.loads_models = r.slots.is_some();
@@ -165,7 +165,7 @@
             match known {
                 Some(&job) => {
                     position = self.reported_task(host_index, TaskKey { job, task }, t, position, now) + 1;
-                    self.note_listed(host_index, position - 1, r.serial);
+                    self.note_listed(host_index, position - 1, r.sequence);
                 }
                 None => {
                     has_unknown_tasks = true;
@@ -208,10 +208,10 @@
         position
     }
 
-    fn note_listed(&mut self, host_index: HostIndex, position: usize, serial: u64) {
+    fn note_listed(&mut self, host_index: HostIndex, position: usize, sequence: u64) {
         let host = self.cluster.host_mut(host_index);
         if let Some(attempt) = host.and_then(|h| h.attempts.get_mut(position)) {
-            attempt.listed_serial = serial;
+            attempt.listed_sequence = sequence;
         }
     }
 
@@ -222,7 +222,7 @@
             .attempts
             .iter()
             .filter(|c| {
-                if c.listed_serial == r.serial {
+                if c.listed_sequence == r.sequence {
                     return false;
                 }
                 match c.phase {
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -15,7 +15,7 @@
 struct Rig {
     partition: Partition,
     now: u64,
-    serial: u64,
+    sequence: u64,
     revision: u64,
     /// Tasks on the machine, with their attempts.
     running: Vec<(String, u64)>,
@@ -49,7 +49,7 @@
         let mut rig = Rig {
             partition: partition(),
             now: 1000,
-            serial: 0,
+            sequence: 0,
             revision: 100,
             running: Vec::new(),
             saving: Vec::new(),
@@ -104,10 +104,10 @@
 
     /// The machine reports and carries the reply out.
     fn report(&mut self) -> Vec<Order> {
-        self.serial += 1;
+        self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
         let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
-        let report = report("h1", 1, self.serial, self.partition.fencing_token, tasks);
+        let report = report("h1", 1, self.sequence, self.partition.fencing_token, tasks);
         let orders = self.partition.report(&report, ReportSource::Heartbeat, self.now);
         for order in &orders {
             match order {
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -122,7 +122,7 @@
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
     let react = p.policy.react_ms;
-    let still_old = |serial| report("h1", 1, serial, 1, vec![reported("run-000001/0", a, "running", None)]);
+    let still_old = |sequence| report("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
     p.report(&still_old(7), ReportSource::Heartbeat, 1100);
     assert!(p.pending_dispatch.is_empty());
     assert!(p.upkeep(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -21,7 +21,7 @@
 struct Machine {
     flavor: String,
     zone: String,
-    serial: u64,
+    sequence: u64,
     seen_token: u64,
     next_ms: u64,
     /// By task: attempt, whether it ended, and when it will have, with why.
@@ -51,7 +51,7 @@
     }
 
     fn report(&mut self, id: &str, now: u64) -> Report {
-        self.serial += 1;
+        self.sequence += 1;
         let tasks = self.tasks.iter_mut().map(|(name, t)| {
             t.1 |= now >= t.2;
             match t.1 {
@@ -61,7 +61,7 @@
         });
         let tasks = tasks.collect();
         let mut r: Report = serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.flavor,
-            "region": self.zone, "tenure": 1, "serial": self.serial, "fence": self.seen_token}))
+            "region": self.zone, "tenure": 1, "serial": self.sequence, "fence": self.seen_token}))
         .unwrap();
         r.tasks = tasks;
         r
@@ -142,7 +142,7 @@
         let id = format!("host-{:06}", self.machines.len());
         let next_ms = self.now + self.rng.random_range(0..REPORT);
         let (flavor, zone) = (flavor.to_string(), zone.to_string());
-        let m = Machine { flavor, zone, serial: 0, seen_token: 0, next_ms, tasks: BTreeMap::new() };
+        let m = Machine { flavor, zone, sequence: 0, seen_token: 0, next_ms, tasks: BTreeMap::new() };
         self.machines.insert(id, m);
     }
 
--- a/src/partition/tests/limits.rs
+++ b/src/partition/tests/limits.rs
@@ -68,7 +68,7 @@
 }
 
 /// All machines report at this moment what they were ordered.
-fn all_report(p: &mut Partition, serial: u64, now: u64) {
+fn all_report(p: &mut Partition, sequence: u64, now: u64) {
     for host in 0..40 {
         let tasks = p.cluster.host_index.get(&format!("h{host}")).map(|&index| {
             let attempts = p.cluster.host(index).unwrap().attempts.clone();
@@ -76,7 +76,7 @@
                 attempts.iter().map(|a| reported(&format!("run-000001/{}", a.key.task), a.attempt, "running", None));
             listed.collect()
         });
-        let r = report(&format!("h{host}"), 1, serial, 1, tasks.unwrap_or_default());
+        let r = report(&format!("h{host}"), 1, sequence, 1, tasks.unwrap_or_default());
         p.report(&r, ReportSource::Heartbeat, now);
     }
 }
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -60,9 +60,9 @@
 }
 
 /// A report of a machine with these tasks.
-pub fn report(host: &str, tenure: u64, serial: u64, seen_token: u64, tasks: Vec<wire::ReportedTask>) -> Report {
+pub fn report(host: &str, agent_epoch: u64, sequence: u64, seen_token: u64, tasks: Vec<wire::ReportedTask>) -> Report {
     let mut r: Report = serde_json::from_value(json!({"host": host, "addr": "10.1.0.1:9000", "flavor": "g8",
-        "region": "a", "tenure": tenure, "serial": serial, "fence": seen_token}))
+        "region": "a", "tenure": agent_epoch, "serial": sequence, "fence": seen_token}))
     .unwrap();
     r.tasks = tasks;
     r
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -148,19 +148,19 @@
     commit(&mut p, 1000, 100);
     p.pass(1000, 1000);
     let mut told = Vec::new();
-    for (serial, phase) in [(2, "running"), (3, "ended")] {
+    for (sequence, phase) in [(2, "running"), (3, "ended")] {
         for n in 0..12 {
             let id = format!("h{n}");
             let attempts = p.cluster.host(p.cluster.host_index[&id]).unwrap().attempts.clone();
             // Every other task of a machine goes on.
-            let phase = |i: usize| if serial == 3 && i.is_multiple_of(2) { phase } else { "running" };
+            let phase = |i: usize| if sequence == 3 && i.is_multiple_of(2) { phase } else { "running" };
             let tasks = attempts
                 .iter()
                 .enumerate()
                 .map(|(i, a)| reported(&format!("run-000001/{}", a.key.task), a.attempt, phase(i), Some("done")));
-            p.report(&report(&id, 1, serial, 1, tasks.collect()), ReportSource::Heartbeat, 1000 + serial);
+            p.report(&report(&id, 1, sequence, 1, tasks.collect()), ReportSource::Heartbeat, 1000 + sequence);
         }
-        p.upkeep(1000 + serial, 0);
+        p.upkeep(1000 + sequence, 0);
         let UserAnswer::Status { running, .. } = p.status("run-000001") else { panic!("no status") };
         assert_eq!(running, p.count_running(0));
         told.push(running);
--- a/src/partition/tests/predecessors.rs
+++ b/src/partition/tests/predecessors.rs
@@ -62,7 +62,7 @@
 }
 
 /// The machine reports the two tasks of a job as ended with this reason.
-pub(super) fn report_ended(p: &mut Partition, id: &str, serial: u64) {
+pub(super) fn report_ended(p: &mut Partition, id: &str, sequence: u64) {
     let index = p.cluster.job_index[id];
     let ended = p.cluster.host(0).unwrap().attempts.iter().filter(|a| a.key.job == index);
     let mut tasks = Vec::new();
@@ -70,7 +70,7 @@
         tasks.push(reported(&format!("{id}/{}", a.key.task), a.attempt, "ended", Some("done")));
     }
     assert_eq!(tasks.len(), 2, "both tasks of {id} were started");
-    p.report(&report("h1", 1, serial, 1, tasks), ReportSource::Heartbeat, 2000);
+    p.report(&report("h1", 1, sequence, 1, tasks), ReportSource::Heartbeat, 2000);
 }
 
 pub(super) fn phase(answer: UserAnswer) -> Result<JobPhase, RefusalReason> {
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -30,7 +30,7 @@
 fn a_worker_that_lost_its_lease_keeps_nothing_warm() {
     let mut rig = Rig::new(2);
     for worker in rig.workers.values_mut() {
-        *worker = Worker { tenure: worker.tenure + 1, seen_token: worker.seen_token, ..Worker::default() };
+        *worker = Worker { agent_epoch: worker.agent_epoch + 1, seen_token: worker.seen_token, ..Worker::default() };
     }
     let job = rig.submit("blue", "notes");
     rig.now += ROUND_MS;
@@ -142,10 +142,10 @@
     let before: Vec<u64> = rig.partition.pool_slots().map(|slot| slot.id).collect();
     assert_eq!(before.len(), POOL_SIZE);
     for worker in rig.workers.values_mut() {
-        *worker = Worker { tenure: worker.tenure + 1, seen_token: worker.seen_token, ..Worker::default() };
+        *worker = Worker { agent_epoch: worker.agent_epoch + 1, seen_token: worker.seen_token, ..Worker::default() };
     }
     rig.rounds(4);
-    let after: Vec<(u64, u64)> = rig.partition.pool_slots().map(|slot| (slot.id, slot.tenure)).collect();
+    let after: Vec<(u64, u64)> = rig.partition.pool_slots().map(|slot| (slot.id, slot.agent_epoch)).collect();
     assert_eq!(after.len(), POOL_SIZE);
-    assert!(after.iter().all(|(id, tenure)| !before.contains(id) && *tenure == 2), "{before:?}, {after:?}");
+    assert!(after.iter().all(|(id, agent_epoch)| !before.contains(id) && *agent_epoch == 2), "{before:?}, {after:?}");
 }
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -32,8 +32,8 @@
 /// A worker that keeps models loaded.
 #[derive(Debug, Clone, Default)]
 struct Worker {
-    tenure: u64,
-    serial: u64,
+    agent_epoch: u64,
+    sequence: u64,
     seen_token: u64,
     /// Loaded models, and whether they are ready.
     slots: BTreeMap<u64, bool>,
@@ -69,10 +69,10 @@
     }
 
     fn report(&mut self, host: &str) -> Report {
-        self.serial += 1;
+        self.sequence += 1;
         let running = self.tasks.iter().map(|(task, (attempt, _))| reported(task, *attempt, "running", None));
         let ended = self.ended.iter().map(|(task, attempt)| reported(task, *attempt, "ended", Some("halted")));
-        let mut r = report(host, self.tenure, self.serial, self.seen_token, running.chain(ended).collect());
+        let mut r = report(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
         r.slots = Some(self.slots.iter().map(|(slot, ready)| ReportedSlot { slot: *slot, ready: *ready }).collect());
         r
     }
@@ -131,7 +131,7 @@
             jobs: 0,
         };
         for n in 0..workers {
-            rig.workers.insert(format!("h{n}"), Worker { tenure: 1, ..Worker::default() });
+            rig.workers.insert(format!("h{n}"), Worker { agent_epoch: 1, ..Worker::default() });
         }
         rig.take_over();
         rig
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -28,7 +28,7 @@
     /// The fencing token: the leader's fencing token when the command was made.
     pub fencing_token: u64,
     /// Session of the worker that the command is meant for; 0 if not known yet.
-    pub tenure: u64,
+    pub agent_epoch: u64,
     /// What the worker is to do; empty for a mere probe.
     pub orders: Vec<Order>,
 }
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -170,7 +170,7 @@
         for (_, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing && h.confirmed()) {
             all += 1;
             // After a failover those that were not asked yet may be on their way here.
-            let heard = h.tenure > 0;
+            let heard = h.agent_epoch > 0;
             if heard || h.missed >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
                 let patience = if heard { self.policy.react_ms } else { 0 };
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -36,7 +36,7 @@
         let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
         let place = SlotPlace {
             host: host.id.clone(),
-            tenure: host.tenure,
+            agent_epoch: host.agent_epoch,
             price_per_hour: price,
             warm: has_image(host, &image),
         };
--- a/src/partition/warm_pools/reports.rs
+++ b/src/partition/warm_pools/reports.rs
@@ -22,7 +22,7 @@
     pub(in crate::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Report, now: u64) {
         let Some(own) = &self.pools else { return };
         let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == r.host).collect();
-        let another_session = on_host.iter().any(|slot| slot.tenure != r.tenure);
+        let another_session = on_host.iter().any(|slot| slot.agent_epoch != r.agent_epoch);
         let news: Vec<(SlotId, SlotNews)> =
             on_host.iter().map(|slot| (slot.id, self.slot_news(slot, host_index, r))).collect();
         let moment = own.moment(now);
--- a/src/partition_leader/dispatch.rs
+++ b/src/partition_leader/dispatch.rs
@@ -42,7 +42,7 @@
     /// Sends a machine what it is due; false if that is nothing now.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
         let Some(command) = leadership.partition.direct(host_index, now, probe) else { return false };
-        let body = wire::direct(command.fencing_token, command.tenure, &command.orders);
+        let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
         let (worker, sender) = (self.worker.clone(), self.sender(leadership.n));
         task::spawn(async move {
             let result = worker.direct(command.addr, &body).await;
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -64,7 +64,7 @@
     predecessor_known: bool,
     /// What kind of machine each listed one is.
     kinds: HashMap<String, PendingMachine>,
-    serial: u64,
+    sequence: u64,
     lag_ms: u64,
     react_ms: u64,
     /// Counters that are to be raised, by name and label.
@@ -245,8 +245,8 @@
                     continue;
                 }
                 let rental = Rental { flavor, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
-                self.serial += 1;
-                let name = format!("r-{}-{}", partition.fencing_token, self.serial);
+                self.sequence += 1;
+                let name = format!("r-{}-{}", partition.fencing_token, self.sequence);
                 tracing::info!(
                     name,
                     flavor = m.flavor,
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -40,7 +40,7 @@
     pub(super) zone: String,
     pub(super) since_ms: u64,
     pub(super) up_ms: Option<u64>,
-    pub(super) serial: u64,
+    pub(super) sequence: u64,
     /// Running tasks by name, with their attempts.
     pub(super) tasks: BTreeMap<String, u64>,
 }
@@ -130,9 +130,9 @@
             if machine.up_ms.is_none_or(|t| now < t) {
                 continue;
             }
-            machine.serial += 1;
+            machine.sequence += 1;
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
-            let mut r = report(id, 1, machine.serial, fencing_token, tasks.collect());
+            let mut r = report(id, 1, machine.sequence, fencing_token, tasks.collect());
             r.zone.clone_from(&machine.zone);
             for order in self.partition.report(&r, ReportSource::Heartbeat, now) {
                 match order {
@@ -191,7 +191,7 @@
     pub(super) fn machine(&mut self, zone: &str) -> String {
         let id = format!("host-{:04}", self.rented.len() + self.machines.len());
         let up_ms = (self.boot_ms)(zone).map(|ms| self.now + ms);
-        let machine = Machine { zone: zone.into(), since_ms: self.now, up_ms, serial: 0, tasks: BTreeMap::new() };
+        let machine = Machine { zone: zone.into(), since_ms: self.now, up_ms, sequence: 0, tasks: BTreeMap::new() };
         self.machines.insert(id.clone(), machine);
         id
     }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -21,9 +21,11 @@
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
     /// The worker's session on the machine.
-    pub tenure: u64,
+    #[serde(rename = "tenure")]
+    pub agent_epoch: u64,
     /// Number of the report.
-    pub serial: u64,
+    #[serde(rename = "serial")]
+    pub sequence: u64,
     /// The latest token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "fence")]
@@ -220,8 +222,8 @@
 }
 
 /// The body of a direct command.
-pub fn direct(fencing_token: u64, tenure: u64, orders: &[Order]) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": tenure, "orders": orders })).unwrap_or_default()
+pub fn direct(fencing_token: u64, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": agent_epoch, "orders": orders })).unwrap_or_default()
 }
 
 /// The refusal of a report by a node that does not hold the machine's partition.
