--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -39,7 +39,8 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct BurstResult {
     /// Milliseconds from each request to its answer.
-    pub answered_ms: Vec<u32>,
+    #[serde(rename = "answered_ms")]
+    pub lease_renewed_ms: Vec<u32>,
     /// Requests without an answer at the end.
     pub unanswered: usize,
     /// Models that were ready as the burst began.
@@ -65,7 +66,7 @@
     context: SimulationContext,
     has_pool: bool,
     requests: usize,
-    answered_ms: Arc<Mutex<Vec<u32>>>,
+    lease_renewed_ms: Arc<Mutex<Vec<u32>>>,
     ready_before: Arc<Mutex<usize>>,
 }
 
@@ -75,11 +76,11 @@
         context: context.clone(),
         has_pool: plan.scenario.warm_pool.is_some(),
         requests: plan.scenario.burst.as_ref().map_or(0, |burst| burst.requests),
-        answered_ms: Arc::default(),
+        lease_renewed_ms: Arc::default(),
         ready_before: Arc::default(),
     };
     if let Some(burst) = plan.scenario.burst.clone() {
-        let (context, answered, ready) = (context.clone(), run.answered_ms.clone(), run.ready_before.clone());
+        let (context, answered, ready) = (context.clone(), run.lease_renewed_ms.clone(), run.ready_before.clone());
         let (seed, teams) = (plan.seed, plan.scenario.teams.count);
         tokio::spawn(async move {
             sleep(secs(burst.at_s)).await;
@@ -137,13 +138,13 @@
 impl BurstRun {
     /// What came of it until now; the bill is read from a controller that answers.
     pub async fn finish(self, plan: &RegionPlan) -> BurstResult {
-        let (account, answered_ms) = {
+        let (account, lease_renewed_ms) = {
             let world = self.context.w.lock().unwrap();
-            (world.slot_account(), self.answered_ms.lock().unwrap().clone())
+            (world.slot_account(), self.lease_renewed_ms.lock().unwrap().clone())
         };
         let mut result = BurstResult {
-            unanswered: self.requests - answered_ms.len(),
-            answered_ms,
+            unanswered: self.requests - lease_renewed_ms.len(),
+            lease_renewed_ms,
             ready_before: *self.ready_before.lock().unwrap(),
             loaded: account.loaded,
             attached: account.attached,
--- a/crates/scale/src/burst_report.rs
+++ b/crates/scale/src/burst_report.rs
@@ -86,7 +86,7 @@
 impl BurstRow {
     fn new(variant: Variant, seed: u64, report: Report) -> BurstRow {
         let result = report.burst.unwrap_or_default();
-        let mut answered = result.answered_ms.clone();
+        let mut answered = result.lease_renewed_ms.clone();
         answered.sort_unstable();
         let at = |part: f64| {
             let last = answered.len().saturating_sub(1);
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -113,7 +113,7 @@
             partitions: Default::default(),
             peers: Default::default(),
             leader_lease_ttl_ms,
-            heard_ms: Default::default(),
+            last_heartbeat_ms: Default::default(),
         },
         teams: Default::default(),
         policy: Arc::new(Policy::new(&settings, &Operator::default(), 0)),
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -5,20 +5,20 @@
 use crate::http::Response;
 use crate::partition_leader::{self, HeartbeatReply};
 use crate::refusal::RefusalReason;
-use crate::wire::{self, Report};
+use crate::wire::{self, Heartbeat};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
 impl Api {
     /// Answers the report of a worker.
     pub(super) async fn heartbeat(&self, body: &[u8]) -> Response {
-        let Ok(report) = serde_json::from_slice::<Report>(body) else {
+        let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
             return Response::error(400, "not a report");
         };
-        let report = Arc::new(report);
-        let host = report.host.clone();
+        let heartbeat = Arc::new(heartbeat);
+        let host = heartbeat.host.clone();
         let hint = self.route_hints.lock().ok().and_then(|hints| hints.host(&host));
-        if let Some(seen_token) = self.keeps(&report) {
+        if let Some(seen_token) = self.keeps(&heartbeat) {
             return Response::json(200, &wire::orders(seen_token, &[]));
         }
         // Where it was last, then the other partitions of this node; the provisioner's
@@ -28,7 +28,7 @@
         let mut belongs = 0;
         for partition in todo {
             let (tx, rx) = oneshot::channel();
-            let m = partition_leader::Message::Heartbeat { report: report.clone(), reply: tx };
+            let m = partition_leader::Message::Heartbeat { heartbeat: heartbeat.clone(), reply: tx };
             if self.router.partitions[partition as usize].leader.try_send(m).is_err() {
                 return RefusalReason::TooManyReports.response();
             }
@@ -59,7 +59,7 @@
     /// own. Nothing is ordered. It is bound by no pledge, so that no leader counts
     /// on the end of leases meanwhile (`membership::PledgeStatus`). A worker that has
     /// seen a later fencing token was asked by a leader since: it is to look for that one.
-    fn keeps(&self, r: &Report) -> Option<u64> {
+    fn keeps(&self, r: &Heartbeat) -> Option<u64> {
         let (now, leader_lease_ttl_ms) = (clock::now_ms(), self.router.leader_lease_ttl_ms);
         let alone = !self.state.answers(leader_lease_ttl_ms)
             && self.router.partitions.iter().all(|d| now >= d.pledge_status.pledged_until_ms());
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -76,9 +76,9 @@
     /// The partition that it is being given to.
     pub transferring_to: Option<u32>,
     /// Steady time of the last report, and of the last answer that may have renewed the lease.
-    pub heard_ms: u64,
+    pub last_heartbeat_ms: u64,
     /// Steady time of the last answer that may have renewed the worker's lease.
-    pub answered_ms: u64,
+    pub lease_renewed_ms: u64,
     /// Steady time of the answer to a report that showed the worker this leader's token; 0 if none.
     pub token_shown_ms: u64,
     /// In the registry, so that a successor knows that it may hold tasks.
@@ -96,7 +96,7 @@
     /// Being emptied, to be returned.
     pub draining: bool,
     /// Direct commands in a row that had no answer.
-    pub missed: u32,
+    pub unanswered_probes: u32,
     /// A direct command to it is under way.
     pub do_in_flight: bool,
     /// Steady time before which no further direct command is sent; 0 if there is no wait.
@@ -133,8 +133,8 @@
             seen_token: 0,
             required_token: 0,
             transferring_to: None,
-            heard_ms: now,
-            answered_ms: now,
+            last_heartbeat_ms: now,
+            lease_renewed_ms: now,
             token_shown_ms: 0,
             registered: false,
             accounted: false,
@@ -143,7 +143,7 @@
             releasing: false,
             loads_models: false,
             draining: false,
-            missed: 0,
+            unanswered_probes: 0,
             do_in_flight: false,
             do_after_ms: 0,
             blocked_until_ms: 0,
--- a/src/node.rs
+++ b/src/node.rs
@@ -98,7 +98,7 @@
             members: members_tx,
         });
     }
-    let heard_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
+    let last_heartbeat_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
     let pools = subsystems.warm_pools.map(Arc::new);
     let borrowing = subsystems.borrowing.map(Arc::new);
     let bills = pools.is_some().then(|| state.clone());
@@ -111,7 +111,7 @@
         leader_lease_ttl_ms,
         configuration,
         bills,
-        heard_ms,
+        last_heartbeat_ms,
     };
     for (membership, tx, rx) in members {
         task::spawn(membership.run(tx, rx));
--- a/src/partition/direct.rs
+++ b/src/partition/direct.rs
@@ -1,7 +1,7 @@
 //! Commands that are sent straight to a worker.
 
-use super::reports::REPLY_ORDERS;
-use super::{Direct, DirectResult, Partition, ReportSource};
+use super::heartbeats::REPLY_ORDERS;
+use super::{Direct, DirectResult, Partition, StatusSource};
 use crate::model::{HostIndex, TaskAttempt, TaskPhase, UNREACHABLE_AFTER_MISSES};
 use crate::wire::Order;
 
@@ -71,13 +71,13 @@
         match result {
             DirectResult::Answered(r) => {
                 if r.host == d.id {
-                    self.report(&r, ReportSource::Direct, now);
+                    self.heartbeat(&r, StatusSource::Direct, now);
                 }
                 self.follow_up(d.host, now);
             }
             DirectResult::NotSent | DirectResult::Unclear => {
                 h.do_after_ms = retry;
-                h.missed = h.missed.saturating_add(1);
+                h.unanswered_probes = h.unanswered_probes.saturating_add(1);
             }
         }
     }
@@ -99,7 +99,7 @@
             || self.cluster.each_host().any(|(_, h)| h.seen_token > self.fencing_token)
             || self.cluster.each_host().any(|(_, h)| {
                 // One that answers nothing would not show that it has seen it.
-                h.missed < UNREACHABLE_AFTER_MISSES
+                h.unanswered_probes < UNREACHABLE_AFTER_MISSES
                     && h.attempts
                         .iter()
                         .any(|c| c.risk.is_some_and(|t| t >= self.fencing_token) && (c.stop.is_some() || c.ended()))
--- a/src/partition/reports.rs
+++ b/src/partition/heartbeats.rs
@@ -1,8 +1,8 @@
 //! What reports mean, and which orders follow.
 
-use super::{Partition, ReportSource};
+use super::{Partition, StatusSource};
 use crate::model::{ClusterState, ExitReason, Host, HostIndex, Shape, TaskKey, TaskPhase, UnsavedChange};
-use crate::wire::{Order, Report, ReportedTask};
+use crate::wire::{Heartbeat, Order, TaskStatus};
 
 /// Most orders in one reply, so that a line stays under 64 KiB.
 pub(super) const REPLY_ORDERS: usize = 400;
@@ -17,14 +17,14 @@
 
 impl Partition {
     /// Takes a report and returns the orders of its reply.
-    pub fn report(&mut self, r: &Report, via: ReportSource, now: u64) -> Vec<Order> {
+    pub fn heartbeat(&mut self, r: &Heartbeat, source: StatusSource, now: u64) -> Vec<Order> {
         if self.released.contains(&r.host) {
             return Vec::new();
         }
-        let host_index = self.reporting_host(r, now);
+        let host_index = self.host_of_heartbeat(r, now);
         let Some(h) = self.cluster.host_mut(host_index) else { return Vec::new() };
-        if via == ReportSource::Heartbeat {
-            h.answered_ms = now;
+        if source == StatusSource::Heartbeat {
+            h.lease_renewed_ms = now;
         }
         self.report_load.listed(r.tasks.len());
         // Late copies of older reports change nothing.
@@ -32,22 +32,22 @@
             return Vec::new();
         }
         self.session_seen(host_index, r, now);
-        let Some(news) = self.state_seen(host_index, r, via, now) else { return Vec::new() };
+        let Some(news) = self.state_seen(host_index, r, source, now) else { return Vec::new() };
         if !news.current {
-            self.show_token(host_index, via, now);
+            self.show_token(host_index, source, now);
             return Vec::new();
         }
         self.account_for(host_index, r);
         let mut orders = Vec::new();
         orders.extend(self.unknown_slots(r));
-        self.reported_tasks(host_index, r, &mut orders, now);
-        self.missing_tasks(host_index, r, via);
+        self.apply_task_statuses(host_index, r, &mut orders, now);
+        self.missing_tasks(host_index, r, source);
         self.slots_reported(host_index, r, now);
         self.end_claims(now);
         if let Some(left_s) = news.notice_s {
             self.stop_doomed_tasks(host_index, left_s, now);
         }
-        if via == ReportSource::Heartbeat {
+        if source == StatusSource::Heartbeat {
             orders.extend(self.slot_orders(host_index));
             self.pending_orders(host_index, &mut orders);
         }
@@ -61,9 +61,9 @@
     /// the answer to its report, and reports again for that: a direct command to each of them
     /// would double the work of a failover. A new machine is told directly, to be of use at once,
     /// and so is one to which the answer made no difference.
-    fn show_token(&mut self, host_index: HostIndex, via: ReportSource, now: u64) {
+    fn show_token(&mut self, host_index: HostIndex, source: StatusSource, now: u64) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
-        if via == ReportSource::Heartbeat && h.registered && h.token_shown_ms == 0 {
+        if source == StatusSource::Heartbeat && h.registered && h.token_shown_ms == 0 {
             h.token_shown_ms = now;
         } else {
             self.pending_dispatch.insert(host_index);
@@ -71,7 +71,7 @@
     }
 
     /// The machine that reports, added if it is new.
-    fn reporting_host(&mut self, r: &Report, now: u64) -> HostIndex {
+    fn host_of_heartbeat(&mut self, r: &Heartbeat, now: u64) -> HostIndex {
         if let Some(&host_index) = self.cluster.host_index.get(&r.host) {
             return host_index;
         }
@@ -84,10 +84,10 @@
     }
 
     /// A session that is new to us: a lease that was before it has ended.
-    fn session_seen(&mut self, host_index: HostIndex, r: &Report, now: u64) {
+    fn session_seen(&mut self, host_index: HostIndex, r: &Heartbeat, now: u64) {
         let Some(h) = self.cluster.host_mut(host_index).filter(|h| r.agent_epoch > h.agent_epoch) else { return };
         // A session's lease counts from its beginning, whenever we answered.
-        h.answered_ms = h.answered_ms.max(now);
+        h.lease_renewed_ms = h.lease_renewed_ms.max(now);
         if h.agent_epoch > 0 {
             tracing::info!(host = h.id, agent_epoch = r.agent_epoch, "machine lost its lease");
             self.lose_all(host_index);
@@ -95,7 +95,7 @@
     }
 
     /// Takes what the report says of the machine itself.
-    fn state_seen(&mut self, host_index: HostIndex, r: &Report, via: ReportSource, now: u64) -> Option<News> {
+    fn state_seen(&mut self, host_index: HostIndex, r: &Heartbeat, source: StatusSource, now: u64) -> Option<News> {
         let flavor = self.cluster.flavor(&r.flavor);
         let h = self.cluster.host_mut(host_index)?;
         // A late copy of a report from before this leader's time may be the first that
@@ -107,9 +107,9 @@
         h.addr = Some(r.addr);
         h.loads_models = r.slots.is_some();
         h.flavor = flavor;
-        h.heard_ms = now;
-        if via == ReportSource::Direct {
-            h.missed = 0;
+        h.last_heartbeat_ms = now;
+        if source == StatusSource::Direct {
+            h.unanswered_probes = 0;
         }
         let notice_s = r.warning_s.filter(|_| !h.notice);
         if notice_s.is_some() {
@@ -126,7 +126,7 @@
     }
 
     /// The machine has reported under a token of this leader.
-    fn account_for(&mut self, host_index: HostIndex, r: &Report) {
+    fn account_for(&mut self, host_index: HostIndex, r: &Heartbeat) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         if !h.confirmed() {
             // Not in the registry: no leader before us placed anything on it.
@@ -155,7 +155,13 @@
     }
 
     /// Takes what the report says of tasks.
-    pub(super) fn reported_tasks(&mut self, host_index: HostIndex, r: &Report, orders: &mut Vec<Order>, now: u64) {
+    pub(super) fn apply_task_statuses(
+        &mut self,
+        host_index: HostIndex,
+        r: &Heartbeat,
+        orders: &mut Vec<Order>,
+        now: u64,
+    ) {
         let mut has_unknown_tasks = false;
         let mut position = 0;
         for t in &r.tasks {
@@ -164,7 +170,7 @@
                 self.cluster.job_index.get(job).filter(|job_index| task < self.cluster.jobs[**job_index].spec.tasks);
             match known {
                 Some(&job) => {
-                    position = self.reported_task(host_index, TaskKey { job, task }, t, position, now) + 1;
+                    position = self.apply_task_status(host_index, TaskKey { job, task }, t, position, now) + 1;
                     self.note_listed(host_index, position - 1, r.sequence);
                 }
                 None => {
@@ -183,11 +189,11 @@
 
     /// Takes what is said of one task. `expected` is where its attempt may be in the machine's
     /// list; where it is, is returned.
-    fn reported_task(
+    fn apply_task_status(
         &mut self,
         host_index: HostIndex,
         key: TaskKey,
-        t: &ReportedTask,
+        t: &TaskStatus,
         expected: usize,
         now: u64,
     ) -> usize {
@@ -216,7 +222,7 @@
     }
 
     /// Attempts that we know of and the report does not list.
-    pub(super) fn missing_tasks(&mut self, host_index: HostIndex, r: &Report, via: ReportSource) {
+    pub(super) fn missing_tasks(&mut self, host_index: HostIndex, r: &Heartbeat, source: StatusSource) {
         let Some(h) = self.cluster.host(host_index) else { return };
         let gone: Vec<(TaskKey, u64)> = h
             .attempts
@@ -229,7 +235,7 @@
                     // Its `run` may still come: from a direct command that had
                     // no answer, or from a reply that is not over yet.
                     TaskPhase::Sent => {
-                        c.stop.is_some() && via == ReportSource::Heartbeat && c.risk.is_none() && !c.in_flight
+                        c.stop.is_some() && source == StatusSource::Heartbeat && c.risk.is_none() && !c.in_flight
                     }
                     _ => true,
                 }
@@ -273,7 +279,7 @@
 }
 
 /// The order for a task that no job has: whatever it is must go.
-fn removal(t: &ReportedTask) -> Order {
+fn removal(t: &TaskStatus) -> Order {
     match t.phase() {
         TaskPhase::Ended(_) => Order::Reap { task: t.task.clone(), attempt: t.attempt },
         _ => Order::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 },
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -2,11 +2,11 @@
 
 use super::{HostRouting, Partition};
 use crate::model::HostRecord;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 
 impl Partition {
     /// Does this partition take the machine's reports?
-    pub fn belongs(&mut self, r: &Report) -> HostRouting {
+    pub fn belongs(&mut self, r: &Heartbeat) -> HostRouting {
         if self.cluster.host_index.contains_key(&r.host) || self.released.contains(&r.host) {
             // A worker drops what carries a lower token than it has seen: a
             // higher fencing token first.
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -8,6 +8,7 @@
 mod direct;
 mod drain;
 mod failover;
+mod heartbeats;
 mod host_routing;
 mod keys;
 mod next_commit;
@@ -15,7 +16,6 @@
 mod predecessors;
 mod records;
 mod report_load;
-mod reports;
 mod running_counts;
 #[cfg(test)]
 pub mod tests;
@@ -28,7 +28,7 @@
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
 pub use predecessors::PredecessorLookup;
 pub use types::{
-    Commit, CommitResult, Direct, DirectResult, HostRouting, JobWrite, PendingWrite, ReportSource, Superseded,
+    Commit, CommitResult, Direct, DirectResult, HostRouting, JobWrite, PendingWrite, StatusSource, Superseded,
     UserAnswer, Waiter,
 };
 
--- a/src/partition/tests/acceptance.rs
+++ b/src/partition/tests/acceptance.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_job_that_another_node_accepted_is_placed_and_its_notice_deleted() {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     commit(&mut p, 1000, 99);
     let spec = wire::parse_submission(&body("run-000005", "batch", 1)).unwrap();
     let record = JobRecord { spec, accepted_ms: 900, end: None, done: vec![] };
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -103,12 +103,12 @@
     }
 
     /// The machine reports and carries the reply out.
-    fn report(&mut self) -> Vec<Order> {
+    fn heartbeat(&mut self) -> Vec<Order> {
         self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
         let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
-        let report = report("h1", 1, self.sequence, self.partition.fencing_token, tasks);
-        let orders = self.partition.report(&report, ReportSource::Heartbeat, self.now);
+        let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token, tasks);
+        let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         for order in &orders {
             match order {
                 Order::Run { task, attempt } => self.running.push((task.clone(), *attempt)),
@@ -124,7 +124,7 @@
         self.partition.maintain_loans(self.now, self.now);
         self.partition.pass(self.now, self.now);
         self.commit_as(commits);
-        self.report()
+        self.heartbeat()
     }
 
     fn steps(&mut self, count: usize) {
@@ -150,15 +150,15 @@
 fn a_stop_for_another_team_is_ordered_once_its_record_is_written() {
     let mut rig = Rig::new();
     rig.burst(4);
-    assert_eq!(stops(&rig.report()), 0, "no record yet");
+    assert_eq!(stops(&rig.heartbeat()), 0, "no record yet");
     let host = rig.partition.pending_dispatch.iter().next().copied();
     let direct = host.and_then(|host| rig.partition.direct(host, rig.now, false));
     assert_eq!(direct.map_or(0, |direct| stops(&direct.orders)), 0, "nor by a direct command");
     rig.commit_as(false);
-    assert_eq!(stops(&rig.report()), 0, "refused");
+    assert_eq!(stops(&rig.heartbeat()), 0, "refused");
     rig.commit_as(true);
     assert!(rig.loan_states().iter().any(|state| state == "\"open\""));
-    assert_eq!(stops(&rig.report()), 4);
+    assert_eq!(stops(&rig.heartbeat()), 4);
     rig.steps(3);
     assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
 }
@@ -185,7 +185,7 @@
     rig.burst(4);
     let late = rig.partition.next_commit(rig.now, 32).unwrap();
     let _ = rig.partition.committed(CommitResult::Unclear);
-    assert_eq!(stops(&rig.report()), 0, "not known to be recorded");
+    assert_eq!(stops(&rig.heartbeat()), 0, "not known to be recorded");
     assert!(rig.partition.next_commit(rig.now, 32).is_none(), "to be read first");
     rig.make(&late);
     let found = rig.partition.unclear_keys().into_iter().map(|key| {
@@ -202,7 +202,7 @@
     assert_eq!(again.guards.last().unwrap()["stamp"], rig.revision, "on the version that was found");
     rig.make(&again);
     let _ = rig.partition.committed(CommitResult::Done { revision: rig.revision });
-    assert_eq!(stops(&rig.report()), 4);
+    assert_eq!(stops(&rig.heartbeat()), 4);
     rig.steps(3);
     assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
 }
@@ -311,7 +311,7 @@
     rig.partition.cluster.lending = None;
     rig.burst(4);
     assert!(rig.partition.next_commit(rig.now, 32).is_none());
-    assert_eq!(stops(&rig.report()), 4);
+    assert_eq!(stops(&rig.heartbeat()), 4);
     assert!(rig.partition.loans_status(rig.now).is_none() && rig.partition.loan_gauges(rig.now).is_empty());
     assert_eq!(rig.partition.cluster.jobs[0].spec.urgency, Urgency::Normal);
 }
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -9,18 +9,18 @@
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
     // Another, new machine has room.
-    p.report(&report("h2", 1, 1, 5, vec![]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commit(&mut p, 1100, 101);
     p.pass(1100, 1100);
     assert!(p.pending_dispatch.is_empty());
     // The first report is answered, but shows an older token: the old
     // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
-    p.report(&report("h1", 1, 7, 1, vec![]), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
     p.pending_dispatch.clear();
     p.pass(1200, 1200);
     assert!(p.pending_dispatch.is_empty() && !p.cluster.all_accounted);
-    p.report(&report("h1", 1, 8, 5, up()), ReportSource::Heartbeat, 1300);
+    p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
     p.pass(1300, 1300);
     assert!(p.pending_dispatch.is_empty() && p.cluster.all_accounted, "the task runs already");
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
@@ -49,17 +49,17 @@
 fn a_takeover_holds_back_only_what_an_unaccounted_machine_may_hold() {
     let mut old = partition();
     for (n, host) in ["h1", "h2"].iter().enumerate() {
-        old.report(&report(host, 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
         let _rx = submit(&mut old, &body(&format!("run-00000{n}"), "service", 1), 1000);
     }
     commit(&mut old, 1000, 100);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    let seen = |phase, n| report("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
-    p.report(&seen("running", 10), ReportSource::Heartbeat, 1100);
+    let seen = |phase, n| heartbeat("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
+    p.heartbeat(&seen("running", 10), StatusSource::Heartbeat, 1100);
     assert!(!p.cluster.all_accounted);
     // The first job's replica ends: it was on h1, and so not on h2.
-    p.report(&seen("ended", 11), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&seen("ended", 11), StatusSource::Heartbeat, 1200);
     p.pass(1300, 1300);
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(..)));
     assert_eq!(p.cluster.jobs[1].tasks[0].place, Place::Idle, "this one may be on h2");
@@ -83,9 +83,9 @@
         old.cluster.jobs[0].spec.spread = spread;
         let (jobs, hosts) = items(&mut old);
         let mut p = partition_of(5, jobs, hosts);
-        let ended = |phase, n| report("h2", 1, n, 5, vec![reported("run-000001/0", a, phase, Some("halted"))]);
-        p.report(&ended("running", 1), ReportSource::Heartbeat, 1100);
-        p.report(&ended("ended", 2), ReportSource::Heartbeat, 1200);
+        let ended = |phase, n| heartbeat("h2", 1, n, 5, vec![reported("run-000001/0", a, phase, Some("halted"))]);
+        p.heartbeat(&ended("running", 1), StatusSource::Heartbeat, 1100);
+        p.heartbeat(&ended("ended", 2), StatusSource::Heartbeat, 1200);
         while p.next_commit(1200, 32).is_some() {
             p.committed(CommitResult::Done { revision: 90 }).unwrap();
         }
@@ -103,9 +103,13 @@
     let mut old = running("service", 1);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    p.report(&report("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(
+        &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
+        StatusSource::Heartbeat,
+        1100,
+    );
     p.host_gone("h0");
-    p.report(&report("h2", 1, 1, 5, vec![]), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
     while p.next_commit(1200, 32).is_some() {
         p.committed(CommitResult::Done { revision: 90 }).unwrap();
     }
@@ -122,14 +126,14 @@
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
     let react = p.policy.react_ms;
-    let still_old = |sequence| report("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
-    p.report(&still_old(7), ReportSource::Heartbeat, 1100);
+    let still_old = |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
+    p.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
     assert!(p.pending_dispatch.is_empty());
     assert!(p.upkeep(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
     assert_eq!(p.upkeep(1100 + react, 0).1, [0], "the answer may not have reached it");
-    p.report(&still_old(8), ReportSource::Heartbeat, 1100 + react);
+    p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
     assert!(p.pending_dispatch.contains(&0), "the answer made no difference");
-    p.report(&report("h1", 1, 9, 5, vec![]), ReportSource::Heartbeat, 1200 + react);
+    p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
     p.refresh_unaccounted();
     assert!(p.cluster.all_accounted);
 }
@@ -138,12 +142,12 @@
 fn machines_that_were_asked_in_vain_are_asked_after_the_others() {
     let mut old = partition();
     for host in ["h1", "h2", "h3"] {
-        old.report(&report(host, 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
     assert_eq!(p.upkeep(1000, 0).1, [0, 1, 2]);
-    p.cluster.host_mut(0).unwrap().missed = 1;
+    p.cluster.host_mut(0).unwrap().unanswered_probes = 1;
     assert_eq!(p.upkeep(1100, 0).1, [1, 2, 0]);
 }
 
@@ -167,7 +171,7 @@
     let mut old = running("service", 1);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    p.report(&report("h2", 1, 1, 5, vec![]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
     commit(&mut p, 1100, 101);
     p.pass(1100, 1100);
--- a/src/partition/tests/failures.rs
+++ b/src/partition/tests/failures.rs
@@ -6,7 +6,7 @@
 fn a_task_that_fails_everywhere_backs_off_and_blames_no_machine() {
     let mut p = partition();
     for h in ["h1", "h2"] {
-        p.report(&report(h, 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(h, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     commit(&mut p, 1000, 100);
@@ -18,7 +18,7 @@
         let host = p.cluster.host(host_index).unwrap().id.clone();
         now += 500;
         let ended = vec![reported("run-000001/0", a, "ended", Some("error"))];
-        p.report(&report(&host, 1, now, 1, ended), ReportSource::Heartbeat, now);
+        p.heartbeat(&heartbeat(&host, 1, now, 1, ended), StatusSource::Heartbeat, now);
         p.cluster.host_mut(host_index).unwrap().blocked_until_ms = if round == 0 { now + 600 } else { 0 };
     }
     assert!(p.cluster.jobs[0].tasks[0].retry_ms > now + 2000);
@@ -29,7 +29,7 @@
 fn failed_once() -> (Partition, HostIndex) {
     let mut p = partition();
     for h in ["h1", "h2"] {
-        p.report(&report(h, 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(h, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     commit(&mut p, 1000, 100);
@@ -43,7 +43,7 @@
     let Place::On(host_index, attempt) = p.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let host = p.cluster.host(host_index).unwrap().id.clone();
     let ended = vec![reported("run-000001/0", attempt, "ended", Some(reason))];
-    p.report(&report(&host, 1, now, 1, ended), ReportSource::Heartbeat, now);
+    p.heartbeat(&heartbeat(&host, 1, now, 1, ended), StatusSource::Heartbeat, now);
     host_index
 }
 
@@ -79,14 +79,18 @@
     let tasks = |x: &str, why: Option<&str>, y: &str| {
         vec![reported("run-000001/0", a, x, why), reported("run-000001/1", a, y, None)]
     };
-    p.report(&report("h1", 1, 2, 1, tasks("ended", Some("mates_gone"), "running")), ReportSource::Heartbeat, 1100);
+    p.heartbeat(
+        &heartbeat("h1", 1, 2, 1, tasks("ended", Some("mates_gone"), "running")),
+        StatusSource::Heartbeat,
+        1100,
+    );
     p.pass(1100, 1100);
     assert_eq!(p.cluster.jobs[0].gang_attempt, a, "the old attempt is still there");
     let both = vec![
         reported("run-000001/0", a, "ended", Some("mates_gone")),
         reported("run-000001/1", a, "ended", Some("mates_gone")),
     ];
-    p.report(&report("h1", 1, 3, 1, both), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&heartbeat("h1", 1, 3, 1, both), StatusSource::Heartbeat, 1200);
     p.pass(1200, 1200);
     assert!(p.cluster.jobs[0].gang_attempt > a);
 }
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -21,9 +21,9 @@
 
 fn done_on_h1(p: &mut Partition, now: u64) {
     let a = attempt(p, 0);
-    p.report(
-        &report("h1", 1, now, 1, vec![reported("run-000001/0", a, "ended", Some("done"))]),
-        ReportSource::Heartbeat,
+    p.heartbeat(
+        &heartbeat("h1", 1, now, 1, vec![reported("run-000001/0", a, "ended", Some("done"))]),
+        StatusSource::Heartbeat,
         now,
     );
 }
@@ -101,14 +101,18 @@
 fn a_cancellation_in_an_outage_stops_what_can_be_reached() {
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
-    p.report(&report("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(
+        &heartbeat("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]),
+        StatusSource::Heartbeat,
+        1100,
+    );
     let mut rx = cancel(&mut p, "run-000001", 1200, false);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
     let d = p.direct(0, 1200, false).unwrap();
     assert!(matches!(d.orders[..], [Order::Stop { .. }]));
-    p.report(
-        &report("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
-        ReportSource::Direct,
+    p.heartbeat(
+        &heartbeat("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
+        StatusSource::Direct,
         1300,
     );
     p.pass(1300, 1300);
@@ -120,7 +124,7 @@
 #[test]
 fn a_cancellation_that_a_silent_machine_holds_up_is_refused_at_once() {
     let mut p = running("service", 1);
-    p.cluster.host_mut(0).unwrap().missed = UNREACHABLE_AFTER_MISSES;
+    p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
     p.host_gone("h1");
@@ -139,13 +143,13 @@
     let mut p = partition_of(5, jobs, hosts);
     let mut rx = cancel(&mut p, "run-000001", 1100, true);
     assert!(p.next_commit(1100, 32).is_none() && rx.try_recv().is_err(), "it may be on h1");
-    let there = report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]);
-    let orders = p.report(&there, ReportSource::Heartbeat, 1200);
+    let there = heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]);
+    let orders = p.heartbeat(&there, StatusSource::Heartbeat, 1200);
     assert!(matches!(orders[..], [Order::Stop { .. }]));
     assert!(p.next_commit(1200, 32).is_none());
-    p.report(
-        &report("h1", 1, 8, 5, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
-        ReportSource::Heartbeat,
+    p.heartbeat(
+        &heartbeat("h1", 1, 8, 5, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
+        StatusSource::Heartbeat,
         1300,
     );
     commits(&mut p, 1300, 101);
@@ -160,25 +164,37 @@
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    p.report(&report("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(
+        &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
+        StatusSource::Heartbeat,
+        1100,
+    );
     assert!(p.next_commit(1100, 32).is_none(), "not registered");
     let quiet_from = |p: &Partition| (2000..9000).find(|now| p.cut_off(*now));
     for i in 0..4 {
-        p.report(&report(&format!("g{i}"), 1, 9, 4, vec![]), ReportSource::Heartbeat, 1100);
+        p.heartbeat(&heartbeat(&format!("g{i}"), 1, 9, 4, vec![]), StatusSource::Heartbeat, 1100);
     }
     assert_eq!(quiet_from(&p), None, "nor does its silence count");
     // Where the task really is, it stays.
-    let orders = p.report(
-        &report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]),
-        ReportSource::Heartbeat,
+    let orders = p.heartbeat(
+        &heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]),
+        StatusSource::Heartbeat,
         1200,
     );
     assert!(orders.is_empty());
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
     // The same of the machine itself, with what was there before.
     let mut p = partition_of(5, items(&mut old).0, items(&mut old).1);
-    p.report(&report("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]), ReportSource::Heartbeat, 1100);
-    p.report(&report("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Direct, 1200);
+    p.heartbeat(
+        &heartbeat("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]),
+        StatusSource::Heartbeat,
+        1100,
+    );
+    p.heartbeat(
+        &heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]),
+        StatusSource::Direct,
+        1200,
+    );
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
 }
 
@@ -187,14 +203,14 @@
 fn a_new_machine_is_asked_at_once_and_used_when_it_answers() {
     let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "service", 1), 1000);
-    p.report(&report("h1", 1, 1, 0, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 0, vec![]), StatusSource::Heartbeat, 1000);
     commits(&mut p, 1000, 100);
     p.pass(1000, 1000);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
     assert!(p.pending_dispatch.contains(&0));
     let d = p.direct(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
-    p.direct_done(&d, DirectResult::Answered(Box::new(report("h1", 1, 2, 1, vec![]))), 1020);
+    p.direct_done(&d, DirectResult::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
     commits(&mut p, 1020, 101);
     p.pass(1030, 1030);
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(0, _)));
@@ -207,17 +223,17 @@
     let mut old = running("service", 2);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    let on = |host: &str, n, a| report(host, 1, n, 5, vec![reported("run-000001/0", a, "running", None)]);
-    p.report(&on("h1", 7, 8), ReportSource::Heartbeat, 1100);
-    p.report(&on("h2", 1, 9), ReportSource::Heartbeat, 1100);
-    p.report(&report("h3", 1, 1, 5, vec![]), ReportSource::Heartbeat, 1100);
+    let on = |host: &str, n, a| heartbeat(host, 1, n, 5, vec![reported("run-000001/0", a, "running", None)]);
+    p.heartbeat(&on("h1", 7, 8), StatusSource::Heartbeat, 1100);
+    p.heartbeat(&on("h2", 1, 9), StatusSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h3", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commits(&mut p, 1100, 101);
-    p.report(&report("h1", 1, 8, 5, vec![]), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&heartbeat("h1", 1, 8, 5, vec![]), StatusSource::Heartbeat, 1200);
     let place = |p: &Partition, n: usize| p.cluster.jobs[0].tasks[n].place;
     p.pass(1200, 1200);
     assert_eq!(place(&p, 0), Place::Idle, "its copy on h2 is being stopped");
     assert!(matches!(place(&p, 1), Place::On(..)), "the other one is nowhere");
-    p.report(&report("h2", 1, 2, 5, vec![]), ReportSource::Heartbeat, 1300);
+    p.heartbeat(&heartbeat("h2", 1, 2, 5, vec![]), StatusSource::Heartbeat, 1300);
     p.pass(1300, 1300);
     assert!(matches!(place(&p, 0), Place::On(..)));
 }
@@ -245,7 +261,7 @@
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
     p.policy.teams.get_mut("red").unwrap().limit.gpus = 8.0;
-    p.report(&report("h2", 1, 2, 5, vec![]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h2", 1, 2, 5, vec![]), StatusSource::Heartbeat, 1100);
     let _rx = cancel(&mut p, "run-000001", 1100, true);
     let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
     commits(&mut p, 1100, 101);
@@ -289,7 +305,7 @@
     for partitions in [1, 2] {
         let mut p = partition();
         p.teams.insert("blue".into(), partitions - 1);
-        p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
         p.next_commit(1000, 32).unwrap();
         p.committed(CommitResult::Unclear).unwrap();
         commits(&mut p, 1100, 101);
@@ -297,7 +313,7 @@
         if partitions > 1 {
             assert!(!p.transfer_host("h1", 1), "the first write may still come");
             p.set_fencing_token(2, 90);
-            p.report(&report("h1", 1, 2, 2, vec![]), ReportSource::Heartbeat, 1200);
+            p.heartbeat(&heartbeat("h1", 1, 2, 2, vec![]), StatusSource::Heartbeat, 1200);
             assert!(!p.needs_higher_token() && p.transfer_host("h1", 1));
         }
     }
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -7,7 +7,7 @@
 use crate::model::{Demand, Flavor};
 use crate::provisioner::{CloudRequest, Provisioner};
 use crate::wire::tests::reported;
-use crate::wire::{self, Item, Order, Report};
+use crate::wire::{self, Heartbeat, Item, Order};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -50,7 +50,7 @@
         }
     }
 
-    fn report(&mut self, id: &str, now: u64) -> Report {
+    fn heartbeat(&mut self, id: &str, now: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter_mut().map(|(name, t)| {
             t.1 |= now >= t.2;
@@ -60,9 +60,10 @@
             }
         });
         let tasks = tasks.collect();
-        let mut r: Report = serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.flavor,
+        let mut r: Heartbeat =
+            serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.flavor,
             "region": self.zone, "tenure": 1, "serial": self.sequence, "fence": self.seen_token}))
-        .unwrap();
+            .unwrap();
         r.tasks = tasks;
         r
     }
@@ -178,8 +179,8 @@
         let now = self.now;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| now >= m.next_ms) {
             m.next_ms = now + REPORT;
-            let r = m.report(id, now);
-            let orders = self.partition.report(&r, ReportSource::Heartbeat, now);
+            let r = m.heartbeat(id, now);
+            let orders = self.partition.heartbeat(&r, StatusSource::Heartbeat, now);
             if self.partition.fencing_token > m.seen_token {
                 // A higher token is a change, which is reported after half a second.
                 m.seen_token = self.partition.fencing_token;
@@ -199,7 +200,7 @@
                 continue;
             }
             m.carry_out(&d.orders, now, 60_000);
-            let r = m.report(&d.id, now);
+            let r = m.heartbeat(&d.id, now);
             self.partition.direct_done(&d, DirectResult::Answered(Box::new(r)), now);
         }
         if now >= self.next_commit
--- a/src/partition/tests/followed_cancellations.rs
+++ b/src/partition/tests/followed_cancellations.rs
@@ -127,7 +127,7 @@
 /// A job on which a thousand others wait.
 fn wide_fan() -> (Partition, Vec<String>) {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     accept_waiting(&mut p, FIRST, &[], json!({}));
     let ids: Vec<String> = (100..1100).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
--- a/src/partition/tests/limits.rs
+++ b/src/partition/tests/limits.rs
@@ -39,7 +39,11 @@
     p.cluster.jobs[0].spec.image = "i".repeat(RECORD_BYTES + 4096);
     let first = attempt(&p, 0);
     let key = format!("run-000001/{}", p.cluster.host(0).unwrap().attempts[0].key.task);
-    p.report(&report("h1", 1, 2, 1, vec![reported(&key, first, "ended", Some("done"))]), ReportSource::Heartbeat, 2000);
+    p.heartbeat(
+        &heartbeat("h1", 1, 2, 1, vec![reported(&key, first, "ended", Some("done"))]),
+        StatusSource::Heartbeat,
+        2000,
+    );
     let machines = p.next_commit(60_000, 32);
     assert!(machines.is_none_or(|c| c.apply.iter().all(|a| a["put"] != "job/run-000001")));
     p.tasks_done(0, &[0, 1], 61_000);
@@ -76,8 +80,8 @@
                 attempts.iter().map(|a| reported(&format!("run-000001/{}", a.key.task), a.attempt, "running", None));
             listed.collect()
         });
-        let r = report(&format!("h{host}"), 1, sequence, 1, tasks.unwrap_or_default());
-        p.report(&r, ReportSource::Heartbeat, now);
+        let r = heartbeat(&format!("h{host}"), 1, sequence, 1, tasks.unwrap_or_default());
+        p.heartbeat(&r, StatusSource::Heartbeat, now);
     }
 }
 
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -22,7 +22,7 @@
 };
 use crate::sched;
 use crate::wire::tests::reported;
-use crate::wire::{self, Item, Order, Report};
+use crate::wire::{self, Heartbeat, Item, Order};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
@@ -60,8 +60,14 @@
 }
 
 /// A report of a machine with these tasks.
-pub fn report(host: &str, agent_epoch: u64, sequence: u64, seen_token: u64, tasks: Vec<wire::ReportedTask>) -> Report {
-    let mut r: Report = serde_json::from_value(json!({"host": host, "addr": "10.1.0.1:9000", "flavor": "g8",
+pub fn heartbeat(
+    host: &str,
+    agent_epoch: u64,
+    sequence: u64,
+    seen_token: u64,
+    tasks: Vec<wire::TaskStatus>,
+) -> Heartbeat {
+    let mut r: Heartbeat = serde_json::from_value(json!({"host": host, "addr": "10.1.0.1:9000", "flavor": "g8",
         "region": "a", "tenure": agent_epoch, "serial": sequence, "fence": seen_token}))
     .unwrap();
     r.tasks = tasks;
@@ -94,7 +100,7 @@
 /// A partition with one machine in use and one accepted job, placed.
 pub fn running(shape: &str, tasks: u32) -> Partition {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     let _rx = submit(&mut p, &body("run-000001", shape, tasks), 1000);
     commit(&mut p, 1000, 100);
     p.pass(1001, 1001);
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -14,10 +14,10 @@
     // While one of them may be there, the user is told nothing that a clock starts with.
     let gone = |n: usize| reported(&format!("run-000001/{n}"), a[n], "ended", Some("halted"));
     let there = reported("run-000001/1", a[1], "running", None);
-    assert_eq!(runs(&p.report(&report("h1", 1, 2, 1, vec![gone(0), there]), ReportSource::Direct, 1200)), 0);
+    assert_eq!(runs(&p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![gone(0), there]), StatusSource::Direct, 1200)), 0);
     assert!(p.next_commit(1200, 32).is_none() && rx.try_recv().is_err());
     assert!(!matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Cancelled, .. }));
-    p.report(&report("h1", 1, 3, 1, vec![gone(0), gone(1)]), ReportSource::Direct, 1300);
+    p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![gone(0), gone(1)]), StatusSource::Direct, 1300);
     p.pass(1300, 1300);
     assert!(p.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "nothing is started again");
     commit(&mut p, 1300, 101);
@@ -30,17 +30,17 @@
     let d = p.direct(0, 1001, false).unwrap();
     p.direct_done(&d, DirectResult::Unclear, 2000);
     // The machine does not list it, and it may still come.
-    let orders = p.report(&report("h1", 1, 2, 1, vec![]), ReportSource::Heartbeat, 2100);
+    let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
     assert_eq!(runs(&orders), 1, "the same attempt, again");
     assert!(!p.needs_higher_token());
     let (tx, _rx) = oneshot::channel();
     p.cancel("run-000001", 1000, true, tx);
     assert!(p.next_commit(2200, 32).is_none(), "not said while it may still come");
     assert!(p.needs_higher_token());
-    p.report(&report("h1", 1, 3, 1, vec![]), ReportSource::Heartbeat, 2300);
+    p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 2300);
     assert_eq!(p.cluster.host(0).unwrap().attempts.len(), 1);
     p.set_fencing_token(2, 78);
-    p.report(&report("h1", 1, 4, 2, vec![]), ReportSource::Heartbeat, 2400);
+    p.heartbeat(&heartbeat("h1", 1, 4, 2, vec![]), StatusSource::Heartbeat, 2400);
     assert!(p.cluster.host(0).unwrap().attempts.is_empty());
     commit(&mut p, 2500, 101);
 }
@@ -52,14 +52,14 @@
     let d = p.direct(0, 1001, false).unwrap();
     let ended = || vec![reported("run-000001/0", a, "ended", Some("error"))];
     assert_eq!(
-        reaps(&p.report(&report("h1", 1, 2, 1, ended()), ReportSource::Heartbeat, 1100)),
+        reaps(&p.heartbeat(&heartbeat("h1", 1, 2, 1, ended()), StatusSource::Heartbeat, 1100)),
         0,
         "a command is under way"
     );
     p.direct_done(&d, DirectResult::Unclear, 2000);
-    assert_eq!(reaps(&p.report(&report("h1", 1, 3, 1, ended()), ReportSource::Heartbeat, 2100)), 0);
+    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 3, 1, ended()), StatusSource::Heartbeat, 2100)), 0);
     p.set_fencing_token(2, 78);
-    assert_eq!(reaps(&p.report(&report("h1", 1, 4, 2, ended()), ReportSource::Heartbeat, 2200)), 1);
+    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 4, 2, ended()), StatusSource::Heartbeat, 2200)), 1);
 }
 
 #[test]
@@ -67,13 +67,13 @@
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
     let up = || vec![reported("run-000001/0", a, "running", None)];
-    p.report(&report("h1", 1, 9, 1, up()), ReportSource::Heartbeat, 1100);
-    p.report(&report("h1", 1, 3, 1, vec![]), ReportSource::Heartbeat, 1200);
+    p.heartbeat(&heartbeat("h1", 1, 9, 1, up()), StatusSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 1200);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
     // A new session has lost everything, whatever an old report says.
-    p.report(&report("h1", 2, 10, 1, vec![]), ReportSource::Heartbeat, 1300);
+    p.heartbeat(&heartbeat("h1", 2, 10, 1, vec![]), StatusSource::Heartbeat, 1300);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
-    p.report(&report("h1", 1, 11, 1, up()), ReportSource::Heartbeat, 1400);
+    p.heartbeat(&heartbeat("h1", 1, 11, 1, up()), StatusSource::Heartbeat, 1400);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
 }
 
@@ -95,9 +95,9 @@
     for (warning, stops) in [(5.0, 2), (15.0, 0)] {
         let mut p = running("batch", 2);
         let tasks = (0..2).map(|n| reported(&format!("run-000001/{n}"), attempt(&p, n), "running", None)).collect();
-        let mut r = report("h1", 1, 2, 1, tasks);
+        let mut r = heartbeat("h1", 1, 2, 1, tasks);
         r.warning_s = Some(warning);
-        let orders = p.report(&r, ReportSource::Heartbeat, 2000);
+        let orders = p.heartbeat(&r, StatusSource::Heartbeat, 2000);
         assert_eq!(orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count(), stops, "{warning} s are left");
     }
 }
@@ -106,9 +106,9 @@
 fn unknown_tasks_are_stopped_and_then_reaped() {
     let mut p = partition();
     let tasks = |phase: &str| vec![reported("run-000077/0", 9, phase, None)];
-    let orders = p.report(&report("h1", 1, 1, 1, tasks("running")), ReportSource::Heartbeat, 1000);
+    let orders = p.heartbeat(&heartbeat("h1", 1, 1, 1, tasks("running")), StatusSource::Heartbeat, 1000);
     assert!(matches!(orders[..], [Order::Stop { .. }]));
-    let orders = p.report(&report("h1", 1, 2, 1, tasks("ended")), ReportSource::Heartbeat, 1100);
+    let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, tasks("ended")), StatusSource::Heartbeat, 1100);
     assert!(matches!(orders[..], [Order::Reap { .. }]));
 }
 
@@ -119,7 +119,7 @@
 fn the_other_attempt_of_a_task_that_is_done_is_stopped_with_the_next_pass() {
     let mut p = partition();
     for h in ["h1", "h2"] {
-        p.report(&report(h, 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(h, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     commit(&mut p, 1000, 100);
@@ -128,11 +128,11 @@
     let id = p.cluster.host(first).unwrap().id.clone();
     let other = if id == "h1" { "h2" } else { "h1" };
     let late = vec![reported("run-000001/0", attempt + 1, "ended", Some("done"))];
-    p.report(&report(other, 1, 2, 1, late), ReportSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat(other, 1, 2, 1, late), StatusSource::Heartbeat, 1100);
     assert_eq!(p.cluster.jobs[0].done, 1);
     p.pass(1100, 1100);
     let running = vec![reported("run-000001/0", attempt, "running", None)];
-    let orders = p.report(&report(&id, 1, 2, 1, running), ReportSource::Heartbeat, 1200);
+    let orders = p.heartbeat(&heartbeat(&id, 1, 2, 1, running), StatusSource::Heartbeat, 1200);
     assert!(orders.iter().any(|o| matches!(o, Order::Stop { .. })), "{orders:?}");
 }
 
@@ -142,7 +142,7 @@
     const TASKS: u32 = 70;
     let mut p = partition();
     for n in 0..12 {
-        p.report(&report(&format!("h{n}"), 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(&format!("h{n}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", TASKS), 1000);
     commit(&mut p, 1000, 100);
@@ -158,7 +158,7 @@
                 .iter()
                 .enumerate()
                 .map(|(i, a)| reported(&format!("run-000001/{}", a.key.task), a.attempt, phase(i), Some("done")));
-            p.report(&report(&id, 1, sequence, 1, tasks.collect()), ReportSource::Heartbeat, 1000 + sequence);
+            p.heartbeat(&heartbeat(&id, 1, sequence, 1, tasks.collect()), StatusSource::Heartbeat, 1000 + sequence);
         }
         p.upkeep(1000 + sequence, 0);
         let UserAnswer::Status { running, .. } = p.status("run-000001") else { panic!("no status") };
--- a/src/partition/tests/predecessors.rs
+++ b/src/partition/tests/predecessors.rs
@@ -42,7 +42,7 @@
 /// A partition with a machine in use, and a chain of three jobs of which none has ended.
 pub(super) fn chain() -> Partition {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     accept_waiting(&mut p, FIRST, &[], json!({}));
     accept_waiting(&mut p, SECOND, &[FIRST], json!({}));
     accept_waiting(&mut p, THIRD, &[SECOND], json!({}));
@@ -70,7 +70,7 @@
         tasks.push(reported(&format!("{id}/{}", a.key.task), a.attempt, "ended", Some("done")));
     }
     assert_eq!(tasks.len(), 2, "both tasks of {id} were started");
-    p.report(&report("h1", 1, sequence, 1, tasks), ReportSource::Heartbeat, 2000);
+    p.heartbeat(&heartbeat("h1", 1, sequence, 1, tasks), StatusSource::Heartbeat, 2000);
 }
 
 pub(super) fn phase(answer: UserAnswer) -> Result<JobPhase, RefusalReason> {
--- a/src/partition/tests/recording.rs
+++ b/src/partition/tests/recording.rs
@@ -15,7 +15,7 @@
 fn a_machine_is_used_once_it_is_registered() {
     let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.pass(1000, 1000);
     assert!(p.pending_dispatch.is_empty());
     commit(&mut p, 1000, 100);
@@ -28,11 +28,11 @@
     let mut p = running("batch", 1);
     let a = attempt(&p, 0);
     let done = || vec![reported("run-000001/0", a, "ended", Some("done"))];
-    assert_eq!(reaps(&p.report(&report("h1", 1, 2, 1, done()), ReportSource::Heartbeat, 1100)), 0);
+    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 2, 1, done()), StatusSource::Heartbeat, 1100)), 0);
     assert!(matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Pending, .. }));
     commit(&mut p, 1100, 101);
     assert!(matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Done, done: 1, .. }));
-    assert_eq!(reaps(&p.report(&report("h1", 1, 3, 1, done()), ReportSource::Heartbeat, 1200)), 1);
+    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 3, 1, done()), StatusSource::Heartbeat, 1200)), 1);
     // It is over: a cancellation that comes now changes nothing.
     let (tx, mut rx) = oneshot::channel();
     p.cancel("run-000001", 1000, true, tx);
@@ -57,22 +57,22 @@
 #[test]
 fn recorded_tasks_are_reaped_while_others_end_all_the_time() {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     let _rx = submit(&mut p, &body("run-000001", "batch", 3), 1000);
     commit(&mut p, 1000, 100);
     p.pass(1000, 1000);
     let attempts: Vec<u64> = (0..3).map(|n| attempt(&p, n)).collect();
-    let listed = |ended: usize| -> Vec<wire::ReportedTask> {
+    let listed = |ended: usize| -> Vec<wire::TaskStatus> {
         let phase = |n: usize| if n < ended { "ended" } else { "running" };
         let task = |n: usize| reported(&format!("run-000001/{n}"), attempts[n], phase(n), Some("done"));
         (0..3).map(task).collect()
     };
     let reaped = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Reap { .. })).count();
-    let orders = p.report(&report("h1", 1, 2, 1, listed(1)), ReportSource::Heartbeat, 2000);
+    let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, listed(1)), StatusSource::Heartbeat, 2000);
     assert_eq!(reaped(&orders), 0, "not recorded yet");
     let progress_due = 2000 + 10 * p.policy.report_ms;
     commit(&mut p, progress_due, 101);
-    let orders = p.report(&report("h1", 1, 3, 1, listed(2)), ReportSource::Heartbeat, progress_due + 1);
+    let orders = p.heartbeat(&heartbeat("h1", 1, 3, 1, listed(2)), StatusSource::Heartbeat, progress_due + 1);
     assert_eq!(reaped(&orders), 1, "the first is recorded, the second is not");
 }
 
@@ -80,15 +80,15 @@
 fn a_machine_moves_between_partitions_only_when_it_is_free() {
     let mut p = running("service", 1);
     assert!(!p.transfer_host("h1", 1), "a task is on it");
-    p.report(&report("h2", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1100);
+    p.heartbeat(&heartbeat("h2", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1100);
     assert!(!p.transfer_host("h2", 1), "not registered yet");
     commit(&mut p, 1100, 101);
     assert!(p.transfer_host("h2", 1));
     commit(&mut p, 1200, 102);
-    assert_eq!(p.belongs(&report("h2", 1, 2, 1, vec![])), HostRouting::Elsewhere(1));
+    assert_eq!(p.belongs(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::Elsewhere(1));
     // One that comes from a partition with a higher fencing token needs a higher one here.
     let record = HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     p.rechecked("h3", Some(record), 1300);
-    assert_eq!(p.belongs(&report("h3", 1, 5, 4, vec![])), HostRouting::NotYet);
+    assert_eq!(p.belongs(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::NotYet);
     assert!(p.needs_higher_token());
 }
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -6,7 +6,11 @@
 fn a_silent_machine_keeps_its_tasks_until_its_lease_or_release() {
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
-    p.report(&report("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Heartbeat, 2000);
+    p.heartbeat(
+        &heartbeat("h1", 1, 2, 1, vec![reported("run-000001/0", a, "running", None)]),
+        StatusSource::Heartbeat,
+        2000,
+    );
     let mut released = Vec::new();
     let mut asked = 0;
     for now in (2000..=7000).step_by(250) {
@@ -25,7 +29,7 @@
     p.host_gone("h1");
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
     // What it still had to say comes too late.
-    assert!(p.report(&report("h1", 1, 3, 1, vec![]), ReportSource::Heartbeat, 7200).is_empty());
+    assert!(p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 7200).is_empty());
     assert!(p.cluster.host_index.is_empty());
 }
 
@@ -34,10 +38,14 @@
 #[test]
 fn a_new_sessions_lease_counts_from_its_beginning() {
     let mut p = running("service", 1);
-    p.report(&report("h1", 2, 3, 1, vec![]), ReportSource::Direct, 9000);
+    p.heartbeat(&heartbeat("h1", 2, 3, 1, vec![]), StatusSource::Direct, 9000);
     p.pass(9001, 9001);
     let a = attempt(&p, 0);
-    p.report(&report("h1", 2, 4, 1, vec![reported("run-000001/0", a, "running", None)]), ReportSource::Direct, 9100);
+    p.heartbeat(
+        &heartbeat("h1", 2, 4, 1, vec![reported("run-000001/0", a, "running", None)]),
+        StatusSource::Direct,
+        9100,
+    );
     p.upkeep(1000 + LEASE + 1000, 0);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
 }
@@ -47,8 +55,8 @@
 #[test]
 fn silence_while_the_owner_slept_is_not_the_machines() {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
-    p.cluster.host_mut(0).unwrap().missed = UNREACHABLE_AFTER_MISSES;
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     p.upkeep(1200, 0);
     assert_eq!(p.upkeep(60_000, 0), (vec![], vec![]));
     let (release, probe) = p.upkeep(60_300, 0);
@@ -60,11 +68,11 @@
 #[test]
 fn a_machine_that_no_order_reaches_is_not_used_and_at_last_released() {
     let mut p = partition();
-    p.report(&report("h1", 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     commit(&mut p, 1000, 99);
     let mut released = Vec::new();
     for (n, now) in (1000..40_000).step_by(500).enumerate() {
-        p.report(&report("h1", 1, 2 + n as u64, 1, vec![]), ReportSource::Heartbeat, now);
+        p.heartbeat(&heartbeat("h1", 1, 2 + n as u64, 1, vec![]), StatusSource::Heartbeat, now);
         let (release, probe) = p.upkeep(now, 0);
         released.extend(release);
         for host_index in probe.into_iter().chain((n == 0).then_some(0)) {
@@ -83,11 +91,11 @@
 fn many_silent_machines_at_once_are_not_released() {
     let mut p = partition();
     for i in 0..6 {
-        p.report(&report(&format!("h{i}"), 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(&format!("h{i}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     // Some were last heard a little earlier than the rest.
     for i in 3..6 {
-        p.report(&report(&format!("h{i}"), 1, 2, 1, vec![]), ReportSource::Heartbeat, 2900);
+        p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 2900);
     }
     for now in (2900..=9000).step_by(250) {
         assert!(p.upkeep(now, 0).0.is_empty());
@@ -100,12 +108,12 @@
 fn an_owner_that_hears_no_worker_any_more_is_cut_off() {
     let mut p = partition();
     for i in 0..4 {
-        p.report(&report(&format!("h{i}"), 1, 1, 1, vec![]), ReportSource::Heartbeat, 1000);
+        p.heartbeat(&heartbeat(&format!("h{i}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     assert!(!p.cut_off(2500));
     assert!(p.cut_off(4000));
     for i in 0..2 {
-        p.report(&report(&format!("h{i}"), 1, 2, 1, vec![]), ReportSource::Heartbeat, 3900);
+        p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 3900);
     }
     assert!(!p.cut_off(4000), "only some are silent");
     let host = |i| HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: i };
@@ -113,6 +121,6 @@
     let mut p = partition_of(5, vec![], (1..6).map(item).collect());
     assert!(!p.cut_off(9000), "after a takeover they may still be on their way here");
     // Found in an incident at the next size: one that is cut off from the beginning.
-    p.cluster.hosts.iter_mut().flatten().for_each(|h| h.missed = UNREACHABLE_AFTER_MISSES);
+    p.cluster.hosts.iter_mut().flatten().for_each(|h| h.unanswered_probes = UNREACHABLE_AFTER_MISSES);
     assert!(p.cut_off(9000) && !p.cut_off(2000));
 }
--- a/src/partition/tests/warm_pools/claims.rs
+++ b/src/partition/tests/warm_pools/claims.rs
@@ -32,7 +32,7 @@
     rig.dispatch();
     rig.now += ROUND_MS;
     for id in ["h0", "h1"] {
-        rig.report(id);
+        rig.heartbeat(id);
     }
     rig.dispatch();
     assert_eq!((rig.runs(&job), rig.claimed()), (0, 0));
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -34,7 +34,7 @@
     }
     let job = rig.submit("blue", "notes");
     rig.now += ROUND_MS;
-    ["h0", "h1"].iter().for_each(|id| rig.report(id));
+    ["h0", "h1"].iter().for_each(|id| rig.heartbeat(id));
     assert_eq!(rig.idle(), 0);
     rig.rounds(10);
     assert_eq!((rig.idle(), rig.runs(&job)), (POOL_SIZE, 1));
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::config::{Operator, Settings, tests::settings};
-use crate::wire::{Item, Order, ReportedSlot};
+use crate::wire::{Item, Order, SlotStatus};
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
 
@@ -68,12 +68,12 @@
         }
     }
 
-    fn report(&mut self, host: &str) -> Report {
+    fn heartbeat(&mut self, host: &str) -> Heartbeat {
         self.sequence += 1;
         let running = self.tasks.iter().map(|(task, (attempt, _))| reported(task, *attempt, "running", None));
         let ended = self.ended.iter().map(|(task, attempt)| reported(task, *attempt, "ended", Some("halted")));
-        let mut r = report(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
-        r.slots = Some(self.slots.iter().map(|(slot, ready)| ReportedSlot { slot: *slot, ready: *ready }).collect());
+        let mut r = heartbeat(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
+        r.slots = Some(self.slots.iter().map(|(slot, ready)| SlotStatus { slot: *slot, ready: *ready }).collect());
         r
     }
 }
@@ -165,7 +165,7 @@
         self.now += ROUND_MS;
         let ids: Vec<String> = self.workers.keys().cloned().collect();
         for id in &ids {
-            self.report(id);
+            self.heartbeat(id);
         }
         self.partition.maintain_pools(1000, self.now, MORNING_MS + self.now);
         self.partition.pass(self.now, self.now);
@@ -174,14 +174,14 @@
         self.dispatch();
     }
 
-    fn report(&mut self, id: &str) {
+    fn heartbeat(&mut self, id: &str) {
         let worker = self.workers.get_mut(id).unwrap();
         if worker.silent {
             return;
         }
         worker.seen_token = worker.seen_token.max(self.fencing_token);
-        let r = worker.report(id);
-        let orders = self.partition.report(&r, ReportSource::Heartbeat, self.now);
+        let r = worker.heartbeat(id);
+        let orders = self.partition.heartbeat(&r, StatusSource::Heartbeat, self.now);
         self.loads += orders.iter().filter(|order| matches!(order, Order::Load { .. })).count();
         let worker = self.workers.get_mut(id).unwrap();
         // What is loading by now is ready with the next report.
@@ -198,7 +198,7 @@
                 continue;
             }
             worker.carry_out(&d.orders);
-            let r = worker.report(&d.id);
+            let r = worker.heartbeat(&d.id);
             self.partition.direct_done(&d, DirectResult::Answered(Box::new(r)), self.now);
         }
     }
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -2,14 +2,14 @@
 
 use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
 use crate::refusal::RefusalReason;
-use crate::wire::{Order, Report};
+use crate::wire::{Heartbeat, Order};
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// How a report came. Only a reply to a heartbeat proves that the replies before
 /// it are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportSource {
+pub enum StatusSource {
     /// Sent by the worker on its own, at regular intervals.
     Heartbeat,
     /// The answer to a direct command.
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub enum DirectResult {
     /// 200 or 409, with the worker's report.
-    Answered(Box<Report>),
+    Answered(Box<Heartbeat>),
     /// The worker cannot have received it.
     NotSent,
     /// The worker may have received it, or may still do so.
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -71,8 +71,8 @@
             return;
         }
         for h in self.cluster.hosts.iter_mut().flatten() {
-            h.heard_ms = (h.heard_ms + gap).min(now);
-            h.missed = 0;
+            h.last_heartbeat_ms = (h.last_heartbeat_ms + gap).min(now);
+            h.unanswered_probes = 0;
         }
     }
 
@@ -81,25 +81,25 @@
         let mut survey = Survey::default();
         let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
         for (host_index, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing) {
-            let quiet = now.saturating_sub(h.heard_ms) > self.quiet_ms();
+            let quiet = now.saturating_sub(h.last_heartbeat_ms) > self.quiet_ms();
             if h.confirmed() {
                 if self.lease_expired(h, now, unbound_ms) {
                     survey.expired.push(host_index);
                 }
                 let zone = zones.entry(&h.zone).or_default();
                 zone.all += 1;
-                zone.quiet += usize::from(quiet || h.missed >= UNREACHABLE_AFTER_MISSES);
+                zone.quiet += usize::from(quiet || h.unanswered_probes >= UNREACHABLE_AFTER_MISSES);
             }
             if self.unreachable(h, now) {
                 survey.silent.push(host_index);
             }
             // After a failover all are asked at once: most look for us elsewhere first.
-            if quiet || h.missed > 0 || !(h.token_confirmed() || self.confirms_soon(h, now)) {
+            if quiet || h.unanswered_probes > 0 || !(h.token_confirmed() || self.confirms_soon(h, now)) {
                 survey.probe.push(host_index);
             }
         }
         // Asked in vain before: the others go first where not all can be asked now.
-        survey.probe.sort_by_key(|host_index| self.cluster.host(*host_index).map_or(0, |h| h.missed));
+        survey.probe.sort_by_key(|host_index| self.cluster.host(*host_index).map_or(0, |h| h.unanswered_probes));
         // Many machines of a zone that fall silent together: it is rather the zone
         // that is cut off, or we are. The first of them must not be released before
         // the rest shows it.
@@ -117,15 +117,15 @@
     fn lease_expired(&self, h: &Host, now: u64, unbound_ms: u64) -> bool {
         let outlived = (self.policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + self.policy.react_ms;
         let holds = !h.attempts.is_empty() || !h.accounted;
-        holds && now > h.answered_ms.max(unbound_ms) + outlived
+        holds && now > h.lease_renewed_ms.max(unbound_ms) + outlived
     }
 
     /// Is it of no use, as it can't be told anything? One that is heard may be so, too.
     fn unreachable(&self, h: &Host, now: u64) -> bool {
-        let quiet = now.saturating_sub(h.heard_ms);
+        let quiet = now.saturating_sub(h.last_heartbeat_ms);
         let lease = self.policy.lease_ms;
-        let missed_ms = u64::from(h.missed) * self.policy.react_ms;
-        let deaf = h.missed >= UNREACHABLE_AFTER_MISSES && (quiet > self.lost_ms() || missed_ms > lease);
+        let unanswered_ms = u64::from(h.unanswered_probes) * self.policy.react_ms;
+        let deaf = h.unanswered_probes >= UNREACHABLE_AFTER_MISSES && (quiet > self.lost_ms() || unanswered_ms > lease);
         deaf || (h.addr.is_none() && quiet > lease)
     }
 
@@ -171,10 +171,10 @@
             all += 1;
             // After a failover those that were not asked yet may be on their way here.
             let heard = h.agent_epoch > 0;
-            if heard || h.missed >= UNREACHABLE_AFTER_MISSES {
+            if heard || h.unanswered_probes >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
                 let patience = if heard { self.policy.react_ms } else { 0 };
-                silent += usize::from(now.saturating_sub(h.heard_ms) > self.quiet_ms() + patience);
+                silent += usize::from(now.saturating_sub(h.last_heartbeat_ms) > self.quiet_ms() + patience);
             }
         }
         known >= LEAST_KNOWN && known * 2 >= all && silent * 3 >= known * 2
--- a/src/partition/warm_pools/reports.rs
+++ b/src/partition/warm_pools/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::model::HostIndex;
 use crate::partition::Partition;
-use crate::wire::{Order, Report};
+use crate::wire::{Heartbeat, Order};
 use badgerdrift_warm_pools::{EndCause, HoldKind, Slot, SlotId, SlotState};
 
 /// What a report means for a slot.
@@ -19,7 +19,7 @@
 
 impl Partition {
     /// Takes what a current report says of the slots on its machine.
-    pub(in crate::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Report, now: u64) {
+    pub(in crate::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Heartbeat, now: u64) {
         let Some(own) = &self.pools else { return };
         let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == r.host).collect();
         let another_session = on_host.iter().any(|slot| slot.agent_epoch != r.agent_epoch);
@@ -46,7 +46,7 @@
         }
     }
 
-    fn slot_news(&self, slot: &Slot, host_index: HostIndex, r: &Report) -> SlotNews {
+    fn slot_news(&self, slot: &Slot, host_index: HostIndex, r: &Heartbeat) -> SlotNews {
         let Some(host) = self.cluster.host(host_index) else { return SlotNews::Nothing };
         if let SlotState::Claimed(claim) = &slot.state {
             let there = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
@@ -87,7 +87,7 @@
     }
 
     /// Orders to unload what a worker has and no record knows, or not any more.
-    pub(in crate::partition) fn unknown_slots(&self, r: &Report) -> Vec<Order> {
+    pub(in crate::partition) fn unknown_slots(&self, r: &Heartbeat) -> Vec<Order> {
         let Some(own) = &self.pools else { return Vec::new() };
         let known = |id: SlotId| {
             own.pools.slot(id).is_some_and(|slot| slot.host == r.host && !matches!(slot.state, SlotState::Ended(_)))
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -138,9 +138,12 @@
         let now = clock::now_ms();
         let leader_lease = self.leader_lease.holds(now);
         match m {
-            Message::Heartbeat { report, reply } => {
-                let answer =
-                    if leader_lease { self.heartbeat(leadership, &report, now) } else { HeartbeatReply::NotEntitled };
+            Message::Heartbeat { heartbeat, reply } => {
+                let answer = if leader_lease {
+                    self.heartbeat(leadership, &heartbeat, now)
+                } else {
+                    HeartbeatReply::NotEntitled
+                };
                 let _ = reply.send(answer);
             }
             Message::CapacityReport { capacity_report, reply } => {
--- a/src/partition_leader/answers.rs
+++ b/src/partition_leader/answers.rs
@@ -4,15 +4,15 @@
 use super::leadership::Leadership;
 use super::messages::{HeartbeatReply, Message};
 use crate::clock;
-use crate::partition::{HostRouting, ReportSource, UserAnswer, Waiter};
+use crate::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::refusal::RefusalReason;
 use crate::sched::PendingMachine;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 
 impl PartitionLeader {
     /// Answers the report of a worker.
-    pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Report, now: u64) -> HeartbeatReply {
+    pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Heartbeat, now: u64) -> HeartbeatReply {
         let fencing_token = leadership.partition.fencing_token;
         if !leadership.loaded {
             // Leases live on while the records are read; but which machines
@@ -27,7 +27,7 @@
         match leadership.partition.belongs(r) {
             HostRouting::Mine => HeartbeatReply::Orders {
                 fencing_token,
-                orders: leadership.partition.report(r, ReportSource::Heartbeat, now),
+                orders: leadership.partition.heartbeat(r, StatusSource::Heartbeat, now),
             },
             HostRouting::NotYet => {
                 leadership.token_check_due = true;
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -9,7 +9,7 @@
 use crate::partition::{CommitResult, Direct, DirectResult, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
-use crate::wire::{Item, Listed, Order, Report};
+use crate::wire::{Heartbeat, Item, Listed, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
@@ -19,7 +19,7 @@
     /// A worker reports.
     Heartbeat {
         /// The report.
-        report: Arc<Report>,
+        heartbeat: Arc<Heartbeat>,
         /// Takes the reply to it.
         reply: oneshot::Sender<HeartbeatReply>,
     },
--- a/src/peer_health.rs
+++ b/src/peer_health.rs
@@ -41,7 +41,7 @@
     limits: HealthLimits,
     /// Requests without an answer since the peer was last heard.
     unanswered: u32,
-    heard_ms: Option<u64>,
+    last_heartbeat_ms: Option<u64>,
     /// While it is silent: when it was found to be, or was last probed.
     probed_ms: Option<u64>,
 }
@@ -49,13 +49,13 @@
 impl PeerHealth {
     /// A peer that is taken to be healthy.
     pub fn new(limits: HealthLimits) -> PeerHealth {
-        PeerHealth { limits, unanswered: 0, heard_ms: None, probed_ms: None }
+        PeerHealth { limits, unanswered: 0, last_heartbeat_ms: None, probed_ms: None }
     }
 
     /// A response or a request has come from the peer.
     pub fn heard(&mut self, now_ms: u64) -> HealthChange {
         self.unanswered = 0;
-        self.heard_ms = Some(now_ms);
+        self.last_heartbeat_ms = Some(now_ms);
         match self.probed_ms.take() {
             Some(_) => HealthChange::Recovered,
             None => HealthChange::Unchanged,
@@ -64,11 +64,11 @@
 
     /// A request that was sent then is given up without an answer.
     pub fn unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
-        if self.heard_ms.is_some_and(|heard| heard >= sent_ms) {
+        if self.last_heartbeat_ms.is_some_and(|heard| heard >= sent_ms) {
             return HealthChange::Unchanged;
         }
         self.unanswered = self.unanswered.saturating_add(1);
-        let quiet = self.heard_ms.is_none_or(|heard| now_ms >= heard + self.limits.quiet_ms);
+        let quiet = self.last_heartbeat_ms.is_none_or(|heard| now_ms >= heard + self.limits.quiet_ms);
         if self.is_silent() || self.unanswered < MAX_UNANSWERED || !quiet {
             return HealthChange::Unchanged;
         }
--- a/src/provisioner/tests/frame_sizes.rs
+++ b/src/provisioner/tests/frame_sizes.rs
@@ -14,7 +14,7 @@
     let mut bench = Bench::of(partition());
     for n in 0..count {
         let id = format!("instance-{n:027}");
-        bench.partition.report(&report(&id, 1, 1, 1, vec![]), ReportSource::Heartbeat, bench.now);
+        bench.partition.heartbeat(&heartbeat(&id, 1, 1, 1, vec![]), StatusSource::Heartbeat, bench.now);
     }
     while bench.partition.next_commit(bench.now, 1000).is_some() {
         bench.partition.committed(CommitResult::Done { revision: bench.now }).unwrap();
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -6,8 +6,8 @@
 
 use super::*;
 use crate::clients::RentResult;
-use crate::partition::tests::{commit, partition, partition_of, report, submit};
-use crate::partition::{CommitResult, Partition, ReportSource};
+use crate::partition::tests::{commit, heartbeat, partition, partition_of, submit};
+use crate::partition::{CommitResult, Partition, StatusSource};
 use crate::wire::tests::reported;
 use crate::wire::{Listed, Order};
 use serde_json::json;
@@ -93,7 +93,7 @@
         let until = self.now + for_ms;
         while self.now < until {
             self.now += ROUND_MS;
-            self.report();
+            self.heartbeat();
             if self.partition.next_commit(self.now, 32).is_some() {
                 self.partition.committed(CommitResult::Done { revision: self.now }).unwrap();
             }
@@ -124,7 +124,7 @@
     }
 
     /// Machines that are up report, and do as they are told.
-    pub(super) fn report(&mut self) {
+    pub(super) fn heartbeat(&mut self) {
         let (now, fencing_token) = (self.now, self.partition.fencing_token);
         for (id, machine) in &mut self.machines {
             if machine.up_ms.is_none_or(|t| now < t) {
@@ -132,9 +132,9 @@
             }
             machine.sequence += 1;
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
-            let mut r = report(id, 1, machine.sequence, fencing_token, tasks.collect());
+            let mut r = heartbeat(id, 1, machine.sequence, fencing_token, tasks.collect());
             r.zone.clone_from(&machine.zone);
-            for order in self.partition.report(&r, ReportSource::Heartbeat, now) {
+            for order in self.partition.heartbeat(&r, StatusSource::Heartbeat, now) {
                 match order {
                     Order::Run { task, attempt } => drop(machine.tasks.insert(task, attempt)),
                     Order::Stop { task, .. } | Order::Reap { task, .. } => drop(machine.tasks.remove(&task)),
@@ -232,7 +232,7 @@
 
     pub(super) fn comes_up(&mut self, id: &str) {
         let fencing_token = self.partition.fencing_token;
-        self.partition.report(&report(id, 1, 1, fencing_token, vec![]), ReportSource::Heartbeat, self.now);
+        self.partition.heartbeat(&heartbeat(id, 1, 1, fencing_token, vec![]), StatusSource::Heartbeat, self.now);
         self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -85,7 +85,7 @@
     /// The state service, where bills of warm pools are read; none without pools.
     pub bills: Option<State>,
     /// When the leader of each partition was last heard to be at work.
-    pub heard_ms: Arc<Vec<AtomicU64>>,
+    pub last_heartbeat_ms: Arc<Vec<AtomicU64>>,
 }
 
 impl Router {
@@ -167,7 +167,7 @@
     /// Has the leader of the partition asked for a pledge just now? It does so five
     /// times in the life of one.
     pub fn at_work(&self, partition: u32) -> bool {
-        let heard = self.heard_ms.get(partition as usize).map_or(0, |h| h.load(Ordering::Relaxed));
+        let heard = self.last_heartbeat_ms.get(partition as usize).map_or(0, |h| h.load(Ordering::Relaxed));
         heard > 0 && clock::now_ms() < heard + self.leader_lease_ttl_ms / 4
     }
 
@@ -190,7 +190,7 @@
                     peer.format.heard(format);
                 }
                 let Some(handle) = self.partitions.get(partition as usize) else { return PeerResponse::Rejected };
-                if let Some(h) = self.heard_ms.get(partition as usize) {
+                if let Some(h) = self.last_heartbeat_ms.get(partition as usize) {
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -19,7 +19,7 @@
         partitions: Arc::new(vec![handle]),
         peers: Arc::new(leader.into_iter().collect()),
         leader_lease_ttl_ms,
-        heard_ms: Arc::new(vec![AtomicU64::new(0)]),
+        last_heartbeat_ms: Arc::new(vec![AtomicU64::new(0)]),
     };
     (router, owner_rx)
 }
@@ -84,17 +84,17 @@
 // a second way past a leader that was only slow, and used up its writes.
 #[tokio::test(start_paused = true)]
 async fn an_owner_counts_as_at_work_while_it_asks_for_promises() {
-    let heard_ms = Arc::new(vec![AtomicU64::new(0)]);
+    let last_heartbeat_ms = Arc::new(vec![AtomicU64::new(0)]);
     let router = Router {
         bills: None,
         partitions: Default::default(),
         peers: Default::default(),
         leader_lease_ttl_ms: 2500,
         configuration: None,
-        heard_ms,
+        last_heartbeat_ms,
     };
     assert!(!router.at_work(0), "never heard");
-    router.heard_ms[0].store(clock::now_ms().max(1), Ordering::Relaxed);
+    router.last_heartbeat_ms[0].store(clock::now_ms().max(1), Ordering::Relaxed);
     assert!(router.at_work(0));
     tokio::time::advance(Duration::from_millis(700)).await;
     assert!(!router.at_work(0), "it asks five times in a life");
@@ -108,7 +108,7 @@
     let (peer, _accepted) = scripted_peer(Some(Duration::ZERO));
     let (router, _owner) = router(Some(peer), GRANT_TTL_MS);
     assert_eq!(wait_ms(&router, submission()).await, u128::from(GRANT_TTL_MS / OWNER_LOOKS), "it was never heard");
-    let heard = |after_ms: u64| router.heard_ms[0].store(clock::now_ms() + after_ms, Ordering::Relaxed);
+    let heard = |after_ms: u64| router.last_heartbeat_ms[0].store(clock::now_ms() + after_ms, Ordering::Relaxed);
     heard(0);
     let gone = wait_ms(&router, submission()).await;
     assert!((u128::from(GRANT_TTL_MS / 4)..u128::from(GRANT_TTL_MS / 2)).contains(&gone), "{gone} ms");
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -80,7 +80,7 @@
         && !h.notice
         && !h.releasing
         && h.transferring_to.is_none()
-        && h.missed < UNREACHABLE_AFTER_MISSES
+        && h.unanswered_probes < UNREACHABLE_AFTER_MISSES
 }
 
 /// May tasks be placed on the machine now?
@@ -95,5 +95,5 @@
         && h.blocked_until_ms <= now
         && !h.faulty()
         && h.addr.is_some()
-        && h.missed < UNREACHABLE_AFTER_MISSES
+        && h.unanswered_probes < UNREACHABLE_AFTER_MISSES
 }
--- a/src/sched/tests/planning.rs
+++ b/src/sched/tests/planning.rs
@@ -33,7 +33,7 @@
     let rent = |cluster: &ClusterState| plan(cluster, &policy(), 0, &unplaced(&[0]), &[], &all_available).rent;
     cluster.hosts[0].as_mut().unwrap().registered = false;
     assert!(rent(&cluster).is_empty(), "it is about to be used");
-    cluster.hosts[0].as_mut().unwrap().missed = UNREACHABLE_AFTER_MISSES;
+    cluster.hosts[0].as_mut().unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     assert_eq!(rent(&cluster).len(), 1, "it does not answer");
 }
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -10,7 +10,7 @@
     Change, Changes, Item, Page, Revision, StateLease, commit_body, delete, grant_body, guard, put, store,
 };
 pub use user::{MAX_TASKS, Malformed, is_job_id, job_answer, parse_submission, told_end};
-pub use worker::{DO_PATH, Order, Report, ReportedSlot, ReportedTask, direct, orders, redirect};
+pub use worker::{DO_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, orders, redirect};
 
 #[cfg(test)]
 pub mod tests;
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the protocols' messages, and messages for the tests of other modules.
 
-use super::{ReportedTask, parse_submission};
+use super::{TaskStatus, parse_submission};
 use crate::model::Shape;
 use serde_json::{Value, json};
 
 /// A task of a report.
-pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> ReportedTask {
+pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> TaskStatus {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
         .expect("a task of a report")
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -7,7 +7,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Id of the machine.
     pub host: String,
     /// Where it takes direct commands.
@@ -35,16 +35,16 @@
     pub warning_s: Option<f64>,
     /// The tasks on the machine.
     #[serde(default, rename = "shards")]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
     /// The models that are loaded and not attached to a task; `None` from a worker without the
     /// extension for that (`docs/warm-pools.md`).
     #[serde(default)]
-    pub slots: Option<Vec<ReportedSlot>>,
+    pub slots: Option<Vec<SlotStatus>>,
 }
 
 /// A loaded model of a report.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-pub struct ReportedSlot {
+pub struct SlotStatus {
     /// Number of the slot.
     pub slot: u64,
     /// It answers requests as soon as a task is attached to it.
@@ -53,7 +53,7 @@
 
 /// A task of a report.
 #[derive(Debug, Clone, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// Job id and task number.
     #[serde(rename = "shard")]
     pub task: String,
@@ -94,7 +94,7 @@
     Unknown,
 }
 
-impl ReportedTask {
+impl TaskStatus {
     /// How far the task is; an unknown phase counts as running.
     pub fn phase(&self) -> TaskPhase {
         match self.phase {
