--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -87,7 +87,7 @@
     partition.begin(1, 1, Vec::new(), Vec::new(), vec![flavor], 0);
     for number in 0..machines {
         let mut host = Host::new(format!("host-{number:06}"), "a".into(), false, Some(0), 0);
-        (host.registered, host.accounted) = (true, true);
+        (host.registered, host.reconciled) = (true, true);
         host.addr = Some(([10, 0, 0, 1], 9000).into());
         partition.cluster.add_host(host);
     }
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// What is known of machines that are not accounted for, one value for all that are alike.
+/// What is known of machines that are not reconciled, one value for all that are alike.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostKind {
     /// The machine type, if it is known.
@@ -69,12 +69,12 @@
     pub accelerators_short: bool,
     /// When a pass last left work without room.
     pub waited_ms: u64,
-    /// What machines that are not accounted for may hold.
-    pub unaccounted: Demand,
+    /// What machines that are not reconciled may hold.
+    pub unreconciled: Demand,
     /// Their kinds, each one once.
-    pub unaccounted_kinds: Vec<HostKind>,
-    /// False until every machine of the last leader is accounted for.
-    pub all_accounted: bool,
+    pub unreconciled_kinds: Vec<HostKind>,
+    /// False until every machine of the last leader is reconciled.
+    pub all_reconciled: bool,
 }
 
 impl ClusterState {
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -84,7 +84,7 @@
     /// In the registry, so that a successor knows that it may hold tasks.
     pub registered: bool,
     /// Has reported under this leader's token, or surely lost all it had.
-    pub accounted: bool,
+    pub reconciled: bool,
     /// Reports tasks that this partition does not know.
     pub has_unknown_tasks: bool,
     /// The cloud has announced that it takes the machine back.
@@ -137,7 +137,7 @@
             lease_renewed_ms: now,
             token_shown_ms: 0,
             registered: false,
-            accounted: false,
+            reconciled: false,
             has_unknown_tasks: false,
             notice: false,
             releasing: false,
@@ -179,12 +179,12 @@
     /// Has its worker seen a token of this leader? Then no order of an earlier one can
     /// reach it any more.
     pub fn token_confirmed(&self) -> bool {
-        self.accounted && self.seen_token >= self.required_token
+        self.reconciled && self.seen_token >= self.required_token
     }
 
     /// More than a report that may be a late copy says that it exists.
     pub fn confirmed(&self) -> bool {
-        self.registered || self.accounted
+        self.registered || self.reconciled
     }
 
     /// Seconds until `image` would be on the machine.
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -28,7 +28,7 @@
     /// Where it is placed.
     pub place: Place,
     /// Seen alive, or started, by this leader: it is on no machine that is not
-    /// accounted for.
+    /// reconciled.
     pub located: bool,
     /// Failures so far, up to the largest value.
     pub fails: u16,
--- a/src/partition/borrowing/decisions.rs
+++ b/src/partition/borrowing/decisions.rs
@@ -126,7 +126,7 @@
     fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> LendingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
-        let closed = if !self.settled || !cluster.all_accounted {
+        let closed = if !self.settled || !cluster.all_reconciled {
             Some(Refusal::MachinesUnaccounted)
         } else if !partition.claims_recordable {
             Some(Refusal::NotRecordable)
--- a/src/partition/borrowing/maintenance.rs
+++ b/src/partition/borrowing/maintenance.rs
@@ -18,7 +18,7 @@
         self.give_up_unrecorded_loans(wall);
         let Some(own) = &mut self.loans else { return };
         let cluster = &self.cluster;
-        if !own.settled && cluster.all_accounted {
+        if !own.settled && cluster.all_reconciled {
             own.settled = true;
             own.loans.settle(|job| lending_job(cluster, job));
             self.pass_due = true;
--- a/src/partition/borrowing/mod.rs
+++ b/src/partition/borrowing/mod.rs
@@ -31,7 +31,7 @@
     settings: Arc<BorrowingSettings>,
     /// What is to be stopped for loans that are not recorded yet.
     waiting_stops: BTreeMap<LoanId, Vec<WaitingStop>>,
-    /// The loans of the last leader are settled: all machines were accounted for since.
+    /// The loans of the last leader are settled: all machines were reconciled since.
     settled: bool,
     /// Why no loan was made for a job that waits, as last logged.
     refused: HashMap<JobIndex, Refusal>,
--- a/src/partition/direct.rs
+++ b/src/partition/direct.rs
@@ -31,7 +31,7 @@
         // tells it.
         let probe = probe || !h.token_confirmed();
         let mut orders = slot_orders;
-        for c in h.attempts.iter_mut().filter(|_| h.accounted) {
+        for c in h.attempts.iter_mut().filter(|_| h.reconciled) {
             let id = &self.cluster.jobs[c.key.job].spec.id;
             match (c.phase, c.stop) {
                 (TaskPhase::Ended(_), _) => {}
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -38,7 +38,7 @@
         for item in hosts {
             self.load_host(item, now);
         }
-        self.recount();
+        self.refresh_reconciliation();
     }
 
     /// Do the jobs of this team belong to this partition?
@@ -120,22 +120,22 @@
         self.pass_due = true;
     }
 
-    /// The same if one was accounted for since. Until then it counts as one that is not, which
-    /// holds back more and never less. After a failover thousands are accounted for within a
+    /// The same if one was reconciled since. Until then it counts as one that is not, which
+    /// holds back more and never less. After a failover thousands are reconciled within a
     /// second: a look at all machines for each of them would take longer than all else.
-    pub fn refresh_unaccounted(&mut self) {
-        if self.recount_due {
-            self.recount();
+    pub fn refresh_unreconciled(&mut self) {
+        if self.reconciliation_due {
+            self.refresh_reconciliation();
         }
     }
 
-    /// Looks again which machines of the last leader are still unaccounted for.
-    pub(super) fn recount(&mut self) {
-        self.recount_due = false;
+    /// Looks again which machines of the last leader are still unreconciled.
+    pub(super) fn refresh_reconciliation(&mut self) {
+        self.reconciliation_due = false;
         let mut open = Demand::default();
         let mut kinds = Vec::new();
         let mut all = true;
-        for (_, h) in self.cluster.each_host().filter(|(_, h)| h.registered && !h.accounted) {
+        for (_, h) in self.cluster.each_host().filter(|(_, h)| h.registered && !h.reconciled) {
             all = false;
             let kind = HostKind { flavor: h.flavor, zone: h.zone.clone(), spot: h.spot };
             if !kinds.contains(&kind) {
@@ -146,12 +146,12 @@
                 None => open.add(&UNBOUNDED),
             }
         }
-        if all && !self.cluster.all_accounted {
+        if all && !self.cluster.all_reconciled {
             tracing::info!(fencing_token = self.fencing_token, "all machines accounted for");
             self.pass_due = true;
         }
-        self.cluster.unaccounted = open;
-        self.cluster.unaccounted_kinds = kinds;
-        self.cluster.all_accounted = all;
+        self.cluster.unreconciled = open;
+        self.cluster.unreconciled_kinds = kinds;
+        self.cluster.all_reconciled = all;
     }
 }
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -37,7 +37,7 @@
             self.show_token(host_index, source, now);
             return Vec::new();
         }
-        self.account_for(host_index, r);
+        self.mark_reconciled(host_index, r);
         let mut orders = Vec::new();
         orders.extend(self.unknown_slots(r));
         self.apply_task_statuses(host_index, r, &mut orders, now);
@@ -126,16 +126,16 @@
     }
 
     /// The machine has reported under a token of this leader.
-    fn account_for(&mut self, host_index: HostIndex, r: &Heartbeat) {
+    fn mark_reconciled(&mut self, host_index: HostIndex, r: &Heartbeat) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         if !h.confirmed() {
             // Not in the registry: no leader before us placed anything on it.
             tracing::info!(host = r.host, flavor = r.flavor, zone = r.zone, spot = r.spot, "machine is up");
             self.new_hosts.insert(host_index);
         }
-        if !h.accounted {
-            h.accounted = true;
-            self.recount_due |= h.registered;
+        if !h.reconciled {
+            h.reconciled = true;
+            self.reconciliation_due |= h.registered;
         }
     }
 
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -39,7 +39,7 @@
                     let fencing_token = self.fencing_token;
                     let host_index = self.add_registered(id.to_string(), r, now);
                     if let Some(h) = self.cluster.host_mut(host_index) {
-                        h.accounted = true;
+                        h.reconciled = true;
                         h.required_token = fencing_token;
                         tracing::info!(host = h.id, "machine joins this partition");
                     }
@@ -60,7 +60,7 @@
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
         let Some(h) = self.cluster.host_mut(host_index) else { return false };
         let free = h.attempts.is_empty() && h.claims.is_empty() && !h.do_in_flight && !h.has_unknown_tasks;
-        if !free || undone || !h.registered || !h.accounted || h.releasing || h.notice || h.transferring_to.is_some() {
+        if !free || undone || !h.registered || !h.reconciled || h.releasing || h.notice || h.transferring_to.is_some() {
             return false;
         }
         h.transferring_to = Some(to);
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -82,8 +82,8 @@
     /// or back, and undo that; it can't once the key has changed.
     open_host_write: Option<u64>,
     in_flight: Option<Vec<PendingWrite>>,
-    /// Machines of the last leader were accounted for since they were last counted.
-    recount_due: bool,
+    /// Machines of the last leader were reconciled since they were last counted.
+    reconciliation_due: bool,
     /// Who waits for a job to be accepted, and for it to end.
     submitters: HashMap<JobIndex, Vec<Waiter>>,
     cancellers: HashMap<JobIndex, Vec<Waiter>>,
@@ -126,7 +126,7 @@
     pub fn new(policy: Policy, id: u32, teams: HashMap<String, u32>, limits: WriteLimits) -> Partition {
         let report_load = report_load::ReportLoad::new(policy.report_ms);
         Partition {
-            cluster: ClusterState { all_accounted: true, ..ClusterState::default() },
+            cluster: ClusterState { all_reconciled: true, ..ClusterState::default() },
             policy,
             metrics: Metrics::default(),
             fencing_token: 0,
@@ -150,7 +150,7 @@
             released: HashSet::new(),
             open_host_write: None,
             in_flight: None,
-            recount_due: false,
+            reconciliation_due: false,
             submitters: HashMap::new(),
             cancellers: HashMap::new(),
             cancelling: BTreeSet::new(),
--- a/src/partition/passes.rs
+++ b/src/partition/passes.rs
@@ -21,7 +21,7 @@
 
     fn pass_from(&mut self, least: Urgency, now: u64, wall: u64) {
         self.urgent_pass_due = false;
-        self.refresh_unaccounted();
+        self.refresh_unreconciled();
         self.note_ready_times(wall);
         self.stop_attempts_of_done_tasks();
         self.bound_attempts(now);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Do all teams keep to their limits, whatever machines that are not accounted for may hold?
+    /// Do all teams keep to their limits, whatever machines that are not reconciled may hold?
     pub fn teams_within_limits(&self, now: u64) -> bool {
         let mut used = sched::Index::new(&self.cluster, now).usage;
         for (team, unseen) in self.cluster.unseen() {
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Tests of a failover: what is placed before all machines are accounted for.
+//! Tests of a failover: what is placed before all machines are reconciled.
 
 use super::*;
 
@@ -19,10 +19,10 @@
     p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
     p.pending_dispatch.clear();
     p.pass(1200, 1200);
-    assert!(p.pending_dispatch.is_empty() && !p.cluster.all_accounted);
+    assert!(p.pending_dispatch.is_empty() && !p.cluster.all_reconciled);
     p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
     p.pass(1300, 1300);
-    assert!(p.pending_dispatch.is_empty() && p.cluster.all_accounted, "the task runs already");
+    assert!(p.pending_dispatch.is_empty() && p.cluster.all_reconciled, "the task runs already");
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
 }
 
@@ -33,13 +33,13 @@
         let (jobs, hosts) = items(&mut old);
         let mut p = partition_of(5, jobs, hosts);
         p.upkeep(1000 + LEASE, 0);
-        assert!(!p.cluster.all_accounted, "its lease may still live");
+        assert!(!p.cluster.all_reconciled, "its lease may still live");
         if gone {
             p.host_gone("h1");
         } else {
             p.upkeep(1000 + LEASE + 1100, 0);
         }
-        assert!(p.cluster.all_accounted);
+        assert!(p.cluster.all_reconciled);
     }
 }
 
@@ -57,7 +57,7 @@
     let mut p = partition_of(5, jobs, hosts);
     let seen = |phase, n| heartbeat("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
     p.heartbeat(&seen("running", 10), StatusSource::Heartbeat, 1100);
-    assert!(!p.cluster.all_accounted);
+    assert!(!p.cluster.all_reconciled);
     // The first job's replica ends: it was on h1, and so not on h2.
     p.heartbeat(&seen("ended", 11), StatusSource::Heartbeat, 1200);
     p.pass(1300, 1300);
@@ -97,7 +97,7 @@
 }
 
 // A late copy of a report speaks for a machine that the last leader had released: its
-// task may be on one that is not accounted for.
+// task may be on one that is not reconciled.
 #[test]
 fn a_late_copy_from_a_machine_that_is_gone_locates_nothing() {
     let mut old = running("service", 1);
@@ -134,8 +134,8 @@
     p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
     assert!(p.pending_dispatch.contains(&0), "the answer made no difference");
     p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
-    p.refresh_unaccounted();
-    assert!(p.cluster.all_accounted);
+    p.refresh_unreconciled();
+    assert!(p.cluster.all_reconciled);
 }
 
 #[test]
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -253,7 +253,7 @@
     assert_eq!(phase_told(&p), Some(JobPhase::Done));
 }
 
-// Teams at their limit while the leader changes: what unaccounted machines may hold of a
+// Teams at their limit while the leader changes: what unreconciled machines may hold of a
 // team counts, also of a job whose cancellation was asked for, and no longer than that.
 #[test]
 fn a_team_at_its_limit_waits_for_what_unaccounted_machines_may_hold() {
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -315,7 +315,7 @@
     for _ in 0..60 {
         f.step();
     }
-    assert!(!f.partition.cluster.all_accounted, "nothing was heard of the dead ones");
+    assert!(!f.partition.cluster.all_reconciled, "nothing was heard of the dead ones");
     f.check();
     dead.iter().for_each(|id| {
         f.machines.remove(id);
@@ -324,6 +324,6 @@
     for _ in 0..20 {
         f.step();
     }
-    assert!(f.partition.cluster.all_accounted);
+    assert!(f.partition.cluster.all_reconciled);
     f.check();
 }
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -116,7 +116,7 @@
     /// Has its lease surely expired, with something to be given up?
     fn lease_expired(&self, h: &Host, now: u64, unbound_ms: u64) -> bool {
         let outlived = (self.policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + self.policy.react_ms;
-        let holds = !h.attempts.is_empty() || !h.accounted;
+        let holds = !h.attempts.is_empty() || !h.reconciled;
         holds && now > h.lease_renewed_ms.max(unbound_ms) + outlived
     }
 
@@ -135,11 +135,11 @@
             self.lose_all(host_index);
             if let Some(h) = self.cluster.host_mut(host_index) {
                 tracing::info!(host = h.id, "lease surely outlived");
-                h.accounted = true;
+                h.reconciled = true;
             }
-            self.recount_due = true;
+            self.reconciliation_due = true;
         }
-        self.refresh_unaccounted();
+        self.refresh_unreconciled();
     }
 
     /// Marks silent machines for release, except in zones that are cut off; returns
@@ -159,7 +159,7 @@
     /// May machines be rented and returned? What is up is known, or as much as
     /// will be for now.
     pub fn counted(&self, now: u64) -> bool {
-        self.cluster.all_accounted || now > self.begun_ms + self.lost_ms()
+        self.cluster.all_reconciled || now > self.begun_ms + self.lost_ms()
     }
 
     /// True if most machines that were heard before, or asked twice in vain, are
@@ -195,6 +195,6 @@
         if self.cluster.remove_host(host_index).is_some_and(|h| h.registered) {
             self.obsolete_keys.insert(host_key(id));
         }
-        self.recount();
+        self.refresh_reconciliation();
     }
 }
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -12,7 +12,7 @@
 impl Partition {
     /// Begins with the slots that are wanted, where there is room that no work waits for.
     pub(super) fn begin_slots(&mut self, now: u64) {
-        if !self.claims_recordable || !self.cluster.all_accounted {
+        if !self.claims_recordable || !self.cluster.all_reconciled {
             return;
         }
         let Some(own) = &self.pools else { return };
--- a/src/partition/warm_pools/reports.rs
+++ b/src/partition/warm_pools/reports.rs
@@ -73,7 +73,7 @@
     /// The orders for the slots of a machine: what its worker should have done and has not.
     pub(in crate::partition) fn slot_orders(&self, host_index: HostIndex) -> Vec<Order> {
         let Some(own) = &self.pools else { return Vec::new() };
-        let Some(host) = self.cluster.host(host_index).filter(|host| host.loads_models && host.accounted) else {
+        let Some(host) = self.cluster.host(host_index).filter(|host| host.loads_models && host.reconciled) else {
             return Vec::new();
         };
         let loaded = own.pools.slots().filter(|slot| slot.host == host.id && slot.keep == HoldKind::Loaded);
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -18,7 +18,7 @@
         if now >= leadership.next_upkeep_ms {
             self.upkeep(leadership, now);
         }
-        leadership.partition.refresh_unaccounted();
+        leadership.partition.refresh_unreconciled();
         self.follow_configuration(leadership, now);
         self.look_up_predecessors(leadership);
         self.read_externals(leadership, now);
--- a/src/sched/pass/limits.rs
+++ b/src/sched/pass/limits.rs
@@ -13,7 +13,7 @@
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
         let mut total = self.index.usage.get(&spec.team).copied().unwrap_or_default();
         total.add(&spec.demand.times(n));
-        // Machines that are not accounted for may hold what was not seen of the team's tasks.
+        // Machines that are not reconciled may hold what was not seen of the team's tasks.
         if let Some(unseen) = self.unseen.get(&spec.team) {
             total.add(unseen);
         }
--- a/src/sched/pass/mod.rs
+++ b/src/sched/pass/mod.rs
@@ -107,7 +107,7 @@
     full: Vec<TaskRequirements>,
     /// The same even if all lesser work left.
     blocked: Vec<BlockedRequirements>,
-    /// What machines that are not accounted for may hold of each team's tasks.
+    /// What machines that are not reconciled may hold of each team's tasks.
     unseen: HashMap<String, Demand>,
     /// Array tasks that end by themselves soon, once they were counted.
     ending: Option<Vec<EndingTasks>>,
--- a/src/sched/pass/queue.rs
+++ b/src/sched/pass/queue.rs
@@ -47,7 +47,7 @@
     if job.urgency < least || !job.active() {
         return false;
     }
-    // A task that may be on a machine not accounted for waits; what
+    // A task that may be on a machine not reconciled waits; what
     // was seen alive since is certainly nowhere else.
     let placeable = cluster.placeable(job);
     job.tasks.iter().any(|t| t.retry_ms <= now && placeable.open(t))
--- a/src/sched/tests/faulty_machines.rs
+++ b/src/sched/tests/faulty_machines.rs
@@ -46,7 +46,7 @@
     let rented = plan(&w, &policy(), 1000, &unplaced(&[job_index]), &[], &all_available).rent;
     assert_eq!(rented.iter().map(|r| (r.zone.as_str(), r.count)).collect::<Vec<_>>(), [("a", 1)]);
     let mut another = Host::new("h2".into(), "a".into(), false, Some(0), 0);
-    (another.registered, another.accounted) = (true, true);
+    (another.registered, another.reconciled) = (true, true);
     another.addr = Some("10.0.0.1:9000".parse().unwrap());
     w.add_host(another);
     let mut hosts: Vec<HostIndex> = run(&mut w, 1000).starts.iter().map(|s| s.host).collect();
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -66,11 +66,11 @@
 
 pub(super) fn cluster(hosts: &[(&str, bool)]) -> ClusterState {
     let mut w =
-        ClusterState { all_accounted: true, flavors: vec![flavor("g8", 8.0, &["a", "b"])], ..ClusterState::default() };
+        ClusterState { all_reconciled: true, flavors: vec![flavor("g8", 8.0, &["a", "b"])], ..ClusterState::default() };
     for (i, (zone, spot)) in hosts.iter().enumerate() {
         let mut h = Host::new(format!("h{i}"), zone.to_string(), *spot, Some(0), 0);
         h.registered = true;
-        h.accounted = true;
+        h.reconciled = true;
         h.addr = Some("10.0.0.1:9000".parse().unwrap());
         w.add_host(h);
     }
--- a/src/task_locations.rs
+++ b/src/task_locations.rs
@@ -2,7 +2,7 @@
 //! for what users are told.
 //!
 //! A task may be on a machine that has an attempt of it which has not ended, and on any
-//! machine of the last leader that is not accounted for and that its job allows, unless
+//! machine of the last leader that is not reconciled and that its job allows, unless
 //! it was located: then it was on a machine that is.
 
 use crate::model::{ClusterState, Demand, HostIndex, HostKind, Job, JobIndex, Place, Task, TaskAttempt};
@@ -32,7 +32,7 @@
 }
 
 impl ClusterState {
-    /// Can none of the job's tasks be on a machine that is not accounted for?
+    /// Can none of the job's tasks be on a machine that is not reconciled?
     pub fn clear(&self, job: &Job) -> bool {
         let spec = &job.spec;
         let may_hold = |kind: &HostKind| {
@@ -40,11 +40,11 @@
                 && spec.allows_zone(&kind.zone)
                 && (spec.spot || !kind.spot)
         };
-        self.all_accounted || job.fresh || !self.unaccounted_kinds.iter().any(may_hold)
+        self.all_reconciled || job.fresh || !self.unreconciled_kinds.iter().any(may_hold)
     }
 
     /// Which of a job's idle tasks may be placed as far as machines that are not
-    /// accounted for go: all, those that were located, or none. Where zones bind the
+    /// reconciled go: all, those that were located, or none. Where zones bind the
     /// tasks to one another, the places of all must be known: an order that was held
     /// back may still start one.
     pub fn placeable(&self, job: &Job) -> Placeable {
@@ -87,18 +87,18 @@
             })
     }
 
-    /// What machines that are not accounted for may hold of each team's tasks: no more
+    /// What machines that are not reconciled may hold of each team's tasks: no more
     /// than the tasks that were not seen, and no more than fits there.
     pub fn unseen(&self) -> HashMap<String, Demand> {
         let mut sums: HashMap<String, Demand> = HashMap::new();
-        if self.all_accounted {
+        if self.all_reconciled {
             return sums;
         }
         for job in self.live.iter().map(|job_index| &self.jobs[*job_index]).filter(|j| !self.clear(j)) {
             let n = job.tasks.iter().filter(|t| t.place == Place::Idle && !t.located).count();
             sums.entry(job.spec.team.clone()).or_default().add(&job.spec.demand.times(n as f64));
         }
-        let most = self.unaccounted;
+        let most = self.unreconciled;
         for d in sums.values_mut() {
             *d = Demand { cpus: d.cpus.min(most.cpus), gpus: d.gpus.min(most.gpus), mem: d.mem.min(most.mem) };
         }
