--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -90,7 +90,7 @@
     /// It is in the commit under way.
     in_flight: bool,
     /// A commit of it had no answer, or failed on its condition: it has to be read.
-    unclear: bool,
+    indeterminate: bool,
 }
 
 /// The loans of a partition.
@@ -134,7 +134,7 @@
             version: 0,
             dirty: false,
             in_flight: false,
-            unclear: false,
+            indeterminate: false,
         });
         book.entries.push(Entry { loan, sent: false, told: false, unneeded_since_ms: None });
         book.dirty = true;
--- a/crates/borrowing/src/loans/records.rs
+++ b/crates/borrowing/src/loans/records.rs
@@ -39,7 +39,7 @@
     /// The records that go into the next commit, at most so many; those of new loans first.
     pub fn next_writes(&mut self, most: usize, wall_ms: u64) -> Vec<RecordWrite> {
         self.forget_old_loans(wall_ms);
-        let due = |book: &Book| book.dirty && !book.in_flight && !book.unclear;
+        let due = |book: &Book| book.dirty && !book.in_flight && !book.indeterminate;
         let is_new = |book: &Book| book.entries.iter().any(|entry| entry.loan.state == LoanState::Proposed);
         let mut jobs: Vec<(bool, String)> =
             self.books.iter().filter(|(_, book)| due(book)).map(|(job, book)| (!is_new(book), job.clone())).collect();
@@ -119,15 +119,15 @@
 
     /// The commit under way had no answer, or a condition did not hold: its records have to be read
     /// before they are written again.
-    pub fn unclear(&mut self) {
+    pub fn indeterminate(&mut self) {
         self.give_up_writes(true);
     }
 
-    fn give_up_writes(&mut self, unclear: bool) {
+    fn give_up_writes(&mut self, indeterminate: bool) {
         for job in self.in_flight() {
             let Some(book) = self.books.get_mut(&job) else { continue };
             (book.in_flight, book.dirty) = (false, true);
-            book.unclear |= unclear;
+            book.indeterminate |= indeterminate;
             book.entries.iter_mut().for_each(|entry| entry.sent = false);
         }
     }
@@ -138,14 +138,14 @@
 
     /// Keys of records that must be read before they are written again.
     pub fn keys_to_read(&self) -> Vec<String> {
-        self.books.iter().filter(|(_, book)| book.unclear).map(|(job, _)| loan_key(job)).collect()
+        self.books.iter().filter(|(_, book)| book.indeterminate).map(|(job, _)| loan_key(job)).collect()
     }
 
     /// Takes the version under which a record was found; 0 if there is none.
     pub fn reread(&mut self, key: &str, version: u64) {
         let book = self.books.iter_mut().find(|(job, _)| loan_key(job) == key);
-        if let Some((_, book)) = book.filter(|(_, book)| book.unclear) {
-            (book.unclear, book.version) = (false, version);
+        if let Some((_, book)) = book.filter(|(_, book)| book.indeterminate) {
+            (book.indeterminate, book.version) = (false, version);
         }
     }
 
@@ -155,7 +155,7 @@
         let jobs: Vec<String> = self.books.keys().cloned().collect();
         for job in jobs {
             let book = &self.books[&job];
-            if book.dirty || book.in_flight || book.unclear {
+            if book.dirty || book.in_flight || book.indeterminate {
                 continue;
             }
             let is_of_use = |entry: &Entry| {
--- a/crates/borrowing/src/loans/restore.rs
+++ b/crates/borrowing/src/loans/restore.rs
@@ -23,7 +23,7 @@
                 version,
                 dirty: false,
                 in_flight: false,
-                unclear: false,
+                indeterminate: false,
             };
             self.books.insert(job, book);
         }
--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -92,7 +92,7 @@
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     loans.next_writes(8, at(0).wall_ms);
-    loans.unclear();
+    loans.indeterminate();
     assert_eq!(loans.keys_to_read(), ["loan/run-1"]);
     assert!(loans.next_writes(8, at(1).wall_ms).is_empty(), "it has to be read first");
     loans.abandon(1);
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -131,17 +131,17 @@
                 events.into_iter().for_each(|LoanEvent::Recorded(id)| self.recorded(id));
             }
             // A condition did not hold: the records are read again.
-            Outcome::Done => self.loans.unclear(),
+            Outcome::Done => self.loans.indeterminate(),
             Outcome::Refused => self.loans.not_written(),
             Outcome::MadeWithoutAnswer => {
                 if holds {
                     self.make(writes);
                 }
-                self.loans.unclear();
+                self.loans.indeterminate();
             }
             Outcome::Lost => {
                 self.late.push(writes);
-                self.loans.unclear();
+                self.loans.indeterminate();
             }
         }
     }
--- a/crates/warm-pools/src/pools/writes.rs
+++ b/crates/warm-pools/src/pools/writes.rs
@@ -167,7 +167,7 @@
 
     /// The changes may have been made or may still be, or did not meet the records as expected:
     /// these records must be read.
-    pub fn unclear(&mut self) {
+    pub fn indeterminate(&mut self) {
         let Some(in_flight) = self.in_flight.take() else { return };
         self.mark_changed(&in_flight);
         self.retried.extend(in_flight.slots.keys());
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -68,14 +68,14 @@
         if made_at_once {
             store.commit(&changes).unwrap();
         }
-        pools.unclear();
+        pools.indeterminate();
         assert_eq!(pools.next_changes(51, 12), None, "first the records are read");
         let mut events = pools.reread(store.read(&pools.keys_to_read()));
         if made_late {
             store.commit(&changes).unwrap();
             let again = pools.next_changes(52, 12).unwrap();
             assert_eq!(store.commit(&again), None, "the late one came first");
-            pools.unclear();
+            pools.indeterminate();
             events.extend(pools.reread(store.read(&pools.keys_to_read())));
         }
         write = write.max(60);
@@ -92,7 +92,7 @@
     let (mut pools, mut store, mut write) = warm(1);
     pools.claim(1, "notes", claim("blue", 7), at(1000)).unwrap();
     let late = pools.next_changes(50, 12).unwrap();
-    pools.unclear();
+    pools.indeterminate();
     pools.abandon_claim(1);
     assert_eq!(pools.claim(1, "notes", claim("red", 8), at(1100)), Err(ClaimError::NotFree));
     // The claim is recorded after all, and then the slot's being free is.
@@ -353,7 +353,7 @@
     pools.look(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
     let late = pools.next_changes(50, 12).unwrap();
-    pools.unclear();
+    pools.indeterminate();
     pools.host_lost("h1", EndCause::MachineLost, at(1000));
     pools.reread(store.read(&pools.keys_to_read()));
     record_all(&mut pools, &mut store, &mut write);
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -115,19 +115,19 @@
         match outcome {
             Outcome::Refused => self.pools.not_written(),
             Outcome::Lost => {
-                self.pools.unclear();
+                self.pools.indeterminate();
                 self.lost.push(changes);
             }
             Outcome::MadeWithoutAnswer => {
                 self.store.commit(&changes);
-                self.pools.unclear();
+                self.pools.indeterminate();
             }
             Outcome::Done => match self.store.commit(&changes) {
                 Some(revision) => {
                     let events = self.pools.written(revision);
                     self.follow(events);
                 }
-                None => self.pools.unclear(),
+                None => self.pools.indeterminate(),
             },
         }
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -142,7 +142,7 @@
         let hint = self.route_hints.lock().ok().and_then(|hints| hints.job(id));
         let all = 0..self.router.partitions.len() as u32;
         let order: Vec<u32> = hint.into_iter().chain(all.filter(|p| Some(*p) != hint)).collect();
-        let mut unclear = None;
+        let mut indeterminate = None;
         for partition in order {
             match self.router.user(partition, call.clone()).await {
                 Some(r) if r.status == 404 => {}
@@ -153,14 +153,14 @@
                     self.ended_jobs.insert_told(id, &r);
                     return r;
                 }
-                other => unclear = Some(other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response())),
+                other => indeterminate = Some(other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response())),
             }
             if hint == Some(partition) {
                 // It was there, and a job stays in its partition.
                 break;
             }
         }
-        match unclear {
+        match indeterminate {
             Some(r) if !status => r,
             // Only a fresh read can say that a job is not there.
             _ => {
--- a/src/api/predecessors.rs
+++ b/src/api/predecessors.rs
@@ -70,7 +70,7 @@
                     open.extend(new);
                 }
                 // It was accepted, as a job that waits for it was.
-                RecordedJob::Missing => return Err(RefusalReason::PredecessorUnclear),
+                RecordedJob::Missing => return Err(RefusalReason::PredecessorIndeterminate),
             }
         }
         Ok(false)
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -4,10 +4,10 @@
 use crate::clock;
 use crate::http::Response;
 use crate::model::{JobRecord, Spec};
-use crate::partition::{CommitResult, inbox_key, job_key};
+use crate::partition::{CommitOutcome, inbox_key, job_key};
 use crate::partition_leader;
 use crate::peer::UserCall;
-use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, PredecessorUnclear};
+use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, PredecessorIndeterminate};
 use crate::request_budget::Purpose;
 use crate::sched::{self, Policy};
 use crate::wire;
@@ -46,7 +46,11 @@
         let answer = match asked {
             Some(r) if r.status != 503 => r,
             // What keeps the leader from accepting it would not keep this node from it.
-            Some(r) if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | PredecessorUnclear)) => r,
+            Some(r)
+                if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | PredecessorIndeterminate)) =>
+            {
+                r
+            }
             // A second way in would only add to the work that the leader has.
             None if self.router.at_work(partition) && self.state.answers(self.router.leader_lease_ttl_ms) => {
                 RefusalReason::SubmissionSlow.response()
@@ -123,9 +127,9 @@
             wire::put(&job_key(&id), &value, None),
             wire::put(&inbox_key(partition, &id), &serde_json::json!({}), None),
         ];
-        match self.state.commit(&[wire::guard(&job_key(&id), 0)], &apply).await {
-            CommitResult::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, checked.phase, 0, 0))),
-            CommitResult::Conflict { .. } => Some(self.fresh(&id, true, Purpose::Change).await),
+        match self.state.commit(&[wire::condition(&job_key(&id), 0)], &apply).await {
+            CommitOutcome::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, checked.phase, 0, 0))),
+            CommitOutcome::Conflict { .. } => Some(self.fresh(&id, true, Purpose::Change).await),
             _ => None,
         }
     }
--- a/src/api/tests/predecessors.rs
+++ b/src/api/tests/predecessors.rs
@@ -112,7 +112,7 @@
 // Accepted past the leader, an old next leader would start it at once.
 #[tokio::test]
 async fn what_the_owner_refuses_for_an_old_controller_or_an_unclear_one_is_not_accepted_past_it() {
-    for reason in [RefusalReason::ControllerOutdated, RefusalReason::PredecessorUnclear] {
+    for reason in [RefusalReason::ControllerOutdated, RefusalReason::PredecessorIndeterminate] {
         let service = StateService::default();
         let mut api = api_at(&service).await;
         service.put(None);
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::config::Settings;
 use crate::http::{CallError, Client, SMALL_IDLE_POOL};
 use crate::net::Net;
-use crate::partition::CommitResult;
+use crate::partition::CommitOutcome;
 use crate::wire::{self, Changes, Item, Page, Revision, StateLease, store};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     /// Not carried out, as there were too many requests or changes lately.
     Throttled,
     /// Maybe carried out, maybe later.
-    Unclear,
+    Indeterminate,
     /// What was named is not there (any more).
     Missing,
 }
@@ -34,7 +34,7 @@
     fn from(e: CallError) -> RequestError {
         match e {
             CallError::NotSent => RequestError::Refused,
-            CallError::Unclear => RequestError::Unclear,
+            CallError::Indeterminate => RequestError::Indeterminate,
         }
     }
 }
@@ -138,25 +138,25 @@
         }
     }
 
-    /// Makes the changes in `apply` if all conditions in `guards` hold.
-    pub async fn commit(&self, guards: &[Value], apply: &[Value]) -> CommitResult {
-        let body = wire::commit_body(guards, apply);
+    /// Makes the changes in `apply` if all conditions in `conditions` hold.
+    pub async fn commit(&self, conditions: &[Value], apply: &[Value]) -> CommitOutcome {
+        let body = wire::commit_body(conditions, apply);
         match self.call("POST", store::COMMIT, Some(&body), self.timeout).await {
             Ok((200, b)) => match serde_json::from_slice::<Revision>(&b) {
-                Ok(r) => CommitResult::Done { revision: r.revision },
-                Err(_) => CommitResult::Unclear,
+                Ok(r) => CommitOutcome::Done { revision: r.revision },
+                Err(_) => CommitOutcome::Indeterminate,
             },
             Ok((409, b)) => match serde_json::from_slice::<Revision>(&b) {
-                Ok(r) => CommitResult::Conflict { failed: r.failed },
-                Err(_) => CommitResult::Unclear,
+                Ok(r) => CommitOutcome::Conflict { failed: r.failed },
+                Err(_) => CommitOutcome::Indeterminate,
             },
             Ok((status, b)) => {
                 tracing::error!(status, body = %String::from_utf8_lossy(&b), "commit not taken");
-                CommitResult::NotTaken
+                CommitOutcome::NotTaken
             }
-            Err(RequestError::Unclear) => CommitResult::Unclear,
-            Err(RequestError::Throttled) => CommitResult::Throttled,
-            Err(_) => CommitResult::Refused,
+            Err(RequestError::Indeterminate) => CommitOutcome::Indeterminate,
+            Err(RequestError::Throttled) => CommitOutcome::Throttled,
+            Err(_) => CommitOutcome::Refused,
         }
     }
 
@@ -167,7 +167,7 @@
         if status != 200 {
             return Err(RequestError::Refused);
         }
-        serde_json::from_slice::<StateLease>(&body).map(|g| g.id).map_err(|_| RequestError::Unclear)
+        serde_json::from_slice::<StateLease>(&body).map(|g| g.id).map_err(|_| RequestError::Indeterminate)
     }
 
     /// Lets a lease live for so many milliseconds from now; `Missing` if it has ended.
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -4,7 +4,7 @@
 use crate::config::Settings;
 use crate::http::{CallError, Client};
 use crate::net::Net;
-use crate::partition::DirectResult;
+use crate::partition::DirectCommandOutcome;
 use crate::wire;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,15 +39,15 @@
     }
 
     /// Sends a direct command, once fewer than the allowed number are under way.
-    pub async fn direct(&self, addr: SocketAddr, body: &[u8]) -> DirectResult {
-        let Ok(_place) = self.under_way.acquire().await else { return DirectResult::NotSent };
+    pub async fn direct(&self, addr: SocketAddr, body: &[u8]) -> DirectCommandOutcome {
+        let Ok(_place) = self.under_way.acquire().await else { return DirectCommandOutcome::NotSent };
         match self.http.call(addr, "POST", wire::DO_PATH, Some(body), self.timeout).await {
             Ok((200 | 409, b)) => match serde_json::from_slice(&b) {
-                Ok(r) => DirectResult::Answered(Box::new(r)),
-                Err(_) => DirectResult::Unclear,
+                Ok(r) => DirectCommandOutcome::Answered(Box::new(r)),
+                Err(_) => DirectCommandOutcome::Indeterminate,
             },
-            Ok(_) | Err(CallError::Unclear) => DirectResult::Unclear,
-            Err(CallError::NotSent) => DirectResult::NotSent,
+            Ok(_) | Err(CallError::Indeterminate) => DirectCommandOutcome::Indeterminate,
+            Err(CallError::NotSent) => DirectCommandOutcome::NotSent,
         }
     }
 
--- a/src/config_command.rs
+++ b/src/config_command.rs
@@ -164,7 +164,7 @@
         Unavailable::NotStarted => "the region has not begun to take part, or waits for the others to begin",
         Unavailable::SettingsDiffer => "the regions' settings differ",
         Unavailable::StateService => "the state service does not answer",
-        Unavailable::Unclear => {
+        Unavailable::Indeterminate => {
             "unclear: the change may still be taken; ask for its outcome, or apply it again with --id"
         }
         Unavailable::TooLarge => "the change does not fit into one version: divide it",
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -76,7 +76,8 @@
     /// The state service has not answered.
     StateService,
     /// No majority of regions has answered: the change may still be taken.
-    Unclear,
+    #[serde(rename = "Unclear")]
+    Indeterminate,
     /// The change does not fit into the records of the state service.
     TooLarge,
     /// The controller can't do more now.
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -124,7 +124,7 @@
                 }
             }
         }
-        self.refuse(taken, Unavailable::Unclear);
+        self.refuse(taken, Unavailable::Indeterminate);
     }
 
     /// One attempt at the next version.
@@ -220,7 +220,7 @@
                 continue;
             };
             let response = match self.handle.answer(ConfigurationRequest::Outcome(change.id)).await {
-                ConfigurationResponse::Outcome(None) => ConfigurationResponse::Unavailable(Unavailable::Unclear),
+                ConfigurationResponse::Outcome(None) => ConfigurationResponse::Unavailable(Unavailable::Indeterminate),
                 other => other,
             };
             self.count(&response);
@@ -240,7 +240,7 @@
     fn count(&self, response: &ConfigurationResponse) {
         let label = match response {
             ConfigurationResponse::Outcome(Some(ChangeOutcome::Taken { .. })) => "taken",
-            ConfigurationResponse::Unavailable(Unavailable::Unclear) => "unclear",
+            ConfigurationResponse::Unavailable(Unavailable::Indeterminate) => "unclear",
             _ => "refused",
         };
         self.metrics.count("configuration_changes", label);
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -3,7 +3,7 @@
 use super::actor::ConfigurationActor;
 use super::messages::{ConfigurationResponse, Unavailable};
 use super::records::{self, LoadError, REGION_KEY, StoredRecord};
-use crate::partition::CommitResult;
+use crate::partition::CommitOutcome;
 use crate::{clock, wire};
 use badgerdrift_fleet_config::{RegionRecord, Request};
 
@@ -47,13 +47,13 @@
             return Err(LoadError::Unanswered);
         }
         self.writes.spend(changes.len());
-        let guard = wire::guard(REGION_KEY, self.stored.as_ref().map_or(0, |stored| stored.stamp));
-        match self.state.commit(&[guard], changes).await {
-            CommitResult::Done { revision } => {
+        let condition = wire::condition(REGION_KEY, self.stored.as_ref().map_or(0, |stored| stored.stamp));
+        match self.state.commit(&[condition], changes).await {
+            CommitOutcome::Done { revision } => {
                 self.stored = Some(StoredRecord { record: next, stamp: revision });
                 Ok(true)
             }
-            CommitResult::Conflict { .. } => Ok(false),
+            CommitOutcome::Conflict { .. } => Ok(false),
             _ => Err(LoadError::Unanswered),
         }
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -16,7 +16,7 @@
     /// The request never left: it will not be carried out.
     NotSent,
     /// The request may have been carried out, or may be later.
-    Unclear,
+    Indeterminate,
 }
 
 /// A client with a pool of idle connections.
@@ -61,11 +61,11 @@
         let out = encode_request(addr, method, path, body);
         match timeout_at(deadline, stream.write_all(&out)).await {
             Ok(Ok(())) => {}
-            _ => return Err(CallError::Unclear),
+            _ => return Err(CallError::Indeterminate),
         }
         let mut buf = Vec::new();
         let Ok(Ok(reply)) = timeout_at(deadline, read_message(&mut stream, &mut buf, parse_reply)).await else {
-            return Err(CallError::Unclear);
+            return Err(CallError::Indeterminate);
         };
         if !reply.close
             && buf.is_empty()
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -115,7 +115,7 @@
     let addr = l.local_addr().unwrap();
     let c = Client::default();
     let limit = Duration::from_millis(200);
-    assert_eq!(c.call(addr, "GET", "/", None, limit).await, Err(CallError::Unclear));
+    assert_eq!(c.call(addr, "GET", "/", None, limit).await, Err(CallError::Indeterminate));
     drop(l);
     assert_eq!(c.call(addr, "GET", "/", None, limit).await, Err(CallError::NotSent));
 }
--- a/src/membership/failover.rs
+++ b/src/membership/failover.rs
@@ -4,7 +4,7 @@
 use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use crate::clients::State;
 use crate::clock;
-use crate::partition::CommitResult;
+use crate::partition::CommitOutcome;
 use crate::wire;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -118,9 +118,9 @@
     node: &str,
     version: u64,
     lease_id: u64,
-) -> Result<RaisedToken, CommitResult> {
-    let Ok((Some(item), _)) = state.get(FENCING_TOKEN_KEY).await else { return Err(CommitResult::Refused) };
-    let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitResult::Refused) };
+) -> Result<RaisedToken, CommitOutcome> {
+    let Ok((Some(item), _)) = state.get(FENCING_TOKEN_KEY).await else { return Err(CommitOutcome::Refused) };
+    let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitOutcome::Refused) };
     let last = LastToken { record, version: item.version };
     let taken = next_term(state, &PartitionClaim { partition, node, version, lease_id }, &last).await?;
     Ok(RaisedToken { fencing_token: taken.fencing_token, version: taken.version })
@@ -131,7 +131,7 @@
     state: &State,
     claim: &PartitionClaim<'_>,
     last: &LastToken,
-) -> Result<AcquiredLeadership, CommitResult> {
+) -> Result<AcquiredLeadership, CommitOutcome> {
     let (lease_id, start_ms) = (claim.lease_id, last.record.start_ms);
     let fencing_token = last.record.n + 1;
     let record = json!({ "holder": claim.node, "term": fencing_token, "grant": lease_id });
@@ -139,14 +139,14 @@
     leaders.insert(claim.partition, claim.node.to_string());
     let next = json!({ "n": fencing_token, "start_ms": start_ms, "holders": leaders });
     let key = partition_key(claim.partition);
-    let guards = [wire::guard(&key, claim.version), wire::guard(FENCING_TOKEN_KEY, last.version)];
+    let conditions = [wire::condition(&key, claim.version), wire::condition(FENCING_TOKEN_KEY, last.version)];
     let apply = [wire::put(&key, &record, Some(lease_id)), wire::put(FENCING_TOKEN_KEY, &next, None)];
-    let version = match state.commit(&guards, &apply).await {
-        CommitResult::Done { revision } => revision,
+    let version = match state.commit(&conditions, &apply).await {
+        CommitOutcome::Done { revision } => revision,
         // It may have been carried out: the key tells.
-        CommitResult::Unclear => match state.get(&key).await {
+        CommitOutcome::Indeterminate => match state.get(&key).await {
             Ok((Some(i), _)) if i.value == record => i.version,
-            _ => return Err(CommitResult::Unclear),
+            _ => return Err(CommitOutcome::Indeterminate),
         },
         other => return Err(other),
     };
--- a/src/partition/attempts.rs
+++ b/src/partition/attempts.rs
@@ -170,7 +170,7 @@
             for c in h.attempts.iter_mut().filter(|c| c.key.job == job_index && !c.ended()) {
                 if c.stop_due().is_none_or(|g| g > 0.0) {
                     (c.stop, c.stop_awaits_record) = (Some(0.0), false);
-                    self.pending_dispatch.insert(host_index);
+                    self.dispatch_queue.insert(host_index);
                 }
             }
         }
--- a/src/partition/borrowing/commits.rs
+++ b/src/partition/borrowing/commits.rs
@@ -40,11 +40,11 @@
         self.note_loan_transitions();
     }
 
-    /// The loans' part of a commit was not made, or that is `unclear`.
-    pub(in crate::partition) fn loans_not_written(&mut self, unclear: bool) {
+    /// The loans' part of a commit was not made, or that is `indeterminate`.
+    pub(in crate::partition) fn loans_not_written(&mut self, indeterminate: bool) {
         let Some(own) = &mut self.loans else { return };
-        if unclear {
-            own.loans.unclear();
+        if indeterminate {
+            own.loans.indeterminate();
         } else {
             own.loans.not_written();
         }
@@ -69,7 +69,7 @@
             let host = self.cluster.host_mut(stop.host);
             if let Some(attempt) = host.and_then(|host| host.attempt_mut(stop.key, stop.attempt)) {
                 attempt.stop_awaits_record = false;
-                self.pending_dispatch.insert(stop.host);
+                self.dispatch_queue.insert(stop.host);
             }
         }
     }
@@ -82,6 +82,6 @@
             Some(record) => wire::put(&write.key, &serde_json::to_value(record).unwrap_or_default(), None),
             None => wire::delete(&write.key),
         };
-        (wire::guard(&write.key, write.version), change)
+        (wire::condition(&write.key, write.version), change)
     }
 }
--- a/src/partition/borrowing/maintenance.rs
+++ b/src/partition/borrowing/maintenance.rs
@@ -53,7 +53,7 @@
             let attempt = host.attempt_mut(stop.key, stop.attempt);
             if let Some(attempt) = attempt.filter(|attempt| attempt.stop_awaits_record) {
                 (attempt.stop, attempt.stop_awaits_record) = (None, false);
-                self.pending_dispatch.insert(stop.host);
+                self.dispatch_queue.insert(stop.host);
             }
         }
         self.pass_due = true;
--- a/src/partition/direct.rs
+++ b/src/partition/direct.rs
@@ -1,7 +1,7 @@
 //! Commands that are sent straight to a worker.
 
 use super::heartbeats::REPLY_ORDERS;
-use super::{Direct, DirectResult, Partition, StatusSource};
+use super::{DirectCommand, DirectCommandOutcome, Partition, StatusSource};
 use crate::model::{HostIndex, TaskAttempt, TaskPhase, UNREACHABLE_AFTER_MISSES};
 use crate::wire::Order;
 
@@ -17,7 +17,7 @@
     }
 
     /// The direct command that a machine is due, if any.
-    pub fn direct(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<Direct> {
+    pub fn direct(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<DirectCommand> {
         let fencing_token = self.fencing_token;
         // Before the tasks: one may need the room of a slot that is unloaded.
         let slot_orders = self.slot_orders(host_index);
@@ -53,29 +53,36 @@
             return None;
         }
         h.do_in_flight = true;
-        Some(Direct { host: host_index, id: h.id.clone(), addr, fencing_token, agent_epoch: h.agent_epoch, orders })
+        Some(DirectCommand {
+            host: host_index,
+            id: h.id.clone(),
+            addr,
+            fencing_token,
+            agent_epoch: h.agent_epoch,
+            orders,
+        })
     }
 
     /// Takes the result of a direct command.
-    pub fn direct_done(&mut self, d: &Direct, result: DirectResult, now: u64) {
+    pub fn direct_command_done(&mut self, d: &DirectCommand, result: DirectCommandOutcome, now: u64) {
         let retry = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(h) = self.cluster.host_mut(d.host).filter(|h| h.id == d.id) else { return };
         h.do_in_flight = false;
         for c in h.attempts.iter_mut().filter(|c| c.in_flight) {
             c.in_flight = false;
-            if matches!(result, DirectResult::Unclear) {
+            if matches!(result, DirectCommandOutcome::Indeterminate) {
                 // It may be carried out minutes later.
                 c.risk = Some(c.risk.unwrap_or(0).max(d.fencing_token));
             }
         }
         match result {
-            DirectResult::Answered(r) => {
+            DirectCommandOutcome::Answered(r) => {
                 if r.host == d.id {
-                    self.heartbeat(&r, StatusSource::Direct, now);
+                    self.heartbeat(&r, StatusSource::DirectCommandReply, now);
                 }
                 self.follow_up(d.host, now);
             }
-            DirectResult::NotSent | DirectResult::Unclear => {
+            DirectCommandOutcome::NotSent | DirectCommandOutcome::Indeterminate => {
                 h.do_after_ms = retry;
                 h.unanswered_probes = h.unanswered_probes.saturating_add(1);
             }
@@ -89,7 +96,7 @@
             && (!h.token_confirmed() || h.attempts.iter().any(order_due))
         {
             h.do_after_ms = now + pause;
-            self.pending_dispatch.insert(host_index);
+            self.dispatch_queue.insert(host_index);
         }
     }
 
--- a/src/partition/drain.rs
+++ b/src/partition/drain.rs
@@ -17,7 +17,7 @@
                 (c.stop, c.stop_awaits_record) = (Some(0.0), false);
             }
         }
-        self.pending_dispatch.insert(d.host);
+        self.dispatch_queue.insert(d.host);
         for (key, _, to) in &d.moves {
             let demand = self.cluster.jobs[key.job].spec.demand;
             if let Some(h) = self.cluster.host_mut(*to) {
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -66,7 +66,7 @@
                 self.add_registered(id.to_string(), record, now);
             }
             Ok(record) => {
-                self.elsewhere.insert(id.to_string(), record.partition);
+                self.hosts_of_other_partitions.insert(id.to_string(), record.partition);
             }
             Err(e) => tracing::error!(key = item.key, error = %e, "unreadable machine record"),
         }
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -18,7 +18,7 @@
 impl Partition {
     /// Takes a report and returns the orders of its reply.
     pub fn heartbeat(&mut self, r: &Heartbeat, source: StatusSource, now: u64) -> Vec<Order> {
-        if self.released.contains(&r.host) {
+        if self.terminated_hosts.contains(&r.host) {
             return Vec::new();
         }
         let host_index = self.host_of_heartbeat(r, now);
@@ -66,7 +66,7 @@
         if source == StatusSource::Heartbeat && h.registered && h.token_shown_ms == 0 {
             h.token_shown_ms = now;
         } else {
-            self.pending_dispatch.insert(host_index);
+            self.dispatch_queue.insert(host_index);
         }
     }
 
@@ -79,7 +79,7 @@
         let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
         h.required_token = self.first_token;
         // Rented for another partition: it is given away once it is registered.
-        h.transferring_to = self.destined.remove(&r.host).filter(|p| *p != self.id);
+        h.transferring_to = self.pending_transfers.remove(&r.host).filter(|p| *p != self.id);
         self.cluster.add_host(h)
     }
 
@@ -108,7 +108,7 @@
         h.loads_models = r.slots.is_some();
         h.flavor = flavor;
         h.last_heartbeat_ms = now;
-        if source == StatusSource::Direct {
+        if source == StatusSource::DirectCommandReply {
             h.unanswered_probes = 0;
         }
         let notice_s = r.warning_s.filter(|_| !h.notice);
@@ -149,7 +149,7 @@
             let ran_s = now.saturating_sub(c.since_ms) as f64 / 1000.0;
             if spec.shape == Shape::Batch && spec.expected_s - ran_s > left_s {
                 c.stop = Some(spec.grace_s());
-                self.pending_dispatch.insert(host_index);
+                self.dispatch_queue.insert(host_index);
             }
         }
     }
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -7,7 +7,7 @@
 impl Partition {
     /// Does this partition take the machine's reports?
     pub fn belongs(&mut self, r: &Heartbeat) -> HostRouting {
-        if self.cluster.host_index.contains_key(&r.host) || self.released.contains(&r.host) {
+        if self.cluster.host_index.contains_key(&r.host) || self.terminated_hosts.contains(&r.host) {
             // A worker drops what carries a lower token than it has seen: a
             // higher fencing token first.
             if let Some(h) =
@@ -17,11 +17,11 @@
             }
             return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
         }
-        if self.id == 0 && !self.elsewhere.contains_key(&r.host) {
+        if self.id == 0 && !self.hosts_of_other_partitions.contains_key(&r.host) {
             return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
         }
-        self.recheck.insert(r.host.clone());
-        match self.elsewhere.get(&r.host) {
+        self.records_to_reread.insert(r.host.clone());
+        match self.hosts_of_other_partitions.get(&r.host) {
             Some(p) => HostRouting::Elsewhere(*p),
             None => HostRouting::Unknown,
         }
@@ -33,7 +33,7 @@
             // It is looked up again with its next report.
             Some(r) if r.partition == self.id && self.moves_may_be_undone() => {}
             Some(r) if r.partition == self.id => {
-                self.elsewhere.remove(id);
+                self.hosts_of_other_partitions.remove(id);
                 if !self.cluster.host_index.contains_key(id) {
                     // The giver made sure that nothing is left on it.
                     let fencing_token = self.fencing_token;
@@ -46,10 +46,10 @@
                 }
             }
             Some(r) => {
-                self.elsewhere.insert(id.to_string(), r.partition);
+                self.hosts_of_other_partitions.insert(id.to_string(), r.partition);
             }
             None => {
-                self.elsewhere.remove(id);
+                self.hosts_of_other_partitions.remove(id);
             }
         }
     }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -28,8 +28,8 @@
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
 pub use predecessors::PredecessorLookup;
 pub use types::{
-    Commit, CommitResult, Direct, DirectResult, HostRouting, JobWrite, PendingWrite, StatusSource, Superseded,
-    UserAnswer, Waiter,
+    Commit, CommitOutcome, DirectCommand, DirectCommandOutcome, HostRouting, JobWrite, PendingWrite, StatusSource,
+    Superseded, UserAnswer, Waiter,
 };
 
 use crate::dependencies::DependencyGraph;
@@ -55,11 +55,11 @@
     pub id: u32,
     teams: HashMap<String, u32>,
     /// Machines of other partitions, as far as the provisioner knows.
-    pub elsewhere: HashMap<String, u32>,
+    pub hosts_of_other_partitions: HashMap<String, u32>,
     /// Machines whose record is to be read again.
-    pub recheck: BTreeSet<String>,
+    pub records_to_reread: BTreeSet<String>,
     /// Where machines go that are on their way, by name; others stay here.
-    pub destined: HashMap<String, u32>,
+    pub pending_transfers: HashMap<String, u32>,
     partition_key: String,
     partition_version: u64,
     begun_ms: u64,
@@ -76,11 +76,11 @@
     /// Keys that are of no more use.
     obsolete_keys: BTreeSet<String>,
     /// Names of machines that were released: late copies of their reports mean nothing.
-    released: HashSet<String>,
+    terminated_hosts: HashSet<String>,
     /// The version of the partition's key under which a record of a machine was written without
     /// an answer. Such a write may come late, after the machine has moved to another partition
     /// or back, and undo that; it can't once the key has changed.
-    open_host_write: Option<u64>,
+    indeterminate_host_write: Option<u64>,
     in_flight: Option<Vec<PendingWrite>>,
     /// Machines of the last leader were reconciled since they were last counted.
     reconciliation_due: bool,
@@ -90,7 +90,7 @@
     /// Jobs whose cancellation waits for their tasks to be gone.
     cancelling: BTreeSet<JobIndex>,
     /// Machines that have orders to get without waiting for their next report.
-    pub pending_dispatch: BTreeSet<HostIndex>,
+    pub dispatch_queue: BTreeSet<HostIndex>,
     /// Running tasks of large jobs, counted now and then.
     running_counts: running_counts::RunningCounts,
     /// Something changed that a pass may use.
@@ -133,9 +133,9 @@
             first_token: 0,
             id,
             teams,
-            elsewhere: HashMap::new(),
-            recheck: BTreeSet::new(),
-            destined: HashMap::new(),
+            hosts_of_other_partitions: HashMap::new(),
+            records_to_reread: BTreeSet::new(),
+            pending_transfers: HashMap::new(),
             partition_key: crate::membership::partition_key(id),
             partition_version: 0,
             begun_ms: 0,
@@ -147,14 +147,14 @@
             dirty: BTreeSet::new(),
             new_hosts: BTreeSet::new(),
             obsolete_keys: BTreeSet::new(),
-            released: HashSet::new(),
-            open_host_write: None,
+            terminated_hosts: HashSet::new(),
+            indeterminate_host_write: None,
             in_flight: None,
             reconciliation_due: false,
             submitters: HashMap::new(),
             cancellers: HashMap::new(),
             cancelling: BTreeSet::new(),
-            pending_dispatch: BTreeSet::new(),
+            dispatch_queue: BTreeSet::new(),
             running_counts: running_counts::RunningCounts::new(),
             pass_due: true,
             done_since_pass: false,
--- a/src/partition/next_commit.rs
+++ b/src/partition/next_commit.rs
@@ -45,17 +45,17 @@
 }
 
 impl CommitBuilder {
-    fn new(guard: Value, max_ops: usize) -> CommitBuilder {
-        let commit = Commit { guards: vec![guard], apply: Vec::new() };
+    fn new(condition: Value, max_ops: usize) -> CommitBuilder {
+        let commit = Commit { conditions: vec![condition], writes: Vec::new() };
         CommitBuilder { commit, saved: Vec::new(), bytes: 0, max_ops }
     }
 
     fn full(&self) -> bool {
-        self.commit.apply.len() >= self.max_ops
+        self.commit.writes.len() >= self.max_ops
     }
 
-    fn apply(&mut self, change: Value, saved: PendingWrite) {
-        self.commit.apply.push(change);
+    fn writes(&mut self, change: Value, saved: PendingWrite) {
+        self.commit.writes.push(change);
         self.saved.push(saved);
     }
 }
@@ -71,15 +71,15 @@
         self.last_commit_ms = now;
         let due = self.due_records(now);
         let (urgent, rest) = due.split_at(due.partition_point(|d| d.priority < WritePriority::FollowedEnd));
-        let guard = wire::guard(&self.partition_key, self.partition_version);
-        let mut builder = CommitBuilder::new(guard, ops.min(self.largest_commit));
+        let condition = wire::condition(&self.partition_key, self.partition_version);
+        let mut builder = CommitBuilder::new(condition, ops.min(self.largest_commit));
         self.add_job_records(urgent, &mut builder);
         self.add_loan_records(&mut builder);
         self.add_pool_records(&mut builder);
         self.add_host_records(&mut builder);
         self.add_job_records(rest, &mut builder);
         self.add_deletions(&mut builder);
-        if builder.commit.apply.is_empty() {
+        if builder.commit.writes.is_empty() {
             return None;
         }
         self.in_flight = Some(builder.saved);
@@ -132,12 +132,12 @@
             };
             let Ok(value) = serde_json::to_value(&record) else { continue };
             builder.bytes += value.to_string().len() + 2 * key.len() + CHANGE_BYTES;
-            if builder.bytes > COMMIT_BYTES && !builder.commit.apply.is_empty() {
+            if builder.bytes > COMMIT_BYTES && !builder.commit.writes.is_empty() {
                 break;
             }
-            builder.commit.guards.push(wire::guard(&key, job.version));
+            builder.commit.conditions.push(wire::condition(&key, job.version));
             let write = JobWrite { job: job_index, change: job.unsaved, end_was_open: job.end_open, done: record.done };
-            builder.apply(wire::put(&key, &value, None), PendingWrite::Job(write));
+            builder.writes(wire::put(&key, &value, None), PendingWrite::Job(write));
             job.saving = true;
             // From its sending on another node may read the end.
             job.end_open |= end.is_some();
@@ -148,7 +148,7 @@
 
     /// Adds the records of loans that are due, as far as there is room.
     fn add_loan_records(&mut self, builder: &mut CommitBuilder) {
-        let left = builder.max_ops.saturating_sub(builder.commit.apply.len());
+        let left = builder.max_ops.saturating_sub(builder.commit.writes.len());
         if builder.bytes > COMMIT_BYTES / 2 {
             return;
         }
@@ -156,25 +156,25 @@
         if writes.is_empty() {
             return;
         }
-        for (guard, change) in writes.iter().map(PartitionLoans::encode) {
+        for (condition, change) in writes.iter().map(PartitionLoans::encode) {
             builder.bytes += change.to_string().len() + CHANGE_BYTES;
-            builder.commit.guards.push(guard);
-            builder.commit.apply.push(change);
+            builder.commit.conditions.push(condition);
+            builder.commit.writes.push(change);
         }
         builder.saved.push(PendingWrite::Loans);
     }
 
     /// Adds the records of warm pools that are due, as far as there is room.
     fn add_pool_records(&mut self, builder: &mut CommitBuilder) {
-        let left = builder.max_ops.saturating_sub(builder.commit.apply.len());
+        let left = builder.max_ops.saturating_sub(builder.commit.writes.len());
         if builder.bytes > COMMIT_BYTES / 2 {
             return;
         }
         let Some(changes) = self.next_pool_changes(left) else { return };
-        for (guard, change) in PartitionPools::encode(&changes) {
+        for (condition, change) in PartitionPools::encode(&changes) {
             builder.bytes += change.to_string().len() + CHANGE_BYTES;
-            builder.commit.guards.push(guard);
-            builder.commit.apply.push(change);
+            builder.commit.conditions.push(condition);
+            builder.commit.writes.push(change);
         }
         builder.saved.push(PendingWrite::Pools);
     }
@@ -191,9 +191,10 @@
             let partition = h.transferring_to.unwrap_or(self.id);
             let record = HostRecord { addr: h.addr, flavor, zone: h.zone.clone(), spot: h.spot, partition };
             let Ok(value) = serde_json::to_value(record) else { continue };
-            let saved =
-                h.transferring_to.map_or(PendingWrite::Host(host_index), |to| PendingWrite::Given(host_index, to));
-            builder.apply(wire::put(&host_key(&h.id), &value, None), saved);
+            let saved = h
+                .transferring_to
+                .map_or(PendingWrite::Host(host_index), |to| PendingWrite::TransferredHost(host_index, to));
+            builder.writes(wire::put(&host_key(&h.id), &value, None), saved);
         }
     }
 
@@ -201,7 +202,7 @@
     fn add_deletions(&mut self, builder: &mut CommitBuilder) {
         while !builder.full() {
             let Some(key) = self.obsolete_keys.pop_first() else { break };
-            builder.apply(wire::delete(&key), PendingWrite::KeyGone(key));
+            builder.writes(wire::delete(&key), PendingWrite::DeletedKey(key));
         }
     }
 }
--- a/src/partition/passes.rs
+++ b/src/partition/passes.rs
@@ -8,7 +8,7 @@
 const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl Partition {
-    /// One pass; the machines with new orders are in `pending_dispatch`.
+    /// One pass; the machines with new orders are in `dispatch_queue`.
     pub fn pass(&mut self, now: u64, wall: u64) {
         self.pass_due = false;
         self.pass_from(Urgency::Low, now, wall);
@@ -65,7 +65,7 @@
         let waited = wall.saturating_sub(job.ready_ms);
         self.metrics.observe("decision_ms", &job.spec.class, waited);
         self.log_start(start, waited);
-        self.pending_dispatch.insert(start.host);
+        self.dispatch_queue.insert(start.host);
     }
 
     fn log_start(&self, start: &Assignment, waited: u64) {
@@ -104,7 +104,7 @@
         );
         self.metrics.count("tasks_preempted", &spec.class);
         // What is lent is ordered once that is recorded.
-        self.pending_dispatch.insert(stop.host);
+        self.dispatch_queue.insert(stop.host);
     }
 
     /// Notes which work found no room. What is less urgent than `least` was not tried.
--- a/src/partition/predecessors.rs
+++ b/src/partition/predecessors.rs
@@ -100,7 +100,7 @@
                 None if self.predecessor_is_known(&id) => {}
                 // Its own creation may have been carried out since, or may still be.
                 None if self.cluster.job_index.contains_key(&id) => {
-                    let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::PredecessorUnclear));
+                    let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::PredecessorIndeterminate));
                     return;
                 }
                 None => {
@@ -326,7 +326,7 @@
 
     /// Why nothing may be told from memory of a job that waits, if so: whether a job that it
     /// needs is cancelled is being recorded, or stands in the record of another partition.
-    pub(super) fn waiting_is_unclear(&self, job_index: JobIndex) -> Option<RefusalReason> {
+    pub(super) fn waiting_is_indeterminate(&self, job_index: JobIndex) -> Option<RefusalReason> {
         let mut seen = HashSet::from([job_index]);
         let mut jobs = vec![job_index];
         while let Some(next) = jobs.pop() {
--- a/src/partition/records.rs
+++ b/src/partition/records.rs
@@ -1,7 +1,7 @@
 //! What the answer to a commit means, and records that are read again.
 
 use super::keys::JOB_PREFIX;
-use super::{CommitResult, Partition, PendingWrite, Superseded};
+use super::{CommitOutcome, Partition, PendingWrite, Superseded};
 use crate::model::{HostIndex, JobEnd, JobIndex, JobRecord, UnsavedChange, Urgency};
 use crate::wire::Item;
 use badgerdrift_borrowing::LOAN_PREFIX;
@@ -10,7 +10,7 @@
     /// May a late write undo that a machine moves between the partitions?
     pub(super) fn moves_may_be_undone(&self) -> bool {
         let one_partition = self.teams.values().all(|p| *p == self.id);
-        !one_partition && self.open_host_write == Some(self.partition_version)
+        !one_partition && self.indeterminate_host_write == Some(self.partition_version)
     }
 
     /// Is a commit under way?
@@ -20,28 +20,29 @@
 
     /// Takes the result of the commit under way; returns the keys of jobs
     /// whose records must be read again, or `Err` if the partition is lost.
-    pub fn committed(&mut self, result: CommitResult) -> Result<Vec<String>, Superseded> {
+    pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
         let saved = self.in_flight.take().unwrap_or_default();
         // After a conflict the records of pools and loans are read again, as after a commit without
         // an answer.
-        let conflict = matches!(result, CommitResult::Conflict { .. });
-        let unclear = matches!(result, CommitResult::Unclear);
+        let conflict = matches!(result, CommitOutcome::Conflict { .. });
+        let indeterminate = matches!(result, CommitOutcome::Indeterminate);
         let failed = match result {
-            CommitResult::Done { revision } => {
+            CommitOutcome::Done { revision } => {
                 self.largest_commit = (2 * self.largest_commit).min(self.limits.commit_changes);
                 saved.into_iter().for_each(|s| self.written(s, revision));
                 return Ok(Vec::new());
             }
-            CommitResult::Conflict { failed } => failed,
-            CommitResult::NotTaken => {
+            CommitOutcome::Conflict { failed } => failed,
+            CommitOutcome::NotTaken => {
                 self.commit_not_taken(&saved);
                 Vec::new()
             }
-            CommitResult::Refused | CommitResult::Throttled | CommitResult::Unclear => Vec::new(),
+            CommitOutcome::Refused | CommitOutcome::Throttled | CommitOutcome::Indeterminate => Vec::new(),
         };
         for write in saved {
-            let unclear = unclear || (conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans));
-            self.not_written(write, unclear);
+            let indeterminate =
+                indeterminate || (conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans));
+            self.not_written(write, indeterminate);
         }
         if failed.contains(&self.partition_key) {
             return Err(Superseded);
@@ -94,38 +95,40 @@
                     self.pass_due = true;
                 }
             }
-            PendingWrite::Given(host_index, to) => {
+            PendingWrite::TransferredHost(host_index, to) => {
                 if let Some(h) = self.cluster.remove_host(host_index) {
                     tracing::info!(host = h.id, to, "machine given to another partition");
-                    self.elsewhere.insert(h.id, to);
+                    self.hosts_of_other_partitions.insert(h.id, to);
                 }
             }
             PendingWrite::Pools => self.pools_written(revision),
             PendingWrite::Loans => self.loans_written(revision),
-            PendingWrite::KeyGone(_) => {}
+            PendingWrite::DeletedKey(_) => {}
         }
     }
 
-    /// A change was not carried out, or maybe not if that is `unclear`.
-    fn not_written(&mut self, saved: PendingWrite, unclear: bool) {
+    /// A change was not carried out, or maybe not if that is `indeterminate`.
+    fn not_written(&mut self, saved: PendingWrite, indeterminate: bool) {
         match saved {
-            PendingWrite::Job(write) => self.job_not_written(write.job, write.change, write.end_was_open, unclear),
-            PendingWrite::Host(host_index) | PendingWrite::Given(host_index, _) => {
-                self.host_not_written(host_index, unclear)
+            PendingWrite::Job(write) => {
+                self.job_not_written(write.job, write.change, write.end_was_open, indeterminate)
+            }
+            PendingWrite::Host(host_index) | PendingWrite::TransferredHost(host_index, _) => {
+                self.host_not_written(host_index, indeterminate)
             }
-            PendingWrite::Pools => self.pools_not_written(unclear),
-            PendingWrite::Loans => self.loans_not_written(unclear),
-            PendingWrite::KeyGone(key) => {
+            PendingWrite::Pools => self.pools_not_written(indeterminate),
+            PendingWrite::Loans => self.loans_not_written(indeterminate),
+            PendingWrite::DeletedKey(key) => {
                 self.obsolete_keys.insert(key);
             }
         }
     }
 
-    fn job_not_written(&mut self, job_index: JobIndex, what: UnsavedChange, end_was_open: bool, unclear: bool) {
+    fn job_not_written(&mut self, job_index: JobIndex, what: UnsavedChange, end_was_open: bool, indeterminate: bool) {
         let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         // What was certainly refused is not open; an earlier write may be.
-        job.end_open &= unclear || end_was_open;
+        job.end_open &= indeterminate || end_was_open;
         // Found to exist meanwhile: it need not be created any more.
         if what == UnsavedChange::Creation && job.version > 0 {
             return;
@@ -137,10 +140,10 @@
         self.dirty.insert(job_index);
     }
 
-    fn host_not_written(&mut self, host_index: HostIndex, unclear: bool) {
+    fn host_not_written(&mut self, host_index: HostIndex, indeterminate: bool) {
         self.new_hosts.insert(host_index);
-        if unclear {
-            self.open_host_write = Some(self.partition_version);
+        if indeterminate {
+            self.indeterminate_host_write = Some(self.partition_version);
         }
     }
 
--- a/src/partition/tests/acceptance.rs
+++ b/src/partition/tests/acceptance.rs
@@ -31,9 +31,9 @@
         p.adopt_job(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
     }
     p.pass(1000, 1000);
-    assert_eq!((p.pending_dispatch.len(), p.cluster.jobs.len()), (1, 1));
+    assert_eq!((p.dispatch_queue.len(), p.cluster.jobs.len()), (1, 1));
     let c = p.next_commit(1000, 32).unwrap();
-    assert_eq!(c.apply, [wire::delete("in/0/run-000005")]);
+    assert_eq!(c.writes, [wire::delete("in/0/run-000005")]);
 }
 
 #[test]
@@ -41,12 +41,12 @@
     let mut p = partition();
     let mut rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     let first = p.next_commit(1000, 32).unwrap();
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     assert!(rx.try_recv().is_err());
     p.next_commit(1100, 32).unwrap();
-    let keys = p.committed(CommitResult::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+    let keys = p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     assert_eq!(keys, ["job/run-000001"]);
-    let value = first.apply[0]["data"].clone();
+    let value = first.writes[0]["data"].clone();
     p.reread(Item { key: "job/run-000001".into(), value, version: 99 });
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { .. })));
     assert!(p.next_commit(1200, 32).is_none(), "nothing is left to write");
@@ -86,7 +86,7 @@
     assert!(busy(swarm.last_mut().unwrap()), "more than can be recorded soon");
     let mut urgent = submit(&mut p, &with_urgency(900, "production"), 1000);
     assert!(!busy(&mut urgent));
-    let first = &p.next_commit(1000, 1).unwrap().apply[0];
+    let first = &p.next_commit(1000, 1).unwrap().writes[0];
     assert!(first.to_string().contains("run-000900"), "{first}");
 }
 
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -84,16 +84,16 @@
         let Some(commit) = self.partition.next_commit(self.now, 32) else { return };
         if made {
             self.make(&commit);
-            let _ = self.partition.committed(CommitResult::Done { revision: self.revision });
+            let _ = self.partition.committed(CommitOutcome::Done { revision: self.revision });
         } else {
-            let _ = self.partition.committed(CommitResult::Refused);
+            let _ = self.partition.committed(CommitOutcome::Refused);
         }
     }
 
     /// Carries the changes of a commit out.
     fn make(&mut self, commit: &Commit) {
         self.revision += 1;
-        for change in &commit.apply {
+        for change in &commit.writes {
             if let Some(key) = change["put"].as_str() {
                 self.records.insert(key.into(), (change["data"].clone(), self.revision));
             } else if let Some(key) = change["delete"].as_str() {
@@ -151,7 +151,7 @@
     let mut rig = Rig::new();
     rig.burst(4);
     assert_eq!(stops(&rig.heartbeat()), 0, "no record yet");
-    let host = rig.partition.pending_dispatch.iter().next().copied();
+    let host = rig.partition.dispatch_queue.iter().next().copied();
     let direct = host.and_then(|host| rig.partition.direct(host, rig.now, false));
     assert_eq!(direct.map_or(0, |direct| stops(&direct.orders)), 0, "nor by a direct command");
     rig.commit_as(false);
@@ -184,7 +184,7 @@
     let mut rig = Rig::new();
     rig.burst(4);
     let late = rig.partition.next_commit(rig.now, 32).unwrap();
-    let _ = rig.partition.committed(CommitResult::Unclear);
+    let _ = rig.partition.committed(CommitOutcome::Indeterminate);
     assert_eq!(stops(&rig.heartbeat()), 0, "not known to be recorded");
     assert!(rig.partition.next_commit(rig.now, 32).is_none(), "to be read first");
     rig.make(&late);
@@ -199,9 +199,9 @@
     let found: Vec<(String, Option<Item>)> = found.collect();
     rig.partition.unclear_keys_read(found);
     let again = rig.partition.next_commit(rig.now, 32).unwrap();
-    assert_eq!(again.guards.last().unwrap()["stamp"], rig.revision, "on the version that was found");
+    assert_eq!(again.conditions.last().unwrap()["stamp"], rig.revision, "on the version that was found");
     rig.make(&again);
-    let _ = rig.partition.committed(CommitResult::Done { revision: rig.revision });
+    let _ = rig.partition.committed(CommitOutcome::Done { revision: rig.revision });
     assert_eq!(stops(&rig.heartbeat()), 4);
     rig.steps(3);
     assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -12,17 +12,17 @@
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commit(&mut p, 1100, 101);
     p.pass(1100, 1100);
-    assert!(p.pending_dispatch.is_empty());
+    assert!(p.dispatch_queue.is_empty());
     // The first report is answered, but shows an older token: the old
     // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
     p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
-    p.pending_dispatch.clear();
+    p.dispatch_queue.clear();
     p.pass(1200, 1200);
-    assert!(p.pending_dispatch.is_empty() && !p.cluster.all_reconciled);
+    assert!(p.dispatch_queue.is_empty() && !p.cluster.all_reconciled);
     p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
     p.pass(1300, 1300);
-    assert!(p.pending_dispatch.is_empty() && p.cluster.all_reconciled, "the task runs already");
+    assert!(p.dispatch_queue.is_empty() && p.cluster.all_reconciled, "the task runs already");
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
 }
 
@@ -68,7 +68,7 @@
     assert!(p.next_commit(1300, 32).is_none() && rx.try_recv().is_err(), "nor is its end said");
     p.host_gone("h2");
     while p.next_commit(1400, 32).is_some() {
-        p.committed(CommitResult::Done { revision: 102 }).unwrap();
+        p.committed(CommitOutcome::Done { revision: 102 }).unwrap();
     }
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
@@ -87,7 +87,7 @@
         p.heartbeat(&ended("running", 1), StatusSource::Heartbeat, 1100);
         p.heartbeat(&ended("ended", 2), StatusSource::Heartbeat, 1200);
         while p.next_commit(1200, 32).is_some() {
-            p.committed(CommitResult::Done { revision: 90 }).unwrap();
+            p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
         }
         p.pass(1300, 1300);
         // The other task may be on h1, or come to be there.
@@ -111,7 +111,7 @@
     p.host_gone("h0");
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
     while p.next_commit(1200, 32).is_some() {
-        p.committed(CommitResult::Done { revision: 90 }).unwrap();
+        p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
     }
     p.pass(1300, 1300);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
@@ -128,11 +128,11 @@
     let react = p.policy.react_ms;
     let still_old = |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
     p.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
-    assert!(p.pending_dispatch.is_empty());
+    assert!(p.dispatch_queue.is_empty());
     assert!(p.upkeep(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
     assert_eq!(p.upkeep(1100 + react, 0).1, [0], "the answer may not have reached it");
     p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
-    assert!(p.pending_dispatch.contains(&0), "the answer made no difference");
+    assert!(p.dispatch_queue.contains(&0), "the answer made no difference");
     p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
     p.refresh_unreconciled();
     assert!(p.cluster.all_reconciled);
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -9,7 +9,7 @@
 /// Takes all commits that are due, with this answer to each.
 fn commits(p: &mut Partition, now: u64, revision: u64) {
     while p.next_commit(now, 32).is_some() {
-        p.committed(CommitResult::Done { revision }).unwrap();
+        p.committed(CommitOutcome::Done { revision }).unwrap();
     }
 }
 
@@ -48,19 +48,19 @@
         assert_eq!(phase_told(&p), None, "under way");
         let mut again = submit(&mut p, &body("run-000001", "batch", 1), 1100);
         assert!(matches!(again.try_recv(), Ok(UserAnswer::RetryLater(_))), "nor is a repeated submission");
-        p.committed(CommitResult::Unclear).unwrap();
+        p.committed(CommitOutcome::Indeterminate).unwrap();
         assert_eq!(phase_told(&p), None, "it may have been carried out");
         // A later sending that is certainly refused settles nothing about the first.
         p.next_commit(1200, 32).unwrap();
-        p.committed(CommitResult::Refused).unwrap();
+        p.committed(CommitOutcome::Refused).unwrap();
         assert_eq!(phase_told(&p), None);
         let c = p.next_commit(1300, 32).unwrap();
         if at_once {
-            let keys = p.committed(CommitResult::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+            let keys = p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
             assert_eq!((keys.len(), phase_told(&p)), (1, None));
-            p.reread(Item { key: "job/run-000001".into(), value: c.apply[0]["data"].clone(), version: 101 });
+            p.reread(Item { key: "job/run-000001".into(), value: c.writes[0]["data"].clone(), version: 101 });
         } else {
-            p.committed(CommitResult::Done { revision: 102 }).unwrap();
+            p.committed(CommitOutcome::Done { revision: 102 }).unwrap();
         }
         assert_eq!(phase_told(&p), Some(JobPhase::Done));
     }
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_end_that_was_certainly_refused_hides_nothing() {
-    for result in [CommitResult::Refused, CommitResult::Conflict { failed: vec!["job/run-000099".into()] }] {
+    for result in [CommitOutcome::Refused, CommitOutcome::Conflict { failed: vec!["job/run-000099".into()] }] {
         let mut p = running("batch", 1);
         done_on_h1(&mut p, 1100);
         p.next_commit(1100, 32).unwrap();
@@ -84,7 +84,7 @@
     let mut p = running("batch", 1);
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     let value = serde_json::to_value(JobRecord::of(&p.cluster.jobs[0], None, RECORD_BYTES)).unwrap();
     let item = |version| Item { key: "job/run-000001".into(), value: value.clone(), version };
     p.reread(item(100));
@@ -112,7 +112,7 @@
     assert!(matches!(d.orders[..], [Order::Stop { .. }]));
     p.heartbeat(
         &heartbeat("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
-        StatusSource::Direct,
+        StatusSource::DirectCommandReply,
         1300,
     );
     p.pass(1300, 1300);
@@ -192,7 +192,7 @@
     );
     p.heartbeat(
         &heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", a, "running", None)]),
-        StatusSource::Direct,
+        StatusSource::DirectCommandReply,
         1200,
     );
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
@@ -207,10 +207,10 @@
     commits(&mut p, 1000, 100);
     p.pass(1000, 1000);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
-    assert!(p.pending_dispatch.contains(&0));
+    assert!(p.dispatch_queue.contains(&0));
     let d = p.direct(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
-    p.direct_done(&d, DirectResult::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
+    p.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
     commits(&mut p, 1020, 101);
     p.pass(1030, 1030);
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(0, _)));
@@ -245,11 +245,11 @@
     let mut p = running("batch", 1);
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
-    assert_eq!(p.committed(CommitResult::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
+    assert_eq!(p.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
     p.set_fencing_token(2, 90);
     let c = p.next_commit(1200, 32).unwrap();
-    assert_eq!(c.guards[0], wire::guard("part/0", 90));
-    p.committed(CommitResult::Done { revision: 101 }).unwrap();
+    assert_eq!(c.conditions[0], wire::condition("part/0", 90));
+    p.committed(CommitOutcome::Done { revision: 101 }).unwrap();
     assert_eq!(phase_told(&p), Some(JobPhase::Done));
 }
 
@@ -281,19 +281,19 @@
     let mut p = partition();
     let mut first = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     let c = p.next_commit(1000, 32).unwrap();
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     for _ in 0..2 {
         p.next_commit(1100, 32).unwrap();
-        p.committed(CommitResult::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+        p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     }
     p.next_commit(1200, 32).unwrap();
-    p.reread(Item { key: "job/run-000001".into(), value: c.apply[0]["data"].clone(), version: 101 });
+    p.reread(Item { key: "job/run-000001".into(), value: c.writes[0]["data"].clone(), version: 101 });
     assert!(matches!(first.try_recv(), Ok(UserAnswer::Accepted { .. })));
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
-    p.committed(CommitResult::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+    p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     let c = p.next_commit(1300, 32).unwrap();
-    assert_eq!(c.apply[0]["data"]["end"], "Cancelled");
-    p.committed(CommitResult::Done { revision: 103 }).unwrap();
+    assert_eq!(c.writes[0]["data"]["end"], "Cancelled");
+    p.committed(CommitOutcome::Done { revision: 103 }).unwrap();
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
@@ -307,7 +307,7 @@
         p.teams.insert("blue".into(), partitions - 1);
         p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
         p.next_commit(1000, 32).unwrap();
-        p.committed(CommitResult::Unclear).unwrap();
+        p.committed(CommitOutcome::Indeterminate).unwrap();
         commits(&mut p, 1100, 101);
         assert_eq!(p.needs_higher_token(), partitions > 1);
         if partitions > 1 {
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -192,31 +192,31 @@
             self.partition.pass(now, now);
             self.next_pass = now + 200;
         }
-        for host_index in std::mem::take(&mut self.partition.pending_dispatch) {
+        for host_index in std::mem::take(&mut self.partition.dispatch_queue) {
             let Some(d) = self.partition.direct(host_index, now, false) else { continue };
             let m = self.machines.get_mut(&d.id).unwrap();
             if m.next_ms == u64::MAX {
-                self.partition.direct_done(&d, DirectResult::NotSent, now);
+                self.partition.direct_command_done(&d, DirectCommandOutcome::NotSent, now);
                 continue;
             }
             m.carry_out(&d.orders, now, 60_000);
             let r = m.heartbeat(&d.id, now);
-            self.partition.direct_done(&d, DirectResult::Answered(Box::new(r)), now);
+            self.partition.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(r)), now);
         }
         if now >= self.next_commit
             && let Some(c) = self.partition.next_commit(now, 32)
         {
-            self.next_commit = now + (c.apply.len() * self.write_us) as u64 / 1000;
-            self.writes += c.apply.len();
-            self.largest_commit = self.largest_commit.max(wire::commit_body(&c.guards, &c.apply).len());
-            for a in &c.apply {
+            self.next_commit = now + (c.writes.len() * self.write_us) as u64 / 1000;
+            self.writes += c.writes.len();
+            self.largest_commit = self.largest_commit.max(wire::commit_body(&c.conditions, &c.writes).len());
+            for a in &c.writes {
                 if let Some(key) = a["put"].as_str() {
                     self.stored.insert(key.into(), a["data"].clone());
                 } else if let Some(key) = a["delete"].as_str() {
                     self.stored.remove(key);
                 }
             }
-            self.partition.committed(CommitResult::Done { revision: now }).unwrap();
+            self.partition.committed(CommitOutcome::Done { revision: now }).unwrap();
         }
         if now >= self.next_plan {
             self.next_plan = now + 1100;
--- a/src/partition/tests/followed_cancellations.rs
+++ b/src/partition/tests/followed_cancellations.rs
@@ -12,15 +12,15 @@
     assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Pending), "it is not recorded yet");
     // One change alone is committed: the others' records are still to come.
     p.next_commit(2000, 1).unwrap();
-    p.committed(CommitResult::Done { revision: 200 }).unwrap();
+    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     for id in [FIRST, SECOND, THIRD] {
         assert_eq!(phase(p.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
     let rest = p.next_commit(2000, 32).unwrap();
-    let written: Vec<&str> = rest.apply.iter().map(|a| a["put"].as_str().unwrap()).collect();
+    let written: Vec<&str> = rest.writes.iter().map(|a| a["put"].as_str().unwrap()).collect();
     assert_eq!(written, ["job/run-000002", "job/run-000003"]);
-    assert!(rest.apply.iter().all(|a| a["data"]["end"] == "Cancelled"));
-    p.committed(CommitResult::Done { revision: 201 }).unwrap();
+    assert!(rest.writes.iter().all(|a| a["data"]["end"] == "Cancelled"));
+    p.committed(CommitOutcome::Done { revision: 201 }).unwrap();
     assert!(p.next_commit(2000, 32).is_none());
     p.pass(2001, 2001);
     assert!(placed(&p).is_empty());
@@ -34,12 +34,12 @@
     for id in [FIRST, SECOND, THIRD] {
         assert_eq!(phase(p.status(id)), Err(RefusalReason::EndBeingRecorded), "{id}");
     }
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     assert_eq!(phase(p.status(THIRD)), Err(RefusalReason::EndBeingRecorded));
     assert!(job(&p, THIRD).waiting && job(&p, THIRD).end.is_none());
     // It was refused after all, by the next try.
     p.next_commit(2100, 32).unwrap();
-    p.committed(CommitResult::Refused).unwrap();
+    p.committed(CommitOutcome::Refused).unwrap();
     assert_eq!(phase(p.status(THIRD)), Err(RefusalReason::EndBeingRecorded), "the first may still come");
     commit_all(&mut p, 2200);
     assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Cancelled));
@@ -50,7 +50,7 @@
     let mut p = chain();
     cancel(&mut p, FIRST);
     p.next_commit(2000, 32).unwrap();
-    p.committed(CommitResult::Refused).unwrap();
+    p.committed(CommitOutcome::Refused).unwrap();
     assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Pending));
 }
 
@@ -61,7 +61,7 @@
     report_ended(&mut p, FIRST, 2);
     p.next_commit(2000, 32).unwrap();
     cancel(&mut p, FIRST);
-    p.committed(CommitResult::Done { revision: 200 }).unwrap();
+    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     commit_all(&mut p, 2000);
     assert_eq!(phase(p.status(FIRST)), Ok(JobPhase::Done));
     p.pass(2001, 2001);
@@ -81,7 +81,7 @@
         assert_eq!(phase(p.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
     let commit = p.next_commit(2000, 32).unwrap();
-    assert_eq!(commit.apply.len(), 2, "their own records follow");
+    assert_eq!(commit.writes.len(), 2, "their own records follow");
 }
 
 #[test]
@@ -106,7 +106,7 @@
     cancel(&mut p, FIRST);
     // The cancellation is recorded first, by itself.
     p.next_commit(2000, 1).unwrap();
-    p.committed(CommitResult::Done { revision: 200 }).unwrap();
+    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     assert_eq!(phase(p.status("run-000004")), Err(RefusalReason::JobNotAccepted));
     commit_all(&mut p, 2000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Cancelled));
@@ -118,10 +118,10 @@
     let mut p = chain();
     cancel(&mut p, FIRST);
     p.next_commit(2000, 1).unwrap();
-    p.committed(CommitResult::Done { revision: 200 }).unwrap();
+    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     let _rx = submit(&mut p, &body("run-000005", "batch", 2), 2000);
     let commit = p.next_commit(2000, 1).unwrap();
-    assert_eq!(commit.apply[0]["put"], "job/run-000005");
+    assert_eq!(commit.writes[0]["put"], "job/run-000005");
 }
 
 /// A job on which a thousand others wait.
@@ -140,15 +140,15 @@
 fn one_change_cancels_a_thousand_dependents() {
     let (mut p, ids) = wide_fan();
     cancel(&mut p, FIRST);
-    assert_eq!(p.next_commit(2000, 1).unwrap().apply.len(), 1);
-    p.committed(CommitResult::Done { revision: 5000 }).unwrap();
+    assert_eq!(p.next_commit(2000, 1).unwrap().writes.len(), 1);
+    p.committed(CommitOutcome::Done { revision: 5000 }).unwrap();
     assert!(ids.iter().all(|id| phase(p.status(id)) == Ok(JobPhase::Cancelled)));
     let mut followed = 0;
     let mut revision = 5000;
     while let Some(commit) = p.next_commit(2000, 4) {
-        followed += commit.apply.iter().filter(|a| a["data"]["end"] == "Cancelled").count();
+        followed += commit.writes.iter().filter(|a| a["data"]["end"] == "Cancelled").count();
         revision += 1;
-        p.committed(CommitResult::Done { revision }).unwrap();
+        p.committed(CommitOutcome::Done { revision }).unwrap();
     }
     assert_eq!(followed, 1000);
 }
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -94,7 +94,7 @@
 /// Takes the next commit, which must be due, as made at this revision.
 pub fn commit(p: &mut Partition, now: u64, revision: u64) {
     assert!(p.next_commit(now, 32).is_some());
-    assert_eq!(p.committed(CommitResult::Done { revision }), Ok(vec![]));
+    assert_eq!(p.committed(CommitOutcome::Done { revision }), Ok(vec![]));
 }
 
 /// A partition with one machine in use and one accepted job, placed.
@@ -104,7 +104,7 @@
     let _rx = submit(&mut p, &body("run-000001", shape, tasks), 1000);
     commit(&mut p, 1000, 100);
     p.pass(1001, 1001);
-    assert_eq!(p.pending_dispatch.len(), 1);
+    assert_eq!(p.dispatch_queue.len(), 1);
     p
 }
 
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -14,10 +14,13 @@
     // While one of them may be there, the user is told nothing that a clock starts with.
     let gone = |n: usize| reported(&format!("run-000001/{n}"), a[n], "ended", Some("halted"));
     let there = reported("run-000001/1", a[1], "running", None);
-    assert_eq!(runs(&p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![gone(0), there]), StatusSource::Direct, 1200)), 0);
+    assert_eq!(
+        runs(&p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![gone(0), there]), StatusSource::DirectCommandReply, 1200)),
+        0
+    );
     assert!(p.next_commit(1200, 32).is_none() && rx.try_recv().is_err());
     assert!(!matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Cancelled, .. }));
-    p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![gone(0), gone(1)]), StatusSource::Direct, 1300);
+    p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![gone(0), gone(1)]), StatusSource::DirectCommandReply, 1300);
     p.pass(1300, 1300);
     assert!(p.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "nothing is started again");
     commit(&mut p, 1300, 101);
@@ -28,7 +31,7 @@
 fn a_direct_command_without_an_answer_binds_its_tasks_until_a_higher_token() {
     let mut p = running("service", 1);
     let d = p.direct(0, 1001, false).unwrap();
-    p.direct_done(&d, DirectResult::Unclear, 2000);
+    p.direct_command_done(&d, DirectCommandOutcome::Indeterminate, 2000);
     // The machine does not list it, and it may still come.
     let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
     assert_eq!(runs(&orders), 1, "the same attempt, again");
@@ -56,7 +59,7 @@
         0,
         "a command is under way"
     );
-    p.direct_done(&d, DirectResult::Unclear, 2000);
+    p.direct_command_done(&d, DirectCommandOutcome::Indeterminate, 2000);
     assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 3, 1, ended()), StatusSource::Heartbeat, 2100)), 0);
     p.set_fencing_token(2, 78);
     assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 4, 2, ended()), StatusSource::Heartbeat, 2200)), 1);
--- a/src/partition/tests/predecessors.rs
+++ b/src/partition/tests/predecessors.rs
@@ -35,7 +35,7 @@
     let mut revision = p.cluster.jobs.iter().map(|job| job.version).max().unwrap_or(0).max(100);
     while p.next_commit(now, 32).is_some() {
         revision += 1;
-        p.committed(CommitResult::Done { revision }).unwrap();
+        p.committed(CommitOutcome::Done { revision }).unwrap();
     }
 }
 
@@ -129,11 +129,11 @@
     let mut p = partition();
     let _rx = submit(&mut p, &body(FIRST, "batch", 2), 1000);
     p.next_commit(1000, 32).unwrap();
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     p.looked_up(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
-    assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::PredecessorUnclear)));
+    assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::PredecessorIndeterminate)));
 }
 
 #[test]
@@ -186,7 +186,7 @@
     assert_eq!(placed(&p), [FIRST], "a report alone starts nothing");
     p.next_commit(2000, 32).unwrap();
     p.pass(2001, 2001);
-    p.committed(CommitResult::Unclear).unwrap();
+    p.committed(CommitOutcome::Indeterminate).unwrap();
     p.pass(2002, 2002);
     assert_eq!(placed(&p), [FIRST], "nor does a write that is under way or unclear");
     commit_all(&mut p, 2100);
--- a/src/partition/tests/recording.rs
+++ b/src/partition/tests/recording.rs
@@ -7,8 +7,8 @@
     let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     let c = p.next_commit(1000, 32).unwrap();
-    assert_eq!(c.guards[0], wire::guard("part/0", 77), "every commit guards on the part's key");
-    assert_eq!(p.committed(CommitResult::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
+    assert_eq!(c.conditions[0], wire::condition("part/0", 77), "every commit guards on the part's key");
+    assert_eq!(p.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
 }
 
 #[test]
@@ -17,10 +17,10 @@
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.pass(1000, 1000);
-    assert!(p.pending_dispatch.is_empty());
+    assert!(p.dispatch_queue.is_empty());
     commit(&mut p, 1000, 100);
     p.pass(1001, 1001);
-    assert_eq!(p.pending_dispatch.len(), 1);
+    assert_eq!(p.dispatch_queue.len(), 1);
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let every_other: Vec<u32> = (0..100_000).step_by(2).collect();
     p.tasks_done(0, &every_other, 1100);
     let c = p.next_commit(1100 + 60_000, 32).unwrap();
-    assert!(c.apply[0].to_string().len() < 32 * 1024);
+    assert!(c.writes[0].to_string().len() < 32 * 1024);
 }
 
 // Something was to be recorded all the time while an array of 100,000 short tasks ran, and no
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -19,7 +19,7 @@
         for host_index in probe {
             if let Some(d) = p.direct(host_index, now, true) {
                 asked += 1;
-                p.direct_done(&d, DirectResult::NotSent, now + 200);
+                p.direct_command_done(&d, DirectCommandOutcome::NotSent, now + 200);
             }
         }
         assert!(released.is_empty() || asked >= 2, "silence alone is no proof, nor is one probe");
@@ -38,12 +38,12 @@
 #[test]
 fn a_new_sessions_lease_counts_from_its_beginning() {
     let mut p = running("service", 1);
-    p.heartbeat(&heartbeat("h1", 2, 3, 1, vec![]), StatusSource::Direct, 9000);
+    p.heartbeat(&heartbeat("h1", 2, 3, 1, vec![]), StatusSource::DirectCommandReply, 9000);
     p.pass(9001, 9001);
     let a = attempt(&p, 0);
     p.heartbeat(
         &heartbeat("h1", 2, 4, 1, vec![reported("run-000001/0", a, "running", None)]),
-        StatusSource::Direct,
+        StatusSource::DirectCommandReply,
         9100,
     );
     p.upkeep(1000 + LEASE + 1000, 0);
@@ -77,7 +77,7 @@
         released.extend(release);
         for host_index in probe.into_iter().chain((n == 0).then_some(0)) {
             if let Some(d) = p.direct(host_index, now, true) {
-                p.direct_done(&d, DirectResult::NotSent, now);
+                p.direct_command_done(&d, DirectCommandOutcome::NotSent, now);
             }
         }
         if n == 4 {
--- a/src/partition/tests/warm_pools/failovers.rs
+++ b/src/partition/tests/warm_pools/failovers.rs
@@ -33,7 +33,7 @@
     let mut rig = Rig::new(3);
     let job = rig.submit("blue", "notes");
     rig.pass();
-    let host = *rig.partition.pending_dispatch.first().unwrap();
+    let host = *rig.partition.dispatch_queue.first().unwrap();
     rig.commit();
     let late = rig.partition.direct(host, rig.now, false).unwrap();
     let old_term = late.fencing_token;
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -112,8 +112,11 @@
         let (release, _) = rig.partition.upkeep(rig.now, 0);
         assert!(rig.claimed() <= 2, "one at a time, whatever is released: {release:?}");
     }
-    let elsewhere = rig.workers.iter().filter(|(id, _)| **id != hung);
-    assert_eq!(elsewhere.filter(|(_, worker)| worker.tasks.contains_key(&format!("{job}/0"))).count(), 1);
+    let hosts_of_other_partitions = rig.workers.iter().filter(|(id, _)| **id != hung);
+    assert_eq!(
+        hosts_of_other_partitions.filter(|(_, worker)| worker.tasks.contains_key(&format!("{job}/0"))).count(),
+        1
+    );
     assert_eq!(rig.idle(), POOL_SIZE);
     assert!(rig.partition.pool_slots().all(|slot| slot.host != hung || !slot.is_claimable()));
 }
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -190,16 +190,16 @@
     }
 
     fn dispatch(&mut self) {
-        for host_index in std::mem::take(&mut self.partition.pending_dispatch) {
+        for host_index in std::mem::take(&mut self.partition.dispatch_queue) {
             let Some(d) = self.partition.direct(host_index, self.now, false) else { continue };
             let worker = self.workers.get_mut(&d.id).unwrap();
             if worker.silent {
-                self.partition.direct_done(&d, DirectResult::NotSent, self.now);
+                self.partition.direct_command_done(&d, DirectCommandOutcome::NotSent, self.now);
                 continue;
             }
             worker.carry_out(&d.orders);
             let r = worker.heartbeat(&d.id);
-            self.partition.direct_done(&d, DirectResult::Answered(Box::new(r)), self.now);
+            self.partition.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(r)), self.now);
         }
     }
 
@@ -211,13 +211,13 @@
             Commits::Made => self.make(&c),
             Commits::MadeWithoutAnswer => {
                 self.make(&c);
-                CommitResult::Unclear
+                CommitOutcome::Indeterminate
             }
             Commits::Late => {
                 self.late.push(c);
-                CommitResult::Unclear
+                CommitOutcome::Indeterminate
             }
-            Commits::Refused => CommitResult::Refused,
+            Commits::Refused => CommitOutcome::Refused,
         };
         let again = self.partition.committed(result).unwrap();
         for key in again {
@@ -228,27 +228,27 @@
     }
 
     /// Makes a commit if its conditions hold; the partition's own key always does.
-    fn make(&mut self, c: &Commit) -> CommitResult {
+    fn make(&mut self, c: &Commit) -> CommitOutcome {
         let version = |key: &str| self.store.get(key).map_or(0, |item| item.1);
         let failed: Vec<String> = c
-            .guards
+            .conditions
             .iter()
-            .map(|guard| (guard["path"].as_str().unwrap(), guard["stamp"].as_u64().unwrap()))
+            .map(|condition| (condition["path"].as_str().unwrap(), condition["stamp"].as_u64().unwrap()))
             .filter(|(key, stamp)| !key.starts_with("part/") && version(key) != *stamp)
             .map(|(key, _)| key.to_string())
             .collect();
         if !failed.is_empty() {
-            return CommitResult::Conflict { failed };
+            return CommitOutcome::Conflict { failed };
         }
         self.revision += 1;
-        for change in &c.apply {
+        for change in &c.writes {
             if let Some(key) = change["put"].as_str() {
                 self.store.insert(key.into(), (change["data"].clone(), self.revision));
             } else if let Some(key) = change["delete"].as_str() {
                 self.store.remove(key);
             }
         }
-        CommitResult::Done { revision: self.revision }
+        CommitOutcome::Done { revision: self.revision }
     }
 
     fn read_unclear(&mut self) {
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -13,12 +13,12 @@
     /// Sent by the worker on its own, at regular intervals.
     Heartbeat,
     /// The answer to a direct command.
-    Direct,
+    DirectCommandReply,
 }
 
 /// A direct command to be sent.
 #[derive(Debug)]
-pub struct Direct {
+pub struct DirectCommand {
     /// The machine, in the partition's state.
     pub host: HostIndex,
     /// Id of the machine.
@@ -35,13 +35,13 @@
 
 /// How a direct command ended.
 #[derive(Debug)]
-pub enum DirectResult {
+pub enum DirectCommandOutcome {
     /// 200 or 409, with the worker's report.
     Answered(Box<Heartbeat>),
     /// The worker cannot have received it.
     NotSent,
     /// The worker may have received it, or may still do so.
-    Unclear,
+    Indeterminate,
 }
 
 /// A job's record in a commit under way.
@@ -65,27 +65,27 @@
     /// The record of a machine.
     Host(HostIndex),
     /// The record of a machine that moves to the partition of this number.
-    Given(HostIndex, u32),
+    TransferredHost(HostIndex, u32),
     /// Records of warm pools.
     Pools,
     /// Records of loans between teams.
     Loans,
     /// The deletion of this key.
-    KeyGone(String),
+    DeletedKey(String),
 }
 
 /// A commit to be sent.
 #[derive(Debug)]
 pub struct Commit {
     /// Conditions that must all hold.
-    pub guards: Vec<Value>,
+    pub conditions: Vec<Value>,
     /// Changes, which are made all or not at all.
-    pub apply: Vec<Value>,
+    pub writes: Vec<Value>,
 }
 
 /// How a commit ended.
 #[derive(Debug)]
-pub enum CommitResult {
+pub enum CommitOutcome {
     /// The changes were made.
     Done {
         /// Revision of the state service that they were made at.
@@ -104,7 +104,7 @@
     /// whole may be too large.
     NotTaken,
     /// The changes may have been made, or may still be.
-    Unclear,
+    Indeterminate,
 }
 
 /// Whether a partition takes a machine's reports.
--- a/src/partition/upkeep.rs
+++ b/src/partition/upkeep.rs
@@ -188,7 +188,7 @@
 
     /// The cloud has confirmed: the machine and all on it are gone.
     pub fn host_gone(&mut self, id: &str) {
-        self.released.insert(id.to_string());
+        self.terminated_hosts.insert(id.to_string());
         let Some(&host_index) = self.cluster.host_index.get(id) else { return };
         self.lose_all(host_index);
         self.new_hosts.remove(&host_index);
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -103,7 +103,7 @@
         }
         if job.end.is_none()
             && job.waiting
-            && let Some(reason) = self.waiting_is_unclear(job_index)
+            && let Some(reason) = self.waiting_is_indeterminate(job_index)
         {
             return Err(UserAnswer::RetryLater(reason));
         }
--- a/src/partition/warm_pools/commits.rs
+++ b/src/partition/warm_pools/commits.rs
@@ -53,11 +53,11 @@
         self.follow_pool_events(events);
     }
 
-    /// The pools' part of a commit was not made, or that is `unclear`.
-    pub(in crate::partition) fn pools_not_written(&mut self, unclear: bool) {
+    /// The pools' part of a commit was not made, or that is `indeterminate`.
+    pub(in crate::partition) fn pools_not_written(&mut self, indeterminate: bool) {
         let Some(own) = &mut self.pools else { return };
-        if unclear {
-            own.pools.unclear();
+        if indeterminate {
+            own.pools.indeterminate();
         } else {
             own.pools.not_written();
         }
@@ -97,7 +97,7 @@
     fn dispatch_slot(&mut self, slot: u64) {
         let slot = self.pools.as_ref().and_then(|own| own.pools.slot(slot));
         if let Some(host) = slot.and_then(|slot| self.cluster.host_index.get(&slot.host)) {
-            self.pending_dispatch.insert(*host);
+            self.dispatch_queue.insert(*host);
         }
         self.pass_due = true;
     }
@@ -120,7 +120,7 @@
                 Some(value) => wire::put(&path, &serde_json::to_value(value).unwrap_or_default(), None),
                 None => wire::delete(&path),
             };
-            (wire::guard(&path, write.version), change)
+            (wire::condition(&path, write.version), change)
         };
         changes.writes.iter().map(encode).collect()
     }
--- a/src/partition/warm_pools/maintenance.rs
+++ b/src/partition/warm_pools/maintenance.rs
@@ -108,6 +108,6 @@
         let draining = self.pool_slots().filter(|slot| matches!(slot.state, SlotState::Draining(_)));
         let hosts: Vec<HostIndex> =
             draining.filter_map(|slot| self.cluster.host_index.get(&slot.host).copied()).collect();
-        self.pending_dispatch.extend(hosts);
+        self.dispatch_queue.extend(hosts);
     }
 }
--- a/src/partition/warm_pools/rooms.rs
+++ b/src/partition/warm_pools/rooms.rs
@@ -30,7 +30,7 @@
         for slot in &outcome.rooms_given_up {
             own.pools.drain(*slot, EndCause::RoomNeeded, moment);
             if let Some(host) = own.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
-                self.pending_dispatch.insert(*host);
+                self.dispatch_queue.insert(*host);
             }
         }
     }
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -125,7 +125,7 @@
             externals_under_way: false,
             next_externals_ms: 0,
             followed: FollowedConfiguration::default(),
-            reading_unclear: false,
+            reading_indeterminate: false,
             pending_machines: Vec::new(),
         }
     }
@@ -195,7 +195,9 @@
             }
             BackgroundEvent::Rechecked { host, record } => leadership.partition.rechecked(&host, record, now),
             BackgroundEvent::Loaded(loaded) => self.loaded(leadership, loaded, now),
-            BackgroundEvent::DirectDone { command, result } => leadership.partition.direct_done(&command, result, now),
+            BackgroundEvent::DirectDone { command, result } => {
+                leadership.partition.direct_command_done(&command, result, now)
+            }
             BackgroundEvent::Committed(result) => self.committed(leadership, result, now),
             BackgroundEvent::Reread(items) => {
                 for i in items {
@@ -211,7 +213,7 @@
                 leadership.partition.looked_up(submission, found, now, clock::wall_ms());
             }
             BackgroundEvent::ExternalsRead(read) => self.externals_read(leadership, read, now),
-            BackgroundEvent::UnclearRead(found) => self.unclear_read(leadership, found),
+            BackgroundEvent::IndeterminateRead(found) => self.indeterminate_read(leadership, found),
             BackgroundEvent::Raised(raised) => self.raised(leadership, raised, now),
             BackgroundEvent::ConfigurationRecorded(obeyed) => self.configuration_recorded(leadership, obeyed),
             BackgroundEvent::Superseded => self.superseded(leadership),
--- a/src/partition_leader/commits.rs
+++ b/src/partition_leader/commits.rs
@@ -5,7 +5,7 @@
 use super::messages::BackgroundEvent;
 use crate::clients::{State, TokenBucket};
 use crate::membership::{self, PartitionRecord, RaisedToken};
-use crate::partition::{CommitResult, Superseded};
+use crate::partition::{CommitOutcome, Superseded};
 use crate::task;
 use tokio::time::sleep;
 
@@ -27,10 +27,10 @@
             return;
         }
         if let Some(c) = leadership.partition.next_commit(now, ops) {
-            leadership.writes.spend(c.apply.len());
+            leadership.writes.spend(c.writes.len());
             let (state, sender) = (self.state.clone(), self.sender(leadership.n));
             task::spawn(async move {
-                let result = state.commit(&c.guards, &c.apply).await;
+                let result = state.commit(&c.conditions, &c.writes).await;
                 sender.send(BackgroundEvent::Committed(result)).await;
             });
         }
@@ -44,7 +44,7 @@
         task::spawn(async move {
             let event = match membership::raise_fencing_token(&state, id, &node, version, lease_id).await {
                 Ok(raised) => BackgroundEvent::Raised(Some(raised)),
-                Err(CommitResult::Conflict { .. }) => read_partition_record(&state, id, lease_id).await,
+                Err(CommitOutcome::Conflict { .. }) => read_partition_record(&state, id, lease_id).await,
                 Err(_) => BackgroundEvent::Raised(None),
             };
             sender.send(event).await;
@@ -52,12 +52,12 @@
     }
 
     /// Takes in how a commit ended.
-    pub(super) fn committed(&self, leadership: &mut Leadership, result: CommitResult, now: u64) {
-        let in_vain = |r: &CommitResult| !matches!(r, CommitResult::Done { .. } | CommitResult::Conflict { .. });
+    pub(super) fn committed(&self, leadership: &mut Leadership, result: CommitOutcome, now: u64) {
+        let in_vain = |r: &CommitOutcome| !matches!(r, CommitOutcome::Done { .. } | CommitOutcome::Conflict { .. });
         if in_vain(&result) {
             leadership.commit_after_ms = now + self.settings.react_ms() / 5;
         }
-        if matches!(result, CommitResult::Throttled) {
+        if matches!(result, CommitOutcome::Throttled) {
             self.slow_down(leadership, now);
         }
         match leadership.partition.committed(result) {
--- a/src/partition_leader/configuration.rs
+++ b/src/partition_leader/configuration.rs
@@ -6,7 +6,7 @@
 use crate::configuration::{Obeyed, Published, obeyed_change, policy_of};
 use crate::membership::partition_key;
 use crate::model::Demand;
-use crate::partition::CommitResult;
+use crate::partition::CommitOutcome;
 use crate::{task, wire};
 
 impl PartitionLeader {
@@ -63,10 +63,10 @@
         leadership.writes.spend(1);
         leadership.followed.recording = true;
         let (state, sender) = (self.state.clone(), self.sender(leadership.n));
-        let guard = wire::guard(&partition_key(self.id), leadership.version);
+        let condition = wire::condition(&partition_key(self.id), leadership.version);
         task::spawn(async move {
-            let result = state.commit(&[guard], &[obeyed_change(&obeyed)]).await;
-            let recorded = matches!(result, CommitResult::Done { .. }).then_some(obeyed);
+            let result = state.commit(&[condition], &[obeyed_change(&obeyed)]).await;
+            let recorded = matches!(result, CommitOutcome::Done { .. }).then_some(obeyed);
             sender.send(BackgroundEvent::ConfigurationRecorded(recorded)).await;
         });
     }
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -35,7 +35,7 @@
     /// How far this leader follows the shared configuration.
     pub(super) followed: FollowedConfiguration,
     /// Unclear records of warm pools and loans are being read.
-    pub(super) reading_unclear: bool,
+    pub(super) reading_indeterminate: bool,
     /// What the provisioner says is on its way here.
     pub(super) pending_machines: Vec<PendingMachine>,
 }
--- a/src/partition_leader/load.rs
+++ b/src/partition_leader/load.rs
@@ -45,15 +45,15 @@
     /// Reads the records of pools and loans that are unclear, until all are read.
     pub(super) fn read_unclear_records(&self, leadership: &mut Leadership) {
         let keys = leadership.partition.unclear_keys();
-        if leadership.reading_unclear || keys.is_empty() {
+        if leadership.reading_indeterminate || keys.is_empty() {
             return;
         }
-        leadership.reading_unclear = true;
+        leadership.reading_indeterminate = true;
         let (state, sender) = (self.state.clone(), self.sender(leadership.n));
         task::spawn(async move {
             while sender.is_current() {
                 if let Some(found) = read_keys(&state, &keys).await {
-                    sender.send(BackgroundEvent::UnclearRead(found)).await;
+                    sender.send(BackgroundEvent::IndeterminateRead(found)).await;
                     return;
                 }
                 sleep(state.pause()).await;
@@ -62,13 +62,13 @@
     }
 
     /// Takes these records as they are.
-    pub(super) fn unclear_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
-        leadership.reading_unclear = false;
+    pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
+        leadership.reading_indeterminate = false;
         leadership.partition.unclear_keys_read(found);
     }
 
     /// Reads the record of a machine that may be another partition's now.
-    pub(super) fn recheck(&self, leadership_epoch: u64, host: String) {
+    pub(super) fn records_to_reread(&self, leadership_epoch: u64, host: String) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
             if let Ok((item, _)) = state.get(&partition::host_key(&host)).await {
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -6,7 +6,7 @@
 use crate::loans::LoansResponse;
 use crate::membership::RaisedToken;
 use crate::model::{Flavor, HostRecord};
-use crate::partition::{CommitResult, Direct, DirectResult, Waiter};
+use crate::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
 use crate::wire::{Heartbeat, Item, Listed, Order};
@@ -82,12 +82,12 @@
     /// A direct command has ended.
     DirectDone {
         /// The command.
-        command: Direct,
+        command: DirectCommand,
         /// How it ended.
-        result: DirectResult,
+        result: DirectCommandOutcome,
     },
     /// A commit has ended.
-    Committed(CommitResult),
+    Committed(CommitOutcome),
     /// Records that were read again after a conflict.
     Reread(Vec<Item>),
     /// Jobs that other nodes accepted.
@@ -102,7 +102,7 @@
     /// Records of jobs of other partitions that are waited for.
     ExternalsRead(ExternalRecords),
     /// Records of warm pools and loans that were unclear, by key; `None` where there is none.
-    UnclearRead(Vec<(String, Option<Item>)>),
+    IndeterminateRead(Vec<(String, Option<Item>)>),
     /// The fencing token was raised; none if that failed.
     Raised(Option<RaisedToken>),
     /// It was recorded that this leader obeys a version of the configuration; `None` if that failed.
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -65,15 +65,15 @@
             leadership.provisioner.plan(&mut leadership.partition, &leadership.pending_machines, now, wall);
         if self.id == 0 {
             ops.extend(leadership.provisioner.lead(capacity_report, &leadership.partition, now, self.patience()));
-            leadership.partition.destined = leadership.provisioner.destined(0);
+            leadership.partition.pending_transfers = leadership.provisioner.pending_transfers(0);
         } else {
             self.ask_leader(leadership.n, capacity_report);
         }
         for op in ops {
             self.cloud_request(leadership, op);
         }
-        for host in std::mem::take(&mut leadership.partition.recheck) {
-            self.recheck(leadership.n, host);
+        for host in std::mem::take(&mut leadership.partition.records_to_reread) {
+            self.records_to_reread(leadership.n, host);
         }
     }
 
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -187,7 +187,7 @@
     }
 
     /// Which partition each machine on its way is for, where that is not the provisioner's.
-    pub fn destined(&self, provisioner: u32) -> HashMap<String, u32> {
+    pub fn pending_transfers(&self, provisioner: u32) -> HashMap<String, u32> {
         self.booting
             .iter()
             .filter(|(_, b)| b.partition != provisioner)
@@ -279,5 +279,5 @@
 
 /// Has the machine reported, to any partition?
 fn is_up(partition: &Partition, id: &str) -> bool {
-    partition.cluster.host_index.contains_key(id) || partition.elsewhere.contains_key(id)
+    partition.cluster.host_index.contains_key(id) || partition.hosts_of_other_partitions.contains_key(id)
 }
--- a/src/provisioner/tests/frame_sizes.rs
+++ b/src/provisioner/tests/frame_sizes.rs
@@ -17,7 +17,7 @@
         bench.partition.heartbeat(&heartbeat(&id, 1, 1, 1, vec![]), StatusSource::Heartbeat, bench.now);
     }
     while bench.partition.next_commit(bench.now, 1000).is_some() {
-        bench.partition.committed(CommitResult::Done { revision: bench.now }).unwrap();
+        bench.partition.committed(CommitOutcome::Done { revision: bench.now }).unwrap();
     }
     bench
 }
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::clients::RentResult;
 use crate::partition::tests::{commit, heartbeat, partition, partition_of, submit};
-use crate::partition::{CommitResult, Partition, StatusSource};
+use crate::partition::{CommitOutcome, Partition, StatusSource};
 use crate::wire::tests::reported;
 use crate::wire::{Listed, Order};
 use serde_json::json;
@@ -95,7 +95,7 @@
             self.now += ROUND_MS;
             self.heartbeat();
             if self.partition.next_commit(self.now, 32).is_some() {
-                self.partition.committed(CommitResult::Done { revision: self.now }).unwrap();
+                self.partition.committed(CommitOutcome::Done { revision: self.now }).unwrap();
             }
             let ops = self.round();
             self.carry_out(ops);
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -54,7 +54,8 @@
     /// A job that the job waits for belongs to another partition: only its record tells how it is.
     PredecessorElsewhere,
     /// Whether a job that is waited for was accepted is not known yet.
-    PredecessorUnclear,
+    #[serde(rename = "predecessor_unclear")]
+    PredecessorIndeterminate,
     /// The queue of the partition's actor is full; a worker reports again.
     TooManyReports,
     /// The queue of the partition's actor is full.
@@ -74,8 +75,8 @@
 
     /// Does the version before know it, too?
     pub fn is_known_to_all(self) -> bool {
-        use RefusalReason::{ConfigurationBehind, ControllerOutdated, PredecessorElsewhere, PredecessorUnclear};
-        !matches!(self, ConfigurationBehind | ControllerOutdated | PredecessorElsewhere | PredecessorUnclear)
+        use RefusalReason::{ConfigurationBehind, ControllerOutdated, PredecessorElsewhere, PredecessorIndeterminate};
+        !matches!(self, ConfigurationBehind | ControllerOutdated | PredecessorElsewhere | PredecessorIndeterminate)
     }
 
     /// The reason with this name, if this version knows it.
@@ -121,7 +122,7 @@
             RefusalReason::TooManyReads => "too many reads of job records",
             RefusalReason::ControllerOutdated => "a controller is of an earlier version",
             RefusalReason::PredecessorElsewhere => "a job that is waited for belongs to another partition",
-            RefusalReason::PredecessorUnclear => "whether a job that is waited for was accepted is not known yet",
+            RefusalReason::PredecessorIndeterminate => "whether a job that is waited for was accepted is not known yet",
             RefusalReason::TooManyReports => "too many reports",
             RefusalReason::TooManyRequests => "too many requests",
             RefusalReason::TooManySubmissions => "too many submissions",
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -7,7 +7,7 @@
 
 pub use cloud::{Listed, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
 pub use state_service::{
-    Change, Changes, Item, Page, Revision, StateLease, commit_body, delete, grant_body, guard, put, store,
+    Change, Changes, Item, Page, Revision, StateLease, commit_body, condition, delete, grant_body, put, store,
 };
 pub use user::{MAX_TASKS, Malformed, is_job_id, job_answer, parse_submission, told_end};
 pub use worker::{DO_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, orders, redirect};
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -88,7 +88,7 @@
 }
 
 /// A condition of a commit: the version that a key must have; 0 if it must not exist.
-pub fn guard(key: &str, version: u64) -> Value {
+pub fn condition(key: &str, version: u64) -> Value {
     json!({ "path": key, "stamp": version })
 }
 
@@ -106,8 +106,8 @@
 }
 
 /// The body of a commit.
-pub fn commit_body(guards: &[Value], apply: &[Value]) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "guards": guards, "apply": apply })).unwrap_or_default()
+pub fn commit_body(conditions: &[Value], apply: &[Value]) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "guards": conditions, "apply": apply })).unwrap_or_default()
 }
 
 /// The body of a request for a lease, or for its extension.
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -5,7 +5,7 @@
 use badgerdrift::clients::{Cloud, RentResult, RequestError, State};
 use badgerdrift::config::{Settings, load_settings};
 use badgerdrift::http::{self, Request, Response};
-use badgerdrift::partition::CommitResult;
+use badgerdrift::partition::CommitOutcome;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::Missing), "the keys must be read again");
     assert_eq!(state.extend_grant(4, 2500).await, Err(RequestError::Missing));
     assert_eq!(state.new_grant(2500).await, Err(RequestError::Refused));
-    assert!(matches!(state.commit(&[], &[]).await, CommitResult::Conflict { failed } if failed == ["a/1"]));
+    assert!(matches!(state.commit(&[], &[]).await, CommitOutcome::Conflict { failed } if failed == ["a/1"]));
 }
 
 fn cloud_script(r: Request) -> Response {
--- a/tests/fleet_configuration/faults.rs
+++ b/tests/fleet_configuration/faults.rs
@@ -36,7 +36,7 @@
         fleet.run(5.0).await;
         let change = fleet.team_change(0, "red", [1.0, 1.0, 1.0]);
         let answer = fleet.apply(0, 0, &change).await;
-        assert_eq!(answer, Some(ConfigurationResponse::Unavailable(Unavailable::Unclear)));
+        assert_eq!(answer, Some(ConfigurationResponse::Unavailable(Unavailable::Indeterminate)));
         fleet.mend();
         fleet.run(5.0).await;
         let again = fleet.apply(1, 0, &change).await;
