--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -88,9 +88,9 @@
     /// Reports tasks that this partition does not know.
     pub has_unknown_tasks: bool,
     /// The cloud has announced that it takes the machine back.
-    pub notice: bool,
+    pub preemption_notice: bool,
     /// Its return to the cloud was decided: nothing is placed on it any more.
-    pub releasing: bool,
+    pub terminating: bool,
     /// Its worker keeps models loaded, by the extension for that.
     pub loads_models: bool,
     /// Being emptied, to be returned.
@@ -139,8 +139,8 @@
             registered: false,
             reconciled: false,
             has_unknown_tasks: false,
-            notice: false,
-            releasing: false,
+            preemption_notice: false,
+            terminating: false,
             loads_models: false,
             draining: false,
             unanswered_probes: 0,
--- a/src/partition/drain.rs
+++ b/src/partition/drain.rs
@@ -28,7 +28,7 @@
 
     /// Takes machines that were being emptied into use again.
     pub(super) fn cancel_drain(&mut self) {
-        for h in self.cluster.hosts.iter_mut().flatten().filter(|h| h.draining && !h.releasing) {
+        for h in self.cluster.hosts.iter_mut().flatten().filter(|h| h.draining && !h.terminating) {
             h.draining = false;
             self.pass_due = true;
         }
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -26,7 +26,7 @@
         self.set_fencing_token(fencing_token, version);
         self.first_token = fencing_token;
         self.begun_ms = now;
-        self.last_upkeep_ms = now;
+        self.last_failure_detection_ms = now;
         self.cluster.flavors = flavors;
         for item in jobs {
             self.load_job(item, now);
--- a/src/partition/upkeep.rs
+++ b/src/partition/failure_detector.rs
@@ -15,19 +15,19 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneHealth {
     all: usize,
-    quiet: usize,
+    suspect: usize,
 }
 
 impl ZoneHealth {
     /// Are too many quiet at once for faults of the machines themselves?
     fn cut_off(self) -> bool {
-        self.quiet * 3 > self.all.max(LEAST_ZONE)
+        self.suspect * 3 > self.all.max(LEAST_ZONE)
     }
 }
 
 /// What a look at all machines found.
 #[derive(Debug, Default)]
-struct Survey {
+struct HeartbeatSurvey {
     /// Machines whose lease has surely expired.
     expired: Vec<HostIndex>,
     /// Machines to be released, unless their zone is cut off.
@@ -40,33 +40,33 @@
 impl Partition {
     /// For how long a sound machine may be silent: reports come a quarter late at
     /// the most, and take a moment.
-    pub(super) fn quiet_ms(&self) -> u64 {
+    pub(super) fn heartbeat_timeout_ms(&self) -> u64 {
         self.policy.report_ms * 13 / 10
     }
 
     /// Silent for so long, and without an answer to two probes: it is lost.
-    pub(super) fn lost_ms(&self) -> u64 {
-        self.quiet_ms() + self.policy.react_ms * 3 / 2
+    pub(super) fn unreachable_timeout_ms(&self) -> u64 {
+        self.heartbeat_timeout_ms() + self.policy.react_ms * 3 / 2
     }
 
     /// Looks after silent machines; returns those to be released, and those to
     /// be asked directly.
     ///
     /// `unbound_ms`: another controller may have kept leases alive until then.
-    pub fn upkeep(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIndex>) {
-        self.forgive_own_pause(now);
+    pub fn detect_failures(&mut self, now: u64, unbound_ms: u64) -> (Vec<String>, Vec<HostIndex>) {
+        self.exclude_own_pause(now);
         self.refresh_running_counts();
         let survey = self.survey(now, unbound_ms);
         self.expire_leases(survey.expired);
-        let release = self.release_silent(survey.silent, &survey.cut_off_zones);
+        let release = self.terminate_unreachable(survey.silent, &survey.cut_off_zones);
         (release, survey.probe)
     }
 
     /// If we stood still the silence was ours, and what was said meanwhile is still to
     /// be read.
-    fn forgive_own_pause(&mut self, now: u64) {
-        let gap = now.saturating_sub(self.last_upkeep_ms);
-        self.last_upkeep_ms = now;
+    fn exclude_own_pause(&mut self, now: u64) {
+        let gap = now.saturating_sub(self.last_failure_detection_ms);
+        self.last_failure_detection_ms = now;
         if gap <= 2 * self.policy.react_ms {
             return;
         }
@@ -77,24 +77,24 @@
     }
 
     /// Sorts out which machines are quiet, and for how long.
-    fn survey(&self, now: u64, unbound_ms: u64) -> Survey {
-        let mut survey = Survey::default();
+    fn survey(&self, now: u64, unbound_ms: u64) -> HeartbeatSurvey {
+        let mut survey = HeartbeatSurvey::default();
         let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
-        for (host_index, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing) {
-            let quiet = now.saturating_sub(h.last_heartbeat_ms) > self.quiet_ms();
+        for (host_index, h) in self.cluster.each_host().filter(|(_, h)| !h.terminating) {
+            let suspect = now.saturating_sub(h.last_heartbeat_ms) > self.heartbeat_timeout_ms();
             if h.confirmed() {
                 if self.lease_expired(h, now, unbound_ms) {
                     survey.expired.push(host_index);
                 }
                 let zone = zones.entry(&h.zone).or_default();
                 zone.all += 1;
-                zone.quiet += usize::from(quiet || h.unanswered_probes >= UNREACHABLE_AFTER_MISSES);
+                zone.suspect += usize::from(suspect || h.unanswered_probes >= UNREACHABLE_AFTER_MISSES);
             }
             if self.unreachable(h, now) {
                 survey.silent.push(host_index);
             }
             // After a failover all are asked at once: most look for us elsewhere first.
-            if quiet || h.unanswered_probes > 0 || !(h.token_confirmed() || self.confirms_soon(h, now)) {
+            if suspect || h.unanswered_probes > 0 || !(h.token_confirmed() || self.confirms_soon(h, now)) {
                 survey.probe.push(host_index);
             }
         }
@@ -122,11 +122,12 @@
 
     /// Is it of no use, as it can't be told anything? One that is heard may be so, too.
     fn unreachable(&self, h: &Host, now: u64) -> bool {
-        let quiet = now.saturating_sub(h.last_heartbeat_ms);
+        let suspect = now.saturating_sub(h.last_heartbeat_ms);
         let lease = self.policy.lease_ms;
         let unanswered_ms = u64::from(h.unanswered_probes) * self.policy.react_ms;
-        let deaf = h.unanswered_probes >= UNREACHABLE_AFTER_MISSES && (quiet > self.lost_ms() || unanswered_ms > lease);
-        deaf || (h.addr.is_none() && quiet > lease)
+        let unresponsive = h.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+            && (suspect > self.unreachable_timeout_ms() || unanswered_ms > lease);
+        unresponsive || (h.addr.is_none() && suspect > lease)
     }
 
     /// What was on these machines is gone: their leases have expired.
@@ -144,12 +145,12 @@
 
     /// Marks silent machines for release, except in zones that are cut off; returns
     /// their names.
-    fn release_silent(&mut self, silent: Vec<HostIndex>, cut_off_zones: &HashSet<String>) -> Vec<String> {
+    fn terminate_unreachable(&mut self, silent: Vec<HostIndex>, cut_off_zones: &HashSet<String>) -> Vec<String> {
         let mut release = Vec::new();
         for host_index in silent {
             let lone = |h: &&mut Host| !h.confirmed() || !cut_off_zones.contains(&h.zone);
             let Some(h) = self.cluster.host_mut(host_index).filter(lone) else { continue };
-            h.releasing = true;
+            h.terminating = true;
             tracing::info!(host = h.id, "machine is silent, releasing it");
             release.push(h.id.clone());
         }
@@ -159,7 +160,7 @@
     /// May machines be rented and returned? What is up is known, or as much as
     /// will be for now.
     pub fn counted(&self, now: u64) -> bool {
-        self.cluster.all_reconciled || now > self.begun_ms + self.lost_ms()
+        self.cluster.all_reconciled || now > self.begun_ms + self.unreachable_timeout_ms()
     }
 
     /// True if most machines that were heard before, or asked twice in vain, are
@@ -167,27 +168,27 @@
     /// may not be.
     pub fn cut_off(&self, now: u64) -> bool {
         let (mut all, mut known, mut silent) = (0, 0, 0);
-        for (_, h) in self.cluster.each_host().filter(|(_, h)| !h.releasing && h.confirmed()) {
+        for (_, h) in self.cluster.each_host().filter(|(_, h)| !h.terminating && h.confirmed()) {
             all += 1;
             // After a failover those that were not asked yet may be on their way here.
             let heard = h.agent_epoch > 0;
             if heard || h.unanswered_probes >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
                 let patience = if heard { self.policy.react_ms } else { 0 };
-                silent += usize::from(now.saturating_sub(h.last_heartbeat_ms) > self.quiet_ms() + patience);
+                silent += usize::from(now.saturating_sub(h.last_heartbeat_ms) > self.heartbeat_timeout_ms() + patience);
             }
         }
         known >= LEAST_KNOWN && known * 2 >= all && silent * 3 >= known * 2
     }
 
     /// Marks a machine for release; true if it was not marked yet.
-    pub fn mark_releasing(&mut self, id: &str) -> bool {
+    pub fn mark_terminating(&mut self, id: &str) -> bool {
         let Some(&host_index) = self.cluster.host_index.get(id) else { return true };
-        self.cluster.host_mut(host_index).is_some_and(|h| !std::mem::replace(&mut h.releasing, true))
+        self.cluster.host_mut(host_index).is_some_and(|h| !std::mem::replace(&mut h.terminating, true))
     }
 
     /// The cloud has confirmed: the machine and all on it are gone.
-    pub fn host_gone(&mut self, id: &str) {
+    pub fn host_terminated(&mut self, id: &str) {
         self.terminated_hosts.insert(id.to_string());
         let Some(&host_index) = self.cluster.host_index.get(id) else { return };
         self.lose_all(host_index);
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -111,9 +111,9 @@
         if source == StatusSource::DirectCommandReply {
             h.unanswered_probes = 0;
         }
-        let notice_s = r.warning_s.filter(|_| !h.notice);
+        let notice_s = r.warning_s.filter(|_| !h.preemption_notice);
         if notice_s.is_some() {
-            h.notice = true;
+            h.preemption_notice = true;
             tracing::info!(host = h.id, "machine will be taken back");
         }
         // A worker that has seen a higher token refuses older direct commands.
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -60,7 +60,14 @@
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
         let Some(h) = self.cluster.host_mut(host_index) else { return false };
         let free = h.attempts.is_empty() && h.claims.is_empty() && !h.do_in_flight && !h.has_unknown_tasks;
-        if !free || undone || !h.registered || !h.reconciled || h.releasing || h.notice || h.transferring_to.is_some() {
+        if !free
+            || undone
+            || !h.registered
+            || !h.reconciled
+            || h.terminating
+            || h.preemption_notice
+            || h.transferring_to.is_some()
+        {
             return false;
         }
         h.transferring_to = Some(to);
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -8,6 +8,7 @@
 mod direct;
 mod drain;
 mod failover;
+mod failure_detector;
 mod heartbeats;
 mod host_routing;
 mod keys;
@@ -20,7 +21,6 @@
 #[cfg(test)]
 pub mod tests;
 mod types;
-mod upkeep;
 mod users;
 mod warm_pools;
 
@@ -118,7 +118,7 @@
     last_commit_ms: u64,
     /// The time of day as last told.
     wall_ms: u64,
-    last_upkeep_ms: u64,
+    last_failure_detection_ms: u64,
 }
 
 impl Partition {
@@ -169,7 +169,7 @@
             largest_commit: limits.commit_changes,
             last_commit_ms: 0,
             wall_ms: 0,
-            last_upkeep_ms: 0,
+            last_failure_detection_ms: 0,
         }
     }
 }
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -32,12 +32,12 @@
         let mut old = running("service", 1);
         let (jobs, hosts) = items(&mut old);
         let mut p = partition_of(5, jobs, hosts);
-        p.upkeep(1000 + LEASE, 0);
+        p.detect_failures(1000 + LEASE, 0);
         assert!(!p.cluster.all_reconciled, "its lease may still live");
         if gone {
-            p.host_gone("h1");
+            p.host_terminated("h1");
         } else {
-            p.upkeep(1000 + LEASE + 1100, 0);
+            p.detect_failures(1000 + LEASE + 1100, 0);
         }
         assert!(p.cluster.all_reconciled);
     }
@@ -66,7 +66,7 @@
     let (tx, mut rx) = oneshot::channel();
     p.cancel("run-000001", 1000, true, tx);
     assert!(p.next_commit(1300, 32).is_none() && rx.try_recv().is_err(), "nor is its end said");
-    p.host_gone("h2");
+    p.host_terminated("h2");
     while p.next_commit(1400, 32).is_some() {
         p.committed(CommitOutcome::Done { revision: 102 }).unwrap();
     }
@@ -108,7 +108,7 @@
         StatusSource::Heartbeat,
         1100,
     );
-    p.host_gone("h0");
+    p.host_terminated("h0");
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
     while p.next_commit(1200, 32).is_some() {
         p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
@@ -129,8 +129,8 @@
     let still_old = |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
     p.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
     assert!(p.dispatch_queue.is_empty());
-    assert!(p.upkeep(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
-    assert_eq!(p.upkeep(1100 + react, 0).1, [0], "the answer may not have reached it");
+    assert!(p.detect_failures(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
+    assert_eq!(p.detect_failures(1100 + react, 0).1, [0], "the answer may not have reached it");
     p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
     assert!(p.dispatch_queue.contains(&0), "the answer made no difference");
     p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
@@ -146,9 +146,9 @@
     }
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    assert_eq!(p.upkeep(1000, 0).1, [0, 1, 2]);
+    assert_eq!(p.detect_failures(1000, 0).1, [0, 1, 2]);
     p.cluster.host_mut(0).unwrap().unanswered_probes = 1;
-    assert_eq!(p.upkeep(1100, 0).1, [1, 2, 0]);
+    assert_eq!(p.detect_failures(1100, 0).1, [1, 2, 0]);
 }
 
 // The next size: a controller in a zone that is cut off keeps the leases there alive.
@@ -157,11 +157,11 @@
     let mut p = running("service", 1);
     let end = 1000 + 3 * LEASE;
     for now in (1000..=end).step_by(500) {
-        p.upkeep(now, now);
+        p.detect_failures(now, now);
     }
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(..)), "another was unbound until now");
     for now in (end..=end + LEASE + 1500).step_by(500) {
-        p.upkeep(now, end);
+        p.detect_failures(now, end);
     }
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
 }
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -127,7 +127,7 @@
     p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
-    p.host_gone("h1");
+    p.host_terminated("h1");
     commits(&mut p, 1300, 101);
     assert_eq!(phase_told(&p), Some(JobPhase::Cancelled), "and recorded without being asked again");
 }
@@ -268,7 +268,7 @@
     let second = |p: &Partition| p.cluster.jobs[1].tasks[0].place;
     p.pass(1200, 1200);
     assert_eq!(second(&p), Place::Idle, "the cancelled job may still be on h1");
-    p.host_gone("h1");
+    p.host_terminated("h1");
     p.pass(1300, 1300);
     assert!(matches!(second(&p), Place::On(..)), "and then it counts no more");
 }
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -220,7 +220,7 @@
         }
         if now >= self.next_plan {
             self.next_plan = now + 1100;
-            self.partition.upkeep(now, 0);
+            self.partition.detect_failures(now, 0);
             let pending_machines = self.provisioner.pending_machines(0, &self.partition, now, 5000);
             let (capacity_report, mut ops) = self.provisioner.plan(&mut self.partition, &pending_machines, now, now);
             self.provisioner.listed(&[], &self.partition, now);
@@ -319,7 +319,7 @@
     f.check();
     dead.iter().for_each(|id| {
         f.machines.remove(id);
-        f.partition.host_gone(id);
+        f.partition.host_terminated(id);
     });
     for _ in 0..20 {
         f.step();
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -163,7 +163,7 @@
                 .map(|(i, a)| reported(&format!("run-000001/{}", a.key.task), a.attempt, phase(i), Some("done")));
             p.heartbeat(&heartbeat(&id, 1, sequence, 1, tasks.collect()), StatusSource::Heartbeat, 1000 + sequence);
         }
-        p.upkeep(1000 + sequence, 0);
+        p.detect_failures(1000 + sequence, 0);
         let UserAnswer::Status { running, .. } = p.status("run-000001") else { panic!("no status") };
         assert_eq!(running, p.count_running(0));
         told.push(running);
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -14,7 +14,7 @@
     let mut released = Vec::new();
     let mut asked = 0;
     for now in (2000..=7000).step_by(250) {
-        let (release, probe) = p.upkeep(now, 0);
+        let (release, probe) = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe {
             if let Some(d) = p.direct(host_index, now, true) {
@@ -26,7 +26,7 @@
     }
     assert_eq!(released, ["h1"], "a silent machine is released early");
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a), "its tasks are there until the cloud confirms");
-    p.host_gone("h1");
+    p.host_terminated("h1");
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
     // What it still had to say comes too late.
     assert!(p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 7200).is_empty());
@@ -46,7 +46,7 @@
         StatusSource::DirectCommandReply,
         9100,
     );
-    p.upkeep(1000 + LEASE + 1000, 0);
+    p.detect_failures(1000 + LEASE + 1000, 0);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::On(0, a));
 }
 
@@ -57,9 +57,9 @@
     let mut p = partition();
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
-    p.upkeep(1200, 0);
-    assert_eq!(p.upkeep(60_000, 0), (vec![], vec![]));
-    let (release, probe) = p.upkeep(60_300, 0);
+    p.detect_failures(1200, 0);
+    assert_eq!(p.detect_failures(60_000, 0), (vec![], vec![]));
+    let (release, probe) = p.detect_failures(60_300, 0);
     assert!(release.is_empty() && probe.is_empty());
 }
 
@@ -73,7 +73,7 @@
     let mut released = Vec::new();
     for (n, now) in (1000..40_000).step_by(500).enumerate() {
         p.heartbeat(&heartbeat("h1", 1, 2 + n as u64, 1, vec![]), StatusSource::Heartbeat, now);
-        let (release, probe) = p.upkeep(now, 0);
+        let (release, probe) = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe.into_iter().chain((n == 0).then_some(0)) {
             if let Some(d) = p.direct(host_index, now, true) {
@@ -98,7 +98,7 @@
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 2900);
     }
     for now in (2900..=9000).step_by(250) {
-        assert!(p.upkeep(now, 0).0.is_empty());
+        assert!(p.detect_failures(now, 0).0.is_empty());
     }
 }
 
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -17,7 +17,7 @@
     assert!(rig.attached(&job).is_some());
     for id in &lost {
         rig.workers.remove(id);
-        rig.partition.host_gone(id);
+        rig.partition.host_terminated(id);
     }
     rig.rounds(10);
     assert_eq!((rig.idle(), rig.runs(&job)), (POOL_SIZE, 1));
@@ -45,7 +45,7 @@
     let mut rig = Rig::new(4);
     let doomed = rig.partition.pool_slots().next().unwrap().host.clone();
     let index = rig.partition.cluster.host_index[&doomed];
-    rig.partition.cluster.host_mut(index).unwrap().notice = true;
+    rig.partition.cluster.host_mut(index).unwrap().preemption_notice = true;
     rig.rounds(6);
     assert_eq!(rig.idle(), POOL_SIZE);
     assert!(rig.partition.pool_slots().all(|slot| slot.host != doomed));
@@ -109,7 +109,7 @@
     rig.workers.get_mut(&hung).unwrap().silent = true;
     for _ in 0..2 * LEASE / ROUND_MS {
         rig.round();
-        let (release, _) = rig.partition.upkeep(rig.now, 0);
+        let (release, _) = rig.partition.detect_failures(rig.now, 0);
         assert!(rig.claimed() <= 2, "one at a time, whatever is released: {release:?}");
     }
     let hosts_of_other_partitions = rig.workers.iter().filter(|(id, _)| **id != hung);
@@ -128,11 +128,11 @@
     rig.rounds(2);
     let doomed = rig.partition.pool_slots().find(|slot| slot.claim().is_some()).unwrap().host.clone();
     let index = rig.partition.cluster.host_index[&doomed];
-    rig.partition.cluster.host_mut(index).unwrap().notice = true;
+    rig.partition.cluster.host_mut(index).unwrap().preemption_notice = true;
     rig.rounds(2);
     assert_eq!((rig.claimed(), rig.runs(&job)), (1, 1));
     rig.workers.remove(&doomed);
-    rig.partition.host_gone(&doomed);
+    rig.partition.host_terminated(&doomed);
     rig.rounds(8);
     assert_eq!((rig.idle(), rig.claimed(), rig.runs(&job)), (POOL_SIZE, 1, 1), "it has another replica");
 }
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -169,7 +169,8 @@
     /// May one of the job's tasks be on a machine that does not answer?
     fn may_be_unreachable(&self, job_index: JobIndex, now: u64) -> bool {
         let silent = |h: &Host| {
-            h.unanswered_probes >= UNREACHABLE_AFTER_MISSES || now.saturating_sub(h.last_heartbeat_ms) > self.lost_ms()
+            h.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+                || now.saturating_sub(h.last_heartbeat_ms) > self.unreachable_timeout_ms()
         };
         let there = |h: &Host| h.attempts.iter().any(|c| c.key.job == job_index && !c.ended());
         self.cluster.each_host().any(|(_, h)| silent(h) && there(h))
--- a/src/partition/warm_pools/maintenance.rs
+++ b/src/partition/warm_pools/maintenance.rs
@@ -76,7 +76,7 @@
         for (id, host) in hosts {
             match self.cluster.host_index.get(&host).and_then(|index| self.cluster.host(*index)) {
                 None => own.pools.host_lost(&host, EndCause::MachineLost, moment),
-                Some(host) if host.notice || host.releasing || host.draining || host.faulty() => {
+                Some(host) if host.preemption_notice || host.terminating || host.draining || host.faulty() => {
                     own.pools.drain(id, EndCause::MachineLost, moment)
                 }
                 Some(_) => {}
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -79,7 +79,7 @@
             return Duration::from_millis(most);
         };
         let now = clock::now_ms();
-        let mut at = leadership.next_upkeep_ms;
+        let mut at = leadership.next_failure_detection_ms;
         if leadership.partition.pass_due {
             at = at.min(leadership.next_pass_ms);
         }
@@ -117,8 +117,8 @@
             commit_after_ms: 0,
             next_pass_ms: 0,
             next_urgent_ms: 0,
-            next_upkeep_ms: 0,
-            upkeep_ms: now,
+            next_failure_detection_ms: 0,
+            last_failure_detection_ms: now,
             probes: Bounds::new(&self.settings).probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
             next_plan_ms: 0,
             known_externals: None,
--- a/src/partition_leader/cloud_tasks.rs
+++ b/src/partition_leader/cloud_tasks.rs
@@ -44,7 +44,7 @@
     fn release(&self, leadership: &mut Leadership, hosts: Vec<String>) {
         let (cloud, sender, pause) = (self.cloud.clone(), self.sender(leadership.n), self.cloud_pause());
         for id in &hosts {
-            leadership.partition.mark_releasing(id);
+            leadership.partition.mark_terminating(id);
         }
         task::spawn(async move {
             let confirmed = cloud.release(&hosts).await;
@@ -84,7 +84,7 @@
             {
                 self.worker.forget(addr);
             }
-            leadership.partition.host_gone(id);
+            leadership.partition.host_terminated(id);
         }
     }
 
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -23,8 +23,8 @@
     pub(super) commit_after_ms: u64,
     pub(super) next_pass_ms: u64,
     pub(super) next_urgent_ms: u64,
-    pub(super) next_upkeep_ms: u64,
-    pub(super) upkeep_ms: u64,
+    pub(super) next_failure_detection_ms: u64,
+    pub(super) last_failure_detection_ms: u64,
     /// Bounds the questions to machines; none if they are not bounded.
     pub(super) probes: Option<TokenBucket>,
     pub(super) next_plan_ms: u64,
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -15,8 +15,8 @@
         if !self.leader_lease.holds(now) {
             return;
         }
-        if now >= leadership.next_upkeep_ms {
-            self.upkeep(leadership, now);
+        if now >= leadership.next_failure_detection_ms {
+            self.detect_failures(leadership, now);
         }
         leadership.partition.refresh_unreconciled();
         self.follow_configuration(leadership, now);
@@ -35,16 +35,16 @@
     }
 
     /// Looks after machines that are not heard or not needed.
-    fn upkeep(&self, leadership: &mut Leadership, now: u64) {
+    fn detect_failures(&self, leadership: &mut Leadership, now: u64) {
         let react = self.settings.react_ms();
-        leadership.next_upkeep_ms = now + react / 3;
+        leadership.next_failure_detection_ms = now + react / 3;
         leadership.token_check_due = true;
-        let stalled = now > leadership.upkeep_ms + 2 * react;
-        leadership.upkeep_ms = now;
+        let stalled = now > leadership.last_failure_detection_ms + 2 * react;
+        leadership.last_failure_detection_ms = now;
         if !stalled && leadership.partition.cut_off(now) {
             let _ = self.members.try_send(membership::Message::YieldLeadership);
         }
-        let (release, probe) = leadership.partition.upkeep(now, self.pledge_status.unbound_ms(now));
+        let (release, probe) = leadership.partition.detect_failures(now, self.pledge_status.unbound_ms(now));
         for op in leadership.provisioner.release(release) {
             self.cloud_request(leadership, op);
         }
--- a/src/peer_health.rs
+++ b/src/peer_health.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
     /// A peer that was heard within this time is not silent, only slow.
-    pub quiet_ms: u64,
+    pub heartbeat_timeout_ms: u64,
     /// Interval of the user requests that probe a silent peer.
     pub probe_interval_ms: u64,
 }
@@ -20,7 +20,7 @@
     /// A leader asks for pledges five times in a lease's life: two of them are missing.
     /// Probes are half a life apart.
     pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> HealthLimits {
-        HealthLimits { quiet_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
+        HealthLimits { heartbeat_timeout_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
     }
 }
 
@@ -68,7 +68,7 @@
             return HealthChange::Unchanged;
         }
         self.unanswered = self.unanswered.saturating_add(1);
-        let quiet = self.last_heartbeat_ms.is_none_or(|heard| now_ms >= heard + self.limits.quiet_ms);
+        let quiet = self.last_heartbeat_ms.is_none_or(|heard| now_ms >= heard + self.limits.heartbeat_timeout_ms);
         if self.is_silent() || self.unanswered < MAX_UNANSWERED || !quiet {
             return HealthChange::Unchanged;
         }
--- a/src/peer_health/tests.rs
+++ b/src/peer_health/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const LIMITS: HealthLimits = HealthLimits { quiet_ms: 1000, probe_interval_ms: 1250 };
+const LIMITS: HealthLimits = HealthLimits { heartbeat_timeout_ms: 1000, probe_interval_ms: 1250 };
 
 fn silent_since(now_ms: u64) -> PeerHealth {
     let mut health = PeerHealth::new(LIMITS);
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -57,7 +57,7 @@
     /// From when on machines may be called late or given up.
     judges_from_ms: u64,
     refused: HashMap<(usize, String, bool), (u64, u64)>,
-    releasing: HashSet<String>,
+    terminating: HashSet<String>,
     gone: HashSet<String>,
     /// When a list shows what the last leader rented, and whether one was read since.
     predecessor_listed_ms: Option<u64>,
@@ -175,7 +175,7 @@
             }
         }
         for (_, h) in cluster.each_host() {
-            if h.attempts.is_empty() && (h.notice || h.draining || h.faulty()) {
+            if h.attempts.is_empty() && (h.preemption_notice || h.draining || h.faulty()) {
                 idle.push(h.id.clone());
             }
         }
@@ -264,7 +264,7 @@
 
     /// Asks for the return of machines that are not being returned yet.
     pub fn release(&mut self, ids: impl IntoIterator<Item = String>) -> Vec<CloudRequest> {
-        let new: Vec<String> = ids.into_iter().filter(|id| self.releasing.insert(id.clone())).collect();
+        let new: Vec<String> = ids.into_iter().filter(|id| self.terminating.insert(id.clone())).collect();
         new.chunks(MAX_RELEASED).map(|c| CloudRequest::Release(c.to_vec())).collect()
     }
 
@@ -272,7 +272,7 @@
     pub fn released(&mut self, ids: &[String]) {
         for id in ids {
             self.kinds.remove(id);
-            self.releasing.remove(id);
+            self.terminating.remove(id);
             self.booting.remove(id);
             self.gone.insert(id.clone());
         }
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -203,7 +203,7 @@
         self.forget_abandoned(now);
         let mut drop = Vec::new();
         for entry in list {
-            if self.gone.contains(&entry.id) || self.releasing.contains(&entry.id) {
+            if self.gone.contains(&entry.id) || self.terminating.contains(&entry.id) {
                 continue;
             }
             if entry.failed() {
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -170,7 +170,7 @@
                 CloudRequest::Release(ids) => {
                     ids.iter().for_each(|id| drop(self.machines.remove(id)));
                     self.provisioner.released(&ids);
-                    ids.iter().for_each(|id| self.partition.host_gone(id));
+                    ids.iter().for_each(|id| self.partition.host_terminated(id));
                 }
                 CloudRequest::TransferHost { .. } => panic!("there is one part"),
             }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -77,8 +77,8 @@
 pub fn joining(h: &Host) -> bool {
     !h.registered
         && h.addr.is_some()
-        && !h.notice
-        && !h.releasing
+        && !h.preemption_notice
+        && !h.terminating
         && h.transferring_to.is_none()
         && h.unanswered_probes < UNREACHABLE_AFTER_MISSES
 }
@@ -87,8 +87,8 @@
 pub fn usable(h: &Host, now: u64) -> bool {
     h.registered
         && !h.has_unknown_tasks
-        && !h.notice
-        && !h.releasing
+        && !h.preemption_notice
+        && !h.terminating
         && !h.draining
         && h.transferring_to.is_none()
         && h.token_confirmed()
--- a/src/sched/tests/faulty_machines.rs
+++ b/src/sched/tests/faulty_machines.rs
@@ -11,7 +11,7 @@
     w.jobs[job_index].failed_on.insert(0);
     w.jobs[job_index].avoid_hosts_until_ms = 2000;
     for h in [1, 2] {
-        w.hosts[h].as_mut().unwrap().notice = true;
+        w.hosts[h].as_mut().unwrap().preemption_notice = true;
     }
     let placed = |w: &mut ClusterState, now| !run(w, now).starts.is_empty();
     assert!(!placed(&mut w, 1000), "only the faulty one has room");
