--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -3,7 +3,7 @@
 //!     cargo run --release --example pass_cost -- 480 4000
 
 use badgerdrift::config::{Operator, Settings};
-use badgerdrift::model::{Demand, Flavor, Host, Job, Shape, Spec, Urgency};
+use badgerdrift::model::{Demand, InstanceType, Host, Job, Shape, Spec, Urgency};
 use badgerdrift::partition::Partition;
 use badgerdrift::sched::{Policy, TeamRule};
 use badgerdrift_borrowing::BorrowingSettings;
@@ -74,7 +74,7 @@
         policy.teams.insert(team.into(), TeamRule { guarantee, limit: unlimited, settled: true, removed: false });
     }
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
-    let flavor = Flavor {
+    let instance_type = InstanceType {
         name: "g8".into(),
         cap: Demand { cpus: 64.0, gpus: GPUS, mem: 512.0 },
         cache_gb: 200.0,
@@ -84,7 +84,7 @@
         boot_s: 30.0,
         zones: vec!["a".into()],
     };
-    partition.begin(1, 1, Vec::new(), Vec::new(), vec![flavor], 0);
+    partition.begin(1, 1, Vec::new(), Vec::new(), vec![instance_type], 0);
     for number in 0..machines {
         let mut host = Host::new(format!("host-{number:06}"), "a".into(), false, Some(0), 0);
         (host.registered, host.reconciled) = (true, true);
@@ -116,7 +116,7 @@
         demand: Demand { cpus: 4.0, gpus: 1.0, mem: 16.0 },
         image: format!("image-{}", number % 12),
         image_gb: 10.0,
-        flavors: None,
+        instance_types: None,
         zone: None,
         one_zone: false,
         spread: false,
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -105,9 +105,11 @@
         if !self.request_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
-        let flavors = partition_leader::kept_flavors(&self.state).await.filter(|flavors| !flavors.is_empty())?;
+        let instance_types = partition_leader::stored_instance_types(&self.state)
+            .await
+            .filter(|instance_types| !instance_types.is_empty())?;
         let (policy, up_to_date) = self.current_policy();
-        if let Some(why) = sched::impossible(spec, &policy, &flavors) {
+        if let Some(why) = sched::impossible(spec, &policy, &instance_types) {
             return Some(match why.is_for_now(up_to_date) {
                 true => RefusalReason::ConfigurationBehind.response(),
                 false => Response::error(422, &why.to_string()),
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -38,7 +38,7 @@
             return Response::json(200, &json!({ "epoch": 2 }));
         }
         if request.path.starts_with("/store?under=flavors") {
-            let item = json!({ "path": "flavors", "data": [flavor()], "stamp": 1 });
+            let item = json!({ "path": "flavors", "data": [instance_type()], "stamp": 1 });
             return Response::json(200, &json!({ "items": [item], "more": false, "epoch": 1 }));
         }
         let id = request.path.strip_prefix("/store/job/").unwrap_or_default();
@@ -75,8 +75,8 @@
     }
 }
 
-fn flavor() -> Value {
-    serde_json::to_value(&partition::tests::partition().cluster.flavors[0]).unwrap()
+fn instance_type() -> Value {
+    serde_json::to_value(&partition::tests::partition().cluster.instance_types[0]).unwrap()
 }
 
 fn submission() -> Vec<u8> {
--- a/src/boot_times.rs
+++ b/src/boot_times.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MachineKind {
     /// Index of the machine type.
-    pub flavor: usize,
+    pub instance_type: usize,
     /// Zone of the machine.
     pub zone: String,
     /// True for spot machines.
--- a/src/boot_times/tests.rs
+++ b/src/boot_times/tests.rs
@@ -3,7 +3,7 @@
 const NOMINAL: u64 = 40_000;
 
 fn kind(zone: &str) -> MachineKind {
-    MachineKind { flavor: 0, zone: zone.into(), spot: false }
+    MachineKind { instance_type: 0, zone: zone.into(), spot: false }
 }
 
 #[test]
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::config::Settings;
 use crate::http::{Client, SMALL_IDLE_POOL};
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::net::Net;
 use crate::wire::{self, Listed};
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     }
 
     /// The machine types, at least one; `None` if there was no usable answer.
-    pub async fn flavors(&self) -> Option<Vec<Flavor>> {
+    pub async fn instance_types(&self) -> Option<Vec<InstanceType>> {
         let (status, body) = self.call("GET", "/flavors", None).await.ok()?;
         if status != 200 {
             return None;
@@ -69,8 +69,8 @@
     }
 
     /// Rents machines. The name identifies the request, so that it can be repeated.
-    pub async fn rent(&self, name: &str, flavor: &str, zone: &str, spot: bool, count: usize) -> RentResult {
-        let body = wire::rent_body(name, flavor, zone, spot, count);
+    pub async fn rent(&self, name: &str, instance_type: &str, zone: &str, spot: bool, count: usize) -> RentResult {
+        let body = wire::rent_body(name, instance_type, zone, spot, count);
         match self.call("POST", "/hosts", Some(&body)).await {
             Ok((200, b)) => wire::parse_rented(&b).map_or(RentResult::Again, RentResult::Rented),
             Ok((400, _)) => RentResult::Malformed,
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -171,7 +171,8 @@
     assert_eq!(serde_json::to_value(partition).unwrap(), json!({ "holder": "a", "term": 7, "grant": 1 }));
     let fencing_token = FencingTokenRecord { n: 7, start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
     assert_eq!(serde_json::to_value(fencing_token).unwrap(), json!({ "n": 7, "start_ms": 5, "holders": { "0": "a" } }));
-    let host = crate::model::HostRecord { addr: None, flavor: "s".into(), zone: "z".into(), spot: false, partition: 2 };
+    let host =
+        crate::model::HostRecord { addr: None, instance_type: "s".into(), zone: "z".into(), spot: false, partition: 2 };
     let stored = json!({ "addr": null, "flavor": "s", "zone": "z", "spot": false, "part": 2 });
     assert_eq!(serde_json::to_value(host).unwrap(), stored);
     assert_eq!(partition_key(3), "part/3");
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -1,6 +1,6 @@
 //! The state of a partition: its jobs, machines and machine types.
 
-use super::{Claim, Demand, Flavor, HeldRoom, Host, HostIndex, Job, JobIndex, LendingState};
+use super::{Claim, Demand, HeldRoom, Host, HostIndex, InstanceType, Job, JobIndex, LendingState};
 use std::collections::HashMap;
 
 /// Room that a class is expected to need.
@@ -9,7 +9,7 @@
     /// Name of the job class.
     pub class: String,
     /// Where it can run, by machine type.
-    pub flavors: Vec<bool>,
+    pub instance_types: Vec<bool>,
     /// What one task of the class takes.
     pub demand: Demand,
     /// Expected number of tasks.
@@ -18,24 +18,24 @@
 
 impl Reserve {
     /// It can do without none of its machine types, having one alone.
-    pub fn single_flavor(&self) -> bool {
-        self.flavors.iter().filter(|f| **f).count() == 1
+    pub fn single_instance_type(&self) -> bool {
+        self.instance_types.iter().filter(|f| **f).count() == 1
     }
     /// May it run on this type? One that became known later counts from the next plan on.
-    pub fn allows(&self, flavor: usize) -> bool {
-        self.flavors.get(flavor).is_some_and(|f| *f)
+    pub fn allows(&self, instance_type: usize) -> bool {
+        self.instance_types.get(instance_type).is_some_and(|f| *f)
     }
     /// Is its room lost when that of a machine of this type shrinks so?
-    pub fn loses(&self, flavor: usize, before: &Demand, after: &Demand) -> bool {
-        self.allows(flavor) && before.slots(&self.demand) > after.slots(&self.demand)
+    pub fn loses(&self, instance_type: usize, before: &Demand, after: &Demand) -> bool {
+        self.allows(instance_type) && before.slots(&self.demand) > after.slots(&self.demand)
     }
 }
 
 /// What is known of machines that are not reconciled, one value for all that are alike.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HostKind {
+pub struct InstanceKind {
     /// The machine type, if it is known.
-    pub flavor: Option<usize>,
+    pub instance_type: Option<usize>,
     /// Zone of the machines.
     pub zone: String,
     /// True for spot machines.
@@ -54,7 +54,7 @@
     /// Index of each machine by its id; removed ones are left out.
     pub host_index: HashMap<String, HostIndex>,
     /// The machine types of the cloud.
-    pub flavors: Vec<Flavor>,
+    pub instance_types: Vec<InstanceType>,
     /// Jobs that are not over and wait for no others.
     pub live: Vec<JobIndex>,
     /// Room that is held for warm pools; none without them.
@@ -72,7 +72,7 @@
     /// What machines that are not reconciled may hold.
     pub unreconciled: Demand,
     /// Their kinds, each one once.
-    pub unreconciled_kinds: Vec<HostKind>,
+    pub unreconciled_kinds: Vec<InstanceKind>,
     /// False until every machine of the last leader is reconciled.
     pub all_reconciled: bool,
 }
@@ -125,7 +125,7 @@
     }
 
     /// The index of a machine type.
-    pub fn flavor(&self, name: &str) -> Option<usize> {
-        self.flavors.iter().position(|f| f.name == name)
+    pub fn instance_type(&self, name: &str) -> Option<usize> {
+        self.instance_types.iter().position(|f| f.name == name)
     }
 }
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -58,8 +58,8 @@
     pub id: String,
     /// Where its worker takes direct commands; `None` until a report or record tells it.
     pub addr: Option<SocketAddr>,
-    /// Index of its type in `ClusterState::flavors`; `None` if the type is not known.
-    pub flavor: Option<usize>,
+    /// Index of its type in `ClusterState::instance_types`; `None` if the type is not known.
+    pub instance_type: Option<usize>,
     /// Zone in which it stands.
     pub zone: String,
     /// True if the cloud may take it back.
@@ -121,11 +121,11 @@
 
 impl Host {
     /// A machine of which nothing is known but what it was rented as.
-    pub fn new(id: String, zone: String, spot: bool, flavor: Option<usize>, now: u64) -> Host {
+    pub fn new(id: String, zone: String, spot: bool, instance_type: Option<usize>, now: u64) -> Host {
         Host {
             id,
             addr: None,
-            flavor,
+            instance_type,
             zone,
             spot,
             agent_epoch: 0,
--- a/src/model/flavor.rs
+++ b/src/model/instance_type.rs
@@ -5,7 +5,7 @@
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct InstanceType {
     /// The cloud's name of the type.
     pub name: String,
     /// What a machine of this type has for tasks.
@@ -24,7 +24,7 @@
     pub zones: Vec<String>,
 }
 
-impl Flavor {
+impl InstanceType {
     /// The price on demand, or of a spot machine.
     pub fn price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -2,9 +2,9 @@
 //! tasks on them. Plain data; decisions are in `sched`, protocol in `partition`.
 
 mod cluster;
-mod flavor;
 mod held_room;
 mod host;
+mod instance_type;
 mod job;
 mod lending;
 mod predecessors;
@@ -13,10 +13,10 @@
 mod spec;
 mod task;
 
-pub use cluster::{ClusterState, HostKind, Reserve};
-pub use flavor::Flavor;
+pub use cluster::{ClusterState, InstanceKind, Reserve};
 pub use held_room::{HeldRoom, RoomClaim, RoomOffer};
 pub use host::{CachedImage, Claim, Host, HostIndex, UNREACHABLE_AFTER_MISSES};
+pub use instance_type::InstanceType;
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
 pub use lending::LendingState;
 pub use predecessors::Predecessors;
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -62,7 +62,8 @@
     /// Where its worker takes direct commands; `None` if not known.
     pub addr: Option<SocketAddr>,
     /// Name of its type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub instance_type: String,
     /// Zone in which it stands.
     pub zone: String,
     /// True if the cloud may take it back.
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -1,6 +1,6 @@
 //! Jobs as their users describe them.
 
-use super::{Demand, Flavor, Predecessors};
+use super::{Demand, InstanceType, Predecessors};
 use serde::{Deserialize, Serialize};
 
 /// How the tasks of a job belong together: independent, all at once, or replicas that stay up.
@@ -57,7 +57,8 @@
     /// Size of the image in gigabytes.
     pub image_gb: f64,
     /// Names of the machine types that it may run on; `None` allows all.
-    pub flavors: Option<Vec<String>>,
+    #[serde(rename = "flavors")]
+    pub instance_types: Option<Vec<String>>,
     /// The only zone that it may run in; `None` allows all.
     pub zone: Option<String>,
     /// All tasks must be in the same zone.
@@ -88,15 +89,16 @@
         Spec {
             class: short(&self.class),
             image: short(&self.image),
-            flavors: None,
+            instance_types: None,
             zone: self.zone.as_deref().map(short),
             waits_on: Predecessors::default(),
             ..self.clone()
         }
     }
     /// May its tasks run on this machine type, and do they fit?
-    pub fn allows_flavor(&self, flavor: &Flavor) -> bool {
-        self.flavors.as_ref().is_none_or(|f| f.contains(&flavor.name)) && self.demand.fits(&flavor.cap)
+    pub fn allows_flavor(&self, instance_type: &InstanceType) -> bool {
+        self.instance_types.as_ref().is_none_or(|f| f.contains(&instance_type.name))
+            && self.demand.fits(&instance_type.cap)
     }
     /// May its tasks run in this zone?
     pub fn allows_zone(&self, zone: &str) -> bool {
--- a/src/partition/attempt_phases.rs
+++ b/src/partition/attempt_phases.rs
@@ -22,8 +22,11 @@
         }
         let spec = &self.cluster.jobs[key.job].spec;
         let (image, gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
-        let cache =
-            self.cluster.host(host_index).and_then(|h| h.flavor).map_or(0.0, |f| self.cluster.flavors[f].cache_gb);
+        let cache = self
+            .cluster
+            .host(host_index)
+            .and_then(|h| h.instance_type)
+            .map_or(0.0, |f| self.cluster.instance_types[f].cache_gb);
         if let Some(h) = self.cluster.host_mut(host_index) {
             h.use_image(&image, gb, cache, now);
             let stop = (!wanted && !ended).then_some(0.0);
--- a/src/partition/attempts.rs
+++ b/src/partition/attempts.rs
@@ -103,7 +103,7 @@
     fn assign_blame(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
         let hosts = self.cluster.hosts.len();
         // Long enough for another machine to boot.
-        let boot_s = self.cluster.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+        let boot_s = self.cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
         let job = &mut self.cluster.jobs[job_index];
         job.failed_on.insert(host_index);
         job.avoid_hosts_until_ms = now + 2 * self.policy.lease_ms + (boot_s * 1000.0) as u64;
--- a/src/partition/borrowing/decisions.rs
+++ b/src/partition/borrowing/decisions.rs
@@ -54,14 +54,15 @@
         let id = self.next_attempt;
         let lending = &self.cluster.jobs[parties.lending_job].spec;
         let borrowing = &self.cluster.jobs[parties.borrowing_job].spec;
-        let machine = stops.first().and_then(|stop| self.cluster.host(stop.host)?.flavor);
+        let machine = stops.first().and_then(|stop| self.cluster.host(stop.host)?.instance_type);
         let proposal = Proposal {
             id,
             lending_job: lending.id.clone(),
             lender: lending.team.clone(),
             borrower: borrowing.team.clone(),
             borrowing_job: borrowing.id.clone(),
-            machine: machine.map_or(String::new(), |flavor| self.cluster.flavors[flavor].name.clone()),
+            machine: machine
+                .map_or(String::new(), |instance_type| self.cluster.instance_types[instance_type].name.clone()),
             tasks: stops.len() as u32,
             each: Amounts::from(lending.demand),
             kind: if parties.guaranteed { LoanKind::Guaranteed } else { LoanKind::Borrowed },
--- a/src/partition/borrowing/demand.rs
+++ b/src/partition/borrowing/demand.rs
@@ -1,6 +1,6 @@
 //! What the jobs of each team use and could use, as floors count it.
 
-use crate::model::{ClusterState, HostKind, Job, JobIndex, Place, Shape};
+use crate::model::{ClusterState, InstanceKind, Job, JobIndex, Place, Shape};
 use crate::sched::{self, TeamRule};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, JobDemand, Priority, TeamShare};
 use std::collections::{BTreeMap, HashMap};
@@ -98,10 +98,10 @@
 }
 
 /// The kinds of machines that are up and may be used, each once.
-fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<HostKind> {
+fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<InstanceKind> {
     let mut kinds = Vec::new();
     for (_, host) in cluster.each_host().filter(|(_, host)| sched::usable(host, now)) {
-        let kind = HostKind { flavor: host.flavor, zone: host.zone.clone(), spot: host.spot };
+        let kind = InstanceKind { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
         if !kinds.contains(&kind) {
             kinds.push(kind);
         }
@@ -110,10 +110,10 @@
 }
 
 /// What a job could use now.
-fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[HostKind], now: u64) -> JobDemand {
+fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[InstanceKind], now: u64) -> JobDemand {
     let spec = &job.spec;
-    let fits = |kind: &HostKind| {
-        kind.flavor.is_some_and(|flavor| spec.allows_flavor(&cluster.flavors[flavor]))
+    let fits = |kind: &InstanceKind| {
+        kind.instance_type.is_some_and(|instance_type| spec.allows_flavor(&cluster.instance_types[instance_type]))
             && spec.allows_zone(&kind.zone)
             && (spec.spot || !kind.spot)
     };
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -2,7 +2,7 @@
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
-use crate::model::{Demand, Flavor, Host, HostIndex, HostKind, HostRecord, JobRecord};
+use crate::model::{Demand, Host, HostIndex, HostRecord, InstanceKind, InstanceType, JobRecord};
 use crate::wire::Item;
 
 /// Bits of an attempt's number below the fencing token that it began in.
@@ -20,14 +20,14 @@
         version: u64,
         jobs: Vec<Item>,
         hosts: Vec<Item>,
-        flavors: Vec<Flavor>,
+        instance_types: Vec<InstanceType>,
         now: u64,
     ) {
         self.set_fencing_token(fencing_token, version);
         self.first_token = fencing_token;
         self.begun_ms = now;
         self.last_failure_detection_ms = now;
-        self.cluster.flavors = flavors;
+        self.cluster.instance_types = instance_types;
         for item in jobs {
             self.load_job(item, now);
         }
@@ -74,8 +74,8 @@
 
     /// Adds a machine that the registry assigns to this partition.
     pub(super) fn add_registered(&mut self, id: String, r: HostRecord, now: u64) -> HostIndex {
-        let flavor = self.cluster.flavor(&r.flavor);
-        let mut h = Host::new(id, r.zone, r.spot, flavor, now);
+        let instance_type = self.cluster.instance_type(&r.instance_type);
+        let mut h = Host::new(id, r.zone, r.spot, instance_type, now);
         h.addr = r.addr;
         h.registered = true;
         h.required_token = self.first_token;
@@ -110,11 +110,11 @@
 
     /// Takes the machine types as the cloud tells them now. Places in the list
     /// stay, for machines refer to them.
-    pub fn set_flavors(&mut self, flavors: Vec<Flavor>) {
-        for f in flavors {
-            match self.cluster.flavors.iter_mut().find(|o| o.name == f.name) {
+    pub fn set_instance_types(&mut self, instance_types: Vec<InstanceType>) {
+        for f in instance_types {
+            match self.cluster.instance_types.iter_mut().find(|o| o.name == f.name) {
                 Some(old) => *old = f,
-                None => self.cluster.flavors.push(f),
+                None => self.cluster.instance_types.push(f),
             }
         }
         self.pass_due = true;
@@ -137,12 +137,12 @@
         let mut all = true;
         for (_, h) in self.cluster.each_host().filter(|(_, h)| h.registered && !h.reconciled) {
             all = false;
-            let kind = HostKind { flavor: h.flavor, zone: h.zone.clone(), spot: h.spot };
+            let kind = InstanceKind { instance_type: h.instance_type, zone: h.zone.clone(), spot: h.spot };
             if !kinds.contains(&kind) {
                 kinds.push(kind);
             }
-            match h.flavor {
-                Some(f) => open.add(&self.cluster.flavors[f].cap),
+            match h.instance_type {
+                Some(f) => open.add(&self.cluster.instance_types[f].cap),
                 None => open.add(&UNBOUNDED),
             }
         }
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -75,8 +75,8 @@
         if let Some(&host_index) = self.cluster.host_index.get(&r.host) {
             return host_index;
         }
-        let flavor = self.cluster.flavor(&r.flavor);
-        let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, flavor, now);
+        let instance_type = self.cluster.instance_type(&r.instance_type);
+        let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, instance_type, now);
         h.required_token = self.first_token;
         // Rented for another partition: it is given away once it is registered.
         h.transferring_to = self.pending_transfers.remove(&r.host).filter(|p| *p != self.id);
@@ -96,7 +96,7 @@
 
     /// Takes what the report says of the machine itself.
     fn state_seen(&mut self, host_index: HostIndex, r: &Heartbeat, source: StatusSource, now: u64) -> Option<News> {
-        let flavor = self.cluster.flavor(&r.flavor);
+        let instance_type = self.cluster.instance_type(&r.instance_type);
         let h = self.cluster.host_mut(host_index)?;
         // A late copy of a report from before this leader's time may be the first that
         // it sees of a machine, which may be gone, and its tasks elsewhere.
@@ -106,7 +106,7 @@
         h.seen_token = h.seen_token.max(r.seen_token);
         h.addr = Some(r.addr);
         h.loads_models = r.slots.is_some();
-        h.flavor = flavor;
+        h.instance_type = instance_type;
         h.last_heartbeat_ms = now;
         if source == StatusSource::DirectCommandReply {
             h.unanswered_probes = 0;
@@ -130,7 +130,13 @@
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         if !h.confirmed() {
             // Not in the registry: no leader before us placed anything on it.
-            tracing::info!(host = r.host, flavor = r.flavor, zone = r.zone, spot = r.spot, "machine is up");
+            tracing::info!(
+                host = r.host,
+                instance_type = r.instance_type,
+                zone = r.zone,
+                spot = r.spot,
+                "machine is up"
+            );
             self.new_hosts.insert(host_index);
         }
         if !h.reconciled {
--- a/src/partition/next_commit.rs
+++ b/src/partition/next_commit.rs
@@ -187,9 +187,9 @@
             }
             self.new_hosts.remove(&host_index);
             let Some(h) = self.cluster.host(host_index) else { continue };
-            let flavor = h.flavor.map_or(String::new(), |f| self.cluster.flavors[f].name.clone());
+            let instance_type = h.instance_type.map_or(String::new(), |f| self.cluster.instance_types[f].name.clone());
             let partition = h.transferring_to.unwrap_or(self.id);
-            let record = HostRecord { addr: h.addr, flavor, zone: h.zone.clone(), spot: h.spot, partition };
+            let record = HostRecord { addr: h.addr, instance_type, zone: h.zone.clone(), spot: h.spot, partition };
             let Ok(value) = serde_json::to_value(record) else { continue };
             let saved = h
                 .transferring_to
--- a/src/partition/passes.rs
+++ b/src/partition/passes.rs
@@ -71,8 +71,8 @@
     fn log_start(&self, start: &Assignment, waited: u64) {
         let Some(h) = self.cluster.host(start.host) else { return };
         let spec = &self.cluster.jobs[start.key.job].spec;
-        let rate = |f: usize| self.cluster.flavors[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
-        let fetch_s = h.flavor.map_or(0.0, |f| spec.image_gb / rate(f));
+        let rate = |f: usize| self.cluster.instance_types[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
+        let fetch_s = h.instance_type.map_or(0.0, |f| spec.image_gb / rate(f));
         let cached = h.images.iter().any(|i| i.ready && i.name == spec.image);
         tracing::debug!(
             job = spec.id,
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::clients::RentResult;
 use crate::config::{Objective, Operator, tests::settings};
-use crate::model::{Demand, Flavor};
+use crate::model::{Demand, InstanceType};
 use crate::provisioner::{CloudRequest, Provisioner};
 use crate::wire::tests::reported;
 use crate::wire::{self, Heartbeat, Item, Order};
@@ -19,7 +19,7 @@
 const REPORT_AFTER_CHANGE: u64 = 500;
 
 struct Machine {
-    flavor: String,
+    instance_type: String,
     zone: String,
     sequence: u64,
     seen_token: u64,
@@ -61,7 +61,7 @@
         });
         let tasks = tasks.collect();
         let mut r: Heartbeat =
-            serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.flavor,
+            serde_json::from_value(json!({"host": id, "addr": "10.1.0.1:9000", "flavor": self.instance_type,
             "region": self.zone, "tenure": 1, "serial": self.sequence, "fence": self.seen_token}))
             .unwrap();
         r.tasks = tasks;
@@ -89,8 +89,8 @@
     waiting: Vec<oneshot::Receiver<UserAnswer>>,
 }
 
-fn types() -> Vec<Flavor> {
-    let of = |name: &str, cpus, gpus, mem, price: f64| Flavor {
+fn types() -> Vec<InstanceType> {
+    let of = |name: &str, cpus, gpus, mem, price: f64| InstanceType {
         name: name.into(),
         cap: Demand { cpus, gpus, mem },
         cache_gb: 300.0,
@@ -139,11 +139,11 @@
         }
     }
 
-    fn boot(&mut self, flavor: &str, zone: &str) {
+    fn boot(&mut self, instance_type: &str, zone: &str) {
         let id = format!("host-{:06}", self.machines.len());
         let next_ms = self.now + self.rng.random_range(0..REPORT);
-        let (flavor, zone) = (flavor.to_string(), zone.to_string());
-        let m = Machine { flavor, zone, sequence: 0, seen_token: 0, next_ms, tasks: BTreeMap::new() };
+        let (instance_type, zone) = (instance_type.to_string(), zone.to_string());
+        let m = Machine { instance_type, zone, sequence: 0, seen_token: 0, next_ms, tasks: BTreeMap::new() };
         self.machines.insert(id, m);
     }
 
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -18,7 +18,8 @@
 use super::*;
 use crate::config::{Operator, tests::settings};
 use crate::model::{
-    Demand, Flavor, Host, HostIndex, HostRecord, Job, JobPhase, JobRecord, Place, TaskAttempt, UNREACHABLE_AFTER_MISSES,
+    Demand, Host, HostIndex, HostRecord, InstanceType, Job, JobPhase, JobRecord, Place, TaskAttempt,
+    UNREACHABLE_AFTER_MISSES,
 };
 use crate::sched;
 use crate::wire::tests::reported;
@@ -32,8 +33,8 @@
 /// Bytes of a value in these tests.
 pub const RECORD_BYTES: usize = 30 * 1024;
 
-pub(crate) fn flavor() -> Flavor {
-    Flavor {
+pub(crate) fn instance_type() -> InstanceType {
+    InstanceType {
         name: "g8".into(),
         cap: Demand { cpus: 32.0, gpus: 8.0, mem: 256.0 },
         cache_gb: 200.0,
@@ -50,7 +51,7 @@
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
     let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(fencing_token, 77, jobs, hosts, vec![flavor()], 1000);
+    p.begin(fencing_token, 77, jobs, hosts, vec![instance_type()], 1000);
     p
 }
 
@@ -126,7 +127,7 @@
     let item = |key, value, version| Item { key, value, version };
     let job =
         |j: &Job| item(job_key(&j.spec.id), serde_json::to_value(JobRecord::of(j, None, RECORD_BYTES)).unwrap(), 100);
-    let record = HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
+    let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     let host = |(_, h): (HostIndex, &Host)| item(host_key(&h.id), serde_json::to_value(&record).unwrap(), 90);
     (p.cluster.jobs.iter().map(job).collect(), p.cluster.each_host().map(host).collect())
 }
--- a/src/partition/tests/predecessors.rs
+++ b/src/partition/tests/predecessors.rs
@@ -226,8 +226,8 @@
     let policy = Policy::new(&s, &Operator::default(), 0);
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
     let mut p = Partition::new(policy, 0, teams, s.write_limits());
-    let flavors = partition().cluster.flavors;
-    p.begin(1, 77, vec![], vec![], flavors, 1000);
+    let instance_types = partition().cluster.instance_types;
+    p.begin(1, 77, vec![], vec![], instance_types, 1000);
     let _rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "blue", None, 50);
--- a/src/partition/tests/recording.rs
+++ b/src/partition/tests/recording.rs
@@ -87,7 +87,7 @@
     commit(&mut p, 1200, 102);
     assert_eq!(p.belongs(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::Elsewhere(1));
     // One that comes from a partition with a higher fencing token needs a higher one here.
-    let record = HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
+    let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     p.rechecked("h3", Some(record), 1300);
     assert_eq!(p.belongs(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::NotYet);
     assert!(p.needs_higher_token());
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -116,7 +116,7 @@
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 3900);
     }
     assert!(!p.cut_off(4000), "only some are silent");
-    let host = |i| HostRecord { addr: None, flavor: "g8".into(), zone: "a".into(), spot: false, partition: i };
+    let host = |i| HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: i };
     let item = |n: u64| Item { key: format!("host/h{n}"), value: serde_json::to_value(host(0)).unwrap(), version: n };
     let mut p = partition_of(5, vec![], (1..6).map(item).collect());
     assert!(!p.cut_off(9000), "after a takeover they may still be on their way here");
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -151,7 +151,7 @@
         let teams = self.settings.partitions_of_teams(1);
         let mut p = Partition::new(policy, 0, teams, self.settings.write_limits());
         p.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
-        p.begin(self.fencing_token, self.fencing_token, items("job/"), items("host/"), vec![flavor()], self.now);
+        p.begin(self.fencing_token, self.fencing_token, items("job/"), items("host/"), vec![instance_type()], self.now);
         p.begin_pools(items("pool/"), self.now);
         self.partition = p;
     }
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -53,10 +53,10 @@
 
     /// Why a new job can't be accepted now or ever, if so.
     fn refusal_of(&self, spec: &Spec) -> Option<UserAnswer> {
-        if self.cluster.flavors.is_empty() {
+        if self.cluster.instance_types.is_empty() {
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
         }
-        if let Some(why) = sched::impossible(spec, &self.policy, &self.cluster.flavors) {
+        if let Some(why) = sched::impossible(spec, &self.policy, &self.cluster.instance_types) {
             return Some(match why.is_for_now(self.configuration_up_to_date) {
                 true => UserAnswer::RetryLater(RefusalReason::ConfigurationBehind),
                 false => UserAnswer::Impossible(why.to_string()),
--- a/src/partition/warm_pools/maintenance.rs
+++ b/src/partition/warm_pools/maintenance.rs
@@ -90,14 +90,14 @@
         let moment = own.moment(now);
         let flavor_of = |host: &str| {
             let host = self.cluster.host(*self.cluster.host_index.get(host)?)?;
-            Some((&self.cluster.flavors[host.flavor?], host.spot))
+            Some((&self.cluster.instance_types[host.instance_type?], host.spot))
         };
         let prices: Vec<(SlotId, u64)> = own
             .pools
             .slots()
             .filter_map(|slot| {
-                let (flavor, spot) = flavor_of(&slot.host)?;
-                Some((slot.id, price_of(&slot.amounts, &amounts(&flavor.cap), flavor.price(spot))))
+                let (instance_type, spot) = flavor_of(&slot.host)?;
+                Some((slot.id, price_of(&slot.amounts, &amounts(&instance_type.cap), instance_type.price(spot))))
             })
             .collect();
         prices.into_iter().for_each(|(id, price)| own.pools.set_price(id, price, moment));
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -31,8 +31,8 @@
     fn begin_slot(&mut self, host_index: HostIndex, name: &str, pool: &Pool, now: u64) {
         let (Some(own), Some(host)) = (&mut self.pools, self.cluster.hosts[host_index].as_ref()) else { return };
         self.next_attempt += 1;
-        let flavor = host.flavor.map(|flavor| &self.cluster.flavors[flavor]);
-        let price = flavor.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)));
+        let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
+        let price = instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)));
         let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
         let place = SlotPlace {
             host: host.id.clone(),
@@ -73,14 +73,14 @@
     }
 
     fn price_on(&self, pool: &Pool, host: &Host) -> u64 {
-        let flavor = host.flavor.map(|flavor| &self.cluster.flavors[flavor]);
-        flavor.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)))
+        let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
+        instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)))
     }
 
     fn allows(&self, pool: &Pool, host: &Host) -> bool {
-        let flavor = host.flavor.map(|flavor| &self.cluster.flavors[flavor].name);
+        let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type].name);
         let of = |names: &[String], name: &String| names.is_empty() || names.contains(name);
-        flavor.is_some_and(|flavor| of(&pool.machines, flavor))
+        instance_type.is_some_and(|instance_type| of(&pool.machines, instance_type))
             && of(&pool.zones, &host.zone)
             && (pool.spot || !host.spot)
             && (pool.keep == HoldKind::Image || host.loads_models)
@@ -125,7 +125,7 @@
 
     fn least_price(&self, pool: &Pool) -> u64 {
         let allowed =
-            self.cluster.flavors.iter().filter(|f| pool.machines.is_empty() || pool.machines.contains(&f.name));
+            self.cluster.instance_types.iter().filter(|f| pool.machines.is_empty() || pool.machines.contains(&f.name));
         allowed.map(|f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(pool.spot))).min().unwrap_or(0)
     }
 
@@ -145,7 +145,7 @@
             demand: demand(&pool.amounts()),
             image: model.image.clone(),
             image_gb: model.size_gb,
-            flavors: (!pool.machines.is_empty()).then(|| pool.machines.clone()),
+            instance_types: (!pool.machines.is_empty()).then(|| pool.machines.clone()),
             zone,
             one_zone: false,
             spread: pool.spread,
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -224,9 +224,9 @@
                     self.cloud_request(leadership, op);
                 }
             }
-            BackgroundEvent::Flavors(flavors) => {
-                self.check_pool_machines(&flavors);
-                leadership.partition.set_flavors(flavors);
+            BackgroundEvent::InstanceTypes(instance_types) => {
+                self.check_pool_machines(&instance_types);
+                leadership.partition.set_instance_types(instance_types);
             }
         }
     }
@@ -237,7 +237,7 @@
             return;
         }
         let (fencing_token, version) = (leadership.partition.fencing_token, leadership.version);
-        leadership.partition.begin(fencing_token, version, l.jobs, l.hosts, l.flavors, now);
+        leadership.partition.begin(fencing_token, version, l.jobs, l.hosts, l.instance_types, now);
         leadership.partition.begin_pools(l.pool_records, now);
         leadership.partition.begin_loans(l.loan_records);
         leadership.loaded = true;
@@ -247,7 +247,7 @@
             hosts = leadership.partition.cluster.host_index.len(),
             "loaded"
         );
-        self.watch_cloud(leadership.n, leadership.partition.cluster.flavors.clone());
+        self.watch_cloud(leadership.n, leadership.partition.cluster.instance_types.clone());
         self.watch_inbox(leadership.n);
     }
 }
--- a/src/partition_leader/answers.rs
+++ b/src/partition_leader/answers.rs
@@ -60,7 +60,8 @@
     ) {
         let cluster = &leadership.partition.cluster;
         let pending = pending_machines.into_iter().filter_map(|m| {
-            let machine = PendingMachine { flavor: cluster.flavor(&m.flavor)?, zone: m.zone, spot: m.spot };
+            let machine =
+                PendingMachine { instance_type: cluster.instance_type(&m.instance_type)?, zone: m.zone, spot: m.spot };
             Some(std::iter::repeat_n(machine, m.count))
         });
         leadership.pending_machines = pending.flatten().collect();
--- a/src/partition_leader/cloud_tasks.rs
+++ b/src/partition_leader/cloud_tasks.rs
@@ -5,7 +5,7 @@
 use super::messages::{BackgroundEvent, BackgroundSender};
 use super::stored_records::flavor_changes;
 use crate::clients::{Cloud, RentResult, State};
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::peer::PeerRequest;
 use crate::provisioner::CloudRequest;
 use crate::sched::Rental;
@@ -33,10 +33,10 @@
 
     fn rent(&self, leadership: &Leadership, name: String, rental: Rental, pause_ms: u64) {
         let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.n));
-        let flavor = leadership.partition.cluster.flavors[rental.flavor].name.clone();
+        let instance_type = leadership.partition.cluster.instance_types[rental.instance_type].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
-            let result = cloud.rent(&name, &flavor, &rental.zone, rental.spot, rental.count).await;
+            let result = cloud.rent(&name, &instance_type, &rental.zone, rental.spot, rental.count).await;
             sender.send(BackgroundEvent::Rented { name, result }).await;
         });
     }
@@ -89,7 +89,7 @@
     }
 
     /// Reads the machine types and the list for as long as the session lasts.
-    pub(super) fn watch_cloud(&self, leadership_epoch: u64, known: Vec<Flavor>) {
+    pub(super) fn watch_cloud(&self, leadership_epoch: u64, known: Vec<InstanceType>) {
         let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(leadership_epoch));
         let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
         let value_bytes = self.settings.write_limits().value_bytes;
@@ -125,15 +125,15 @@
     cloud: &Cloud,
     state: &State,
     sender: &BackgroundSender,
-    known: &mut Vec<Flavor>,
+    known: &mut Vec<InstanceType>,
     value_bytes: usize,
 ) -> bool {
-    let Some(flavors) = cloud.flavors().await else { return true };
-    if known.len() != flavors.len() {
-        for change in flavor_changes(&flavors, value_bytes) {
+    let Some(instance_types) = cloud.instance_types().await else { return true };
+    if known.len() != instance_types.len() {
+        for change in flavor_changes(&instance_types, value_bytes) {
             state.commit(&[], &[change]).await;
         }
     }
-    known.clone_from(&flavors);
-    sender.send(BackgroundEvent::Flavors(flavors)).await
+    known.clone_from(&instance_types);
+    sender.send(BackgroundEvent::InstanceTypes(instance_types)).await
 }
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -5,7 +5,7 @@
 use crate::configuration::Obeyed;
 use crate::loans::LoansResponse;
 use crate::membership::RaisedToken;
-use crate::model::{Flavor, HostRecord};
+use crate::model::{HostRecord, InstanceType};
 use crate::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
@@ -126,7 +126,7 @@
     /// The cloud's list of machines.
     Listed(Vec<Listed>),
     /// The cloud's machine types.
-    Flavors(Vec<Flavor>),
+    InstanceTypes(Vec<InstanceType>),
 }
 
 /// What becomes of a report.
--- a/src/partition_leader/mod.rs
+++ b/src/partition_leader/mod.rs
@@ -20,4 +20,4 @@
 
 pub use context::PartitionLeader;
 pub use messages::{BackgroundEvent, HeartbeatReply, Message};
-pub use stored_records::{FLAVORS_KEY, Loaded, kept_flavors};
+pub use stored_records::{INSTANCE_TYPES_KEY, Loaded, stored_instance_types};
--- a/src/partition_leader/pools.rs
+++ b/src/partition_leader/pools.rs
@@ -3,7 +3,7 @@
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
 use crate::clock;
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::warm_pools::PoolsResponse;
 
 impl PartitionLeader {
@@ -18,10 +18,10 @@
 
     /// Machine types are told by the cloud: where it gave no answer as this controller started, a
     /// pool's could not be checked then, and the cloud may have dropped one since.
-    pub(super) fn check_pool_machines(&self, flavors: &[Flavor]) {
+    pub(super) fn check_pool_machines(&self, instance_types: &[InstanceType]) {
         let pools = self.pools.iter().flat_map(|settings| &settings.pools);
         for (pool, machine) in pools.flat_map(|(name, pool)| pool.machines.iter().map(move |machine| (name, machine))) {
-            if !flavors.iter().any(|flavor| flavor.name == *machine) {
+            if !instance_types.iter().any(|instance_type| instance_type.name == *machine) {
                 tracing::error!(pool, machine, "the cloud has no such machine type");
             }
         }
--- a/src/partition_leader/stored_records.rs
+++ b/src/partition_leader/stored_records.rs
@@ -4,7 +4,7 @@
 use crate::clients::State;
 use crate::clock;
 use crate::configuration::ConfigurationHandle;
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::wire::{self, Item};
 use crate::write_limits::json_bytes;
 use badgerdrift_borrowing::LOAN_PREFIX;
@@ -12,43 +12,43 @@
 use serde_json::{Value, json};
 
 /// Key under which the machine types are kept for a restart in a cloud outage.
-pub const FLAVORS_KEY: &str = "flavors";
+pub const INSTANCE_TYPES_KEY: &str = "flavors";
 
 /// The changes that keep the machine types, in as many values as they need. The first one is
 /// where all of them were kept before.
-pub(super) fn flavor_changes(flavors: &[Flavor], value_bytes: usize) -> Vec<Value> {
-    let mut values: Vec<Vec<&Flavor>> = vec![Vec::new()];
-    for flavor in flavors {
+pub(super) fn flavor_changes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<Value> {
+    let mut values: Vec<Vec<&InstanceType>> = vec![Vec::new()];
+    for instance_type in instance_types {
         let Some(last) = values.last_mut() else { break };
-        last.push(flavor);
+        last.push(instance_type);
         if last.len() > 1 && json_bytes(last) > value_bytes {
             last.pop();
-            values.push(vec![flavor]);
+            values.push(vec![instance_type]);
         }
     }
-    let key = |n: usize| if n == 0 { FLAVORS_KEY.to_string() } else { format!("{FLAVORS_KEY}/{n}") };
-    values.iter().enumerate().map(|(n, flavors)| wire::put(&key(n), &json!(flavors), None)).collect()
+    let key = |n: usize| if n == 0 { INSTANCE_TYPES_KEY.to_string() } else { format!("{INSTANCE_TYPES_KEY}/{n}") };
+    values.iter().enumerate().map(|(n, instance_types)| wire::put(&key(n), &json!(instance_types), None)).collect()
 }
 
 /// The machine types that are kept; one that is there twice counts once.
-pub async fn kept_flavors(state: &State) -> Option<Vec<Flavor>> {
-    let mut flavors: Vec<Flavor> = Vec::new();
-    for item in state.list(FLAVORS_KEY).await.ok()? {
-        let more: Vec<Flavor> = serde_json::from_value(item.value).unwrap_or_default();
-        for flavor in more {
-            if flavors.iter().all(|known| known.name != flavor.name) {
-                flavors.push(flavor);
+pub async fn stored_instance_types(state: &State) -> Option<Vec<InstanceType>> {
+    let mut instance_types: Vec<InstanceType> = Vec::new();
+    for item in state.list(INSTANCE_TYPES_KEY).await.ok()? {
+        let more: Vec<InstanceType> = serde_json::from_value(item.value).unwrap_or_default();
+        for instance_type in more {
+            if instance_types.iter().all(|known| known.name != instance_type.name) {
+                instance_types.push(instance_type);
             }
         }
     }
-    Some(flavors)
+    Some(instance_types)
 }
 
 /// What the state service holds at the start of a session.
 pub struct Loaded {
     pub(super) jobs: Vec<Item>,
     pub(super) hosts: Vec<Item>,
-    pub(super) flavors: Vec<Flavor>,
+    pub(super) instance_types: Vec<InstanceType>,
     /// Records of warm pools; none are read without pools.
     pub(super) pool_records: Vec<Item>,
     /// Records of loans; none are read without borrowing.
@@ -78,10 +78,10 @@
         }
         let jobs = state.list("job/").await.ok()?;
         let hosts = state.list("host/").await.ok()?;
-        let flavors = kept_flavors(state).await?;
+        let instance_types = stored_instance_types(state).await?;
         let pool_records = if further.pools { read_pool_records(state, clock::wall_ms()).await? } else { Vec::new() };
         let loan_records = if further.loans { state.list(LOAN_PREFIX).await.ok()? } else { Vec::new() };
-        Some(Loaded { jobs, hosts, flavors, pool_records, loan_records })
+        Some(Loaded { jobs, hosts, instance_types, pool_records, loan_records })
     }
 }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -97,7 +97,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
     /// Name of the machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub instance_type: String,
     /// Zone of the machines.
     pub zone: String,
     /// True for spot machines.
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -98,11 +98,16 @@
             capacity_report.wanted.clear();
         }
         self.capacity_reports.insert(to, (now, capacity_report));
-        let named = |flavor: usize, zone: String, spot: bool| {
-            Some(Machines { flavor: partition.cluster.flavors.get(flavor)?.name.clone(), zone, spot, count: 1 })
+        let named = |instance_type: usize, zone: String, spot: bool| {
+            Some(Machines {
+                instance_type: partition.cluster.instance_types.get(instance_type)?.name.clone(),
+                zone,
+                spot,
+                count: 1,
+            })
         };
         let refused = self.refused.iter().filter(|(_, r)| now < r.0);
-        let pending = pending_machines.into_iter().filter_map(|c| named(c.flavor, c.zone, c.spot)).collect();
+        let pending = pending_machines.into_iter().filter_map(|c| named(c.instance_type, c.zone, c.spot)).collect();
         (frame_sizes::machines_for_frame(pending), refused.filter_map(|(k, _)| named(k.0, k.1.clone(), k.2)).collect())
     }
 
@@ -110,7 +115,7 @@
     pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused.clear();
         for m in refused {
-            if let Some(f) = partition.cluster.flavor(&m.flavor) {
+            if let Some(f) = partition.cluster.instance_type(&m.instance_type) {
                 self.refused.insert((f, m.zone.clone(), m.spot), (until_ms, 0));
             }
         }
@@ -130,8 +135,8 @@
         }
         let flows = flows(partition, wall);
         let gone = |f: usize, z: &String| self.refused.get(&(f, z.clone(), false)).is_some_and(|r| now < r.0);
-        let flavors = partition.cluster.flavors.iter().enumerate();
-        let exhausted = flavors.filter(|(i, f)| f.zones.iter().all(|z| gone(*i, z))).map(|(i, _)| i).collect();
+        let instance_types = partition.cluster.instance_types.iter().enumerate();
+        let exhausted = instance_types.filter(|(i, f)| f.zones.iter().all(|z| gone(*i, z))).map(|(i, _)| i).collect();
         partition.cluster.exhausted = exhausted;
         partition.cluster.reserves = sched::reserves(&partition.cluster, &partition.policy, &flows);
         let cluster = &partition.cluster;
@@ -143,7 +148,7 @@
             spare: Vec::new(),
         };
         let mut ops = Vec::new();
-        if cluster.flavors.is_empty() || !partition.counted(now) {
+        if cluster.instance_types.is_empty() || !partition.counted(now) {
             return (capacity_report, ops);
         }
         let upcoming = partition.upcoming(longest_boot_ms(cluster), now);
@@ -159,14 +164,14 @@
             sched::plan(cluster, &partition.policy, now, &work, pending_machines, &supply)
         };
         let machines = |r: Rental| {
-            let flavor = cluster.flavors[r.flavor].name.clone();
-            Machines { flavor, zone: r.zone, spot: r.spot, count: r.count }
+            let instance_type = cluster.instance_types[r.instance_type].name.clone();
+            Machines { instance_type, zone: r.zone, spot: r.spot, count: r.count }
         };
         capacity_report.wanted = plan.rent.into_iter().map(machines).collect();
         let mut idle: Vec<String> = Vec::new();
         for host_index in plan.spare {
             let Some(h) = cluster.host(host_index) else { continue };
-            let Some(boot_s) = h.flavor.map(|f| cluster.flavors[f].boot_s) else { continue };
+            let Some(boot_s) = h.instance_type.map(|f| cluster.instance_types[f].boot_s) else { continue };
             let keep = (partition.policy.idle_keep * boot_s * 1000.0) as u64;
             if now > h.idle_since_ms + keep {
                 idle.push(h.id.clone());
@@ -190,12 +195,12 @@
     /// How each kind of machine can be had now, by what was refused and how boots went.
     fn supply<'a>(&'a self, partition: &'a Partition, now: u64) -> impl Fn(usize, &str, bool) -> Supply + 'a {
         let late = self.late_by_kind();
-        move |flavor, zone, spot| {
-            if self.refused.get(&(flavor, zone.to_string(), spot)).is_some_and(|r| now < r.0) {
+        move |instance_type, zone, spot| {
+            if self.refused.get(&(instance_type, zone.to_string(), spot)).is_some_and(|r| now < r.0) {
                 return Supply::Refused;
             }
-            let kind = MachineKind { flavor, zone: zone.to_string(), spot };
-            let nominal_ms = boots::nominal_boot_ms(&partition.cluster.flavors[flavor]);
+            let kind = MachineKind { instance_type, zone: zone.to_string(), spot };
+            let nominal_ms = boots::nominal_boot_ms(&partition.cluster.instance_types[instance_type]);
             let late = late.get(&kind).copied().unwrap_or(0);
             Supply::Available { cost_factor: self.boot_times.cost_factor(&kind, nominal_ms, late, now) }
         }
@@ -214,7 +219,7 @@
     ) -> Vec<CloudRequest> {
         let cluster = &partition.cluster;
         let mut ops = Vec::new();
-        if !self.predecessor_known || cluster.flavors.is_empty() {
+        if !self.predecessor_known || cluster.instance_types.is_empty() {
             return ops;
         }
         self.capacity_reports.retain(|_, n| now < n.0 + patience_ms);
@@ -229,8 +234,8 @@
             let Some((_, n)) = self.capacity_reports.get_mut(&p) else { continue };
             // What is ordered now must not be ordered again before the partition has seen it.
             for m in std::mem::take(&mut n.wanted) {
-                let Some(flavor) = cluster.flavor(&m.flavor) else { continue };
-                let like = PendingMachine { flavor, zone: m.zone.clone(), spot: m.spot };
+                let Some(instance_type) = cluster.instance_type(&m.instance_type) else { continue };
+                let like = PendingMachine { instance_type, zone: m.zone.clone(), spot: m.spot };
                 let mut left = m.count;
                 while left > 0 {
                     let fits = |(q, h): &(u32, String)| *q != p && self.kinds.get(h) == Some(&like);
@@ -240,16 +245,16 @@
                     ops.push(CloudRequest::TransferHost { from, host, to: p });
                     left -= 1;
                 }
-                let key = (flavor, m.zone.clone(), m.spot);
+                let key = (instance_type, m.zone.clone(), m.spot);
                 if left == 0 || self.refused.get(&key).is_some_and(|r| now < r.0) {
                     continue;
                 }
-                let rental = Rental { flavor, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
+                let rental = Rental { instance_type, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
                 self.sequence += 1;
                 let name = format!("r-{}-{}", partition.fencing_token, self.sequence);
                 tracing::info!(
                     name,
-                    flavor = m.flavor,
+                    instance_type = m.instance_type,
                     zone = rental.zone,
                     spot = rental.spot,
                     count = rental.count,
@@ -280,12 +285,12 @@
 }
 
 fn longest_boot_ms(cluster: &ClusterState) -> u64 {
-    (cluster.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max) * 1000.0) as u64
+    (cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max) * 1000.0) as u64
 }
 
 /// Arrivals of each class within the longest boot, from what was accepted.
 fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
-    let boot_s = partition.cluster.flavors.iter().map(|f| f.boot_s).fold(1.0, f64::max);
+    let boot_s = partition.cluster.instance_types.iter().map(|f| f.boot_s).fold(1.0, f64::max);
     let window_s = 3.0 * boot_s;
     let since = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy.start_ms);
     let span_s = (wall.saturating_sub(since) as f64 / 1000.0).max(boot_s);
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -3,7 +3,7 @@
 
 use super::{CloudRequest, Provisioner};
 use crate::boot_times::MachineKind;
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::partition::Partition;
 use crate::sched::PendingMachine;
 use crate::wire::Listed;
@@ -78,7 +78,7 @@
 impl MachineKind {
     pub(super) fn of(pending_machines: &PendingMachine) -> MachineKind {
         MachineKind {
-            flavor: pending_machines.flavor,
+            instance_type: pending_machines.instance_type,
             zone: pending_machines.zone.clone(),
             spot: pending_machines.spot,
         }
@@ -86,8 +86,8 @@
 }
 
 /// The nominal boot time of a machine type.
-pub(super) fn nominal_boot_ms(flavor: &Flavor) -> u64 {
-    (flavor.boot_s * 1000.0) as u64
+pub(super) fn nominal_boot_ms(instance_type: &InstanceType) -> u64 {
+    (instance_type.boot_s * 1000.0) as u64
 }
 
 impl Provisioner {
@@ -105,7 +105,7 @@
         self.moving.retain(|_, m| now < m.2);
         let mut pending_machines: Vec<PendingMachine> = Vec::new();
         for r in self.renting.values().filter(|r| r.partition == to).map(|r| &r.rental) {
-            let one = PendingMachine { flavor: r.flavor, zone: r.zone.clone(), spot: r.spot };
+            let one = PendingMachine { instance_type: r.instance_type, zone: r.zone.clone(), spot: r.spot };
             pending_machines.extend(std::iter::repeat_n(one, r.count));
         }
         pending_machines.extend(self.booting_capacity(to, pending_machines.len()));
@@ -134,7 +134,7 @@
         }
         for (id, machine) in &mut self.booting {
             let kind = MachineKind::of(&machine.kind);
-            let nominal_ms = nominal_boot_ms(&partition.cluster.flavors[kind.flavor]);
+            let nominal_ms = nominal_boot_ms(&partition.cluster.instance_types[kind.instance_type]);
             let age_ms = machine.age_ms(now);
             let late = self.boot_times.is_late(&kind, nominal_ms, age_ms, now);
             if late && !machine.late {
@@ -211,8 +211,8 @@
                 drop.push(entry.id.clone());
                 continue;
             }
-            let Some(flavor) = partition.cluster.flavor(&entry.flavor) else { continue };
-            let kind = PendingMachine { flavor, zone: entry.zone.clone(), spot: entry.spot };
+            let Some(instance_type) = partition.cluster.instance_type(&entry.instance_type) else { continue };
+            let kind = PendingMachine { instance_type, zone: entry.zone.clone(), spot: entry.spot };
             self.kinds.insert(entry.id.clone(), kind.clone());
             if is_up(partition, &entry.id) {
                 continue;
@@ -237,10 +237,10 @@
     /// How long a machine is expected to take until it is up, whatever its kind: by the boots that
     /// were seen lately, or by the nominal time.
     pub fn expected_boot_ms(&self, partition: &Partition, now: u64) -> u64 {
-        let kinds = partition.cluster.flavors.iter().enumerate().flat_map(|(flavor, f)| {
+        let kinds = partition.cluster.instance_types.iter().enumerate().flat_map(|(instance_type, f)| {
             let nominal_ms = nominal_boot_ms(f);
             let of_zone = move |zone: &String| {
-                [false, true].map(|spot| (MachineKind { flavor, zone: zone.clone(), spot }, nominal_ms))
+                [false, true].map(|spot| (MachineKind { instance_type, zone: zone.clone(), spot }, nominal_ms))
             };
             f.zones.iter().flat_map(of_zone)
         });
@@ -261,7 +261,7 @@
     fn never_comes_up(&self, id: &str, partition: &Partition, now: u64) -> bool {
         let Some(machine) = self.booting.get(id) else { return false };
         let kind = MachineKind::of(&machine.kind);
-        let nominal_ms = nominal_boot_ms(&partition.cluster.flavors[kind.flavor]);
+        let nominal_ms = nominal_boot_ms(&partition.cluster.instance_types[kind.instance_type]);
         match machine.running_ms {
             Some(running_ms) => {
                 let expected_ms = self.boot_times.expected_ms(&kind, nominal_ms, now);
@@ -274,7 +274,7 @@
 
 /// The label of counters for machines of one type in one zone.
 fn kind_label(partition: &Partition, kind: &MachineKind) -> String {
-    format!("{}/{}", partition.cluster.flavors[kind.flavor].name, kind.zone)
+    format!("{}/{}", partition.cluster.instance_types[kind.instance_type].name, kind.zone)
 }
 
 /// Has the machine reported, to any partition?
--- a/src/provisioner/frame_sizes.rs
+++ b/src/provisioner/frame_sizes.rs
@@ -25,14 +25,14 @@
 /// The machines, one an entry where a frame has room for that: the version before counts each
 /// entry as one machine. Else those of a kind are one entry.
 pub(super) fn machines_for_frame(machines: Vec<Machines>) -> Vec<Machines> {
-    let bytes = |entry: &Machines| entry.flavor.len() + entry.zone.len() + MACHINES_ENTRY_BYTES;
+    let bytes = |entry: &Machines| entry.instance_type.len() + entry.zone.len() + MACHINES_ENTRY_BYTES;
     if machines.iter().map(bytes).sum::<usize>() <= MAX_FRAME / LIST_PART {
         return machines;
     }
     let mut by_kind: Vec<Machines> = Vec::new();
     for machine in machines {
         let same = |entry: &&mut Machines| {
-            entry.flavor == machine.flavor && entry.zone == machine.zone && entry.spot == machine.spot
+            entry.instance_type == machine.instance_type && entry.zone == machine.zone && entry.spot == machine.spot
         };
         match by_kind.iter_mut().find(same) {
             Some(entry) => entry.count += machine.count,
--- a/src/provisioner/rentals.rs
+++ b/src/provisioner/rentals.rs
@@ -39,7 +39,7 @@
                     self.refuse(&request.rental, now);
                 } else {
                     let rental = &request.rental;
-                    self.refused.remove(&(rental.flavor, rental.zone.clone(), rental.spot));
+                    self.refused.remove(&(rental.instance_type, rental.zone.clone(), rental.spot));
                 }
                 self.renting.remove(name);
                 ids.into_iter().for_each(|id| self.note_rented(id, &request, now));
@@ -56,7 +56,8 @@
 
     fn note_rented(&mut self, id: String, request: &RentalRequest, now: u64) {
         let rental = &request.rental;
-        let pending_machine = PendingMachine { flavor: rental.flavor, zone: rental.zone.clone(), spot: rental.spot };
+        let pending_machine =
+            PendingMachine { instance_type: rental.instance_type, zone: rental.zone.clone(), spot: rental.spot };
         self.kinds.insert(id.clone(), pending_machine.clone());
         self.booting.entry(id).or_insert_with(|| BootingMachine::rented(request.partition, pending_machine, now));
     }
@@ -64,7 +65,7 @@
     /// Asks for no more machines of a kind for a while: ever longer pauses, up to some
     /// lags of the list.
     fn refuse(&mut self, rental: &Rental, now: u64) {
-        let key = (rental.flavor, rental.zone.clone(), rental.spot);
+        let key = (rental.instance_type, rental.zone.clone(), rental.spot);
         let lag_ms = self.lag_ms.max(1000);
         let pause = self.refused.get(&key).map_or(lag_ms, |r| r.1 * 2).min(lag_ms * 8);
         self.refused.insert(key, (now + pause, pause));
--- a/src/provisioner/tests/frame_sizes.rs
+++ b/src/provisioner/tests/frame_sizes.rs
@@ -37,7 +37,7 @@
 fn six_thousand_machines_on_their_way_are_told_in_a_frame_and_none_is_lost() {
     let mut bench = Bench::of(partition());
     for n in 0..120 {
-        let rental = Rental { flavor: 0, zone: ["a", "b"][n % 2].into(), spot: false, count: 50 };
+        let rental = Rental { instance_type: 0, zone: ["a", "b"][n % 2].into(), spot: false, count: 50 };
         bench.provisioner.renting.insert(format!("r-1-{n}"), RentalRequest::new(1, rental));
     }
     let capacity_report =
@@ -53,7 +53,7 @@
 #[test]
 fn few_machines_on_their_way_are_told_one_by_one() {
     let mut bench = Bench::of(partition());
-    let rental = Rental { flavor: 0, zone: "a".into(), spot: false, count: 50 };
+    let rental = Rental { instance_type: 0, zone: "a".into(), spot: false, count: 50 };
     bench.provisioner.renting.insert("r-1-1".into(), RentalRequest::new(1, rental));
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -224,7 +224,7 @@
 
     /// A machine was rented for this partition, and the scripted cloud knows nothing of it.
     pub(super) fn rent(&mut self, id: &str, zone: &str) {
-        let rental = Rental { flavor: 0, zone: zone.into(), spot: false, count: 1 };
+        let rental = Rental { instance_type: 0, zone: zone.into(), spot: false, count: 1 };
         let name = format!("of-{id}");
         self.provisioner.renting.insert(name.clone(), RentalRequest::new(0, rental));
         self.provisioner.rented(&name, RentResult::Rented(vec![id.into()]), self.now);
--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -14,7 +14,7 @@
     /// Its type is known, and tasks may be placed on it now.
     pub usable: bool,
     /// Index of its type; 0 if that is not known.
-    pub flavor: usize,
+    pub instance_type: usize,
     /// Index of its zone in [`Index`].
     pub zone: usize,
     /// True for a spot machine.
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequirements {
     /// By machine type; a type that is too small is not allowed.
-    flavors: Vec<bool>,
+    instance_types: Vec<bool>,
     /// What one task takes.
     pub demand: Demand,
     /// Spot machines are allowed.
@@ -75,8 +75,8 @@
 
 impl TaskRequirements {
     /// May the tasks be on such a machine, as far as zone counts allow?
-    pub fn allows(&self, flavor: usize, zone: usize, spot: bool, counts: &ZoneCounts) -> bool {
-        self.flavors[flavor]
+    pub fn allows(&self, instance_type: usize, zone: usize, spot: bool, counts: &ZoneCounts) -> bool {
+        self.instance_types[instance_type]
             && (self.spot || !spot)
             && self.zone.is_none_or(|z| z == Some(zone))
             && counts.of(zone) < self.limit
@@ -85,12 +85,12 @@
 
     /// The same for a machine that is up.
     pub fn takes(&self, s: &Slot, counts: &ZoneCounts) -> bool {
-        s.usable && self.allows(s.flavor, s.zone, s.spot, counts)
+        s.usable && self.allows(s.instance_type, s.zone, s.spot, counts)
     }
 
     /// The same for any number of tasks that are already there.
     pub fn like(&self, other: &TaskRequirements) -> bool {
-        self.flavors == other.flavors
+        self.instance_types == other.instance_types
             && self.demand == other.demand
             && self.spot == other.spot
             && self.zone == other.zone
@@ -120,7 +120,7 @@
     /// Counts what is on all machines.
     pub fn new(cluster: &ClusterState, now: u64) -> Index {
         let mut index = Index { slots: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
-        for zone in cluster.flavors.iter().flat_map(|f| &f.zones) {
+        for zone in cluster.instance_types.iter().flat_map(|f| &f.zones) {
             index.zone_or_insert(zone);
         }
         for (host_index, host) in cluster.hosts.iter().enumerate() {
@@ -145,11 +145,11 @@
     /// Counts what is on one machine.
     fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, h: &Host, now: u64) -> Slot {
         let mut slot = Slot {
-            usable: h.flavor.is_some() && usable(h, now),
-            flavor: h.flavor.unwrap_or(0),
+            usable: h.instance_type.is_some() && usable(h, now),
+            instance_type: h.instance_type.unwrap_or(0),
             zone: self.zone_or_insert(&h.zone),
             spot: h.spot,
-            free: h.flavor.map_or(Demand::default(), |f| cluster.flavors[f].cap),
+            free: h.instance_type.map_or(Demand::default(), |f| cluster.instance_types[f].cap),
             claimed: Demand::default(),
             claims: h.claims.len(),
         };
@@ -195,7 +195,7 @@
     /// Where the tasks of a job may be.
     pub fn requirements(&self, cluster: &ClusterState, spec: &Spec) -> TaskRequirements {
         TaskRequirements {
-            flavors: cluster.flavors.iter().map(|f| spec.allows_flavor(f)).collect(),
+            instance_types: cluster.instance_types.iter().map(|f| spec.allows_flavor(f)).collect(),
             demand: spec.demand,
             spot: spec.spot,
             zone: spec.zone.as_deref().map(|z| self.zone(z)),
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -13,7 +13,7 @@
 pub use plan::{ClassFlow, Drain, ExpectedWork, PendingMachine, Plan, Rental, Supply, SupplyOf, plan, reserves};
 pub use policy::{Policy, TeamRule};
 
-use crate::model::{Flavor, Host, Shape, Spec, UNREACHABLE_AFTER_MISSES};
+use crate::model::{Host, InstanceType, Shape, Spec, UNREACHABLE_AFTER_MISSES};
 use std::fmt;
 
 /// Why a submission can never run.
@@ -57,11 +57,11 @@
 }
 
 /// Why a submission can never run, if so.
-pub fn impossible(spec: &Spec, policy: &Policy, flavors: &[Flavor]) -> Option<Impossible> {
+pub fn impossible(spec: &Spec, policy: &Policy, instance_types: &[InstanceType]) -> Option<Impossible> {
     let Some(team) = policy.teams.get(&spec.team).filter(|team| !team.removed) else {
         return Some(Impossible::UnknownTeam(spec.team.clone()));
     };
-    let fits = flavors.iter().any(|f| spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z)));
+    let fits = instance_types.iter().any(|f| spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z)));
     if !fits {
         return Some(Impossible::FitsNoMachineType);
     }
--- a/src/sched/pass/candidates.rs
+++ b/src/sched/pass/candidates.rs
@@ -44,7 +44,7 @@
 
     /// Would a task there strand room that work with accelerators needs?
     fn strands_accelerators(&self, request: &PlacementRequest, s: &Slot) -> bool {
-        strands_accelerators(self.cluster, &self.cluster.jobs[request.job_index].spec, s.flavor, &s.free)
+        strands_accelerators(self.cluster, &self.cluster.jobs[request.job_index].spec, s.instance_type, &s.free)
     }
 
     /// The best of the candidates that the zones allow; the least cost wins.
--- a/src/sched/pass/cost.rs
+++ b/src/sched/pass/cost.rs
@@ -38,7 +38,7 @@
 impl Pass<'_> {
     /// Seconds until the job's image would be on the machine.
     pub(super) fn fetch_s(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
-        let rate = self.cluster.flavors[self.index.slots[host_index].flavor].fetch_gb_per_s;
+        let rate = self.cluster.instance_types[self.index.slots[host_index].instance_type].fetch_gb_per_s;
         self.cluster.host(host_index).map_or(f64::INFINITY, |h| h.fetch_s(&request.image, request.image_gb, rate))
     }
 
@@ -46,7 +46,7 @@
     pub(super) fn cost(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
         let Some(h) = self.cluster.host(host_index) else { return f64::INFINITY };
         let slot = &self.index.slots[host_index];
-        let cap = &self.cluster.flavors[slot.flavor].cap;
+        let cap = &self.cluster.instance_types[slot.instance_type].cap;
         let before = slot.free;
         let mut after = before;
         after.sub(&request.requirements.demand);
@@ -55,7 +55,7 @@
         cost += STRANDED * (imbalance(&after, cap) - imbalance(&before, cap));
         // Room that other work can find on this type alone costs little while
         // there is plenty, much when what is expected needs the rest.
-        let lost = request.reserved_costs.iter().filter(|t| t.reserve.loses(slot.flavor, &before, &after));
+        let lost = request.reserved_costs.iter().filter(|t| t.reserve.loses(slot.instance_type, &before, &after));
         cost += lost.map(|t| t.cost).fold(0.0, f64::max);
         cost += self.market_cost(request, h);
         cost += self.sharing_cost(request, host_index);
--- a/src/sched/pass/gang.rs
+++ b/src/sched/pass/gang.rs
@@ -172,7 +172,7 @@
     /// Room that a machine will have some time: work that may not be stopped ends,
     /// unless it is a replica, and what frees then is held as well.
     fn room_in_time(&self, h: &Host, slot: &Slot) -> Demand {
-        let mut room = self.cluster.flavors[slot.flavor].cap;
+        let mut room = self.cluster.instance_types[slot.instance_type].cap;
         for c in h.attempts.iter().filter(|c| !c.ended()) {
             if self.cluster.jobs[c.key.job].spec.shape == Shape::Service {
                 room.sub(&c.demand);
--- a/src/sched/pass/lending.rs
+++ b/src/sched/pass/lending.rs
@@ -274,8 +274,8 @@
     /// Seconds of work that are lost if the attempt is stopped.
     pub(super) fn lost_s(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
-        let flavor = &self.cluster.flavors[self.index.slots[host_index].flavor];
-        let rate = flavor.fetch_gb_per_s;
+        let instance_type = &self.cluster.instance_types[self.index.slots[host_index].instance_type];
+        let rate = instance_type.fetch_gb_per_s;
         StoppedWork {
             ran_s: self.now.saturating_sub(attempt.since_ms) as f64 / 1000.0,
             checkpoint_every_s: spec.checkpoint_s,
--- a/src/sched/pass/mod.rs
+++ b/src/sched/pass/mod.rs
@@ -195,7 +195,7 @@
 /// Classes that can run on one machine type alone and have hardly room there.
 fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
     let slots = |r: &Reserve| -> f64 {
-        let hosts = index.slots.iter().filter(|s| s.usable && r.allows(s.flavor));
+        let hosts = index.slots.iter().filter(|s| s.usable && r.allows(s.instance_type));
         hosts.map(|s| s.free.slots(&r.demand)).sum()
     };
     cluster.reserves.iter().filter(|r| slots(r) <= SCARCE * r.tasks).map(|r| r.class.clone()).collect()
--- a/src/sched/pass/request.rs
+++ b/src/sched/pass/request.rs
@@ -2,7 +2,7 @@
 
 use super::Pass;
 use super::queue::Turn;
-use crate::model::{Flavor, HostIndex, Job, JobIndex, Reserve, Shape, Spec};
+use crate::model::{HostIndex, InstanceType, Job, JobIndex, Reserve, Shape, Spec};
 use crate::sched::index::TaskRequirements;
 use std::collections::HashSet;
 
@@ -86,7 +86,7 @@
     fn trespasses(&self, spec: &Spec) -> Vec<Trespass> {
         let without_gpus = spec.demand.gpus <= 0.0;
         let concerns =
-            |r: &&Reserve| r.class != spec.class && (r.single_flavor() || (without_gpus && r.demand.gpus > 0.0));
+            |r: &&Reserve| r.class != spec.class && (r.single_instance_type() || (without_gpus && r.demand.gpus > 0.0));
         let cost = |r: &Reserve| if self.scarce_classes.contains(&r.class) { SCARCE_TRESPASS } else { TRESPASS };
         let reserves = self.cluster.reserves.iter().filter(concerns);
         reserves.map(|r| Trespass { reserve: r.clone(), cost: cost(r) }).collect()
@@ -103,16 +103,16 @@
 
     /// May machines without accelerators still be had for it?
     fn cpu_host_may_come(&self, spec: &Spec) -> bool {
-        let own = |(i, f): (usize, &Flavor)| {
+        let own = |(i, f): (usize, &InstanceType)| {
             f.cap.gpus <= 0.0 && spec.allows_flavor(f) && !self.cluster.exhausted.contains(&i)
         };
-        self.cluster.flavors.iter().enumerate().any(own)
+        self.cluster.instance_types.iter().enumerate().any(own)
     }
 
     /// How long the machine takes to boot on which the work costs least.
     fn boot_ms(&self, spec: &Spec) -> u64 {
-        let allowed = self.cluster.flavors.iter().filter(|f| spec.allows_flavor(f));
-        let cost = |f: &Flavor| f.price / f.cap.slots(&spec.demand).max(1.0);
+        let allowed = self.cluster.instance_types.iter().filter(|f| spec.allows_flavor(f));
+        let cost = |f: &InstanceType| f.price / f.cap.slots(&spec.demand).max(1.0);
         allowed.min_by(|a, b| cost(a).total_cmp(&cost(b))).map_or(0, |f| (f.boot_s * 1000.0) as u64)
     }
 }
--- a/src/sched/pass/room.rs
+++ b/src/sched/pass/room.rs
@@ -116,7 +116,8 @@
         let none = ZoneCounts::default();
         let mut costs = Vec::new();
         for (host, slot) in self.index.slots.iter().enumerate() {
-            let left_to_others = request.without_accelerators && self.cluster.flavors[slot.flavor].cap.gpus > 0.0;
+            let left_to_others =
+                request.without_accelerators && self.cluster.instance_types[slot.instance_type].cap.gpus > 0.0;
             if !request.requirements.takes(slot, &none) || left_to_others {
                 continue;
             }
--- a/src/sched/pass/tasks.rs
+++ b/src/sched/pass/tasks.rs
@@ -23,7 +23,7 @@
             let own = h.claims.iter().position(|claim| claim.job == key.job);
             own.or_else(|| h.claims.iter().position(|claim| self.cluster.may_use(claim, key.job)))
         });
-        let cache = self.cluster.flavors[self.index.slots[host].flavor].cache_gb;
+        let cache = self.cluster.instance_types[self.index.slots[host].instance_type].cache_gb;
         if let Some(h) = self.cluster.host_mut(host) {
             // Room held for this job is used up by its tasks.
             if let Some(i) = held {
--- a/src/sched/plan/drain.rs
+++ b/src/sched/plan/drain.rs
@@ -1,7 +1,7 @@
 //! Machines that are worth emptying, as their work costs less elsewhere.
 
 use super::Bin;
-use crate::model::{ClusterState, Demand, Flavor, HostIndex, Shape, Spec, TaskKey};
+use crate::model::{ClusterState, Demand, HostIndex, InstanceType, Shape, Spec, TaskKey};
 use crate::sched::index::Index;
 use std::collections::HashMap;
 
@@ -42,7 +42,7 @@
                 *costs.entry(&spec.class).or_insert_with(|| least_cost(cluster, spec))
             })
             .sum();
-        worth.push((value / cluster.flavors[b.flavor].price(h.spot).max(1e-6), host_index));
+        worth.push((value / cluster.instance_types[b.instance_type].price(h.spot).max(1e-6), host_index));
     }
     worth.sort_by(|a, b| a.0.total_cmp(&b.0));
     let rank: HashMap<HostIndex, f64> = worth.iter().map(|w| (w.1, w.0)).collect();
@@ -89,7 +89,7 @@
                     let Some(o) = b.host.and_then(|o| cluster.host(o)) else { return false };
                     let mut room = b.free;
                     spec.demand.fits(&room)
-                        && requirements.allows(b.flavor, b.zone, b.spot, &counts)
+                        && requirements.allows(b.instance_type, b.zone, b.spot, &counts)
                         && o.claims.is_empty()
                         && b.host.is_some_and(better)
                         && o.images.iter().any(|im| im.ready && im.name == spec.image)
@@ -116,6 +116,6 @@
 
 /// Least cost of a task on machines that are full of its like.
 fn least_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
-    let per_task = |f: &Flavor| f.price / f.cap.slots(&spec.demand).max(1.0);
-    cluster.flavors.iter().filter(|f| spec.allows_flavor(f)).map(per_task).fold(f64::INFINITY, f64::min)
+    let per_task = |f: &InstanceType| f.price / f.cap.slots(&spec.demand).max(1.0);
+    cluster.instance_types.iter().filter(|f| spec.allows_flavor(f)).map(per_task).fold(f64::INFINITY, f64::min)
 }
--- a/src/sched/plan/fit.rs
+++ b/src/sched/plan/fit.rs
@@ -32,12 +32,12 @@
             // What one task of them does not fit into, none does.
             while order.get(at).is_some_and(|i| {
                 let b = &bins[*i];
-                let allowed = requirements.allows(b.flavor, b.zone, b.spot, &counts)
+                let allowed = requirements.allows(b.instance_type, b.zone, b.spot, &counts)
                     && (b.spot || !only_spot)
                     && !b.host.is_some_and(|h| avoided_hosts.contains(&h));
                 !allowed
                     || !spec.demand.fits(&b.free)
-                    || (without_accelerators && strands_accelerators(cluster, spec, b.flavor, &b.free))
+                    || (without_accelerators && strands_accelerators(cluster, spec, b.instance_type, &b.free))
             }) {
                 at += 1;
             }
@@ -63,13 +63,13 @@
 }
 
 /// Would a task without accelerators cost work with them a place here?
-pub fn strands_accelerators(cluster: &ClusterState, spec: &Spec, flavor: usize, free: &Demand) -> bool {
-    if spec.demand.gpus > 0.0 || cluster.flavors[flavor].cap.gpus <= 0.0 {
+pub fn strands_accelerators(cluster: &ClusterState, spec: &Spec, instance_type: usize, free: &Demand) -> bool {
+    if spec.demand.gpus > 0.0 || cluster.instance_types[instance_type].cap.gpus <= 0.0 {
         return false;
     }
     let mut after = *free;
     after.sub(&spec.demand);
-    cluster.reserves.iter().any(|r| r.demand.gpus > 0.0 && r.loses(flavor, free, &after))
+    cluster.reserves.iter().any(|r| r.demand.gpus > 0.0 && r.loses(instance_type, free, &after))
 }
 
 /// The machine to rent on which a task like `spec` costs least, counting those that must
@@ -82,7 +82,7 @@
     supply: &SupplyOf,
 ) -> Option<Bin> {
     let mut best: Option<(f64, u32, Bin)> = None;
-    for (i, f) in cluster.flavors.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
+    for (i, f) in cluster.instance_types.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
         let per = f.cap.slots(&spec.demand).max(1.0);
         for name in f.zones.iter().filter(|z| spec.allows_zone(z)) {
             let Some(zone) = index.zone(name) else { continue };
@@ -97,7 +97,7 @@
                 let Supply::Available { cost_factor } = supply(i, name, spot) else { continue };
                 let price = f.price(spot) * cost_factor / per;
                 if best.as_ref().is_none_or(|(p, t, _)| (price, there) < (*p, *t)) {
-                    let bin = Bin { free: f.cap, flavor: i, zone, spot, host: None, used: true };
+                    let bin = Bin { free: f.cap, instance_type: i, zone, spot, host: None, used: true };
                     best = Some((price, there, bin));
                 }
             }
--- a/src/sched/plan/mod.rs
+++ b/src/sched/plan/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingMachine {
     /// Index of its type.
-    pub flavor: usize,
+    pub instance_type: usize,
     /// Zone that it was asked for in.
     pub zone: String,
     /// True for a spot machine.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rental {
     /// Index of the machine type.
-    pub flavor: usize,
+    pub instance_type: usize,
     /// Zone in which the machines are to be.
     pub zone: String,
     /// True for spot machines.
@@ -93,7 +93,7 @@
 
 struct Bin {
     free: Demand,
-    flavor: usize,
+    instance_type: usize,
     zone: usize,
     spot: bool,
     host: Option<HostIndex>,
@@ -131,16 +131,16 @@
     let mut rent: Vec<Rental> = Vec::new();
     for b in &bins[have..] {
         let zone = index.zone_name(b.zone);
-        match rent.iter_mut().find(|r| r.flavor == b.flavor && r.zone == zone && r.spot == b.spot) {
+        match rent.iter_mut().find(|r| r.instance_type == b.instance_type && r.zone == zone && r.spot == b.spot) {
             Some(r) => r.count += 1,
-            None => rent.push(Rental { flavor: b.flavor, zone: zone.into(), spot: b.spot, count: 1 }),
+            None => rent.push(Rental { instance_type: b.instance_type, zone: zone.into(), spot: b.spot, count: 1 }),
         }
     }
     let spare = bins.iter().filter(|b| !b.used).filter_map(|b| b.host).collect();
     bins.truncate(have);
     // Warm room is worth more than its price while work waits now and then:
     // machines are emptied after a lull in which they could have been had twice.
-    let boot_s = cluster.flavors.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+    let boot_s = cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
     let lull = now.saturating_sub(cluster.waited_ms) as f64 > 2.0 * boot_s * 1000.0;
     let drain = if work.unplaced.is_empty() && lull { consolidate(cluster, &index, &bins) } else { Vec::new() };
     Plan { rent, spare, drain }
@@ -154,7 +154,14 @@
         .map(|(host_index, h)| {
             let slot = &index.slots[host_index];
             let used = !h.attempts.is_empty() || !h.claims.is_empty() || held.contains(&host_index);
-            Bin { free: slot.free, flavor: slot.flavor, zone: slot.zone, spot: slot.spot, host: Some(host_index), used }
+            Bin {
+                free: slot.free,
+                instance_type: slot.instance_type,
+                zone: slot.zone,
+                spot: slot.spot,
+                host: Some(host_index),
+                used,
+            }
         })
         .collect()
 }
@@ -162,13 +169,13 @@
 /// The room of machines that were asked for, or are up and not in use yet.
 fn room_on_its_way(cluster: &ClusterState, index: &Index, pending_machines: &[PendingMachine]) -> Vec<Bin> {
     let joining = cluster.each_host().filter(|(_, h)| joining(h));
-    let joining = joining.filter_map(|(_, h)| Some((h.flavor?, h.zone.as_str(), h.spot)));
-    let pending = pending_machines.iter().map(|m| (m.flavor, m.zone.as_str(), m.spot));
+    let joining = joining.filter_map(|(_, h)| Some((h.instance_type?, h.zone.as_str(), h.spot)));
+    let pending = pending_machines.iter().map(|m| (m.instance_type, m.zone.as_str(), m.spot));
     pending
         .chain(joining)
-        .filter_map(|(flavor, zone, spot)| {
-            let free = cluster.flavors[flavor].cap;
-            Some(Bin { free, flavor, zone: index.zone(zone)?, spot, host: None, used: true })
+        .filter_map(|(instance_type, zone, spot)| {
+            let free = cluster.instance_types[instance_type].cap;
+            Some(Bin { free, instance_type, zone: index.zone(zone)?, spot, host: None, used: true })
         })
         .collect()
 }
--- a/src/sched/tests/guarantees.rs
+++ b/src/sched/tests/guarantees.rs
@@ -53,7 +53,7 @@
 impl Fleet {
     fn new(guaranteed_tasks: &[u32]) -> Fleet {
         let mut cluster = cluster(&[("a", false); HOSTS]);
-        cluster.flavors = vec![flavor("c32", 0.0, &["a"])];
+        cluster.instance_types = vec![instance_type("c32", 0.0, &["a"])];
         Fleet { cluster, policy: policy_of(guaranteed_tasks), next_attempt: 0 }
     }
 
--- a/src/sched/tests/lending.rs
+++ b/src/sched/tests/lending.rs
@@ -79,7 +79,7 @@
             policy.teams.insert(team.into(), rule);
         }
         let mut cluster = cluster(&vec![("a", false); hosts]);
-        cluster.flavors = vec![flavor("g8", GPUS_PER_HOST, &["a"])];
+        cluster.instance_types = vec![instance_type("g8", GPUS_PER_HOST, &["a"])];
         Fleet {
             cluster,
             policy,
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -12,8 +12,8 @@
 use super::*;
 use crate::config::{Operator, tests::settings};
 use crate::model::{
-    Claim, ClusterState, Demand, Flavor, Host, HostIndex, Job, JobIndex, Place, Shape, Spec, TaskAttempt, TaskKey,
-    TaskPhase, Urgency,
+    Claim, ClusterState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Place, Shape, Spec, TaskAttempt,
+    TaskKey, TaskPhase, Urgency,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
     Policy::new(&settings(), &Operator::default(), 0)
 }
 
-pub(super) fn flavor(name: &str, gpus: f64, zones: &[&str]) -> Flavor {
-    Flavor {
+pub(super) fn instance_type(name: &str, gpus: f64, zones: &[&str]) -> InstanceType {
+    InstanceType {
         name: name.into(),
         cap: Demand { cpus: 32.0, gpus, mem: 128.0 },
         cache_gb: 100.0,
@@ -46,7 +46,7 @@
         demand: Demand { cpus: 2.0, gpus, mem: 8.0 },
         image: "i".into(),
         image_gb: 10.0,
-        flavors: None,
+        instance_types: None,
         zone: None,
         one_zone: false,
         spread: false,
@@ -65,8 +65,11 @@
 }
 
 pub(super) fn cluster(hosts: &[(&str, bool)]) -> ClusterState {
-    let mut w =
-        ClusterState { all_reconciled: true, flavors: vec![flavor("g8", 8.0, &["a", "b"])], ..ClusterState::default() };
+    let mut w = ClusterState {
+        all_reconciled: true,
+        instance_types: vec![instance_type("g8", 8.0, &["a", "b"])],
+        ..ClusterState::default()
+    };
     for (i, (zone, spot)) in hosts.iter().enumerate() {
         let mut h = Host::new(format!("h{i}"), zone.to_string(), *spot, Some(0), 0);
         h.registered = true;
--- a/src/sched/tests/ordering.rs
+++ b/src/sched/tests/ordering.rs
@@ -55,7 +55,7 @@
 #[test]
 fn impossible_jobs_are_told_apart() {
     let p = policy();
-    let f = [flavor("g8", 8.0, &["a"])];
+    let f = [instance_type("g8", 8.0, &["a"])];
     let ok = spec("run-000001", Shape::Batch, 100, 8.0);
     assert_eq!(impossible(&ok, &p, &f), None);
     let with = |change: fn(&mut Spec)| {
@@ -65,7 +65,7 @@
     };
     assert!(with(|s| s.team = "green".into()).unwrap().to_string().starts_with("owner"));
     assert!(with(|s| s.demand.gpus = 9.0).is_some());
-    assert!(with(|s| s.flavors = Some(vec!["x".into()])).is_some());
+    assert!(with(|s| s.instance_types = Some(vec!["x".into()])).is_some());
     assert!(with(|s| s.zone = Some("b".into())).is_some());
     assert!(with(|s| s.shape = Shape::Gang).unwrap().to_string().contains("limit"));
     assert!(with(|s| s.team = "blue".into()).is_none(), "0 means no limit");
@@ -74,10 +74,10 @@
 #[test]
 fn a_machine_type_may_become_known_between_a_plan_and_a_pass() {
     let mut w = cluster(&[("a", false)]);
-    let flavors = std::mem::take(&mut w.flavors);
+    let instance_types = std::mem::take(&mut w.instance_types);
     let flow = ClassFlow { spec: spec("run-000001", Shape::Service, 1, 1.0), rate: 1.0, burst: 1.0 };
     w.reserves = reserves(&w, &policy(), &[flow]);
-    w.flavors = flavors;
+    w.instance_types = instance_types;
     let mut other = spec("run-000002", Shape::Service, 1, 0.0);
     other.class = "other".into();
     add(&mut w, other, 0);
--- a/src/sched/tests/planning.rs
+++ b/src/sched/tests/planning.rs
@@ -17,7 +17,7 @@
     let r = rent(&|f, z, spot| if spot { Supply::Refused } else { all_available(f, z, spot) });
     assert!(r.iter().all(|r| !r.spot) && r.iter().map(|r| r.count).sum::<usize>() == 2, "{r:?}");
     assert!(rent(&|_, _, _| Supply::Refused).is_empty());
-    let pending_machines = vec![PendingMachine { flavor: 0, zone: "a".into(), spot: true }; 2];
+    let pending_machines = vec![PendingMachine { instance_type: 0, zone: "a".into(), spot: true }; 2];
     assert!(
         plan(&w, &policy(), 0, &unplaced(&[0]), &pending_machines, &all_available).rent.is_empty(),
         "they are on their way"
@@ -74,9 +74,9 @@
     let rent = |factor, pending_machines: &[PendingMachine]| {
         plan(&w, &policy(), 0, &unplaced(&[job_index]), pending_machines, &spot_at(factor)).rent
     };
-    let rental = |spot| vec![Rental { flavor: 0, zone: "a".into(), spot, count: 1 }];
+    let rental = |spot| vec![Rental { instance_type: 0, zone: "a".into(), spot, count: 1 }];
     assert_eq!(rent(3.0, &[]), rental(true));
     assert_eq!(rent(4.0, &[]), rental(false), "all eight tasks on one machine");
-    let pending_machines = [PendingMachine { flavor: 0, zone: "a".into(), spot: false }];
+    let pending_machines = [PendingMachine { instance_type: 0, zone: "a".into(), spot: false }];
     assert!(rent(4.0, &pending_machines).is_empty(), "it is on its way");
 }
--- a/src/sched/tests/replicas.rs
+++ b/src/sched/tests/replicas.rs
@@ -6,7 +6,7 @@
 fn a_replica_moves_out_of_a_gangs_way() {
     // Two machines with room for two, one replica on each.
     let mut w = cluster(&[("a", false), ("a", false)]);
-    w.flavors[0].cap.gpus = 2.0;
+    w.instance_types[0].cap.gpus = 2.0;
     for id in ["run-000001", "run-000003"] {
         add(&mut w, spec(id, Shape::Service, 1, 1.0), 0);
     }
@@ -113,7 +113,7 @@
 #[test]
 fn replicas_that_move_for_a_gang_have_a_place_each() {
     let mut w = cluster(&[("a", false), ("a", false), ("a", false)]);
-    w.flavors = vec![flavor("g8", 8.0, &["a"])];
+    w.instance_types = vec![instance_type("g8", 8.0, &["a"])];
     let replicas: Vec<JobIndex> = (0..2)
         .map(|n| {
             let mut replica = spec(&format!("run-00000{n}"), Shape::Service, 1, 2.0);
--- a/src/task_locations.rs
+++ b/src/task_locations.rs
@@ -5,7 +5,7 @@
 //! machine of the last leader that is not reconciled and that its job allows, unless
 //! it was located: then it was on a machine that is.
 
-use crate::model::{ClusterState, Demand, HostIndex, HostKind, Job, JobIndex, Place, Task, TaskAttempt};
+use crate::model::{ClusterState, Demand, HostIndex, InstanceKind, Job, JobIndex, Place, Task, TaskAttempt};
 use std::collections::{HashMap, HashSet};
 
 /// Which idle tasks of a job may be placed.
@@ -35,8 +35,8 @@
     /// Can none of the job's tasks be on a machine that is not reconciled?
     pub fn clear(&self, job: &Job) -> bool {
         let spec = &job.spec;
-        let may_hold = |kind: &HostKind| {
-            kind.flavor.is_none_or(|f| spec.allows_flavor(&self.flavors[f]))
+        let may_hold = |kind: &InstanceKind| {
+            kind.instance_type.is_none_or(|f| spec.allows_flavor(&self.instance_types[f]))
                 && spec.allows_zone(&kind.zone)
                 && (spec.spot || !kind.spot)
         };
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -3,9 +3,9 @@
 use super::known_fleet;
 use crate::clients::{Cloud, State};
 use crate::config::Settings;
-use crate::model::Flavor;
+use crate::model::InstanceType;
 use crate::net::Net;
-use crate::partition_leader::kept_flavors;
+use crate::partition_leader::stored_instance_types;
 use badgerdrift_warm_pools::{FieldError, KnownFleet, PoolSettings};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,8 @@
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
     let limit = Duration::from_millis(settings.react_ms());
     let (cloud, state) = (Cloud::on(net, settings), State::on(net, settings));
-    let (offered, kept) = tokio::join!(timeout(limit, cloud.flavors()), timeout(limit, kept_flavors(&state)));
+    let (offered, kept) =
+        tokio::join!(timeout(limit, cloud.instance_types()), timeout(limit, stored_instance_types(&state)));
     let (Ok(Some(offered)), Ok(Some(kept))) = (offered, kept) else {
         tracing::warn!("the machine types of warm pools can't be checked now");
         return Ok(());
@@ -28,6 +29,6 @@
     pools.check(&KnownFleet { machines: Some(names(&offered, &kept)), ..known_fleet(settings) })
 }
 
-fn names(offered: &[Flavor], kept: &[Flavor]) -> BTreeSet<String> {
-    offered.iter().chain(kept).map(|flavor| flavor.name.clone()).collect()
+fn names(offered: &[InstanceType], kept: &[InstanceType]) -> BTreeSet<String> {
+    offered.iter().chain(kept).map(|instance_type| instance_type.name.clone()).collect()
 }
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -115,8 +115,8 @@
     }
 
     fn state_with(name: &str) -> Option<Value> {
-        let kept = crate::partition::tests::flavor();
-        let kept = crate::model::Flavor { name: name.into(), ..kept };
+        let kept = crate::partition::tests::instance_type();
+        let kept = crate::model::InstanceType { name: name.into(), ..kept };
         Some(json!({"items": [{"path": "flavors", "data": [kept], "stamp": 1}], "more": false, "epoch": 1}))
     }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,11 +1,11 @@
 //! Messages between the service and the cloud: machine types, rentals and the list of machines.
 
-use crate::model::{Demand, Flavor};
+use crate::model::{Demand, InstanceType};
 use serde::Deserialize;
 use serde_json::json;
 
 #[derive(Deserialize)]
-struct WireFlavor {
+struct WireInstanceType {
     sku: String,
     cores: f64,
     #[serde(default)]
@@ -26,17 +26,18 @@
 }
 
 #[derive(Deserialize)]
-struct WireFlavors {
-    flavors: Vec<WireFlavor>,
+struct WireInstanceTypes {
+    #[serde(rename = "flavors")]
+    instance_types: Vec<WireInstanceType>,
 }
 
 /// Reads the machine types.
-pub fn parse_flavors(body: &[u8]) -> Option<Vec<Flavor>> {
-    let w: WireFlavors = serde_json::from_slice(body).ok()?;
+pub fn parse_flavors(body: &[u8]) -> Option<Vec<InstanceType>> {
+    let w: WireInstanceTypes = serde_json::from_slice(body).ok()?;
     Some(
-        w.flavors
+        w.instance_types
             .into_iter()
-            .map(|f| Flavor {
+            .map(|f| InstanceType {
                 name: f.sku,
                 cap: Demand { cpus: f.cores, gpus: f.cards, mem: f.mem_gb },
                 cache_gb: f.cache_gb,
@@ -57,7 +58,8 @@
     pub id: String,
     /// Name of its machine type.
     #[serde(default)]
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub instance_type: String,
     /// Where it stands.
     #[serde(default, rename = "region")]
     pub zone: String,
@@ -102,8 +104,8 @@
 }
 
 /// The body of a rental request.
-pub fn rent_body(name: &str, flavor: &str, zone: &str, spot: bool, count: usize) -> Vec<u8> {
-    let v = json!({"rental": name, "flavor": flavor, "region": zone, "preemptible": spot, "number": count});
+pub fn rent_body(name: &str, instance_type: &str, zone: &str, spot: bool, count: usize) -> Vec<u8> {
+    let v = json!({"rental": name, "flavor": instance_type, "region": zone, "preemptible": spot, "number": count});
     serde_json::to_vec(&v).unwrap_or_default()
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -71,7 +71,7 @@
     let shape = shape(f)?;
     let urgency = urgency(f)?;
     let tasks = task_count(f)?;
-    let flavors = flavors(f)?;
+    let instance_types = instance_types(f)?;
     let zone = zone(f)?;
     let due_s = due_s(f)?;
     let waits_on = waits_on(f)?;
@@ -85,7 +85,7 @@
         demand: Demand { cpus: f.amount("cores")?, gpus: f.amount("cards")?, mem: f.amount("mem_gb")? },
         image: f.text("bundle")?,
         image_gb: f.amount("size_gb")?,
-        flavors,
+        instance_types,
         zone,
         one_zone: f.flag("same_place")?,
         spread: f.flag("apart")?,
@@ -124,7 +124,7 @@
     }
 }
 
-fn flavors(f: &Fields<'_>) -> Result<Option<Vec<String>>, String> {
+fn instance_types(f: &Fields<'_>) -> Result<Option<Vec<String>>, String> {
     const EXPECTED: &str = "flavors: must be an array of strings or null";
     match f.get("flavors") {
         None => Ok(None),
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -13,7 +13,8 @@
     /// Where it takes direct commands.
     pub addr: SocketAddr,
     /// Name of its machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub instance_type: String,
     /// Where it stands.
     #[serde(rename = "region")]
     pub zone: String,
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -100,5 +100,5 @@
     let list = cloud.list().await.unwrap();
     assert!(list.len() == 2 && list[0].booting() && list[1].failed());
     assert!(!cloud.release(&["host-000001".into()]).await, "not confirmed");
-    assert!(cloud.flavors().await.is_none());
+    assert!(cloud.instance_types().await.is_none());
 }
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -23,7 +23,7 @@
 }
 
 fn machines(spot: bool, count: usize) -> Machines {
-    Machines { flavor: "g8".into(), zone: "a".into(), spot, count }
+    Machines { instance_type: "g8".into(), zone: "a".into(), spot, count }
 }
 
 /// The requests that were recorded.
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -1,7 +1,7 @@
 //! Records in the state service.
 
 use badgerdrift::membership::{FencingTokenRecord, PartitionRecord};
-use badgerdrift::model::{Flavor, HostRecord, Job, JobEnd, JobRecord, Predecessors};
+use badgerdrift::model::{HostRecord, InstanceType, Job, JobEnd, JobRecord, Predecessors};
 use badgerdrift_stand_ins::production_format as production;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -31,7 +31,7 @@
             "host" => rewritten::<HostRecord>(value),
             "part" => rewritten::<PartitionRecord>(value),
             "term" => rewritten::<FencingTokenRecord>(value),
-            "flavors" => rewritten::<Vec<Flavor>>(value),
+            "flavors" => rewritten::<Vec<InstanceType>>(value),
             other => panic!("no such record: {other}"),
         };
         assert_eq!(&again, value, "{key}");
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -6,9 +6,9 @@
 
 use badgerdrift::configuration::{LogEntry, Obeyed, obeyed_change};
 use badgerdrift::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
-use badgerdrift::model::{Flavor, HostRecord, JobRecord};
+use badgerdrift::model::{HostRecord, InstanceType, JobRecord};
 use badgerdrift::partition::{JOB_PREFIX, host_key, inbox_key, job_key};
-use badgerdrift::partition_leader::FLAVORS_KEY;
+use badgerdrift::partition_leader::INSTANCE_TYPES_KEY;
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, loan_key};
 use badgerdrift_fleet_config::{Acceptor, Confirmations, VersionedDocument};
 use badgerdrift_warm_pools::{BillRecord, RecordKey, SlotRecord, StoredRecord};
@@ -75,7 +75,7 @@
             "host" => rewritten::<HostRecord>(text),
             "part" => rewritten::<PartitionRecord>(text),
             "term" => rewritten::<FencingTokenRecord>(text),
-            "flavors" => rewritten::<Vec<Flavor>>(text),
+            "flavors" => rewritten::<Vec<InstanceType>>(text),
             "pool/slot" => rewritten::<SlotRecord>(text),
             "pool/bill" => rewritten::<BillRecord>(text),
             "loan" => rewritten::<JobLoans>(text),
@@ -116,7 +116,7 @@
     assert_eq!(host_key("host-000001"), "host/host-000001");
     assert_eq!(inbox_key(3, "run-000011"), "in/3/run-000011");
     assert_eq!((FENCING_TOKEN_KEY, partition_key(3).as_str()), ("term", "part/3"));
-    assert_eq!(FLAVORS_KEY, "flavors");
+    assert_eq!(INSTANCE_TYPES_KEY, "flavors");
     assert_eq!((LOAN_PREFIX, loan_key("run-000011").as_str()), ("loan/", "loan/run-000011"));
     assert_eq!((RecordKey::SLOT_PREFIX, RecordKey::BILL_PREFIX), ("pool/slot/", "pool/bill/"));
     assert_eq!(RecordKey::Slot(7).path(), "pool/slot/7");
