--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -3,7 +3,7 @@
 //!     cargo run --release --example pass_cost -- 480 4000
 
 use badgerdrift::config::{Operator, Settings};
-use badgerdrift::model::{Demand, InstanceType, Host, Job, Shape, Spec, Urgency};
+use badgerdrift::model::{Demand, Host, InstanceType, Job, Shape, Spec, Urgency};
 use badgerdrift::partition::Partition;
 use badgerdrift::sched::{Policy, TeamRule};
 use badgerdrift_borrowing::BorrowingSettings;
@@ -125,7 +125,7 @@
         checkpoint_s: 30.0,
         save_s: 2.0,
         due_s: None,
-        waits_on: Default::default(),
+        dependencies: Default::default(),
     };
     let mut job = Job::new(spec, number as u64, 0);
     (job.version, job.fresh) = (1, true);
--- a/src/api.rs
+++ b/src/api.rs
@@ -175,7 +175,7 @@
         let deadline = Instant::now() + 2 * READ_LIMIT;
         match self.job_reads.read(id, purpose, deadline).await {
             Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
-            Ok(RecordedJob::Live(job)) => match self.needs_cancelled(&job.waits_on, purpose, deadline).await {
+            Ok(RecordedJob::Live(job)) => match self.needs_cancelled(&job.dependencies, purpose, deadline).await {
                 Ok(true) => self.ended(id, EndedJob { end: JobEnd::Cancelled, done: job.done }),
                 Ok(false) if status => Response::json(200, &wire::job_answer(id, JobPhase::Pending, job.done, 0)),
                 Ok(false) => RefusalReason::LeaderUnreachable.response(),
@@ -203,7 +203,7 @@
     Response { allow: Some(allow), ..Response::error(405, "method not allowed") }
 }
 
-mod predecessors;
+mod dependencies;
 mod route_hints;
 mod submissions;
 #[cfg(test)]
--- a/src/api/predecessors.rs
+++ b/src/api/dependencies.rs
@@ -3,15 +3,15 @@
 use super::Api;
 use crate::http::Response;
 use crate::job_reads::{LiveJob, READ_LIMIT, RecordedJob};
-use crate::model::{JobEnd, JobPhase, Predecessors, Spec};
+use crate::model::{Dependencies, JobEnd, JobPhase, Spec};
 use crate::refusal::RefusalReason;
 use crate::request_budget::Purpose;
 use std::collections::HashSet;
 use tokio::time::Instant;
 
-/// A submission whose predecessors are all known.
+/// A submission whose dependencies are all known.
 pub(super) struct CheckedSubmission {
-    /// What is to be recorded: without the predecessors that are done.
+    /// What is to be recorded: without the dependencies that are done.
     pub(super) spec: Spec,
     /// What its user is told: cancelled with a job that it needs, or pending.
     pub(super) phase: JobPhase,
@@ -20,12 +20,12 @@
 impl Api {
     /// Checks by fresh reads that all jobs that a new one waits for were accepted and are no
     /// services; the refusal if not, or if that can't be told now.
-    pub(super) async fn check_predecessors(&self, spec: &Spec) -> Result<CheckedSubmission, Response> {
+    pub(super) async fn check_dependencies(&self, spec: &Spec) -> Result<CheckedSubmission, Response> {
         let impossible = |why: String| Response::error(422, &format!("waits_on: {why}"));
         let mut checked = CheckedSubmission { spec: spec.clone(), phase: JobPhase::Pending };
         let deadline = Instant::now() + 2 * READ_LIMIT;
         let mut done = HashSet::new();
-        for id in spec.waits_on.iter() {
+        for id in spec.dependencies.iter() {
             if id == spec.id {
                 return Err(impossible(format!("{id} names itself")));
             }
@@ -37,14 +37,14 @@
                 RecordedJob::Ended { ended, .. } if ended.end == JobEnd::Done => _ = done.insert(id),
                 RecordedJob::Ended { .. } => checked.phase = JobPhase::Cancelled,
                 RecordedJob::Live(job) => {
-                    let cancelled = self.needs_cancelled(&job.waits_on, Purpose::Change, deadline).await;
+                    let cancelled = self.needs_cancelled(&job.dependencies, Purpose::Change, deadline).await;
                     if cancelled.map_err(RefusalReason::response)? {
                         checked.phase = JobPhase::Cancelled;
                     }
                 }
             }
         }
-        checked.spec.waits_on.retain(|id| !done.contains(id));
+        checked.spec.dependencies.retain(|id| !done.contains(id));
         Ok(checked)
     }
 
@@ -52,7 +52,7 @@
     /// read after this question came, or tells an end, which never changes.
     pub(super) async fn needs_cancelled(
         &self,
-        jobs: &Predecessors,
+        jobs: &Dependencies,
         purpose: Purpose,
         deadline: Instant,
     ) -> Result<bool, RefusalReason> {
@@ -64,13 +64,13 @@
                 // All that a done job needed was done before it.
                 RecordedJob::Ended { .. } => {}
                 RecordedJob::Live(job) => {
-                    let new = job.waits_on.iter().filter(|id| !seen.contains(*id)).map(String::from);
+                    let new = job.dependencies.iter().filter(|id| !seen.contains(*id)).map(String::from);
                     let new: Vec<String> = new.collect();
                     seen.extend(new.iter().cloned());
                     open.extend(new);
                 }
                 // It was accepted, as a job that waits for it was.
-                RecordedJob::Missing => return Err(RefusalReason::PredecessorIndeterminate),
+                RecordedJob::Missing => return Err(RefusalReason::DependencyIndeterminate),
             }
         }
         Ok(false)
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -7,7 +7,7 @@
 use crate::partition::{CommitOutcome, inbox_key, job_key};
 use crate::partition_leader;
 use crate::peer::UserCall;
-use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, PredecessorIndeterminate};
+use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
 use crate::request_budget::Purpose;
 use crate::sched::{self, Policy};
 use crate::wire;
@@ -33,7 +33,7 @@
         if let Some(ended) = self.ended_jobs.get(&spec.id) {
             return ended.response(&spec.id);
         }
-        let waits = !spec.waits_on.is_empty();
+        let waits = !spec.dependencies.is_empty();
         if waits && self.router.has_old_peer() {
             return self.unless_known(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
@@ -47,7 +47,7 @@
             Some(r) if r.status != 503 => r,
             // What keeps the leader from accepting it would not keep this node from it.
             Some(r)
-                if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | PredecessorIndeterminate)) =>
+                if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | DependencyIndeterminate)) =>
             {
                 r
             }
@@ -115,7 +115,7 @@
                 false => Response::error(422, &why.to_string()),
             });
         }
-        let checked = match self.check_predecessors(spec).await {
+        let checked = match self.check_dependencies(spec).await {
             Ok(checked) => checked,
             Err(refusal) => return Some(refusal),
         };
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of what users and workers are answered, against a scripted state service.
 
 mod answers;
-mod predecessors;
+mod dependencies;
 
 use super::*;
 use crate::config::{Operator, Settings, tests::settings};
 use crate::frame_format::FrameFormat;
 use crate::http;
 use crate::membership::LeaderStatus;
-use crate::model::{JobEnd, JobRecord, Predecessors};
+use crate::model::{Dependencies, JobEnd, JobRecord};
 use crate::net::Net;
 use crate::partition::{UserAnswer, job_key};
 use crate::router::PartitionHandle;
@@ -56,9 +56,9 @@
         self.put_job(ID, end, &[]);
     }
 
-    fn put_job(&self, id: &str, end: Option<JobEnd>, waits_on: &[&str]) {
+    fn put_job(&self, id: &str, end: Option<JobEnd>, dependencies: &[&str]) {
         let mut spec = wire::parse_submission(&partition::tests::body(id, "batch", 2)).unwrap();
-        spec.waits_on = Predecessors::new(waits_on.iter().map(|id| id.to_string()));
+        spec.dependencies = Dependencies::new(dependencies.iter().map(|id| id.to_string()));
         let record = JobRecord { spec, accepted_ms: 0, end, done: Vec::new() };
         self.records.lock().unwrap().insert(id.to_string(), record);
     }
--- a/src/api/tests/predecessors.rs
+++ b/src/api/tests/dependencies.rs
@@ -9,9 +9,9 @@
     call(api, "GET", format!("/v1/jobs/{id}"), Vec::new()).await
 }
 
-async fn submit_waiting(api: &Api, id: &str, waits_on: Value) -> Response {
+async fn submit_waiting(api: &Api, id: &str, dependencies: Value) -> Response {
     let mut body: Value = serde_json::from_slice(&partition::tests::body(id, "batch", 2)).unwrap();
-    body["waits_on"] = waits_on;
+    body["waits_on"] = dependencies;
     call(api, "POST", "/v1/jobs".to_string(), body.to_string().into_bytes()).await
 }
 
@@ -112,7 +112,7 @@
 // Accepted past the leader, an old next leader would start it at once.
 #[tokio::test]
 async fn what_the_owner_refuses_for_an_old_controller_or_an_unclear_one_is_not_accepted_past_it() {
-    for reason in [RefusalReason::ControllerOutdated, RefusalReason::PredecessorIndeterminate] {
+    for reason in [RefusalReason::ControllerOutdated, RefusalReason::DependencyIndeterminate] {
         let service = StateService::default();
         let mut api = api_at(&service).await;
         service.put(None);
--- a/src/dependencies/tests.rs
+++ b/src/dependency_graph/tests.rs
@@ -13,7 +13,7 @@
     graph.add(2, ids(&["a", "b"]));
     graph.add(3, ids(&["a"]));
     assert_eq!(graph.complete("a"), [3]);
-    assert_eq!(graph.predecessors(2).collect::<Vec<_>>(), ["b"]);
+    assert_eq!(graph.dependencies(2).collect::<Vec<_>>(), ["b"]);
     assert_eq!(graph.complete("b"), [2]);
     assert!(graph.is_empty());
 }
@@ -31,14 +31,14 @@
     #[test]
     fn both_directions_agree(steps in prop::collection::vec((0..3u8, 0..8usize, 0..8usize), 1..60)) {
         let mut graph = DependencyGraph::default();
-        for (step, job, predecessor) in steps {
-            let predecessor = predecessor.to_string();
+        for (step, job, dependency) in steps {
+            let dependency = dependency.to_string();
             match step {
-                0 => graph.add(job, [predecessor]),
-                1 => _ = graph.complete(&predecessor),
+                0 => graph.add(job, [dependency]),
+                1 => _ = graph.complete(&dependency),
                 _ => _ = graph.remove(job),
             }
-            let pairs = |job: JobIndex| graph.predecessors(job).map(move |p| (job, p.to_string())).collect::<Vec<_>>();
+            let pairs = |job: JobIndex| graph.dependencies(job).map(move |p| (job, p.to_string())).collect::<Vec<_>>();
             let down: BTreeSet<(JobIndex, String)> = graph.waiting().flat_map(pairs).collect();
             let up: BTreeSet<(JobIndex, String)> = graph
                 .dependents
--- a/src/job_reads.rs
+++ b/src/job_reads.rs
@@ -6,7 +6,7 @@
 
 use crate::clients::State;
 use crate::ended_jobs::EndedJob;
-use crate::model::{JobEnd, JobRecord, Predecessors, Shape};
+use crate::model::{Dependencies, JobEnd, JobRecord, Shape};
 use crate::partition::job_key;
 use crate::refusal::RefusalReason;
 use crate::request_budget::{Purpose, RequestBudget};
@@ -47,7 +47,7 @@
     /// True for a service, which no job may wait for.
     pub is_service: bool,
     /// The jobs that it waits for.
-    pub waits_on: Arc<Predecessors>,
+    pub dependencies: Arc<Dependencies>,
 }
 
 impl RecordedJob {
@@ -59,8 +59,8 @@
             Some(JobEnd::Done) => ended(JobEnd::Done, record.spec.tasks),
             Some(end) => ended(end, recorded),
             None => {
-                let waits_on = Arc::new(record.spec.waits_on.clone());
-                RecordedJob::Live(LiveJob { done: recorded, is_service, waits_on })
+                let dependencies = Arc::new(record.spec.dependencies.clone());
+                RecordedJob::Live(LiveJob { done: recorded, is_service, dependencies })
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod config_command;
 pub mod configuration;
 pub mod controller_request;
-pub mod dependencies;
+pub mod dependency_graph;
 pub mod ended_jobs;
 pub mod frame_format;
 pub mod http;
--- a/src/model/predecessors.rs
+++ b/src/model/dependencies.rs
@@ -8,13 +8,13 @@
 /// Ids of the jobs that have to be done before a job starts, each one once. A record holds
 /// them as one text, which takes less room than a list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Predecessors(Vec<String>);
+pub struct Dependencies(Vec<String>);
 
-impl Predecessors {
+impl Dependencies {
     /// These ids; one that is given again counts once.
-    pub fn new(ids: impl IntoIterator<Item = String>) -> Predecessors {
+    pub fn new(ids: impl IntoIterator<Item = String>) -> Dependencies {
         let mut seen = std::collections::HashSet::new();
-        Predecessors(ids.into_iter().filter(|id| seen.insert(id.clone())).collect())
+        Dependencies(ids.into_iter().filter(|id| seen.insert(id.clone())).collect())
     }
 
     /// Does the job wait for none?
@@ -38,15 +38,15 @@
     }
 }
 
-impl Serialize for Predecessors {
+impl Serialize for Dependencies {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(&self.0.join(&SEPARATOR.to_string()))
     }
 }
 
-impl<'de> Deserialize<'de> for Predecessors {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Predecessors, D::Error> {
+impl<'de> Deserialize<'de> for Dependencies {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Dependencies, D::Error> {
         let ids = String::deserialize(deserializer)?;
-        Ok(Predecessors::new(ids.split(SEPARATOR).filter(|id| !id.is_empty()).map(String::from)))
+        Ok(Dependencies::new(ids.split(SEPARATOR).filter(|id| !id.is_empty()).map(String::from)))
     }
 }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -116,7 +116,7 @@
     pub fn new(spec: Spec, accepted_ms: u64, now: u64) -> Job {
         let tasks = vec![Task { place: Place::Idle, located: false, fails: 0, retry_ms: 0 }; spec.tasks as usize];
         Job {
-            waiting: !spec.waits_on.is_empty(),
+            waiting: !spec.dependencies.is_empty(),
             urgency: spec.urgency,
             needed_by_ms: None,
             spec,
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -1,6 +1,6 @@
 //! Jobs as their users describe them.
 
-use super::{Demand, InstanceType, Predecessors};
+use super::{Demand, Dependencies, InstanceType};
 use serde::{Deserialize, Serialize};
 
 /// How the tasks of a job belong together: independent, all at once, or replicas that stay up.
@@ -77,8 +77,9 @@
     pub due_s: Option<f64>,
     /// Jobs that have to be done before any of its tasks starts. Absent from the record of a
     /// job that waits for none, which reads as it did before there were any.
-    #[serde(default, skip_serializing_if = "Predecessors::is_empty")]
-    pub waits_on: Predecessors,
+    #[serde(default, skip_serializing_if = "Dependencies::is_empty")]
+    #[serde(rename = "waits_on")]
+    pub dependencies: Dependencies,
 }
 
 impl Spec {
@@ -91,7 +92,7 @@
             image: short(&self.image),
             instance_types: None,
             zone: self.zone.as_deref().map(short),
-            waits_on: Predecessors::default(),
+            dependencies: Dependencies::default(),
             ..self.clone()
         }
     }
--- a/src/partition/critical_path.rs
+++ b/src/partition/critical_path.rs
@@ -39,26 +39,26 @@
 }
 
 impl Partition {
-    /// A job has come to wait for its predecessors: passes on what it asks of them.
-    pub(super) fn oblige_predecessors(&mut self, job_index: JobIndex) {
+    /// A job has come to wait for its dependencies: passes on what it asks of them.
+    pub(super) fn oblige_dependencies(&mut self, job_index: JobIndex) {
         let mut changed = vec![job_index];
         while let Some(dependent) = changed.pop() {
             let asked = self.asked_by(dependent);
-            for predecessor in self.internal_predecessors(dependent) {
-                let job = &self.cluster.jobs[predecessor];
-                if self.set_obligation(predecessor, Obligation::of(job).and(asked)) {
-                    changed.push(predecessor);
+            for dependency in self.internal_dependencies(dependent) {
+                let job = &self.cluster.jobs[dependency];
+                if self.set_obligation(dependency, Obligation::of(job).and(asked)) {
+                    changed.push(dependency);
                 }
             }
         }
     }
 
     /// A job that waited for these is over: they owe it nothing any more.
-    pub(super) fn release_predecessors(&mut self, ids: &BTreeSet<String>) {
+    pub(super) fn release_dependencies(&mut self, ids: &BTreeSet<String>) {
         let mut open: Vec<JobIndex> = ids.iter().filter_map(|id| self.cluster.job_index.get(id).copied()).collect();
-        while let Some(predecessor) = open.pop() {
-            if self.recompute_obligation(predecessor) {
-                open.extend(self.internal_predecessors(predecessor));
+        while let Some(dependency) = open.pop() {
+            if self.recompute_obligation(dependency) {
+                open.extend(self.internal_dependencies(dependency));
             }
         }
     }
@@ -69,13 +69,13 @@
         if job.end.is_some() {
             return false;
         }
-        let asked = self.dependencies.dependents(&job.spec.id).map(|dependent| self.asked_by(dependent));
+        let asked = self.dependency_graph.dependents(&job.spec.id).map(|dependent| self.asked_by(dependent));
         let obligation = asked.fold(Obligation::to_nobody(job), Obligation::and);
         self.set_obligation(job_index, obligation)
     }
 
-    fn internal_predecessors(&self, job_index: JobIndex) -> Vec<JobIndex> {
-        let ids = self.dependencies.predecessors(job_index);
+    fn internal_dependencies(&self, job_index: JobIndex) -> Vec<JobIndex> {
+        let ids = self.dependency_graph.dependencies(job_index);
         ids.filter_map(|id| self.cluster.job_index.get(id).copied()).collect()
     }
 
@@ -107,11 +107,11 @@
 
     /// Waiting jobs that may start within this time, for which room may be needed by then.
     pub fn upcoming(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
-        if self.dependencies.is_empty() {
+        if self.dependency_graph.is_empty() {
             return Vec::new();
         }
         let mut forecast = Forecast { partition: self, began_ms: self.began_ms(), now, until_done_ms: HashMap::new() };
-        let waiting = self.dependencies.waiting().filter(|job| {
+        let waiting = self.dependency_graph.waiting().filter(|job| {
             let job = &self.cluster.jobs[*job];
             job.version > 0 && job.end.is_none() && !job.cancelling
         });
@@ -144,11 +144,11 @@
 impl Forecast<'_> {
     /// Time until the last job that a waiting one needs is done; `None` if that can't be told.
     fn until_start_ms(&mut self, job_index: JobIndex) -> Option<u64> {
-        let ids: Vec<&str> = self.partition.dependencies.predecessors(job_index).collect();
+        let ids: Vec<&str> = self.partition.dependency_graph.dependencies(job_index).collect();
         let mut last = 0;
         for id in ids {
-            let predecessor = *self.partition.cluster.job_index.get(id)?;
-            last = last.max(self.until_done(predecessor)?);
+            let dependency = *self.partition.cluster.job_index.get(id)?;
+            last = last.max(self.until_done(dependency)?);
         }
         Some(last)
     }
--- a/src/partition/predecessors.rs
+++ b/src/partition/dependencies.rs
@@ -1,19 +1,19 @@
 //! Jobs that wait for others: whether these are known, when a waiting job may start, and what
 //! their cancellation means for it.
 //!
-//! The one truth is the records. A job may start once the record of each of its predecessors
+//! The one truth is the records. A job may start once the record of each of its dependencies
 //! says `done`; it is cancelled if its own record says so, or that of any job that it needs,
 //! directly or through others. Its own record follows when there is time for it.
 
 use super::{Partition, UserAnswer, Waiter};
-use crate::model::{JobEnd, JobIndex, JobRecord, Predecessors, Shape, Spec, UnsavedChange, Urgency};
+use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, Spec, UnsavedChange, Urgency};
 use crate::refusal::RefusalReason;
 use crate::wire::Item;
 use std::collections::{BTreeMap, HashSet};
 
-/// What is known of a predecessor.
+/// What is known of a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PredecessorState {
+enum DependencyState {
     /// Recorded as done.
     Done,
     /// Recorded as cancelled, or needing a job that is.
@@ -24,7 +24,7 @@
 
 /// Records that have to be read before a submission is decided.
 #[derive(Debug, PartialEq, Eq)]
-pub struct PredecessorLookup {
+pub struct DependencyLookup {
     /// Number of the submission.
     pub submission: u64,
     /// Ids of the jobs.
@@ -37,15 +37,15 @@
     waiter: Waiter,
 }
 
-/// Submissions that wait for lookups, and predecessors that belong to other partitions.
+/// Submissions that wait for lookups, and dependencies that belong to other partitions.
 #[derive(Default)]
-pub(super) struct PredecessorBooks {
+pub(super) struct DependencyTracker {
     submissions: BTreeMap<u64, UncheckedSubmission>,
     last_submission: u64,
-    lookups: Vec<PredecessorLookup>,
-    /// Predecessors that this partition does not hold, as far as their records were read.
+    lookups: Vec<DependencyLookup>,
+    /// Dependencies that this partition does not hold, as far as their records were read.
     external: BTreeMap<String, ExternalJob>,
-    /// Jobs whose last predecessor is done, since the last pass.
+    /// Jobs whose last dependency is done, since the last pass.
     ready: Vec<JobIndex>,
 }
 
@@ -62,32 +62,32 @@
     /// A submission of a job that waits for others: names that are not known are looked up in
     /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
     pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
-        if spec.waits_on.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             let _ = waiter.send(UserAnswer::Impossible(format!("waits_on: {} names itself", spec.id)));
             return;
         }
         let unknown: Vec<String> =
-            spec.waits_on.iter().filter(|id| !self.predecessor_is_known(id)).map(String::from).collect();
+            spec.dependencies.iter().filter(|id| !self.dependency_is_known(id)).map(String::from).collect();
         if unknown.is_empty() {
             self.accept_waiting(spec, now, wall, waiter);
             return;
         }
-        let books = &mut self.predecessors;
+        let books = &mut self.dependencies;
         books.last_submission += 1;
         let submission = books.last_submission;
-        books.lookups.push(PredecessorLookup { submission, ids: unknown });
+        books.lookups.push(DependencyLookup { submission, ids: unknown });
         books.submissions.insert(submission, UncheckedSubmission { spec, waiter });
     }
 
     /// Lookups that are to be made now.
-    pub fn take_lookups(&mut self) -> Vec<PredecessorLookup> {
-        std::mem::take(&mut self.predecessors.lookups)
+    pub fn take_lookups(&mut self) -> Vec<DependencyLookup> {
+        std::mem::take(&mut self.dependencies.lookups)
     }
 
     /// The records that a lookup found, or `None` if it failed; answers the submission or goes
     /// on with it.
     pub fn looked_up(&mut self, submission: u64, found: Option<Vec<(String, Option<Item>)>>, now: u64, wall: u64) {
-        let Some(UncheckedSubmission { spec, waiter }) = self.predecessors.submissions.remove(&submission) else {
+        let Some(UncheckedSubmission { spec, waiter }) = self.dependencies.submissions.remove(&submission) else {
             return;
         };
         let Some(found) = found else {
@@ -96,11 +96,11 @@
         };
         for (id, item) in found {
             match item {
-                Some(item) => self.note_predecessor(&id, item, now),
-                None if self.predecessor_is_known(&id) => {}
+                Some(item) => self.note_dependency(&id, item, now),
+                None if self.dependency_is_known(&id) => {}
                 // Its own creation may have been carried out since, or may still be.
                 None if self.cluster.job_index.contains_key(&id) => {
-                    let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::PredecessorIndeterminate));
+                    let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
                     return;
                 }
                 None => {
@@ -117,50 +117,50 @@
         }
     }
 
-    /// Accepts a job all of whose predecessors are known, unless one of them is a service.
+    /// Accepts a job all of whose dependencies are known, unless one of them is a service.
     fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
-        if let Some(id) = spec.waits_on.iter().find(|id| self.is_service(id)) {
+        if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
             let _ = waiter.send(UserAnswer::Impossible(format!("waits_on: {id} is a service")));
             return;
         }
         // What is certainly done need not be stored.
-        let open = |id: &str| self.predecessor_state(id) != PredecessorState::Done;
-        spec.waits_on.retain(open);
+        let open = |id: &str| self.dependency_state(id) != DependencyState::Done;
+        spec.dependencies.retain(open);
         self.accept(spec, now, wall, waiter);
     }
 
     /// Is the job certainly accepted?
-    fn predecessor_is_known(&self, id: &str) -> bool {
+    fn dependency_is_known(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].version > 0,
-            None => self.predecessors.external.contains_key(id),
+            None => self.dependencies.external.contains_key(id),
         }
     }
 
-    // ---- what is known of predecessors ----
+    // ---- what is known of dependencies ----
 
     fn is_service(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].spec.shape == Shape::Service,
-            None => self.predecessors.external.get(id).is_some_and(|job| job.is_service),
+            None => self.dependencies.external.get(id).is_some_and(|job| job.is_service),
         }
     }
 
-    fn predecessor_state(&self, id: &str) -> PredecessorState {
+    fn dependency_state(&self, id: &str) -> DependencyState {
         let end = match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].end,
-            None => self.predecessors.external.get(id).and_then(|job| job.end),
+            None => self.dependencies.external.get(id).and_then(|job| job.end),
         };
         match end {
-            Some(JobEnd::Done) => PredecessorState::Done,
-            Some(JobEnd::Cancelled) => PredecessorState::Cancelled,
-            None => PredecessorState::Open,
+            Some(JobEnd::Done) => DependencyState::Done,
+            Some(JobEnd::Cancelled) => DependencyState::Cancelled,
+            None => DependencyState::Open,
         }
     }
 
-    /// Takes in the record of a predecessor that this partition did not know: a job of its own
+    /// Takes in the record of a dependency that this partition did not know: a job of its own
     /// that another node accepted, or one of another partition.
-    pub fn note_predecessor(&mut self, id: &str, item: Item, now: u64) {
+    pub fn note_dependency(&mut self, id: &str, item: Item, now: u64) {
         if self.cluster.job_index.contains_key(id) {
             return;
         }
@@ -172,35 +172,35 @@
             self.adopt_job(item, now);
             return;
         }
-        let external = self.predecessors.external.entry(id.to_string()).or_default();
+        let external = self.dependencies.external.entry(id.to_string()).or_default();
         external.is_service = record.spec.shape == Shape::Service;
         if let Some(end) = record.end
             && external.end.replace(end).is_none()
         {
-            self.predecessor_ended(id, end);
+            self.dependency_ended(id, end);
         }
     }
 
-    /// Predecessors without a known end that this partition does not hold: their records are
+    /// Dependencies without a known end that this partition does not hold: their records are
     /// to be watched.
-    pub fn external_predecessors(&self) -> Vec<String> {
-        self.predecessors.external.iter().filter(|(_, job)| job.end.is_none()).map(|(id, _)| id.clone()).collect()
+    pub fn external_dependencies(&self) -> Vec<String> {
+        self.dependencies.external.iter().filter(|(_, job)| job.end.is_none()).map(|(id, _)| id.clone()).collect()
     }
 
     // ---- waiting jobs ----
 
     /// How many jobs wait for others.
     pub fn waiting_jobs(&self) -> usize {
-        self.dependencies.len()
+        self.dependency_graph.len()
     }
 
     /// A job was added: others may wait for it, and it may wait for others.
     pub(super) fn job_added(&mut self, job_index: JobIndex) {
         let job = &self.cluster.jobs[job_index];
         let (id, end) = (job.spec.id.clone(), job.end);
-        self.predecessors.external.remove(&id);
+        self.dependencies.external.remove(&id);
         match end {
-            Some(end) => self.predecessor_ended(&id, end),
+            Some(end) => self.dependency_ended(&id, end),
             None => {
                 self.recompute_obligation(job_index);
                 self.enter_dependencies(job_index);
@@ -215,11 +215,11 @@
             return;
         }
         let mut open = Vec::new();
-        let names: Vec<String> = job.spec.waits_on.iter().map(String::from).collect();
+        let names: Vec<String> = job.spec.dependencies.iter().map(String::from).collect();
         for id in names {
-            if self.predecessor_state(&id) != PredecessorState::Done {
+            if self.dependency_state(&id) != DependencyState::Done {
                 if !self.cluster.job_index.contains_key(&id) {
-                    self.predecessors.external.entry(id.clone()).or_default();
+                    self.dependencies.external.entry(id.clone()).or_default();
                 }
                 open.push(id);
             }
@@ -228,8 +228,8 @@
             self.become_ready(job_index);
             return;
         }
-        self.dependencies.add(job_index, open);
-        self.oblige_predecessors(job_index);
+        self.dependency_graph.add(job_index, open);
+        self.oblige_dependencies(job_index);
         self.follow_if_cancelled(job_index);
     }
 
@@ -240,38 +240,38 @@
             return;
         }
         self.cluster.live.push(job_index);
-        self.predecessors.ready.push(job_index);
+        self.dependencies.ready.push(job_index);
         self.pass_due = true;
         self.urgent_pass_due |= job.urgency >= Urgency::High;
     }
 
     /// The times of jobs that became ready since the last pass begin.
     pub(super) fn note_ready_times(&mut self, wall: u64) {
-        for job_index in std::mem::take(&mut self.predecessors.ready) {
+        for job_index in std::mem::take(&mut self.dependencies.ready) {
             let job = &mut self.cluster.jobs[job_index];
             job.ready_ms = wall.max(job.accepted_ms);
         }
     }
 
-    /// The record of a job names other predecessors than the submission that was refused for it.
-    pub(super) fn take_recorded_predecessors(&mut self, job_index: JobIndex, recorded: Predecessors) {
-        if self.cluster.jobs[job_index].spec.waits_on == recorded {
+    /// The record of a job names other dependencies than the submission that was refused for it.
+    pub(super) fn take_recorded_dependencies(&mut self, job_index: JobIndex, recorded: Dependencies) {
+        if self.cluster.jobs[job_index].spec.dependencies == recorded {
             return;
         }
-        let open = self.dependencies.remove(job_index);
-        self.release_predecessors(&open);
+        let open = self.dependency_graph.remove(job_index);
+        self.release_dependencies(&open);
         self.cluster.live.retain(|live| *live != job_index);
         let job = &mut self.cluster.jobs[job_index];
-        job.spec.waits_on = recorded;
+        job.spec.dependencies = recorded;
         job.waiting = true;
         self.enter_dependencies(job_index);
     }
 
     /// The record of a job says that it is over: what follows for those that wait for it.
-    pub(super) fn predecessor_ended(&mut self, id: &str, end: JobEnd) {
+    pub(super) fn dependency_ended(&mut self, id: &str, end: JobEnd) {
         match end {
             JobEnd::Done => {
-                for job_index in self.dependencies.complete(id) {
+                for job_index in self.dependency_graph.complete(id) {
                     self.become_ready(job_index);
                 }
             }
@@ -283,8 +283,8 @@
 
     /// Cancels the job if one that it needs is recorded as cancelled.
     pub(super) fn follow_if_cancelled(&mut self, job_index: JobIndex) {
-        let is_cancelled = |id: &str| self.predecessor_state(id) == PredecessorState::Cancelled;
-        let follows = self.dependencies.predecessors(job_index).any(is_cancelled);
+        let is_cancelled = |id: &str| self.dependency_state(id) == DependencyState::Cancelled;
+        let follows = self.dependency_graph.dependencies(job_index).any(is_cancelled);
         if follows && self.cluster.jobs[job_index].version > 0 {
             self.follow_cancellation(job_index);
             let id = self.cluster.jobs[job_index].spec.id.clone();
@@ -297,7 +297,7 @@
     fn cancel_dependents(&mut self, id: &str) {
         let mut cancelled = vec![id.to_string()];
         while let Some(id) = cancelled.pop() {
-            let dependents: Vec<JobIndex> = self.dependencies.dependents(&id).collect();
+            let dependents: Vec<JobIndex> = self.dependency_graph.dependents(&id).collect();
             for job_index in dependents {
                 if self.cluster.jobs[job_index].version > 0 {
                     self.follow_cancellation(job_index);
@@ -330,16 +330,16 @@
         let mut seen = HashSet::from([job_index]);
         let mut jobs = vec![job_index];
         while let Some(next) = jobs.pop() {
-            for id in self.dependencies.predecessors(next) {
-                let Some(&predecessor) = self.cluster.job_index.get(id) else {
-                    return Some(RefusalReason::PredecessorElsewhere);
+            for id in self.dependency_graph.dependencies(next) {
+                let Some(&dependency) = self.cluster.job_index.get(id) else {
+                    return Some(RefusalReason::DependencyElsewhere);
                 };
-                let job = &self.cluster.jobs[predecessor];
+                let job = &self.cluster.jobs[dependency];
                 if job.end.is_none() && job.end_open && job.cancelling {
                     return Some(RefusalReason::EndBeingRecorded);
                 }
-                if seen.insert(predecessor) {
-                    jobs.push(predecessor);
+                if seen.insert(dependency) {
+                    jobs.push(dependency);
                 }
             }
         }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -5,6 +5,7 @@
 mod attempts;
 mod borrowing;
 mod critical_path;
+mod dependencies;
 mod direct;
 mod drain;
 mod failover;
@@ -14,7 +15,6 @@
 mod keys;
 mod next_commit;
 mod passes;
-mod predecessors;
 mod records;
 mod report_load;
 mod running_counts;
@@ -25,14 +25,14 @@
 mod warm_pools;
 
 pub use borrowing::{LoanStatus, LoansStatus, TeamStatus};
+pub use dependencies::DependencyLookup;
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
-pub use predecessors::PredecessorLookup;
 pub use types::{
     Commit, CommitOutcome, DirectCommand, DirectCommandOutcome, HostRouting, JobWrite, PendingWrite, StatusSource,
     Superseded, UserAnswer, Waiter,
 };
 
-use crate::dependencies::DependencyGraph;
+use crate::dependency_graph::DependencyGraph;
 use crate::metrics::Metrics;
 use crate::model::{ClusterState, HostIndex, JobIndex};
 use crate::sched::Policy;
@@ -65,8 +65,8 @@
     begun_ms: u64,
     next_attempt: u64,
     /// Which jobs wait for which others.
-    dependencies: DependencyGraph,
-    predecessors: predecessors::PredecessorBooks,
+    dependency_graph: DependencyGraph,
+    dependencies: dependencies::DependencyTracker,
     /// A controller is known to be of a version that would not let jobs wait: none is accepted.
     pub has_old_peer: bool,
     /// Nothing newer than the policy's teams is known; always so without a shared configuration.
@@ -140,8 +140,8 @@
             partition_version: 0,
             begun_ms: 0,
             next_attempt: 0,
-            dependencies: DependencyGraph::default(),
-            predecessors: Default::default(),
+            dependency_graph: DependencyGraph::default(),
+            dependencies: Default::default(),
             has_old_peer: false,
             configuration_up_to_date: true,
             dirty: BTreeSet::new(),
--- a/src/partition/records.rs
+++ b/src/partition/records.rs
@@ -167,7 +167,7 @@
                     tasks = spec.tasks,
                     expected_s = spec.expected_s,
                     due_s = spec.due_s.unwrap_or(0.0),
-                    waits_on = spec.waits_on.iter().count(),
+                    dependencies = spec.dependencies.iter().count(),
                     "accepted"
                 );
                 self.creation_known(job_index, true);
@@ -187,7 +187,7 @@
         }
         let id = job.spec.id.clone();
         self.job_is_over(job_index);
-        self.predecessor_ended(&id, end);
+        self.dependency_ended(&id, end);
     }
 
     /// Nothing more is to be done for a job but to stop what is left of it.
@@ -199,8 +199,8 @@
             self.cluster.live.retain(|l| *l != job_index);
             self.stop_all(job_index);
         }
-        let open = self.dependencies.remove(job_index);
-        self.release_predecessors(&open);
+        let open = self.dependency_graph.remove(job_index);
+        self.release_dependencies(&open);
         self.notify_job_end(job_index);
         self.pass_due = true;
     }
@@ -245,7 +245,7 @@
             return;
         }
         if created {
-            self.take_recorded_predecessors(job_index, record.spec.waits_on);
+            self.take_recorded_dependencies(job_index, record.spec.dependencies);
             let job = &mut self.cluster.jobs[job_index];
             if job.unsaved == UnsavedChange::Creation {
                 job.unsaved = UnsavedChange::Nothing;
--- a/src/partition/tests/critical_path.rs
+++ b/src/partition/tests/critical_path.rs
@@ -1,6 +1,6 @@
 //! Tests of the deadline and the priority that the jobs of a pipeline share.
 
-use super::predecessors::*;
+use super::dependencies::*;
 use super::*;
 use crate::model::Urgency;
 
--- a/src/partition/tests/predecessors.rs
+++ b/src/partition/tests/dependencies.rs
@@ -14,9 +14,9 @@
 pub(super) const THIRD: &str = "run-000003";
 
 /// A submission of an array of two tasks that waits for these, with further fields.
-pub(super) fn waiting_body(id: &str, waits_on: &[&str], fields: Value) -> Vec<u8> {
+pub(super) fn waiting_body(id: &str, dependencies: &[&str], fields: Value) -> Vec<u8> {
     let mut value: Value = serde_json::from_slice(&body(id, "batch", 2)).unwrap();
-    value["waits_on"] = json!(waits_on);
+    value["waits_on"] = json!(dependencies);
     for (name, field) in fields.as_object().unwrap() {
         value[name] = field.clone();
     }
@@ -24,8 +24,8 @@
 }
 
 /// The same, accepted.
-pub(super) fn accept_waiting(p: &mut Partition, id: &str, waits_on: &[&str], fields: Value) -> UserAnswer {
-    let mut rx = submit(p, &waiting_body(id, waits_on, fields), 1000);
+pub(super) fn accept_waiting(p: &mut Partition, id: &str, dependencies: &[&str], fields: Value) -> UserAnswer {
+    let mut rx = submit(p, &waiting_body(id, dependencies, fields), 1000);
     commit_all(p, 1000);
     rx.try_recv().expect("it is answered")
 }
@@ -133,7 +133,7 @@
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     p.looked_up(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
-    assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::PredecessorIndeterminate)));
+    assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate)));
 }
 
 #[test]
@@ -170,7 +170,7 @@
     report_ended(&mut p, FIRST, 2);
     commit_all(&mut p, 2000);
     accept_waiting(&mut p, "run-000004", &[FIRST, THIRD], json!({}));
-    assert_eq!(job(&p, "run-000004").spec.waits_on.iter().collect::<Vec<_>>(), [THIRD]);
+    assert_eq!(job(&p, "run-000004").spec.dependencies.iter().collect::<Vec<_>>(), [THIRD]);
 }
 
 // ---- waiting ----
@@ -233,25 +233,25 @@
     let found = record(FIRST, "batch", "blue", None, 50);
     p.looked_up(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
     commit_all(&mut p, 1000);
-    assert_eq!(p.external_predecessors(), [FIRST]);
+    assert_eq!(p.external_dependencies(), [FIRST]);
     p
 }
 
 #[test]
 fn a_job_of_another_partition_is_waited_for_until_its_record_tells_its_end() {
     let mut p = with_external();
-    assert_eq!(phase(p.status(SECOND)), Err(RefusalReason::PredecessorElsewhere), "its record alone tells");
-    p.note_predecessor(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
+    assert_eq!(phase(p.status(SECOND)), Err(RefusalReason::DependencyElsewhere), "its record alone tells");
+    p.note_dependency(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
     assert!(job(&p, SECOND).waiting);
-    p.note_predecessor(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
-    assert!(job(&p, SECOND).active() && p.external_predecessors().is_empty());
+    p.note_dependency(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
+    assert!(job(&p, SECOND).active() && p.external_dependencies().is_empty());
     assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Pending));
 }
 
 #[test]
 fn a_job_is_cancelled_with_one_of_another_partition() {
     let mut p = with_external();
-    p.note_predecessor(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
+    p.note_dependency(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
     assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Cancelled));
     assert_eq!(job(&p, SECOND).unsaved, UnsavedChange::End(JobEnd::Cancelled));
 }
--- a/src/partition/tests/followed_cancellations.rs
+++ b/src/partition/tests/followed_cancellations.rs
@@ -1,6 +1,6 @@
 //! Tests of jobs that are cancelled with one that they need.
 
-use super::predecessors::*;
+use super::dependencies::*;
 use super::*;
 use crate::model::JobEnd;
 use crate::refusal::RefusalReason;
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -3,6 +3,7 @@
 mod acceptance;
 mod borrowing;
 mod critical_path;
+mod dependencies;
 mod failover;
 mod failures;
 mod fault_combinations;
@@ -10,7 +11,6 @@
 mod followed_cancellations;
 mod limits;
 mod orders;
-mod predecessors;
 mod recording;
 mod silence;
 mod warm_pools;
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -23,7 +23,7 @@
             return;
         }
         let refusal = match spec {
-            Ok(spec) if spec.waits_on.is_empty() => return self.accept(spec, now, wall, waiter),
+            Ok(spec) if spec.dependencies.is_empty() => return self.accept(spec, now, wall, waiter),
             Ok(spec) if !self.has_old_peer => return self.submit_waiting(spec, now, wall, waiter),
             Ok(_) => UserAnswer::RetryLater(RefusalReason::ControllerOutdated),
             Err(message) => UserAnswer::Malformed(message),
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -154,7 +154,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             due_s: None,
-            waits_on: Default::default(),
+            dependencies: Default::default(),
         };
         let part = |(position, zone)| (spec(zone), (count + parts - 1 - position) / parts);
         zones.into_iter().enumerate().map(part).filter(|(_, part)| *part > 0).collect()
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -121,9 +121,9 @@
             last_failure_detection_ms: now,
             probes: Bounds::new(&self.settings).probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
             next_plan_ms: 0,
-            known_externals: None,
-            externals_under_way: false,
-            next_externals_ms: 0,
+            known_external_dependencies: None,
+            external_reads_under_way: false,
+            next_external_read_ms: 0,
             followed: FollowedConfiguration::default(),
             reading_indeterminate: false,
             pending_machines: Vec::new(),
@@ -209,10 +209,10 @@
                     leadership.partition.adopt_job(i, now);
                 }
             }
-            BackgroundEvent::PredecessorsRead { submission, found } => {
+            BackgroundEvent::DependenciesRead { submission, found } => {
                 leadership.partition.looked_up(submission, found, now, clock::wall_ms());
             }
-            BackgroundEvent::ExternalsRead(read) => self.externals_read(leadership, read, now),
+            BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
             BackgroundEvent::IndeterminateRead(found) => self.indeterminate_read(leadership, found),
             BackgroundEvent::Raised(raised) => self.raised(leadership, raised, now),
             BackgroundEvent::ConfigurationRecorded(obeyed) => self.configuration_recorded(leadership, obeyed),
--- a/src/partition_leader/predecessors.rs
+++ b/src/partition_leader/dependencies.rs
@@ -2,25 +2,25 @@
 //! partition does not know, and of those that belong to other partitions.
 
 use super::context::PartitionLeader;
-use super::followed::KnownExternals;
+use super::followed::KnownExternalDependencies;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use super::stored_records::ExternalRecords;
 use crate::clients::{RequestError, State};
-use crate::partition::{JOB_PREFIX, PredecessorLookup, job_key};
+use crate::partition::{DependencyLookup, JOB_PREFIX, job_key};
 use crate::task;
 use crate::wire::Item;
 use std::collections::HashSet;
 
 impl PartitionLeader {
     /// Makes the lookups that submissions wait for.
-    pub(super) fn look_up_predecessors(&self, leadership: &mut Leadership) {
+    pub(super) fn look_up_dependencies(&self, leadership: &mut Leadership) {
         for lookup in leadership.partition.take_lookups() {
             let (state, sender) = (self.state.clone(), self.sender(leadership.n));
             task::spawn(async move {
                 let submission = lookup.submission;
                 let found = read_all(&state, lookup).await;
-                sender.send(BackgroundEvent::PredecessorsRead { submission, found }).await;
+                sender.send(BackgroundEvent::DependenciesRead { submission, found }).await;
             });
         }
     }
@@ -28,38 +28,39 @@
     /// Learns what became of jobs of other partitions that are waited for: with one request a
     /// round for all of them together, once each was read.
     pub(super) fn read_externals(&self, leadership: &mut Leadership, now: u64) {
-        if leadership.externals_under_way || now < leadership.next_externals_ms {
+        if leadership.external_reads_under_way || now < leadership.next_external_read_ms {
             return;
         }
-        let ids = leadership.partition.external_predecessors();
+        let ids = leadership.partition.external_dependencies();
         if ids.is_empty() {
-            leadership.known_externals = None;
+            leadership.known_external_dependencies = None;
             return;
         }
-        leadership.externals_under_way = true;
-        let (state, sender, known) = (self.state.clone(), self.sender(leadership.n), leadership.known_externals.take());
+        leadership.external_reads_under_way = true;
+        let (state, sender, known) =
+            (self.state.clone(), self.sender(leadership.n), leadership.known_external_dependencies.take());
         task::spawn(async move {
             let mut records = Vec::new();
             let known = read_changes(&state, ids, known, &mut records).await.ok();
-            sender.send(BackgroundEvent::ExternalsRead(ExternalRecords { records, known })).await;
+            sender.send(BackgroundEvent::ExternalDependenciesRead(ExternalRecords { records, known })).await;
         });
     }
 
     /// Takes in what was read of jobs of other partitions.
-    pub(super) fn externals_read(&self, leadership: &mut Leadership, read: ExternalRecords, now: u64) {
-        leadership.externals_under_way = false;
-        leadership.next_externals_ms = now + self.settings.react_ms() / 2;
-        leadership.known_externals = read.known;
+    pub(super) fn external_dependencies_read(&self, leadership: &mut Leadership, read: ExternalRecords, now: u64) {
+        leadership.external_reads_under_way = false;
+        leadership.next_external_read_ms = now + self.settings.react_ms() / 2;
+        leadership.known_external_dependencies = read.known;
         for item in read.records {
             if let Some(id) = item.key.strip_prefix(JOB_PREFIX).map(String::from) {
-                leadership.partition.note_predecessor(&id, item, now);
+                leadership.partition.note_dependency(&id, item, now);
             }
         }
     }
 }
 
 /// The records that a lookup asks for; `None` if one could not be read.
-async fn read_all(state: &State, lookup: PredecessorLookup) -> Option<Vec<(String, Option<Item>)>> {
+async fn read_all(state: &State, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
     let mut found = Vec::new();
     for id in lookup.ids {
         let (item, _) = state.get(&job_key(&id)).await.ok()?;
@@ -73,13 +74,13 @@
 async fn read_changes(
     state: &State,
     ids: Vec<String>,
-    known: Option<KnownExternals>,
+    known: Option<KnownExternalDependencies>,
     records: &mut Vec<Item>,
-) -> Result<KnownExternals, RequestError> {
+) -> Result<KnownExternalDependencies, RequestError> {
     let mut known = match known {
         Some(known) => known,
         // No key has the prefix alone as its name: the answer tells the present revision.
-        None => KnownExternals { revision: state.get(JOB_PREFIX).await?.1, ids: HashSet::new() },
+        None => KnownExternalDependencies { revision: state.get(JOB_PREFIX).await?.1, ids: HashSet::new() },
     };
     known.ids.retain(|id| ids.contains(id));
     let changes = state.changes(JOB_PREFIX, known.revision, 0).await?;
--- a/src/partition_leader/followed.rs
+++ b/src/partition_leader/followed.rs
@@ -5,7 +5,7 @@
 
 /// Jobs of other partitions whose changes are known up to a revision.
 #[derive(Default, Clone)]
-pub(super) struct KnownExternals {
+pub(super) struct KnownExternalDependencies {
     pub(super) revision: u64,
     pub(super) ids: HashSet<String>,
 }
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -1,6 +1,6 @@
 //! What the actor keeps while it holds the partition.
 
-use super::followed::{FollowedConfiguration, KnownExternals};
+use super::followed::{FollowedConfiguration, KnownExternalDependencies};
 use crate::clients::TokenBucket;
 use crate::partition::Partition;
 use crate::provisioner::Provisioner;
@@ -29,9 +29,9 @@
     pub(super) probes: Option<TokenBucket>,
     pub(super) next_plan_ms: u64,
     /// What is known of jobs of other partitions that are waited for.
-    pub(super) known_externals: Option<KnownExternals>,
-    pub(super) externals_under_way: bool,
-    pub(super) next_externals_ms: u64,
+    pub(super) known_external_dependencies: Option<KnownExternalDependencies>,
+    pub(super) external_reads_under_way: bool,
+    pub(super) next_external_read_ms: u64,
     /// How far this leader follows the shared configuration.
     pub(super) followed: FollowedConfiguration,
     /// Unclear records of warm pools and loans are being read.
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -93,14 +93,14 @@
     /// Jobs that other nodes accepted.
     Inbox(Vec<Item>),
     /// The records of jobs that a submission names, by id; `None` if they could not be read.
-    PredecessorsRead {
+    DependenciesRead {
         /// Number of the submission.
         submission: u64,
         /// The records; `None` where there is none.
         found: Option<Vec<(String, Option<Item>)>>,
     },
     /// Records of jobs of other partitions that are waited for.
-    ExternalsRead(ExternalRecords),
+    ExternalDependenciesRead(ExternalRecords),
     /// Records of warm pools and loans that were unclear, by key; `None` where there is none.
     IndeterminateRead(Vec<(String, Option<Item>)>),
     /// The fencing token was raised; none if that failed.
--- a/src/partition_leader/mod.rs
+++ b/src/partition_leader/mod.rs
@@ -7,6 +7,7 @@
 mod commits;
 mod configuration;
 mod context;
+mod dependencies;
 mod dispatch;
 mod followed;
 mod leadership;
@@ -14,7 +15,6 @@
 mod loans;
 mod messages;
 mod pools;
-mod predecessors;
 mod rounds;
 mod stored_records;
 
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -20,7 +20,7 @@
         }
         leadership.partition.refresh_unreconciled();
         self.follow_configuration(leadership, now);
-        self.look_up_predecessors(leadership);
+        self.look_up_dependencies(leadership);
         self.read_externals(leadership, now);
         self.read_unclear_records(leadership);
         run_pass(leadership, now);
--- a/src/partition_leader/stored_records.rs
+++ b/src/partition_leader/stored_records.rs
@@ -1,6 +1,6 @@
 //! What a leader reads from the state service.
 
-use super::followed::KnownExternals;
+use super::followed::KnownExternalDependencies;
 use crate::clients::State;
 use crate::clock;
 use crate::configuration::ConfigurationHandle;
@@ -91,7 +91,7 @@
     pub(super) records: Vec<Item>,
     /// Which of the jobs were read, and up to which revision their changes are known; `None`
     /// if the reading failed and has to begin anew.
-    pub(super) known: Option<KnownExternals>,
+    pub(super) known: Option<KnownExternalDependencies>,
 }
 
 /// All records of slots, and the bills of the days around now.
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -60,8 +60,8 @@
     terminating: HashSet<String>,
     gone: HashSet<String>,
     /// When a list shows what the last leader rented, and whether one was read since.
-    predecessor_listed_ms: Option<u64>,
-    predecessor_known: bool,
+    dependency_listed_ms: Option<u64>,
+    dependency_known: bool,
     /// What kind of machine each listed one is.
     kinds: HashMap<String, PendingMachine>,
     sequence: u64,
@@ -219,7 +219,7 @@
     ) -> Vec<CloudRequest> {
         let cluster = &partition.cluster;
         let mut ops = Vec::new();
-        if !self.predecessor_known || cluster.instance_types.is_empty() {
+        if !self.dependency_known || cluster.instance_types.is_empty() {
             return ops;
         }
         self.capacity_reports.retain(|_, n| now < n.0 + patience_ms);
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -154,11 +154,11 @@
         late
     }
 
-    /// Notes when this leader began: what its predecessor rented just before is listed a
+    /// Notes when this leader began: what its dependency rented just before is listed a
     /// lag later. The very first leader has none.
     fn note_begin(&mut self, partition: &Partition, now: u64) {
         let lag_ms = if partition.fencing_token > FIRST_TERM { self.lag_ms } else { 0 };
-        self.predecessor_listed_ms.get_or_insert(now + lag_ms);
+        self.dependency_listed_ms.get_or_insert(now + lag_ms);
     }
 
     /// Judges no machine for a while after rounds were missed.
@@ -199,7 +199,7 @@
     /// and those that never come up.
     pub fn listed(&mut self, list: &[Listed], partition: &Partition, now: u64) -> Vec<CloudRequest> {
         self.note_begin(partition, now);
-        self.predecessor_known |= self.predecessor_listed_ms.is_some_and(|t| now >= t);
+        self.dependency_known |= self.dependency_listed_ms.is_some_and(|t| now >= t);
         self.forget_abandoned(now);
         let mut drop = Vec::new();
         for entry in list {
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -52,10 +52,11 @@
     /// A controller is of an earlier version, which would not let a job wait for others.
     ControllerOutdated,
     /// A job that the job waits for belongs to another partition: only its record tells how it is.
-    PredecessorElsewhere,
+    #[serde(rename = "predecessor_elsewhere")]
+    DependencyElsewhere,
     /// Whether a job that is waited for was accepted is not known yet.
     #[serde(rename = "predecessor_unclear")]
-    PredecessorIndeterminate,
+    DependencyIndeterminate,
     /// The queue of the partition's actor is full; a worker reports again.
     TooManyReports,
     /// The queue of the partition's actor is full.
@@ -75,8 +76,8 @@
 
     /// Does the version before know it, too?
     pub fn is_known_to_all(self) -> bool {
-        use RefusalReason::{ConfigurationBehind, ControllerOutdated, PredecessorElsewhere, PredecessorIndeterminate};
-        !matches!(self, ConfigurationBehind | ControllerOutdated | PredecessorElsewhere | PredecessorIndeterminate)
+        use RefusalReason::{ConfigurationBehind, ControllerOutdated, DependencyElsewhere, DependencyIndeterminate};
+        !matches!(self, ConfigurationBehind | ControllerOutdated | DependencyElsewhere | DependencyIndeterminate)
     }
 
     /// The reason with this name, if this version knows it.
@@ -121,8 +122,8 @@
             RefusalReason::FailoverUnderWay => "the jobs are being taken over",
             RefusalReason::TooManyReads => "too many reads of job records",
             RefusalReason::ControllerOutdated => "a controller is of an earlier version",
-            RefusalReason::PredecessorElsewhere => "a job that is waited for belongs to another partition",
-            RefusalReason::PredecessorIndeterminate => "whether a job that is waited for was accepted is not known yet",
+            RefusalReason::DependencyElsewhere => "a job that is waited for belongs to another partition",
+            RefusalReason::DependencyIndeterminate => "whether a job that is waited for was accepted is not known yet",
             RefusalReason::TooManyReports => "too many reports",
             RefusalReason::TooManyRequests => "too many requests",
             RefusalReason::TooManySubmissions => "too many submissions",
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -55,7 +55,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         due_s: None,
-        waits_on: Default::default(),
+        dependencies: Default::default(),
     }
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,6 @@
 //! Messages between users and the service: submissions of jobs and answers about them.
 
-use crate::model::{Demand, JobEnd, JobPhase, Predecessors, Shape, Spec, Urgency};
+use crate::model::{Demand, Dependencies, JobEnd, JobPhase, Shape, Spec, Urgency};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -74,7 +74,7 @@
     let instance_types = instance_types(f)?;
     let zone = zone(f)?;
     let due_s = due_s(f)?;
-    let waits_on = waits_on(f)?;
+    let dependencies = dependencies(f)?;
     Ok(Spec {
         id: id.to_string(),
         class: f.text("jobclass")?,
@@ -94,7 +94,7 @@
         checkpoint_s: f.amount("checkpoint_every_s")?,
         save_s: f.amount("flush_s")?,
         due_s,
-        waits_on,
+        dependencies,
     })
 }
 
@@ -152,13 +152,13 @@
 }
 
 /// The jobs that the job waits for; a name that is given again counts once.
-fn waits_on(f: &Fields<'_>) -> Result<Predecessors, String> {
+fn dependencies(f: &Fields<'_>) -> Result<Dependencies, String> {
     const EXPECTED: &str = "waits_on: must be an array of job ids or null";
     match f.get("waits_on") {
-        None => Ok(Predecessors::default()),
+        None => Ok(Dependencies::default()),
         Some(Value::Array(names)) => {
             let ids = names.iter().map(|name| name.as_str().filter(|id| is_job_id(id)).map(str::to_string));
-            Ok(Predecessors::new(ids.collect::<Option<Vec<_>>>().ok_or(EXPECTED)?))
+            Ok(Dependencies::new(ids.collect::<Option<Vec<_>>>().ok_or(EXPECTED)?))
         }
         Some(_) => Err(EXPECTED.into()),
     }
--- a/src/write_limits.rs
+++ b/src/write_limits.rs
@@ -66,7 +66,7 @@
         if self.takes_job(spec) {
             return None;
         }
-        let alone = Spec { waits_on: Default::default(), ..spec.clone() };
+        let alone = Spec { dependencies: Default::default(), ..spec.clone() };
         Some(if self.takes_job(&alone) { TOO_MANY_PREDECESSORS } else { TEXTS_TOO_LONG })
     }
 
--- a/src/write_limits/tests.rs
+++ b/src/write_limits/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::config::tests::settings;
 use crate::config::{NextStateLimits, StateLimits};
-use crate::model::Predecessors;
+use crate::model::Dependencies;
 use crate::partition::tests::body;
 use crate::wire;
 
@@ -36,7 +36,7 @@
     let limits = WriteLimits::new(&limits(Some(NEXT)));
     let named = |count: u64| {
         let ids = (0..count).map(|n| format!("run-{n:020}"));
-        limits.refuses(&Spec { waits_on: Predecessors::new(ids), ..spec() })
+        limits.refuses(&Spec { dependencies: Dependencies::new(ids), ..spec() })
     };
     assert_eq!(named(32), None);
     assert!(named(2000).is_some_and(|why| why.starts_with("waits_on: ")));
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -180,11 +180,8 @@
 // The version in production closes a connection on which a reason comes that it does not know.
 #[tokio::test]
 async fn a_new_reason_is_told_to_those_alone_who_know_it() {
-    let new = [
-        RefusalReason::ControllerOutdated,
-        RefusalReason::PredecessorElsewhere,
-        RefusalReason::PredecessorIndeterminate,
-    ];
+    let new =
+        [RefusalReason::ControllerOutdated, RefusalReason::DependencyElsewhere, RefusalReason::DependencyIndeterminate];
     let (mut stream, _asked) = serving(new.into_iter().chain(new).map(refused).collect()).await;
     let from_old = &recorded(include_str!("../data/production/requests.hex"))[0];
     for _ in new {
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -1,7 +1,7 @@
 //! Records in the state service.
 
 use badgerdrift::membership::{FencingTokenRecord, PartitionRecord};
-use badgerdrift::model::{HostRecord, InstanceType, Job, JobEnd, JobRecord, Predecessors};
+use badgerdrift::model::{Dependencies, HostRecord, InstanceType, Job, JobEnd, JobRecord};
 use badgerdrift_stand_ins::production_format as production;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -44,7 +44,7 @@
 fn waiting_record() -> JobRecord {
     let (_, value) = production_records().into_iter().find(|(key, _)| key == "job/run-000004").unwrap();
     let mut record: JobRecord = serde_json::from_value(value).unwrap();
-    record.spec.waits_on = Predecessors::new(["run-000001", "run-000002", "run-000001"].map(String::from));
+    record.spec.dependencies = Dependencies::new(["run-000001", "run-000002", "run-000001"].map(String::from));
     record
 }
 
@@ -53,7 +53,7 @@
     let value = serde_json::to_value(waiting_record()).unwrap();
     assert_eq!(value["spec"]["waits_on"], "run-000001 run-000002");
     let record: JobRecord = serde_json::from_value(value).unwrap();
-    assert_eq!(record.spec.waits_on.iter().collect::<Vec<_>>(), ["run-000001", "run-000002"]);
+    assert_eq!(record.spec.dependencies.iter().collect::<Vec<_>>(), ["run-000001", "run-000002"]);
 }
 
 #[test]
