--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -1,4 +1,4 @@
-//! What a pass costs with borrowing and without it: a full fleet, and a burst that needs room.
+//! What a scheduling cycle costs with borrowing and without it: a full fleet, and a burst that needs room.
 //!
 //!     cargo run --release --example pass_cost -- 480 4000
 
@@ -40,7 +40,7 @@
         let team = TEAMS[1 + number % 3];
         add(&mut fleet, number, team, Shape::Batch, Urgency::Normal, TASKS);
     }
-    let fills = timed(|| fleet.pass(1000, 1000));
+    let fills = timed(|| fleet.schedule(1000, 1000));
     // The machines have begun what they were told.
     for host in fleet.cluster.hosts.iter_mut().flatten() {
         host.attempts.iter_mut().for_each(|attempt| attempt.phase = badgerdrift::model::TaskPhase::Running);
@@ -49,8 +49,8 @@
         add(&mut fleet, night_runs + number, "desk", Shape::Service, Urgency::High, 4);
     }
     fleet.maintain_loans(2000, 2000);
-    let burst = timed(|| fleet.pass(2000, 2000));
-    let later = timed(|| (1..=PASSES).for_each(|n| fleet.pass(2000 + n, 2000 + n))) / PASSES as u32;
+    let burst = timed(|| fleet.schedule(2000, 2000));
+    let later = timed(|| (1..=PASSES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / PASSES as u32;
     let attempts = fleet.cluster.each_host().flat_map(|(_, host)| &host.attempts);
     let stops = attempts.filter(|attempt| attempt.stop.is_some()).count();
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -65,9 +65,9 @@
     pub reserves: Vec<Reserve>,
     /// Machine types of which the cloud has none left.
     pub exhausted: Vec<usize>,
-    /// Work with accelerators found no room in the last pass, and may not wait long.
+    /// Work with accelerators found no room in the last cycle, and may not wait long.
     pub accelerators_short: bool,
-    /// When a pass last left work without room.
+    /// When a scheduling cycle last left work without room.
     pub waited_ms: u64,
     /// What machines that are not reconciled may hold.
     pub unreconciled: Demand,
--- a/src/model/lending.rs
+++ b/src/model/lending.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// What a pass is told of loans between teams. Without borrowing there is none of it.
+/// What a scheduling cycle is told of loans between teams. Without borrowing there is none of it.
 #[derive(Debug, Clone)]
 pub struct LendingState {
     /// Who lends to whom.
--- a/src/partition/attempts.rs
+++ b/src/partition/attempts.rs
@@ -20,7 +20,7 @@
         reason: ExitReason,
         now: u64,
     ) {
-        self.pass_due = true;
+        self.cycle_due = true;
         let job = &self.cluster.jobs[key.job];
         tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task ended");
         let shape = job.spec.shape;
@@ -80,7 +80,7 @@
         task.place = Place::Idle;
         // Urgent work may be what ended, or what waits for the room.
         let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.claims.is_empty());
-        self.urgent_pass_due |= waited_for || job.urgency >= Urgency::High;
+        self.urgent_cycle_due |= waited_for || job.urgency >= Urgency::High;
         true
     }
 
@@ -91,7 +91,7 @@
         task.fails = task.fails.saturating_add(1);
         if task.fails >= FAILS_BEFORE_PAUSE {
             // Fails wherever it runs: ever longer pauses, so that it
-            // doesn't retake room in each pass.
+            // doesn't retake room in each cycle.
             task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
         }
         if reason == ExitReason::Error {
@@ -143,13 +143,13 @@
             job.unsaved_since_ms = now;
         }
         self.dirty.insert(job_index);
-        self.done_since_pass |= job_is_array;
+        self.done_since_cycle |= job_is_array;
     }
 
     /// Stops further attempts of array tasks that are done: they have nothing left to do.
-    /// Once for a pass, as each look at all attempts costs as much as there are.
+    /// Once for a scheduling cycle, as each look at all attempts costs as much as there are.
     pub(super) fn stop_attempts_of_done_tasks(&mut self) {
-        if !std::mem::take(&mut self.done_since_pass) {
+        if !std::mem::take(&mut self.done_since_cycle) {
             return;
         }
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
@@ -181,7 +181,7 @@
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         let ended = h.attempt_mut(key, attempt).is_some_and(|c| c.ended());
         h.attempts.retain(|c| c.key != key || c.attempt != attempt);
-        self.pass_due = true;
+        self.cycle_due = true;
         self.attempt_lost(host_index, key, attempt, ended);
     }
 
@@ -191,7 +191,7 @@
         let task = &mut job.tasks[key.task as usize];
         if task.place == Place::On(host_index, attempt) {
             task.place = Place::Idle;
-            self.urgent_pass_due |= job.urgency >= Urgency::High;
+            self.urgent_cycle_due |= job.urgency >= Urgency::High;
             self.metrics.count("tasks_lost", &job.spec.class);
             if !ended && job.spec.shape == Shape::Gang {
                 self.stop_all(key.job);
@@ -207,6 +207,6 @@
         for c in attempts {
             self.attempt_lost(host_index, c.key, c.attempt, c.ended());
         }
-        self.pass_due = true;
+        self.cycle_due = true;
     }
 }
--- a/src/partition/borrowing/decisions.rs
+++ b/src/partition/borrowing/decisions.rs
@@ -1,10 +1,10 @@
-//! What a pass is told of loans, and what it decided about them.
+//! What a scheduling cycle is told of loans, and what it decided about them.
 
 use super::demand::TeamDemands;
 use super::{PartitionLoans, WaitingStop};
 use crate::model::{JobIndex, LendingState};
 use crate::partition::Partition;
-use crate::sched::{Eviction, Outcome, RefusedLoan, StopCause};
+use crate::sched::{CycleDecisions, Preemption, RefusedLoan, StopCause};
 use badgerdrift_borrowing::{Amounts, LoanKind, Moment, Proposal, Refusal};
 use std::collections::BTreeMap;
 
@@ -27,12 +27,12 @@
         self.cluster.lending = Some(LendingState { holds_rooms, ..lending });
     }
 
-    /// Takes in what a pass decided about loans. Their stops wait for the records.
-    pub(in crate::partition) fn loans_decided(&mut self, outcome: &Outcome, now: u64, wall: u64) {
+    /// Takes in what a scheduling cycle decided about loans. Their stops wait for the records.
+    pub(in crate::partition) fn loans_decided(&mut self, outcome: &CycleDecisions, now: u64, wall: u64) {
         if self.loans.is_none() {
             return;
         }
-        let mut stops: BTreeMap<LoanParties, Vec<&Eviction>> = BTreeMap::new();
+        let mut stops: BTreeMap<LoanParties, Vec<&Preemption>> = BTreeMap::new();
         for stop in &outcome.stops {
             if let StopCause::Loan(kind) = stop.cause {
                 let guaranteed = kind == LoanKind::Guaranteed;
@@ -49,7 +49,7 @@
         self.note_loan_transitions();
     }
 
-    fn propose_loan(&mut self, parties: LoanParties, stops: &[&Eviction], now: Moment) {
+    fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: Moment) {
         self.next_attempt += 1;
         let id = self.next_attempt;
         let lending = &self.cluster.jobs[parties.lending_job].spec;
@@ -74,7 +74,7 @@
     }
 
     /// Counts the work that is lost by stops for other teams.
-    fn note_lost_work(&mut self, outcome: &Outcome) {
+    fn note_lost_work(&mut self, outcome: &CycleDecisions) {
         for stop in outcome.stops.iter().filter(|stop| matches!(stop.cause, StopCause::Loan(_) | StopCause::Reclaim)) {
             let team = &self.cluster.jobs[stop.key.job].spec.team;
             self.metrics.add("loan_work_lost_s", team, stop.lost_s.ceil() as u64);
--- a/src/partition/borrowing/mod.rs
+++ b/src/partition/borrowing/mod.rs
@@ -1,5 +1,5 @@
 //! Loans between teams in the partition: the thin part around `badgerdrift_borrowing`, which keeps
-//! the loans and their records. Here they meet passes, attempts, orders and commits. All of it is
+//! the loans and their records. Here they meet scheduling cycles, attempts, orders and commits. All of it is
 //! off unless the controller is told who lends to whom.
 
 mod commits;
--- a/src/partition/critical_path.rs
+++ b/src/partition/critical_path.rs
@@ -39,7 +39,7 @@
 }
 
 impl Partition {
-    /// A job has come to wait for its dependencies: passes on what it asks of them.
+    /// A job has come to wait for its dependencies: scheduling cycles on what it asks of them.
     pub(super) fn oblige_dependencies(&mut self, job_index: JobIndex) {
         let mut changed = vec![job_index];
         while let Some(dependent) = changed.pop() {
@@ -92,8 +92,8 @@
             return false;
         }
         (job.urgency, job.needed_by_ms) = (obligation.urgency, obligation.needed_by_ms);
-        self.pass_due = true;
-        self.urgent_pass_due |= !job.waiting && job.urgency >= Urgency::High;
+        self.cycle_due = true;
+        self.urgent_cycle_due |= !job.waiting && job.urgency >= Urgency::High;
         true
     }
 
--- a/src/partition/dependencies.rs
+++ b/src/partition/dependencies.rs
@@ -45,7 +45,7 @@
     lookups: Vec<DependencyLookup>,
     /// Dependencies that this partition does not hold, as far as their records were read.
     external: BTreeMap<String, ExternalJob>,
-    /// Jobs whose last dependency is done, since the last pass.
+    /// Jobs whose last dependency is done, since the last cycle.
     ready: Vec<JobIndex>,
 }
 
@@ -233,7 +233,7 @@
         self.follow_if_cancelled(job_index);
     }
 
-    /// The last job that it needs is recorded as done: it takes part in passes from now on.
+    /// The last job that it needs is recorded as done: it takes part in scheduling cycles from now on.
     fn become_ready(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() || !std::mem::replace(&mut job.waiting, false) {
@@ -241,11 +241,11 @@
         }
         self.cluster.live.push(job_index);
         self.dependencies.ready.push(job_index);
-        self.pass_due = true;
-        self.urgent_pass_due |= job.urgency >= Urgency::High;
+        self.cycle_due = true;
+        self.urgent_cycle_due |= job.urgency >= Urgency::High;
     }
 
-    /// The times of jobs that became ready since the last pass begin.
+    /// The times of jobs that became ready since the last cycle begin.
     pub(super) fn note_ready_times(&mut self, wall: u64) {
         for job_index in std::mem::take(&mut self.dependencies.ready) {
             let job = &mut self.cluster.jobs[job_index];
--- a/src/partition/failover.rs
+++ b/src/partition/failover.rs
@@ -94,7 +94,7 @@
             job.fresh = true;
             let job_index = self.cluster.add_job(job);
             self.job_added(job_index);
-            self.pass_due = true;
+            self.cycle_due = true;
         }
     }
 
@@ -117,7 +117,7 @@
                 None => self.cluster.instance_types.push(f),
             }
         }
-        self.pass_due = true;
+        self.cycle_due = true;
     }
 
     /// The same if one was reconciled since. Until then it counts as one that is not, which
@@ -148,7 +148,7 @@
         }
         if all && !self.cluster.all_reconciled {
             tracing::info!(fencing_token = self.fencing_token, "all machines accounted for");
-            self.pass_due = true;
+            self.cycle_due = true;
         }
         self.cluster.unreconciled = open;
         self.cluster.unreconciled_kinds = kinds;
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -187,7 +187,7 @@
         }
         if let Some(h) = self.cluster.host_mut(host_index) {
             if h.has_unknown_tasks && !has_unknown_tasks {
-                self.pass_due = true;
+                self.cycle_due = true;
             }
             h.has_unknown_tasks = has_unknown_tasks;
         }
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -14,10 +14,10 @@
 mod host_routing;
 mod keys;
 mod next_commit;
-mod passes;
 mod records;
 mod report_load;
 mod running_counts;
+mod scheduling;
 #[cfg(test)]
 pub mod tests;
 mod types;
@@ -93,15 +93,15 @@
     pub dispatch_queue: BTreeSet<HostIndex>,
     /// Running tasks of large jobs, counted now and then.
     running_counts: running_counts::RunningCounts,
-    /// Something changed that a pass may use.
-    pub pass_due: bool,
+    /// Something changed that a scheduling cycle may use.
+    pub cycle_due: bool,
     /// The same, for urgent work.
-    pub urgent_pass_due: bool,
-    /// Tasks of arrays were done since the last pass.
-    done_since_pass: bool,
-    /// Jobs with tasks that found no room in the last pass.
-    pub unplaced: Vec<JobIndex>,
-    /// Machines that passes have looked at so far.
+    pub urgent_cycle_due: bool,
+    /// Tasks of arrays were done since the last cycle.
+    done_since_cycle: bool,
+    /// Jobs with tasks that found no room in the last cycle.
+    pub pending_jobs: Vec<JobIndex>,
+    /// Machines that scheduling cycles have looked at so far.
     pub hosts_examined: u64,
     /// Pools of warm replicas, if there are any.
     pools: Option<warm_pools::PartitionPools>,
@@ -156,10 +156,10 @@
             cancelling: BTreeSet::new(),
             dispatch_queue: BTreeSet::new(),
             running_counts: running_counts::RunningCounts::new(),
-            pass_due: true,
-            done_since_pass: false,
-            urgent_pass_due: false,
-            unplaced: Vec::new(),
+            cycle_due: true,
+            done_since_cycle: false,
+            urgent_cycle_due: false,
+            pending_jobs: Vec::new(),
             hosts_examined: 0,
             pools: None,
             loans: None,
--- a/src/partition/records.rs
+++ b/src/partition/records.rs
@@ -92,7 +92,7 @@
             PendingWrite::Host(host_index) => {
                 if let Some(h) = self.cluster.host_mut(host_index) {
                     h.registered = true;
-                    self.pass_due = true;
+                    self.cycle_due = true;
                 }
             }
             PendingWrite::TransferredHost(host_index, to) => {
@@ -157,8 +157,8 @@
         match what {
             UnsavedChange::End(end) => self.ended(job_index, end),
             UnsavedChange::Creation => {
-                self.pass_due = true;
-                self.urgent_pass_due |= job.urgency >= Urgency::High;
+                self.cycle_due = true;
+                self.urgent_cycle_due |= job.urgency >= Urgency::High;
                 let spec = &job.spec;
                 tracing::debug!(
                     job = spec.id,
@@ -202,7 +202,7 @@
         let open = self.dependency_graph.remove(job_index);
         self.release_dependencies(&open);
         self.notify_job_end(job_index);
-        self.pass_due = true;
+        self.cycle_due = true;
     }
 
     /// The job's record is there: cancels it if it needs a cancelled one, and tells those who
@@ -253,7 +253,7 @@
             }
             // Known already, maybe by our own commit whose answer was lost.
             job.accepted_ms = record.accepted_ms;
-            self.pass_due = true;
+            self.cycle_due = true;
             self.creation_known(job_index, false);
         }
     }
--- a/src/partition/passes.rs
+++ b/src/partition/scheduling.rs
@@ -2,25 +2,25 @@
 
 use super::Partition;
 use crate::model::{JobIndex, Urgency};
-use crate::sched::{self, Assignment, Eviction, Outcome};
+use crate::sched::{self, Assignment, CycleDecisions, Preemption};
 
 /// Least rate of a fetch that its duration is computed with.
 const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl Partition {
-    /// One pass; the machines with new orders are in `dispatch_queue`.
-    pub fn pass(&mut self, now: u64, wall: u64) {
-        self.pass_due = false;
-        self.pass_from(Urgency::Low, now, wall);
+    /// One scheduling cycle; the machines with new orders are in `dispatch_queue`.
+    pub fn schedule(&mut self, now: u64, wall: u64) {
+        self.cycle_due = false;
+        self.run_scheduling_cycle(Urgency::Low, now, wall);
     }
 
-    /// A pass for what is urgent alone, while the next one for all is not due.
-    pub fn urgent_pass(&mut self, now: u64, wall: u64) {
-        self.pass_from(Urgency::High, now, wall);
+    /// A scheduling cycle for what is urgent alone, while the next one for all is not due.
+    pub fn schedule_urgent(&mut self, now: u64, wall: u64) {
+        self.run_scheduling_cycle(Urgency::High, now, wall);
     }
 
-    fn pass_from(&mut self, least: Urgency, now: u64, wall: u64) {
-        self.urgent_pass_due = false;
+    fn run_scheduling_cycle(&mut self, least: Urgency, now: u64, wall: u64) {
+        self.urgent_cycle_due = false;
         self.refresh_unreconciled();
         self.note_ready_times(wall);
         self.stop_attempts_of_done_tasks();
@@ -29,7 +29,7 @@
         self.hold_rooms();
         self.describe_lending(now, wall);
         let next = &mut self.next_attempt;
-        let out = sched::pass(&mut self.cluster, &self.policy, now, wall, least, || {
+        let out = sched::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
             *next += 1;
             *next
         });
@@ -47,10 +47,10 @@
             hosts_examined = out.hosts_examined,
             starts = out.starts.len(),
             stops = out.stops.len(),
-            unplaced = out.unplaced.len(),
+            pending_jobs = out.pending_jobs.len(),
             "pass"
         );
-        self.keep_unplaced(least, out);
+        self.keep_pending_jobs(least, out);
     }
 
     /// Bounds the attempts by what following those on the machines costs now.
@@ -90,7 +90,7 @@
     }
 
     /// Counts and logs a preemption; its machine has an order to get.
-    fn note_stop(&mut self, stop: &Eviction) {
+    fn note_stop(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
         let by = &self.cluster.jobs[stop.by].spec;
         tracing::debug!(
@@ -108,12 +108,12 @@
     }
 
     /// Notes which work found no room. What is less urgent than `least` was not tried.
-    fn keep_unplaced(&mut self, least: Urgency, out: Outcome) {
+    fn keep_pending_jobs(&mut self, least: Urgency, out: CycleDecisions) {
         let jobs = &self.cluster.jobs;
-        self.unplaced.retain(|job_index| jobs[*job_index].urgency < least && jobs[*job_index].active());
-        self.unplaced.extend(out.unplaced);
+        self.pending_jobs.retain(|job_index| jobs[*job_index].urgency < least && jobs[*job_index].active());
+        self.pending_jobs.extend(out.pending_jobs);
         self.hosts_examined += out.hosts_examined;
-        if !self.unplaced.is_empty() {
+        if !self.pending_jobs.is_empty() {
             self.cancel_drain();
         }
     }
@@ -133,6 +133,6 @@
         let bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
-        self.unplaced.iter().map(bin).min()
+        self.pending_jobs.iter().map(bin).min()
     }
 }
--- a/src/partition/tests/acceptance.rs
+++ b/src/partition/tests/acceptance.rs
@@ -30,7 +30,7 @@
     for _ in 0..2 {
         p.adopt_job(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
     }
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     assert_eq!((p.dispatch_queue.len(), p.cluster.jobs.len()), (1, 1));
     let c = p.next_commit(1000, 32).unwrap();
     assert_eq!(c.writes, [wire::delete("in/0/run-000005")]);
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -76,7 +76,7 @@
     /// The replicas that the desk needs now.
     fn burst(&mut self, replicas: u32) {
         self.submit(&job_of("run-000002", DESK, "service", "urgent", replicas));
-        self.partition.pass(self.now, self.now);
+        self.partition.schedule(self.now, self.now);
     }
 
     /// The next commit is made, or refused.
@@ -122,7 +122,7 @@
     fn step(&mut self, commits: bool) -> Vec<Order> {
         self.now += STEP_MS;
         self.partition.maintain_loans(self.now, self.now);
-        self.partition.pass(self.now, self.now);
+        self.partition.schedule(self.now, self.now);
         self.commit_as(commits);
         self.heartbeat()
     }
@@ -231,7 +231,7 @@
     take_over(&mut rig);
     rig.now += STEP_MS;
     rig.partition.maintain_loans(rig.now, rig.now);
-    rig.partition.pass(rig.now, rig.now);
+    rig.partition.schedule(rig.now, rig.now);
     assert!(rig.partition.cluster.lending.as_ref().unwrap().closed.is_some());
     assert!(rig.partition.next_commit(rig.now, 32).is_none());
     rig.steps(6);
--- a/src/partition/tests/critical_path.rs
+++ b/src/partition/tests/critical_path.rs
@@ -56,7 +56,7 @@
     assert_eq!(p.upcoming(11_000, 1000), [] as [usize; 0]);
     assert_eq!(p.upcoming(12_000, 1000), [second]);
     assert_eq!(p.upcoming(24_000, 1000), [second, third]);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     assert_eq!(p.upcoming(7_000, 6000), [second], "the first has run for five seconds");
     cancel(&mut p, FIRST);
     assert_eq!(p.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for what is cancelled");
--- a/src/partition/tests/dependencies.rs
+++ b/src/partition/tests/dependencies.rs
@@ -166,7 +166,7 @@
 #[test]
 fn what_is_done_need_not_be_stored() {
     let mut p = chain();
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     report_ended(&mut p, FIRST, 2);
     commit_all(&mut p, 2000);
     accept_waiting(&mut p, "run-000004", &[FIRST, THIRD], json!({}));
@@ -178,19 +178,19 @@
 #[test]
 fn a_job_starts_once_the_end_of_its_predecessor_is_recorded_and_known() {
     let mut p = chain();
-    p.pass(1001, 1001);
-    p.urgent_pass(1002, 1002);
+    p.schedule(1001, 1001);
+    p.schedule_urgent(1002, 1002);
     assert_eq!(placed(&p), [FIRST]);
     report_ended(&mut p, FIRST, 2);
-    p.pass(2000, 2000);
+    p.schedule(2000, 2000);
     assert_eq!(placed(&p), [FIRST], "a report alone starts nothing");
     p.next_commit(2000, 32).unwrap();
-    p.pass(2001, 2001);
+    p.schedule(2001, 2001);
     p.committed(CommitOutcome::Indeterminate).unwrap();
-    p.pass(2002, 2002);
+    p.schedule(2002, 2002);
     assert_eq!(placed(&p), [FIRST], "nor does a write that is under way or unclear");
     commit_all(&mut p, 2100);
-    p.pass(2101, 7101);
+    p.schedule(2101, 7101);
     assert_eq!(placed(&p), [FIRST, SECOND]);
     assert_eq!(job(&p, SECOND).ready_ms, 7101, "its times begin now");
     assert!(job(&p, THIRD).waiting);
--- a/src/partition/tests/failover.rs
+++ b/src/partition/tests/failover.rs
@@ -11,17 +11,17 @@
     // Another, new machine has room.
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commit(&mut p, 1100, 101);
-    p.pass(1100, 1100);
+    p.schedule(1100, 1100);
     assert!(p.dispatch_queue.is_empty());
     // The first report is answered, but shows an older token: the old
     // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
     p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
     p.dispatch_queue.clear();
-    p.pass(1200, 1200);
+    p.schedule(1200, 1200);
     assert!(p.dispatch_queue.is_empty() && !p.cluster.all_reconciled);
     p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert!(p.dispatch_queue.is_empty() && p.cluster.all_reconciled, "the task runs already");
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
 }
@@ -60,7 +60,7 @@
     assert!(!p.cluster.all_reconciled);
     // The first job's replica ends: it was on h1, and so not on h2.
     p.heartbeat(&seen("ended", 11), StatusSource::Heartbeat, 1200);
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(..)));
     assert_eq!(p.cluster.jobs[1].tasks[0].place, Place::Idle, "this one may be on h2");
     let (tx, mut rx) = oneshot::channel();
@@ -89,7 +89,7 @@
         while p.next_commit(1200, 32).is_some() {
             p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
         }
-        p.pass(1300, 1300);
+        p.schedule(1300, 1300);
         // The other task may be on h1, or come to be there.
         assert_eq!(p.cluster.jobs[0].tasks[0].place == Place::Idle, spread);
         assert_eq!(p.cluster.jobs[0].tasks[1].place, Place::Idle);
@@ -113,7 +113,7 @@
     while p.next_commit(1200, 32).is_some() {
         p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
     }
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
 }
 
@@ -174,7 +174,7 @@
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
     commit(&mut p, 1100, 101);
-    p.pass(1100, 1100);
+    p.schedule(1100, 1100);
     assert!(p.cluster.jobs[1].tasks[0].place != Place::Idle);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
 }
--- a/src/partition/tests/failures.rs
+++ b/src/partition/tests/failures.rs
@@ -13,7 +13,7 @@
     let mut now = 1000;
     for round in 0..4 {
         p.cluster.jobs[0].tasks[0].retry_ms = 0;
-        p.pass(now, now);
+        p.schedule(now, now);
         let Place::On(host_index, a) = p.cluster.jobs[0].tasks[0].place else { panic!("not placed in round {round}") };
         let host = p.cluster.host(host_index).unwrap().id.clone();
         now += 500;
@@ -39,7 +39,7 @@
 
 /// Places the only task, and has it end; the machine on which it did.
 fn end_task(p: &mut Partition, reason: &str, now: u64) -> HostIndex {
-    p.pass(now, now);
+    p.schedule(now, now);
     let Place::On(host_index, attempt) = p.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let host = p.cluster.host(host_index).unwrap().id.clone();
     let ended = vec![reported("run-000001/0", attempt, "ended", Some(reason))];
@@ -84,13 +84,13 @@
         StatusSource::Heartbeat,
         1100,
     );
-    p.pass(1100, 1100);
+    p.schedule(1100, 1100);
     assert_eq!(p.cluster.jobs[0].gang_attempt, a, "the old attempt is still there");
     let both = vec![
         reported("run-000001/0", a, "ended", Some("mates_gone")),
         reported("run-000001/1", a, "ended", Some("mates_gone")),
     ];
     p.heartbeat(&heartbeat("h1", 1, 3, 1, both), StatusSource::Heartbeat, 1200);
-    p.pass(1200, 1200);
+    p.schedule(1200, 1200);
     assert!(p.cluster.jobs[0].gang_attempt > a);
 }
--- a/src/partition/tests/fault_combinations.rs
+++ b/src/partition/tests/fault_combinations.rs
@@ -115,7 +115,7 @@
         StatusSource::DirectCommandReply,
         1300,
     );
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "and not started again");
     commits(&mut p, 1400, 101);
     assert_eq!(phase_told(&p), Some(JobPhase::Cancelled));
@@ -205,14 +205,14 @@
     let _rx = submit(&mut p, &body("run-000001", "service", 1), 1000);
     p.heartbeat(&heartbeat("h1", 1, 1, 0, vec![]), StatusSource::Heartbeat, 1000);
     commits(&mut p, 1000, 100);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
     assert!(p.dispatch_queue.contains(&0));
     let d = p.direct(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
     p.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
     commits(&mut p, 1020, 101);
-    p.pass(1030, 1030);
+    p.schedule(1030, 1030);
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(0, _)));
 }
 
@@ -230,11 +230,11 @@
     commits(&mut p, 1100, 101);
     p.heartbeat(&heartbeat("h1", 1, 8, 5, vec![]), StatusSource::Heartbeat, 1200);
     let place = |p: &Partition, n: usize| p.cluster.jobs[0].tasks[n].place;
-    p.pass(1200, 1200);
+    p.schedule(1200, 1200);
     assert_eq!(place(&p, 0), Place::Idle, "its copy on h2 is being stopped");
     assert!(matches!(place(&p, 1), Place::On(..)), "the other one is nowhere");
     p.heartbeat(&heartbeat("h2", 1, 2, 5, vec![]), StatusSource::Heartbeat, 1300);
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert!(matches!(place(&p, 0), Place::On(..)));
 }
 
@@ -266,10 +266,10 @@
     let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
     commits(&mut p, 1100, 101);
     let second = |p: &Partition| p.cluster.jobs[1].tasks[0].place;
-    p.pass(1200, 1200);
+    p.schedule(1200, 1200);
     assert_eq!(second(&p), Place::Idle, "the cancelled job may still be on h1");
     p.host_terminated("h1");
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert!(matches!(second(&p), Place::On(..)), "and then it counts no more");
 }
 
--- a/src/partition/tests/fleet.rs
+++ b/src/partition/tests/fleet.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A tenth of a second: reports, the pass, orders, commits, now and then a plan.
+    /// A tenth of a second: reports, the scheduling cycle, orders, commits, now and then a plan.
     fn step(&mut self) {
         self.now += 100;
         let now = self.now;
@@ -188,8 +188,8 @@
             }
             m.carry_out(&orders, now, 60_000);
         }
-        if self.partition.pass_due && now >= self.next_pass {
-            self.partition.pass(now, now);
+        if self.partition.cycle_due && now >= self.next_pass {
+            self.partition.schedule(now, now);
             self.next_pass = now + 200;
         }
         for host_index in std::mem::take(&mut self.partition.dispatch_queue) {
@@ -294,11 +294,11 @@
     f.check();
     let running: usize = f.partition.cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
     assert!(
-        running > size * 10 / 3 && f.partition.unplaced.len() > 50,
+        running > size * 10 / 3 && f.partition.pending_jobs.len() > 50,
         "{running} tasks, {} jobs wait",
-        f.partition.unplaced.len()
+        f.partition.pending_jobs.len()
     );
-    // A pass looks at each machine once for a job that it places, not for each of its tasks.
+    // A scheduling cycle looks at each machine once for a job that it places, not for each of its tasks.
     let scale = size / 1500;
     assert!(most <= (150 * scale * size) as u64, "{most} machines looked at in a pass");
     assert!(f.writes <= 2 * f.jobs as usize + size, "{} writes for {} jobs", f.writes, f.jobs);
--- a/src/partition/tests/followed_cancellations.rs
+++ b/src/partition/tests/followed_cancellations.rs
@@ -22,7 +22,7 @@
     assert!(rest.writes.iter().all(|a| a["data"]["end"] == "Cancelled"));
     p.committed(CommitOutcome::Done { revision: 201 }).unwrap();
     assert!(p.next_commit(2000, 32).is_none());
-    p.pass(2001, 2001);
+    p.schedule(2001, 2001);
     assert!(placed(&p).is_empty());
 }
 
@@ -57,14 +57,14 @@
 #[test]
 fn a_cancellation_that_meets_the_end_of_the_job_cancels_nothing_after_it() {
     let mut p = chain();
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     report_ended(&mut p, FIRST, 2);
     p.next_commit(2000, 32).unwrap();
     cancel(&mut p, FIRST);
     p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     commit_all(&mut p, 2000);
     assert_eq!(phase(p.status(FIRST)), Ok(JobPhase::Done));
-    p.pass(2001, 2001);
+    p.schedule(2001, 2001);
     assert_eq!((placed(&p), phase(p.status(SECOND))), (vec![FIRST.into(), SECOND.into()], Ok(JobPhase::Pending)));
 }
 
@@ -156,7 +156,7 @@
 #[test]
 fn a_thousand_dependents_are_released_together() {
     let (mut p, ids) = wide_fan();
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     assert_eq!(p.cluster.live.len(), 1);
     report_ended(&mut p, FIRST, 2);
     commit_all(&mut p, 2000);
--- a/src/partition/tests/limits.rs
+++ b/src/partition/tests/limits.rs
@@ -97,18 +97,18 @@
     all_report(&mut p, 1, 1000);
     commit(&mut p, 1000, 101);
     commit(&mut p, 1000, 102);
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     assert_eq!(attempts_on_all(&p), 48, "nothing is measured yet");
     // Listed once in 4 s, four times as many are followed.
     for round in 1..=6 {
         all_report(&mut p, 1 + round, 1000 + 4000 * round);
-        p.pass(1001 + 4000 * round, 1001 + 4000 * round);
+        p.schedule(1001 + 4000 * round, 1001 + 4000 * round);
     }
     assert_eq!(attempts_on_all(&p), 4 * 48);
     // Their tasks now end and begin all the time, and reports come every half second: no more.
     for round in 1..=40 {
         all_report(&mut p, 100 + round, 30_000 + 500 * round);
-        p.pass(30_001 + 500 * round, 30_001 + 500 * round);
+        p.schedule(30_001 + 500 * round, 30_001 + 500 * round);
     }
     assert_eq!(p.policy.max_attempts, 48);
 }
--- a/src/partition/tests/mod.rs
+++ b/src/partition/tests/mod.rs
@@ -104,7 +104,7 @@
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     let _rx = submit(&mut p, &body("run-000001", shape, tasks), 1000);
     commit(&mut p, 1000, 100);
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     assert_eq!(p.dispatch_queue.len(), 1);
     p
 }
--- a/src/partition/tests/orders.rs
+++ b/src/partition/tests/orders.rs
@@ -10,7 +10,7 @@
     p.cancel("run-000001", 1000, true, tx);
     let d = p.direct(0, 1100, false).unwrap();
     assert!(d.orders.iter().all(|o| matches!(o, Order::Stop { .. })) && d.orders.len() == 2);
-    p.pass(1200, 1200);
+    p.schedule(1200, 1200);
     // While one of them may be there, the user is told nothing that a clock starts with.
     let gone = |n: usize| reported(&format!("run-000001/{n}"), a[n], "ended", Some("halted"));
     let there = reported("run-000001/1", a[1], "running", None);
@@ -21,7 +21,7 @@
     assert!(p.next_commit(1200, 32).is_none() && rx.try_recv().is_err());
     assert!(!matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Cancelled, .. }));
     p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![gone(0), gone(1)]), StatusSource::DirectCommandReply, 1300);
-    p.pass(1300, 1300);
+    p.schedule(1300, 1300);
     assert!(p.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "nothing is started again");
     commit(&mut p, 1300, 101);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
@@ -116,7 +116,7 @@
 }
 
 // An order that came late may have started a second attempt, which completes first. What is
-// left is looked for once a pass: at each completed task it had taken most of the processor
+// left is looked for once a scheduling cycle: at each completed task it had taken most of the processor
 // time while an array of 25,000 short tasks ran.
 #[test]
 fn the_other_attempt_of_a_task_that_is_done_is_stopped_with_the_next_pass() {
@@ -126,14 +126,14 @@
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", 1), 1000);
     commit(&mut p, 1000, 100);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     let Place::On(first, attempt) = p.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let id = p.cluster.host(first).unwrap().id.clone();
     let other = if id == "h1" { "h2" } else { "h1" };
     let late = vec![reported("run-000001/0", attempt + 1, "ended", Some("done"))];
     p.heartbeat(&heartbeat(other, 1, 2, 1, late), StatusSource::Heartbeat, 1100);
     assert_eq!(p.cluster.jobs[0].done, 1);
-    p.pass(1100, 1100);
+    p.schedule(1100, 1100);
     let running = vec![reported("run-000001/0", attempt, "running", None)];
     let orders = p.heartbeat(&heartbeat(&id, 1, 2, 1, running), StatusSource::Heartbeat, 1200);
     assert!(orders.iter().any(|o| matches!(o, Order::Stop { .. })), "{orders:?}");
@@ -149,7 +149,7 @@
     }
     let _rx = submit(&mut p, &body("run-000001", "batch", TASKS), 1000);
     commit(&mut p, 1000, 100);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     let mut told = Vec::new();
     for (sequence, phase) in [(2, "running"), (3, "ended")] {
         for n in 0..12 {
--- a/src/partition/tests/recording.rs
+++ b/src/partition/tests/recording.rs
@@ -16,10 +16,10 @@
     let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     assert!(p.dispatch_queue.is_empty());
     commit(&mut p, 1000, 100);
-    p.pass(1001, 1001);
+    p.schedule(1001, 1001);
     assert_eq!(p.dispatch_queue.len(), 1);
 }
 
@@ -60,7 +60,7 @@
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     let _rx = submit(&mut p, &body("run-000001", "batch", 3), 1000);
     commit(&mut p, 1000, 100);
-    p.pass(1000, 1000);
+    p.schedule(1000, 1000);
     let attempts: Vec<u64> = (0..3).map(|n| attempt(&p, n)).collect();
     let listed = |ended: usize| -> Vec<wire::TaskStatus> {
         let phase = |n: usize| if n < ended { "ended" } else { "running" };
--- a/src/partition/tests/silence.rs
+++ b/src/partition/tests/silence.rs
@@ -39,7 +39,7 @@
 fn a_new_sessions_lease_counts_from_its_beginning() {
     let mut p = running("service", 1);
     p.heartbeat(&heartbeat("h1", 2, 3, 1, vec![]), StatusSource::DirectCommandReply, 9000);
-    p.pass(9001, 9001);
+    p.schedule(9001, 9001);
     let a = attempt(&p, 0);
     p.heartbeat(
         &heartbeat("h1", 2, 4, 1, vec![reported("run-000001/0", a, "running", None)]),
--- a/src/partition/tests/warm_pools/claims.rs
+++ b/src/partition/tests/warm_pools/claims.rs
@@ -28,7 +28,7 @@
 fn nothing_is_ordered_before_the_claim_is_recorded() {
     let mut rig = Rig::new(2);
     let job = rig.submit("blue", "notes");
-    rig.pass();
+    rig.schedule();
     rig.dispatch();
     rig.now += ROUND_MS;
     for id in ["h0", "h1"] {
@@ -92,7 +92,7 @@
 fn without_the_state_service_jobs_are_placed_as_usual() {
     let mut rig = Rig::new(3);
     let claimed_before = rig.submit("blue", "notes");
-    rig.pass();
+    rig.schedule();
     rig.commits = Commits::Refused;
     rig.partition.claims_recordable = false;
     let job = rig.submit("red", "notes");
--- a/src/partition/tests/warm_pools/failovers.rs
+++ b/src/partition/tests/warm_pools/failovers.rs
@@ -8,7 +8,7 @@
     for (recorded, ordered) in [(false, false), (true, false), (true, true)] {
         let mut rig = Rig::new(3);
         let job = rig.submit("blue", "notes");
-        rig.pass();
+        rig.schedule();
         if recorded {
             rig.commit();
         }
@@ -32,7 +32,7 @@
 fn an_owner_that_was_replaced_orders_nothing() {
     let mut rig = Rig::new(3);
     let job = rig.submit("blue", "notes");
-    rig.pass();
+    rig.schedule();
     let host = *rig.partition.dispatch_queue.first().unwrap();
     rig.commit();
     let late = rig.partition.direct(host, rig.now, false).unwrap();
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -160,7 +160,7 @@
         (0..n).for_each(|_| self.round());
     }
 
-    /// Reports, a plan, a pass, a commit and the orders.
+    /// Reports, a plan, a scheduling cycle, a commit and the orders.
     fn round(&mut self) {
         self.now += ROUND_MS;
         let ids: Vec<String> = self.workers.keys().cloned().collect();
@@ -168,7 +168,7 @@
             self.heartbeat(id);
         }
         self.partition.maintain_pools(1000, self.now, MORNING_MS + self.now);
-        self.partition.pass(self.now, self.now);
+        self.partition.schedule(self.now, self.now);
         self.commit();
         self.read_unclear();
         self.dispatch();
@@ -281,9 +281,9 @@
         id
     }
 
-    /// A pass and nothing else: what it decided is not recorded yet.
-    fn pass(&mut self) {
-        self.partition.pass(self.now, self.now);
+    /// A scheduling cycle and nothing else: what it decided is not recorded yet.
+    fn schedule(&mut self) {
+        self.partition.schedule(self.now, self.now);
     }
 
     fn count(&self, holds: impl Fn(&SlotState) -> bool) -> usize {
--- a/src/partition/warm_pools/commits.rs
+++ b/src/partition/warm_pools/commits.rs
@@ -88,7 +88,7 @@
                     self.claim_recorded(claim.attempt);
                     self.dispatch_slot(slot);
                 }
-                PoolEvent::SlotFree(_) => self.pass_due = true,
+                PoolEvent::SlotFree(_) => self.cycle_due = true,
             }
         }
     }
@@ -99,7 +99,7 @@
         if let Some(host) = slot.and_then(|slot| self.cluster.host_index.get(&slot.host)) {
             self.dispatch_queue.insert(*host);
         }
-        self.pass_due = true;
+        self.cycle_due = true;
     }
 
     /// The task of this attempt may be ordered.
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -98,7 +98,7 @@
         let guaranteed = team.guarantees(&demand(&pool.amounts()))
             && within(total.gpus, team.guarantee.gpus)
             && within(total.cpus, team.guarantee.cpus);
-        total.fits(&team.limit) && (guaranteed || self.unplaced.is_empty())
+        total.fits(&team.limit) && (guaranteed || self.pending_jobs.is_empty())
     }
 
     /// Replicas that found no machine with room, as tasks for the plan of what to rent.
--- a/src/partition/warm_pools/rooms.rs
+++ b/src/partition/warm_pools/rooms.rs
@@ -3,7 +3,7 @@
 use super::{PartitionPools, demand};
 use crate::model::{ClusterState, HeldRoom, HostIndex, RoomClaim, RoomOffer};
 use crate::partition::Partition;
-use crate::sched::Outcome;
+use crate::sched::CycleDecisions;
 use badgerdrift_warm_pools::{Claim, EndCause, HoldKind, Slot, SlotState};
 use std::sync::Arc;
 
@@ -20,8 +20,8 @@
             .collect();
     }
 
-    /// Takes in what a pass decided about rooms.
-    pub(in crate::partition) fn rooms_decided(&mut self, outcome: &Outcome, now: u64) {
+    /// Takes in what a scheduling cycle decided about rooms.
+    pub(in crate::partition) fn rooms_decided(&mut self, outcome: &CycleDecisions, now: u64) {
         for claim in &outcome.claims {
             self.room_claimed(claim, now);
         }
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -80,11 +80,11 @@
         };
         let now = clock::now_ms();
         let mut at = leadership.next_failure_detection_ms;
-        if leadership.partition.pass_due {
-            at = at.min(leadership.next_pass_ms);
+        if leadership.partition.cycle_due {
+            at = at.min(leadership.next_cycle_ms);
         }
-        if leadership.partition.urgent_pass_due {
-            at = at.min(leadership.next_urgent_ms);
+        if leadership.partition.urgent_cycle_due {
+            at = at.min(leadership.next_urgent_cycle_ms);
         }
         Duration::from_millis(at.saturating_sub(now).clamp(1, most))
     }
@@ -115,8 +115,8 @@
             raise_after_ms: 0,
             token_check_due: true,
             commit_after_ms: 0,
-            next_pass_ms: 0,
-            next_urgent_ms: 0,
+            next_cycle_ms: 0,
+            next_urgent_cycle_ms: 0,
             next_failure_detection_ms: 0,
             last_failure_detection_ms: now,
             probes: Bounds::new(&self.settings).probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
@@ -180,7 +180,7 @@
                 let loans = if leadership.loaded { leadership.partition.loan_gauges(now) } else { String::new() };
                 let _ = reply.send(leadership.partition.metrics.text() + &gauge + &loans);
             }
-            // One of an earlier session must not pass for the one that is under way.
+            // One of an earlier session must not cycle for the one that is under way.
             Message::Background { leadership_epoch, event } if leadership_epoch == leadership.n => {
                 self.handle_event(leadership, event, now)
             }
--- a/src/partition_leader/configuration.rs
+++ b/src/partition_leader/configuration.rs
@@ -29,7 +29,7 @@
             policy.teams.values_mut().for_each(|team| team.limit = Demand::default());
         }
         leadership.partition.policy = policy;
-        leadership.partition.pass_due = true;
+        leadership.partition.cycle_due = true;
         leadership.followed.version = Some(published.state.version);
         leadership.followed.suspended = suspended;
         tracing::debug!(version = published.state.version, suspended, "configuration in force");
--- a/src/partition_leader/leadership.rs
+++ b/src/partition_leader/leadership.rs
@@ -21,8 +21,8 @@
     /// Whether the fencing token must be raised is to be looked at: that takes a look at all attempts.
     pub(super) token_check_due: bool,
     pub(super) commit_after_ms: u64,
-    pub(super) next_pass_ms: u64,
-    pub(super) next_urgent_ms: u64,
+    pub(super) next_cycle_ms: u64,
+    pub(super) next_urgent_cycle_ms: u64,
     pub(super) next_failure_detection_ms: u64,
     pub(super) last_failure_detection_ms: u64,
     /// Bounds the questions to machines; none if they are not bounded.
--- a/src/partition_leader/rounds.rs
+++ b/src/partition_leader/rounds.rs
@@ -1,4 +1,4 @@
-//! What the actor does again and again: upkeep, passes of the scheduler, plans of machines.
+//! What the actor does again and again: upkeep, scheduling cycles of the scheduler, plans of machines.
 
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
@@ -29,7 +29,7 @@
         if now >= leadership.next_plan_ms {
             leadership.next_plan_ms = now + self.settings.react_ms();
             // A waiting task's back-off may have ended, or a hold.
-            leadership.partition.pass_due = true;
+            leadership.partition.cycle_due = true;
             timed(leadership, "plan_ms", "all", |leadership| self.plan(leadership, now));
         }
     }
@@ -92,17 +92,18 @@
 
 /// Runs the scheduler if there is something to decide.
 fn run_pass(leadership: &mut Leadership, now: u64) {
-    if leadership.partition.pass_due && now >= leadership.next_pass_ms {
-        let took = timed(leadership, "pass_ms", "all", |leadership| leadership.partition.pass(now, clock::wall_ms()));
+    if leadership.partition.cycle_due && now >= leadership.next_cycle_ms {
+        let took =
+            timed(leadership, "pass_ms", "all", |leadership| leadership.partition.schedule(now, clock::wall_ms()));
         // Rounds widen with the load: the costlier, the rarer.
-        leadership.next_pass_ms = now + 2 + 5 * took;
-        leadership.next_urgent_ms = leadership.next_urgent_ms.max(now + took);
-    } else if leadership.partition.urgent_pass_due && now >= leadership.next_urgent_ms {
+        leadership.next_cycle_ms = now + 2 + 5 * took;
+        leadership.next_urgent_cycle_ms = leadership.next_urgent_cycle_ms.max(now + took);
+    } else if leadership.partition.urgent_cycle_due && now >= leadership.next_urgent_cycle_ms {
         // What is urgent need not wait for the next round of all work.
         let took = timed(leadership, "pass_ms", "urgent", |leadership| {
-            leadership.partition.urgent_pass(now, clock::wall_ms())
+            leadership.partition.schedule_urgent(now, clock::wall_ms())
         });
-        leadership.next_urgent_ms = now + 2 + 5 * took;
+        leadership.next_urgent_cycle_ms = now + 2 + 5 * took;
     }
 }
 
--- a/src/provisioner.rs
+++ b/src/provisioner.rs
@@ -156,7 +156,7 @@
         let plan = {
             let supply = self.supply(partition, now);
             let work = ExpectedWork {
-                unplaced: &partition.unplaced,
+                pending_jobs: &partition.pending_jobs,
                 pool_replicas: &pool_replicas,
                 upcoming: &upcoming,
                 flows: &flows,
--- a/src/provisioner/tests/frame_sizes.rs
+++ b/src/provisioner/tests/frame_sizes.rs
@@ -26,7 +26,7 @@
 #[test]
 fn what_a_partition_with_six_thousand_idle_machines_tells_the_leader_fits_into_a_frame() {
     let mut bench = bench_with_idle_machines(6000);
-    bench.partition.pass(bench.now, bench.now);
+    bench.partition.schedule(bench.now, bench.now);
     let (capacity_report, _) = bench.provisioner.plan(&mut bench.partition, &[], bench.now, bench.now);
     assert!(capacity_report.spare.len() > 1000, "{} are told", capacity_report.spare.len());
     assert!(bytes(&PeerRequest::CapacityReport(capacity_report)) < MAX_FRAME);
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -148,7 +148,7 @@
 
     /// The leader's round; returns what the cloud is asked.
     pub(super) fn round(&mut self) -> Vec<CloudRequest> {
-        self.partition.pass(self.now, self.now);
+        self.partition.schedule(self.now, self.now);
         let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
         let (capacity_report, mut ops) =
             self.provisioner.plan(&mut self.partition, &pending_machines, self.now, self.now);
--- a/src/sched/pass/candidates.rs
+++ b/src/sched/cycle/candidates.rs
@@ -1,6 +1,6 @@
 //! The machines that have room for a task, and the best of them.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::HostIndex;
 use crate::sched::index::{Slot, ZoneCounts};
@@ -13,7 +13,7 @@
     pub(super) host: HostIndex,
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// The machines that have room for a task of the job, with their costs.
     pub(super) fn candidates(&mut self, request: &PlacementRequest) -> Vec<Candidate> {
         if !request.held && self.full.iter().any(|w| w.like(&request.requirements)) {
--- a/src/sched/pass/claims.rs
+++ b/src/sched/cycle/claims.rs
@@ -1,6 +1,6 @@
 //! Room that is held for jobs.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Claim, HostIndex, JobIndex};
 use crate::sched::index::ZoneCounts;
@@ -9,7 +9,7 @@
 /// to show: what is in the way may have to save.
 pub(super) const HOLD_REACTIONS: u64 = 10;
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Holds room on a machine.
     pub(super) fn claim(&mut self, host_index: HostIndex, claim: Claim) {
         self.lending.note_change();
--- a/src/sched/pass/cost.rs
+++ b/src/sched/cycle/cost.rs
@@ -1,6 +1,6 @@
 //! What it costs to place a task on a machine.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Demand, Host, HostIndex};
 
@@ -35,7 +35,7 @@
     hi - lo
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Seconds until the job's image would be on the machine.
     pub(super) fn fetch_s(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
         let rate = self.cluster.instance_types[self.index.slots[host_index].instance_type].fetch_gb_per_s;
--- a/src/sched/pass/displacement.rs
+++ b/src/sched/cycle/displacement.rs
@@ -8,7 +8,7 @@
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
 use super::request::PlacementRequest;
-use super::{Eviction, Pass};
+use super::{Preemption, SchedulingCycle};
 use crate::model::{Claim, ClusterState, Demand, Host, HostIndex, JobIndex, Shape, Spec, TaskAttempt};
 use std::cmp::Reverse;
 
@@ -71,7 +71,7 @@
     }
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Would work of another team be stopped for the job, while there are loans between teams?
     pub(super) fn lends_for(&self, job_index: JobIndex, vacancy: &Vacancy) -> bool {
         let team = |job: JobIndex| &self.cluster.jobs[job].spec.team;
@@ -297,7 +297,7 @@
                     c.stop_awaits_record = matches!(cause, StopCause::Loan(_));
                     stopped += 1;
                     self.index.stop(&self.cluster.jobs[key.job].spec);
-                    self.out.stops.push(Eviction {
+                    self.out.stops.push(Preemption {
                         host: i,
                         key: c.key,
                         attempt: c.attempt,
--- a/src/sched/pass/ending.rs
+++ b/src/sched/cycle/ending.rs
@@ -1,6 +1,6 @@
 //! Room that frees by itself soon, and so needs no stops.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Demand, Shape};
 
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndingTasks {
     demand: Demand,
-    /// Expected number, less those whose room was counted for waiting work in this pass.
+    /// Expected number, less those whose room was counted for waiting work in this cycle.
     count: f64,
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// How many of `tasks` tasks will find room where others end by themselves, at least as
-    /// soon as stops would make it. That room counts once in a pass, and only while at least
+    /// soon as stops would make it. That room counts once in a scheduling cycle, and only while at least
     /// half of the guarantee's time is left: more urgent work may be quicker to take it.
     pub(super) fn tasks_with_ending_room(&mut self, request: &PlacementRequest, tasks: usize) -> usize {
         let react_s = self.policy.react_ms as f64 / 1000.0;
--- a/src/sched/pass/gang.rs
+++ b/src/sched/cycle/gang.rs
@@ -1,6 +1,6 @@
 //! Gangs: started whole or not at all, with room held for the one that leads.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::candidates::Candidate;
 use super::claims::HOLD_REACTIONS;
 use super::displacement::Vacancy;
@@ -30,7 +30,7 @@
     vacancy: Vacancy,
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Starts a gang whole or not at all; false if room lacked.
     pub(super) fn place_gang(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
--- a/src/sched/pass/lending.rs
+++ b/src/sched/cycle/lending.rs
@@ -1,7 +1,7 @@
 //! Loans between teams: which work of another team may be stopped, and what that costs. The one
 //! place that decides it; without borrowing every stop is an ordinary preemption.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::planned_stops::{PlannedStops, stopped_together};
 use super::team_table::{TeamEntry, TeamTable};
 use crate::model::{Demand, HostIndex, JobIndex, LendingState, Shape, Spec, TaskAttempt, Urgency};
@@ -40,7 +40,7 @@
     within: bool,
 }
 
-/// What a pass looks up and has decided about loans.
+/// What a scheduling cycle looks up and has decided about loans.
 #[derive(Debug, Default)]
 pub(super) struct LendingDecisions {
     pub(super) teams: TeamTable,
@@ -98,7 +98,7 @@
     }
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Why this attempt may be stopped for the job, beside the stops that are planned for the same
     /// start; or why not, where it is another team's.
     pub(super) fn stop_cause(
--- a/src/sched/pass/limits.rs
+++ b/src/sched/cycle/limits.rs
@@ -1,13 +1,13 @@
 //! The limits and guarantees of teams.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::planned_stops::{PlannedStops, stopped_together};
 use crate::model::{Demand, Job, JobIndex, Shape, Spec, Urgency};
 
 /// Sums of decimal amounts may be off by rounding.
 const ROUNDING: f64 = 1e-6;
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Would the job's team be within its limit with `n` more tasks?
     pub(super) fn within_limit(&self, spec: &Spec, n: f64) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
--- a/src/sched/pass/mod.rs
+++ b/src/sched/cycle/mod.rs
@@ -1,4 +1,4 @@
-//! The pass over the bins: placement and gangs; `room` makes room.
+//! The scheduling cycle over the bins: placement and gangs; `room` makes room.
 
 mod candidates;
 mod claims;
@@ -47,7 +47,7 @@
 
 /// Stop this attempt, to make room.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Eviction {
+pub struct Preemption {
     /// The machine that it is on.
     pub host: HostIndex,
     /// The task.
@@ -73,31 +73,31 @@
     pub reason: Refusal,
 }
 
-/// What a pass decided.
+/// What a scheduling cycle decided.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct CycleDecisions {
     /// Attempts to be started.
     pub starts: Vec<Assignment>,
     /// Attempts to be stopped.
-    pub stops: Vec<Eviction>,
+    pub stops: Vec<Preemption>,
     /// Tasks that were given rooms of warm pools; they are among the starts.
     pub claims: Vec<RoomClaim>,
     /// Slots of warm pools whose rooms are given to other work.
     pub rooms_given_up: Vec<u64>,
     /// Jobs with tasks that found no room.
-    pub unplaced: Vec<JobIndex>,
+    pub pending_jobs: Vec<JobIndex>,
     /// Jobs among these for which no work of another team may be stopped; none without borrowing.
     pub refused_loans: Vec<RefusedLoan>,
     /// How many machines were looked at for how many decisions together.
     pub hosts_examined: u64,
 }
 
-/// Scratch values of one pass.
-struct Pass<'a> {
+/// Scratch values of one scheduling cycle.
+struct SchedulingCycle<'a> {
     cluster: &'a mut ClusterState,
     policy: &'a Policy,
     now: u64,
-    /// Attempts on all machines when the pass began, ended ones included.
+    /// Attempts on all machines when the scheduling cycle began, ended ones included.
     attempts_before: usize,
     wall: u64,
     index: Index,
@@ -114,29 +114,29 @@
     hosts_examined: Cell<u64>,
     /// Loans between teams.
     lending: LendingDecisions,
-    out: Outcome,
+    out: CycleDecisions,
 }
 
-/// One pass over the bins, lowest first. `attempt` yields numbers that never
+/// One scheduling cycle over the bins, lowest first. `attempt` yields numbers that never
 /// repeat.
 ///
-/// Only work of `least` urgency or more is placed: passes for what can't wait are
+/// Only work of `least` urgency or more is placed: scheduling cycles for what can't wait are
 /// short, whatever else does.
-pub fn pass(
+pub fn schedule(
     cluster: &mut ClusterState,
     policy: &Policy,
     now: u64,
     wall: u64,
     least: Urgency,
     attempt: impl FnMut() -> u64,
-) -> Outcome {
+) -> CycleDecisions {
     expire_claims(cluster, now);
     if !queue::any_waits(cluster, now, least) {
-        // Nothing to decide: what a pass counts first would be counted in vain.
+        // Nothing to decide: what a scheduling cycle counts first would be counted in vain.
         cluster.accelerators_short = false;
-        return Outcome::default();
+        return CycleDecisions::default();
     }
-    pass_and_index(cluster, policy, now, wall, least, attempt).0
+    schedule_with_index(cluster, policy, now, wall, least, attempt).0
 }
 
 /// Drops the claims of room that have run out.
@@ -146,21 +146,21 @@
     }
 }
 
-/// The pass, with the index as it left it.
-pub(super) fn pass_and_index(
+/// The scheduling cycle, with the index as it left it.
+pub(super) fn schedule_with_index(
     cluster: &mut ClusterState,
     policy: &Policy,
     now: u64,
     wall: u64,
     least: Urgency,
     mut attempt: impl FnMut() -> u64,
-) -> (Outcome, Index) {
+) -> (CycleDecisions, Index) {
     expire_claims(cluster, now);
     let index = Index::new(cluster, now);
     let unseen = cluster.unseen();
     let attempts_before = cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
     let lending = LendingDecisions::new(TeamTable::new(cluster, policy, &index));
-    let mut p = Pass {
+    let mut p = SchedulingCycle {
         attempts_before,
         scarce_classes: scarce_classes(cluster, &index),
         index,
@@ -174,21 +174,21 @@
         ending: None,
         hosts_examined: Cell::new(0),
         lending,
-        out: Outcome::default(),
+        out: CycleDecisions::default(),
     };
     p.place_all(least, &mut attempt);
     p.lending.keep_refusal();
-    if !p.out.unplaced.is_empty() {
+    if !p.out.pending_jobs.is_empty() {
         p.cluster.waited_ms = now;
     }
     let waits = |job_index: &JobIndex| {
         let job = &p.cluster.jobs[*job_index];
         job.spec.demand.gpus > 0.0 && job.urgency >= Urgency::High
     };
-    p.cluster.accelerators_short = p.out.unplaced.iter().any(waits);
+    p.cluster.accelerators_short = p.out.pending_jobs.iter().any(waits);
     p.out.hosts_examined = p.hosts_examined.get();
     let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: p.lending.refusal(*job)? });
-    p.out.refused_loans = p.out.unplaced.iter().filter_map(refused).collect();
+    p.out.refused_loans = p.out.pending_jobs.iter().filter_map(refused).collect();
     (p.out, p.index)
 }
 
@@ -201,7 +201,7 @@
     cluster.reserves.iter().filter(|r| slots(r) <= SCARCE * r.tasks).map(|r| r.class.clone()).collect()
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Places what waits, and makes room for what found none.
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
@@ -211,8 +211,8 @@
             if self.place(&request, attempt) || (self.yield_rooms(&request) && self.place(&request, attempt)) {
                 continue;
             }
-            if self.out.unplaced.last() != Some(&job_index) && !self.out.unplaced.contains(&job_index) {
-                self.out.unplaced.push(job_index);
+            if self.out.pending_jobs.last() != Some(&job_index) && !self.out.pending_jobs.contains(&job_index) {
+                self.out.pending_jobs.push(job_index);
             }
             let gang = self.cluster.jobs[job_index].spec.shape == Shape::Gang;
             if turn == Turn::Returned && !gang {
--- a/src/sched/pass/preemption.rs
+++ b/src/sched/cycle/preemption.rs
@@ -1,6 +1,6 @@
 //! Which work may be stopped for other work.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::cost::late;
 use super::lending::StopCause;
 use super::planned_stops::PlannedStops;
@@ -24,7 +24,7 @@
     Any,
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// How far a job may go to get its team's guarantee from work that is no
     /// less urgent: while that is in time, work that has hardly begun; once it
     /// has waited as long as room is held for a gang, any. Without bounds two
--- a/src/sched/pass/queue.rs
+++ b/src/sched/cycle/queue.rs
@@ -1,6 +1,6 @@
-//! The order in which a pass looks at jobs.
+//! The order in which a scheduling cycle looks at jobs.
 
-use super::Pass;
+use super::SchedulingCycle;
 use crate::model::{ClusterState, Job, JobIndex, Shape, Urgency};
 use std::cmp::Reverse;
 
@@ -53,7 +53,7 @@
     job.tasks.iter().any(|t| t.retry_ms <= now && placeable.open(t))
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Jobs with tasks to place: of those that may preempt one another the more
     /// urgent first, as preemption would turn any other order round; then what is within
     /// guarantees, then the lowest bin, then the older.
--- a/src/sched/pass/request.rs
+++ b/src/sched/cycle/request.rs
@@ -1,6 +1,6 @@
-//! What a pass needs to know of a job that it places.
+//! What a scheduling cycle needs to know of a job that it places.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::queue::Turn;
 use crate::model::{HostIndex, InstanceType, Job, JobIndex, Reserve, Shape, Spec};
 use crate::sched::index::TaskRequirements;
@@ -19,7 +19,7 @@
     pub(super) cost: f64,
 }
 
-/// What a pass needs to know of the job that it places, worked out once.
+/// What a scheduling cycle needs to know of the job that it places, worked out once.
 pub(super) struct PlacementRequest {
     pub(super) job_index: JobIndex,
     /// Which of its tasks it is the turn of.
@@ -47,8 +47,8 @@
     pub(super) without_accelerators: bool,
 }
 
-impl Pass<'_> {
-    /// Works out what the pass needs to know of a job.
+impl SchedulingCycle<'_> {
+    /// Works out what the scheduling cycle needs to know of a job.
     pub(super) fn request(&self, job_index: JobIndex) -> PlacementRequest {
         let job = &self.cluster.jobs[job_index];
         let spec = &job.spec;
--- a/src/sched/pass/room.rs
+++ b/src/sched/cycle/room.rs
@@ -1,7 +1,7 @@
 //! Making room: what may be stopped or moved for waiting work, and where that costs
 //! least.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::candidates::Candidate;
 use super::claims::HOLD_REACTIONS;
 use super::displacement::Vacancy;
@@ -27,7 +27,7 @@
     pub(super) image: Option<String>,
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Preempts lesser work for a job that found no room, on the machines where
     /// that costs least, and holds the room for it. Equal work is stopped for as many tasks
     /// as the guarantee covers, and no more.
--- a/src/sched/pass/tasks.rs
+++ b/src/sched/cycle/tasks.rs
@@ -3,11 +3,11 @@
 use super::displacement::Vacancy;
 use super::queue::Turn;
 use super::request::PlacementRequest;
-use super::{Assignment, Pass};
+use super::{Assignment, SchedulingCycle};
 use crate::model::{Claim, HostIndex, Place, TaskAttempt, TaskKey};
 use crate::sched::index::ZoneCounts;
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// Starts an attempt of a task on a machine.
     pub(super) fn start(&mut self, key: TaskKey, host: HostIndex, attempt: u64) {
         let job = &mut self.cluster.jobs[key.job];
--- a/src/sched/pass/team_table.rs
+++ b/src/sched/cycle/team_table.rs
@@ -1,4 +1,4 @@
-//! What a pass looks up of teams for each attempt that might be stopped: numbers in place of names,
+//! What a scheduling cycle looks up of teams for each attempt that might be stopped: numbers in place of names,
 //! counted once and kept up to date.
 
 use crate::model::{ClusterState, JobIndex, LendingState};
@@ -15,11 +15,11 @@
 pub(super) struct TeamEntry {
     pub(super) name: String,
     pub(super) share: TeamShare,
-    /// What it lends, what this pass has decided included.
+    /// What it lends, what this cycle has decided included.
     pub(super) lent: Amounts,
     /// Most accelerators that it lends.
     pub(super) most_gpus: f64,
-    /// What it has borrowed, less what this pass takes back.
+    /// What it has borrowed, less what this cycle takes back.
     pub(super) borrowed: Amounts,
     /// The teams that owe it room.
     pub(super) debtors: Vec<TeamIndex>,
--- a/src/sched/pass/warm_rooms.rs
+++ b/src/sched/cycle/warm_rooms.rs
@@ -1,12 +1,12 @@
 //! Rooms of warm pools: replicas of their models go there first, and idle ones give way.
 
-use super::Pass;
+use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Demand, HeldRoom, HostIndex, RoomClaim, Shape, TaskKey, Urgency};
 use crate::sched::index::ZoneCounts;
 use std::collections::{BTreeMap, HashSet};
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// The position of a room that is held for a replica like those of this job: a warm one if
     /// there is any.
     pub(super) fn room_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -1,5 +1,5 @@
 //! What decisions look up again and again: room by machine, where each job's
-//! attempts are, which machines have an image. Counted once for a pass or plan
+//! attempts are, which machines have an image. Counted once for a scheduling cycle or plan
 //! and kept up to date while it places, so that a decision costs what it looks
 //! at, and not machines times running tasks.
 
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,15 +1,15 @@
-//! Decisions: bins, the pass over them, placement, gangs, preemption and the
+//! Decisions: bins, the scheduling cycle over them, placement, gangs, preemption and the
 //! rental plan. Pure and synchronous: no I/O, no clock.
 
+mod cycle;
 mod index;
-mod pass;
 mod plan;
 mod policy;
 #[cfg(test)]
 mod tests;
 
+pub use cycle::{Assignment, CycleDecisions, Preemption, RefusedLoan, StopCause, schedule};
 pub use index::Index;
-pub use pass::{Assignment, Eviction, Outcome, RefusedLoan, StopCause, pass};
 pub use plan::{ClassFlow, Drain, ExpectedWork, PendingMachine, Plan, Rental, Supply, SupplyOf, plan, reserves};
 pub use policy::{Policy, TeamRule};
 
--- a/src/sched/plan/mod.rs
+++ b/src/sched/plan/mod.rs
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ExpectedWork<'a> {
     /// Jobs with tasks that found no room.
-    pub unplaced: &'a [JobIndex],
+    pub pending_jobs: &'a [JobIndex],
     /// Replicas of warm pools that lack a machine, and how many of each kind.
     pub pool_replicas: &'a [(Spec, usize)],
     /// Jobs that wait for others and may start before a machine that is asked for now is up.
@@ -115,7 +115,7 @@
     let mut bins = existing_room(cluster, &index);
     bins.extend(room_on_its_way(cluster, &index, pending_machines));
     let have = bins.len();
-    for job_index in work.unplaced.iter().chain(work.upcoming) {
+    for job_index in work.pending_jobs.iter().chain(work.upcoming) {
         let job = &cluster.jobs[*job_index];
         let placeable = cluster.placeable(job);
         let n = job.tasks.iter().filter(|t| placeable.open(t)).count();
@@ -142,7 +142,7 @@
     // machines are emptied after a lull in which they could have been had twice.
     let boot_s = cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
     let lull = now.saturating_sub(cluster.waited_ms) as f64 > 2.0 * boot_s * 1000.0;
-    let drain = if work.unplaced.is_empty() && lull { consolidate(cluster, &index, &bins) } else { Vec::new() };
+    let drain = if work.pending_jobs.is_empty() && lull { consolidate(cluster, &index, &bins) } else { Vec::new() };
     Plan { rent, spare, drain }
 }
 
--- a/src/sched/tests/guarantees.rs
+++ b/src/sched/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Tests of guarantees among many teams: passes settle, and few tasks are stopped on the way.
+//! Tests of guarantees among many teams: scheduling cycles settle, and few tasks are stopped on the way.
 
 use super::*;
 
@@ -66,16 +66,16 @@
         add(&mut self.cluster, job, now);
     }
 
-    fn pass(&mut self, now: u64) -> Outcome {
+    fn schedule(&mut self, now: u64) -> CycleDecisions {
         let next_attempt = &mut self.next_attempt;
-        pass(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
+        schedule(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
             *next_attempt += 1;
             *next_attempt
         })
     }
 
     /// What was stopped is gone.
-    fn carry_out(&mut self, stops: &[Eviction]) {
+    fn carry_out(&mut self, stops: &[Preemption]) {
         for stop in stops {
             let host = self.cluster.host_mut(stop.host).unwrap();
             host.attempts.retain(|attempt| attempt.key != stop.key);
@@ -117,7 +117,7 @@
         for round in 1..ROUNDS {
             let now = round * ROUND_MS;
             work.iter().filter(|w| w.accepted_round + 1 == round).for_each(|w| fleet.add(w, now));
-            let outcome = fleet.pass(now);
+            let outcome = fleet.schedule(now);
             stops += outcome.stops.len();
             if !outcome.stops.is_empty() {
                 last_stop_round = round;
@@ -143,7 +143,7 @@
         for round in 1..ROUNDS {
             let now = round * ROUND_MS;
             work.iter().filter(|w| w.accepted_round + 1 == round).for_each(|w| fleet.add(w, now));
-            let outcome = fleet.pass(now);
+            let outcome = fleet.schedule(now);
             let before: Vec<u32> = (0..guaranteed_tasks.len()).map(|team| fleet.running(team)).collect();
             fleet.carry_out(&outcome.stops);
             for (team, guaranteed) in guaranteed_tasks.iter().enumerate() {
@@ -160,18 +160,18 @@
 fn a_guarantee_stops_no_more_than_it_covers() {
     let mut fleet = Fleet::new(&[0, 5]);
     fleet.add(&Work { team: 0, shape: Shape::Batch, tasks: 64, accepted_round: 0 }, 1);
-    assert_eq!(fleet.pass(1).starts.len(), 64);
+    assert_eq!(fleet.schedule(1).starts.len(), 64);
     fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 60, accepted_round: 0 }, 2);
-    assert_eq!(fleet.pass(2 + fleet.policy.hold_ms).stops.len(), 5);
+    assert_eq!(fleet.schedule(2 + fleet.policy.hold_ms).stops.len(), 5);
 }
 
-// Beyond-guarantee work of the lower bin was started first, and stopped in the same pass.
+// Beyond-guarantee work of the lower bin was started first, and stopped in the same cycle.
 #[test]
 fn free_room_goes_first_to_what_is_within_a_guarantee() {
     let mut fleet = Fleet::new(&[0, 5]);
     fleet.add(&Work { team: 0, shape: Shape::Batch, tasks: 70, accepted_round: 0 }, 1);
     fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 70, accepted_round: 0 }, 2);
-    let outcome = fleet.pass(3);
+    let outcome = fleet.schedule(3);
     assert!(outcome.stops.is_empty());
     let of_guaranteed = outcome.starts.iter().filter(|start| start.key.job == 1).count();
     assert_eq!(of_guaranteed, 5, "the rest of the room goes by the bins");
@@ -184,9 +184,9 @@
         let mut fleet = Fleet::new(&[0, 2]);
         fleet.add(&Work { team: 0, shape: Shape::Batch, tasks: 64, accepted_round: 0 }, 1);
         fleet.cluster.jobs[0].spec.expected_s = expected_s;
-        fleet.pass(1);
+        fleet.schedule(1);
         fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 60, accepted_round: 0 }, 2);
-        fleet.pass(3).stops.len()
+        fleet.schedule(3).stops.len()
     };
     assert_eq!(stops(10.0), 0, "several of the 64 end within a second");
     assert_eq!(stops(600.0), 2, "none is likely to end soon");
@@ -197,9 +197,9 @@
 fn a_gang_is_not_stopped_where_its_team_would_fall_below_its_guarantee() {
     let mut fleet = Fleet::new(&[4, 5]);
     fleet.add(&Work { team: 0, shape: Shape::Gang, tasks: 64, accepted_round: 0 }, 1);
-    assert_eq!(fleet.pass(1).starts.len(), 64);
+    assert_eq!(fleet.schedule(1).starts.len(), 64);
     fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 60, accepted_round: 0 }, 2);
-    assert!(fleet.pass(2 + fleet.policy.hold_ms).stops.is_empty());
+    assert!(fleet.schedule(2 + fleet.policy.hold_ms).stops.is_empty());
 }
 
 // A gang of five, which was not the first gang in the order, stopped an array of four again and
@@ -218,7 +218,7 @@
     for round in 1..400 {
         let now = round * ROUND_MS;
         work.iter().filter(|w| w.accepted_round + 1 == round).for_each(|w| fleet.add(w, now));
-        let outcome = fleet.pass(now);
+        let outcome = fleet.schedule(now);
         stops += outcome.stops.len();
         fleet.carry_out(&outcome.stops);
     }
--- a/src/sched/tests/lending.rs
+++ b/src/sched/tests/lending.rs
@@ -1,4 +1,4 @@
-//! Tests of loans between teams: what a pass stops of other teams, and what it leaves them.
+//! Tests of loans between teams: what a scheduling cycle stops of other teams, and what it leaves them.
 
 use super::*;
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, LoanKind, Priority, Refusal};
@@ -123,7 +123,7 @@
         self.guarantee(team).min(self.wanted(team))
     }
 
-    fn pass(&mut self, now: u64) -> Outcome {
+    fn schedule(&mut self, now: u64) -> CycleDecisions {
         let runnable = TEAMS.map(|team| (team.to_string(), Amounts::new(0.0, self.wanted(team))));
         self.cluster.lending = Some(crate::model::LendingState {
             settings: self.settings.clone(),
@@ -136,7 +136,7 @@
             returning: self.returning.iter().copied().collect(),
         });
         let next_attempt = &mut self.next_attempt;
-        let outcome = pass(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
+        let outcome = schedule(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
             *next_attempt += 1;
             *next_attempt
         });
@@ -155,7 +155,7 @@
     }
 
     /// What was stopped is gone.
-    fn carry_out(&mut self, stops: &[Eviction]) {
+    fn carry_out(&mut self, stops: &[Preemption]) {
         for stop in stops {
             let host = self.cluster.host_mut(stop.host).unwrap();
             host.attempts.retain(|attempt| attempt.key != stop.key);
@@ -166,7 +166,7 @@
     /// Adds a job and lets it start.
     fn run(&mut self, work: &Work, now: u64) -> JobIndex {
         let job = self.add(work, now);
-        let outcome = self.pass(now);
+        let outcome = self.schedule(now);
         assert!(outcome.stops.is_empty());
         job
     }
@@ -191,14 +191,14 @@
         for round in 1..24 {
             let now = round * ROUND_MS;
             work.iter().filter(|w| w.round + 1 == round).for_each(|w| { fleet.add(w, now); });
-            let outcome = fleet.pass(now);
+            let outcome = fleet.schedule(now);
             for team in TEAMS {
                 let of_team = |job: JobIndex| fleet.cluster.jobs[job].spec.team == team;
                 let stopped = |by_others: bool| -> f64 {
                     let of_team = outcome.stops.iter().filter(|s| of_team(s.key.job) && of_team(s.by) != by_others);
                     of_team.map(|s| fleet.cluster.jobs[s.key.job].spec.demand.gpus).sum()
                 };
-                // Starts of the same pass count, and what the team stops for itself does not.
+                // Starts of the same cycle count, and what the team stops for itself does not.
                 let left = fleet.gpus(team) + stopped(false);
                 prop_assert!(
                     stopped(true) == 0.0 || left >= fleet.guarantee(team) - 1e-6,
@@ -228,7 +228,7 @@
     let mut fleet = Fleet::new(8, [20, 40, 0]);
     fleet.run(&work(1, Shape::Batch, Urgency::Normal, 64, 1), 1);
     fleet.add(&work(0, Shape::Service, Urgency::High, 60, 1), 2);
-    let outcome = fleet.pass(3);
+    let outcome = fleet.schedule(3);
     assert_eq!((outcome.stops.len(), fleet.gpus("night")), (24, 40.0));
     let guaranteed = outcome.stops.iter().filter(|s| s.cause == StopCause::Loan(LoanKind::Guaranteed));
     assert_eq!(guaranteed.count(), 20, "the rest is borrowed");
@@ -242,13 +242,13 @@
     fleet.run(&work(1, Shape::Batch, Urgency::Normal, 8, 1), 2);
     let desk = fleet.add(&work(0, Shape::Service, Urgency::High, 4, 1), 3);
     let night = fleet.add(&work(1, Shape::Service, Urgency::High, 4, 1), 4);
-    let outcome = fleet.pass(5);
-    let between_teams = |s: &&Eviction| fleet.cluster.jobs[s.key.job].spec.team != fleet.cluster.jobs[s.by].spec.team;
+    let outcome = fleet.schedule(5);
+    let between_teams = |s: &&Preemption| fleet.cluster.jobs[s.key.job].spec.team != fleet.cluster.jobs[s.by].spec.team;
     assert_eq!(outcome.stops.iter().filter(between_teams).count(), 0);
     // Within a team urgency decides: nothing is refused. A third team has nothing to give.
     assert_eq!(outcome.stops.len(), 8);
     let tune = fleet.add(&work(2, Shape::Service, Urgency::High, 1, 1), 6);
-    let outcome = fleet.pass(7);
+    let outcome = fleet.schedule(7);
     assert_eq!(
         outcome.refused_loans.last().map(|refused| (refused.job, refused.reason)),
         Some((tune, Refusal::LenderAtFloor))
@@ -264,7 +264,7 @@
     let saved = fleet.run(&work(2, Shape::Batch, Urgency::Normal, 4, 1), 3);
     // 100 s later all of the unsaved work would be lost, and 10 s of the other.
     fleet.add(&work(0, Shape::Service, Urgency::High, 4, 1), 100_003);
-    let outcome = fleet.pass(100_004);
+    let outcome = fleet.schedule(100_004);
     assert!(outcome.stops.iter().all(|stop| stop.key.job == saved), "{gang} {unsaved} {:?}", outcome.stops);
     assert_eq!(outcome.stops.len(), 4);
 }
@@ -276,14 +276,14 @@
     let second = fleet.run(&Work { checkpoint_s: 0.0, ..work(1, Shape::Batch, Urgency::Normal, 8, 1) }, 2);
     fleet.quiet = vec![first];
     fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 60_000);
-    let outcome = fleet.pass(60_001);
+    let outcome = fleet.schedule(60_001);
     assert!(outcome.stops.len() == 8 && outcome.stops.iter().all(|stop| stop.key.job == second));
     fleet.carry_out(&outcome.stops);
-    fleet.pass(60_002);
+    fleet.schedule(60_002);
     // Nobody else can give.
     fleet.add(&work(0, Shape::Service, Urgency::Production, 8, 1), 60_003);
-    let outcome = fleet.pass(60_004);
-    let lent: Vec<&Eviction> = outcome.stops.iter().filter(|s| matches!(s.cause, StopCause::Loan(_))).collect();
+    let outcome = fleet.schedule(60_004);
+    let lent: Vec<&Preemption> = outcome.stops.iter().filter(|s| matches!(s.cause, StopCause::Loan(_))).collect();
     assert!(lent.iter().all(|stop| stop.key.job == first && stop.grace_s >= 2.0));
 }
 
@@ -292,17 +292,17 @@
     let mut fleet = Fleet::new(2, [2, 8, 0]);
     let night = fleet.run(&work(1, Shape::Batch, Urgency::Normal, 16, 1), 1);
     let service = fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 2);
-    let outcome = fleet.pass(3);
+    let outcome = fleet.schedule(3);
     fleet.carry_out(&outcome.stops);
-    fleet.pass(4);
+    fleet.schedule(4);
     assert_eq!((fleet.gpus("desk"), fleet.gpus("night")), (8.0, 8.0));
     // A machine dies with the lender's tasks on it.
     let lost = fleet.cluster.hosts[1].take().unwrap();
     lost.attempts.iter().for_each(|a| fleet.cluster.jobs[a.key.job].tasks[a.key.task as usize].place = Place::Idle);
     let (mut reclaimed, mut most_at_once) = (0, 0);
     for round in 5..40 {
-        let outcome = fleet.pass(round * ROUND_MS);
-        let back: Vec<&Eviction> = outcome.stops.iter().filter(|s| s.cause == StopCause::Reclaim).collect();
+        let outcome = fleet.schedule(round * ROUND_MS);
+        let back: Vec<&Preemption> = outcome.stops.iter().filter(|s| s.cause == StopCause::Reclaim).collect();
         assert!(back.iter().all(|stop| stop.key.job == service && fleet.cluster.jobs[stop.by].spec.team == "night"));
         (reclaimed, most_at_once) = (reclaimed + back.len(), most_at_once.max(back.len()));
         fleet.carry_out(&outcome.stops);
@@ -318,7 +318,7 @@
     let mut fleet = Fleet::new(1, [0, 0, 0]);
     fleet.run(&work(1, Shape::Batch, Urgency::Low, 8, 1), 1);
     let standard = fleet.add(&work(0, Shape::Batch, Urgency::Normal, 2, 1), 2);
-    let outcome = fleet.pass(3);
+    let outcome = fleet.schedule(3);
     assert!(outcome.stops.is_empty());
     assert_eq!(outcome.refused_loans[0].reason, Refusal::NotABorrower);
     fleet.cluster.jobs[standard].cancelling = true;
@@ -327,7 +327,7 @@
     settings.lenders.get_mut("night").unwrap().up_to = Priority::BestEffort;
     fleet.settings = Arc::new(settings);
     fleet.add(&work(0, Shape::Service, Urgency::High, 5, 1), 4);
-    let outcome = fleet.pass(5);
+    let outcome = fleet.schedule(5);
     assert_eq!(outcome.stops.len(), 3);
     assert_eq!(outcome.refused_loans.last().unwrap().reason, Refusal::LendsItsMost);
 }
@@ -339,7 +339,7 @@
     fleet.policy.teams.get_mut("desk").unwrap().limit.gpus = 3.0;
     fleet.add(&work(0, Shape::Service, Urgency::High, 3, 1), 2);
     fleet.add(&work(0, Shape::Service, Urgency::Production, 3, 1), 3);
-    let outcome = fleet.pass(4);
+    let outcome = fleet.schedule(4);
     assert_eq!(outcome.stops.len(), 3);
 }
 
@@ -349,9 +349,9 @@
     let mut fleet = Fleet::new(1, [0, 6, 0]);
     fleet.run(&work(1, Shape::Batch, Urgency::Normal, 8, 1), 1);
     fleet.add(&work(0, Shape::Service, Urgency::High, 1, 4), 2);
-    assert!(fleet.pass(3).stops.is_empty());
+    assert!(fleet.schedule(3).stops.is_empty());
     fleet.add(&work(0, Shape::Service, Urgency::High, 1, 2), 4);
-    assert_eq!(fleet.pass(5).stops.len(), 2);
+    assert_eq!(fleet.schedule(5).stops.len(), 2);
 }
 
 // What one team's job finds held was taken for full for all jobs of its kind.
@@ -365,7 +365,7 @@
     fleet.cluster.host_mut(0).unwrap().claims.push(Claim::of_team(over, demand, 100_000));
     fleet.add(&work(1, Shape::Service, Urgency::Production, 8, 1), 2);
     let desk = fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 3);
-    let outcome = fleet.pass(4);
+    let outcome = fleet.schedule(4);
     assert!(outcome.starts.len() == 8 && outcome.starts.iter().all(|start| start.key.job == desk));
 }
 
@@ -375,7 +375,7 @@
     let night = fleet.add(&work(1, Shape::Batch, Urgency::Low, 8, 1), 1);
     let urgent = fleet.add(&work(2, Shape::Service, Urgency::Production, 8, 1), 2);
     fleet.returning = vec![(night, 3)];
-    let outcome = fleet.pass(3);
+    let outcome = fleet.schedule(3);
     let started = |job: JobIndex| outcome.starts.iter().filter(|start| start.key.job == job).count();
     assert_eq!((started(night), started(urgent)), (3, 5));
 }
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -60,8 +60,8 @@
 }
 
 /// Jobs that found no room, and nothing else to plan for.
-pub(super) fn unplaced(jobs: &[JobIndex]) -> ExpectedWork<'_> {
-    ExpectedWork { unplaced: jobs, pool_replicas: &[], upcoming: &[], flows: &[] }
+pub(super) fn pending_jobs(jobs: &[JobIndex]) -> ExpectedWork<'_> {
+    ExpectedWork { pending_jobs: jobs, pool_replicas: &[], upcoming: &[], flows: &[] }
 }
 
 pub(super) fn cluster(hosts: &[(&str, bool)]) -> ClusterState {
@@ -90,9 +90,9 @@
     w.add_job(j)
 }
 
-pub(super) fn run(w: &mut ClusterState, now: u64) -> Outcome {
+pub(super) fn run(w: &mut ClusterState, now: u64) -> CycleDecisions {
     let mut n = 1000 * now;
-    pass(w, &policy(), now, now, Urgency::Low, || {
+    schedule(w, &policy(), now, now, Urgency::Low, || {
         n += 1;
         n
     })
--- a/src/sched/tests/ordering.rs
+++ b/src/sched/tests/ordering.rs
@@ -31,7 +31,7 @@
     let out = run(&mut w, 1);
     let placed: Vec<JobIndex> = out.starts.iter().map(|s| s.key.job).collect();
     assert_eq!(placed, [1, 1, 1, 1, 2, 2, 2, 2]);
-    assert_eq!(out.unplaced, [0]);
+    assert_eq!(out.pending_jobs, [0]);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 }
 
 // Found on suva grown: decisions cost waiting tasks times machines times running
-// tasks, and a pass took seconds.
+// tasks, and a scheduling cycle took seconds.
 #[test]
 fn a_pass_over_three_hundred_full_machines_looks_at_each_once_for_a_kind_of_work() {
     let mut w = cluster(&[("a", false); 300]);
@@ -99,7 +99,7 @@
         add(&mut w, blue(format!("run-2{n:05}"), Shape::Batch, 40), 1000 + n);
     }
     let out = run(&mut w, 1100);
-    assert_eq!((out.unplaced.len(), out.starts.len()), (200, 0));
+    assert_eq!((out.pending_jobs.len(), out.starts.len()), (200, 0));
     assert!(out.hosts_examined <= 2 * 300, "{} machines looked at", out.hosts_examined);
     // What is more urgent finds its room by one look at each machine a task.
     let mut s = blue("run-300000".into(), Shape::Service, 4);
@@ -118,7 +118,7 @@
     policy.max_attempts = 5;
     let mut attempt = 0;
     let mut pass_over = |cluster: &mut ClusterState, now| {
-        pass(cluster, &policy, now, now, Urgency::Low, || {
+        schedule(cluster, &policy, now, now, Urgency::Low, || {
             attempt += 1;
             attempt
         })
@@ -129,7 +129,7 @@
     add(&mut cluster, idle_time_work, 0);
     let first = pass_over(&mut cluster, 1);
     assert_eq!(first.starts.len(), 5);
-    assert!(first.unplaced.is_empty(), "no machine is rented for the rest");
+    assert!(first.pending_jobs.is_empty(), "no machine is rented for the rest");
     add(&mut cluster, spec("run-000002", Shape::Batch, 3, 1.0), 0);
     assert_eq!(pass_over(&mut cluster, 2).starts.len(), 3, "more urgent work is not held back");
     let ended = first.starts[0];
@@ -140,7 +140,7 @@
     assert_eq!(pass_over(&mut cluster, 4).starts.iter().filter(|s| s.key.job == 0).count(), 1);
 }
 
-// A pass that counts all rooms to place nothing was a good part of what a report cost.
+// A scheduling cycle that counts all rooms to place nothing was a good part of what a report cost.
 #[test]
 fn a_pass_without_waiting_work_ends_what_has_run_out_and_decides_nothing() {
     let mut w = cluster(&[("a", false)]);
@@ -150,7 +150,7 @@
     w.host_mut(0).unwrap().claims = vec![claim(5), claim(9)];
     w.accelerators_short = true;
     let out = run(&mut w, 5);
-    assert!(out.starts.is_empty() && out.stops.is_empty() && out.unplaced.is_empty());
+    assert!(out.starts.is_empty() && out.stops.is_empty() && out.pending_jobs.is_empty());
     let left: Vec<u64> = w.host(0).unwrap().claims.iter().map(|c| c.until_ms).collect();
     assert_eq!(left, [9]);
     assert!(!w.accelerators_short, "no work with accelerators waits");
--- a/src/sched/tests/planning.rs
+++ b/src/sched/tests/planning.rs
@@ -11,7 +11,7 @@
         add(&mut w, s, 0);
         w
     };
-    let rent = |supply: &SupplyOf| plan(&w, &policy(), 0, &unplaced(&[0]), &[], supply).rent;
+    let rent = |supply: &SupplyOf| plan(&w, &policy(), 0, &pending_jobs(&[0]), &[], supply).rent;
     let r = rent(&all_available);
     assert!(r.iter().all(|r| r.spot) && r.iter().map(|r| r.count).sum::<usize>() == 2, "{r:?}");
     let r = rent(&|f, z, spot| if spot { Supply::Refused } else { all_available(f, z, spot) });
@@ -19,7 +19,7 @@
     assert!(rent(&|_, _, _| Supply::Refused).is_empty());
     let pending_machines = vec![PendingMachine { instance_type: 0, zone: "a".into(), spot: true }; 2];
     assert!(
-        plan(&w, &policy(), 0, &unplaced(&[0]), &pending_machines, &all_available).rent.is_empty(),
+        plan(&w, &policy(), 0, &pending_jobs(&[0]), &pending_machines, &all_available).rent.is_empty(),
         "they are on their way"
     );
 }
@@ -30,7 +30,7 @@
 fn a_machine_that_has_reported_and_is_not_in_use_yet_is_not_rented_again() {
     let mut cluster = cluster(&[("a", false)]);
     add(&mut cluster, spec("run-000001", Shape::Batch, 8, 1.0), 0);
-    let rent = |cluster: &ClusterState| plan(cluster, &policy(), 0, &unplaced(&[0]), &[], &all_available).rent;
+    let rent = |cluster: &ClusterState| plan(cluster, &policy(), 0, &pending_jobs(&[0]), &[], &all_available).rent;
     cluster.hosts[0].as_mut().unwrap().registered = false;
     assert!(rent(&cluster).is_empty(), "it is about to be used");
     cluster.hosts[0].as_mut().unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
@@ -53,7 +53,8 @@
             h.image_ready("i");
         }
     }
-    let drain = |w: &ClusterState, now| plan(w, &policy(), now, &unplaced(&[]), &[], &|_, _, _| Supply::Refused).drain;
+    let drain =
+        |w: &ClusterState, now| plan(w, &policy(), now, &pending_jobs(&[]), &[], &|_, _, _| Supply::Refused).drain;
     assert!(drain(&w, 60_000).is_empty(), "work waited two boots ago");
     let d = drain(&w, 60_001).remove(0);
     assert_eq!((d.host, d.moves.len(), d.moves[0].2), (1, 1, 0));
@@ -72,7 +73,7 @@
         move |_: usize, _: &str, spot: bool| Supply::Available { cost_factor: if spot { factor } else { 1.0 } }
     };
     let rent = |factor, pending_machines: &[PendingMachine]| {
-        plan(&w, &policy(), 0, &unplaced(&[job_index]), pending_machines, &spot_at(factor)).rent
+        plan(&w, &policy(), 0, &pending_jobs(&[job_index]), pending_machines, &spot_at(factor)).rent
     };
     let rental = |spot| vec![Rental { instance_type: 0, zone: "a".into(), spot, count: 1 }];
     assert_eq!(rent(3.0, &[]), rental(true));
--- a/src/sched/tests/preemption.rs
+++ b/src/sched/tests/preemption.rs
@@ -46,7 +46,7 @@
     policy.teams.insert("guest".into(), TeamRule { guarantee: Demand::default(), ..policy.teams["blue"] });
     let mut attempt = 0;
     let mut run = |cluster: &mut ClusterState, now: u64| {
-        pass(cluster, &policy, now, now, Urgency::Low, || {
+        schedule(cluster, &policy, now, now, Urgency::Low, || {
             attempt += 1;
             attempt
         })
--- a/src/sched/tests/properties.rs
+++ b/src/sched/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Rules that hold of every pass, whatever waits and runs.
+//! Rules that hold of every cycle, whatever waits and runs.
 
 use super::*;
 
@@ -37,7 +37,7 @@
         for round in 1..8u64 {
             let now = round * 2000;
             let mut n = 1000 * now;
-            let (out, kept) = pass::pass_and_index(&mut w, &p, now, now, Urgency::Low, || {
+            let (out, kept) = cycle::schedule_with_index(&mut w, &p, now, now, Urgency::Low, || {
                 n += 1;
                 n
             });
--- a/src/sched/tests/replicas.rs
+++ b/src/sched/tests/replicas.rs
@@ -60,7 +60,7 @@
 }
 
 // Found by reading, after a failover without the recorded machine types: their
-// list grows between a plan and the next pass, which must not end the controller.
+// list grows between a plan and the next cycle, which must not end the controller.
 // Found on suva's busy day at the next size: room was held for both replicas in the zone
 // that the first of them then filled, and the other waited for the end of the hold.
 #[test]
