--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -1,6 +1,6 @@
 //! The state of a partition: its jobs, machines and machine types.
 
-use super::{Claim, Demand, HeldRoom, Host, HostIndex, InstanceType, Job, JobIndex, LendingState};
+use super::{Demand, Host, HostIndex, InstanceType, Job, JobIndex, LendingState, Reservation, WarmReservation};
 use std::collections::HashMap;
 
 /// Room that a class is expected to need.
@@ -58,7 +58,7 @@
     /// Jobs that are not over and wait for no others.
     pub live: Vec<JobIndex>,
     /// Room that is held for warm pools; none without them.
-    pub held_rooms: Vec<HeldRoom>,
+    pub warm_reservations: Vec<WarmReservation>,
     /// Loans between teams; none without borrowing.
     pub lending: Option<LendingState>,
     /// Room that classes are expected to need.
@@ -120,7 +120,7 @@
     }
 
     /// Is the room held for this job?
-    pub fn may_use(&self, claim: &Claim, job: JobIndex) -> bool {
+    pub fn may_use(&self, claim: &Reservation, job: JobIndex) -> bool {
         claim.job == job || (claim.for_team && self.jobs[claim.job].spec.team == self.jobs[job].spec.team)
     }
 
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -15,7 +15,7 @@
 
 /// Room on a machine that is held for one job until a set time.
 #[derive(Debug, Clone, Copy)]
-pub struct Claim {
+pub struct Reservation {
     /// The job that the room is held for.
     pub job: JobIndex,
     /// How much room is held.
@@ -26,15 +26,15 @@
     pub for_team: bool,
 }
 
-impl Claim {
+impl Reservation {
     /// Room that is held for this job alone.
-    pub fn of_job(job: JobIndex, demand: Demand, until_ms: u64) -> Claim {
-        Claim { job, demand, until_ms, for_team: false }
+    pub fn of_job(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
+        Reservation { job, demand, until_ms, for_team: false }
     }
 
     /// Room that is held for all jobs of the team of this job, which may be over.
-    pub fn of_team(job: JobIndex, demand: Demand, until_ms: u64) -> Claim {
-        Claim { job, demand, until_ms, for_team: true }
+    pub fn of_team(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
+        Reservation { job, demand, until_ms, for_team: true }
     }
 }
 
@@ -114,7 +114,7 @@
     /// Attempts of tasks that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
     /// Room that is held for jobs.
-    pub claims: Vec<Claim>,
+    pub reservations: Vec<Reservation>,
     /// Images in its cache or being fetched, as far as this leader knows.
     pub images: Vec<CachedImage>,
 }
@@ -152,7 +152,7 @@
             idle_since_ms: now,
             up_ms: now,
             attempts: Vec::new(),
-            claims: Vec::new(),
+            reservations: Vec::new(),
             images: Vec::new(),
         }
     }
--- a/src/model/lending.rs
+++ b/src/model/lending.rs
@@ -21,7 +21,7 @@
     /// Jobs that gave way lately: they are passed over while others can give.
     pub quiet: HashSet<JobIndex>,
     /// Room is held for whole teams, so that one job may have room where a like one has none.
-    pub holds_rooms: bool,
+    pub reserves_for_teams: bool,
     /// How many tasks of a job are placed first, as their room is being returned.
     pub returning: HashMap<JobIndex, u32>,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -3,7 +3,6 @@
 
 mod cluster;
 mod dependencies;
-mod held_room;
 mod host;
 mod instance_type;
 mod job;
@@ -12,11 +11,11 @@
 mod resources;
 mod spec;
 mod task;
+mod warm_reservation;
 
 pub use cluster::{ClusterState, InstanceKind, Reserve};
 pub use dependencies::Dependencies;
-pub use held_room::{HeldRoom, RoomClaim, RoomOffer};
-pub use host::{CachedImage, Claim, Host, HostIndex, UNREACHABLE_AFTER_MISSES};
+pub use host::{CachedImage, Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
 pub use instance_type::InstanceType;
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
 pub use lending::LendingState;
@@ -24,3 +23,4 @@
 pub use resources::Demand;
 pub use spec::{Shape, Spec, Urgency};
 pub use task::{ExitReason, Place, Task, TaskAttempt, TaskKey, TaskPhase};
+pub use warm_reservation::{WarmReservation, WarmReservationClaim, WarmReservationOffer};
--- a/src/model/held_room.rs
+++ b/src/model/warm_reservation.rs
@@ -5,7 +5,7 @@
 
 /// Who may use a held room.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoomOffer {
+pub struct WarmReservationOffer {
     /// Names of the image with which jobs ask for what is warm there.
     pub images: Vec<String>,
     /// Teams whose jobs may; all if there are none.
@@ -14,7 +14,7 @@
     pub payer: String,
 }
 
-impl RoomOffer {
+impl WarmReservationOffer {
     /// May a job of this team with this image have the room?
     pub fn takes(&self, image: &str, team: &str) -> bool {
         self.images.iter().any(|name| name == image) && (self.teams.is_empty() || self.teams.iter().any(|t| t == team))
@@ -23,7 +23,7 @@
 
 /// Room that is held for a replica of a warm pool, and that no attempt takes.
 #[derive(Debug, Clone)]
-pub struct HeldRoom {
+pub struct WarmReservation {
     /// Number of the pool's slot.
     pub slot: u64,
     /// The machine.
@@ -31,7 +31,7 @@
     /// How much room is held.
     pub demand: Demand,
     /// Who may have it; `None` while nobody may.
-    pub offer: Option<Arc<RoomOffer>>,
+    pub offer: Option<Arc<WarmReservationOffer>>,
     /// The model is warm there, or the image ready.
     pub warm: bool,
     /// It may be given up for other work.
@@ -40,7 +40,7 @@
 
 /// A task that was given a held room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RoomClaim {
+pub struct WarmReservationClaim {
     /// Number of the pool's slot.
     pub slot: u64,
     /// The machine.
--- a/src/partition/attempts.rs
+++ b/src/partition/attempts.rs
@@ -79,7 +79,7 @@
         }
         task.place = Place::Idle;
         // Urgent work may be what ended, or what waits for the room.
-        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.claims.is_empty());
+        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.reservations.is_empty());
         self.urgent_cycle_due |= waited_for || job.urgency >= Urgency::High;
         true
     }
--- a/src/partition/borrowing/decisions.rs
+++ b/src/partition/borrowing/decisions.rs
@@ -23,12 +23,13 @@
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
         let lending = own.lending_state(self, &demands, wall);
         self.release_lent_rooms(&demands);
-        let holds_rooms = self.cluster.each_host().any(|(_, host)| host.claims.iter().any(|claim| claim.for_team));
-        self.cluster.lending = Some(LendingState { holds_rooms, ..lending });
+        let reserves_for_teams =
+            self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|claim| claim.for_team));
+        self.cluster.lending = Some(LendingState { reserves_for_teams, ..lending });
     }
 
     /// Takes in what a scheduling cycle decided about loans. Their stops wait for the records.
-    pub(in crate::partition) fn loans_decided(&mut self, outcome: &CycleDecisions, now: u64, wall: u64) {
+    pub(in crate::partition) fn apply_loan_decisions(&mut self, outcome: &CycleDecisions, now: u64, wall: u64) {
         if self.loans.is_none() {
             return;
         }
@@ -129,7 +130,7 @@
         let index = |id: &str| cluster.job_index.get(id).copied();
         let closed = if !self.settled || !cluster.all_reconciled {
             Some(Refusal::MachinesUnaccounted)
-        } else if !partition.claims_recordable {
+        } else if !partition.reservations_recordable {
             Some(Refusal::NotRecordable)
         } else {
             None
@@ -141,7 +142,7 @@
             lent: self.loans.lent(),
             owed: self.loans.owed(),
             quiet: self.loans.quiet_jobs(wall).filter_map(index).collect(),
-            holds_rooms: false,
+            reserves_for_teams: false,
             returning: self.returning(index),
         }
     }
--- a/src/partition/borrowing/maintenance.rs
+++ b/src/partition/borrowing/maintenance.rs
@@ -49,7 +49,7 @@
         for stop in own.waiting_stops.remove(&id).unwrap_or_default() {
             let Some(host) = self.cluster.host_mut(stop.host) else { continue };
             // The room is not made: it is looked for anew.
-            host.claims.retain(|claim| Some(claim.job) != borrowing_job);
+            host.reservations.retain(|claim| Some(claim.job) != borrowing_job);
             let attempt = host.attempt_mut(stop.key, stop.attempt);
             if let Some(attempt) = attempt.filter(|attempt| attempt.stop_awaits_record) {
                 (attempt.stop, attempt.stop_awaits_record) = (None, false);
--- a/src/partition/borrowing/rooms.rs
+++ b/src/partition/borrowing/rooms.rs
@@ -1,7 +1,7 @@
 //! Room that a borrower has left, and that is kept for it while its need may come back.
 
 use super::demand::TeamDemands;
-use crate::model::{Claim, Host, HostIndex, JobIndex};
+use crate::model::{Host, HostIndex, JobIndex, Reservation};
 use crate::partition::Partition;
 use badgerdrift_borrowing::{Amounts, Priority};
 
@@ -12,7 +12,7 @@
     /// A borrower's job is cancelled, and its tasks are being stopped: their room is held for the team
     /// for as long as a loan outlives its need, so that a burst that flickers stops nothing a second
     /// time. Held only once the tasks are gone, it would be promised to others by then.
-    pub(in crate::partition) fn hold_rooms_of_cancelled(&mut self, job_index: JobIndex, now: u64) {
+    pub(in crate::partition) fn reserve_capacity_of_cancelled(&mut self, job_index: JobIndex, now: u64) {
         if !self.borrows(job_index) {
             return;
         }
@@ -49,9 +49,9 @@
         }
         // Until the loan is returned, which is seen with one of the next plans.
         let until_ms = now + (own.settings.return_after_s * MS_PER_S) as u64 + 2 * self.policy.react_ms;
-        let claim = Claim::of_team(job_index, job.spec.demand, until_ms);
+        let claim = Reservation::of_team(job_index, job.spec.demand, until_ms);
         if let Some(host) = self.cluster.host_mut(host_index) {
-            host.claims.push(claim);
+            host.reservations.push(claim);
         }
     }
 
@@ -68,8 +68,8 @@
 
     /// Room that is held for all jobs of a team.
     fn held_for_team(&self, team: &str) -> Amounts {
-        let claims = self.cluster.each_host().flat_map(|(_, host)| &host.claims);
-        let of_team = claims.filter(|claim| claim.for_team && self.cluster.jobs[claim.job].spec.team == team);
+        let reservations = self.cluster.each_host().flat_map(|(_, host)| &host.reservations);
+        let of_team = reservations.filter(|claim| claim.for_team && self.cluster.jobs[claim.job].spec.team == team);
         of_team.fold(Amounts::default(), |sum, claim| sum.plus(Amounts::from(claim.demand)))
     }
 
@@ -82,9 +82,9 @@
         let returned = own.settings.borrowers.keys().filter(|team| own.loans.open_to(team).is_nothing()).cloned();
         let given_up: Vec<String> = owing.chain(returned).collect();
         let jobs = &self.cluster.jobs;
-        let released = |claim: &Claim| claim.for_team && given_up.contains(&jobs[claim.job].spec.team);
+        let released = |claim: &Reservation| claim.for_team && given_up.contains(&jobs[claim.job].spec.team);
         for host in self.cluster.hosts.iter_mut().flatten() {
-            host.claims.retain(|claim| !released(claim));
+            host.reservations.retain(|claim| !released(claim));
         }
     }
 }
--- a/src/partition/drain.rs
+++ b/src/partition/drain.rs
@@ -1,7 +1,7 @@
 //! Emptying machines that are to be returned.
 
 use super::Partition;
-use crate::model::Claim;
+use crate::model::Reservation;
 use crate::sched::Drain;
 
 impl Partition {
@@ -21,7 +21,7 @@
         for (key, _, to) in &d.moves {
             let demand = self.cluster.jobs[key.job].spec.demand;
             if let Some(h) = self.cluster.host_mut(*to) {
-                h.claims.push(Claim::of_job(key.job, demand, until_ms));
+                h.reservations.push(Reservation::of_job(key.job, demand, until_ms));
             }
         }
     }
--- a/src/partition/host_routing.rs
+++ b/src/partition/host_routing.rs
@@ -59,7 +59,7 @@
         let undone = self.moves_may_be_undone();
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
         let Some(h) = self.cluster.host_mut(host_index) else { return false };
-        let free = h.attempts.is_empty() && h.claims.is_empty() && !h.do_in_flight && !h.has_unknown_tasks;
+        let free = h.attempts.is_empty() && h.reservations.is_empty() && !h.do_in_flight && !h.has_unknown_tasks;
         if !free
             || undone
             || !h.registered
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -108,7 +108,7 @@
     /// Loans between teams, if there is borrowing.
     loans: Option<borrowing::PartitionLoans>,
     /// The state service answers, so that claims of warm replicas and loans can be recorded.
-    pub claims_recordable: bool,
+    pub reservations_recordable: bool,
     limits: WriteLimits,
     /// How often attempts are listed in reports.
     report_load: report_load::ReportLoad,
@@ -163,7 +163,7 @@
             hosts_examined: 0,
             pools: None,
             loans: None,
-            claims_recordable: true,
+            reservations_recordable: true,
             limits,
             report_load,
             largest_commit: limits.commit_changes,
--- a/src/partition/scheduling.rs
+++ b/src/partition/scheduling.rs
@@ -26,7 +26,7 @@
         self.stop_attempts_of_done_tasks();
         self.bound_attempts(now);
         self.wall_ms = wall;
-        self.hold_rooms();
+        self.reserve_warm_capacity();
         self.describe_lending(now, wall);
         let next = &mut self.next_attempt;
         let out = sched::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
@@ -39,8 +39,8 @@
         for stop in &out.stops {
             self.note_stop(stop);
         }
-        self.rooms_decided(&out, now);
-        self.loans_decided(&out, now, wall);
+        self.apply_warm_decisions(&out, now);
+        self.apply_loan_decisions(&out, now, wall);
         self.note_transitions();
         tracing::debug!(
             least = ?least,
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -319,7 +319,7 @@
 #[test]
 fn nothing_is_proposed_while_the_state_service_does_not_answer() {
     let mut rig = Rig::new();
-    rig.partition.claims_recordable = false;
+    rig.partition.reservations_recordable = false;
     rig.burst(4);
     let attempts = rig.partition.cluster.each_host().flat_map(|(_, host)| &host.attempts);
     assert_eq!(attempts.filter(|attempt| attempt.stop.is_some()).count(), 0);
@@ -328,7 +328,7 @@
 
 /// Room that is held for the borrower.
 fn held(rig: &Rig) -> usize {
-    rig.partition.cluster.each_host().flat_map(|(_, host)| &host.claims).filter(|claim| claim.for_team).count()
+    rig.partition.cluster.each_host().flat_map(|(_, host)| &host.reservations).filter(|claim| claim.for_team).count()
 }
 
 // The borrower's need may come back, but the lender has fallen below its floor meanwhile.
--- a/src/partition/tests/warm_pools/claims.rs
+++ b/src/partition/tests/warm_pools/claims.rs
@@ -94,7 +94,7 @@
     let claimed_before = rig.submit("blue", "notes");
     rig.schedule();
     rig.commits = Commits::Refused;
-    rig.partition.claims_recordable = false;
+    rig.partition.reservations_recordable = false;
     let job = rig.submit("red", "notes");
     rig.rounds(1);
     assert_eq!(rig.runs(&job), 1, "it does not wait for a claim that can't be recorded");
--- a/src/partition/tests/warm_pools/machines.rs
+++ b/src/partition/tests/warm_pools/machines.rs
@@ -83,7 +83,7 @@
     let mut rig = Rig::cold(3, "image");
     rig.rounds(4);
     // No machine has the image: the room is held all the same, and claimed under the image's name.
-    let held = rig.partition.cluster.held_rooms.len();
+    let held = rig.partition.cluster.warm_reservations.len();
     assert_eq!((held, rig.loads), (POOL_SIZE, 0));
     let hosts: Vec<String> = rig.partition.pool_slots().map(|slot| slot.host.clone()).collect();
     let job = rig.submit("blue", "notes-3");
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -205,7 +205,7 @@
 
     fn commit(&mut self) {
         // As the leader does: without the state service no claim is offered.
-        self.partition.claims_recordable = self.commits != Commits::Refused;
+        self.partition.reservations_recordable = self.commits != Commits::Refused;
         let Some(c) = self.partition.next_commit(self.now, 32) else { return };
         let result = match self.commits {
             Commits::Made => self.make(&c),
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -151,7 +151,7 @@
             return;
         }
         if !std::mem::replace(&mut job.cancelling, true) {
-            self.hold_rooms_of_cancelled(job_index, now);
+            self.reserve_capacity_of_cancelled(job_index, now);
             self.stop_all(job_index);
             self.cancelling.insert(job_index);
         }
--- a/src/partition/warm_pools/maintenance.rs
+++ b/src/partition/warm_pools/maintenance.rs
@@ -21,7 +21,7 @@
         self.end_claims(now);
         self.end_lost_slots(now);
         self.update_prices(now);
-        self.hold_rooms();
+        self.reserve_warm_capacity();
         self.begin_slots(now);
         self.dispatch_draining();
         self.note_transitions();
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -12,7 +12,7 @@
 impl Partition {
     /// Begins with the slots that are wanted, where there is room that no work waits for.
     pub(super) fn begin_slots(&mut self, now: u64) {
-        if !self.claims_recordable || !self.cluster.all_reconciled {
+        if !self.reservations_recordable || !self.cluster.all_reconciled {
             return;
         }
         let Some(own) = &self.pools else { return };
@@ -25,7 +25,7 @@
                 index.slots[host_index].free.sub(&demand(&pool.amounts()));
             }
         }
-        self.hold_rooms();
+        self.reserve_warm_capacity();
     }
 
     fn begin_slot(&mut self, host_index: HostIndex, name: &str, pool: &Pool, now: u64) {
@@ -59,7 +59,7 @@
         let suits = |(host_index, host): &(HostIndex, &Host)| {
             let slot = &index.slots[*host_index];
             slot.usable
-                && slot.claims == 0
+                && slot.reservations == 0
                 && demand(&pool.amounts()).fits(&slot.free)
                 && self.allows(pool, host)
                 && by_zone.get(&slot.zone).copied().unwrap_or(0) < most_in_zone
@@ -104,7 +104,7 @@
     /// Replicas that found no machine with room, as tasks for the plan of what to rent.
     pub fn pool_replicas_without_machine(&self, now: u64) -> Vec<(Spec, usize)> {
         let Some(own) = &self.pools else { return Vec::new() };
-        if !self.claims_recordable {
+        if !self.reservations_recordable {
             return Vec::new();
         }
         let moment = own.moment(now);
--- a/src/partition/warm_pools/rooms.rs
+++ b/src/partition/warm_pools/rooms.rs
@@ -1,7 +1,7 @@
 //! What the scheduler is told of the pools, and what it decided about them.
 
 use super::{PartitionPools, demand};
-use crate::model::{ClusterState, HeldRoom, HostIndex, RoomClaim, RoomOffer};
+use crate::model::{ClusterState, HostIndex, WarmReservation, WarmReservationClaim, WarmReservationOffer};
 use crate::partition::Partition;
 use crate::sched::CycleDecisions;
 use badgerdrift_warm_pools::{Claim, EndCause, HoldKind, Slot, SlotState};
@@ -10,24 +10,24 @@
 impl Partition {
     /// Tells the scheduler which room is held. Without the state service no claim could be
     /// recorded: then none is offered, and jobs are placed as usual.
-    pub(in crate::partition) fn hold_rooms(&mut self) {
+    pub(in crate::partition) fn reserve_warm_capacity(&mut self) {
         let Some(own) = &self.pools else { return };
-        let recordable = self.claims_recordable;
+        let recordable = self.reservations_recordable;
         let cluster = &self.cluster;
         let rooms = own.pools.slots().filter(|slot| slot.holds_room());
-        self.cluster.held_rooms = rooms
-            .filter_map(|slot| Some(own.held_room(slot, *cluster.host_index.get(&slot.host)?, recordable)))
+        self.cluster.warm_reservations = rooms
+            .filter_map(|slot| Some(own.warm_reservation(slot, *cluster.host_index.get(&slot.host)?, recordable)))
             .collect();
     }
 
     /// Takes in what a scheduling cycle decided about rooms.
-    pub(in crate::partition) fn rooms_decided(&mut self, outcome: &CycleDecisions, now: u64) {
-        for claim in &outcome.claims {
+    pub(in crate::partition) fn apply_warm_decisions(&mut self, outcome: &CycleDecisions, now: u64) {
+        for claim in &outcome.warm_claims {
             self.room_claimed(claim, now);
         }
         let Some(own) = &mut self.pools else { return };
         let moment = own.moment(now);
-        for slot in &outcome.rooms_given_up {
+        for slot in &outcome.warm_reservations_given_up {
             own.pools.drain(*slot, EndCause::RoomNeeded, moment);
             if let Some(host) = own.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
@@ -36,7 +36,7 @@
     }
 
     /// A task was given a room: the claim is recorded before the task is ordered.
-    fn room_claimed(&mut self, room: &RoomClaim, now: u64) {
+    fn room_claimed(&mut self, room: &WarmReservationClaim, now: u64) {
         let Some(own) = &mut self.pools else { return };
         let spec = &self.cluster.jobs[room.key.job].spec;
         let claim = Claim { job: spec.id.clone(), task: room.key.task, attempt: room.attempt, team: spec.team.clone() };
@@ -53,9 +53,9 @@
 }
 
 impl PartitionPools {
-    fn held_room(&self, slot: &Slot, host: HostIndex, recordable: bool) -> HeldRoom {
+    fn warm_reservation(&self, slot: &Slot, host: HostIndex, recordable: bool) -> WarmReservation {
         let offer = (recordable && slot.is_claimable()).then(|| self.offer(slot)).flatten();
-        HeldRoom {
+        WarmReservation {
             slot: slot.id,
             host,
             demand: demand(&slot.amounts),
@@ -66,15 +66,16 @@
     }
 
     /// Who may claim a slot: those that ask for what it was loaded with.
-    fn offer(&self, slot: &Slot) -> Option<Arc<RoomOffer>> {
+    fn offer(&self, slot: &Slot) -> Option<Arc<WarmReservationOffer>> {
         let settings = self.pools.settings();
         let pool = settings.pools.get(&slot.pool)?;
         let model = settings.models.get(&slot.identity.model)?;
         let names = model.names.iter().chain([&model.image]);
         // A claim is checked once more as it is made.
         let images = names.filter(|name| slot.keep == HoldKind::Loaded || **name == slot.image).cloned().collect();
-        (model.version == slot.identity.version)
-            .then(|| Arc::new(RoomOffer { images, teams: pool.claimants.clone(), payer: slot.payer.clone() }))
+        (model.version == slot.identity.version).then(|| {
+            Arc::new(WarmReservationOffer { images, teams: pool.claimants.clone(), payer: slot.payer.clone() })
+        })
     }
 }
 
--- a/src/sched/cycle/candidates.rs
+++ b/src/sched/cycle/candidates.rs
@@ -22,7 +22,7 @@
         self.hosts_examined.set(self.hosts_examined.get() + self.index.slots.len() as u64);
         let hosts = (0..self.index.slots.len()).filter(|host| self.has_room(request, *host));
         let found: Vec<_> = hosts.map(|host| Candidate { cost: self.cost(request, host), host }).collect();
-        let may_hold_for_others = self.cluster.lending.as_ref().is_some_and(|lending| lending.holds_rooms);
+        let may_hold_for_others = self.cluster.lending.as_ref().is_some_and(|lending| lending.reserves_for_teams);
         if may_hold_for_others {
             return found;
         }
@@ -38,7 +38,7 @@
             && request.requirements.takes(slot, &ZoneCounts::default())
             && !request.avoided_hosts.contains(&host_index)
             && !(request.without_accelerators && self.strands_accelerators(request, slot))
-            && (slot.claims == 0
+            && (slot.reservations == 0
                 || request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index)))
     }
 
--- a/src/sched/cycle/cost.rs
+++ b/src/sched/cycle/cost.rs
@@ -60,7 +60,7 @@
         cost += self.market_cost(request, h);
         cost += self.sharing_cost(request, host_index);
         // Room that is held for this very job.
-        if request.held && h.claims.iter().any(|c| c.job == request.job_index) {
+        if request.held && h.reservations.iter().any(|c| c.job == request.job_index) {
             cost -= HELD;
         }
         // Fuller machines first, so that others can be returned.
--- a/src/sched/cycle/displacement.rs
+++ b/src/sched/cycle/displacement.rs
@@ -2,14 +2,14 @@
 //! that costs.
 
 use super::candidates::Candidate;
-use super::claims::HOLD_REACTIONS;
 use super::cost::MOVE_COST;
 use super::lending::StopCause;
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
 use super::request::PlacementRequest;
+use super::reservations::HOLD_REACTIONS;
 use super::{Preemption, SchedulingCycle};
-use crate::model::{Claim, ClusterState, Demand, Host, HostIndex, JobIndex, Shape, Spec, TaskAttempt};
+use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Reservation, Shape, Spec, TaskAttempt};
 use std::cmp::Reverse;
 
 /// The cost of stopping a gang, and of each of its tasks: it loses its place whole, and
@@ -244,7 +244,7 @@
         let until_ms = self.now + HOLD_REACTIONS * self.policy.react_ms;
         for Departure { attempt, destination } in departures {
             if let Some(to) = destination {
-                self.claim(*to, Claim::of_job(attempt.key.job, attempt.demand, until_ms));
+                self.claim(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
             }
             let cause = match destination {
                 Some(_) => Ok(StopCause::Move),
--- a/src/sched/cycle/gang.rs
+++ b/src/sched/cycle/gang.rs
@@ -2,13 +2,13 @@
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
-use super::claims::HOLD_REACTIONS;
 use super::displacement::Vacancy;
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
 use super::request::PlacementRequest;
+use super::reservations::HOLD_REACTIONS;
 use super::room::insert_by_cost;
-use crate::model::{Claim, Demand, Host, HostIndex, Shape, TaskKey};
+use crate::model::{Demand, Host, HostIndex, Reservation, Shape, TaskKey};
 use crate::sched::index::{Slot, ZoneCounts};
 
 /// The cost of holding room for a task that frees only when other work ends.
@@ -90,7 +90,7 @@
 
     /// Holds room for the leading gang on the machines that are nearest to
     /// having it, for a bounded time; then others have their turn as long.
-    pub(super) fn hold_for_gang(&mut self, request: &PlacementRequest) {
+    pub(super) fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let Some(until_ms) = self.hold_until(request) else { return };
         let scope = self.scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks;
@@ -128,7 +128,7 @@
         by_zone.resize_with(self.index.zones().len().max(1), Vec::new);
         for (host_index, slot) in self.index.slots.iter().enumerate() {
             let Some(h) = self.cluster.host(host_index) else { continue };
-            let others = h.claims.iter().any(|c| c.job != request.job_index);
+            let others = h.reservations.iter().any(|c| c.job != request.job_index);
             if !request.requirements.takes(slot, &none) || request.avoided_hosts.contains(&host_index) || others {
                 continue;
             }
@@ -205,7 +205,7 @@
             let n = tasks.min(left);
             left -= n;
             let demand = request.requirements.demand.times(f64::from(n));
-            self.claim(host, Claim::of_job(request.job_index, demand, until_ms));
+            self.claim(host, Reservation::of_job(request.job_index, demand, until_ms));
             if left == 0 {
                 return;
             }
@@ -215,11 +215,11 @@
     /// Preempts lesser work for a gang that does not lead, if all of it fits then, and holds
     /// the room. With less than that the gang could not start, and what was stopped for it would
     /// only begin anew, over and over.
-    pub(super) fn make_room_for_gang(&mut self, request: &PlacementRequest) {
+    pub(super) fn free_capacity_for_gang(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks as usize;
         let waits = self.waiting_tasks(request) == tasks;
-        let holds = self.index.claims_of(request.job_index) > 0;
+        let holds = self.index.reservations_of(request.job_index) > 0;
         if !waits || holds || self.known_in_vain(request, scope) {
             return;
         }
@@ -334,7 +334,7 @@
             self.clear(request, room.host, &room.vacancy.departures);
         }
         for PlannedRoom { host, demand, .. } in rooms {
-            self.claim(host, Claim::of_job(request.job_index, demand, until_ms));
+            self.claim(host, Reservation::of_job(request.job_index, demand, until_ms));
         }
     }
 }
--- a/src/sched/cycle/limits.rs
+++ b/src/sched/cycle/limits.rs
@@ -69,10 +69,10 @@
     pub(super) fn claimed_by_team(&self, team: &str) -> Demand {
         let mut claimed = Demand::default();
         for (host_index, host) in self.cluster.each_host() {
-            if self.index.slots[host_index].claims == 0 {
+            if self.index.slots[host_index].reservations == 0 {
                 continue;
             }
-            let of_team = host.claims.iter().filter(|claim| self.cluster.jobs[claim.job].spec.team == team);
+            let of_team = host.reservations.iter().filter(|claim| self.cluster.jobs[claim.job].spec.team == team);
             of_team.for_each(|claim| claimed.add(&claim.demand));
         }
         claimed
--- a/src/sched/cycle/mod.rs
+++ b/src/sched/cycle/mod.rs
@@ -1,7 +1,6 @@
 //! The scheduling cycle over the bins: placement and gangs; `room` makes room.
 
 mod candidates;
-mod claims;
 mod cost;
 mod displacement;
 mod ending;
@@ -12,6 +11,7 @@
 mod preemption;
 mod queue;
 mod request;
+mod reservations;
 mod room;
 mod tasks;
 mod team_table;
@@ -19,7 +19,7 @@
 
 use super::Policy;
 use super::index::{Index, TaskRequirements};
-use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, RoomClaim, Shape, TaskKey, Urgency};
+use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, Shape, TaskKey, Urgency, WarmReservationClaim};
 use badgerdrift_borrowing::Refusal;
 use ending::EndingTasks;
 use lending::LendingDecisions;
@@ -81,9 +81,9 @@
     /// Attempts to be stopped.
     pub stops: Vec<Preemption>,
     /// Tasks that were given rooms of warm pools; they are among the starts.
-    pub claims: Vec<RoomClaim>,
+    pub warm_claims: Vec<WarmReservationClaim>,
     /// Slots of warm pools whose rooms are given to other work.
-    pub rooms_given_up: Vec<u64>,
+    pub warm_reservations_given_up: Vec<u64>,
     /// Jobs with tasks that found no room.
     pub pending_jobs: Vec<JobIndex>,
     /// Jobs among these for which no work of another team may be stopped; none without borrowing.
@@ -130,7 +130,7 @@
     least: Urgency,
     attempt: impl FnMut() -> u64,
 ) -> CycleDecisions {
-    expire_claims(cluster, now);
+    expire_reservations(cluster, now);
     if !queue::any_waits(cluster, now, least) {
         // Nothing to decide: what a scheduling cycle counts first would be counted in vain.
         cluster.accelerators_short = false;
@@ -140,9 +140,9 @@
 }
 
 /// Drops the claims of room that have run out.
-fn expire_claims(cluster: &mut ClusterState, now: u64) {
+fn expire_reservations(cluster: &mut ClusterState, now: u64) {
     for host in cluster.hosts.iter_mut().flatten() {
-        host.claims.retain(|c| c.until_ms > now);
+        host.reservations.retain(|c| c.until_ms > now);
     }
 }
 
@@ -155,7 +155,7 @@
     least: Urgency,
     mut attempt: impl FnMut() -> u64,
 ) -> (CycleDecisions, Index) {
-    expire_claims(cluster, now);
+    expire_reservations(cluster, now);
     let index = Index::new(cluster, now);
     let unseen = cluster.unseen();
     let attempts_before = cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
@@ -208,7 +208,9 @@
         for QueuedJob { job_index, turn } in self.queue(least) {
             self.lending.keep_refusal();
             let request = PlacementRequest { turn, ..self.request(job_index) };
-            if self.place(&request, attempt) || (self.yield_rooms(&request) && self.place(&request, attempt)) {
+            if self.place(&request, attempt)
+                || (self.yield_warm_reservations(&request) && self.place(&request, attempt))
+            {
                 continue;
             }
             if self.out.pending_jobs.last() != Some(&job_index) && !self.out.pending_jobs.contains(&job_index) {
@@ -221,11 +223,11 @@
             }
             if gang && !gang_leads {
                 gang_leads = true;
-                self.hold_for_gang(&request);
+                self.reserve_for_gang(&request);
             } else if gang {
-                self.make_room_for_gang(&request);
+                self.free_capacity_for_gang(&request);
             } else {
-                self.make_room(&request);
+                self.free_capacity(&request);
             }
         }
     }
--- a/src/sched/cycle/request.rs
+++ b/src/sched/cycle/request.rs
@@ -69,7 +69,7 @@
             wait_s: spec.due_s.is_none().then(|| if left_ms > 0.0 { left_ms / 1000.0 } else { lost_s }),
             guarantee_s: self.guarantee_left_s(job),
             reserved_costs: self.trespasses(spec),
-            held: self.index.claims_of(job_index) > 0,
+            held: self.index.reservations_of(job_index) > 0,
             avoided_hosts: job.avoided_hosts(self.cluster, self.now).clone(),
             without_accelerators: self.without_accelerators(job),
         }
--- a/src/sched/cycle/claims.rs
+++ b/src/sched/cycle/reservations.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
-use crate::model::{Claim, HostIndex, JobIndex};
+use crate::model::{HostIndex, JobIndex, Reservation};
 use crate::sched::index::ZoneCounts;
 
 /// Room that is made for a task is held for so many times what an order takes
@@ -11,26 +11,26 @@
 
 impl SchedulingCycle<'_> {
     /// Holds room on a machine.
-    pub(super) fn claim(&mut self, host_index: HostIndex, claim: Claim) {
+    pub(super) fn claim(&mut self, host_index: HostIndex, claim: Reservation) {
         self.lending.note_change();
         if let Some(h) = self.cluster.host_mut(host_index) {
-            let before = h.claims.clone();
-            h.claims.push(claim);
-            self.index.reclaim(&before, &h.claims, host_index);
+            let before = h.reservations.clone();
+            h.reservations.push(claim);
+            self.index.reclaim(&before, &h.reservations, host_index);
         }
     }
 
     /// Gives up the room that is held for a job.
     pub(super) fn release_claim(&mut self, job_index: JobIndex) {
-        if self.index.claims_of(job_index) == 0 {
+        if self.index.reservations_of(job_index) == 0 {
             return;
         }
         self.lending.note_change();
         for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
-            let Some(h) = h.as_mut().filter(|h| h.claims.iter().any(|c| c.job == job_index)) else { continue };
-            let before = h.claims.clone();
-            h.claims.retain(|c| c.job != job_index);
-            self.index.reclaim(&before, &h.claims, host_index);
+            let Some(h) = h.as_mut().filter(|h| h.reservations.iter().any(|c| c.job == job_index)) else { continue };
+            let before = h.reservations.clone();
+            h.reservations.retain(|c| c.job != job_index);
+            self.index.reclaim(&before, &h.reservations, host_index);
         }
     }
 
@@ -38,23 +38,24 @@
     /// counted; what is held elsewhere is given up. Room in a zone that the job's
     /// other tasks filled meanwhile would keep the last one waiting for its end.
     pub(super) fn claims_of_use(&mut self, request: &PlacementRequest, counts: &mut ZoneCounts) -> usize {
-        if self.index.claims_of(request.job_index) == 0 {
+        if self.index.reservations_of(request.job_index) == 0 {
             return 0;
         }
         self.lending.note_change();
         let mut of_use = 0;
         for host_index in 0..self.index.slots.len() {
-            if self.index.slots[host_index].claims == 0 {
+            if self.index.slots[host_index].reservations == 0 {
                 continue;
             }
-            let Some(h) =
-                self.cluster.hosts[host_index].as_mut().filter(|h| h.claims.iter().any(|c| c.job == request.job_index))
+            let Some(h) = self.cluster.hosts[host_index]
+                .as_mut()
+                .filter(|h| h.reservations.iter().any(|c| c.job == request.job_index))
             else {
                 continue;
             };
-            let before = h.claims.clone();
+            let before = h.reservations.clone();
             let slot = &self.index.slots[host_index];
-            h.claims.retain(|c| {
+            h.reservations.retain(|c| {
                 let fits = c.job != request.job_index || request.requirements.takes(slot, counts);
                 if fits && c.job == request.job_index {
                     counts.add(slot.zone);
@@ -62,7 +63,7 @@
                 }
                 fits
             });
-            self.index.reclaim(&before, &h.claims, host_index);
+            self.index.reclaim(&before, &h.reservations, host_index);
         }
         of_use
     }
--- a/src/sched/cycle/room.rs
+++ b/src/sched/cycle/room.rs
@@ -3,13 +3,13 @@
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
-use super::claims::HOLD_REACTIONS;
 use super::displacement::Vacancy;
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
 use super::queue::Turn;
 use super::request::PlacementRequest;
-use crate::model::{Claim, HostIndex, Shape, Task, Urgency};
+use super::reservations::HOLD_REACTIONS;
+use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
 use crate::sched::index::{TaskRequirements, ZoneCounts};
 
 /// The weight of the cost of a place next to that of making room there.
@@ -31,7 +31,7 @@
     /// Preempts lesser work for a job that found no room, on the machines where
     /// that costs least, and holds the room for it. Equal work is stopped for as many tasks
     /// as the guarantee covers, and no more.
-    pub(super) fn make_room(&mut self, request: &PlacementRequest) {
+    pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
         if self.known_in_vain(request, scope) {
             return;
@@ -153,7 +153,7 @@
             counts.add(self.index.slots[host].zone);
             self.clear(request, host, &vacancy.departures);
             let until_ms = self.now + HOLD_REACTIONS * self.policy.react_ms;
-            self.claim(host, Claim::of_job(request.job_index, request.requirements.demand, until_ms));
+            self.claim(host, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
             if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
                 insert_by_cost(&mut costs, Candidate { cost, host });
             }
@@ -176,9 +176,9 @@
     ) -> Option<Vacancy> {
         let s = &self.index.slots[host_index];
         // Room that is held for a gang is left to it; beside others' there may be more.
-        let gangs = |c: &Claim| c.job != request.job_index && self.cluster.jobs[c.job].spec.shape == Shape::Gang;
+        let gangs = |c: &Reservation| c.job != request.job_index && self.cluster.jobs[c.job].spec.shape == Shape::Gang;
         if request.avoided_hosts.contains(&host_index)
-            || s.claims > 0 && self.cluster.host(host_index).is_some_and(|h| h.claims.iter().any(gangs))
+            || s.reservations > 0 && self.cluster.host(host_index).is_some_and(|h| h.reservations.iter().any(gangs))
         {
             return None;
         }
--- a/src/sched/cycle/tasks.rs
+++ b/src/sched/cycle/tasks.rs
@@ -4,7 +4,7 @@
 use super::queue::Turn;
 use super::request::PlacementRequest;
 use super::{Assignment, SchedulingCycle};
-use crate::model::{Claim, HostIndex, Place, TaskAttempt, TaskKey};
+use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
 use crate::sched::index::ZoneCounts;
 
 impl SchedulingCycle<'_> {
@@ -20,19 +20,19 @@
         let (image, gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
         let held = self.cluster.host(host).and_then(|h| {
-            let own = h.claims.iter().position(|claim| claim.job == key.job);
-            own.or_else(|| h.claims.iter().position(|claim| self.cluster.may_use(claim, key.job)))
+            let own = h.reservations.iter().position(|claim| claim.job == key.job);
+            own.or_else(|| h.reservations.iter().position(|claim| self.cluster.may_use(claim, key.job)))
         });
         let cache = self.cluster.instance_types[self.index.slots[host].instance_type].cache_gb;
         if let Some(h) = self.cluster.host_mut(host) {
             // Room held for this job is used up by its tasks.
             if let Some(i) = held {
-                let before = h.claims.clone();
-                h.claims[i].demand.sub(&demand);
-                if !demand.fits(&h.claims[i].demand) {
-                    h.claims.remove(i);
+                let before = h.reservations.clone();
+                h.reservations[i].demand.sub(&demand);
+                if !demand.fits(&h.reservations[i].demand) {
+                    h.reservations.remove(i);
                 }
-                self.index.reclaim(&before, &h.claims, host);
+                self.index.reclaim(&before, &h.reservations, host);
             }
             h.use_image(&image, gb, cache, now);
             h.attempts.push(TaskAttempt::sent(key, attempt, demand, now));
@@ -75,7 +75,7 @@
             let mut found = candidates.take().unwrap_or_else(|| self.candidates(request));
             let Some(host) = self.best(request, &found, &counts) else { return false };
             // Room that was made for this job is as good as it gets.
-            let made = self.cluster.host(host).is_some_and(|h| h.claims.iter().any(|c| c.job == job_index));
+            let made = self.cluster.host(host).is_some_and(|h| h.reservations.iter().any(|c| c.job == job_index));
             if !made
                 && self.image_late(request, host).is_some_and(|most| self.wait_for_better_host(request, &counts, most))
             {
@@ -96,13 +96,13 @@
         if !self.may_wait_for_image(request) {
             return false;
         }
-        if self.index.claims_of(request.job_index) > 0 {
+        if self.index.reservations_of(request.job_index) > 0 {
             return true;
         }
         let Some((host_index, vacancy)) = self.cheapest_with_image(request, counts, most) else { return false };
         self.clear(request, host_index, &vacancy.departures);
         let until_ms = self.now + self.policy.react_ms;
-        self.claim(host_index, Claim::of_job(request.job_index, request.requirements.demand, until_ms));
+        self.claim(host_index, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
         true
     }
 
@@ -128,7 +128,7 @@
         let scope = self.scope(request);
         let mut best: Option<(HostIndex, Vacancy)> = None;
         for (host_index, slot) in self.index.slots.iter().enumerate() {
-            let here = slot.claims == 0
+            let here = slot.reservations == 0
                 && request.requirements.takes(slot, counts)
                 && !request.avoided_hosts.contains(&host_index);
             if !here || self.image_late(request, host_index).is_some_and(|m| m > most / 2.0) {
--- a/src/sched/cycle/warm_rooms.rs
+++ b/src/sched/cycle/warm_rooms.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
-use crate::model::{Demand, HeldRoom, HostIndex, RoomClaim, Shape, TaskKey, Urgency};
+use crate::model::{Demand, HostIndex, Shape, TaskKey, Urgency, WarmReservation, WarmReservationClaim};
 use crate::sched::index::ZoneCounts;
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,17 +10,17 @@
     /// The position of a room that is held for a replica like those of this job: a warm one if
     /// there is any.
     pub(super) fn room_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
-        if !request.service || self.cluster.held_rooms.is_empty() {
+        if !request.service || self.cluster.warm_reservations.is_empty() {
             return None;
         }
         let spec = &self.cluster.jobs[request.job_index].spec;
-        let suits = |room: &HeldRoom| {
+        let suits = |room: &WarmReservation| {
             room.offer.as_ref().is_some_and(|offer| offer.takes(&spec.image, &spec.team))
                 && spec.demand.fits(&room.demand)
                 && request.requirements.takes(&self.index.slots[room.host], counts)
                 && !request.avoided_hosts.contains(&room.host)
         };
-        let rooms = self.cluster.held_rooms.iter().enumerate().filter(|(_, room)| suits(room));
+        let rooms = self.cluster.warm_reservations.iter().enumerate().filter(|(_, room)| suits(room));
         rooms.min_by_key(|(_, room)| (!room.warm, room.slot)).map(|(position, _)| position)
     }
 
@@ -28,13 +28,13 @@
     pub(super) fn claim_room(&mut self, position: usize, key: TaskKey, attempt: u64) -> HostIndex {
         let room = self.release_room(position);
         self.start(key, room.host, attempt);
-        self.out.claims.push(RoomClaim { slot: room.slot, host: room.host, key, attempt });
+        self.out.warm_claims.push(WarmReservationClaim { slot: room.slot, host: room.host, key, attempt });
         room.host
     }
 
     /// A room is held no more.
-    fn release_room(&mut self, position: usize) -> HeldRoom {
-        let room = self.cluster.held_rooms.swap_remove(position);
+    fn release_room(&mut self, position: usize) -> WarmReservation {
+        let room = self.cluster.warm_reservations.swap_remove(position);
         self.index.slots[room.host].free.add(&room.demand);
         room
     }
@@ -42,8 +42,8 @@
     /// Gives up idle rooms for a job that found no other, if it is more urgent than ordinary work
     /// or within its team's guarantee. Rooms within their payer's guarantee are kept. True if there
     /// is more room now.
-    pub(super) fn yield_rooms(&mut self, request: &PlacementRequest) -> bool {
-        if !self.cluster.held_rooms.iter().any(|room| room.may_yield) {
+    pub(super) fn yield_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
+        if !self.cluster.warm_reservations.iter().any(|room| room.may_yield) {
             return false;
         }
         let job = &self.cluster.jobs[request.job_index];
@@ -73,14 +73,19 @@
     /// Machines on which rooms may be given up for the job, with what that is worth.
     fn vacancies(&self, request: &PlacementRequest) -> Vec<RoomVacancy> {
         let kept = self.rooms_within_guarantees();
-        let mut by_host: BTreeMap<HostIndex, Vec<&HeldRoom>> = BTreeMap::new();
-        let rooms = self.cluster.held_rooms.iter().filter(|room| room.may_yield && !kept.contains(&room.slot));
+        let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
+        let rooms = self.cluster.warm_reservations.iter().filter(|room| room.may_yield && !kept.contains(&room.slot));
         rooms.for_each(|room| by_host.entry(room.host).or_default().push(room));
-        let vacancy = |(host, rooms): (HostIndex, Vec<&HeldRoom>)| self.vacancy(request, host, rooms);
+        let vacancy = |(host, rooms): (HostIndex, Vec<&WarmReservation>)| self.vacancy(request, host, rooms);
         by_host.into_iter().filter_map(vacancy).collect()
     }
 
-    fn vacancy(&self, request: &PlacementRequest, host: HostIndex, rooms: Vec<&HeldRoom>) -> Option<RoomVacancy> {
+    fn vacancy(
+        &self,
+        request: &PlacementRequest,
+        host: HostIndex,
+        rooms: Vec<&WarmReservation>,
+    ) -> Option<RoomVacancy> {
         let slot = &self.index.slots[host];
         let demand = &request.requirements.demand;
         if !request.requirements.takes(slot, &ZoneCounts::default()) || request.avoided_hosts.contains(&host) {
@@ -119,7 +124,7 @@
     fn rooms_within_guarantees(&self) -> HashSet<u64> {
         let mut taken: BTreeMap<&str, Demand> = BTreeMap::new();
         let mut kept = HashSet::new();
-        let mut rooms: Vec<&HeldRoom> = self.cluster.held_rooms.iter().collect();
+        let mut rooms: Vec<&WarmReservation> = self.cluster.warm_reservations.iter().collect();
         rooms.sort_by_key(|room| (!room.warm, room.slot));
         for room in rooms {
             let Some(offer) = &room.offer else { continue };
@@ -141,9 +146,9 @@
 
     /// Gives up these slots' rooms; false if there are none.
     fn give_up(&mut self, slots: &HashSet<u64>) -> bool {
-        while let Some(position) = self.cluster.held_rooms.iter().position(|room| slots.contains(&room.slot)) {
+        while let Some(position) = self.cluster.warm_reservations.iter().position(|room| slots.contains(&room.slot)) {
             let room = self.release_room(position);
-            self.out.rooms_given_up.push(room.slot);
+            self.out.warm_reservations_given_up.push(room.slot);
         }
         if !slots.is_empty() {
             // What found no room before may find some now.
--- a/src/sched/index.rs
+++ b/src/sched/index.rs
@@ -4,7 +4,7 @@
 //! at, and not machines times running tasks.
 
 use super::usable;
-use crate::model::{Claim, ClusterState, Demand, Host, HostIndex, JobIndex, Spec};
+use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Reservation, Spec};
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
@@ -24,7 +24,7 @@
     /// Room that is held for jobs.
     pub claimed: Demand,
     /// Number of claims on it.
-    pub claims: usize,
+    pub reservations: usize,
 }
 
 /// Tasks of a job by zone.
@@ -108,7 +108,7 @@
     /// The same for what was placed since.
     placed: HashMap<JobIndex, Vec<HostIndex>>,
     /// How many machines hold room for each job.
-    claims: HashMap<JobIndex, usize>,
+    reservations: HashMap<JobIndex, usize>,
     /// What each team's attempts take, fetching ones included.
     pub usage: HashMap<String, Demand>,
     /// The same once all that is being stopped is gone.
@@ -127,7 +127,7 @@
             let slot = host.as_ref().map_or_else(Slot::default, |h| index.count_host(cluster, host_index, h, now));
             index.slots.push(slot);
         }
-        for room in &cluster.held_rooms {
+        for room in &cluster.warm_reservations {
             index.slots[room.host].free.sub(&room.demand);
         }
         index.at.sort_unstable();
@@ -151,7 +151,7 @@
             spot: h.spot,
             free: h.instance_type.map_or(Demand::default(), |f| cluster.instance_types[f].cap),
             claimed: Demand::default(),
-            claims: h.claims.len(),
+            reservations: h.reservations.len(),
         };
         for c in h.attempts.iter().filter(|c| !c.ended()) {
             slot.free.sub(&c.demand);
@@ -160,9 +160,9 @@
                 sum(&mut self.staying, &cluster.jobs[c.key.job].spec.team, &c.demand.times(-1.0));
             }
         }
-        for c in &h.claims {
+        for c in &h.reservations {
             slot.claimed.add(&c.demand);
-            *self.claims.entry(c.job).or_default() += 1;
+            *self.reservations.entry(c.job).or_default() += 1;
         }
         slot
     }
@@ -219,17 +219,17 @@
     }
 
     /// How many machines hold room for the job.
-    pub fn claims_of(&self, job: JobIndex) -> usize {
-        self.claims.get(&job).copied().unwrap_or(0)
+    pub fn reservations_of(&self, job: JobIndex) -> usize {
+        self.reservations.get(&job).copied().unwrap_or(0)
     }
 
     /// What a machine has free for a job, less what is held for others.
     pub fn free_for(&self, cluster: &ClusterState, host_index: HostIndex, job: JobIndex) -> Demand {
         let slot = &self.slots[host_index];
         let mut free = slot.free;
-        if slot.claims > 0 {
-            let claims = cluster.host(host_index).map_or(&[][..], |h| &h.claims);
-            claims.iter().filter(|c| !cluster.may_use(c, job)).for_each(|c| free.sub(&c.demand));
+        if slot.reservations > 0 {
+            let reservations = cluster.host(host_index).map_or(&[][..], |h| &h.reservations);
+            reservations.iter().filter(|c| !cluster.may_use(c, job)).for_each(|c| free.sub(&c.demand));
         }
         free
     }
@@ -248,18 +248,18 @@
     }
 
     /// The claims on a machine changed from `before`.
-    pub fn reclaim(&mut self, before: &[Claim], after: &[Claim], host_index: HostIndex) {
+    pub fn reclaim(&mut self, before: &[Reservation], after: &[Reservation], host_index: HostIndex) {
         for c in before {
-            if let Some(n) = self.claims.get_mut(&c.job) {
+            if let Some(n) = self.reservations.get_mut(&c.job) {
                 *n = n.saturating_sub(1);
             }
         }
         let slot = &mut self.slots[host_index];
-        slot.claims = after.len();
+        slot.reservations = after.len();
         slot.claimed = Demand::default();
         for c in after {
             slot.claimed.add(&c.demand);
-            *self.claims.entry(c.job).or_default() += 1;
+            *self.reservations.entry(c.job).or_default() += 1;
         }
     }
 
@@ -269,7 +269,7 @@
         let near =
             |a: &Demand, b: &Demand| (a.cpus - b.cpus).abs() + (a.gpus - b.gpus).abs() + (a.mem - b.mem).abs() < 1e-6;
         for (i, (a, b)) in self.slots.iter().zip(&other.slots).enumerate() {
-            if !near(&a.free, &b.free) || !near(&a.claimed, &b.claimed) || a.claims != b.claims {
+            if !near(&a.free, &b.free) || !near(&a.claimed, &b.claimed) || a.reservations != b.reservations {
                 return Some(format!("machine {i}: {a:?}, counted {b:?}"));
             }
         }
@@ -282,7 +282,7 @@
             }
         }
         let mut jobs = 0..jobs;
-        jobs.find(|j| self.counts(*j) != other.counts(*j) || self.claims_of(*j) != other.claims_of(*j))
+        jobs.find(|j| self.counts(*j) != other.counts(*j) || self.reservations_of(*j) != other.reservations_of(*j))
             .map(|j| format!("job {j}: {:?}, counted {:?}", self.counts(j), other.counts(j)))
     }
 
--- a/src/sched/plan/drain.rs
+++ b/src/sched/plan/drain.rs
@@ -69,8 +69,8 @@
 ) -> Option<Drain> {
     let h = cluster.host(host)?;
     // One that takes others in stays, or they would have to move again.
-    let holds_rooms = cluster.held_rooms.iter().any(|room| room.host == host);
-    if !h.claims.is_empty() || holds_rooms || taken.iter().any(|t| bins[t.0].host == Some(host)) {
+    let reserves_for_teams = cluster.warm_reservations.iter().any(|room| room.host == host);
+    if !h.reservations.is_empty() || reserves_for_teams || taken.iter().any(|t| bins[t.0].host == Some(host)) {
         return None;
     }
     let promised = taken.len();
@@ -90,7 +90,7 @@
                     let mut room = b.free;
                     spec.demand.fits(&room)
                         && requirements.allows(b.instance_type, b.zone, b.spot, &counts)
-                        && o.claims.is_empty()
+                        && o.reservations.is_empty()
                         && b.host.is_some_and(better)
                         && o.images.iter().any(|im| im.ready && im.name == spec.image)
                         && {
--- a/src/sched/plan/mod.rs
+++ b/src/sched/plan/mod.rs
@@ -148,12 +148,12 @@
 
 /// The free room of the machines that are in use.
 fn existing_room(cluster: &ClusterState, index: &Index) -> Vec<Bin> {
-    let held: HashSet<HostIndex> = cluster.held_rooms.iter().map(|room| room.host).collect();
+    let held: HashSet<HostIndex> = cluster.warm_reservations.iter().map(|room| room.host).collect();
     let in_use = cluster.each_host().filter(|(host_index, _)| index.slots[*host_index].usable);
     in_use
         .map(|(host_index, h)| {
             let slot = &index.slots[host_index];
-            let used = !h.attempts.is_empty() || !h.claims.is_empty() || held.contains(&host_index);
+            let used = !h.attempts.is_empty() || !h.reservations.is_empty() || held.contains(&host_index);
             Bin {
                 free: slot.free,
                 instance_type: slot.instance_type,
--- a/src/sched/tests/lending.rs
+++ b/src/sched/tests/lending.rs
@@ -65,7 +65,7 @@
     owed: BTreeMap<(String, String), Amounts>,
     quiet: Vec<JobIndex>,
     returning: Vec<(JobIndex, u32)>,
-    holds_rooms: bool,
+    reserves_for_teams: bool,
     next_attempt: u64,
 }
 
@@ -88,7 +88,7 @@
             owed: BTreeMap::new(),
             quiet: Vec::new(),
             returning: Vec::new(),
-            holds_rooms: false,
+            reserves_for_teams: false,
             next_attempt: 0,
         }
     }
@@ -131,7 +131,7 @@
             runnable: runnable.into(),
             lent: self.lent.clone(),
             owed: self.owed.clone(),
-            holds_rooms: self.holds_rooms,
+            reserves_for_teams: self.reserves_for_teams,
             quiet: self.quiet.iter().copied().collect(),
             returning: self.returning.iter().copied().collect(),
         });
@@ -360,9 +360,9 @@
     let mut fleet = Fleet::new(1, [0, 0, 0]);
     let over = fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 1);
     fleet.cluster.jobs[over].cancelling = true;
-    fleet.holds_rooms = true;
+    fleet.reserves_for_teams = true;
     let demand = fleet.cluster.jobs[over].spec.demand.times(8.0);
-    fleet.cluster.host_mut(0).unwrap().claims.push(Claim::of_team(over, demand, 100_000));
+    fleet.cluster.host_mut(0).unwrap().reservations.push(Reservation::of_team(over, demand, 100_000));
     fleet.add(&work(1, Shape::Service, Urgency::Production, 8, 1), 2);
     let desk = fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 3);
     let outcome = fleet.schedule(4);
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -12,7 +12,7 @@
 use super::*;
 use crate::config::{Operator, tests::settings};
 use crate::model::{
-    Claim, ClusterState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Place, Shape, Spec, TaskAttempt,
+    ClusterState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Place, Reservation, Shape, Spec, TaskAttempt,
     TaskKey, TaskPhase, Urgency,
 };
 use proptest::prelude::*;
--- a/src/sched/tests/ordering.rs
+++ b/src/sched/tests/ordering.rs
@@ -146,12 +146,12 @@
     let mut w = cluster(&[("a", false)]);
     let job = add(&mut w, spec("run-000001", Shape::Batch, 1, 1.0), 0);
     assert_eq!(run(&mut w, 1).starts.len(), 1);
-    let claim = |until_ms| Claim::of_job(job, Demand::default(), until_ms);
-    w.host_mut(0).unwrap().claims = vec![claim(5), claim(9)];
+    let claim = |until_ms| Reservation::of_job(job, Demand::default(), until_ms);
+    w.host_mut(0).unwrap().reservations = vec![claim(5), claim(9)];
     w.accelerators_short = true;
     let out = run(&mut w, 5);
     assert!(out.starts.is_empty() && out.stops.is_empty() && out.pending_jobs.is_empty());
-    let left: Vec<u64> = w.host(0).unwrap().claims.iter().map(|c| c.until_ms).collect();
+    let left: Vec<u64> = w.host(0).unwrap().reservations.iter().map(|c| c.until_ms).collect();
     assert_eq!(left, [9]);
     assert!(!w.accelerators_short, "no work with accelerators waits");
 }
--- a/src/sched/tests/replicas.rs
+++ b/src/sched/tests/replicas.rs
@@ -37,7 +37,7 @@
     let late = 60_000;
     let demand = w.jobs[job_index].spec.demand;
     let h = w.host_mut(0).unwrap();
-    h.claims.push(Claim::of_job(job_index, demand, late + 50_000));
+    h.reservations.push(Reservation::of_job(job_index, demand, late + 50_000));
     h.draining = true;
     assert!(run(&mut w, late).starts.is_empty(), "the other machine has no image");
     assert_eq!(run(&mut w, late + 2 * policy().report_ms).starts.len(), 1);
@@ -74,7 +74,7 @@
     run(&mut w, 11);
     let zones = |w: &ClusterState| -> Vec<String> {
         w.each_host()
-            .filter(|(_, h)| h.claims.iter().any(|c| c.job == job_index))
+            .filter(|(_, h)| h.reservations.iter().any(|c| c.job == job_index))
             .map(|(_, h)| h.zone.clone())
             .collect()
     };
@@ -148,7 +148,8 @@
     add(&mut w, spec("run-000009", Shape::Gang, 2, 8.0), settled + 1);
     let out = run(&mut w, settled + 2);
     let stopped: Vec<JobIndex> = out.stops.iter().map(|stop| stop.key.job).collect();
-    let promised = w.each_host().flat_map(|(_, h)| &h.claims).filter(|claim| replicas.contains(&claim.job)).count();
+    let promised =
+        w.each_host().flat_map(|(_, h)| &h.reservations).filter(|claim| replicas.contains(&claim.job)).count();
     assert_eq!(stopped.len(), promised, "each one that is stopped has room to go to: {stopped:?}");
     assert!(stopped.is_empty(), "there is room for one of the two, and the gang needs both to move");
 }
