--- a/src/loans_command.rs
+++ b/src/borrowing_command.rs
@@ -1,8 +1,8 @@
 //! `badgerdrift loans`: shows loans between teams, through any controller.
 
+use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::config_command::CommandError;
 use crate::controller_request::{ask, json_text, retry_later};
-use crate::loans::{LoansRequest, LoansResponse};
 use crate::partition::LoansStatus;
 use crate::peer::{PeerRequest, PeerResponse};
 use clap::Subcommand;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
 //! The program: command line, logging, runtime.
 
+use badgerdrift::borrowing_command::{self, LoansCommand};
 use badgerdrift::config_command::{self, CommandError, ConfigCommand};
 use badgerdrift::configuration;
-use badgerdrift::loans_command::{self, LoansCommand};
 use badgerdrift::net::Net;
 use badgerdrift::node::{self, Subsystems};
-use badgerdrift::pools_command::{self, PoolsCommand};
-use badgerdrift::{config, loans, warm_pools};
+use badgerdrift::warm_pools_command::{self, PoolsCommand};
+use badgerdrift::{borrowing, config, warm_pools};
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -94,7 +94,7 @@
         if warm_pools.is_some() && operator.partitions > 1 {
             return Err("partitions: must be 1 with warm pools".into());
         }
-        let borrowing = self.borrowing.as_deref().map(|p| loans::load_borrowing(p, &settings)).transpose()?;
+        let borrowing = self.borrowing.as_deref().map(|p| borrowing::load_borrowing(p, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
             return Err(format!("{}: partitions: must be 1 with borrowing", file.display()));
         }
@@ -122,8 +122,8 @@
             ExitCode::SUCCESS
         }),
         Command::Config { controller, command } => told(runtime.block_on(config_command::run(controller, &command))),
-        Command::Pools { controller, command } => told(runtime.block_on(pools_command::run(controller, &command))),
-        Command::Loans { controller, command } => told(runtime.block_on(loans_command::run(controller, &command))),
+        Command::Pools { controller, command } => told(runtime.block_on(warm_pools_command::run(controller, &command))),
+        Command::Loans { controller, command } => told(runtime.block_on(borrowing_command::run(controller, &command))),
     }
 }
 
--- a/src/model/lending.rs
+++ b/src/model/borrowing.rs
@@ -7,7 +7,7 @@
 
 /// What a scheduling cycle is told of loans between teams. Without borrowing there is none of it.
 #[derive(Debug, Clone)]
-pub struct LendingState {
+pub struct BorrowingState {
     /// Who lends to whom.
     pub settings: Arc<BorrowingSettings>,
     /// Why no loan is possible at all now, if so.
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -1,6 +1,6 @@
 //! The state of a partition: its jobs, machines and machine types.
 
-use super::{Demand, Host, HostIndex, InstanceType, Job, JobIndex, LendingState, Reservation, WarmReservation};
+use super::{BorrowingState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Reservation, WarmReservation};
 use std::collections::HashMap;
 
 /// Room that a class is expected to need.
@@ -60,7 +60,7 @@
     /// Room that is held for warm pools; none without them.
     pub warm_reservations: Vec<WarmReservation>,
     /// Loans between teams; none without borrowing.
-    pub lending: Option<LendingState>,
+    pub borrowing: Option<BorrowingState>,
     /// Room that classes are expected to need.
     pub reserves: Vec<Reserve>,
     /// Machine types of which the cloud has none left.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,24 +1,24 @@
 //! What a partition knows: jobs with their tasks, machines with the attempts of
 //! tasks on them. Plain data; decisions are in `sched`, protocol in `partition`.
 
+mod borrowing;
 mod cluster;
 mod dependencies;
 mod host;
 mod instance_type;
 mod job;
-mod lending;
 mod records;
 mod resources;
 mod spec;
 mod task;
 mod warm_reservation;
 
+pub use borrowing::BorrowingState;
 pub use cluster::{ClusterState, InstanceKind, Reserve};
 pub use dependencies::Dependencies;
 pub use host::{CachedImage, Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
 pub use instance_type::InstanceType;
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
-pub use lending::LendingState;
 pub use records::{HostRecord, JobRecord, ranges};
 pub use resources::Demand;
 pub use spec::{Shape, Spec, Urgency};
--- a/src/partition/borrowing/commits.rs
+++ b/src/partition/borrowing/commits.rs
@@ -1,6 +1,6 @@
 //! The records of loans: read at a failover, written with the partition's others.
 
-use super::PartitionLoans;
+use super::PartitionBorrowing;
 use crate::partition::Partition;
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
@@ -75,7 +75,7 @@
     }
 }
 
-impl PartitionLoans {
+impl PartitionBorrowing {
     /// The condition and the change for a record.
     pub(in crate::partition) fn encode(write: &RecordWrite) -> (Value, Value) {
         let change = match &write.value {
--- a/src/partition/borrowing/decisions.rs
+++ b/src/partition/borrowing/decisions.rs
@@ -1,8 +1,8 @@
 //! What a scheduling cycle is told of loans, and what it decided about them.
 
 use super::demand::TeamDemands;
-use super::{PartitionLoans, WaitingStop};
-use crate::model::{JobIndex, LendingState};
+use super::{PartitionBorrowing, WaitingStop};
+use crate::model::{BorrowingState, JobIndex};
 use crate::partition::Partition;
 use crate::sched::{CycleDecisions, Preemption, RefusedLoan, StopCause};
 use badgerdrift_borrowing::{Amounts, LoanKind, Moment, Proposal, Refusal};
@@ -18,14 +18,14 @@
 
 impl Partition {
     /// Tells the scheduler which work of other teams may be stopped.
-    pub(in crate::partition) fn describe_lending(&mut self, now: u64, wall: u64) {
+    pub(in crate::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
         let Some(own) = &self.loans else { return };
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
         let lending = own.lending_state(self, &demands, wall);
         self.release_lent_rooms(&demands);
         let reserves_for_teams =
             self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|claim| claim.for_team));
-        self.cluster.lending = Some(LendingState { reserves_for_teams, ..lending });
+        self.cluster.borrowing = Some(BorrowingState { reserves_for_teams, ..lending });
     }
 
     /// Takes in what a scheduling cycle decided about loans. Their stops wait for the records.
@@ -123,9 +123,9 @@
     }
 }
 
-impl PartitionLoans {
+impl PartitionBorrowing {
     /// What the scheduler is told.
-    fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> LendingState {
+    fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> BorrowingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
         let closed = if !self.settled || !cluster.all_reconciled {
@@ -135,7 +135,7 @@
         } else {
             None
         };
-        LendingState {
+        BorrowingState {
             settings: self.settings.clone(),
             closed,
             runnable: demands.shares.iter().map(|(team, share)| (team.clone(), share.runnable)).collect(),
--- a/src/partition/borrowing/mod.rs
+++ b/src/partition/borrowing/mod.rs
@@ -26,7 +26,7 @@
 }
 
 /// The loans of a partition.
-pub(super) struct PartitionLoans {
+pub(super) struct PartitionBorrowing {
     loans: Loans,
     settings: Arc<BorrowingSettings>,
     /// What is to be stopped for loans that are not recorded yet.
@@ -40,7 +40,7 @@
 impl Partition {
     /// Switches borrowing on; the settings were checked.
     pub fn enable_borrowing(&mut self, settings: Arc<BorrowingSettings>) {
-        self.loans = Some(PartitionLoans {
+        self.loans = Some(PartitionBorrowing {
             loans: Loans::new(settings.as_ref().clone()),
             settings,
             waiting_stops: BTreeMap::new(),
--- a/src/partition/mod.rs
+++ b/src/partition/mod.rs
@@ -104,9 +104,9 @@
     /// Machines that scheduling cycles have looked at so far.
     pub hosts_examined: u64,
     /// Pools of warm replicas, if there are any.
-    pools: Option<warm_pools::PartitionPools>,
+    pools: Option<warm_pools::PartitionWarmPools>,
     /// Loans between teams, if there is borrowing.
-    loans: Option<borrowing::PartitionLoans>,
+    loans: Option<borrowing::PartitionBorrowing>,
     /// The state service answers, so that claims of warm replicas and loans can be recorded.
     pub reservations_recordable: bool,
     limits: WriteLimits,
--- a/src/partition/next_commit.rs
+++ b/src/partition/next_commit.rs
@@ -1,8 +1,8 @@
 //! The next commit: which records are due, and what of them goes into it.
 
-use super::borrowing::PartitionLoans;
+use super::borrowing::PartitionBorrowing;
 use super::keys::{host_key, job_key};
-use super::warm_pools::PartitionPools;
+use super::warm_pools::PartitionWarmPools;
 use super::{Commit, JobWrite, Partition, PendingWrite};
 use crate::model::{HostRecord, JobIndex, JobRecord, UnsavedChange, Urgency};
 use crate::wire;
@@ -156,7 +156,7 @@
         if writes.is_empty() {
             return;
         }
-        for (condition, change) in writes.iter().map(PartitionLoans::encode) {
+        for (condition, change) in writes.iter().map(PartitionBorrowing::encode) {
             builder.bytes += change.to_string().len() + CHANGE_BYTES;
             builder.commit.conditions.push(condition);
             builder.commit.writes.push(change);
@@ -171,7 +171,7 @@
             return;
         }
         let Some(changes) = self.next_pool_changes(left) else { return };
-        for (condition, change) in PartitionPools::encode(&changes) {
+        for (condition, change) in PartitionWarmPools::encode(&changes) {
             builder.bytes += change.to_string().len() + CHANGE_BYTES;
             builder.commit.conditions.push(condition);
             builder.commit.writes.push(change);
--- a/src/partition/scheduling.rs
+++ b/src/partition/scheduling.rs
@@ -27,7 +27,7 @@
         self.bound_attempts(now);
         self.wall_ms = wall;
         self.reserve_warm_capacity();
-        self.describe_lending(now, wall);
+        self.describe_borrowing(now, wall);
         let next = &mut self.next_attempt;
         let out = sched::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
             *next += 1;
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -232,7 +232,7 @@
     rig.now += STEP_MS;
     rig.partition.maintain_loans(rig.now, rig.now);
     rig.partition.schedule(rig.now, rig.now);
-    assert!(rig.partition.cluster.lending.as_ref().unwrap().closed.is_some());
+    assert!(rig.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
     assert!(rig.partition.next_commit(rig.now, 32).is_none());
     rig.steps(6);
     // What had not been stopped is not lent, and the need is met by a loan of the successor's.
@@ -308,7 +308,7 @@
 fn without_borrowing_stops_are_ordered_at_once_and_nothing_is_recorded() {
     let mut rig = Rig::new();
     rig.partition.loans = None;
-    rig.partition.cluster.lending = None;
+    rig.partition.cluster.borrowing = None;
     rig.burst(4);
     assert!(rig.partition.next_commit(rig.now, 32).is_none());
     assert_eq!(stops(&rig.heartbeat()), 4);
--- a/src/partition/warm_pools/commits.rs
+++ b/src/partition/warm_pools/commits.rs
@@ -1,6 +1,6 @@
 //! The records of the pools: read at a failover, written with the partition's others.
 
-use super::PartitionPools;
+use super::PartitionWarmPools;
 use crate::model::{CachedImage, HostIndex};
 use crate::partition::Partition;
 use crate::wire::{self, Item};
@@ -111,7 +111,7 @@
     }
 }
 
-impl PartitionPools {
+impl PartitionWarmPools {
     /// The conditions and changes of a commit.
     pub(in crate::partition) fn encode(changes: &RecordChanges) -> Vec<(Value, Value)> {
         let encode = |write: &badgerdrift_warm_pools::RecordWrite| {
--- a/src/partition/warm_pools/mod.rs
+++ b/src/partition/warm_pools/mod.rs
@@ -13,13 +13,13 @@
 use badgerdrift_warm_pools::{Amounts, Moment, PoolSettings, PoolStatus, Slot, SlotState, WarmPools};
 
 /// The pools of a partition.
-pub(super) struct PartitionPools {
+pub(super) struct PartitionWarmPools {
     pools: WarmPools,
     /// The last time of day that was told.
     wall_ms: u64,
 }
 
-impl PartitionPools {
+impl PartitionWarmPools {
     /// A moment by the leader's clocks.
     fn moment(&self, now: u64) -> Moment {
         Moment { steady_ms: now, wall_ms: self.wall_ms }
@@ -30,7 +30,7 @@
     /// Switches the pools on; the settings were checked.
     pub fn enable_pools(&mut self, settings: PoolSettings, now: u64, wall: u64) {
         let pools = WarmPools::new(settings, Moment { steady_ms: now, wall_ms: wall });
-        self.pools = Some(PartitionPools { pools, wall_ms: wall });
+        self.pools = Some(PartitionWarmPools { pools, wall_ms: wall });
     }
 
     /// How the pools are; none if there are none.
--- a/src/partition/warm_pools/placement.rs
+++ b/src/partition/warm_pools/placement.rs
@@ -1,7 +1,7 @@
 //! Where new slots go, and machines for those that find no room.
 
 use super::rooms::hosts_of;
-use super::{PartitionPools, amounts, demand};
+use super::{PartitionWarmPools, amounts, demand};
 use crate::model::{Host, HostIndex, Shape, Spec, Urgency};
 use crate::partition::Partition;
 use crate::sched::Index;
@@ -88,7 +88,7 @@
 
     /// Would the payer's tasks and idle replicas keep to its limit with one more? And is no work
     /// waiting that would have the room at once: work beyond the payer's guarantee gives way.
-    fn payer_may_hold(&self, own: &PartitionPools, index: &Index, pool: &Pool) -> bool {
+    fn payer_may_hold(&self, own: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
         let mut total = index.usage.get(&pool.payer).copied().unwrap_or_default();
         let held = own.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
@@ -130,7 +130,7 @@
     }
 
     /// So many replicas as tasks, divided among the pool's zones.
-    fn replica_specs(&self, own: &PartitionPools, name: &str, pool: &Pool, count: usize) -> Vec<(Spec, usize)> {
+    fn replica_specs(&self, own: &PartitionWarmPools, name: &str, pool: &Pool, count: usize) -> Vec<(Spec, usize)> {
         let Some(model) = own.pools.settings().models.get(&pool.model) else { return Vec::new() };
         let zones: Vec<Option<String>> =
             if pool.zones.is_empty() { vec![None] } else { pool.zones.iter().cloned().map(Some).collect() };
--- a/src/partition/warm_pools/rooms.rs
+++ b/src/partition/warm_pools/rooms.rs
@@ -1,6 +1,6 @@
 //! What the scheduler is told of the pools, and what it decided about them.
 
-use super::{PartitionPools, demand};
+use super::{PartitionWarmPools, demand};
 use crate::model::{ClusterState, HostIndex, WarmReservation, WarmReservationClaim, WarmReservationOffer};
 use crate::partition::Partition;
 use crate::sched::CycleDecisions;
@@ -52,7 +52,7 @@
     }
 }
 
-impl PartitionPools {
+impl PartitionWarmPools {
     fn warm_reservation(&self, slot: &Slot, host: HostIndex, recordable: bool) -> WarmReservation {
         let offer = (recordable && slot.is_claimable()).then(|| self.offer(slot)).flatten();
         WarmReservation {
@@ -80,7 +80,7 @@
 }
 
 /// The hosts on which a pool's slots hold room, one entry a slot.
-pub(super) fn hosts_of<'a>(cluster: &'a ClusterState, own: &'a PartitionPools, pool: &'a str) -> Vec<HostIndex> {
+pub(super) fn hosts_of<'a>(cluster: &'a ClusterState, own: &'a PartitionWarmPools, pool: &'a str) -> Vec<HostIndex> {
     let slots = own.pools.slots().filter(|slot| slot.pool == pool && slot.is_available());
     slots.filter_map(|slot| cluster.host_index.get(&slot.host).copied()).collect()
 }
--- a/src/partition_leader/loans.rs
+++ b/src/partition_leader/borrowing.rs
@@ -2,8 +2,8 @@
 
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
+use crate::borrowing::LoansResponse;
 use crate::clock;
-use crate::loans::LoansResponse;
 
 impl PartitionLeader {
     /// Looks after the loans, if there is borrowing.
--- a/src/partition_leader/context.rs
+++ b/src/partition_leader/context.rs
@@ -1,9 +1,9 @@
 //! What the actor of a partition works with.
 
 use super::messages::{BackgroundSender, Message};
+use crate::borrowing::LoansResponse;
 use crate::clients::{Cloud, State, Worker};
 use crate::config::{Operator, Settings};
-use crate::loans::LoansResponse;
 use crate::membership::{self, LeaderLease, PledgeStatus};
 use crate::router::Router;
 use crate::warm_pools::PoolsResponse;
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -1,9 +1,9 @@
 //! Messages to the actor of a partition, and its answers.
 
 use super::stored_records::{ExternalRecords, Loaded};
+use crate::borrowing::LoansResponse;
 use crate::clients::RentResult;
 use crate::configuration::Obeyed;
-use crate::loans::LoansResponse;
 use crate::membership::RaisedToken;
 use crate::model::{HostRecord, InstanceType};
 use crate::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
--- a/src/partition_leader/mod.rs
+++ b/src/partition_leader/mod.rs
@@ -3,6 +3,7 @@
 
 mod actor;
 mod answers;
+mod borrowing;
 mod cloud_tasks;
 mod commits;
 mod configuration;
@@ -12,11 +13,10 @@
 mod followed;
 mod leadership;
 mod load;
-mod loans;
 mod messages;
-mod pools;
 mod rounds;
 mod stored_records;
+mod warm_pools;
 
 pub use context::PartitionLeader;
 pub use messages::{BackgroundEvent, HeartbeatReply, Message};
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,10 +1,10 @@
 //! What controllers say to each other: CBOR messages in frames of a length and
 //! a body, requests and replies matched by number.
 
+use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::clock;
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse};
 use crate::frame_format::{FrameFormat, PeerFormat};
-use crate::loans::{LoansRequest, LoansResponse};
 use crate::net::{Listener, Net};
 use crate::peer_health::{HealthLimits, SharedPeerHealth};
 use crate::refusal::RefusalReason;
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,12 +1,12 @@
 //! The ways to the leaders of the partitions: the actors on this node, or the other
 //! controllers.
 
+use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::clients::State;
 use crate::clock;
 use crate::configuration::ConfigurationHandle;
 use crate::frame_format::FrameFormat;
 use crate::http::Response;
-use crate::loans::{LoansRequest, LoansResponse};
 use crate::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
 use crate::partition::UserAnswer;
 use crate::partition_leader;
--- a/src/sched/cycle/lending.rs
+++ b/src/sched/cycle/borrowing.rs
@@ -4,7 +4,7 @@
 use super::SchedulingCycle;
 use super::planned_stops::{PlannedStops, stopped_together};
 use super::team_table::{TeamEntry, TeamTable};
-use crate::model::{Demand, HostIndex, JobIndex, LendingState, Shape, Spec, TaskAttempt, Urgency};
+use crate::model::{BorrowingState, Demand, HostIndex, JobIndex, Shape, Spec, TaskAttempt, Urgency};
 use badgerdrift_borrowing::{Amounts, LoanKind, Refusal, StoppedWork};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 
 /// What a scheduling cycle looks up and has decided about loans.
 #[derive(Debug, Default)]
-pub(super) struct LendingDecisions {
+pub(super) struct BorrowingDecisions {
     pub(super) teams: TeamTable,
     permits: RefCell<Permits>,
     guarantee: Cell<Option<GuaranteeCheck>>,
@@ -54,9 +54,9 @@
     refusals: BTreeMap<JobIndex, Refusal>,
 }
 
-impl LendingDecisions {
-    pub(super) fn new(teams: TeamTable) -> LendingDecisions {
-        LendingDecisions { teams, ..LendingDecisions::default() }
+impl BorrowingDecisions {
+    pub(super) fn new(teams: TeamTable) -> BorrowingDecisions {
+        BorrowingDecisions { teams, ..BorrowingDecisions::default() }
     }
 
     /// Why work of others was not stopped for this job, if it was not.
@@ -107,15 +107,15 @@
         attempt: &TaskAttempt,
         planned: &PlannedStops,
     ) -> Result<StopCause, Refusal> {
-        let Some(lending) = &self.cluster.lending else { return Ok(StopCause::Preemption) };
+        let Some(borrowing) = &self.cluster.borrowing else { return Ok(StopCause::Preemption) };
         if self.same_team(job_index, attempt.key.job) {
             Ok(StopCause::Preemption)
         } else if self.reclaims(job_index, attempt, planned) {
             Ok(StopCause::Reclaim)
         } else {
-            let kind = self.loan_kind(lending, job_index, attempt.key.job, planned);
+            let kind = self.loan_kind(borrowing, job_index, attempt.key.job, planned);
             if let Err(refusal) = kind {
-                self.lending.refused.set(Some((job_index, refusal)));
+                self.borrowing.refused.set(Some((job_index, refusal)));
             }
             kind.map(StopCause::Loan)
         }
@@ -124,20 +124,20 @@
     /// May the attempt move for a job of another team? It counts for its team no more until it
     /// runs again.
     pub(super) fn may_move(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
-        self.cluster.lending.is_none()
+        self.cluster.borrowing.is_none()
             || self.same_team(job_index, attempt.key.job)
             || self.keeps_floor(attempt.key.job, planned)
     }
 
     /// Are both jobs of one team? Asked only with loans between teams.
     fn same_team(&self, job: JobIndex, other: JobIndex) -> bool {
-        self.lending.teams.team_of(job) == self.lending.teams.team_of(other)
+        self.borrowing.teams.team_of(job) == self.borrowing.teams.team_of(other)
     }
 
     /// What the team of a job will have less once a task of it is stopped too, beside all that is
     /// planned.
     fn taken_with(&self, victim: JobIndex, planned: &PlannedStops) -> Amounts {
-        let team = self.lending.teams.of(victim);
+        let team = self.borrowing.teams.of(victim);
         let mut taken = planned.taken_from(self.cluster, &team.name);
         if !planned.stops_whole(self.cluster, victim) {
             taken.add(&stopped_together(self.cluster, victim));
@@ -149,18 +149,18 @@
     /// its gang, and all that is planned?
     fn keeps_floor(&self, victim: JobIndex, planned: &PlannedStops) -> bool {
         planned.stops_whole(self.cluster, victim)
-            || self.lending.teams.of(victim).share.keeps_floor_without(self.taken_with(victim, planned))
+            || self.borrowing.teams.of(victim).share.keeps_floor_without(self.taken_with(victim, planned))
     }
 
     /// What kind of loan a stop would be.
     fn loan_kind(
         &self,
-        lending: &LendingState,
+        borrowing: &BorrowingState,
         job_index: JobIndex,
         victim: JobIndex,
         planned: &PlannedStops,
     ) -> Result<LoanKind, Refusal> {
-        if let Some(refusal) = lending.closed {
+        if let Some(refusal) = borrowing.closed {
             return Err(refusal);
         }
         if !self.keeps_floor(victim, planned) {
@@ -169,41 +169,41 @@
         if self.starts_within_guarantee(job_index) {
             return Ok(LoanKind::Guaranteed);
         }
-        self.permitted(lending, job_index, victim)?;
-        let lender = self.lending.teams.of(victim);
+        self.permitted(borrowing, job_index, victim)?;
+        let lender = self.borrowing.teams.of(victim);
         let lent = lender.lent.plus(self.taken_with(victim, planned));
         let within_most = Amounts::new(f64::INFINITY, lender.most_gpus).covers(lent);
         if within_most { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
     }
 
     /// Do the settings let the one job's work give way to the other's?
-    fn permitted(&self, lending: &LendingState, job_index: JobIndex, victim: JobIndex) -> Result<(), Refusal> {
-        let mut permits = self.lending.permits.borrow_mut();
+    fn permitted(&self, borrowing: &BorrowingState, job_index: JobIndex, victim: JobIndex) -> Result<(), Refusal> {
+        let mut permits = self.borrowing.permits.borrow_mut();
         if permits.job != Some(job_index) {
             permits.job = Some(job_index);
             permits.by_team.clear();
-            permits.by_team.resize(self.lending.teams.len(), [None; Urgency::COUNT]);
+            permits.by_team.resize(self.borrowing.teams.len(), [None; Urgency::COUNT]);
         }
         let (job, gives) = (&self.cluster.jobs[job_index], self.cluster.jobs[victim].urgency);
-        let known = &mut permits.by_team[self.lending.teams.team_of(victim)][gives as usize];
+        let known = &mut permits.by_team[self.borrowing.teams.team_of(victim)][gives as usize];
         *known.get_or_insert_with(|| {
-            let lender = &self.lending.teams.of(victim).name;
-            lending.settings.permits(lender, gives.into(), &job.spec.team, job.urgency.into())
+            let lender = &self.borrowing.teams.of(victim).name;
+            borrowing.settings.permits(lender, gives.into(), &job.spec.team, job.urgency.into())
         })
     }
 
     /// Is the next start of the job, or all of a gang, within its team's guarantee, beside what runs
     /// and what room is held for?
     fn starts_within_guarantee(&self, job_index: JobIndex) -> bool {
-        let changes = self.lending.changes.get();
-        let known = self.lending.guarantee.get().filter(|known| known.job == job_index && known.changes == changes);
+        let changes = self.borrowing.changes.get();
+        let known = self.borrowing.guarantee.get().filter(|known| known.job == job_index && known.changes == changes);
         if let Some(known) = known {
             return known.within;
         }
         let spec = &self.cluster.jobs[job_index].spec;
         let together = if spec.shape == Shape::Gang { spec.tasks as usize } else { 1 };
         let within = self.tasks_within_guarantee(spec, together) == together;
-        self.lending.guarantee.set(Some(GuaranteeCheck { job: job_index, changes, within }));
+        self.borrowing.guarantee.set(Some(GuaranteeCheck { job: job_index, changes, within }));
         within
     }
 
@@ -211,7 +211,7 @@
     /// Then what it has borrowed, from whomever, may be stopped whatever the urgencies, while it
     /// stays beyond its guarantee, and one replica of a service at a time.
     fn reclaims(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
-        let teams = &self.lending.teams;
+        let teams = &self.borrowing.teams;
         let lender = teams.of(job_index);
         let victim = attempt.key.job;
         if !lender.debtors.contains(&teams.team_of(victim)) || !lacks(lender, &self.cluster.jobs[job_index].spec) {
@@ -229,10 +229,10 @@
 
     /// Could work of other teams be stopped for the job whatever the urgencies, as they owe it room?
     pub(super) fn may_reclaim(&self, job_index: JobIndex) -> bool {
-        if self.cluster.lending.is_none() {
+        if self.cluster.borrowing.is_none() {
             return false;
         }
-        let lender = self.lending.teams.of(job_index);
+        let lender = self.borrowing.teams.of(job_index);
         !lender.debtors.is_empty() && lacks(lender, &self.cluster.jobs[job_index].spec)
     }
 
@@ -248,10 +248,10 @@
     /// How much a team lacks to its floor, in whole accelerators, or CPUs where it lacks none of
     /// those: of several lenders the one that lacks most comes first.
     pub(super) fn shortfall_rank(&self, job_index: JobIndex) -> u64 {
-        if self.cluster.lending.is_none() {
+        if self.cluster.borrowing.is_none() {
             return 0;
         }
-        let team = self.lending.teams.of(job_index);
+        let team = self.borrowing.teams.of(job_index);
         if team.lent.is_nothing() {
             return 0;
         }
@@ -262,13 +262,13 @@
 
     /// How many tasks of the job are placed first, as their room is being returned.
     pub(super) fn returning_tasks(&self, job_index: JobIndex) -> u32 {
-        let lending = self.cluster.lending.as_ref();
-        lending.and_then(|lending| lending.returning.get(&job_index)).copied().unwrap_or(0)
+        let borrowing = self.cluster.borrowing.as_ref();
+        borrowing.and_then(|borrowing| borrowing.returning.get(&job_index)).copied().unwrap_or(0)
     }
 
     /// Did the job give way lately?
     pub(super) fn is_quiet(&self, job_index: JobIndex) -> bool {
-        self.cluster.lending.as_ref().is_some_and(|lending| lending.quiet.contains(&job_index))
+        self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
     }
 
     /// Seconds of work that are lost if the attempt is stopped.
--- a/src/sched/cycle/candidates.rs
+++ b/src/sched/cycle/candidates.rs
@@ -22,7 +22,7 @@
         self.hosts_examined.set(self.hosts_examined.get() + self.index.slots.len() as u64);
         let hosts = (0..self.index.slots.len()).filter(|host| self.has_room(request, *host));
         let found: Vec<_> = hosts.map(|host| Candidate { cost: self.cost(request, host), host }).collect();
-        let may_hold_for_others = self.cluster.lending.as_ref().is_some_and(|lending| lending.reserves_for_teams);
+        let may_hold_for_others = self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.reserves_for_teams);
         if may_hold_for_others {
             return found;
         }
--- a/src/sched/cycle/displacement.rs
+++ b/src/sched/cycle/displacement.rs
@@ -1,9 +1,9 @@
 //! What has to leave a machine to make room there: what is moved, what is stopped, and what
 //! that costs.
 
+use super::borrowing::StopCause;
 use super::candidates::Candidate;
 use super::cost::MOVE_COST;
-use super::lending::StopCause;
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
 use super::request::PlacementRequest;
@@ -78,7 +78,7 @@
         let stops_others = |departure: &Departure| {
             departure.destination.is_none() && team(departure.attempt.key.job) != team(job_index)
         };
-        self.cluster.lending.is_some() && vacancy.departures.iter().any(stops_others)
+        self.cluster.borrowing.is_some() && vacancy.departures.iter().any(stops_others)
     }
 
     /// A machine with free room and the image for a running replica, so that
@@ -183,7 +183,7 @@
         let mut planned = displacement.planned.clone();
         let urgency = |c: &TaskAttempt| self.cluster.jobs[c.key.job].urgency;
         victims.sort_by_key(|v| (urgency(v.attempt), !self.restart_in_time(v.attempt), Reverse(v.attempt.since_ms)));
-        if self.cluster.lending.is_some() {
+        if self.cluster.borrowing.is_some() {
             self.sort_by_loss(&mut victims, host_index);
         }
         let mut departures = Vec::new();
@@ -199,7 +199,7 @@
             if let Some(host) = destination {
                 planned.promise(host, attempt.demand);
                 cost += MOVE_COST;
-                if self.cluster.lending.is_some() {
+                if self.cluster.borrowing.is_some() {
                     planned.add(self.cluster, attempt.key.job);
                 }
             } else if evict {
@@ -225,7 +225,7 @@
     /// `cost` with that of stopping an attempt for a job.
     fn add_stop_cost(&self, job: JobIndex, cost: f64, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let other_team = self.cluster.jobs[attempt.key.job].spec.team != self.cluster.jobs[job].spec.team;
-        if self.cluster.lending.is_some() && other_team {
+        if self.cluster.borrowing.is_some() && other_team {
             return cost + STOPPED_TASK + self.loan_cost(attempt, host_index);
         }
         let victim = &self.cluster.jobs[attempt.key.job].spec;
@@ -310,6 +310,6 @@
             }
         }
         let each = self.cluster.jobs[key.job].spec.demand;
-        self.lending.stopped(key.job, each, stopped, cause);
+        self.borrowing.stopped(key.job, each, stopped, cause);
     }
 }
--- a/src/sched/cycle/ending.rs
+++ b/src/sched/cycle/ending.rs
@@ -20,7 +20,7 @@
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let enough_time = match (request.guarantee_s, self.policy.guarantee_s) {
             (Some(left_s), Some(within_s)) => left_s >= within_s / 2.0,
-            _ => self.cluster.lending.is_some() && request.wait_s.is_some_and(|left_s| left_s >= 2.0 * react_s),
+            _ => self.cluster.borrowing.is_some() && request.wait_s.is_some_and(|left_s| left_s >= 2.0 * react_s),
         };
         if !enough_time {
             return 0;
--- a/src/sched/cycle/mod.rs
+++ b/src/sched/cycle/mod.rs
@@ -1,11 +1,11 @@
 //! The scheduling cycle over the bins: placement and gangs; `room` makes room.
 
+mod borrowing;
 mod candidates;
 mod cost;
 mod displacement;
 mod ending;
 mod gang;
-mod lending;
 mod limits;
 mod planned_stops;
 mod preemption;
@@ -21,9 +21,9 @@
 use super::index::{Index, TaskRequirements};
 use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, Shape, TaskKey, Urgency, WarmReservationClaim};
 use badgerdrift_borrowing::Refusal;
+use borrowing::BorrowingDecisions;
+pub use borrowing::StopCause;
 use ending::EndingTasks;
-use lending::LendingDecisions;
-pub use lending::StopCause;
 use queue::{QueuedJob, Turn};
 use request::PlacementRequest;
 use room::BlockedRequirements;
@@ -113,7 +113,7 @@
     ending: Option<Vec<EndingTasks>>,
     hosts_examined: Cell<u64>,
     /// Loans between teams.
-    lending: LendingDecisions,
+    borrowing: BorrowingDecisions,
     out: CycleDecisions,
 }
 
@@ -159,7 +159,7 @@
     let index = Index::new(cluster, now);
     let unseen = cluster.unseen();
     let attempts_before = cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
-    let lending = LendingDecisions::new(TeamTable::new(cluster, policy, &index));
+    let borrowing = BorrowingDecisions::new(TeamTable::new(cluster, policy, &index));
     let mut p = SchedulingCycle {
         attempts_before,
         scarce_classes: scarce_classes(cluster, &index),
@@ -173,11 +173,11 @@
         unseen,
         ending: None,
         hosts_examined: Cell::new(0),
-        lending,
+        borrowing,
         out: CycleDecisions::default(),
     };
     p.place_all(least, &mut attempt);
-    p.lending.keep_refusal();
+    p.borrowing.keep_refusal();
     if !p.out.pending_jobs.is_empty() {
         p.cluster.waited_ms = now;
     }
@@ -187,7 +187,7 @@
     };
     p.cluster.accelerators_short = p.out.pending_jobs.iter().any(waits);
     p.out.hosts_examined = p.hosts_examined.get();
-    let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: p.lending.refusal(*job)? });
+    let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: p.borrowing.refusal(*job)? });
     p.out.refused_loans = p.out.pending_jobs.iter().filter_map(refused).collect();
     (p.out, p.index)
 }
@@ -206,7 +206,7 @@
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
         for QueuedJob { job_index, turn } in self.queue(least) {
-            self.lending.keep_refusal();
+            self.borrowing.keep_refusal();
             let request = PlacementRequest { turn, ..self.request(job_index) };
             if self.place(&request, attempt)
                 || (self.yield_warm_reservations(&request) && self.place(&request, attempt))
--- a/src/sched/cycle/preemption.rs
+++ b/src/sched/cycle/preemption.rs
@@ -1,8 +1,8 @@
 //! Which work may be stopped for other work.
 
 use super::SchedulingCycle;
+use super::borrowing::StopCause;
 use super::cost::late;
-use super::lending::StopCause;
 use super::planned_stops::PlannedStops;
 use super::request::PlacementRequest;
 use crate::model::{HostIndex, JobIndex, Shape, TaskAttempt, Urgency};
--- a/src/sched/cycle/reservations.rs
+++ b/src/sched/cycle/reservations.rs
@@ -12,7 +12,7 @@
 impl SchedulingCycle<'_> {
     /// Holds room on a machine.
     pub(super) fn claim(&mut self, host_index: HostIndex, claim: Reservation) {
-        self.lending.note_change();
+        self.borrowing.note_change();
         if let Some(h) = self.cluster.host_mut(host_index) {
             let before = h.reservations.clone();
             h.reservations.push(claim);
@@ -25,7 +25,7 @@
         if self.index.reservations_of(job_index) == 0 {
             return;
         }
-        self.lending.note_change();
+        self.borrowing.note_change();
         for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
             let Some(h) = h.as_mut().filter(|h| h.reservations.iter().any(|c| c.job == job_index)) else { continue };
             let before = h.reservations.clone();
@@ -41,7 +41,7 @@
         if self.index.reservations_of(request.job_index) == 0 {
             return 0;
         }
-        self.lending.note_change();
+        self.borrowing.note_change();
         let mut of_use = 0;
         for host_index in 0..self.index.slots.len() {
             if self.index.slots[host_index].reservations == 0 {
--- a/src/sched/cycle/room.rs
+++ b/src/sched/cycle/room.rs
@@ -39,7 +39,7 @@
         let mut counts = self.index.counts(request.job_index);
         let waiting = self.waiting_tasks(request);
         let mut left = waiting.saturating_sub(self.claims_of_use(request, &mut counts));
-        if self.cluster.lending.is_some() {
+        if self.cluster.borrowing.is_some() {
             left = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, left);
             left -= self.tasks_with_ending_room(request, left);
         }
--- a/src/sched/cycle/tasks.rs
+++ b/src/sched/cycle/tasks.rs
@@ -16,7 +16,7 @@
         task.located = true;
         job.soon_until_ms = 0;
         self.index.start(&job.spec, key.job, host);
-        self.lending.started(key.job, job.spec.demand);
+        self.borrowing.started(key.job, job.spec.demand);
         let (image, gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
         let held = self.cluster.host(host).and_then(|h| {
--- a/src/sched/cycle/team_table.rs
+++ b/src/sched/cycle/team_table.rs
@@ -1,7 +1,7 @@
 //! What a scheduling cycle looks up of teams for each attempt that might be stopped: numbers in place of names,
 //! counted once and kept up to date.
 
-use crate::model::{ClusterState, JobIndex, LendingState};
+use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::sched::Policy;
 use crate::sched::index::Index;
 use badgerdrift_borrowing::{Amounts, TeamShare};
@@ -35,19 +35,19 @@
 impl TeamTable {
     /// Counts what teams use and owe; empty without loans between teams.
     pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
-        let Some(lending) = &cluster.lending else { return TeamTable::default() };
+        let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
         let mut numbers: HashMap<&str, TeamIndex> = HashMap::new();
         let mut teams = Vec::new();
         let names = cluster.jobs.iter().map(|job| job.spec.team.as_str());
         let of_job = names
             .map(|name| {
                 *numbers.entry(name).or_insert_with(|| {
-                    teams.push(entry(name, lending, policy, index));
+                    teams.push(entry(name, borrowing, policy, index));
                     teams.len() - 1
                 })
             })
             .collect();
-        for ((lender, borrower), owed) in &lending.owed {
+        for ((lender, borrower), owed) in &borrowing.owed {
             let (Some(lender), Some(borrower)) = (numbers.get(lender.as_str()), numbers.get(borrower.as_str())) else {
                 continue;
             };
@@ -81,15 +81,15 @@
     }
 }
 
-fn entry(name: &str, lending: &LendingState, policy: &Policy, index: &Index) -> TeamEntry {
+fn entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
     let of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
     let guarantee = policy.teams.get(name).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default();
     let in_use = index.staying.get(name).copied().map(Amounts::from).unwrap_or_default();
     TeamEntry {
         name: name.to_string(),
-        share: TeamShare { guarantee, runnable: of(&lending.runnable), in_use },
-        lent: of(&lending.lent),
-        most_gpus: lending.settings.most_gpus(name, guarantee),
+        share: TeamShare { guarantee, runnable: of(&borrowing.runnable), in_use },
+        lent: of(&borrowing.lent),
+        most_gpus: borrowing.settings.most_gpus(name, guarantee),
         borrowed: Amounts::default(),
         debtors: Vec::new(),
     }
--- a/src/sched/tests/lending.rs
+++ b/src/sched/tests/borrowing.rs
@@ -125,7 +125,7 @@
 
     fn schedule(&mut self, now: u64) -> CycleDecisions {
         let runnable = TEAMS.map(|team| (team.to_string(), Amounts::new(0.0, self.wanted(team))));
-        self.cluster.lending = Some(crate::model::LendingState {
+        self.cluster.borrowing = Some(crate::model::BorrowingState {
             settings: self.settings.clone(),
             closed: None,
             runnable: runnable.into(),
--- a/src/sched/tests/mod.rs
+++ b/src/sched/tests/mod.rs
@@ -1,8 +1,8 @@
 //! Tests of decisions, and jobs and machines for them.
 
+mod borrowing;
 mod faulty_machines;
 mod guarantees;
-mod lending;
 mod ordering;
 mod planning;
 mod preemption;
