--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -80,7 +80,7 @@
 
 /// The loans of one job, with their record.
 #[derive(Debug, Clone)]
-struct Book {
+struct LoanLedger {
     lender: String,
     entries: Vec<Entry>,
     /// Version of the record; 0 if there is none.
@@ -98,7 +98,7 @@
 pub struct Loans {
     settings: BorrowingSettings,
     /// By the id of the job that lends.
-    books: BTreeMap<String, Book>,
+    books: BTreeMap<String, LoanLedger>,
     transitions: Vec<LoanTransition>,
 }
 
@@ -128,7 +128,7 @@
             state: LoanState::Proposed,
         };
         let lender = proposal.lender;
-        let book = self.books.entry(proposal.lending_job.clone()).or_insert_with(|| Book {
+        let book = self.books.entry(proposal.lending_job.clone()).or_insert_with(|| LoanLedger {
             lender,
             entries: Vec::new(),
             version: 0,
@@ -254,7 +254,7 @@
     }
 
     /// The record of a job's loans as it should be.
-    fn record(book: &Book) -> JobLoans {
+    fn record(book: &LoanLedger) -> JobLoans {
         let loans = book.entries.iter().map(|entry| {
             // Once the record is written the loan is open.
             let state = match entry.loan.state {
--- a/crates/borrowing/src/loans/records.rs
+++ b/crates/borrowing/src/loans/records.rs
@@ -4,7 +4,7 @@
 //! record is read again, and written anew under the version found, so that one of both fails. Until
 //! then nothing is stopped for the loans in it.
 
-use super::{Book, Entry, Loans};
+use super::{Entry, LoanLedger, Loans};
 use crate::loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
 use crate::loan_key;
 
@@ -39,8 +39,8 @@
     /// The records that go into the next commit, at most so many; those of new loans first.
     pub fn next_writes(&mut self, most: usize, wall_ms: u64) -> Vec<RecordWrite> {
         self.forget_old_loans(wall_ms);
-        let due = |book: &Book| book.dirty && !book.in_flight && !book.indeterminate;
-        let is_new = |book: &Book| book.entries.iter().any(|entry| entry.loan.state == LoanState::Proposed);
+        let due = |book: &LoanLedger| book.dirty && !book.in_flight && !book.indeterminate;
+        let is_new = |book: &LoanLedger| book.entries.iter().any(|entry| entry.loan.state == LoanState::Proposed);
         let mut jobs: Vec<(bool, String)> =
             self.books.iter().filter(|(_, book)| due(book)).map(|(job, book)| (!is_new(book), job.clone())).collect();
         jobs.sort_unstable();
--- a/crates/borrowing/src/loans/restore.rs
+++ b/crates/borrowing/src/loans/restore.rs
@@ -1,6 +1,6 @@
 //! Loans after a takeover: read from their records, then settled by what the machines report.
 
-use super::{Book, Entry, LendingJob, Loans};
+use super::{Entry, LendingJob, LoanLedger, Loans};
 use crate::loan::{EndCause, JobLoans, LoanKind, LoanState};
 
 impl Loans {
@@ -17,7 +17,7 @@
                 };
                 Entry { loan, sent: false, told: true, unneeded_since_ms: None }
             });
-            let book = Book {
+            let book = LoanLedger {
                 lender: record.lender,
                 entries: entries.collect(),
                 version,
--- a/crates/fleet-config/src/allowance.rs
+++ b/crates/fleet-config/src/allowance.rs
@@ -36,7 +36,7 @@
 
 /// What a region has of a team's limit now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Standing {
+struct RegionAllowance {
     /// What it is counted with: at least what it may let the team use in any version that it
     /// may still obey.
     counted: Amounts,
@@ -63,7 +63,7 @@
         version: u64,
     ) -> TeamAllowance {
         let standings = self.standings(team, confirmations);
-        let held = |(region, standing): (&RegionName, &Standing)| {
+        let held = |(region, standing): (&RegionName, &RegionAllowance)| {
             let kept = standing.entitled.zip(share_limit(next, region), Amount::min);
             (region.clone(), Held { before: standing.counted, kept })
         };
@@ -74,13 +74,13 @@
     /// leaves of the limit is given to regions that lack a part of their shares, in the order of
     /// their names, and counted on top until they have confirmed. As confirmations only become
     /// later, what a region was given stays.
-    fn standings(&self, team: &TeamDocument, confirmations: &Confirmations) -> BTreeMap<RegionName, Standing> {
-        let mut standings: BTreeMap<RegionName, Standing> = BTreeMap::new();
+    fn standings(&self, team: &TeamDocument, confirmations: &Confirmations) -> BTreeMap<RegionName, RegionAllowance> {
+        let mut standings: BTreeMap<RegionName, RegionAllowance> = BTreeMap::new();
         for region in team.shares.keys().chain(self.held.keys()) {
             let held = self.held.get(region).copied().unwrap_or_default();
             let confirmed = confirmations.get(region).is_some_and(|version| *version >= self.changed_at);
             let counted = if confirmed { held.kept } else { held.before };
-            standings.insert(region.clone(), Standing { counted, entitled: held.kept });
+            standings.insert(region.clone(), RegionAllowance { counted, entitled: held.kept });
         }
         let sum = Amounts::sum(standings.values().map(|standing| standing.counted));
         let mut free = team.limit.zip(sum, Amount::less);
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -13,7 +13,7 @@
 use crate::workload::{self, leak};
 use badgerdrift::http::Client;
 use badgerdrift_stand_ins::ground::SimulationContext;
-use badgerdrift_stand_ins::net::Fabric;
+use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::Limits;
 use badgerdrift_stand_ins::world::{Flavor, Parameters, SimulationState, TeamLimit};
 use badgerdrift_stand_ins::{cloud, state_service};
@@ -123,7 +123,7 @@
     let workers = SimulationContext {
         seed,
         w: Arc::new(std::sync::Mutex::new(world)),
-        fabric: Fabric::new(seed),
+        fabric: SimulatedNetwork::new(seed),
         user: Client::on(&user_network, USER_CONNECTIONS),
         doors: (0..count).map(|number| plan.networks().controller(number)).collect(),
         real_network: Some(counting(traffic.workers.clone())),
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -1,7 +1,7 @@
 //! What every part of a simulated day works with.
 
 use super::deployment::PATIENCE;
-use super::net::Fabric;
+use super::net::SimulatedNetwork;
 use super::world::Shared;
 use badgerdrift::http::{self, Client, Request, Response};
 use badgerdrift::net::Net;
@@ -14,7 +14,7 @@
 pub struct SimulationContext {
     pub seed: u64,
     pub w: Shared,
-    pub fabric: Fabric,
+    pub fabric: SimulatedNetwork,
     pub user: Client,
     /// Where the controllers serve users and workers.
     pub doors: Arc<[SocketAddr]>,
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -30,7 +30,7 @@
 use badgerdrift::node::Subsystems;
 use badgerdrift::{clock, node, task};
 use deployment::PORT;
-use net::{Cut, Fabric};
+use net::{Cut, SimulatedNetwork};
 use pause::Pause;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -100,7 +100,7 @@
 impl Sim {
     pub fn new(seed: u64, setup: Setup) -> Sim {
         clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
-        let fabric = Fabric::new(seed ^ 0x5eed);
+        let fabric = SimulatedNetwork::new(seed ^ 0x5eed);
         let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
         let user = Client::on(&fabric.process(deployment::users()).0, 16);
         w.lock().unwrap().store.limits = Some(PRESENT_LIMITS);
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -55,15 +55,15 @@
 
 /// The whole network.
 #[derive(Clone)]
-pub struct Fabric(Shared<Inner>);
+pub struct SimulatedNetwork(Shared<Inner>);
 
 fn pair(a: IpAddr, b: IpAddr) -> (IpAddr, IpAddr) {
     (a.min(b), a.max(b))
 }
 
-impl Fabric {
-    pub fn new(seed: u64) -> Fabric {
-        Fabric(Arc::new(Mutex::new(Inner {
+impl SimulatedNetwork {
+    pub fn new(seed: u64) -> SimulatedNetwork {
+        SimulatedNetwork(Arc::new(Mutex::new(Inner {
             rng: StdRng::seed_from_u64(seed),
             cuts: HashMap::new(),
             links: Vec::new(),
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -1,7 +1,7 @@
 //! A process on the network: what it opens and what it accepts.
 
 use super::streams::{MemRead, MemStream, MemWrite, Pipe};
-use super::{Bound, Cut, Fabric, Link, Shared, pair};
+use super::{Bound, Cut, Link, Shared, SimulatedNetwork, pair};
 use crate::versions::INTERNAL_PORT;
 use badgerdrift::net::{BoxFuture, Listener, Network, Stream};
 use rand::RngExt;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 pub(super) struct Process {
-    pub(super) fabric: Fabric,
+    pub(super) fabric: SimulatedNetwork,
     pub(super) host: IpAddr,
     pub(super) life: u64,
 }
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -1,6 +1,6 @@
 //! The two directions of a connection, and its ends.
 
-use super::{Fabric, Shared};
+use super::{Shared, SimulatedNetwork};
 use crate::versions::production_frames;
 use badgerdrift::net::{ReadHalf, Stream, WriteHalf};
 use rand::RngExt;
@@ -49,7 +49,7 @@
 
 pub(super) struct MemWrite {
     pub(super) pipe: Shared<Pipe>,
-    pub(super) fabric: Fabric,
+    pub(super) fabric: SimulatedNetwork,
     pub(super) life: u64,
     /// What is written are frames, which are put into the form of the version in production.
     pub(super) in_production_form: bool,
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -109,7 +109,7 @@
             .await
             .filter(|instance_types| !instance_types.is_empty())?;
         let (policy, up_to_date) = self.current_policy();
-        if let Some(why) = sched::impossible(spec, &policy, &instance_types) {
+        if let Some(why) = sched::unschedulable_reason(spec, &policy, &instance_types) {
             return Some(match why.is_for_now(up_to_date) {
                 true => RefusalReason::ConfigurationBehind.response(),
                 false => Response::error(422, &why.to_string()),
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -6,7 +6,7 @@
 use crate::http::{Client, SMALL_IDLE_POOL};
 use crate::model::InstanceType;
 use crate::net::Net;
-use crate::wire::{self, Listed};
+use crate::wire::{self, ListedInstance};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -86,8 +86,8 @@
     }
 
     /// All machines, page by page; `None` if a page had no usable answer.
-    pub async fn list(&self) -> Option<Vec<Listed>> {
-        let mut out: Vec<Listed> = Vec::new();
+    pub async fn list(&self) -> Option<Vec<ListedInstance>> {
+        let mut out: Vec<ListedInstance> = Vec::new();
         loop {
             let after = out.last().map_or("", |h| h.id.as_str());
             let (status, body) = self.call("GET", &wire::list_path(after), None).await.ok()?;
--- a/src/config_command.rs
+++ b/src/config_command.rs
@@ -179,7 +179,7 @@
         RegionCondition::UnreachableSince { seconds: Some(seconds) } => format!("unreachable since {seconds} s"),
         RegionCondition::UnreachableSince { seconds: None } => "never heard".to_string(),
     };
-    format!("{} applied {} obeyed {} {condition}\n", status.region, status.version, status.obeyed)
+    format!("{} applied {} obeyed {} {condition}\n", status.region, status.version, status.applied_configuration)
 }
 
 fn outcome_text(id: &str, outcome: Option<&ChangeOutcome>) -> Result<String, CommandError> {
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -7,7 +7,7 @@
     ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable,
 };
 use super::proposals::{Proposals, Proposed};
-use super::records::{self, Obeyed, StoredRecord};
+use super::records::{self, AppliedConfiguration, StoredRecord};
 use super::regions::Regions;
 use super::settings::FleetSettings;
 use crate::clients::{State, TokenBucket};
@@ -31,7 +31,7 @@
 const HEARD_EXCHANGES: u64 = 5;
 
 /// What was last heard of another region.
-pub(super) struct Heard {
+pub(super) struct LastContact {
     pub(super) digest: Digest,
     at_ms: u64,
 }
@@ -44,11 +44,11 @@
     pub(super) state: State,
     pub(super) stored: Option<StoredRecord>,
     all_capable: bool,
-    pub(super) heard: BTreeMap<RegionName, Heard>,
+    pub(super) heard: BTreeMap<RegionName, LastContact>,
     heard_for_ms: u64,
-    pub(super) obeyed: Obeyed,
+    pub(super) applied_configuration: AppliedConfiguration,
     /// What the leader on this node has recorded, if it is on this node.
-    recorded_here: Obeyed,
+    recorded_here: AppliedConfiguration,
     /// A confirmation is not asked for again before then.
     confirm_after_ms: u64,
     pub(super) writes: TokenBucket,
@@ -89,8 +89,8 @@
         all_capable: peers.is_empty(),
         heard: BTreeMap::new(),
         heard_for_ms: HEARD_EXCHANGES * settings.react_ms(),
-        obeyed: Obeyed::default(),
-        recorded_here: Obeyed::default(),
+        applied_configuration: AppliedConfiguration::default(),
+        recorded_here: AppliedConfiguration::default(),
         confirm_after_ms: 0,
         writes: TokenBucket::new(settings.write_limits().changes_per_s / WRITE_SHARE, WRITE_SHARE, now),
         proposals,
@@ -128,12 +128,12 @@
                     let loaded = self.reload().await.is_ok();
                     let _ = reply.send(loaded);
                 }
-                Message::Heard(digest) => {
+                Message::LastContact(digest) => {
                     self.hear(digest).await;
                     self.confirm();
                 }
                 Message::AllCapable => self.all_capable = true,
-                Message::Obeyed(obeyed) => self.note_obeyed(obeyed),
+                Message::AppliedConfiguration(applied_configuration) => self.note_obeyed(applied_configuration),
             }
             self.publish();
         }
@@ -227,7 +227,7 @@
             genesis: self.genesis,
             version: record.map(|record| record.acceptor.applied),
             untouched: record.is_none_or(|record| record.acceptor == Acceptor::default()),
-            obeyed: self.obeyed.version,
+            applied_configuration: self.applied_configuration.version,
         }
     }
 
@@ -237,13 +237,14 @@
         let now = clock::now_ms();
         let status = |region: &RegionName| {
             if *region == self.fleet.region {
-                return region_status(region, own, self.obeyed.version, latest);
+                return region_status(region, own, self.applied_configuration.version, latest);
             }
             let Some(heard) = self.heard.get(region) else {
                 let condition = RegionCondition::UnreachableSince { seconds: None };
-                return RegionStatus { region: region.clone(), version: 0, obeyed: 0, condition };
+                return RegionStatus { region: region.clone(), version: 0, applied_configuration: 0, condition };
             };
-            let mut status = region_status(region, heard.digest.version.unwrap_or(0), heard.digest.obeyed, latest);
+            let mut status =
+                region_status(region, heard.digest.version.unwrap_or(0), heard.digest.applied_configuration, latest);
             let silent_ms = now.saturating_sub(heard.at_ms);
             if silent_ms > self.heard_for_ms {
                 status.condition = RegionCondition::UnreachableSince { seconds: Some(silent_ms / 1000) };
@@ -264,7 +265,7 @@
             tracing::error!(region = digest.region, "the region begins with other teams or figures than this one");
             return;
         }
-        self.heard.insert(digest.region.clone(), Heard { digest, at_ms: clock::now_ms() });
+        self.heard.insert(digest.region.clone(), LastContact { digest, at_ms: clock::now_ms() });
         if self.stored.is_none() && self.all_capable && self.reload().await.is_ok() && self.stored.is_none() {
             self.begin().await;
         }
@@ -280,9 +281,9 @@
     }
 
     /// This node's leader has recorded that it obeys a version.
-    fn note_obeyed(&mut self, obeyed: Obeyed) {
-        self.obeyed = obeyed;
-        self.recorded_here = obeyed;
+    fn note_obeyed(&mut self, applied_configuration: AppliedConfiguration) {
+        self.applied_configuration = applied_configuration;
+        self.recorded_here = applied_configuration;
         self.confirm_after_ms = 0;
         self.confirm();
     }
@@ -293,7 +294,7 @@
         let now = clock::now_ms();
         let Some(StoredRecord { record, .. }) = &self.stored else { return };
         let confirmed = record.state.confirmations.get(&self.fleet.region).copied().unwrap_or(0);
-        let (version, own) = (self.recorded_here.kept, self.recorded_here == self.obeyed);
+        let (version, own) = (self.recorded_here.kept, self.recorded_here == self.applied_configuration);
         if !own || version <= confirmed || now < self.confirm_after_ms || !record.state.waits_for(&self.fleet.region) {
             return;
         }
@@ -310,7 +311,7 @@
             may_start_tasks: stored.record.may_start_tasks(),
             latest: self.latest(stored.record.state.version),
             regions_heard: heard + 1,
-            obeyed: self.obeyed.version,
+            applied_configuration: self.applied_configuration.version,
         });
         self.published.send_replace(published);
     }
@@ -328,7 +329,7 @@
     }
 }
 
-fn region_status(region: &RegionName, version: u64, obeyed: u64, latest: u64) -> RegionStatus {
-    let condition = if obeyed >= latest { RegionCondition::InForce } else { RegionCondition::Pending };
-    RegionStatus { region: region.clone(), version, obeyed, condition }
+fn region_status(region: &RegionName, version: u64, applied_configuration: u64, latest: u64) -> RegionStatus {
+    let condition = if applied_configuration >= latest { RegionCondition::InForce } else { RegionCondition::Pending };
+    RegionStatus { region: region.clone(), version, applied_configuration, condition }
 }
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -77,7 +77,7 @@
         metrics.count("configuration_exchanges", &region);
         if let Some(ConfigurationResponse::Digest(digest)) = regions.ask(&region, &ConfigurationRequest::Digest).await {
             let (theirs, same) = (digest.version.unwrap_or(0), digest.genesis == genesis);
-            if handle.tx.send(Message::Heard(digest)).await.is_err() {
+            if handle.tx.send(Message::LastContact(digest)).await.is_err() {
                 return;
             }
             if same {
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -2,7 +2,7 @@
 
 use super::effect::policy_of;
 use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
-use super::records::Obeyed;
+use super::records::AppliedConfiguration;
 use crate::metrics::gauge_line;
 use crate::sched::Policy;
 use badgerdrift_fleet_config::{ConfigState, RegionName};
@@ -16,11 +16,11 @@
     /// The region's record may have changed.
     Changed(oneshot::Sender<bool>),
     /// Another region has told what it has applied.
-    Heard(super::messages::Digest),
+    LastContact(super::messages::Digest),
     /// All controllers of the region know the shared configuration.
     AllCapable,
     /// This node's leader has recorded that it obeys a version.
-    Obeyed(Obeyed),
+    AppliedConfiguration(AppliedConfiguration),
 }
 
 /// The configuration that this node knows, as it is published to all that follow it.
@@ -35,7 +35,7 @@
     /// So many regions, this one included, were heard lately.
     pub regions_heard: usize,
     /// The version that the region's leader obeys, as recorded.
-    pub obeyed: u64,
+    pub applied_configuration: u64,
 }
 
 impl Published {
@@ -76,8 +76,8 @@
     }
 
     /// This node's leader has recorded that it obeys a version.
-    pub fn obeyed(&self, obeyed: Obeyed) {
-        let _ = self.tx.try_send(Message::Obeyed(obeyed));
+    pub fn applied_configuration(&self, applied_configuration: AppliedConfiguration) {
+        let _ = self.tx.try_send(Message::AppliedConfiguration(applied_configuration));
     }
 
     /// The policy under the configuration, where there is one.
@@ -95,7 +95,7 @@
         let Some(published) = self.published() else { return String::new() };
         let figures = [
             ("configuration_version", published.state.version),
-            ("configuration_obeyed", published.obeyed),
+            ("configuration_obeyed", published.applied_configuration),
             ("configuration_latest", published.latest),
             ("configuration_regions_heard", published.regions_heard as u64),
         ];
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -96,7 +96,8 @@
     /// It has taken no part in any agreement.
     pub untouched: bool,
     /// The version that its leader obeys.
-    pub obeyed: u64,
+    #[serde(rename = "obeyed")]
+    pub applied_configuration: u64,
 }
 
 /// What one region knows of another, or of itself.
@@ -107,7 +108,8 @@
     /// The last version that it is known to have applied.
     pub version: u64,
     /// The last version that its leader is known to obey.
-    pub obeyed: u64,
+    #[serde(rename = "obeyed")]
+    pub applied_configuration: u64,
     /// How it stands to the last version known here.
     pub condition: RegionCondition,
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -20,5 +20,5 @@
 pub use effect::{policy_of, settings_documents};
 pub use handle::{ConfigurationHandle, Published};
 pub use messages::{ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable};
-pub use records::{LogEntry, Obeyed, obeyed_change};
+pub use records::{AppliedConfiguration, LogEntry, applied_configuration_change};
 pub use settings::{FleetSettings, RegionAddresses, load_fleet};
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -34,7 +34,7 @@
 
 /// What the region's leader obeys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Obeyed {
+pub struct AppliedConfiguration {
     /// The version from which on it starts tasks.
     pub version: u64,
     /// The version whose limits all teams keep to: what was beyond them has ended.
@@ -149,14 +149,14 @@
 }
 
 /// What the region's leader obeys, as recorded.
-pub(super) async fn load_obeyed(state: &State) -> Result<Obeyed, LoadError> {
+pub(super) async fn load_obeyed(state: &State) -> Result<AppliedConfiguration, LoadError> {
     let item = state.get(OBEYED_KEY).await?.0;
     Ok(item.and_then(|item| serde_json::from_value(item.value).ok()).unwrap_or_default())
 }
 
 /// The change that records what the region's leader obeys.
-pub fn obeyed_change(obeyed: &Obeyed) -> Value {
-    wire::put(OBEYED_KEY, &json!(obeyed), None)
+pub fn applied_configuration_change(applied_configuration: &AppliedConfiguration) -> Value {
+    wire::put(OBEYED_KEY, &json!(applied_configuration), None)
 }
 
 /// The changes from one record to the next one; `batch` is what was applied, if any was.
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -71,7 +71,7 @@
                 None => records::load(&self.state, &self.initial, self.genesis).await?,
             };
         }
-        self.obeyed = records::load_obeyed(&self.state).await?;
+        self.applied_configuration = records::load_obeyed(&self.state).await?;
         Ok(())
     }
 
--- a/src/partition/dependencies.rs
+++ b/src/partition/dependencies.rs
@@ -63,7 +63,7 @@
     /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
     pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if spec.dependencies.contains(&spec.id) {
-            let _ = waiter.send(UserAnswer::Impossible(format!("waits_on: {} names itself", spec.id)));
+            let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
             return;
         }
         let unknown: Vec<String> =
@@ -104,7 +104,7 @@
                     return;
                 }
                 None => {
-                    let _ = waiter.send(UserAnswer::Impossible(format!("waits_on: {id} was never accepted")));
+                    let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {id} was never accepted")));
                     return;
                 }
             }
@@ -120,7 +120,7 @@
     /// Accepts a job all of whose dependencies are known, unless one of them is a service.
     fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
-            let _ = waiter.send(UserAnswer::Impossible(format!("waits_on: {id} is a service")));
+            let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
             return;
         }
         // What is certainly done need not be stored.
--- a/src/partition/heartbeats.rs
+++ b/src/partition/heartbeats.rs
@@ -8,7 +8,7 @@
 pub(super) const REPLY_ORDERS: usize = 400;
 
 /// What a report says that is new.
-struct News {
+struct StatusChange {
     /// It was made under a token of this leader.
     current: bool,
     /// Seconds left until the machine is taken back, if that was not known.
@@ -95,7 +95,13 @@
     }
 
     /// Takes what the report says of the machine itself.
-    fn state_seen(&mut self, host_index: HostIndex, r: &Heartbeat, source: StatusSource, now: u64) -> Option<News> {
+    fn state_seen(
+        &mut self,
+        host_index: HostIndex,
+        r: &Heartbeat,
+        source: StatusSource,
+        now: u64,
+    ) -> Option<StatusChange> {
         let instance_type = self.cluster.instance_type(&r.instance_type);
         let h = self.cluster.host_mut(host_index)?;
         // A late copy of a report from before this leader's time may be the first that
@@ -122,7 +128,7 @@
                 c.risk = None;
             }
         }
-        Some(News { current, notice_s })
+        Some(StatusChange { current, notice_s })
     }
 
     /// The machine has reported under a token of this leader.
--- a/src/partition/tests/acceptance.rs
+++ b/src/partition/tests/acceptance.rs
@@ -101,7 +101,7 @@
     let answer = |p: &mut Partition, team: &str, shape: &str| submit(p, &of_team(team, shape), 1000).try_recv();
     let for_now = Ok(UserAnswer::RetryLater(RefusalReason::ConfigurationBehind));
     let mut p = partition();
-    assert!(matches!(answer(&mut p, "new", "batch"), Ok(UserAnswer::Impossible(_))));
+    assert!(matches!(answer(&mut p, "new", "batch"), Ok(UserAnswer::Unschedulable(_))));
     p.configuration_up_to_date = false;
     assert_eq!(answer(&mut p, "new", "batch"), for_now);
     // The limit is about to grow: what does not fit now may soon.
@@ -110,10 +110,10 @@
     (red.limit.gpus, red.settled) = (4.0, false);
     assert_eq!(answer(&mut p, "red", "group"), for_now);
     p.policy.teams.get_mut("red").unwrap().settled = true;
-    assert!(matches!(answer(&mut p, "red", "group"), Ok(UserAnswer::Impossible(_))));
+    assert!(matches!(answer(&mut p, "red", "group"), Ok(UserAnswer::Unschedulable(_))));
     // A removed team takes no new jobs.
     p.policy.teams.get_mut("red").unwrap().removed = true;
-    assert!(matches!(answer(&mut p, "red", "batch"), Ok(UserAnswer::Impossible(_))));
+    assert!(matches!(answer(&mut p, "red", "batch"), Ok(UserAnswer::Unschedulable(_))));
 }
 
 #[test]
--- a/src/partition/tests/borrowing.rs
+++ b/src/partition/tests/borrowing.rs
@@ -12,7 +12,7 @@
 const STEP_MS: u64 = 200;
 
 /// A machine of eight accelerators that a night run fills, and the leader of the partition.
-struct Rig {
+struct Harness {
     partition: Partition,
     now: u64,
     sequence: u64,
@@ -43,10 +43,10 @@
     body.to_string().into_bytes()
 }
 
-impl Rig {
+impl Harness {
     /// The night run has all eight accelerators, two of which its team is guaranteed.
-    fn new() -> Rig {
-        let mut rig = Rig {
+    fn new() -> Harness {
+        let mut harness = Harness {
             partition: partition(),
             now: 1000,
             sequence: 0,
@@ -55,11 +55,11 @@
             saving: Vec::new(),
             records: BTreeMap::new(),
         };
-        rig.set_up();
-        rig.submit(&job_of("run-000001", NIGHT, "batch", "standard", 8));
-        rig.steps(4);
-        assert_eq!(rig.running.len(), 8);
-        rig
+        harness.set_up();
+        harness.submit(&job_of("run-000001", NIGHT, "batch", "standard", 8));
+        harness.steps(4);
+        assert_eq!(harness.running.len(), 8);
+        harness
     }
 
     fn set_up(&mut self) {
@@ -148,48 +148,48 @@
 
 #[test]
 fn a_stop_for_another_team_is_ordered_once_its_record_is_written() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    assert_eq!(stops(&rig.heartbeat()), 0, "no record yet");
-    let host = rig.partition.dispatch_queue.iter().next().copied();
-    let direct = host.and_then(|host| rig.partition.direct(host, rig.now, false));
+    let mut harness = Harness::new();
+    harness.burst(4);
+    assert_eq!(stops(&harness.heartbeat()), 0, "no record yet");
+    let host = harness.partition.dispatch_queue.iter().next().copied();
+    let direct = host.and_then(|host| harness.partition.direct(host, harness.now, false));
     assert_eq!(direct.map_or(0, |direct| stops(&direct.orders)), 0, "nor by a direct command");
-    rig.commit_as(false);
-    assert_eq!(stops(&rig.heartbeat()), 0, "refused");
-    rig.commit_as(true);
-    assert!(rig.loan_states().iter().any(|state| state == "\"open\""));
-    assert_eq!(stops(&rig.heartbeat()), 4);
-    rig.steps(3);
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
+    harness.commit_as(false);
+    assert_eq!(stops(&harness.heartbeat()), 0, "refused");
+    harness.commit_as(true);
+    assert!(harness.loan_states().iter().any(|state| state == "\"open\""));
+    assert_eq!(stops(&harness.heartbeat()), 4);
+    harness.steps(3);
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002")), (4, 4));
 }
 
 #[test]
 fn a_loan_that_can_not_be_recorded_is_given_up_and_the_work_goes_on() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    let patience = 3 * rig.partition.policy.react_ms / STEP_MS;
+    let mut harness = Harness::new();
+    harness.burst(4);
+    let patience = 3 * harness.partition.policy.react_ms / STEP_MS;
     for _ in 0..patience {
-        assert_eq!(stops(&rig.step(false)), 0);
+        assert_eq!(stops(&harness.step(false)), 0);
     }
-    assert_eq!(rig.running_of("run-000001"), 8);
+    assert_eq!(harness.running_of("run-000001"), 8);
     // The service answers again.
-    rig.steps(8);
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
+    harness.steps(8);
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002")), (4, 4));
 }
 
 // The commit applies late, after its answer was given up and the loan with it: nothing is stopped
 // twice, and the record says in the end what holds.
 #[test]
 fn a_commit_without_an_answer_that_applies_late_lends_nothing_twice() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    let late = rig.partition.next_commit(rig.now, 32).unwrap();
-    let _ = rig.partition.committed(CommitOutcome::Indeterminate);
-    assert_eq!(stops(&rig.heartbeat()), 0, "not known to be recorded");
-    assert!(rig.partition.next_commit(rig.now, 32).is_none(), "to be read first");
-    rig.make(&late);
-    let found = rig.partition.unclear_keys().into_iter().map(|key| {
-        let item = rig.records.get(&key).map(|(value, version)| Item {
+    let mut harness = Harness::new();
+    harness.burst(4);
+    let late = harness.partition.next_commit(harness.now, 32).unwrap();
+    let _ = harness.partition.committed(CommitOutcome::Indeterminate);
+    assert_eq!(stops(&harness.heartbeat()), 0, "not known to be recorded");
+    assert!(harness.partition.next_commit(harness.now, 32).is_none(), "to be read first");
+    harness.make(&late);
+    let found = harness.partition.unclear_keys().into_iter().map(|key| {
+        let item = harness.records.get(&key).map(|(value, version)| Item {
             key: key.clone(),
             value: value.clone(),
             version: *version,
@@ -197,65 +197,66 @@
         (key, item)
     });
     let found: Vec<(String, Option<Item>)> = found.collect();
-    rig.partition.unclear_keys_read(found);
-    let again = rig.partition.next_commit(rig.now, 32).unwrap();
-    assert_eq!(again.conditions.last().unwrap()["stamp"], rig.revision, "on the version that was found");
-    rig.make(&again);
-    let _ = rig.partition.committed(CommitOutcome::Done { revision: rig.revision });
-    assert_eq!(stops(&rig.heartbeat()), 4);
-    rig.steps(3);
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (4, 4));
+    harness.partition.unclear_keys_read(found);
+    let again = harness.partition.next_commit(harness.now, 32).unwrap();
+    assert_eq!(again.conditions.last().unwrap()["stamp"], harness.revision, "on the version that was found");
+    harness.make(&again);
+    let _ = harness.partition.committed(CommitOutcome::Done { revision: harness.revision });
+    assert_eq!(stops(&harness.heartbeat()), 4);
+    harness.steps(3);
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002")), (4, 4));
 }
 
 /// Another leader begins with what is stored. The machine has not reported to it.
-fn take_over(rig: &mut Rig) {
+fn take_over(harness: &mut Harness) {
     let items = |prefix: &str| -> Vec<Item> {
-        let under = rig.records.iter().filter(|(key, _)| key.starts_with(prefix));
+        let under = harness.records.iter().filter(|(key, _)| key.starts_with(prefix));
         under
             .map(|(key, (value, version))| Item { key: key.clone(), value: value.clone(), version: *version })
             .collect()
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
-    let hosts = self::items(&mut rig.partition).1;
-    rig.partition = partition_of(rig.partition.fencing_token + 1, jobs, hosts);
-    rig.set_up();
-    rig.partition.begin_loans(loans);
+    let hosts = self::items(&mut harness.partition).1;
+    harness.partition = partition_of(harness.partition.fencing_token + 1, jobs, hosts);
+    harness.set_up();
+    harness.partition.begin_loans(loans);
 }
 
 #[test]
 fn a_successor_lends_nothing_before_all_machines_are_accounted_for() {
-    let mut rig = Rig::new();
-    rig.burst(4);
+    let mut harness = Harness::new();
+    harness.burst(4);
     // The record is written, and no stop was ordered.
-    rig.commit_as(true);
-    take_over(&mut rig);
-    rig.now += STEP_MS;
-    rig.partition.maintain_loans(rig.now, rig.now);
-    rig.partition.schedule(rig.now, rig.now);
-    assert!(rig.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
-    assert!(rig.partition.next_commit(rig.now, 32).is_none());
-    rig.steps(6);
+    harness.commit_as(true);
+    take_over(&mut harness);
+    harness.now += STEP_MS;
+    harness.partition.maintain_loans(harness.now, harness.now);
+    harness.partition.schedule(harness.now, harness.now);
+    assert!(harness.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
+    assert!(harness.partition.next_commit(harness.now, 32).is_none());
+    harness.steps(6);
     // What had not been stopped is not lent, and the need is met by a loan of the successor's.
-    let status = rig.partition.loans_status(rig.now).unwrap();
+    let status = harness.partition.loans_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002"), lent), (4, 4, 3));
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002"), lent), (4, 4, 3));
 }
 
 // Tasks that the last leader had stopped still saved as the machine reported to its successor, which
 // took them for running: the lender had fewer left than it believed, and gave way below its floor.
 #[test]
 fn tasks_that_save_as_a_successor_begins_count_as_stopped() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    rig.commit_as(true);
-    rig.saving = (4..8).map(|task| format!("run-000001/{task}")).collect();
-    take_over(&mut rig);
+    let mut harness = Harness::new();
+    harness.burst(4);
+    harness.commit_as(true);
+    harness.saving = (4..8).map(|task| format!("run-000001/{task}")).collect();
+    take_over(&mut harness);
     for _ in 0..6 {
-        rig.step(true);
-        let kept = rig.running.iter().filter(|(task, _)| task.starts_with("run-000001") && !rig.saving.contains(task));
-        assert!(kept.count() >= 2, "the lender keeps its guarantee: {:?}", rig.running);
+        harness.step(true);
+        let kept =
+            harness.running.iter().filter(|(task, _)| task.starts_with("run-000001") && !harness.saving.contains(task));
+        assert!(kept.count() >= 2, "the lender keeps its guarantee: {:?}", harness.running);
     }
-    let status = rig.partition.loans_status(rig.now).unwrap();
+    let status = harness.partition.loans_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
     assert_eq!(lent, 3, "the loan that was found is open, and the fourth is within the desk's guarantee");
 }
@@ -264,36 +265,43 @@
 // once, by one replica after the other, while the borrower keeps its own guarantee.
 #[test]
 fn a_lender_whose_guarantee_is_raised_in_mid_loan_gets_room_back() {
-    let mut rig = Rig::new();
-    rig.burst(6);
-    rig.steps(4);
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (2, 6));
-    guarantee(&mut rig.partition, NIGHT, 5.0);
-    let shortfall =
-        rig.partition.loans_status(rig.now).unwrap().teams.iter().find(|team| team.team == NIGHT).unwrap().shortfall;
+    let mut harness = Harness::new();
+    harness.burst(6);
+    harness.steps(4);
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002")), (2, 6));
+    guarantee(&mut harness.partition, NIGHT, 5.0);
+    let shortfall = harness
+        .partition
+        .loans_status(harness.now)
+        .unwrap()
+        .teams
+        .iter()
+        .find(|team| team.team == NIGHT)
+        .unwrap()
+        .shortfall;
     assert_eq!(shortfall.gpus, 3.0);
     for _ in 0..20 {
-        let orders = rig.step(true);
+        let orders = harness.step(true);
         assert!(stops(&orders) <= 1, "one replica at a time");
     }
-    assert_eq!((rig.running_of("run-000001"), rig.running_of("run-000002")), (5, 3));
+    assert_eq!((harness.running_of("run-000001"), harness.running_of("run-000002")), (5, 3));
 }
 
 #[test]
 fn the_borrower_is_cancelled_in_mid_loan_and_all_is_returned() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    rig.steps(4);
+    let mut harness = Harness::new();
+    harness.burst(4);
+    harness.steps(4);
     let (answer, _told) = oneshot::channel();
-    rig.partition.cancel("run-000002", rig.now, true, answer);
-    rig.steps(4);
-    assert_eq!(rig.running_of("run-000001"), 4, "the need may come back");
-    rig.steps(20);
-    assert_eq!(rig.running_of("run-000001"), 8);
-    assert!(rig.loan_states().iter().all(|state| state.contains("ended")), "{:?}", rig.loan_states());
-    let status = rig.partition.loans_status(rig.now).unwrap();
+    harness.partition.cancel("run-000002", harness.now, true, answer);
+    harness.steps(4);
+    assert_eq!(harness.running_of("run-000001"), 4, "the need may come back");
+    harness.steps(20);
+    assert_eq!(harness.running_of("run-000001"), 8);
+    assert!(harness.loan_states().iter().all(|state| state.contains("ended")), "{:?}", harness.loan_states());
+    let status = harness.partition.loans_status(harness.now).unwrap();
     assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_nothing()));
-    let text = rig.partition.metrics.text() + &rig.partition.loan_gauges(rig.now);
+    let text = harness.partition.metrics.text() + &harness.partition.loan_gauges(harness.now);
     for figure in [
         "loans_total{of=\"open\"}",
         "loans_total{of=\"returned\"}",
@@ -306,43 +314,51 @@
 
 #[test]
 fn without_borrowing_stops_are_ordered_at_once_and_nothing_is_recorded() {
-    let mut rig = Rig::new();
-    rig.partition.loans = None;
-    rig.partition.cluster.borrowing = None;
-    rig.burst(4);
-    assert!(rig.partition.next_commit(rig.now, 32).is_none());
-    assert_eq!(stops(&rig.heartbeat()), 4);
-    assert!(rig.partition.loans_status(rig.now).is_none() && rig.partition.loan_gauges(rig.now).is_empty());
-    assert_eq!(rig.partition.cluster.jobs[0].spec.urgency, Urgency::Normal);
+    let mut harness = Harness::new();
+    harness.partition.loans = None;
+    harness.partition.cluster.borrowing = None;
+    harness.burst(4);
+    assert!(harness.partition.next_commit(harness.now, 32).is_none());
+    assert_eq!(stops(&harness.heartbeat()), 4);
+    assert!(
+        harness.partition.loans_status(harness.now).is_none() && harness.partition.loan_gauges(harness.now).is_empty()
+    );
+    assert_eq!(harness.partition.cluster.jobs[0].spec.urgency, Urgency::Normal);
 }
 
 #[test]
 fn nothing_is_proposed_while_the_state_service_does_not_answer() {
-    let mut rig = Rig::new();
-    rig.partition.reservations_recordable = false;
-    rig.burst(4);
-    let attempts = rig.partition.cluster.each_host().flat_map(|(_, host)| &host.attempts);
+    let mut harness = Harness::new();
+    harness.partition.reservations_recordable = false;
+    harness.burst(4);
+    let attempts = harness.partition.cluster.each_host().flat_map(|(_, host)| &host.attempts);
     assert_eq!(attempts.filter(|attempt| attempt.stop.is_some()).count(), 0);
-    assert!(rig.partition.loans_status(rig.now).unwrap().loans.is_empty());
+    assert!(harness.partition.loans_status(harness.now).unwrap().loans.is_empty());
 }
 
 /// Room that is held for the borrower.
-fn held(rig: &Rig) -> usize {
-    rig.partition.cluster.each_host().flat_map(|(_, host)| &host.reservations).filter(|claim| claim.for_team).count()
+fn held(harness: &Harness) -> usize {
+    harness
+        .partition
+        .cluster
+        .each_host()
+        .flat_map(|(_, host)| &host.reservations)
+        .filter(|claim| claim.for_team)
+        .count()
 }
 
 // The borrower's need may come back, but the lender has fallen below its floor meanwhile.
 #[test]
 fn room_that_is_held_for_a_borrower_is_given_up_for_a_lender_below_its_floor() {
-    let mut rig = Rig::new();
-    rig.burst(4);
-    rig.steps(4);
+    let mut harness = Harness::new();
+    harness.burst(4);
+    harness.steps(4);
     let (answer, _told) = oneshot::channel();
-    rig.partition.cancel("run-000002", rig.now, true, answer);
-    rig.steps(2);
-    assert_eq!((held(&rig), rig.running_of("run-000001")), (4, 4));
-    guarantee(&mut rig.partition, NIGHT, 6.0);
-    rig.steps(2);
-    assert_eq!(held(&rig), 0);
-    assert!(rig.running_of("run-000001") >= 6, "{:?}", rig.running);
+    harness.partition.cancel("run-000002", harness.now, true, answer);
+    harness.steps(2);
+    assert_eq!((held(&harness), harness.running_of("run-000001")), (4, 4));
+    guarantee(&mut harness.partition, NIGHT, 6.0);
+    harness.steps(2);
+    assert_eq!(held(&harness), 0);
+    assert!(harness.running_of("run-000001") >= 6, "{:?}", harness.running);
 }
--- a/src/partition/tests/dependencies.rs
+++ b/src/partition/tests/dependencies.rs
@@ -103,7 +103,7 @@
     assert_eq!((lookups.len(), lookups[0].ids.as_slice()), (1, &[FIRST.to_string()][..]));
     assert!(rx.try_recv().is_err(), "nothing is said before the read");
     p.looked_up(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Impossible(why)) if why.contains(FIRST)));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(why)) if why.contains(FIRST)));
     assert!(p.next_commit(1000, 32).is_none());
     // A read that failed tells nothing.
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
@@ -140,16 +140,16 @@
 fn a_job_names_neither_itself_nor_a_service() {
     let mut p = partition();
     let mut rx = submit(&mut p, &waiting_body(FIRST, &[FIRST], json!({})), 1000);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Impossible(_))));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
     let _rx = submit(&mut p, &body(FIRST, "service", 1), 1000);
     commit_all(&mut p, 1000);
-    assert!(matches!(accept_waiting(&mut p, SECOND, &[FIRST], json!({})), UserAnswer::Impossible(_)));
+    assert!(matches!(accept_waiting(&mut p, SECOND, &[FIRST], json!({})), UserAnswer::Unschedulable(_)));
     // The same for a service that is found by a read.
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(THIRD, "service", "red", None, 50);
     p.looked_up(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Impossible(_))));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
 }
 
 #[test]
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/partition/tests/warm_pools/mod.rs
@@ -79,7 +79,7 @@
 }
 
 /// A partition with a pool, its store and workers.
-struct Rig {
+struct Harness {
     partition: Partition,
     settings: Settings,
     pools: PoolSettings,
@@ -102,21 +102,21 @@
     .unwrap()
 }
 
-impl Rig {
+impl Harness {
     /// With so many workers that keep models loaded, and a warm pool.
-    fn new(workers: usize) -> Rig {
-        let mut rig = Rig::cold(workers, "loaded");
-        rig.rounds(8);
-        assert_eq!(rig.idle(), POOL_SIZE);
-        rig
+    fn new(workers: usize) -> Harness {
+        let mut harness = Harness::cold(workers, "loaded");
+        harness.rounds(8);
+        assert_eq!(harness.idle(), POOL_SIZE);
+        harness
     }
 
-    fn cold(workers: usize, keep: &str) -> Rig {
+    fn cold(workers: usize, keep: &str) -> Harness {
         let mut s = settings();
         for team in &mut s.params.teams {
             (team.gpus, team.gpus_max) = (8.0, 12.0);
         }
-        let mut rig = Rig {
+        let mut harness = Harness {
             partition: partition(),
             settings: s,
             pools: pool_settings(keep),
@@ -131,10 +131,10 @@
             jobs: 0,
         };
         for n in 0..workers {
-            rig.workers.insert(format!("h{n}"), Worker { agent_epoch: 1, ..Worker::default() });
+            harness.workers.insert(format!("h{n}"), Worker { agent_epoch: 1, ..Worker::default() });
         }
-        rig.take_over();
-        rig
+        harness.take_over();
+        harness
     }
 
     /// Another leader begins with what is stored.
--- a/src/partition/types.rs
+++ b/src/partition/types.rs
@@ -150,7 +150,7 @@
     /// The submission does not follow the protocol; with the reason.
     Malformed(String),
     /// The submission is well-formed but cannot be served; with the reason.
-    Impossible(String),
+    Unschedulable(String),
     /// There is no such job.
     Unknown,
     /// Cannot be answered now; with the reason.
--- a/src/partition/users.rs
+++ b/src/partition/users.rs
@@ -56,10 +56,10 @@
         if self.cluster.instance_types.is_empty() {
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
         }
-        if let Some(why) = sched::impossible(spec, &self.policy, &self.cluster.instance_types) {
+        if let Some(why) = sched::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
             return Some(match why.is_for_now(self.configuration_up_to_date) {
                 true => UserAnswer::RetryLater(RefusalReason::ConfigurationBehind),
-                false => UserAnswer::Impossible(why.to_string()),
+                false => UserAnswer::Unschedulable(why.to_string()),
             });
         }
         if let Some(message) = self.limits.refuses(spec) {
--- a/src/partition/warm_pools/reports.rs
+++ b/src/partition/warm_pools/reports.rs
@@ -6,7 +6,7 @@
 use badgerdrift_warm_pools::{EndCause, HoldKind, Slot, SlotId, SlotState};
 
 /// What a report means for a slot.
-enum SlotNews {
+enum SlotStatusChange {
     /// It is there, warm or not yet.
     Seen { warm: bool },
     /// It is not there.
@@ -23,7 +23,7 @@
         let Some(own) = &self.pools else { return };
         let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == r.host).collect();
         let another_session = on_host.iter().any(|slot| slot.agent_epoch != r.agent_epoch);
-        let news: Vec<(SlotId, SlotNews)> =
+        let news: Vec<(SlotId, SlotStatusChange)> =
             on_host.iter().map(|slot| (slot.id, self.slot_news(slot, host_index, r))).collect();
         let moment = own.moment(now);
         let Some(own) = &mut self.pools else { return };
@@ -33,40 +33,40 @@
         }
         for (id, news) in news {
             match news {
-                SlotNews::Seen { warm } => own.pools.seen(id, warm, moment),
-                SlotNews::Missing => own.pools.not_reported(id, moment),
-                SlotNews::ClaimNotCarriedOut => {
+                SlotStatusChange::Seen { warm } => own.pools.seen(id, warm, moment),
+                SlotStatusChange::Missing => own.pools.not_reported(id, moment),
+                SlotStatusChange::ClaimNotCarriedOut => {
                     tracing::info!(slot = id, "claim of the owner before was not carried out");
                     own.pools.void_claim(id, moment);
                     own.pools.seen(id, false, moment);
                     self.cycle_due = true;
                 }
-                SlotNews::Nothing => {}
+                SlotStatusChange::Nothing => {}
             }
         }
     }
 
-    fn slot_news(&self, slot: &Slot, host_index: HostIndex, r: &Heartbeat) -> SlotNews {
-        let Some(host) = self.cluster.host(host_index) else { return SlotNews::Nothing };
+    fn slot_news(&self, slot: &Slot, host_index: HostIndex, r: &Heartbeat) -> SlotStatusChange {
+        let Some(host) = self.cluster.host(host_index) else { return SlotStatusChange::Nothing };
         if let SlotState::Claimed(claim) = &slot.state {
             let there = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
             return match (there, slot.seen) {
-                (true, _) => SlotNews::Seen { warm: true },
+                (true, _) => SlotStatusChange::Seen { warm: true },
                 // No order of the leader before can come any more: the machine has seen our token.
-                (false, false) => SlotNews::ClaimNotCarriedOut,
-                (false, true) => SlotNews::Nothing,
+                (false, false) => SlotStatusChange::ClaimNotCarriedOut,
+                (false, true) => SlotStatusChange::Nothing,
             };
         }
         if slot.keep == HoldKind::Image {
             let warm = host.images.iter().any(|image| image.ready && image.name == slot.image);
-            return SlotNews::Seen { warm };
+            return SlotStatusChange::Seen { warm };
         }
         let reported = r.slots.as_ref().and_then(|slots| slots.iter().find(|reported| reported.slot == slot.id));
         match (reported, &slot.state) {
-            (Some(reported), _) => SlotNews::Seen { warm: reported.ready },
+            (Some(reported), _) => SlotStatusChange::Seen { warm: reported.ready },
             // The order to load it may still be on its way.
-            (None, SlotState::Loading) => SlotNews::Nothing,
-            (None, _) => SlotNews::Missing,
+            (None, SlotState::Loading) => SlotStatusChange::Nothing,
+            (None, _) => SlotStatusChange::Missing,
         }
     }
 
--- a/src/partition_leader/actor.rs
+++ b/src/partition_leader/actor.rs
@@ -215,11 +215,13 @@
             BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
             BackgroundEvent::IndeterminateRead(found) => self.indeterminate_read(leadership, found),
             BackgroundEvent::Raised(raised) => self.raised(leadership, raised, now),
-            BackgroundEvent::ConfigurationRecorded(obeyed) => self.configuration_recorded(leadership, obeyed),
+            BackgroundEvent::ConfigurationRecorded(applied_configuration) => {
+                self.configuration_recorded(leadership, applied_configuration)
+            }
             BackgroundEvent::Superseded => self.superseded(leadership),
             BackgroundEvent::Rented { name, result } => self.rented(leadership, &name, result, now),
             BackgroundEvent::Released { hosts, confirmed } => self.released(leadership, hosts, confirmed),
-            BackgroundEvent::Listed(list) => {
+            BackgroundEvent::ListedInstance(list) => {
                 for op in leadership.provisioner.listed(&list, &leadership.partition, now) {
                     self.cloud_request(leadership, op);
                 }
--- a/src/partition_leader/cloud_tasks.rs
+++ b/src/partition_leader/cloud_tasks.rs
@@ -105,7 +105,7 @@
                 }
                 if leads
                     && let Some(list) = cloud.list().await
-                    && !sender.send(BackgroundEvent::Listed(list)).await
+                    && !sender.send(BackgroundEvent::ListedInstance(list)).await
                 {
                     return;
                 }
--- a/src/partition_leader/configuration.rs
+++ b/src/partition_leader/configuration.rs
@@ -3,7 +3,7 @@
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use crate::configuration::{Obeyed, Published, obeyed_change, policy_of};
+use crate::configuration::{AppliedConfiguration, Published, applied_configuration_change, policy_of};
 use crate::membership::partition_key;
 use crate::model::Demand;
 use crate::partition::CommitOutcome;
@@ -56,8 +56,9 @@
         } else {
             0
         };
-        let obeyed = Obeyed { version, kept, fencing_token: leadership.partition.fencing_token };
-        if obeyed == recorded || leadership.writes.available_tokens(now) == 0 {
+        let applied_configuration =
+            AppliedConfiguration { version, kept, fencing_token: leadership.partition.fencing_token };
+        if applied_configuration == recorded || leadership.writes.available_tokens(now) == 0 {
             return;
         }
         leadership.writes.spend(1);
@@ -65,18 +66,23 @@
         let (state, sender) = (self.state.clone(), self.sender(leadership.n));
         let condition = wire::condition(&partition_key(self.id), leadership.version);
         task::spawn(async move {
-            let result = state.commit(&[condition], &[obeyed_change(&obeyed)]).await;
-            let recorded = matches!(result, CommitOutcome::Done { .. }).then_some(obeyed);
+            let result = state.commit(&[condition], &[applied_configuration_change(&applied_configuration)]).await;
+            let recorded = matches!(result, CommitOutcome::Done { .. }).then_some(applied_configuration);
             sender.send(BackgroundEvent::ConfigurationRecorded(recorded)).await;
         });
     }
 
     /// The record was written, or that failed.
-    pub(super) fn configuration_recorded(&self, leadership: &mut Leadership, obeyed: Option<Obeyed>) {
+    pub(super) fn configuration_recorded(
+        &self,
+        leadership: &mut Leadership,
+        applied_configuration: Option<AppliedConfiguration>,
+    ) {
         leadership.followed.recording = false;
-        if let (Some(obeyed), Some(configuration)) = (obeyed, &self.router.configuration) {
-            leadership.followed.recorded = obeyed;
-            configuration.obeyed(obeyed);
+        if let (Some(applied_configuration), Some(configuration)) = (applied_configuration, &self.router.configuration)
+        {
+            leadership.followed.recorded = applied_configuration;
+            configuration.applied_configuration(applied_configuration);
         }
     }
 }
--- a/src/partition_leader/followed.rs
+++ b/src/partition_leader/followed.rs
@@ -1,6 +1,6 @@
 //! What a leader knows of what it follows: jobs of other partitions, and the shared configuration.
 
-use crate::configuration::Obeyed;
+use crate::configuration::AppliedConfiguration;
 use std::collections::HashSet;
 
 /// Jobs of other partitions whose changes are known up to a revision.
@@ -18,7 +18,7 @@
     /// Decisions were made by it while the region may start no tasks.
     pub(super) suspended: bool,
     /// What is recorded of it.
-    pub(super) recorded: Obeyed,
+    pub(super) recorded: AppliedConfiguration,
     /// The record is being written.
     pub(super) recording: bool,
     pub(super) next_record_ms: u64,
--- a/src/partition_leader/messages.rs
+++ b/src/partition_leader/messages.rs
@@ -3,13 +3,13 @@
 use super::stored_records::{ExternalRecords, Loaded};
 use crate::borrowing::LoansResponse;
 use crate::clients::RentResult;
-use crate::configuration::Obeyed;
+use crate::configuration::AppliedConfiguration;
 use crate::membership::RaisedToken;
 use crate::model::{HostRecord, InstanceType};
 use crate::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
-use crate::wire::{Heartbeat, Item, Listed, Order};
+use crate::wire::{Heartbeat, Item, ListedInstance, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
@@ -106,7 +106,7 @@
     /// The fencing token was raised; none if that failed.
     Raised(Option<RaisedToken>),
     /// It was recorded that this leader obeys a version of the configuration; `None` if that failed.
-    ConfigurationRecorded(Option<Obeyed>),
+    ConfigurationRecorded(Option<AppliedConfiguration>),
     /// The partition has another leader, or none.
     Superseded,
     /// A rental request has ended.
@@ -124,7 +124,7 @@
         confirmed: bool,
     },
     /// The cloud's list of machines.
-    Listed(Vec<Listed>),
+    ListedInstance(Vec<ListedInstance>),
     /// The cloud's machine types.
     InstanceTypes(Vec<InstanceType>),
 }
--- a/src/provisioner/boots.rs
+++ b/src/provisioner/boots.rs
@@ -6,7 +6,7 @@
 use crate::model::InstanceType;
 use crate::partition::Partition;
 use crate::sched::PendingMachine;
-use crate::wire::Listed;
+use crate::wire::ListedInstance;
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
@@ -56,7 +56,7 @@
     }
 
     /// Takes what a list says of it.
-    fn listed(&mut self, entry: &Listed, now: u64) {
+    fn listed(&mut self, entry: &ListedInstance, now: u64) {
         self.listed_ms.get_or_insert(now);
         let age_ms = (entry.age_s * 1000.0) as u64;
         self.since_ms = self.since_ms.min(now.saturating_sub(age_ms));
@@ -197,7 +197,7 @@
 
     /// Takes a list of machines; returns those to be released: failed ones,
     /// and those that never come up.
-    pub fn listed(&mut self, list: &[Listed], partition: &Partition, now: u64) -> Vec<CloudRequest> {
+    pub fn listed(&mut self, list: &[ListedInstance], partition: &Partition, now: u64) -> Vec<CloudRequest> {
         self.note_begin(partition, now);
         self.dependency_known |= self.dependency_listed_ms.is_some_and(|t| now >= t);
         self.forget_abandoned(now);
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioner/tests/mod.rs
@@ -9,7 +9,7 @@
 use crate::partition::tests::{commit, heartbeat, partition, partition_of, submit};
 use crate::partition::{CommitOutcome, Partition, StatusSource};
 use crate::wire::tests::reported;
-use crate::wire::{Listed, Order};
+use crate::wire::{ListedInstance, Order};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,7 +61,7 @@
     /// When which request without an answer was to be sent.
     pub(super) unanswered: Vec<(u64, String)>,
     /// What lists told, to be told late.
-    pub(super) snapshots: Vec<(u64, Vec<Listed>)>,
+    pub(super) snapshots: Vec<(u64, Vec<ListedInstance>)>,
 }
 
 impl Bench {
@@ -110,7 +110,7 @@
         }
     }
 
-    pub(super) fn entries(&self) -> Vec<Listed> {
+    pub(super) fn entries(&self) -> Vec<ListedInstance> {
         let of = |(id, m): (&String, &Machine)| {
             let phase = if m.up_ms.is_some_and(|t| self.now >= t) { "running" } else { "starting" };
             entry(id, &m.zone, phase, self.now - m.since_ms)
@@ -118,7 +118,7 @@
         self.machines.iter().map(of).collect()
     }
 
-    pub(super) fn lagging_list(&self) -> Vec<Listed> {
+    pub(super) fn lagging_list(&self) -> Vec<ListedInstance> {
         let old = self.snapshots.iter().rfind(|(at, _)| at + LAG_MS <= self.now);
         old.map(|(_, list)| list.clone()).unwrap_or_default()
     }
@@ -218,7 +218,7 @@
         }
     }
 
-    pub(super) fn list(&mut self, machines: &[Listed]) -> Vec<CloudRequest> {
+    pub(super) fn list(&mut self, machines: &[ListedInstance]) -> Vec<CloudRequest> {
         self.provisioner.listed(machines, &self.partition, self.now)
     }
 
@@ -241,7 +241,7 @@
     }
 }
 
-pub(super) fn entry(id: &str, zone: &str, phase: &str, age_ms: u64) -> Listed {
+pub(super) fn entry(id: &str, zone: &str, phase: &str, age_ms: u64) -> ListedInstance {
     let held_s = age_ms as f64 / 1000.0;
     serde_json::from_value(json!({"id": id, "flavor": "g8", "region": zone, "phase": phase, "held_s": held_s})).unwrap()
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -320,7 +320,7 @@
             Response::json(200, &wire::job_answer(&id, phase, done, running))
         }
         UserAnswer::Malformed(m) => Response::error(400, &m),
-        UserAnswer::Impossible(m) => Response::error(422, &m),
+        UserAnswer::Unschedulable(m) => Response::error(422, &m),
         UserAnswer::Unknown => Response::error(404, "no such job"),
         UserAnswer::RetryLater(reason) => reason.response(),
         UserAnswer::Busy(after_s) => RefusalReason::TooManySubmissions.response_after(after_s),
--- a/src/sched/cycle/displacement.rs
+++ b/src/sched/cycle/displacement.rs
@@ -27,7 +27,7 @@
 
 /// An attempt that would leave its machine.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Departure {
+pub(super) struct ExpectedRelease {
     attempt: TaskAttempt,
     /// Where it is moved; none if it is stopped.
     destination: Option<HostIndex>,
@@ -38,7 +38,7 @@
 pub(super) struct Vacancy {
     /// A measure of what the departures cost.
     pub(super) cost: f64,
-    pub(super) departures: Vec<Departure>,
+    pub(super) departures: Vec<ExpectedRelease>,
 }
 
 /// An attempt that may leave its machine.
@@ -62,7 +62,7 @@
 impl Vacancy {
     /// Adds the departures to what is planned.
     pub(super) fn add_departures(&self, cluster: &ClusterState, planned: &mut PlannedStops) {
-        for Departure { attempt, destination } in &self.departures {
+        for ExpectedRelease { attempt, destination } in &self.departures {
             match destination {
                 Some(host) => planned.promise(*host, attempt.demand),
                 None => planned.add(cluster, attempt.key.job),
@@ -75,7 +75,7 @@
     /// Would work of another team be stopped for the job, while there are loans between teams?
     pub(super) fn lends_for(&self, job_index: JobIndex, vacancy: &Vacancy) -> bool {
         let team = |job: JobIndex| &self.cluster.jobs[job].spec.team;
-        let stops_others = |departure: &Departure| {
+        let stops_others = |departure: &ExpectedRelease| {
             departure.destination.is_none() && team(departure.attempt.key.job) != team(job_index)
         };
         self.cluster.borrowing.is_some() && vacancy.departures.iter().any(stops_others)
@@ -208,7 +208,7 @@
             } else {
                 continue;
             }
-            departures.push(Departure { attempt: *attempt, destination });
+            departures.push(ExpectedRelease { attempt: *attempt, destination });
             room.add(&attempt.demand);
         }
         demand.fits(&room).then_some(Vacancy { cost, departures })
@@ -240,9 +240,9 @@
     }
 
     /// Carries out what `plan_displacements` found.
-    pub(super) fn clear(&mut self, request: &PlacementRequest, host_index: HostIndex, departures: &[Departure]) {
+    pub(super) fn clear(&mut self, request: &PlacementRequest, host_index: HostIndex, departures: &[ExpectedRelease]) {
         let until_ms = self.now + HOLD_REACTIONS * self.policy.react_ms;
-        for Departure { attempt, destination } in departures {
+        for ExpectedRelease { attempt, destination } in departures {
             if let Some(to) = destination {
                 self.claim(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
             }
--- a/src/sched/cycle/mod.rs
+++ b/src/sched/cycle/mod.rs
@@ -24,7 +24,7 @@
 use borrowing::BorrowingDecisions;
 pub use borrowing::StopCause;
 use ending::EndingTasks;
-use queue::{QueuedJob, Turn};
+use queue::{QueueTier, QueuedJob};
 use request::PlacementRequest;
 use room::BlockedRequirements;
 use std::cell::Cell;
@@ -205,9 +205,9 @@
     /// Places what waits, and makes room for what found none.
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
-        for QueuedJob { job_index, turn } in self.queue(least) {
+        for QueuedJob { job_index, tier } in self.queue(least) {
             self.borrowing.keep_refusal();
-            let request = PlacementRequest { turn, ..self.request(job_index) };
+            let request = PlacementRequest { tier, ..self.request(job_index) };
             if self.place(&request, attempt)
                 || (self.yield_warm_reservations(&request) && self.place(&request, attempt))
             {
@@ -217,7 +217,7 @@
                 self.out.pending_jobs.push(job_index);
             }
             let gang = self.cluster.jobs[job_index].spec.shape == Shape::Gang;
-            if turn == Turn::Returned && !gang {
+            if tier == QueueTier::Returned && !gang {
                 // Its ordinary turn comes.
                 continue;
             }
--- a/src/sched/cycle/queue.rs
+++ b/src/sched/cycle/queue.rs
@@ -6,7 +6,7 @@
 
 /// Which tasks of a job are looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Turn {
+pub(super) enum QueueTier {
     /// Those whose room was lent to another team and is being returned: before all else, in
     /// room that is free.
     Returned,
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueuedJob {
     pub(super) job_index: JobIndex,
-    pub(super) turn: Turn,
+    pub(super) tier: QueueTier,
 }
 
 /// Where a job is in the queue; the lowest is first.
@@ -29,7 +29,7 @@
 struct QueueRank {
     returned: Reverse<bool>,
     urgency: Reverse<Urgency>,
-    turn: Turn,
+    tier: QueueTier,
     /// What its team lacks to its floor while it lends to others.
     shortfall: Reverse<u64>,
     bin: u64,
@@ -64,7 +64,7 @@
         let waiting = live.filter(waits);
         let mut queue: Vec<QueueRank> = waiting.flat_map(|job_index| self.queue_ranks(job_index)).collect();
         queue.sort_unstable();
-        queue.into_iter().map(|rank| QueuedJob { job_index: rank.job, turn: rank.turn }).collect()
+        queue.into_iter().map(|rank| QueuedJob { job_index: rank.job, tier: rank.tier }).collect()
     }
 
     /// Its ordinary turn, and before that those of what may stop equal work for its guarantee and
@@ -73,18 +73,18 @@
         let job = &self.cluster.jobs[job_index];
         let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
         let shortfall = self.shortfall_rank(job_index);
-        let rank = move |turn: Turn| QueueRank {
-            returned: Reverse(turn == Turn::Returned),
+        let rank = move |tier: QueueTier| QueueRank {
+            returned: Reverse(tier == QueueTier::Returned),
             urgency: Reverse(job.urgency),
-            turn,
+            tier,
             shortfall: Reverse(shortfall),
             bin,
             ready_ms: job.ready_ms,
             job: job_index,
         };
-        let guaranteed = self.has_guaranteed_turn(job).then(|| rank(Turn::Guaranteed));
-        let returned = (self.returning_tasks(job_index) > 0).then(|| rank(Turn::Returned));
-        returned.into_iter().chain(guaranteed).chain([rank(Turn::Ordinary)])
+        let guaranteed = self.has_guaranteed_turn(job).then(|| rank(QueueTier::Guaranteed));
+        let returned = (self.returning_tasks(job_index) > 0).then(|| rank(QueueTier::Returned));
+        returned.into_iter().chain(guaranteed).chain([rank(QueueTier::Ordinary)])
     }
 
     /// May it stop equal work for its guarantee?
--- a/src/sched/cycle/request.rs
+++ b/src/sched/cycle/request.rs
@@ -1,7 +1,7 @@
 //! What a scheduling cycle needs to know of a job that it places.
 
 use super::SchedulingCycle;
-use super::queue::Turn;
+use super::queue::QueueTier;
 use crate::model::{HostIndex, InstanceType, Job, JobIndex, Reserve, Shape, Spec};
 use crate::sched::index::TaskRequirements;
 use std::collections::HashSet;
@@ -14,7 +14,7 @@
 const SCARCE_TRESPASS: f64 = 5.0;
 
 /// The cost of taking room that a class is expected to need.
-pub(super) struct Trespass {
+pub(super) struct ReservePenalty {
     pub(super) reserve: Reserve,
     pub(super) cost: f64,
 }
@@ -23,7 +23,7 @@
 pub(super) struct PlacementRequest {
     pub(super) job_index: JobIndex,
     /// Which of its tasks it is the turn of.
-    pub(super) turn: Turn,
+    pub(super) tier: QueueTier,
     pub(super) requirements: TaskRequirements,
     pub(super) image: String,
     pub(super) image_gb: f64,
@@ -38,7 +38,7 @@
     pub(super) wait_s: Option<f64>,
     pub(super) guarantee_s: Option<f64>,
     /// What taking another class's room costs.
-    pub(super) reserved_costs: Vec<Trespass>,
+    pub(super) reserved_costs: Vec<ReservePenalty>,
     pub(super) held: bool,
     /// Machines on which it failed.
     pub(super) avoided_hosts: HashSet<HostIndex>,
@@ -58,7 +58,7 @@
         let within = self.policy.waits.get(&spec.class).map(|w| w.0).or(self.policy.guarantee_s);
         PlacementRequest {
             job_index,
-            turn: Turn::Ordinary,
+            tier: QueueTier::Ordinary,
             requirements: self.index.requirements(self.cluster, spec),
             image: spec.image.clone(),
             image_gb: spec.image_gb,
@@ -83,13 +83,13 @@
     }
 
     /// The classes whose room its tasks could take, with what that costs.
-    fn trespasses(&self, spec: &Spec) -> Vec<Trespass> {
+    fn trespasses(&self, spec: &Spec) -> Vec<ReservePenalty> {
         let without_gpus = spec.demand.gpus <= 0.0;
         let concerns =
             |r: &&Reserve| r.class != spec.class && (r.single_instance_type() || (without_gpus && r.demand.gpus > 0.0));
         let cost = |r: &Reserve| if self.scarce_classes.contains(&r.class) { SCARCE_TRESPASS } else { TRESPASS };
         let reserves = self.cluster.reserves.iter().filter(concerns);
-        reserves.map(|r| Trespass { reserve: r.clone(), cost: cost(r) }).collect()
+        reserves.map(|r| ReservePenalty { reserve: r.clone(), cost: cost(r) }).collect()
     }
 
     /// Is it to leave machines with accelerators to work that needs them?
--- a/src/sched/cycle/room.rs
+++ b/src/sched/cycle/room.rs
@@ -6,7 +6,7 @@
 use super::displacement::Vacancy;
 use super::planned_stops::PlannedStops;
 use super::preemption::PreemptionScope;
-use super::queue::Turn;
+use super::queue::QueueTier;
 use super::request::PlacementRequest;
 use super::reservations::HOLD_REACTIONS;
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
@@ -52,7 +52,7 @@
             _ => guaranteed,
         };
         self.make_room_within(request, scope, &mut counts, to_be_stopped_for);
-        if request.turn == Turn::Ordinary {
+        if request.tier == QueueTier::Ordinary {
             self.make_room_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
         }
     }
--- a/src/sched/cycle/tasks.rs
+++ b/src/sched/cycle/tasks.rs
@@ -1,7 +1,7 @@
 //! Placement of arrays and services, task by task.
 
 use super::displacement::Vacancy;
-use super::queue::Turn;
+use super::queue::QueueTier;
 use super::request::PlacementRequest;
 use super::{Assignment, SchedulingCycle};
 use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
@@ -56,11 +56,11 @@
             if !self.within_limit(&self.cluster.jobs[job_index].spec, 1.0) {
                 return true; // waits for its own team, not for room
             }
-            if request.turn == Turn::Returned && returned >= self.returning_tasks(job_index) {
+            if request.tier == QueueTier::Returned && returned >= self.returning_tasks(job_index) {
                 return true; // the rest waits for its ordinary turn
             }
             returned += 1;
-            if request.turn == Turn::Guaranteed && !self.within_guarantee(&self.cluster.jobs[job_index].spec, 1) {
+            if request.tier == QueueTier::Guaranteed && !self.within_guarantee(&self.cluster.jobs[job_index].spec, 1) {
                 return true; // the rest waits for its ordinary turn
             }
             if self.too_many_attempts(&self.cluster.jobs[job_index]) {
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -18,7 +18,7 @@
 
 /// Why a submission can never run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Impossible {
+pub enum Unschedulable {
     /// There is no such team, or it takes no new jobs.
     UnknownTeam(String),
     /// A task fits no machine type that the job allows.
@@ -32,42 +32,42 @@
     },
 }
 
-impl Impossible {
+impl Unschedulable {
     /// Could a newer configuration say otherwise?
     pub fn depends_on_configuration(&self) -> bool {
-        !matches!(self, Impossible::FitsNoMachineType)
+        !matches!(self, Unschedulable::FitsNoMachineType)
     }
 
     /// Is the refusal to be told as one for now, where the configuration is or is not known to be
     /// up to date?
     pub fn is_for_now(&self, up_to_date: bool) -> bool {
-        let unsettled = matches!(self, Impossible::BeyondLimit { settled: false, .. });
+        let unsettled = matches!(self, Unschedulable::BeyondLimit { settled: false, .. });
         unsettled || (self.depends_on_configuration() && !up_to_date)
     }
 }
 
-impl fmt::Display for Impossible {
+impl fmt::Display for Unschedulable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Impossible::UnknownTeam(team) => write!(f, "owner: no team {team}"),
-            Impossible::FitsNoMachineType => write!(f, "a task fits no allowed machine type"),
-            Impossible::BeyondLimit { team, .. } => write!(f, "the job needs more than the limit of {team}"),
+            Unschedulable::UnknownTeam(team) => write!(f, "owner: no team {team}"),
+            Unschedulable::FitsNoMachineType => write!(f, "a task fits no allowed machine type"),
+            Unschedulable::BeyondLimit { team, .. } => write!(f, "the job needs more than the limit of {team}"),
         }
     }
 }
 
 /// Why a submission can never run, if so.
-pub fn impossible(spec: &Spec, policy: &Policy, instance_types: &[InstanceType]) -> Option<Impossible> {
+pub fn unschedulable_reason(spec: &Spec, policy: &Policy, instance_types: &[InstanceType]) -> Option<Unschedulable> {
     let Some(team) = policy.teams.get(&spec.team).filter(|team| !team.removed) else {
-        return Some(Impossible::UnknownTeam(spec.team.clone()));
+        return Some(Unschedulable::UnknownTeam(spec.team.clone()));
     };
     let fits = instance_types.iter().any(|f| spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z)));
     if !fits {
-        return Some(Impossible::FitsNoMachineType);
+        return Some(Unschedulable::FitsNoMachineType);
     }
     let together = if spec.shape == Shape::Batch { 1.0 } else { f64::from(spec.tasks) };
     if !spec.demand.times(together).fits(&team.limit) {
-        return Some(Impossible::BeyondLimit { team: spec.team.clone(), settled: team.settled });
+        return Some(Unschedulable::BeyondLimit { team: spec.team.clone(), settled: team.settled });
     }
     None
 }
--- a/src/sched/tests/ordering.rs
+++ b/src/sched/tests/ordering.rs
@@ -57,11 +57,11 @@
     let p = policy();
     let f = [instance_type("g8", 8.0, &["a"])];
     let ok = spec("run-000001", Shape::Batch, 100, 8.0);
-    assert_eq!(impossible(&ok, &p, &f), None);
+    assert_eq!(unschedulable_reason(&ok, &p, &f), None);
     let with = |change: fn(&mut Spec)| {
         let mut s = ok.clone();
         change(&mut s);
-        impossible(&s, &p, &f)
+        unschedulable_reason(&s, &p, &f)
     };
     assert!(with(|s| s.team = "green".into()).unwrap().to_string().starts_with("owner"));
     assert!(with(|s| s.demand.gpus = 9.0).is_some());
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -53,7 +53,7 @@
 
 /// A machine as the cloud lists it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Id of the machine.
     pub id: String,
     /// Name of its machine type.
@@ -73,7 +73,7 @@
     pub age_s: f64,
 }
 
-impl Listed {
+impl ListedInstance {
     /// True if the machine will not come up.
     pub fn failed(&self) -> bool {
         self.phase == "failed"
@@ -87,13 +87,13 @@
 
 #[derive(Deserialize)]
 struct ListPage {
-    hosts: Vec<Listed>,
+    hosts: Vec<ListedInstance>,
     #[serde(default)]
     more: bool,
 }
 
 /// Reads a page of the machine list; true if there are more.
-pub fn parse_list(body: &[u8]) -> Option<(Vec<Listed>, bool)> {
+pub fn parse_list(body: &[u8]) -> Option<(Vec<ListedInstance>, bool)> {
     let p: ListPage = serde_json::from_slice(body).ok()?;
     Some((p.hosts, p.more))
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -5,7 +5,7 @@
 mod user;
 mod worker;
 
-pub use cloud::{Listed, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
+pub use cloud::{ListedInstance, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
 pub use state_service::{
     Change, Changes, Item, Page, Revision, StateLease, commit_body, condition, delete, grant_body, put, store,
 };
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -2,8 +2,8 @@
 
 use badgerdrift::config::{Operator, Settings};
 use badgerdrift::configuration::{
-    ConfigurationRequest, ConfigurationResponse, FleetSettings, LogEntry, Obeyed, RegionAddresses, RegionCondition,
-    RegionStatus, settings_documents,
+    AppliedConfiguration, ConfigurationRequest, ConfigurationResponse, FleetSettings, LogEntry, RegionAddresses,
+    RegionCondition, RegionStatus, settings_documents,
 };
 use badgerdrift::http::{self, Request, Response};
 use badgerdrift::node::Subsystems;
@@ -13,7 +13,7 @@
     Amount, Amounts, Change, ChangeId, ChangeOutcome, ConfigState, Document, DocumentName, ReadVersion, Share,
     TeamDocument,
 };
-use badgerdrift_stand_ins::net::{Cut, Fabric};
+use badgerdrift_stand_ins::net::{Cut, SimulatedNetwork};
 use badgerdrift_stand_ins::pause::Pause;
 use badgerdrift_stand_ins::store::{Store, query};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 
 /// Whole controllers of several regions, and their state services.
 pub struct Fleet {
-    fabric: Fabric,
+    fabric: SimulatedNetwork,
     stores: Vec<Arc<Mutex<Store>>>,
     lives: Vec<[Option<u64>; CONTROLLERS]>,
     pauses: Vec<[Arc<Pause>; CONTROLLERS]>,
@@ -145,7 +145,7 @@
 impl Fleet {
     fn new(seed: u64, shared: bool) -> Fleet {
         clock::simulate_wall(MORNING_MS, true);
-        let fabric = Fabric::new(seed);
+        let fabric = SimulatedNetwork::new(seed);
         let stores: Vec<Arc<Mutex<Store>>> = (0..REGIONS).map(|_| Arc::default()).collect();
         let operator_net = fabric.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
         let limits = PeerLimits::for_leader_lease(5000);
@@ -343,9 +343,9 @@
     }
 
     /// What a region's leader obeys, as recorded.
-    pub fn obeyed(&self, region: usize) -> Obeyed {
+    pub fn obeyed(&self, region: usize) -> AppliedConfiguration {
         let record = self.value(region, "config/obeyed");
-        record.map_or_else(Obeyed::default, |record| serde_json::from_value(record).unwrap())
+        record.map_or_else(AppliedConfiguration::default, |record| serde_json::from_value(record).unwrap())
     }
 
     /// CPUs that the leader of a region lets a team use, by the version that it has recorded.
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -4,7 +4,7 @@
 use badgerdrift::http::{self, Client, Request, Response};
 use badgerdrift::node::{self, Subsystems};
 use badgerdrift::peer::{Peer, PeerLimits, PeerRequest};
-use badgerdrift_stand_ins::net::Fabric;
+use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     toml::from_str(&text).unwrap()
 }
 
-fn start_state_service(fabric: &Fabric, region: u8) {
+fn start_state_service(fabric: &SimulatedNetwork, region: u8) {
     let (net, store) = (fabric.process(state_address(region).ip()).0, Arc::<Mutex<Store>>::default());
     let answer = move |request: Request| {
         let store = store.clone();
@@ -70,7 +70,7 @@
 }
 
 /// Starts a region; the number by which its controller is killed.
-fn start_region(fabric: &Fabric, region: u8) -> u64 {
+fn start_region(fabric: &SimulatedNetwork, region: u8) -> u64 {
     start_state_service(fabric, region);
     let regions = json!({
         "north": {"controllers": [address(1, 81)]},
@@ -95,7 +95,7 @@
 /// The metrics of a region after a change that is taken, one that is refused, made from a version
 /// that never was, and one that is unclear, as the other region is gone.
 pub async fn metrics_after_changes() -> String {
-    let fabric = Fabric::new(1);
+    let fabric = SimulatedNetwork::new(1);
     start_region(&fabric, 1);
     let south = start_region(&fabric, 2);
     sleep(Duration::from_secs(30)).await;
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -10,7 +10,7 @@
 use badgerdrift::metrics::SharedMetrics;
 use badgerdrift::net::Net;
 use badgerdrift::peer::{self, PeerRequest, PeerResponse};
-use badgerdrift_stand_ins::net::Fabric;
+use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
     serde_json::from_value(json!({"region": region, "regions": regions})).unwrap()
 }
 
-fn start_state_service(fabric: &Fabric, network: u8, store: Arc<Mutex<Store>>) {
+fn start_state_service(fabric: &SimulatedNetwork, network: u8, store: Arc<Mutex<Store>>) {
     let net = fabric.process(state_host(network)).0;
     tokio::spawn(async move {
         let listener = net.bind(SocketAddr::new(state_host(network), HTTP_PORT)).await.unwrap();
@@ -137,7 +137,11 @@
 }
 
 /// Starts a region of one controller over this state service.
-fn start_region(fabric: &Fabric, (region, network): (&str, u8), store: &Arc<Mutex<Store>>) -> ConfigurationHandle {
+fn start_region(
+    fabric: &SimulatedNetwork,
+    (region, network): (&str, u8),
+    store: &Arc<Mutex<Store>>,
+) -> ConfigurationHandle {
     start_state_service(fabric, network, store.clone());
     let state_address = SocketAddr::new(state_host(network), HTTP_PORT).to_string();
     let settings: Settings = toml::from_str(&SETTINGS.replace("STATE_SERVICE", &state_address)).unwrap();
@@ -151,7 +155,7 @@
 
 /// Starts all regions over these state services; the way to the first one.
 fn start_regions(stores: &[Arc<Mutex<Store>>; REGIONS.len()]) -> ConfigurationHandle {
-    let fabric = Fabric::new(SEED);
+    let fabric = SimulatedNetwork::new(SEED);
     let handles = REGIONS.into_iter().zip(stores).map(|(region, store)| start_region(&fabric, region, store));
     handles.collect::<Vec<_>>().swap_remove(0)
 }
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -4,7 +4,7 @@
 //! field or a variant that is spelled differently is found, however it is called in Rust. Keys
 //! are compared with literal spellings.
 
-use badgerdrift::configuration::{LogEntry, Obeyed, obeyed_change};
+use badgerdrift::configuration::{AppliedConfiguration, LogEntry, applied_configuration_change};
 use badgerdrift::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use badgerdrift::model::{HostRecord, InstanceType, JobRecord};
 use badgerdrift::partition::{JOB_PREFIX, host_key, inbox_key, job_key};
@@ -81,7 +81,7 @@
             "loan" => rewritten::<JobLoans>(text),
             "config/doc" => rewritten::<VersionedDocument>(text),
             "config/log" => rewritten::<LogEntry>(text),
-            "config/obeyed" => rewritten::<Obeyed>(text),
+            "config/obeyed" => rewritten::<AppliedConfiguration>(text),
             "config/region" => rewritten_region(text),
             other => panic!("no such record: {other}"),
         };
@@ -127,6 +127,6 @@
 #[test]
 fn what_a_regions_owner_obeys_is_written_as_in_0_2_0() {
     let text = text_of("config/obeyed");
-    let change = obeyed_change(&serde_json::from_str(text).unwrap());
+    let change = applied_configuration_change(&serde_json::from_str(text).unwrap());
     assert_eq!(change.to_string(), format!("{{\"data\":{text},\"put\":\"config/obeyed\"}}"));
 }
