--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -4,8 +4,8 @@
 use crate::plan::{RegionPlan, region_name};
 use crate::results::ChangeResult;
 use badgerdrift::configuration::{ConfigurationRequest, ConfigurationResponse};
-use badgerdrift::net::Net;
-use badgerdrift::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use badgerdrift::transport::network::Net;
+use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::{
     Amount, Amounts, Change, ChangeId, ChangeOutcome, Document, DocumentName, ReadVersion, Share, TeamDocument,
 };
--- a/crates/scale/src/counting.rs
+++ b/crates/scale/src/counting.rs
@@ -1,6 +1,6 @@
 //! A network that counts the bytes of its connections.
 
-use badgerdrift::net::{BoxFuture, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
+use badgerdrift::transport::network::{BoxFuture, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -11,7 +11,7 @@
 use crate::results::{RegionResult, Role, ServiceTraffic};
 use crate::samples::Sampler;
 use crate::workload::{self, leak};
-use badgerdrift::http::Client;
+use badgerdrift::transport::http::Client;
 use badgerdrift_stand_ins::ground::SimulationContext;
 use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::Limits;
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::ground::SimulationContext;
 use super::machines;
-use badgerdrift::http::{Request, Response};
+use badgerdrift::transport::http::{Request, Response};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::time::Duration;
--- a/crates/stand-ins/src/deployment.rs
+++ b/crates/stand-ins/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use super::world::{self, GUEST, TEAMS, ZONES};
 use crate::store::Limits;
-use badgerdrift::config::Settings;
+use badgerdrift::settings::Settings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -3,8 +3,8 @@
 use super::deployment::PATIENCE;
 use super::net::SimulatedNetwork;
 use super::world::Shared;
-use badgerdrift::http::{self, Client, Request, Response};
-use badgerdrift::net::Net;
+use badgerdrift::transport::http::{self, Client, Request, Response};
+use badgerdrift::transport::network::Net;
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -25,10 +25,11 @@
 pub use ground::SimulationContext;
 
 use crate::store::Limits;
-use badgerdrift::config::Operator;
-use badgerdrift::http::{Client, Request};
-use badgerdrift::node::Subsystems;
-use badgerdrift::{clock, node, task};
+use badgerdrift::control::node;
+use badgerdrift::control::node::Subsystems;
+use badgerdrift::runtime::{clock, task};
+use badgerdrift::settings::Operator;
+use badgerdrift::transport::http::{Client, Request};
 use deployment::PORT;
 use net::{Cut, SimulatedNetwork};
 use pause::Pause;
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -3,7 +3,7 @@
 use super::deployment::PATIENCE;
 use super::ground::SimulationContext;
 use super::world::secs;
-use badgerdrift::http::{self, Client, Response};
+use badgerdrift::transport::http::{self, Client, Response};
 use rand::RngExt;
 use serde_json::Value;
 use std::net::IpAddr;
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -3,7 +3,7 @@
 mod process;
 mod streams;
 
-use badgerdrift::net::{Net, Stream};
+use badgerdrift::transport::network::{Net, Stream};
 use process::Process;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -3,7 +3,7 @@
 use super::streams::{MemRead, MemStream, MemWrite, Pipe};
 use super::{Bound, Cut, Link, Shared, SimulatedNetwork, pair};
 use crate::versions::INTERNAL_PORT;
-use badgerdrift::net::{BoxFuture, Listener, Network, Stream};
+use badgerdrift::transport::network::{BoxFuture, Listener, Network, Stream};
 use rand::RngExt;
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -2,7 +2,7 @@
 
 use super::{Shared, SimulatedNetwork};
 use crate::versions::production_frames;
-use badgerdrift::net::{ReadHalf, Stream, WriteHalf};
+use badgerdrift::transport::network::{ReadHalf, Stream, WriteHalf};
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
--- a/crates/stand-ins/src/pause.rs
+++ b/crates/stand-ins/src/pause.rs
@@ -2,7 +2,7 @@
 //! meanwhile, while clocks, the network and everybody else go on. What is sent to it waits
 //! in its connections, and its timers that are due act once it goes on.
 
-use badgerdrift::task::Gate;
+use badgerdrift::runtime::task::Gate;
 use std::sync::Mutex;
 use std::task::{Context, Poll, Waker};
 
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -5,7 +5,7 @@
 use super::machines;
 use super::versions::production_records;
 use super::world::secs;
-use badgerdrift::http::{Request, Response};
+use badgerdrift::transport::http::{Request, Response};
 use rand::RngExt;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service, for all suites: a consistent store in memory.
 
-use badgerdrift::http::{Request, Response};
+use badgerdrift::transport::http::{Request, Response};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -2,10 +2,10 @@
 //!
 //!     cargo run --release --example pass_cost -- 480 4000
 
-use badgerdrift::config::{Operator, Settings};
+use badgerdrift::control::partition::Partition;
 use badgerdrift::model::{Demand, Host, InstanceType, Job, Shape, Spec, Urgency};
-use badgerdrift::partition::Partition;
-use badgerdrift::sched::{Policy, TeamRule};
+use badgerdrift::scheduling::{Policy, TeamRule};
+use badgerdrift::settings::{Operator, Settings};
 use badgerdrift_borrowing::BorrowingSettings;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,21 +1,25 @@
 //! What users, workers and health checks ask of this node.
 
+pub mod ended_jobs;
+pub mod refusal;
+pub mod user_metrics;
+
+use crate::api::ended_jobs::{EndedJob, EndedJobs};
+use crate::api::refusal::RefusalReason;
+use crate::api::user_metrics::UserMetrics;
 use crate::clients::State;
-use crate::clock;
-use crate::ended_jobs::{EndedJob, EndedJobs};
-use crate::http::{Request, Response};
-use crate::job_reads::{JobReads, READ_LIMIT, RecordedJob};
-use crate::metrics::{SharedMetrics, gauge_line, labelled_gauge_line};
+use crate::clients::job_reads::{JobReads, READ_LIMIT, RecordedJob};
+use crate::clients::request_budget::{Purpose, RequestBudget};
+use crate::clients::write_limits::WriteLimits;
+use crate::control::partition_leader;
+use crate::control::router::Router;
 use crate::model::{JobEnd, JobPhase};
-use crate::partition_leader;
-use crate::peer::UserCall;
-use crate::refusal::RefusalReason;
-use crate::request_budget::{Purpose, RequestBudget};
-use crate::router::Router;
-use crate::sched::Policy;
-use crate::user_metrics::UserMetrics;
+use crate::runtime::clock;
+use crate::runtime::metrics::{SharedMetrics, gauge_line, labelled_gauge_line};
+use crate::scheduling::Policy;
+use crate::transport::http::{Request, Response};
+use crate::transport::peer::UserCall;
 use crate::wire;
-use crate::write_limits::WriteLimits;
 use std::collections::HashMap;
 use std::future::Future;
 use std::sync::{Arc, Mutex};
--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -1,11 +1,11 @@
 //! Jobs that others wait for, as their records tell them now: where no leader can be asked.
 
 use super::Api;
-use crate::http::Response;
-use crate::job_reads::{LiveJob, READ_LIMIT, RecordedJob};
+use crate::api::refusal::RefusalReason;
+use crate::clients::job_reads::{LiveJob, READ_LIMIT, RecordedJob};
+use crate::clients::request_budget::Purpose;
 use crate::model::{Dependencies, JobEnd, JobPhase, Spec};
-use crate::refusal::RefusalReason;
-use crate::request_budget::Purpose;
+use crate::transport::http::Response;
 use std::collections::HashSet;
 use tokio::time::Instant;
 
--- a/src/ended_jobs.rs
+++ b/src/api/ended_jobs.rs
@@ -3,8 +3,8 @@
 //! An end never changes once it is recorded, so that a remembered one may be told without
 //! asking anybody. Nothing else is remembered: that a job lives or is missing may change.
 
-use crate::http::Response;
 use crate::model::JobEnd;
+use crate::transport::http::Response;
 use crate::wire;
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
--- a/src/refusal.rs
+++ b/src/api/refusal.rs
@@ -1,6 +1,6 @@
 //! Why a request of a user or a worker is refused for now.
 
-use crate::http::Response;
+use crate::transport::http::Response;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,15 +1,15 @@
 //! Submissions: passed on to the leader of the team's partition, or accepted without it.
 
 use super::Api;
-use crate::clock;
-use crate::http::Response;
+use crate::api::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
+use crate::clients::request_budget::Purpose;
+use crate::control::partition::{CommitOutcome, inbox_key, job_key};
+use crate::control::partition_leader;
 use crate::model::{JobRecord, Spec};
-use crate::partition::{CommitOutcome, inbox_key, job_key};
-use crate::partition_leader;
-use crate::peer::UserCall;
-use crate::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
-use crate::request_budget::Purpose;
-use crate::sched::{self, Policy};
+use crate::runtime::clock;
+use crate::scheduling::{self, Policy};
+use crate::transport::http::Response;
+use crate::transport::peer::UserCall;
 use crate::wire;
 use std::sync::Arc;
 
@@ -109,7 +109,7 @@
             .await
             .filter(|instance_types| !instance_types.is_empty())?;
         let (policy, up_to_date) = self.current_policy();
-        if let Some(why) = sched::unschedulable_reason(spec, &policy, &instance_types) {
+        if let Some(why) = scheduling::unschedulable_reason(spec, &policy, &instance_types) {
             return Some(match why.is_for_now(up_to_date) {
                 true => RefusalReason::ConfigurationBehind.response(),
                 false => Response::error(422, &why.to_string()),
--- a/src/user_metrics.rs
+++ b/src/api/user_metrics.rs
@@ -1,7 +1,7 @@
 //! Counters of what users and workers are told by this node, for `GET /metrics`.
 
-use crate::http::Response;
-use crate::refusal::RefusalReason;
+use crate::api::refusal::RefusalReason;
+use crate::transport::http::Response;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::{Arc, Mutex};
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,10 +1,10 @@
 //! Reports of workers: passed on to the leader of their machine, or answered for one that is gone.
 
 use super::Api;
-use crate::clock;
-use crate::http::Response;
-use crate::partition_leader::{self, HeartbeatReply};
-use crate::refusal::RefusalReason;
+use crate::api::refusal::RefusalReason;
+use crate::control::partition_leader::{self, HeartbeatReply};
+use crate::runtime::clock;
+use crate::transport::http::Response;
 use crate::wire::{self, Heartbeat};
 use std::sync::Arc;
 use tokio::sync::oneshot;
--- a/src/borrowing/messages.rs
+++ b/src/borrowing/messages.rs
@@ -1,6 +1,6 @@
 //! What is asked about loans, through any controller.
 
-use crate::partition::LoansStatus;
+use crate::control::partition::LoansStatus;
 use serde::{Deserialize, Serialize};
 
 /// A question about loans.
--- a/src/borrowing/settings.rs
+++ b/src/borrowing/settings.rs
@@ -1,6 +1,6 @@
 //! The operators' file that declares who lends to whom (HCL).
 
-use crate::config::{Settings, hcl_text};
+use crate::settings::{Settings, hcl_text};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, KnownTeam};
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/src/borrowing/tests.rs
+++ b/src/borrowing/tests.rs
@@ -1,7 +1,7 @@
 //! The operators' file, read as they write it.
 
 use super::settings::parse_borrowing;
-use crate::config::{Team, tests::settings};
+use crate::settings::{Team, tests::settings};
 
 const FILE: &str = r#"
 quiet_s        = 1800
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -1,11 +1,15 @@
 //! Clients of the state service, the cloud and the workers, with timeouts and
 //! rate budgets derived from the settings.
 
-use crate::clock;
-use crate::config::Settings;
-use crate::http::{CallError, Client, SMALL_IDLE_POOL};
-use crate::net::Net;
-use crate::partition::CommitOutcome;
+pub mod job_reads;
+pub mod request_budget;
+pub mod write_limits;
+
+use crate::control::partition::CommitOutcome;
+use crate::runtime::clock;
+use crate::settings::Settings;
+use crate::transport::http::{CallError, Client, SMALL_IDLE_POOL};
+use crate::transport::network::Net;
 use crate::wire::{self, Changes, Item, Page, Revision, StateLease, store};
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -1,11 +1,11 @@
 //! The client of the cloud.
 
 use super::{RequestError, TokenBucket};
-use crate::clock;
-use crate::config::Settings;
-use crate::http::{Client, SMALL_IDLE_POOL};
 use crate::model::InstanceType;
-use crate::net::Net;
+use crate::runtime::clock;
+use crate::settings::Settings;
+use crate::transport::http::{Client, SMALL_IDLE_POOL};
+use crate::transport::network::Net;
 use crate::wire::{self, ListedInstance};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -4,13 +4,13 @@
 //! arrived later: another node may have told something newer meanwhile. So a storm of
 //! questions about one job costs one read at a time.
 
+use crate::api::ended_jobs::EndedJob;
+use crate::api::refusal::RefusalReason;
 use crate::clients::State;
-use crate::ended_jobs::EndedJob;
+use crate::clients::request_budget::{Purpose, RequestBudget};
+use crate::control::partition::job_key;
 use crate::model::{Dependencies, JobEnd, JobRecord, Shape};
-use crate::partition::job_key;
-use crate::refusal::RefusalReason;
-use crate::request_budget::{Purpose, RequestBudget};
-use crate::task;
+use crate::runtime::task;
 use std::collections::HashMap;
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/request_budget.rs
+++ b/src/clients/request_budget.rs
@@ -5,7 +5,7 @@
 //! together, and submissions and cancellations don't wait behind a storm of polls.
 
 use crate::clients::TokenBucket;
-use crate::clock;
+use crate::runtime::clock;
 use std::sync::{Arc, Mutex};
 
 /// Share of the service's rate that the polls at all controllers may take.
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -1,10 +1,10 @@
 //! The client of the workers.
 
-use crate::bounds::Bounds;
-use crate::config::Settings;
-use crate::http::{CallError, Client};
-use crate::net::Net;
-use crate::partition::DirectCommandOutcome;
+use crate::control::partition::DirectCommandOutcome;
+use crate::settings::Settings;
+use crate::settings::bounds::Bounds;
+use crate::transport::http::{CallError, Client};
+use crate::transport::network::Net;
 use crate::wire;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/write_limits.rs
+++ b/src/clients/write_limits.rs
@@ -4,8 +4,8 @@
 //! therefore keep to the smaller of the present limits and those to come from the start;
 //! the rate stays the present one until the service refuses it.
 
-use crate::config::{Settings, StateLimits};
 use crate::model::{JobRecord, Spec};
+use crate::settings::{Settings, StateLimits};
 use serde::Serialize;
 
 /// Bytes in a KiB.
--- a/src/write_limits/tests.rs
+++ b/src/clients/write_limits/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the limits of writes.
 
 use super::*;
-use crate::config::tests::settings;
-use crate::config::{NextStateLimits, StateLimits};
+use crate::control::partition::tests::body;
 use crate::model::Dependencies;
-use crate::partition::tests::body;
+use crate::settings::tests::settings;
+use crate::settings::{NextStateLimits, StateLimits};
 use crate::wire;
 
 const NEXT: NextStateLimits =
--- a/src/borrowing_command.rs
+++ b/src/commands/borrowing.rs
@@ -1,10 +1,10 @@
 //! `badgerdrift loans`: shows loans between teams, through any controller.
 
 use crate::borrowing::{LoansRequest, LoansResponse};
-use crate::config_command::CommandError;
-use crate::controller_request::{ask, json_text, retry_later};
-use crate::partition::LoansStatus;
-use crate::peer::{PeerRequest, PeerResponse};
+use crate::commands::configuration::CommandError;
+use crate::commands::controller_client::{ask, json_text, retry_later};
+use crate::control::partition::LoansStatus;
+use crate::transport::peer::{PeerRequest, PeerResponse};
 use clap::Subcommand;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/src/config_command.rs
+++ b/src/commands/configuration.rs
@@ -2,8 +2,8 @@
 //! through any controller.
 
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionStatus, Unavailable};
-use crate::net::Net;
-use crate::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::network::Net;
+use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::{ChangeId, ChangeOutcome, DocumentName, VersionedDocument};
 use clap::Subcommand;
 use file::{document_text, read_changes};
--- a/src/controller_request.rs
+++ b/src/commands/controller_client.rs
@@ -1,8 +1,8 @@
 //! What the program's commands ask a running controller, and how answers are printed.
 
-use crate::config_command::CommandError;
-use crate::net::Net;
-use crate::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::commands::configuration::CommandError;
+use crate::transport::network::Net;
+use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
--- /dev/null
+++ b/src/commands/mod.rs
@@ -0,0 +1,6 @@
+//! The commands of the program that ask a running controller.
+
+pub mod borrowing;
+pub mod configuration;
+pub mod controller_client;
+pub mod warm_pools;
--- a/src/warm_pools_command.rs
+++ b/src/commands/warm_pools.rs
@@ -1,8 +1,8 @@
 //! `badgerdrift pools`: shows warm pools and their bills, through any controller.
 
-use crate::config_command::CommandError;
-use crate::controller_request::{ask, json_text, retry_later};
-use crate::peer::{PeerRequest, PeerResponse};
+use crate::commands::configuration::CommandError;
+use crate::commands::controller_client::{ask, json_text, retry_later};
+use crate::transport::peer::{PeerRequest, PeerResponse};
 use crate::warm_pools::{BillRow, PoolsRequest, PoolsResponse};
 use badgerdrift_warm_pools::PoolStatus;
 use clap::Subcommand;
--- a/src/configuration/effect.rs
+++ b/src/configuration/effect.rs
@@ -1,8 +1,8 @@
 //! What the configuration means for one region's decisions.
 
-use crate::config::{Operator, Settings};
 use crate::model::Demand;
-use crate::sched::{Policy, TeamRule};
+use crate::scheduling::{Policy, TeamRule};
+use crate::settings::{Operator, Settings};
 use badgerdrift_fleet_config::{
     Amount, Amounts, ConfigState, Document, OperatorDocument, RegionName, Share, TeamDocument,
 };
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -3,8 +3,8 @@
 use super::effect::policy_of;
 use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
 use super::records::AppliedConfiguration;
-use crate::metrics::gauge_line;
-use crate::sched::Policy;
+use crate::runtime::metrics::gauge_line;
+use crate::scheduling::Policy;
 use badgerdrift_fleet_config::{ConfigState, RegionName};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -3,9 +3,9 @@
 use super::handle::ConfigurationHandle;
 use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
 use super::regions::Regions;
-use crate::metrics::SharedMetrics;
-use crate::task;
-use crate::write_limits::{WriteLimits, json_bytes};
+use crate::clients::write_limits::{WriteLimits, json_bytes};
+use crate::runtime::metrics::SharedMetrics;
+use crate::runtime::task;
 use badgerdrift_fleet_config::{
     Ballot, Batch, ChangeOutcome, Entry, Proposer, ProposerId, Rejection, Reply, Request, Step,
 };
--- a/src/configuration/regions.rs
+++ b/src/configuration/regions.rs
@@ -2,8 +2,8 @@
 
 use super::messages::{ConfigurationRequest, ConfigurationResponse};
 use super::settings::FleetSettings;
-use crate::net::Net;
-use crate::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::network::Net;
+use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::RegionName;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -3,8 +3,9 @@
 use super::actor::ConfigurationActor;
 use super::messages::{ConfigurationResponse, Unavailable};
 use super::records::{self, LoadError, REGION_KEY, StoredRecord};
-use crate::partition::CommitOutcome;
-use crate::{clock, wire};
+use crate::control::partition::CommitOutcome;
+use crate::runtime::clock;
+use crate::wire;
 use badgerdrift_fleet_config::{RegionRecord, Request};
 
 /// Attempts to store a record that others change.
--- a/src/membership/failover.rs
+++ b/src/control/membership/failover.rs
@@ -3,8 +3,8 @@
 use super::messages::{AcquiredLeadership, Message};
 use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use crate::clients::State;
-use crate::clock;
-use crate::partition::CommitOutcome;
+use crate::control::partition::CommitOutcome;
+use crate::runtime::clock;
 use crate::wire;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/src/membership/rules.rs
+++ b/src/control/membership/rules.rs
@@ -2,7 +2,7 @@
 
 use super::messages::AcquiredLeadership;
 use super::records::PartitionRecord;
-use crate::clock::DRIFT;
+use crate::runtime::clock::DRIFT;
 
 /// What this node is to the partition.
 #[derive(Debug)]
--- a/src/membership/tests.rs
+++ b/src/control/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::{
     AcquiredLeadership, FencingTokenRecord, LeaderLease, MembershipRules, PartitionRecord, Succession, partition_key,
 };
-use crate::clock;
+use crate::runtime::clock;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/membership/watch.rs
+++ b/src/control/membership/watch.rs
@@ -3,7 +3,7 @@
 use super::messages::Message;
 use super::records::{PartitionRecord, partition_key};
 use crate::clients::State;
-use crate::task;
+use crate::runtime::task;
 use crate::wire::Item;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/src/node.rs
+++ b/src/control/node.rs
@@ -1,21 +1,22 @@
 //! Puts a controller together and runs it.
 
+use crate::api::ended_jobs::EndedJobs;
 use crate::api::{Api, RouteHints};
-use crate::bounds::{Bounds, QUEUED_FOR_LEADER};
+use crate::clients::job_reads::JobReads;
+use crate::clients::request_budget::RequestBudget;
 use crate::clients::{Cloud, State, Worker};
-use crate::config::{Operator, Seed, Settings};
 use crate::configuration::{self, FleetSettings};
-use crate::ended_jobs::EndedJobs;
-use crate::job_reads::JobReads;
-use crate::membership::{LeaderLease, LeaderStatus, Membership, PledgeStatus, Succession};
-use crate::metrics::SharedMetrics;
-use crate::net::Net;
-use crate::partition_leader::PartitionLeader;
-use crate::peer::{self, Peer, PeerLimits};
-use crate::request_budget::RequestBudget;
-use crate::router::{PartitionHandle, Router};
-use crate::sched::Policy;
-use crate::{clock, http, task};
+use crate::control::membership::{LeaderLease, LeaderStatus, Membership, PledgeStatus, Succession};
+use crate::control::partition_leader::PartitionLeader;
+use crate::control::router::{PartitionHandle, Router};
+use crate::runtime::metrics::SharedMetrics;
+use crate::runtime::{clock, task};
+use crate::scheduling::Policy;
+use crate::settings::bounds::{Bounds, QUEUED_FOR_LEADER};
+use crate::settings::{Operator, Seed, Settings};
+use crate::transport::http;
+use crate::transport::network::Net;
+use crate::transport::peer::{self, Peer, PeerLimits};
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
--- a/src/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -1,7 +1,7 @@
 //! The records of loans: read at a failover, written with the partition's others.
 
 use super::PartitionBorrowing;
-use crate::partition::Partition;
+use crate::control::partition::Partition;
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
 use serde_json::Value;
@@ -27,12 +27,12 @@
     }
 
     /// The records of loans that go into the next commit, at most so many.
-    pub(in crate::partition) fn next_loan_writes(&mut self, most: usize, wall: u64) -> Vec<RecordWrite> {
+    pub(in crate::control::partition) fn next_loan_writes(&mut self, most: usize, wall: u64) -> Vec<RecordWrite> {
         self.loans.as_mut().map(|own| own.loans.next_writes(most, wall)).unwrap_or_default()
     }
 
     /// The loans' part of a commit was made: what it tells of may be stopped.
-    pub(in crate::partition) fn loans_written(&mut self, revision: u64) {
+    pub(in crate::control::partition) fn loans_written(&mut self, revision: u64) {
         let Some(own) = &mut self.loans else { return };
         for LoanEvent::Recorded(id) in own.loans.written(revision) {
             self.order_waiting_stops(id);
@@ -41,7 +41,7 @@
     }
 
     /// The loans' part of a commit was not made, or that is `indeterminate`.
-    pub(in crate::partition) fn loans_not_written(&mut self, indeterminate: bool) {
+    pub(in crate::control::partition) fn loans_not_written(&mut self, indeterminate: bool) {
         let Some(own) = &mut self.loans else { return };
         if indeterminate {
             own.loans.indeterminate();
@@ -51,12 +51,12 @@
     }
 
     /// Keys of loans that must be read before their records are written again.
-    pub(in crate::partition) fn loan_keys_to_read(&self) -> Vec<String> {
+    pub(in crate::control::partition) fn loan_keys_to_read(&self) -> Vec<String> {
         self.loans.iter().flat_map(|own| own.loans.keys_to_read()).collect()
     }
 
     /// Takes a key as it is now.
-    pub(in crate::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
+    pub(in crate::control::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
         if let Some(own) = &mut self.loans {
             own.loans.reread(key, item.map_or(0, |item| item.version));
         }
@@ -77,7 +77,7 @@
 
 impl PartitionBorrowing {
     /// The condition and the change for a record.
-    pub(in crate::partition) fn encode(write: &RecordWrite) -> (Value, Value) {
+    pub(in crate::control::partition) fn encode(write: &RecordWrite) -> (Value, Value) {
         let change = match &write.value {
             Some(record) => wire::put(&write.key, &serde_json::to_value(record).unwrap_or_default(), None),
             None => wire::delete(&write.key),
--- a/src/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -2,9 +2,9 @@
 
 use super::demand::TeamDemands;
 use super::{PartitionBorrowing, WaitingStop};
+use crate::control::partition::Partition;
 use crate::model::{BorrowingState, JobIndex};
-use crate::partition::Partition;
-use crate::sched::{CycleDecisions, Preemption, RefusedLoan, StopCause};
+use crate::scheduling::{CycleDecisions, Preemption, RefusedLoan, StopCause};
 use badgerdrift_borrowing::{Amounts, LoanKind, Moment, Proposal, Refusal};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 
 impl Partition {
     /// Tells the scheduler which work of other teams may be stopped.
-    pub(in crate::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
+    pub(in crate::control::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
         let Some(own) = &self.loans else { return };
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
         let lending = own.lending_state(self, &demands, wall);
@@ -29,7 +29,12 @@
     }
 
     /// Takes in what a scheduling cycle decided about loans. Their stops wait for the records.
-    pub(in crate::partition) fn apply_loan_decisions(&mut self, outcome: &CycleDecisions, now: u64, wall: u64) {
+    pub(in crate::control::partition) fn apply_loan_decisions(
+        &mut self,
+        outcome: &CycleDecisions,
+        now: u64,
+        wall: u64,
+    ) {
         if self.loans.is_none() {
             return;
         }
@@ -97,7 +102,7 @@
     }
 
     /// Logs and counts what has happened to loans since the last call.
-    pub(in crate::partition) fn note_loan_transitions(&mut self) {
+    pub(in crate::control::partition) fn note_loan_transitions(&mut self) {
         let Some(own) = &mut self.loans else { return };
         for transition in own.loans.take_transitions() {
             let loan = &transition.loan;
--- a/src/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -1,7 +1,7 @@
 //! What the jobs of each team use and could use, as floors count it.
 
 use crate::model::{ClusterState, InstanceKind, Job, JobIndex, Place, Shape};
-use crate::sched::{self, TeamRule};
+use crate::scheduling::{self, TeamRule};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, JobDemand, Priority, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
@@ -100,7 +100,7 @@
 /// The kinds of machines that are up and may be used, each once.
 fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<InstanceKind> {
     let mut kinds = Vec::new();
-    for (_, host) in cluster.each_host().filter(|(_, host)| sched::usable(host, now)) {
+    for (_, host) in cluster.each_host().filter(|(_, host)| scheduling::usable(host, now)) {
         let kind = InstanceKind { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
         if !kinds.contains(&kind) {
             kinds.push(kind);
--- a/src/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -2,8 +2,8 @@
 //! left, needs that are gone and work that runs again.
 
 use super::demand::{TeamDemands, missing_tasks};
+use crate::control::partition::Partition;
 use crate::model::ClusterState;
-use crate::partition::Partition;
 use badgerdrift_borrowing::{LendingJob, LoanId, Moment};
 
 /// A loan that is not recorded within this multiple of `react_ms` is given up: nothing is stopped.
--- a/src/partition/borrowing/rooms.rs
+++ b/src/control/partition/borrowing/rooms.rs
@@ -1,8 +1,8 @@
 //! Room that a borrower has left, and that is kept for it while its need may come back.
 
 use super::demand::TeamDemands;
+use crate::control::partition::Partition;
 use crate::model::{Host, HostIndex, JobIndex, Reservation};
-use crate::partition::Partition;
 use badgerdrift_borrowing::{Amounts, Priority};
 
 /// Milliseconds in a second.
@@ -12,7 +12,7 @@
     /// A borrower's job is cancelled, and its tasks are being stopped: their room is held for the team
     /// for as long as a loan outlives its need, so that a burst that flickers stops nothing a second
     /// time. Held only once the tasks are gone, it would be promised to others by then.
-    pub(in crate::partition) fn reserve_capacity_of_cancelled(&mut self, job_index: JobIndex, now: u64) {
+    pub(in crate::control::partition) fn reserve_capacity_of_cancelled(&mut self, job_index: JobIndex, now: u64) {
         if !self.borrows(job_index) {
             return;
         }
@@ -25,7 +25,12 @@
     }
 
     /// A task of a borrower is done, and its job with it: its room is held as well.
-    pub(in crate::partition) fn hold_room_of_done(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
+    pub(in crate::control::partition) fn hold_room_of_done(
+        &mut self,
+        host_index: HostIndex,
+        job_index: JobIndex,
+        now: u64,
+    ) {
         let job = &self.cluster.jobs[job_index];
         if !job.active() && !job.cancelling && self.borrows(job_index) {
             self.hold_lent_room(host_index, job_index, now);
--- a/src/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -1,8 +1,8 @@
 //! What operators are told of loans.
 
 use super::demand::TeamDemands;
-use crate::metrics::labelled_gauge_line;
-use crate::partition::Partition;
+use crate::control::partition::Partition;
+use crate::runtime::metrics::labelled_gauge_line;
 use badgerdrift_borrowing::{Amounts, Loan, LoanState, TeamShare};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
     pub fn loan_gauges(&self, now: u64) -> String {
         let Some(status) = self.loans_status(now) else { return String::new() };
         let open = status.loans.iter().filter(|loan| loan.loan.state != LoanState::Proposed).count();
-        let mut text = crate::metrics::gauge_line("loans_open", open);
+        let mut text = crate::runtime::metrics::gauge_line("loans_open", open);
         for team in &status.teams {
             let figures =
                 [("lent_gpus", team.lent), ("borrowed_gpus", team.borrowed), ("shortfall_gpus", team.shortfall)];
--- a/src/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -6,8 +6,8 @@
 //! directly or through others. Its own record follows when there is time for it.
 
 use super::{Partition, UserAnswer, Waiter};
+use crate::api::refusal::RefusalReason;
 use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, Spec, UnsavedChange, Urgency};
-use crate::refusal::RefusalReason;
 use crate::wire::Item;
 use std::collections::{BTreeMap, HashSet};
 
--- a/src/partition/drain.rs
+++ b/src/control/partition/drain.rs
@@ -2,7 +2,7 @@
 
 use super::Partition;
 use crate::model::Reservation;
-use crate::sched::Drain;
+use crate::scheduling::Drain;
 
 impl Partition {
     /// Begins to empty a machine: each replica is stopped with room held for it
--- a/src/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -2,8 +2,8 @@
 
 use super::Partition;
 use super::keys::host_key;
-use crate::clock::DRIFT;
 use crate::model::{Host, HostIndex, UNREACHABLE_AFTER_MISSES};
+use crate::runtime::clock::DRIFT;
 use std::collections::{HashMap, HashSet};
 
 /// A zone is never taken for cut off for the silence of one machine in fewer than these.
--- a/src/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -32,11 +32,11 @@
     Superseded, UserAnswer, Waiter,
 };
 
-use crate::dependency_graph::DependencyGraph;
-use crate::metrics::Metrics;
+use crate::clients::write_limits::WriteLimits;
 use crate::model::{ClusterState, HostIndex, JobIndex};
-use crate::sched::Policy;
-use crate::write_limits::WriteLimits;
+use crate::runtime::metrics::Metrics;
+use crate::scheduling::Policy;
+use crate::scheduling::dependency_graph::DependencyGraph;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// The state of one partition, and the protocol over it.
@@ -136,7 +136,7 @@
             hosts_of_other_partitions: HashMap::new(),
             records_to_reread: BTreeSet::new(),
             pending_transfers: HashMap::new(),
-            partition_key: crate::membership::partition_key(id),
+            partition_key: crate::control::membership::partition_key(id),
             partition_version: 0,
             begun_ms: 0,
             next_attempt: 0,
--- a/src/partition/report_load.rs
+++ b/src/control/partition/report_load.rs
@@ -1,6 +1,6 @@
 //! How often attempts are listed in workers' reports: what following them costs the leader.
 
-use crate::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
+use crate::settings::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
 
 /// A rate is measured over so many intervals between reports.
 const MEASURED_REPORTS: u64 = 3;
--- a/src/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -2,7 +2,7 @@
 
 use super::Partition;
 use crate::model::{JobIndex, Urgency};
-use crate::sched::{self, Assignment, CycleDecisions, Preemption};
+use crate::scheduling::{self, Assignment, CycleDecisions, Preemption};
 
 /// Least rate of a fetch that its duration is computed with.
 const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
@@ -29,7 +29,7 @@
         self.reserve_warm_capacity();
         self.describe_borrowing(now, wall);
         let next = &mut self.next_attempt;
-        let out = sched::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
+        let out = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
             *next += 1;
             *next
         });
@@ -120,11 +120,11 @@
 
     /// Do all teams keep to their limits, whatever machines that are not reconciled may hold?
     pub fn teams_within_limits(&self, now: u64) -> bool {
-        let mut used = sched::Index::new(&self.cluster, now).usage;
+        let mut used = scheduling::Index::new(&self.cluster, now).usage;
         for (team, unseen) in self.cluster.unseen() {
             used.entry(team).or_default().add(&unseen);
         }
-        let none = sched::TeamRule::default();
+        let none = scheduling::TeamRule::default();
         used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&none).limit))
     }
 
--- a/src/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -1,7 +1,7 @@
 //! Tests of submissions: what is accepted, when that is said, what is refused.
 
 use super::*;
-use crate::refusal::RefusalReason;
+use crate::api::refusal::RefusalReason;
 
 #[test]
 fn a_job_is_accepted_after_its_commit_and_known_ever_after() {
--- a/src/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::model::Urgency;
-use crate::sched::TeamRule;
+use crate::scheduling::TeamRule;
 use badgerdrift_borrowing::{BorrowingSettings, LOAN_PREFIX};
 use std::sync::Arc;
 
--- a/src/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -2,9 +2,9 @@
 //! cancelled, which deadline and priority a pipeline has.
 
 use super::*;
-use crate::config::{Operator, tests::settings};
+use crate::api::refusal::RefusalReason;
 use crate::model::{JobEnd, JobPhase, JobRecord, UnsavedChange};
-use crate::refusal::RefusalReason;
+use crate::settings::{Operator, tests::settings};
 use crate::wire::tests::reported;
 use crate::wire::{self, Item};
 use serde_json::{Value, json};
--- a/src/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::clients::RentResult;
-use crate::config::{Objective, Operator, tests::settings};
 use crate::model::{Demand, InstanceType};
-use crate::provisioner::{CloudRequest, Provisioner};
+use crate::provisioning::provisioner::{CloudRequest, Provisioner};
+use crate::settings::{Objective, Operator, tests::settings};
 use crate::wire::tests::reported;
 use crate::wire::{self, Heartbeat, Item, Order};
 use rand::rngs::StdRng;
--- a/src/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -2,8 +2,8 @@
 
 use super::dependencies::*;
 use super::*;
+use crate::api::refusal::RefusalReason;
 use crate::model::JobEnd;
-use crate::refusal::RefusalReason;
 
 #[test]
 fn one_recorded_cancellation_decides_for_all_dependents_at_once() {
--- a/src/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Tests of the limits of the state service.
 
 use super::*;
-use crate::config::NextStateLimits;
+use crate::settings::NextStateLimits;
 
 #[test]
 fn no_commit_holds_more_changes_than_the_limits_to_come_allow() {
--- a/src/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -16,12 +16,12 @@
 mod warm_pools;
 
 use super::*;
-use crate::config::{Operator, tests::settings};
 use crate::model::{
     Demand, Host, HostIndex, HostRecord, InstanceType, Job, JobPhase, JobRecord, Place, TaskAttempt,
     UNREACHABLE_AFTER_MISSES,
 };
-use crate::sched;
+use crate::scheduling;
+use crate::settings::{Operator, tests::settings};
 use crate::wire::tests::reported;
 use crate::wire::{self, Heartbeat, Item, Order};
 use serde_json::{Value, json};
--- a/src/partition/tests/silence.rs
+++ b/src/control/partition/tests/silence.rs
@@ -81,7 +81,7 @@
             }
         }
         if n == 4 {
-            assert!(!sched::usable(p.cluster.host(0).unwrap(), now));
+            assert!(!scheduling::usable(p.cluster.host(0).unwrap(), now));
         }
     }
     assert_eq!(released, ["h1"]);
--- a/src/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -6,7 +6,7 @@
 mod machines;
 
 use super::*;
-use crate::config::{Operator, Settings, tests::settings};
+use crate::settings::{Operator, Settings, tests::settings};
 use crate::wire::{Item, Order, SlotStatus};
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
--- a/src/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -1,7 +1,7 @@
 //! Messages, answers and commits that a partition takes and gives.
 
+use crate::api::refusal::RefusalReason;
 use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
-use crate::refusal::RefusalReason;
 use crate::wire::{Heartbeat, Order};
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/partition/users.rs
+++ b/src/control/partition/users.rs
@@ -1,9 +1,9 @@
 //! What users ask of a partition: submissions, polls, cancellations.
 
 use super::{Partition, UserAnswer, Waiter};
+use crate::api::refusal::RefusalReason;
 use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_MISSES, UnsavedChange, Urgency};
-use crate::refusal::RefusalReason;
-use crate::{sched, wire};
+use crate::{scheduling, wire};
 
 /// Submissions are refused once those before them take a quarter of a lease to record:
 /// milliseconds of the lease for each second of the backlog.
@@ -56,7 +56,7 @@
         if self.cluster.instance_types.is_empty() {
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
         }
-        if let Some(why) = sched::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
+        if let Some(why) = scheduling::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
             return Some(match why.is_for_now(self.configuration_up_to_date) {
                 true => UserAnswer::RetryLater(RefusalReason::ConfigurationBehind),
                 false => UserAnswer::Unschedulable(why.to_string()),
--- a/src/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -1,8 +1,8 @@
 //! The records of the pools: read at a failover, written with the partition's others.
 
 use super::PartitionWarmPools;
+use crate::control::partition::Partition;
 use crate::model::{CachedImage, HostIndex};
-use crate::partition::Partition;
 use crate::wire::{self, Item};
 use badgerdrift_warm_pools::{HoldKind, PoolEvent, RecordChanges, RecordKey, StoredRecord};
 use serde_json::Value;
@@ -37,7 +37,7 @@
     }
 
     /// The changes of the pools' records that go into the next commit, if there is room for any.
-    pub(in crate::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
+    pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
         let own = self.pools.as_mut()?;
         let id = self.next_attempt + 1;
         let changes = own.pools.next_changes(id, most)?;
@@ -47,14 +47,14 @@
     }
 
     /// The pools' part of a commit was made.
-    pub(in crate::partition) fn pools_written(&mut self, revision: u64) {
+    pub(in crate::control::partition) fn pools_written(&mut self, revision: u64) {
         let Some(own) = &mut self.pools else { return };
         let events = own.pools.written(revision);
         self.follow_pool_events(events);
     }
 
     /// The pools' part of a commit was not made, or that is `indeterminate`.
-    pub(in crate::partition) fn pools_not_written(&mut self, indeterminate: bool) {
+    pub(in crate::control::partition) fn pools_not_written(&mut self, indeterminate: bool) {
         let Some(own) = &mut self.pools else { return };
         if indeterminate {
             own.pools.indeterminate();
@@ -113,7 +113,7 @@
 
 impl PartitionWarmPools {
     /// The conditions and changes of a commit.
-    pub(in crate::partition) fn encode(changes: &RecordChanges) -> Vec<(Value, Value)> {
+    pub(in crate::control::partition) fn encode(changes: &RecordChanges) -> Vec<(Value, Value)> {
         let encode = |write: &badgerdrift_warm_pools::RecordWrite| {
             let path = write.key.path();
             let change = match &write.value {
--- a/src/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -2,8 +2,8 @@
 //! prices, and new slots.
 
 use super::amounts;
+use crate::control::partition::Partition;
 use crate::model::HostIndex;
-use crate::partition::Partition;
 use badgerdrift_warm_pools::{EndCause, SlotId, SlotState, price_of};
 
 /// A claim that is not recorded within this multiple of `react_ms` is given up: its task is placed
@@ -54,7 +54,7 @@
     }
 
     /// Claims whose attempts are gone end; what waits to be recorded has an attempt as well.
-    pub(in crate::partition) fn end_claims(&mut self, now: u64) {
+    pub(in crate::control::partition) fn end_claims(&mut self, now: u64) {
         let Some(own) = &self.pools else { return };
         let gone = |host: &str, attempt: u64| {
             let host = self.cluster.host_index.get(host).and_then(|index| self.cluster.host(*index));
--- a/src/partition/warm_pools/mod.rs
+++ b/src/control/partition/warm_pools/mod.rs
@@ -39,7 +39,7 @@
     }
 
     /// Logs and counts what has happened to slots since the last call.
-    pub(in crate::partition) fn note_transitions(&mut self) {
+    pub(in crate::control::partition) fn note_transitions(&mut self) {
         let Some(own) = &mut self.pools else { return };
         for transition in own.pools.take_transitions() {
             let from = transition.from.as_ref().map_or("none", SlotState::label);
--- a/src/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -2,9 +2,9 @@
 
 use super::rooms::hosts_of;
 use super::{PartitionWarmPools, amounts, demand};
+use crate::control::partition::Partition;
 use crate::model::{Host, HostIndex, Shape, Spec, Urgency};
-use crate::partition::Partition;
-use crate::sched::Index;
+use crate::scheduling::Index;
 use badgerdrift_warm_pools::{HoldKind, Pool, SlotPlace, price_of};
 use std::cmp::Reverse;
 use std::collections::HashMap;
--- a/src/partition/warm_pools/reports.rs
+++ b/src/control/partition/warm_pools/reports.rs
@@ -1,7 +1,7 @@
 //! What reports say of slots, and the orders that follow.
 
+use crate::control::partition::Partition;
 use crate::model::HostIndex;
-use crate::partition::Partition;
 use crate::wire::{Heartbeat, Order};
 use badgerdrift_warm_pools::{EndCause, HoldKind, Slot, SlotId, SlotState};
 
@@ -19,7 +19,7 @@
 
 impl Partition {
     /// Takes what a current report says of the slots on its machine.
-    pub(in crate::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Heartbeat, now: u64) {
+    pub(in crate::control::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Heartbeat, now: u64) {
         let Some(own) = &self.pools else { return };
         let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == r.host).collect();
         let another_session = on_host.iter().any(|slot| slot.agent_epoch != r.agent_epoch);
@@ -71,7 +71,7 @@
     }
 
     /// The orders for the slots of a machine: what its worker should have done and has not.
-    pub(in crate::partition) fn slot_orders(&self, host_index: HostIndex) -> Vec<Order> {
+    pub(in crate::control::partition) fn slot_orders(&self, host_index: HostIndex) -> Vec<Order> {
         let Some(own) = &self.pools else { return Vec::new() };
         let Some(host) = self.cluster.host(host_index).filter(|host| host.loads_models && host.reconciled) else {
             return Vec::new();
@@ -87,7 +87,7 @@
     }
 
     /// Orders to unload what a worker has and no record knows, or not any more.
-    pub(in crate::partition) fn unknown_slots(&self, r: &Heartbeat) -> Vec<Order> {
+    pub(in crate::control::partition) fn unknown_slots(&self, r: &Heartbeat) -> Vec<Order> {
         let Some(own) = &self.pools else { return Vec::new() };
         let known = |id: SlotId| {
             own.pools.slot(id).is_some_and(|slot| slot.host == r.host && !matches!(slot.state, SlotState::Ended(_)))
--- a/src/partition/warm_pools/rooms.rs
+++ b/src/control/partition/warm_pools/rooms.rs
@@ -1,16 +1,16 @@
 //! What the scheduler is told of the pools, and what it decided about them.
 
 use super::{PartitionWarmPools, demand};
+use crate::control::partition::Partition;
 use crate::model::{ClusterState, HostIndex, WarmReservation, WarmReservationClaim, WarmReservationOffer};
-use crate::partition::Partition;
-use crate::sched::CycleDecisions;
+use crate::scheduling::CycleDecisions;
 use badgerdrift_warm_pools::{Claim, EndCause, HoldKind, Slot, SlotState};
 use std::sync::Arc;
 
 impl Partition {
     /// Tells the scheduler which room is held. Without the state service no claim could be
     /// recorded: then none is offered, and jobs are placed as usual.
-    pub(in crate::partition) fn reserve_warm_capacity(&mut self) {
+    pub(in crate::control::partition) fn reserve_warm_capacity(&mut self) {
         let Some(own) = &self.pools else { return };
         let recordable = self.reservations_recordable;
         let cluster = &self.cluster;
@@ -21,7 +21,7 @@
     }
 
     /// Takes in what a scheduling cycle decided about rooms.
-    pub(in crate::partition) fn apply_warm_decisions(&mut self, outcome: &CycleDecisions, now: u64) {
+    pub(in crate::control::partition) fn apply_warm_decisions(&mut self, outcome: &CycleDecisions, now: u64) {
         for claim in &outcome.warm_claims {
             self.room_claimed(claim, now);
         }
--- a/src/partition_leader/answers.rs
+++ b/src/control/partition_leader/answers.rs
@@ -3,11 +3,11 @@
 use super::context::{PartitionLeader, RETRY_LOANS, RETRY_POOLS};
 use super::leadership::Leadership;
 use super::messages::{HeartbeatReply, Message};
-use crate::clock;
-use crate::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
-use crate::peer::{CapacityReport, Machines, PeerResponse, UserCall};
-use crate::refusal::RefusalReason;
-use crate::sched::PendingMachine;
+use crate::api::refusal::RefusalReason;
+use crate::control::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
+use crate::runtime::clock;
+use crate::scheduling::PendingMachine;
+use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::wire::Heartbeat;
 
 impl PartitionLeader {
--- a/src/partition_leader/borrowing.rs
+++ b/src/control/partition_leader/borrowing.rs
@@ -3,7 +3,7 @@
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
 use crate::borrowing::LoansResponse;
-use crate::clock;
+use crate::runtime::clock;
 
 impl PartitionLeader {
     /// Looks after the loans, if there is borrowing.
--- a/src/partition_leader/cloud_tasks.rs
+++ b/src/control/partition_leader/cloud_tasks.rs
@@ -6,10 +6,10 @@
 use super::stored_records::flavor_changes;
 use crate::clients::{Cloud, RentResult, State};
 use crate::model::InstanceType;
-use crate::peer::PeerRequest;
-use crate::provisioner::CloudRequest;
-use crate::sched::Rental;
-use crate::task;
+use crate::provisioning::provisioner::CloudRequest;
+use crate::runtime::task;
+use crate::scheduling::Rental;
+use crate::transport::peer::PeerRequest;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/src/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -4,9 +4,9 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::clients::{State, TokenBucket};
-use crate::membership::{self, PartitionRecord, RaisedToken};
-use crate::partition::{CommitOutcome, Superseded};
-use crate::task;
+use crate::control::membership::{self, PartitionRecord, RaisedToken};
+use crate::control::partition::{CommitOutcome, Superseded};
+use crate::runtime::task;
 use tokio::time::sleep;
 
 impl PartitionLeader {
--- a/src/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -4,10 +4,11 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::configuration::{AppliedConfiguration, Published, applied_configuration_change, policy_of};
-use crate::membership::partition_key;
+use crate::control::membership::partition_key;
+use crate::control::partition::CommitOutcome;
 use crate::model::Demand;
-use crate::partition::CommitOutcome;
-use crate::{task, wire};
+use crate::runtime::task;
+use crate::wire;
 
 impl PartitionLeader {
     /// Decides by the last version from now on, and records that.
--- a/src/partition_leader/context.rs
+++ b/src/control/partition_leader/context.rs
@@ -3,9 +3,9 @@
 use super::messages::{BackgroundSender, Message};
 use crate::borrowing::LoansResponse;
 use crate::clients::{Cloud, State, Worker};
-use crate::config::{Operator, Settings};
-use crate::membership::{self, LeaderLease, PledgeStatus};
-use crate::router::Router;
+use crate::control::membership::{self, LeaderLease, PledgeStatus};
+use crate::control::router::Router;
+use crate::settings::{Operator, Settings};
 use crate::warm_pools::PoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
--- a/src/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -7,8 +7,8 @@
 use super::messages::BackgroundEvent;
 use super::stored_records::ExternalRecords;
 use crate::clients::{RequestError, State};
-use crate::partition::{DependencyLookup, JOB_PREFIX, job_key};
-use crate::task;
+use crate::control::partition::{DependencyLookup, JOB_PREFIX, job_key};
+use crate::runtime::task;
 use crate::wire::Item;
 use std::collections::HashSet;
 
--- a/src/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::model::HostIndex;
-use crate::task;
+use crate::runtime::task;
 use crate::wire;
 
 impl PartitionLeader {
--- a/src/partition_leader/leadership.rs
+++ b/src/control/partition_leader/leadership.rs
@@ -2,9 +2,9 @@
 
 use super::followed::{FollowedConfiguration, KnownExternalDependencies};
 use crate::clients::TokenBucket;
-use crate::partition::Partition;
-use crate::provisioner::Provisioner;
-use crate::sched::PendingMachine;
+use crate::control::partition::Partition;
+use crate::provisioning::provisioner::Provisioner;
+use crate::scheduling::PendingMachine;
 
 /// One leadership epoch of the partition.
 pub(super) struct Leadership {
--- a/src/partition_leader/rounds.rs
+++ b/src/control/partition_leader/rounds.rs
@@ -3,10 +3,10 @@
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use crate::clock;
-use crate::membership;
-use crate::peer::{CapacityReport, PeerRequest, PeerResponse};
-use crate::task;
+use crate::control::membership;
+use crate::runtime::clock;
+use crate::runtime::task;
+use crate::transport::peer::{CapacityReport, PeerRequest, PeerResponse};
 
 impl PartitionLeader {
     /// Does what is due.
--- a/src/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -2,11 +2,11 @@
 
 use super::followed::KnownExternalDependencies;
 use crate::clients::State;
-use crate::clock;
+use crate::clients::write_limits::json_bytes;
 use crate::configuration::ConfigurationHandle;
 use crate::model::InstanceType;
+use crate::runtime::clock;
 use crate::wire::{self, Item};
-use crate::write_limits::json_bytes;
 use badgerdrift_borrowing::LOAN_PREFIX;
 use badgerdrift_warm_pools::RecordKey;
 use serde_json::{Value, json};
--- a/src/partition_leader/warm_pools.rs
+++ b/src/control/partition_leader/warm_pools.rs
@@ -2,8 +2,8 @@
 
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
-use crate::clock;
 use crate::model::InstanceType;
+use crate::runtime::clock;
 use crate::warm_pools::PoolsResponse;
 
 impl PartitionLeader {
--- a/src/router.rs
+++ b/src/control/router.rs
@@ -1,17 +1,17 @@
 //! The ways to the leaders of the partitions: the actors on this node, or the other
 //! controllers.
 
+use crate::api::refusal::RefusalReason;
 use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::clients::State;
-use crate::clock;
 use crate::configuration::ConfigurationHandle;
-use crate::frame_format::FrameFormat;
-use crate::http::Response;
-use crate::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
-use crate::partition::UserAnswer;
-use crate::partition_leader;
-use crate::peer::{Peer, PeerRequest, PeerResponse, UserCall};
-use crate::refusal::RefusalReason;
+use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
+use crate::control::partition::UserAnswer;
+use crate::control::partition_leader;
+use crate::runtime::clock;
+use crate::transport::frame_format::FrameFormat;
+use crate::transport::http::Response;
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse, UserCall};
 use crate::warm_pools::{PoolsRequest, PoolsResponse, read_bills};
 use crate::wire;
 use std::sync::Arc;
--- a/src/router/tests.rs
+++ b/src/control/router/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::peer::tests::{GRANT_TTL_MS, scripted_peer};
+use crate::transport::peer::tests::{GRANT_TTL_MS, scripted_peer};
 use tokio::time::Instant;
 
 /// A router to one partition, held here or by the given peer, and what its leader's actor is sent.
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
 //! The program: command line, logging, runtime.
 
-use badgerdrift::borrowing_command::{self, LoansCommand};
-use badgerdrift::config_command::{self, CommandError, ConfigCommand};
+use badgerdrift::commands::borrowing::LoansCommand;
+use badgerdrift::commands::configuration::{CommandError, ConfigCommand};
+use badgerdrift::commands::warm_pools::PoolsCommand;
 use badgerdrift::configuration;
-use badgerdrift::net::Net;
-use badgerdrift::node::{self, Subsystems};
-use badgerdrift::warm_pools_command::{self, PoolsCommand};
-use badgerdrift::{borrowing, config, warm_pools};
+use badgerdrift::control::node::{self, Subsystems};
+use badgerdrift::transport::network::Net;
+use badgerdrift::{borrowing, commands, settings, warm_pools};
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -74,8 +74,8 @@
 
 /// What the files tell.
 struct Loaded {
-    settings: config::Settings,
-    operator: config::Operator,
+    settings: settings::Settings,
+    operator: settings::Operator,
     subsystems: Subsystems,
     /// The file that the pools of `subsystems` are from.
     pools_file: Option<PathBuf>,
@@ -83,9 +83,9 @@
 
 impl Files {
     fn load(&self) -> Result<Loaded, String> {
-        let settings = config::load_settings(&self.config)?;
+        let settings = settings::load_settings(&self.config)?;
         let operator =
-            self.operator.as_deref().map_or_else(|| Ok(Default::default()), |p: &Path| config::load_operator(p))?;
+            self.operator.as_deref().map_or_else(|| Ok(Default::default()), |p: &Path| settings::load_operator(p))?;
         let fleet = self.fleet.as_deref().map(configuration::load_fleet).transpose()?;
         if fleet.is_some() && operator.partitions > 1 {
             return Err("partitions: must be 1 with a fleet of several regions".into());
@@ -121,9 +121,15 @@
             println!("{}: the settings are sound", loaded.settings.node);
             ExitCode::SUCCESS
         }),
-        Command::Config { controller, command } => told(runtime.block_on(config_command::run(controller, &command))),
-        Command::Pools { controller, command } => told(runtime.block_on(warm_pools_command::run(controller, &command))),
-        Command::Loans { controller, command } => told(runtime.block_on(borrowing_command::run(controller, &command))),
+        Command::Config { controller, command } => {
+            told(runtime.block_on(commands::configuration::run(controller, &command)))
+        }
+        Command::Pools { controller, command } => {
+            told(runtime.block_on(commands::warm_pools::run(controller, &command)))
+        }
+        Command::Loans { controller, command } => {
+            told(runtime.block_on(commands::borrowing::run(controller, &command)))
+        }
     }
 }
 
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -1,7 +1,7 @@
 //! Records of jobs and machines in the state service.
 
 use super::{Job, JobEnd, Place, Spec};
-use crate::write_limits::{RANGE_BYTES, json_bytes};
+use crate::clients::write_limits::{RANGE_BYTES, json_bytes};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/src/provisioner.rs
+++ b/src/provisioning/provisioner.rs
@@ -1,5 +1,5 @@
 //! The provisioner's side of the cloud: which machines are coming, which requests
-//! were refused, what to rent and return. Decisions come from `sched::plan`.
+//! were refused, what to rent and return. Decisions come from `scheduling::plan`.
 
 mod boots;
 mod frame_sizes;
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-use crate::boot_times::{BootTimes, MachineKind};
+use crate::control::partition::Partition;
 use crate::model::*;
-use crate::partition::Partition;
-use crate::peer::{CapacityReport, Machines};
-use crate::sched::{self, ClassFlow, ExpectedWork, PendingMachine, Rental, Supply};
+use crate::provisioning::boot_times::{BootTimes, MachineKind};
+use crate::scheduling::{self, ClassFlow, ExpectedWork, PendingMachine, Rental, Supply};
+use crate::transport::peer::{CapacityReport, Machines};
 use boots::BootingMachine;
 use rentals::RentalRequest;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -138,7 +138,7 @@
         let instance_types = partition.cluster.instance_types.iter().enumerate();
         let exhausted = instance_types.filter(|(i, f)| f.zones.iter().all(|z| gone(*i, z))).map(|(i, _)| i).collect();
         partition.cluster.exhausted = exhausted;
-        partition.cluster.reserves = sched::reserves(&partition.cluster, &partition.policy, &flows);
+        partition.cluster.reserves = scheduling::reserves(&partition.cluster, &partition.policy, &flows);
         let cluster = &partition.cluster;
         let mut capacity_report = CapacityReport {
             partition: partition.id,
@@ -161,7 +161,7 @@
                 upcoming: &upcoming,
                 flows: &flows,
             };
-            sched::plan(cluster, &partition.policy, now, &work, pending_machines, &supply)
+            scheduling::plan(cluster, &partition.policy, now, &work, pending_machines, &supply)
         };
         let machines = |r: Rental| {
             let instance_type = cluster.instance_types[r.instance_type].name.clone();
--- a/src/provisioner/boots.rs
+++ b/src/provisioning/provisioner/boots.rs
@@ -2,10 +2,10 @@
 //! which are late, and which will never come up.
 
 use super::{CloudRequest, Provisioner};
-use crate::boot_times::MachineKind;
+use crate::control::partition::Partition;
 use crate::model::InstanceType;
-use crate::partition::Partition;
-use crate::sched::PendingMachine;
+use crate::provisioning::boot_times::MachineKind;
+use crate::scheduling::PendingMachine;
 use crate::wire::ListedInstance;
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
--- a/src/provisioner/frame_sizes.rs
+++ b/src/provisioning/provisioner/frame_sizes.rs
@@ -1,6 +1,6 @@
 //! What partitions tell each other of machines, kept short enough for a frame.
 
-use crate::peer::{MAX_FRAME, Machines};
+use crate::transport::peer::{MAX_FRAME, Machines};
 
 /// Part of a frame that a list may take; the rest is for what is around it.
 const LIST_PART: usize = 2;
--- a/src/provisioner/rentals.rs
+++ b/src/provisioning/provisioner/rentals.rs
@@ -3,7 +3,7 @@
 use super::boots::BootingMachine;
 use super::{CloudRequest, Provisioner};
 use crate::clients::RentResult;
-use crate::sched::{PendingMachine, Rental};
+use crate::scheduling::{PendingMachine, Rental};
 
 /// A request without an outcome is sent so many times.
 const MAX_TRIES: u32 = 8;
--- a/src/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! What partitions tell each other fits into a frame, whatever the number of machines.
 
 use super::*;
-use crate::peer::{MAX_FRAME, PeerRequest, PeerResponse};
+use crate::transport::peer::{MAX_FRAME, PeerRequest, PeerResponse};
 
 fn bytes<T: serde::Serialize>(message: &T) -> usize {
     let mut out = Vec::new();
--- a/src/provisioner/tests/late_boots.rs
+++ b/src/provisioning/provisioner/tests/late_boots.rs
@@ -165,7 +165,7 @@
     assert_eq!(bench.provisioner.expected_boot_ms(&bench.partition, bench.now), BOOT_MS);
     bench.boot_ms = |_| Some(2 * BOOT_MS);
     // A job of a team without a limit that fills ten machines.
-    let job = String::from_utf8(crate::partition::tests::body("run-000001", "service", 80)).unwrap();
+    let job = String::from_utf8(crate::control::partition::tests::body("run-000001", "service", 80)).unwrap();
     let _rx = submit(&mut bench.partition, job.replace("\"red\"", "\"blue\"").as_bytes(), bench.now);
     bench.run(6 * BOOT_MS);
     assert!(bench.provisioner.expected_boot_ms(&bench.partition, bench.now) > BOOT_MS);
--- a/src/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -6,8 +6,8 @@
 
 use super::*;
 use crate::clients::RentResult;
-use crate::partition::tests::{commit, heartbeat, partition, partition_of, submit};
-use crate::partition::{CommitOutcome, Partition, StatusSource};
+use crate::control::partition::tests::{commit, heartbeat, partition, partition_of, submit};
+use crate::control::partition::{CommitOutcome, Partition, StatusSource};
 use crate::wire::tests::reported;
 use crate::wire::{ListedInstance, Order};
 use serde_json::json;
--- a/src/sched/cycle/candidates.rs
+++ b/src/scheduling/cycle/candidates.rs
@@ -3,8 +3,8 @@
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::HostIndex;
-use crate::sched::index::{Slot, ZoneCounts};
-use crate::sched::plan::strands_accelerators;
+use crate::scheduling::index::{Slot, ZoneCounts};
+use crate::scheduling::plan::strands_accelerators;
 
 /// A machine with room for a task, and what placing it there costs.
 #[derive(Debug, Clone, Copy)]
--- a/src/sched/cycle/gang.rs
+++ b/src/scheduling/cycle/gang.rs
@@ -9,7 +9,7 @@
 use super::reservations::HOLD_REACTIONS;
 use super::room::insert_by_cost;
 use crate::model::{Demand, Host, HostIndex, Reservation, Shape, TaskKey};
-use crate::sched::index::{Slot, ZoneCounts};
+use crate::scheduling::index::{Slot, ZoneCounts};
 
 /// The cost of holding room for a task that frees only when other work ends.
 const UNSURE: f64 = 10.0;
--- a/src/sched/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -3,7 +3,7 @@
 use super::SchedulingCycle;
 use super::queue::QueueTier;
 use crate::model::{HostIndex, InstanceType, Job, JobIndex, Reserve, Shape, Spec};
-use crate::sched::index::TaskRequirements;
+use crate::scheduling::index::TaskRequirements;
 use std::collections::HashSet;
 
 /// A class's objective for the start counts as no shorter than this.
--- a/src/sched/cycle/reservations.rs
+++ b/src/scheduling/cycle/reservations.rs
@@ -3,7 +3,7 @@
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{HostIndex, JobIndex, Reservation};
-use crate::sched::index::ZoneCounts;
+use crate::scheduling::index::ZoneCounts;
 
 /// Room that is made for a task is held for so many times what an order takes
 /// to show: what is in the way may have to save.
--- a/src/sched/cycle/room.rs
+++ b/src/scheduling/cycle/room.rs
@@ -10,7 +10,7 @@
 use super::request::PlacementRequest;
 use super::reservations::HOLD_REACTIONS;
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
-use crate::sched::index::{TaskRequirements, ZoneCounts};
+use crate::scheduling::index::{TaskRequirements, ZoneCounts};
 
 /// The weight of the cost of a place next to that of making room there.
 const PLACE_WEIGHT: f64 = 0.2;
--- a/src/sched/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -5,7 +5,7 @@
 use super::request::PlacementRequest;
 use super::{Assignment, SchedulingCycle};
 use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
-use crate::sched::index::ZoneCounts;
+use crate::scheduling::index::ZoneCounts;
 
 impl SchedulingCycle<'_> {
     /// Starts an attempt of a task on a machine.
--- a/src/sched/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -2,8 +2,8 @@
 //! counted once and kept up to date.
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
-use crate::sched::Policy;
-use crate::sched::index::Index;
+use crate::scheduling::Policy;
+use crate::scheduling::index::Index;
 use badgerdrift_borrowing::{Amounts, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
--- a/src/sched/cycle/warm_rooms.rs
+++ b/src/scheduling/cycle/warm_rooms.rs
@@ -3,7 +3,7 @@
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Demand, HostIndex, Shape, TaskKey, Urgency, WarmReservation, WarmReservationClaim};
-use crate::sched::index::ZoneCounts;
+use crate::scheduling::index::ZoneCounts;
 use std::collections::{BTreeMap, HashSet};
 
 impl SchedulingCycle<'_> {
--- a/src/sched/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,6 +1,9 @@
 //! Decisions: bins, the scheduling cycle over them, placement, gangs, preemption and the
 //! rental plan. Pure and synchronous: no I/O, no clock.
 
+pub mod dependency_graph;
+pub mod task_locations;
+
 mod cycle;
 mod index;
 mod plan;
--- a/src/sched/plan/drain.rs
+++ b/src/scheduling/plan/drain.rs
@@ -2,7 +2,7 @@
 
 use super::Bin;
 use crate::model::{ClusterState, Demand, HostIndex, InstanceType, Shape, Spec, TaskKey};
-use crate::sched::index::Index;
+use crate::scheduling::index::Index;
 use std::collections::HashMap;
 
 /// A machine to be emptied: its replicas move, the rest runs out.
--- a/src/sched/plan/fit.rs
+++ b/src/scheduling/plan/fit.rs
@@ -2,7 +2,7 @@
 
 use super::{Bin, Supply, SupplyOf};
 use crate::model::{ClusterState, Demand, HostIndex, Spec};
-use crate::sched::index::{Index, ZoneCounts};
+use crate::scheduling::index::{Index, ZoneCounts};
 use std::collections::HashSet;
 
 /// Fits `n` tasks like `spec` into the bins; opens new ones where needed.
--- a/src/sched/plan/headroom.rs
+++ b/src/scheduling/plan/headroom.rs
@@ -2,7 +2,7 @@
 
 use super::ClassFlow;
 use crate::model::{ClusterState, Reserve};
-use crate::sched::Policy;
+use crate::scheduling::Policy;
 
 /// The reserves that follow from the arrivals seen.
 pub fn reserves(cluster: &ClusterState, policy: &Policy, flows: &[ClassFlow]) -> Vec<Reserve> {
--- a/src/sched/policy.rs
+++ b/src/scheduling/policy.rs
@@ -1,8 +1,8 @@
 //! What decisions depend on besides the world: settings, deadlines and bins.
 
-use crate::bounds::{AttemptBounds, Bounds, MOST_ENTRIES_PER_S};
-use crate::config::{Operator, Settings};
 use crate::model::{Demand, Job};
+use crate::settings::bounds::{AttemptBounds, Bounds, MOST_ENTRIES_PER_S};
+use crate::settings::{Operator, Settings};
 use std::collections::HashMap;
 
 /// The share of starts that must meet an objective that names none.
--- a/src/sched/tests/mod.rs
+++ b/src/scheduling/tests/mod.rs
@@ -10,11 +10,11 @@
 mod replicas;
 
 use super::*;
-use crate::config::{Operator, tests::settings};
 use crate::model::{
     ClusterState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Place, Reservation, Shape, Spec, TaskAttempt,
     TaskKey, TaskPhase, Urgency,
 };
+use crate::settings::{Operator, tests::settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/src/config.rs
+++ b/src/settings.rs
@@ -1,6 +1,8 @@
 //! Settings: the platform's TOML file (unknown fields ignored) and the
 //! operators' optional HCL file (unknown names refused).
 
+pub mod bounds;
+
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/bounds.rs
+++ b/src/settings/bounds.rs
@@ -4,7 +4,7 @@
 //! process. `docs/CAPACITY.md` tells what each one is at 4,000 and at 6,000 machines, and what
 //! is seen when it is reached.
 
-use crate::config::{Limits, Settings};
+use crate::settings::{Limits, Settings};
 
 /// Bytes in a megabyte, as the settings count them.
 const BYTES_PER_MB: f64 = 1e6;
--- a/src/bounds/tests.rs
+++ b/src/settings/bounds/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::config::tests::settings;
+use crate::settings::tests::settings;
 
 /// The limits of the users' largest deployments, which are the same at 4,000 machines.
 fn large_deployment() -> Settings {
--- a/src/http/client.rs
+++ b/src/transport/http/client.rs
@@ -2,7 +2,7 @@
 
 use super::framing::{parse_reply, read_message};
 use super::pool::Pool;
-use crate::net::{Net, Stream};
+use crate::transport::network::{Net, Stream};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/src/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,7 +1,7 @@
 //! The framing of messages that the server and the client share.
 
 use super::message::MAX_BODY;
-use crate::net::Stream;
+use crate::transport::network::Stream;
 use std::future::poll_fn;
 use std::io;
 use std::mem::MaybeUninit;
--- a/src/http/message.rs
+++ b/src/transport/http/message.rs
@@ -1,6 +1,6 @@
 //! Requests and responses.
 
-use crate::refusal::RefusalReason;
+use crate::api::refusal::RefusalReason;
 
 /// Most that a request's body may hold.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/src/http/pool.rs
+++ b/src/transport/http/pool.rs
@@ -1,6 +1,6 @@
 //! The client's idle connections.
 
-use crate::net::Stream;
+use crate::transport::network::Stream;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
--- a/src/http/server.rs
+++ b/src/transport/http/server.rs
@@ -3,8 +3,8 @@
 use super::framing::{Message, ReadError, parse_request, read_available, read_message};
 use super::idle::{Idle, IdleEntry};
 use super::message::{Request, Response, TOO_LARGE, reason};
-use crate::net::{Listener, Stream};
-use crate::task;
+use crate::runtime::task;
+use crate::transport::network::{Listener, Stream};
 use std::future::Future;
 use std::io::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/peer.rs
+++ b/src/transport/peer.rs
@@ -1,14 +1,14 @@
 //! What controllers say to each other: CBOR messages in frames of a length and
 //! a body, requests and replies matched by number.
 
+use crate::api::refusal::RefusalReason;
 use crate::borrowing::{LoansRequest, LoansResponse};
-use crate::clock;
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse};
-use crate::frame_format::{FrameFormat, PeerFormat};
-use crate::net::{Listener, Net};
-use crate::peer_health::{HealthLimits, SharedPeerHealth};
-use crate::refusal::RefusalReason;
-use crate::task;
+use crate::runtime::clock;
+use crate::runtime::task;
+use crate::transport::frame_format::{FrameFormat, PeerFormat};
+use crate::transport::network::{Listener, Net};
+use crate::transport::peer_health::{HealthLimits, SharedPeerHealth};
 use crate::warm_pools::{PoolsRequest, PoolsResponse};
 use connections::{Connections, Connector};
 use frames::{Frame, encode, frame_reader, read_frame, write_frames};
--- a/src/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -2,10 +2,10 @@
 
 use super::frames::{Frame, FrameReader, encode, frame_reader, read_frame, write_frames};
 use super::{MAX_QUEUED, PeerRequest, PeerResponse, ToPeer};
-use crate::frame_format::PeerFormat;
-use crate::net::Net;
-use crate::peer_health::SharedPeerHealth;
-use crate::task;
+use crate::runtime::task;
+use crate::transport::frame_format::PeerFormat;
+use crate::transport::network::Net;
+use crate::transport::peer_health::SharedPeerHealth;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/peer/frames.rs
+++ b/src/transport/peer/frames.rs
@@ -1,8 +1,8 @@
 //! Frames between controllers: a length of four bytes and a numbered message in CBOR.
 
-use crate::frame_format::FrameFormat;
-use crate::http::MAX_BODY;
-use crate::net::{ReadHalf, WriteHalf};
+use crate::transport::frame_format::FrameFormat;
+use crate::transport::http::MAX_BODY;
+use crate::transport::network::{ReadHalf, WriteHalf};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
--- a/src/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use super::*;
-use crate::net::{BoxFuture, Network, ReadHalf, Stream, WriteHalf};
+use crate::transport::network::{BoxFuture, Network, ReadHalf, Stream, WriteHalf};
 use std::io;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/peer_health.rs
+++ b/src/transport/peer_health.rs
@@ -1,7 +1,7 @@
 //! Judges from unanswered requests whether another controller is silent, so that users
 //! are not kept waiting for it.
 
-use crate::clock;
+use crate::runtime::clock;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Requests in a row that a peer leaves unanswered before it counts as silent.
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -2,10 +2,10 @@
 
 use super::known_fleet;
 use crate::clients::{Cloud, State};
-use crate::config::Settings;
+use crate::control::partition_leader::stored_instance_types;
 use crate::model::InstanceType;
-use crate::net::Net;
-use crate::partition_leader::stored_instance_types;
+use crate::settings::Settings;
+use crate::transport::network::Net;
 use badgerdrift_warm_pools::{FieldError, KnownFleet, PoolSettings};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/src/warm_pools/settings.rs
+++ b/src/warm_pools/settings.rs
@@ -1,6 +1,6 @@
 //! The operators' file that declares warm pools (HCL).
 
-use crate::config::{Settings, hcl_text};
+use crate::settings::{Settings, hcl_text};
 use badgerdrift_warm_pools::{KnownFleet, PoolSettings};
 use std::path::Path;
 
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -1,7 +1,7 @@
 //! The operators' file, read as they write it.
 
 use super::settings::parse_pools;
-use crate::config::{Team, tests::settings};
+use crate::settings::{Team, tests::settings};
 
 const FILE: &str = r#"
 model "notes" {
@@ -79,8 +79,8 @@
 mod machine_types {
     use super::super::check_machine_types;
     use super::{FILE, parse_pools, settings};
-    use crate::http::{self, Response};
-    use crate::net::Net;
+    use crate::transport::http::{self, Response};
+    use crate::transport::network::Net;
     use serde_json::{Value, json};
     use std::net::SocketAddr;
     use std::time::Duration;
@@ -115,7 +115,7 @@
     }
 
     fn state_with(name: &str) -> Option<Value> {
-        let kept = crate::partition::tests::instance_type();
+        let kept = crate::control::partition::tests::instance_type();
         let kept = crate::model::InstanceType { name: name.into(), ..kept };
         Some(json!({"items": [{"path": "flavors", "data": [kept], "stamp": 1}], "more": false, "epoch": 1}))
     }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -3,9 +3,9 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use badgerdrift::clients::{Cloud, RentResult, RequestError, State};
-use badgerdrift::config::{Settings, load_settings};
-use badgerdrift::http::{self, Request, Response};
-use badgerdrift::partition::CommitOutcome;
+use badgerdrift::control::partition::CommitOutcome;
+use badgerdrift::settings::{Settings, load_settings};
+use badgerdrift::transport::http::{self, Request, Response};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/fault_combinations/borrowing/deployment.rs
+++ b/tests/fault_combinations/borrowing/deployment.rs
@@ -2,7 +2,7 @@
 //! of a third team that borrow from both.
 
 use crate::simulation::{seeds, simulate_with};
-use badgerdrift::node::Subsystems;
+use badgerdrift::control::node::Subsystems;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_stand_ins::{Setup, Sim};
 use serde_json::Value;
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::s;
 use crate::simulation::{seeds, simulate_with};
-use badgerdrift::node::Subsystems;
+use badgerdrift::control::node::Subsystems;
 use badgerdrift_stand_ins::world::SimulationState;
 use badgerdrift_stand_ins::{RandomDay, Setup, Sim, machines};
 use badgerdrift_warm_pools::PoolSettings;
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -1,14 +1,15 @@
 //! Three regions with two controllers each.
 
-use badgerdrift::config::{Operator, Settings};
 use badgerdrift::configuration::{
     AppliedConfiguration, ConfigurationRequest, ConfigurationResponse, FleetSettings, LogEntry, RegionAddresses,
     RegionCondition, RegionStatus, settings_documents,
 };
-use badgerdrift::http::{self, Request, Response};
-use badgerdrift::node::Subsystems;
-use badgerdrift::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
-use badgerdrift::{clock, node, task};
+use badgerdrift::control::node;
+use badgerdrift::control::node::Subsystems;
+use badgerdrift::runtime::{clock, task};
+use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::transport::http::{self, Request, Response};
+use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::{
     Amount, Amounts, Change, ChangeId, ChangeOutcome, ConfigState, Document, DocumentName, ReadVersion, Share,
     TeamDocument,
--- a/tests/outputs/labels.rs
+++ b/tests/outputs/labels.rs
@@ -1,6 +1,6 @@
 //! Values of labels in metrics that only rare events show.
 
-use badgerdrift::refusal::RefusalReason;
+use badgerdrift::api::refusal::RefusalReason;
 use badgerdrift_borrowing::{EndCause, LoanState, Refusal};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
--- a/tests/outputs/metrics.rs
+++ b/tests/outputs/metrics.rs
@@ -1,7 +1,7 @@
 //! Names and labels of `GET /metrics`, as whole controllers print them in simulated time.
 
 use crate::{golden, regions};
-use badgerdrift::node::Subsystems;
+use badgerdrift::control::node::Subsystems;
 use badgerdrift_stand_ins::ground::SimulationContext;
 use badgerdrift_stand_ins::store::Limits;
 use badgerdrift_stand_ins::{NEXT_LIMITS, PRESENT_LIMITS, RandomDay, Setup, Sim};
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -1,9 +1,9 @@
 //! Two regions with one controller each and a state service each, on a network in memory.
 
-use badgerdrift::config::{Operator, Settings};
-use badgerdrift::http::{self, Client, Request, Response};
-use badgerdrift::node::{self, Subsystems};
-use badgerdrift::peer::{Peer, PeerLimits, PeerRequest};
+use badgerdrift::control::node::{self, Subsystems};
+use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::transport::http::{self, Client, Request, Response};
+use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest};
 use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::json;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -5,9 +5,9 @@
 
 mod stand_ins;
 
-use badgerdrift::config::{Operator, Settings};
-use badgerdrift::http::Client;
-use badgerdrift::node;
+use badgerdrift::control::node;
+use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::transport::http::Client;
 use serde_json::{Value, json};
 use stand_ins::{LEASE, REPORT, Shared};
 use std::net::SocketAddr;
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the outside world, written from the protocol: a state service,
 //! a cloud whose machines are up at once, and their workers.
 
-use badgerdrift::http::{self, Client, Request, Response};
+use badgerdrift::transport::http::{self, Client, Request, Response};
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -4,12 +4,12 @@
 //! number that stands for version 0 (`genesis`) have to be the same as then.
 
 use badgerdrift::clients::State;
-use badgerdrift::config::{Operator, Settings};
 use badgerdrift::configuration::{self, ConfigurationHandle, FleetSettings};
-use badgerdrift::http;
-use badgerdrift::metrics::SharedMetrics;
-use badgerdrift::net::Net;
-use badgerdrift::peer::{self, PeerRequest, PeerResponse};
+use badgerdrift::runtime::metrics::SharedMetrics;
+use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::transport::http;
+use badgerdrift::transport::network::Net;
+use badgerdrift::transport::peer::{self, PeerRequest, PeerResponse};
 use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::{Value, json};
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -1,8 +1,10 @@
 //! Frames between controllers.
 
-use badgerdrift::frame_format::FrameFormat;
-use badgerdrift::peer::{CapacityReport, Machines, Peer, PeerLimits, PeerRequest, PeerResponse, UserCall, serve};
-use badgerdrift::refusal::RefusalReason;
+use badgerdrift::api::refusal::RefusalReason;
+use badgerdrift::transport::frame_format::FrameFormat;
+use badgerdrift::transport::peer::{
+    CapacityReport, Machines, Peer, PeerLimits, PeerRequest, PeerResponse, UserCall, serve,
+};
 use badgerdrift_stand_ins::production_format as production;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -4,7 +4,7 @@
 //! the bytes have to be the same, those of the length included. So a field, a variant or a name
 //! of a reason that is spelled differently is found, however it is called in Rust.
 
-use badgerdrift::peer::{Peer, PeerLimits, PeerRequest, PeerResponse, serve};
+use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse, serve};
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex};
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -1,6 +1,6 @@
 //! Records in the state service.
 
-use badgerdrift::membership::{FencingTokenRecord, PartitionRecord};
+use badgerdrift::control::membership::{FencingTokenRecord, PartitionRecord};
 use badgerdrift::model::{Dependencies, HostRecord, InstanceType, Job, JobEnd, JobRecord};
 use badgerdrift_stand_ins::production_format as production;
 use serde::Serialize;
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -5,10 +5,10 @@
 //! are compared with literal spellings.
 
 use badgerdrift::configuration::{AppliedConfiguration, LogEntry, applied_configuration_change};
-use badgerdrift::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
+use badgerdrift::control::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
+use badgerdrift::control::partition::{JOB_PREFIX, host_key, inbox_key, job_key};
+use badgerdrift::control::partition_leader::INSTANCE_TYPES_KEY;
 use badgerdrift::model::{HostRecord, InstanceType, JobRecord};
-use badgerdrift::partition::{JOB_PREFIX, host_key, inbox_key, job_key};
-use badgerdrift::partition_leader::INSTANCE_TYPES_KEY;
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, loan_key};
 use badgerdrift_fleet_config::{Acceptor, Confirmations, VersionedDocument};
 use badgerdrift_warm_pools::{BillRecord, RecordKey, SlotRecord, StoredRecord};
