--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -3,7 +3,7 @@
 //!     cargo run --release --example pass_cost -- 480 4000
 
 use badgerdrift::control::partition::Partition;
-use badgerdrift::model::{Demand, Host, InstanceType, Job, Shape, Spec, Urgency};
+use badgerdrift::model::{Demand, FencingToken, Host, InstanceType, Job, Shape, Spec, Urgency};
 use badgerdrift::scheduling::{Policy, TeamRule};
 use badgerdrift::settings::{Operator, Settings};
 use badgerdrift_borrowing::BorrowingSettings;
@@ -84,7 +84,7 @@
         boot_s: 30.0,
         zones: vec!["a".into()],
     };
-    partition.begin(1, 1, Vec::new(), Vec::new(), vec![instance_type], 0);
+    partition.begin(FencingToken(1), 1, Vec::new(), Vec::new(), vec![instance_type], 0);
     for number in 0..machines {
         let mut host = Host::new(format!("host-{number:06}"), "a".into(), false, Some(0), 0);
         (host.registered, host.reconciled) = (true, true);
--- a/src/api/route_hints.rs
+++ b/src/api/route_hints.rs
@@ -1,5 +1,6 @@
 //! Where jobs and machines were last found, and whose leases this node keeps alive.
 
+use crate::model::FencingToken;
 use std::collections::HashMap;
 
 /// Which partition a job or machine was last found in: a hint, nothing more.
@@ -9,7 +10,7 @@
     jobs: HashMap<String, u32>,
     hosts: HashMap<String, u32>,
     /// Workers whose leases this node keeps alive, with the token that they had first.
-    kept: HashMap<String, u64>,
+    kept: HashMap<String, FencingToken>,
 }
 
 impl RouteHints {
@@ -40,7 +41,7 @@
 
     /// The token that a worker had when this node began to keep its lease alive: this one, if it
     /// begins now.
-    pub(super) fn first_token(&mut self, host: &str, token: u64) -> u64 {
+    pub(super) fn first_token(&mut self, host: &str, token: FencingToken) -> FencingToken {
         *self.kept.entry(host.to_string()).or_insert(token)
     }
 
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -3,6 +3,7 @@
 use super::Api;
 use crate::api::refusal::RefusalReason;
 use crate::control::partition_leader::{self, HeartbeatReply};
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::transport::http::Response;
 use crate::wire::{self, Heartbeat};
@@ -59,7 +60,7 @@
     /// own. Nothing is ordered. It is bound by no pledge, so that no leader counts
     /// on the end of leases meanwhile (`membership::PledgeStatus`). A worker that has
     /// seen a later fencing token was asked by a leader since: it is to look for that one.
-    fn keeps(&self, r: &Heartbeat) -> Option<u64> {
+    fn keeps(&self, r: &Heartbeat) -> Option<FencingToken> {
         let (now, leader_lease_ttl_ms) = (clock::now_ms(), self.router.leader_lease_ttl_ms);
         let alone = !self.state.answers(leader_lease_ttl_ms)
             && self.router.partitions.iter().all(|d| now >= d.pledge_status.pledged_until_ms());
@@ -68,8 +69,11 @@
             route_hints.keep_none();
             return None;
         }
-        let known = self.router.partitions.iter().map(|d| d.pledge_status.fencing_token()).max().unwrap_or(0);
+        let known = self.router.partitions.iter().map(|d| d.pledge_status.fencing_token()).max().unwrap_or_default();
         let first = route_hints.first_token(&r.host, r.seen_token);
-        (r.seen_token > 0 && first == r.seen_token && (known == 0 || r.seen_token <= known)).then_some(r.seen_token)
+        (r.seen_token > FencingToken::NONE
+            && first == r.seen_token
+            && (known == FencingToken::NONE || r.seen_token <= known))
+            .then_some(r.seen_token)
     }
 }
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -1,6 +1,7 @@
 //! The region's record in its state service: keys, values, and what a step changes.
 
 use crate::clients::{RequestError, State};
+use crate::model::FencingToken;
 use crate::wire::{self, Item};
 use badgerdrift_fleet_config::{
     Acceptor, Batch, ConfigState, Confirmations, DocumentName, RecordedChange, RegionRecord, VersionedDocument,
@@ -41,7 +42,7 @@
     pub kept: u64,
     /// The leader's fencing token.
     #[serde(rename = "term")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
 }
 
 /// The value of [`REGION_KEY`].
--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -8,6 +8,7 @@
 use super::succession::Succession;
 use super::watch::watch_partition;
 use crate::clients::{RequestError, State};
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::runtime::metrics::SharedMetrics;
 use crate::runtime::task;
@@ -119,7 +120,7 @@
         });
     }
 
-    fn renew_promises(&self, fencing_token: u64, sent: u64, tx: &mpsc::Sender<Message>) {
+    fn renew_promises(&self, fencing_token: FencingToken, sent: u64, tx: &mpsc::Sender<Message>) {
         let request = PeerRequest::Pledge {
             partition: self.partition,
             leader: self.node.clone(),
@@ -170,7 +171,7 @@
         rules: &mut MembershipRules,
         now: u64,
         leader: String,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         for_ms: u64,
         state_ok: bool,
     ) -> bool {
@@ -256,7 +257,7 @@
     }
 
     async fn taken(&self, rules: &mut MembershipRules, t: &AcquiredLeadership, sent: u64) {
-        tracing::info!(partition = self.partition, fencing_token = t.fencing_token, "partition taken");
+        tracing::info!(partition = self.partition, fencing_token = %t.fencing_token, "partition taken");
         self.metrics.count("partitions_taken", &self.partition.to_string());
         self.held.fetch_add(1, Ordering::Relaxed);
         rules.begin(t, sent);
--- a/src/control/membership/failover.rs
+++ b/src/control/membership/failover.rs
@@ -4,6 +4,7 @@
 use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use crate::clients::State;
 use crate::control::partition::CommitOutcome;
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::wire;
 use serde_json::json;
@@ -15,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RaisedToken {
     /// The fencing token.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The version of the partition's key.
     pub version: u64,
 }
@@ -44,11 +45,11 @@
     tx: mpsc::Sender<Message>,
 ) {
     let (mut record, fencing_token) =
-        read_partition_and_term(&state, partition, Duration::from_millis(leader_lease_ttl_ms / 5)).await;
+        read_partition_and_token(&state, partition, Duration::from_millis(leader_lease_ttl_ms / 5)).await;
     let unbound = match (&record, fencing_token) {
         // Our own earlier life held it: that one is over.
         (Some(r), _) if r.leader == node => {
-            tracing::info!(fencing_token = r.fencing_token, "ending the grant of an earlier life");
+            tracing::info!(fencing_token = %r.fencing_token, "ending the grant of an earlier life");
             state.end_grant(r.lease_id).await.is_ok()
         }
         (None, Some(t)) => t.leaders.get(&partition).is_none_or(|h| *h == node),
@@ -62,7 +63,7 @@
 }
 
 /// Reads the partition's key and the counter of fencing tokens, until that succeeds.
-async fn read_partition_and_term(
+async fn read_partition_and_token(
     state: &State,
     partition: u32,
     pause: Duration,
@@ -88,21 +89,27 @@
     tx: mpsc::Sender<Message>,
 ) {
     let sent = clock::now_ms();
-    let result = try_take(&state, partition, &node, leader_lease_ttl_ms).await;
+    let result = try_acquire(&state, partition, &node, leader_lease_ttl_ms).await;
     let _ = tx.send(Message::AcquiredLeadership { sent, result }).await;
 }
 
-async fn try_take(state: &State, partition: u32, node: &str, leader_lease_ttl_ms: u64) -> Option<AcquiredLeadership> {
+async fn try_acquire(
+    state: &State,
+    partition: u32,
+    node: &str,
+    leader_lease_ttl_ms: u64,
+) -> Option<AcquiredLeadership> {
     let (item, _) = state.get(FENCING_TOKEN_KEY).await.ok()?;
     let last = match item {
         Some(i) => LastToken { record: serde_json::from_value(i.value).ok()?, version: i.version },
         None => {
-            let record = FencingTokenRecord { n: 0, start_ms: clock::wall_ms(), leaders: BTreeMap::new() };
+            let record =
+                FencingTokenRecord { n: FencingToken::NONE, start_ms: clock::wall_ms(), leaders: BTreeMap::new() };
             LastToken { record, version: 0 }
         }
     };
     let lease_id = state.new_grant(leader_lease_ttl_ms).await.ok()?;
-    match next_term(state, &PartitionClaim { partition, node, version: 0, lease_id }, &last).await {
+    match commit_next_token(state, &PartitionClaim { partition, node, version: 0, lease_id }, &last).await {
         Ok(taken) => Some(taken),
         Err(_) => {
             let _ = state.end_grant(lease_id).await;
@@ -122,18 +129,18 @@
     let Ok((Some(item), _)) = state.get(FENCING_TOKEN_KEY).await else { return Err(CommitOutcome::Refused) };
     let Ok(record) = serde_json::from_value(item.value) else { return Err(CommitOutcome::Refused) };
     let last = LastToken { record, version: item.version };
-    let taken = next_term(state, &PartitionClaim { partition, node, version, lease_id }, &last).await?;
+    let taken = commit_next_token(state, &PartitionClaim { partition, node, version, lease_id }, &last).await?;
     Ok(RaisedToken { fencing_token: taken.fencing_token, version: taken.version })
 }
 
 /// Commits the fencing token after `last` and puts the partition under it.
-async fn next_term(
+async fn commit_next_token(
     state: &State,
     claim: &PartitionClaim<'_>,
     last: &LastToken,
 ) -> Result<AcquiredLeadership, CommitOutcome> {
     let (lease_id, start_ms) = (claim.lease_id, last.record.start_ms);
-    let fencing_token = last.record.n + 1;
+    let fencing_token = last.record.n.successor();
     let record = json!({ "holder": claim.node, "term": fencing_token, "grant": lease_id });
     let mut leaders = last.record.leaders.clone();
     leaders.insert(claim.partition, claim.node.to_string());
--- a/src/control/membership/leader_lease.rs
+++ b/src/control/membership/leader_lease.rs
@@ -1,6 +1,7 @@
 //! What the rest of the node reads of the rules' state, without a message.
 
 use super::rules::MembershipRules;
+use crate::model::FencingToken;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -50,8 +51,8 @@
     }
 
     /// The last fencing token of the partition that this node knows of; 0 if none.
-    pub fn fencing_token(&self) -> u64 {
-        self.0.fencing_token.load(Ordering::Relaxed)
+    pub fn fencing_token(&self) -> FencingToken {
+        FencingToken(self.0.fencing_token.load(Ordering::Relaxed))
     }
 
     /// Publishes what the rules say now.
@@ -60,6 +61,6 @@
         self.0.pledged_until_ms.store(rules.pledged_until_ms(), Ordering::Relaxed);
         self.0.gap_ms.store(gap_ms, Ordering::Relaxed);
         self.0.all_bound_until.store(all_bound_until, Ordering::Relaxed);
-        self.0.fencing_token.store(rules.last_token, Ordering::Relaxed);
+        self.0.fencing_token.store(rules.last_token.0, Ordering::Relaxed);
     }
 }
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -2,6 +2,7 @@
 
 use super::records::PartitionRecord;
 use crate::clients::RequestError;
+use crate::model::FencingToken;
 use tokio::sync::oneshot;
 
 /// What the rest of the node knows of the partition's leader.
@@ -19,7 +20,7 @@
     /// This node holds the partition from now on.
     Begin {
         /// Term under which it holds the partition.
-        fencing_token: u64,
+        fencing_token: FencingToken,
         /// Version of the partition's key.
         version: u64,
         /// Id of the lease that the key is attached to.
@@ -39,7 +40,7 @@
         /// Name of the node that asks.
         leader: String,
         /// The fencing token that the pledge is for.
-        fencing_token: u64,
+        fencing_token: FencingToken,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
@@ -50,7 +51,7 @@
     /// The asker of a pledge has stopped acting.
     ReleasePledge {
         /// The fencing token that the pledge was for.
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
     /// The partition's actor found its commits superseded.
     Superseded,
@@ -98,7 +99,7 @@
     /// The lease that the key is attached to.
     pub lease_id: u64,
     /// The fencing token of the partition.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The version of the partition's key.
     pub version: u64,
     /// Wall time at which the system began.
--- a/src/control/membership/records.rs
+++ b/src/control/membership/records.rs
@@ -1,5 +1,6 @@
 //! What the state service keeps of partitions and fencing tokens: keys and values.
 
+use crate::model::FencingToken;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
     pub leader: String,
     /// The fencing token under which the node holds the partition.
     #[serde(rename = "term")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The lease that the key is attached to.
     #[serde(rename = "grant")]
     pub lease_id: u64,
@@ -29,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FencingTokenRecord {
     /// The last fencing token that was given out.
-    pub n: u64,
+    pub n: FencingToken,
     /// Wall time at which the system began.
     pub start_ms: u64,
     /// Who held each partition last.
--- a/src/control/membership/rules.rs
+++ b/src/control/membership/rules.rs
@@ -2,6 +2,7 @@
 
 use super::messages::AcquiredLeadership;
 use super::records::PartitionRecord;
+use crate::model::FencingToken;
 use crate::runtime::clock::DRIFT;
 
 /// What this node is to the partition.
@@ -11,7 +12,7 @@
     Candidate,
     Leader {
         lease_id: u64,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         state_lease_until: u64,
         pledged_until: Vec<u64>,
         gap_ms: u64,
@@ -30,7 +31,7 @@
     pub(super) role: Role,
     /// Promises that this node has given end then, and the fencing token they were for.
     pledged_until: u64,
-    pledged_token: u64,
+    pledged_token: FencingToken,
     /// Not again before then: if nobody hears the workers, it is not our fault.
     yield_after: u64,
     /// A restarted node waits out the pledges of its earlier life.
@@ -38,7 +39,7 @@
     /// False until the first look at the state service.
     pub(super) record_read: bool,
     /// The last fencing token that this node knows of.
-    pub(super) last_token: u64,
+    pub(super) last_token: FencingToken,
     pub(super) record: Option<PartitionRecord>,
     pub(super) retry_after: u64,
 }
@@ -62,11 +63,11 @@
             peers,
             role: Role::Follower,
             pledged_until: 0,
-            pledged_token: 0,
+            pledged_token: FencingToken::NONE,
             yield_after: 0,
             act_after: now + longer(leader_lease_ttl_ms),
             record_read: true,
-            last_token: 0,
+            last_token: FencingToken::NONE,
             record: None,
             retry_after: 0,
         }
@@ -94,7 +95,7 @@
     pub fn pledge(
         &mut self,
         now: u64,
-        (leader, fencing_token): (&str, u64),
+        (leader, fencing_token): (&str, FencingToken),
         for_ms: u64,
         asker_state_ok: bool,
         own_state_ok: bool,
@@ -113,7 +114,7 @@
 
     /// A release counts for the latest pledge only: a late copy of an older
     /// one must not undo what binds this node to another leader.
-    pub fn release_pledge(&mut self, now: u64, fencing_token: u64) {
+    pub fn release_pledge(&mut self, now: u64, fencing_token: FencingToken) {
         if self.pledged_token == fencing_token {
             self.pledged_until = self.pledged_until.min(now);
         }
@@ -144,9 +145,9 @@
     pub(super) fn note_token(&mut self) {
         let of_role = match self.role {
             Role::Leader { fencing_token, .. } => fencing_token,
-            _ => 0,
+            _ => FencingToken::NONE,
         };
-        let seen = self.record.as_ref().map_or(0, |r| r.fencing_token);
+        let seen = self.record.as_ref().map_or(FencingToken::NONE, |r| r.fencing_token);
         self.last_token = self.last_token.max(seen).max(of_role).max(self.pledged_token);
     }
 
@@ -172,7 +173,7 @@
 
     /// Another controller asks for a pledge under a later fencing token, and ours is
     /// over: it holds the partition now, whatever we can learn from the state service.
-    pub(super) fn superseded_by(&self, now: u64, asker_token: u64) -> bool {
+    pub(super) fn superseded_by(&self, now: u64, asker_token: FencingToken) -> bool {
         matches!(self.role, Role::Leader { fencing_token, .. } if fencing_token < asker_token)
             && now >= self.lease_valid_until()
     }
--- a/src/control/membership/tests.rs
+++ b/src/control/membership/tests.rs
@@ -1,6 +1,7 @@
 use super::{
     AcquiredLeadership, FencingTokenRecord, LeaderLease, MembershipRules, PartitionRecord, Succession, partition_key,
 };
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -10,7 +11,7 @@
 
 fn holding(peers: usize) -> MembershipRules {
     let mut r = MembershipRules::new("a", LIFE, peers, 0);
-    r.begin(&AcquiredLeadership { lease_id: 1, fencing_token: 7, version: 3, start_ms: 0 }, 1000);
+    r.begin(&AcquiredLeadership { lease_id: 1, fencing_token: FencingToken(7), version: 3, start_ms: 0 }, 1000);
     r
 }
 
@@ -65,7 +66,7 @@
 
     let mut b = MembershipRules::new("b", LIFE, 1, 1000);
     assert!(b.pledged_until_ms() > 1000 + LIFE, "a restarted node has forgotten what it promised");
-    assert!(b.pledge(9000, ("a", 7), LIFE, true, true));
+    assert!(b.pledge(9000, ("a", FencingToken(7)), LIFE, true, true));
     assert!(b.pledged_until_ms() > 9000 + LIFE, "longer than the asker counts");
 }
 
@@ -73,8 +74,8 @@
 fn an_owner_without_the_state_service_learns_from_the_next_one_that_it_is_over() {
     let r = holding(1);
     let end = r.lease_valid_until();
-    assert!(!r.superseded_by(end - 1, 8), "its entitlement holds");
-    assert!(!r.superseded_by(end, 7) && r.superseded_by(end, 8));
+    assert!(!r.superseded_by(end - 1, FencingToken(8)), "its entitlement holds");
+    assert!(!r.superseded_by(end, FencingToken(7)) && r.superseded_by(end, FencingToken(8)));
 }
 
 #[test]
@@ -82,7 +83,7 @@
     let mut r = MembershipRules::new("b", LIFE, 2, 0);
     r.unbound();
     assert!(r.may_campaign(10));
-    assert!(r.pledge(1000, ("a", 7), LIFE, true, true));
+    assert!(r.pledge(1000, ("a", FencingToken(7)), LIFE, true, true));
     let mut asker = holding(1);
     asker.pledged(0, 1000, 1001);
     assert!(!r.may_campaign(asker.lease_valid_until()));
@@ -92,9 +93,9 @@
 #[test]
 fn only_the_one_without_the_state_service_gets_no_promise() {
     let mut r = MembershipRules::new("b", LIFE, 2, 0);
-    assert!(!r.pledge(1000, ("a", 7), LIFE, false, true), "others have it");
-    assert!(r.pledge(1000, ("a", 7), LIFE, false, false), "an outage");
-    assert!(!holding(2).pledge(1000, ("a", 7), LIFE, true, true), "a holder promises nothing");
+    assert!(!r.pledge(1000, ("a", FencingToken(7)), LIFE, false, true), "others have it");
+    assert!(r.pledge(1000, ("a", FencingToken(7)), LIFE, false, false), "an outage");
+    assert!(!holding(2).pledge(1000, ("a", FencingToken(7)), LIFE, true, true), "a holder promises nothing");
 }
 
 #[test]
@@ -111,11 +112,11 @@
 fn a_late_release_does_not_undo_a_later_promise() {
     let mut r = MembershipRules::new("b", LIFE, 2, 0);
     r.unbound();
-    assert!(r.pledge(1000, ("a", 7), LIFE, true, true));
-    r.release_pledge(1100, 7);
+    assert!(r.pledge(1000, ("a", FencingToken(7)), LIFE, true, true));
+    r.release_pledge(1100, FencingToken(7));
     assert!(r.may_campaign(1100));
-    assert!(r.pledge(1200, ("a", 8), LIFE, true, true));
-    r.release_pledge(1300, 7);
+    assert!(r.pledge(1200, ("a", FencingToken(8)), LIFE, true, true));
+    r.release_pledge(1300, FencingToken(7));
     assert!(!r.may_campaign(1300));
 }
 
@@ -157,19 +158,20 @@
 #[test]
 fn nobody_promises_to_an_owner_that_was_followed_by_another() {
     let mut r = MembershipRules::new("c", LIFE, 2, 0);
-    r.record = Some(PartitionRecord { leader: "b".into(), fencing_token: 8, lease_id: 2 });
-    assert!(!r.pledge(1000, ("a", 7), LIFE, false, false));
-    assert!(r.pledge(1000, ("b", 7), LIFE, false, false), "one that raised its term meanwhile");
-    assert!(r.pledge(1000, ("a", 9), LIFE, false, false));
+    r.record = Some(PartitionRecord { leader: "b".into(), fencing_token: FencingToken(8), lease_id: 2 });
+    assert!(!r.pledge(1000, ("a", FencingToken(7)), LIFE, false, false));
+    assert!(r.pledge(1000, ("b", FencingToken(7)), LIFE, false, false), "one that raised its term meanwhile");
+    assert!(r.pledge(1000, ("a", FencingToken(9)), LIFE, false, false));
 }
 
 // What is stored keeps its spelling whatever the fields are called here: controllers of
 // an earlier build read and write the same records.
 #[test]
 fn stored_records_keep_their_spelling() {
-    let partition = PartitionRecord { leader: "a".into(), fencing_token: 7, lease_id: 1 };
+    let partition = PartitionRecord { leader: "a".into(), fencing_token: FencingToken(7), lease_id: 1 };
     assert_eq!(serde_json::to_value(partition).unwrap(), json!({ "holder": "a", "term": 7, "grant": 1 }));
-    let fencing_token = FencingTokenRecord { n: 7, start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
+    let fencing_token =
+        FencingTokenRecord { n: FencingToken(7), start_ms: 5, leaders: BTreeMap::from([(0, "a".to_string())]) };
     assert_eq!(serde_json::to_value(fencing_token).unwrap(), json!({ "n": 7, "start_ms": 5, "holders": { "0": "a" } }));
     let host =
         crate::model::HostRecord { addr: None, instance_type: "s".into(), zone: "z".into(), spot: false, partition: 2 };
--- a/src/control/partition/direct.rs
+++ b/src/control/partition/direct.rs
@@ -72,7 +72,7 @@
             c.in_flight = false;
             if matches!(result, DirectCommandOutcome::Indeterminate) {
                 // It may be carried out minutes later.
-                c.risk = Some(c.risk.unwrap_or(0).max(d.fencing_token));
+                c.risk = Some(c.risk.unwrap_or_default().max(d.fencing_token));
             }
         }
         match result {
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -2,6 +2,7 @@
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
+use crate::model::FencingToken;
 use crate::model::{Demand, Host, HostIndex, HostRecord, InstanceKind, InstanceType, JobRecord};
 use crate::wire::Item;
 
@@ -16,7 +17,7 @@
     /// the machines until they report under this fencing token.
     pub fn begin(
         &mut self,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         version: u64,
         jobs: Vec<Item>,
         hosts: Vec<Item>,
@@ -100,9 +101,9 @@
 
     /// A new fencing token: attempts count on from it, so that none repeats. The same one again,
     /// with the key's version as it is now, begins no count anew.
-    pub fn set_fencing_token(&mut self, fencing_token: u64, version: u64) {
+    pub fn set_fencing_token(&mut self, fencing_token: FencingToken, version: u64) {
         if fencing_token > self.fencing_token {
-            self.next_attempt = fencing_token << ATTEMPT_BITS;
+            self.next_attempt = fencing_token.0 << ATTEMPT_BITS;
         }
         self.fencing_token = fencing_token;
         self.partition_version = version;
@@ -147,7 +148,7 @@
             }
         }
         if all && !self.cluster.all_reconciled {
-            tracing::info!(fencing_token = self.fencing_token, "all machines accounted for");
+            tracing::info!(fencing_token = %self.fencing_token, "all machines accounted for");
             self.cycle_due = true;
         }
         self.cluster.unreconciled = open;
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -33,6 +33,7 @@
 };
 
 use crate::clients::write_limits::WriteLimits;
+use crate::model::FencingToken;
 use crate::model::{ClusterState, HostIndex, JobIndex};
 use crate::runtime::metrics::Metrics;
 use crate::scheduling::Policy;
@@ -48,9 +49,9 @@
     /// Figures for `GET /metrics`.
     pub metrics: Metrics,
     /// The leader's fencing token, which is its fencing token; 0 before the records were read.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// The fencing token with which this leader began: it may have raised it since.
-    first_token: u64,
+    first_token: FencingToken,
     /// This partition's number, and whether its leader leads.
     pub id: u32,
     teams: HashMap<String, u32>,
@@ -129,8 +130,8 @@
             cluster: ClusterState { all_reconciled: true, ..ClusterState::default() },
             policy,
             metrics: Metrics::default(),
-            fencing_token: 0,
-            first_token: 0,
+            fencing_token: FencingToken::NONE,
+            first_token: FencingToken::NONE,
             id,
             teams,
             hosts_of_other_partitions: HashMap::new(),
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -80,7 +80,7 @@
             task = start.key.task,
             attempt = start.attempt,
             host = h.id,
-            fencing_token = self.fencing_token,
+            fencing_token = %self.fencing_token,
             waited,
             cached,
             fetch_s,
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -107,7 +107,7 @@
         self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
         let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
-        let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token, tasks);
+        let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token.0, tasks);
         let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         for order in &orders {
             match order {
@@ -217,7 +217,7 @@
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
     let hosts = self::items(&mut harness.partition).1;
-    harness.partition = partition_of(harness.partition.fencing_token + 1, jobs, hosts);
+    harness.partition = partition_of(harness.partition.fencing_token.0 + 1, jobs, hosts);
     harness.set_up();
     harness.partition.begin_loans(loans);
 }
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -3,6 +3,7 @@
 
 use super::*;
 use crate::api::refusal::RefusalReason;
+use crate::model::FencingToken;
 use crate::model::{JobEnd, JobPhase, JobRecord, UnsavedChange};
 use crate::settings::{Operator, tests::settings};
 use crate::wire::tests::reported;
@@ -227,7 +228,7 @@
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
     let mut p = Partition::new(policy, 0, teams, s.write_limits());
     let instance_types = partition().cluster.instance_types;
-    p.begin(1, 77, vec![], vec![], instance_types, 1000);
+    p.begin(FencingToken(1), 77, vec![], vec![], instance_types, 1000);
     let _rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "blue", None, 50);
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -1,6 +1,7 @@
 //! Combinations of two faults, as one partition sees them.
 
 use super::*;
+use crate::model::FencingToken;
 use crate::model::{JobPhase, JobRecord, Place};
 use crate::wire::tests::reported;
 use crate::wire::{self, Item, Order};
@@ -246,7 +247,7 @@
     done_on_h1(&mut p, 1100);
     p.next_commit(1100, 32).unwrap();
     assert_eq!(p.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
-    p.set_fencing_token(2, 90);
+    p.set_fencing_token(FencingToken(2), 90);
     let c = p.next_commit(1200, 32).unwrap();
     assert_eq!(c.conditions[0], wire::condition("part/0", 90));
     p.committed(CommitOutcome::Done { revision: 101 }).unwrap();
@@ -312,7 +313,7 @@
         assert_eq!(p.needs_higher_token(), partitions > 1);
         if partitions > 1 {
             assert!(!p.transfer_host("h1", 1), "the first write may still come");
-            p.set_fencing_token(2, 90);
+            p.set_fencing_token(FencingToken(2), 90);
             p.heartbeat(&heartbeat("h1", 1, 2, 2, vec![]), StatusSource::Heartbeat, 1200);
             assert!(!p.needs_higher_token() && p.transfer_host("h1", 1));
         }
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -3,6 +3,7 @@
 
 use super::*;
 use crate::clients::RentResult;
+use crate::model::FencingToken;
 use crate::model::{Demand, InstanceType};
 use crate::provisioning::provisioner::{CloudRequest, Provisioner};
 use crate::settings::{Objective, Operator, tests::settings};
@@ -119,7 +120,7 @@
         s.params.objectives.push(Objective { kind: "guarantee".into(), class: None, within_s: Some(5.0), ..guarantee });
         let policy = Policy::new(&s, &Operator::default(), 0);
         let mut partition = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-        partition.begin(1, 77, vec![], vec![], types(), 1000);
+        partition.begin(FencingToken(1), 77, vec![], vec![], types(), 1000);
         Fleet {
             partition,
             provisioner: Provisioner::new(10.0),
@@ -181,9 +182,9 @@
             m.next_ms = now + REPORT;
             let r = m.heartbeat(id, now);
             let orders = self.partition.heartbeat(&r, StatusSource::Heartbeat, now);
-            if self.partition.fencing_token > m.seen_token {
+            if self.partition.fencing_token.0 > m.seen_token {
                 // A higher token is a change, which is reported after half a second.
-                m.seen_token = self.partition.fencing_token;
+                m.seen_token = self.partition.fencing_token.0;
                 m.next_ms = now + REPORT_AFTER_CHANGE;
             }
             m.carry_out(&orders, now, 60_000);
@@ -256,7 +257,7 @@
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
         let policy = self.partition.policy.clone();
         self.partition = Partition::new(policy, 0, self.partition.teams.clone(), settings().write_limits());
-        self.partition.begin(fencing_token, 78, jobs, hosts, types(), self.now);
+        self.partition.begin(FencingToken(fencing_token), 78, jobs, hosts, types(), self.now);
     }
 }
 
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -1,6 +1,7 @@
 //! Tests of the limits of the state service.
 
 use super::*;
+use crate::model::FencingToken;
 use crate::settings::NextStateLimits;
 
 #[test]
@@ -9,7 +10,7 @@
     s.params.state.next = Some(NextStateLimits { value_kb: Some(2.0), txn_ops: Some(4), ..NextStateLimits::default() });
     let policy = Policy::new(&s, &Operator::default(), 0);
     let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(1, 77, vec![], vec![], partition().cluster.instance_types, 1000);
+    p.begin(FencingToken(1), 77, vec![], vec![], partition().cluster.instance_types, 1000);
     let _waiters: Vec<_> = (1..10).map(|n| submit(&mut p, &body(&format!("run-{n:06}"), "batch", 1), 1000)).collect();
     let commit = p.next_commit(1000, 32).unwrap();
     assert_eq!(commit.writes.len(), 4);
@@ -63,7 +64,7 @@
     s.params.workers.report_s = 4.0;
     (s.params.teams[0].gpus, s.params.teams[0].gpus_max) = (0.0, 0.0);
     let mut p = Partition::new(Policy::new(&s, &Operator::default(), 0), 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(1, 77, vec![], vec![], vec![instance_type()], 1000);
+    p.begin(FencingToken(1), 77, vec![], vec![], vec![instance_type()], 1000);
     let mut submission: serde_json::Value = serde_json::from_slice(&body("run-000001", "batch", 1000)).unwrap();
     submission["urgency"] = json!("best_effort");
     let _rx = submit(&mut p, submission.to_string().as_bytes(), 1000);
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -16,6 +16,7 @@
 mod warm_pools;
 
 use super::*;
+use crate::model::FencingToken;
 use crate::model::{
     Demand, Host, HostIndex, HostRecord, InstanceType, Job, JobPhase, JobRecord, Place, TaskAttempt,
     UNREACHABLE_AFTER_MISSES,
@@ -51,7 +52,7 @@
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
     let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(fencing_token, 77, jobs, hosts, vec![instance_type()], 1000);
+    p.begin(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
     p
 }
 
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -1,6 +1,7 @@
 //! Tests of orders to machines and of what their reports mean.
 
 use super::*;
+use crate::model::FencingToken;
 
 #[test]
 fn a_cancellation_stops_every_copy() {
@@ -42,7 +43,7 @@
     assert!(p.needs_higher_token());
     p.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 2300);
     assert_eq!(p.cluster.host(0).unwrap().attempts.len(), 1);
-    p.set_fencing_token(2, 78);
+    p.set_fencing_token(FencingToken(2), 78);
     p.heartbeat(&heartbeat("h1", 1, 4, 2, vec![]), StatusSource::Heartbeat, 2400);
     assert!(p.cluster.host(0).unwrap().attempts.is_empty());
     commit(&mut p, 2500, 101);
@@ -61,7 +62,7 @@
     );
     p.direct_command_done(&d, DirectCommandOutcome::Indeterminate, 2000);
     assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 3, 1, ended()), StatusSource::Heartbeat, 2100)), 0);
-    p.set_fencing_token(2, 78);
+    p.set_fencing_token(FencingToken(2), 78);
     assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 4, 2, ended()), StatusSource::Heartbeat, 2200)), 1);
 }
 
@@ -87,7 +88,7 @@
     let next = p.next_attempt;
     p.set_fencing_token(p.fencing_token, 78);
     assert_eq!(p.next_attempt, next, "nor does one when the key was looked at and found as it was");
-    p.set_fencing_token(2, 79);
+    p.set_fencing_token(FencingToken(2), 79);
     assert!(p.next_attempt > last);
 }
 
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -36,10 +36,10 @@
     let host = *harness.partition.dispatch_queue.first().unwrap();
     harness.commit();
     let late = harness.partition.direct(host, harness.now, false).unwrap();
-    let old_term = late.fencing_token;
+    let old_token = late.fencing_token.0;
     harness.take_over();
     harness.rounds(4);
-    assert!(old_term < harness.workers[&late.id].seen_token, "the worker refuses the late order");
+    assert!(old_token < harness.workers[&late.id].seen_token, "the worker refuses the late order");
     assert_eq!(harness.runs(&job), 1);
 }
 
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -6,6 +6,7 @@
 mod machines;
 
 use super::*;
+use crate::model::FencingToken;
 use crate::settings::{Operator, Settings, tests::settings};
 use crate::wire::{Item, Order, SlotStatus};
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
@@ -151,7 +152,14 @@
         let teams = self.settings.partitions_of_teams(1);
         let mut p = Partition::new(policy, 0, teams, self.settings.write_limits());
         p.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
-        p.begin(self.fencing_token, self.fencing_token, items("job/"), items("host/"), vec![instance_type()], self.now);
+        p.begin(
+            FencingToken(self.fencing_token),
+            self.fencing_token,
+            items("job/"),
+            items("host/"),
+            vec![instance_type()],
+            self.now,
+        );
         p.begin_pools(items("pool/"), self.now);
         self.partition = p;
     }
--- a/src/control/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -1,6 +1,7 @@
 //! Messages, answers and commits that a partition takes and gives.
 
 use crate::api::refusal::RefusalReason;
+use crate::model::FencingToken;
 use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
 use crate::wire::{Heartbeat, Order};
 use serde_json::Value;
@@ -26,7 +27,7 @@
     /// Where its worker takes direct commands.
     pub addr: SocketAddr,
     /// The fencing token: the leader's fencing token when the command was made.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Session of the worker that the command is meant for; 0 if not known yet.
     pub agent_epoch: u64,
     /// What the worker is to do; empty for a mere probe.
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -10,6 +10,7 @@
 use crate::clients::TokenBucket;
 use crate::control::membership::LeadershipChange;
 use crate::control::partition::{Partition, UserAnswer};
+use crate::model::FencingToken;
 use crate::provisioning::provisioner::Provisioner;
 use crate::runtime::clock;
 use crate::runtime::metrics::labelled_gauge_line;
@@ -89,7 +90,7 @@
         Duration::from_millis(at.saturating_sub(now).clamp(1, most))
     }
 
-    fn begin(&self, n: u64, fencing_token: u64, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
+    fn begin(&self, n: u64, fencing_token: FencingToken, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
         let now = clock::now_ms();
         let limits = self.settings.write_limits();
         let policy = Policy::new(&self.settings, &self.operator, start_ms);
@@ -244,7 +245,7 @@
         leadership.partition.begin_loans(l.loan_records);
         leadership.loaded = true;
         tracing::info!(
-            fencing_token,
+            %fencing_token,
             jobs = leadership.partition.cluster.live.len(),
             hosts = leadership.partition.cluster.host_index.len(),
             "loaded"
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -91,7 +91,7 @@
         leadership.raising = false;
         leadership.raise_after_ms = now + self.settings.react_ms();
         if let Some(RaisedToken { fencing_token, version }) = raised {
-            tracing::info!(fencing_token, "raised the term");
+            tracing::info!(%fencing_token, "raised the fencing token");
             leadership.partition.set_fencing_token(fencing_token, version);
             leadership.version = version;
         }
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -6,6 +6,7 @@
 use crate::configuration::AppliedConfiguration;
 use crate::control::membership::RaisedToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
+use crate::model::FencingToken;
 use crate::model::{HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
@@ -135,7 +136,7 @@
     /// The token and the orders.
     Orders {
         /// The fencing token: the leader's fencing token.
-        fencing_token: u64,
+        fencing_token: FencingToken,
         /// What the worker is to do.
         orders: Vec<Order>,
     },
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -8,6 +8,7 @@
 use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
 use crate::control::partition::UserAnswer;
 use crate::control::partition_leader;
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http::Response;
@@ -158,7 +159,11 @@
     pub async fn watch_format(self, peer: Peer) {
         let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5);
         loop {
-            peer.request(PeerRequest::ReleasePledge { partition: NO_PARTITION, fencing_token: 0 }, limit).await;
+            peer.request(
+                PeerRequest::ReleasePledge { partition: NO_PARTITION, fencing_token: FencingToken::NONE },
+                limit,
+            )
+            .await;
             let rounds = if peer.format.is_current() { FORMAT_ROUNDS } else { 1 };
             sleep(limit * rounds).await;
         }
--- a/src/control/router/tests.rs
+++ b/src/control/router/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::model::FencingToken;
 use crate::transport::peer::tests::{GRANT_TTL_MS, scripted_peer};
 use tokio::time::Instant;
 
@@ -59,7 +60,13 @@
     for _ in 0..20 {
         assert_eq!(wait_ms(&router, poll()).await, 0);
     }
-    let pledge = PeerRequest::Pledge { partition: 0, leader: "b".into(), fencing_token: 1, for_ms: 5, state_ok: true };
+    let pledge = PeerRequest::Pledge {
+        partition: 0,
+        leader: "b".into(),
+        fencing_token: FencingToken(1),
+        for_ms: 5,
+        state_ok: true,
+    };
     router.answer(pledge, FrameFormat::CURRENT).await;
     assert_eq!(router.silent_peers(), 0);
     assert!(wait_ms(&router, poll()).await > 0);
@@ -72,8 +79,13 @@
     let versions =
         |router: &Router| (router.has_old_peer(), router.owner_is_current(0), router.peer_versions().unknown);
     assert_eq!(versions(&router), (false, false, 1), "it was never heard");
-    let pledge =
-        || PeerRequest::Pledge { partition: 0, leader: "b".into(), fencing_token: 1, for_ms: 5, state_ok: true };
+    let pledge = || PeerRequest::Pledge {
+        partition: 0,
+        leader: "b".into(),
+        fencing_token: FencingToken(1),
+        for_ms: 5,
+        state_ok: true,
+    };
     router.answer(pledge(), FrameFormat::UNNAMED).await;
     assert_eq!(versions(&router), (true, false, 0));
     router.answer(pledge(), FrameFormat::CURRENT).await;
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,5 +1,6 @@
 //! Machines: their leases, the attempts of tasks on them and their image caches.
 
+use super::FencingToken;
 use super::{Demand, JobIndex, TaskAttempt, TaskKey};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -69,10 +70,10 @@
     /// Number of the last report in that session; 0 if there was none.
     pub sequence: u64,
     /// Highest fencing token that the worker is known to have seen; 0 if none.
-    pub seen_token: u64,
+    pub seen_token: FencingToken,
     /// What the worker says counts once it has seen this token, the first one of this
     /// leader: a report with a lower one may be a late copy, from a machine that is gone.
-    pub required_token: u64,
+    pub required_token: FencingToken,
     /// The partition that it is being given to.
     pub transferring_to: Option<u32>,
     /// Steady time of the last report, and of the last answer that may have renewed the lease.
@@ -130,8 +131,8 @@
             spot,
             agent_epoch: 0,
             sequence: 0,
-            seen_token: 0,
-            required_token: 0,
+            seen_token: FencingToken::NONE,
+            required_token: FencingToken::NONE,
             transferring_to: None,
             last_heartbeat_ms: now,
             lease_renewed_ms: now,
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,6 +4,7 @@
 mod borrowing;
 mod cluster;
 mod dependencies;
+mod fencing_token;
 mod host;
 mod instance_type;
 mod job;
@@ -16,6 +17,7 @@
 pub use borrowing::BorrowingState;
 pub use cluster::{ClusterState, InstanceKind, Reserve};
 pub use dependencies::Dependencies;
+pub use fencing_token::FencingToken;
 pub use host::{CachedImage, Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
 pub use instance_type::InstanceType;
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -1,5 +1,6 @@
 //! Tasks, and the attempts of them that are on machines.
 
+use super::FencingToken;
 use super::{Demand, HostIndex, JobIndex};
 
 /// Identifies a task: its job, and its number in it.
@@ -93,7 +94,7 @@
     /// Told to stop, with this grace.
     pub stop: Option<f64>,
     /// Highest fencing token of a direct command with its `run` that had no answer.
-    pub risk: Option<u64>,
+    pub risk: Option<FencingToken>,
     /// Its `run` is in a direct command under way.
     pub in_flight: bool,
     /// Serial of the last report of its machine that listed it; 0 if none did.
--- a/src/provisioning/provisioner/boots.rs
+++ b/src/provisioning/provisioner/boots.rs
@@ -3,6 +3,7 @@
 
 use super::{CloudRequest, Provisioner};
 use crate::control::partition::Partition;
+use crate::model::FencingToken;
 use crate::model::InstanceType;
 use crate::provisioning::boot_times::MachineKind;
 use crate::scheduling::PendingMachine;
@@ -23,8 +24,6 @@
 /// A leader that made no round for this multiple of `react_ms` stood still, or has just
 /// begun: reports of machines that came up meanwhile are still to be read.
 const STALL_RATIO: u64 = 3;
-/// The fencing token of a leader before which nobody held a partition.
-const FIRST_TERM: u64 = 1;
 /// The least lag that is reckoned with.
 const LEAST_LAG_MS: u64 = 1000;
 
@@ -157,7 +156,7 @@
     /// Notes when this leader began: what its dependency rented just before is listed a
     /// lag later. The very first leader has none.
     fn note_begin(&mut self, partition: &Partition, now: u64) {
-        let lag_ms = if partition.fencing_token > FIRST_TERM { self.lag_ms } else { 0 };
+        let lag_ms = if partition.fencing_token > FencingToken::FIRST { self.lag_ms } else { 0 };
         self.dependency_listed_ms.get_or_insert(now + lag_ms);
     }
 
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -132,7 +132,7 @@
             }
             machine.sequence += 1;
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
-            let mut r = heartbeat(id, 1, machine.sequence, fencing_token, tasks.collect());
+            let mut r = heartbeat(id, 1, machine.sequence, fencing_token.0, tasks.collect());
             r.zone.clone_from(&machine.zone);
             for order in self.partition.heartbeat(&r, StatusSource::Heartbeat, now) {
                 match order {
@@ -232,7 +232,7 @@
 
     pub(super) fn comes_up(&mut self, id: &str) {
         let fencing_token = self.partition.fencing_token;
-        self.partition.heartbeat(&heartbeat(id, 1, 1, fencing_token, vec![]), StatusSource::Heartbeat, self.now);
+        self.partition.heartbeat(&heartbeat(id, 1, 1, fencing_token.0, vec![]), StatusSource::Heartbeat, self.now);
         self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
 
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -4,6 +4,7 @@
 use crate::api::refusal::RefusalReason;
 use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse};
+use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::runtime::task;
 use crate::transport::frame_format::{FrameFormat, PeerFormat};
@@ -41,7 +42,7 @@
         leader: String,
         /// The fencing token that the pledge is for.
         #[serde(rename = "term")]
-        fencing_token: u64,
+        fencing_token: FencingToken,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
         /// True if the state service has answered the asker lately.
@@ -54,7 +55,7 @@
         partition: u32,
         /// The fencing token that the pledge was for.
         #[serde(rename = "term")]
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
     /// A user's request for the leader of a partition.
     User {
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -3,6 +3,7 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use super::*;
+use crate::model::FencingToken;
 use crate::transport::network::{BoxFuture, Network, ReadHalf, Stream, WriteHalf};
 use std::io;
 use std::pin::Pin;
@@ -20,7 +21,7 @@
     tokio::spawn(serve(listener, |request, _| async move {
         match request {
             PeerRequest::TransferHost { .. } => std::future::pending().await,
-            PeerRequest::Pledge { fencing_token: 3, .. } => PeerResponse::Accepted,
+            PeerRequest::Pledge { fencing_token: FencingToken(3), .. } => PeerResponse::Accepted,
             _ => PeerResponse::Rejected,
         }
     }));
@@ -28,7 +29,7 @@
     let request = |fencing_token| PeerRequest::Pledge {
         partition: 0,
         leader: "a".into(),
-        fencing_token,
+        fencing_token: FencingToken(fencing_token),
         for_ms: 5,
         state_ok: true,
     };
@@ -133,7 +134,7 @@
 }
 
 fn release(fencing_token: u64) -> PeerRequest {
-    PeerRequest::ReleasePledge { partition: 0, fencing_token }
+    PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(fencing_token) }
 }
 
 fn poll() -> PeerRequest {
@@ -146,9 +147,9 @@
 }
 
 /// Answers releases after as many milliseconds as their fencing token says.
-async fn answer_after_term(request: PeerRequest, _: FrameFormat) -> PeerResponse {
+async fn answer_after_milliseconds_of_token(request: PeerRequest, _: FrameFormat) -> PeerResponse {
     if let PeerRequest::ReleasePledge { fencing_token, .. } = request {
-        sleep(Duration::from_millis(fencing_token)).await;
+        sleep(Duration::from_millis(fencing_token.0)).await;
     }
     PeerResponse::Accepted
 }
@@ -169,7 +170,7 @@
 #[tokio::test(start_paused = true)]
 async fn requests_wait_for_the_connection_and_are_sent_once_it_is_open() {
     let (peer, accepted) = scripted_peer(Some(Duration::from_millis(300)));
-    tokio::spawn(serve(accepted, answer_after_term));
+    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
     let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(1))).collect();
     for request in requests {
         assert_eq!(request.await.unwrap(), Some(PeerResponse::Accepted));
@@ -180,7 +181,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_given_up_takes_no_other_with_it() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
-    tokio::spawn(serve(accepted, answer_after_term));
+    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
     let slow = start(&peer, release(200), Duration::from_millis(500));
     assert_eq!(peer.request(release(5000), Duration::from_millis(100)).await, None);
     assert_eq!(slow.await.unwrap(), Some(PeerResponse::Accepted));
@@ -207,7 +208,7 @@
             let _ = forward.send(stream);
         }
     });
-    tokio::spawn(serve(Accepted(Mutex::new(forwarded)), answer_after_term));
+    tokio::spawn(serve(Accepted(Mutex::new(forwarded)), answer_after_milliseconds_of_token));
     let given_up = start(&peer, release(5000), Duration::from_millis(100));
     sleep(Duration::from_millis(10)).await;
     for _ in 0..3 {
@@ -237,7 +238,7 @@
     assert_eq!(accepted.count(), connections + 1, "releases and promises are sent all the same");
 
     // It goes on: the next probe is answered, and all requests after it.
-    tokio::spawn(serve(accepted, answer_after_term));
+    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
     sleep(Duration::from_millis(PeerLimits::for_leader_lease(GRANT_TTL_MS).health.probe_interval_ms)).await;
     assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
     assert!(!peer.health.is_silent());
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,5 +1,6 @@
 //! Messages between workers and the service: reports, orders and direct commands.
 
+use crate::model::FencingToken;
 use crate::model::{ExitReason, TaskAttempt, TaskPhase};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -30,7 +31,7 @@
     /// The latest token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "fence")]
-    pub seen_token: u64,
+    pub seen_token: FencingToken,
     /// Seconds until the cloud takes the machine back, if it has said so.
     #[serde(default)]
     pub warning_s: Option<f64>,
@@ -218,12 +219,12 @@
 }
 
 /// The reply to a report.
-pub fn orders(fencing_token: u64, orders: &[Order]) -> Value {
+pub fn orders(fencing_token: FencingToken, orders: &[Order]) -> Value {
     json!({ "fence": fencing_token, "orders": orders })
 }
 
 /// The body of a direct command.
-pub fn direct(fencing_token: u64, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
+pub fn direct(fencing_token: FencingToken, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
     serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": agent_epoch, "orders": orders })).unwrap_or_default()
 }
 
--- a/tests/outputs/settings.rs
+++ b/tests/outputs/settings.rs
@@ -72,7 +72,7 @@
     let whole = std::fs::read_to_string(sample(name)).unwrap();
     let mut text = format!("# {name}\n{}", run(&sample(name)));
     let lines: Vec<&str> = whole.lines().collect();
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("variant-{name}"));
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("variant-{}-{name}", std::process::id()));
     for (number, line) in lines.iter().enumerate() {
         for (kind, changed) in variants(line) {
             let mut variant = lines.clone();
@@ -110,7 +110,7 @@
 fn the_former_name_of_partitions_is_read() {
     let sound = check("operator.hcl", &sample("operator-former-name.hcl"));
     assert!(sound.starts_with("[exit 0]\n"), "{sound}");
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("former-name-with-two.hcl");
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("former-name-with-two-{}.hcl", std::process::id()));
     std::fs::write(&file, "parts = 2\n").unwrap();
     let refused = check("operator.hcl", &file);
     assert!(refused.starts_with("[exit 2]\n") && refused.contains("partitions: must be 1"), "{refused}");
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -1,6 +1,7 @@
 //! Frames between controllers.
 
 use badgerdrift::api::refusal::RefusalReason;
+use badgerdrift::model::FencingToken;
 use badgerdrift::transport::frame_format::FrameFormat;
 use badgerdrift::transport::peer::{
     CapacityReport, Machines, Peer, PeerLimits, PeerRequest, PeerResponse, UserCall, serve,
@@ -32,8 +33,14 @@
 fn requests() -> Vec<PeerRequest> {
     let user = |call| PeerRequest::User { partition: 0, call };
     vec![
-        PeerRequest::Pledge { partition: 0, leader: "worker-0".into(), fencing_token: 7, for_ms: 2500, state_ok: true },
-        PeerRequest::ReleasePledge { partition: 0, fencing_token: 7 },
+        PeerRequest::Pledge {
+            partition: 0,
+            leader: "worker-0".into(),
+            fencing_token: FencingToken(7),
+            for_ms: 2500,
+            state_ok: true,
+        },
+        PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(7) },
         user(UserCall::Submit(b"{\"id\":\"run-000412\"}".to_vec())),
         user(UserCall::Status("run-000412".into())),
         user(UserCall::Cancel("run-000412".into())),
@@ -115,7 +122,9 @@
     });
     let mut heard = Vec::new();
     for _ in answers {
-        heard.push(peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: 1 }, LIMIT).await);
+        heard.push(
+            peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(1) }, LIMIT).await,
+        );
     }
     (peer, heard)
 }
@@ -209,7 +218,10 @@
     let refusal = decoded::<production::PeerResponse>(&next_frame(&mut stream).await);
     assert_eq!((refusal.n, refusal.body), (5, production::PeerResponse::No));
     stream.write_all(&recorded(include_str!("../data/production/requests.hex"))[1]).await.unwrap();
-    assert_eq!(asked.recv().await.unwrap().0, PeerRequest::ReleasePledge { partition: 0, fencing_token: 7 });
+    assert_eq!(
+        asked.recv().await.unwrap().0,
+        PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(7) }
+    );
 }
 
 #[tokio::test]
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -4,6 +4,7 @@
 //! the bytes have to be the same, those of the length included. So a field, a variant or a name
 //! of a reason that is spelled differently is found, however it is called in Rust.
 
+use badgerdrift::model::FencingToken;
 use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse, serve};
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
@@ -169,7 +170,8 @@
     });
     let mut responses = Vec::new();
     for (name, _) in frames {
-        let response = peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: 1 }, LIMIT).await;
+        let response =
+            peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(1) }, LIMIT).await;
         responses.push(response.unwrap_or_else(|| panic!("{name} is not read")));
     }
     responses
