--- a/crates/scale/src/borrow.rs
+++ b/crates/scale/src/borrow.rs
@@ -2,14 +2,13 @@
 //! gains, what the lenders keep, and when all is given back. All of it is read from what the
 //! machines run.
 
-use crate::controllers::team_name;
+use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
+use crate::results::BorrowResult;
 use crate::scenario::Borrowing;
-use crate::workload::leak;
 use badgerdrift_stand_ins::ground::SimulationContext;
 use badgerdrift_stand_ins::users;
 use badgerdrift_stand_ins::world::{Job, SimulationState, secs};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -22,27 +21,6 @@
 /// Sums of decimal amounts may be off by rounding.
 const ROUNDING: f64 = 1e-6;
 
-/// What came of a region's burst.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct BorrowResult {
-    /// Milliseconds from the burst's begin until each replica answered.
-    pub gained_ms: Vec<u32>,
-    /// Replicas that never answered.
-    pub without_room: usize,
-    /// The least use of any lending team as a part of its floor, from the burst's begin on: what is on
-    /// machines, image fetches included, against the lesser of guarantee and demand.
-    pub least_share_of_floor: f64,
-    /// How long any lending team was below its floor in all.
-    pub below_floor_ms: u64,
-    /// The most that a stopped task or gang that can save has lost, in seconds.
-    pub most_lost_s: f64,
-    /// Tasks of arrays and gangs that were stopped from the burst's begin on.
-    pub stops: usize,
-    /// Milliseconds from the burst's end until the lenders have as many cards in use as before it, or
-    /// as many as are left; none if they had not by the end of the run.
-    pub returned_ms: Option<u32>,
-}
-
 /// A burst under way.
 pub struct BorrowRun {
     result: Arc<Mutex<BorrowResult>>,
--- a/crates/scale/src/borrow_report.rs
+++ b/crates/scale/src/borrow_report.rs
@@ -1,11 +1,12 @@
 //! The same burst calm, with the owner killed and with machines lost, each with borrowing and without
 //! it, over several seeds side by side.
 
-use crate::borrow::BorrowResult;
 use crate::comparison::Comparison;
+use crate::prepared::Prepared;
 use crate::report::{BrokenRule, Report};
+use crate::results::BorrowResult;
 use crate::results::Role;
-use crate::run::{self, Prepared};
+use crate::run;
 use crate::scenario::{Fault, FaultKind};
 use comfy_table::Table;
 use serde::Serialize;
--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -2,10 +2,10 @@
 //! answered by the first replica that can. And what the pool's bill says, beside what the workers
 //! saw.
 
-use crate::controllers::team_name;
+use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
+use crate::results::BurstResult;
 use crate::scenario::Burst;
-use crate::workload::leak;
 use badgerdrift::transport::network::Net;
 use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
 use badgerdrift::warm_pools::{BillRow, PoolsRequest, PoolsResponse};
@@ -13,14 +13,10 @@
 use badgerdrift_stand_ins::machines::MODEL_PATH;
 use badgerdrift_stand_ins::users;
 use badgerdrift_stand_ins::world::{Job, secs};
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The image that the burst asks for, as jobs name it; no other job does.
-pub const BURST_IMAGE: &str = "img-900";
 /// Its number among the stand-ins' images.
 const BURST_IMAGE_NUMBER: u32 = 900;
 /// Numbers of the burst's jobs begin here: no other job's are as high.
@@ -35,38 +31,12 @@
 const ALL_DAYS: [&str; 2] = ["0001-01-01", "9999-12-31"];
 const MS_PER_S: f64 = 1000.0;
 
-/// What came of a region's burst.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct BurstResult {
-    /// Milliseconds from each request to its answer.
-    #[serde(rename = "answered_ms")]
-    pub lease_renewed_ms: Vec<u32>,
-    /// Requests without an answer at the end.
-    pub unanswered: usize,
-    /// Models that were ready as the burst began.
-    pub ready_before: usize,
-    /// Models that were loaded, and tasks that took one over.
-    pub loaded: usize,
-    pub attached: usize,
-    /// Seconds of idle and claimed replicas by team, as recorded in the bills.
-    pub billed: BTreeMap<String, SlotSeconds>,
-    /// The same as the workers saw it.
-    pub seen: BTreeMap<String, SlotSeconds>,
-}
-
-/// Seconds of replicas.
-#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct SlotSeconds {
-    pub idle_s: f64,
-    pub claimed_s: f64,
-}
-
 /// A burst under way.
 pub struct BurstRun {
     context: SimulationContext,
     has_pool: bool,
     requests: usize,
-    lease_renewed_ms: Arc<Mutex<Vec<u32>>>,
+    answered_ms: Arc<Mutex<Vec<u32>>>,
     ready_before: Arc<Mutex<usize>>,
 }
 
@@ -76,11 +46,11 @@
         context: context.clone(),
         has_pool: plan.scenario.warm_pool.is_some(),
         requests: plan.scenario.burst.as_ref().map_or(0, |burst| burst.requests),
-        lease_renewed_ms: Arc::default(),
+        answered_ms: Arc::default(),
         ready_before: Arc::default(),
     };
     if let Some(burst) = plan.scenario.burst.clone() {
-        let (context, answered, ready) = (context.clone(), run.lease_renewed_ms.clone(), run.ready_before.clone());
+        let (context, answered, ready) = (context.clone(), run.answered_ms.clone(), run.ready_before.clone());
         let (seed, teams) = (plan.seed, plan.scenario.teams.count);
         tokio::spawn(async move {
             sleep(secs(burst.at_s)).await;
@@ -138,13 +108,13 @@
 impl BurstRun {
     /// What came of it until now; the bill is read from a controller that answers.
     pub async fn finish(self, plan: &RegionPlan) -> BurstResult {
-        let (account, lease_renewed_ms) = {
+        let (account, answered_ms) = {
             let world = self.context.w.lock().unwrap();
-            (world.slot_account(), self.lease_renewed_ms.lock().unwrap().clone())
+            (world.slot_account(), self.answered_ms.lock().unwrap().clone())
         };
         let mut result = BurstResult {
-            unanswered: self.requests - lease_renewed_ms.len(),
-            lease_renewed_ms,
+            unanswered: self.requests - answered_ms.len(),
+            answered_ms,
             ready_before: *self.ready_before.lock().unwrap(),
             loaded: account.loaded,
             attached: account.attached,
--- a/crates/scale/src/burst_report.rs
+++ b/crates/scale/src/burst_report.rs
@@ -1,9 +1,10 @@
 //! The same burst with a pool and without one, over several seeds, side by side.
 
-use crate::burst::BurstResult;
 use crate::comparison::Comparison;
+use crate::prepared::Prepared;
 use crate::report::{BrokenRule, Report};
-use crate::run::{self, Prepared};
+use crate::results::BurstResult;
+use crate::run;
 use crate::scenario::{Fault, FaultKind};
 use comfy_table::Table;
 use serde::Serialize;
@@ -86,7 +87,7 @@
 impl BurstRow {
     fn new(variant: Variant, seed: u64, report: Report) -> BurstRow {
         let result = report.burst.unwrap_or_default();
-        let mut answered = result.lease_renewed_ms.clone();
+        let mut answered = result.answered_ms.clone();
         answered.sort_unstable();
         let at = |part: f64| {
             let last = answered.len().saturating_sub(1);
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Changes of the configuration that the regions share, and when owners obey them.
 
-use crate::controllers::team_name;
-use crate::plan::{RegionPlan, region_name};
+use crate::names::{region_name, team_name};
+use crate::plan::RegionPlan;
 use crate::results::ChangeResult;
 use badgerdrift::configuration::{ConfigurationRequest, ConfigurationResponse};
 use badgerdrift::transport::network::Net;
--- a/crates/scale/src/controllers.rs
+++ b/crates/scale/src/controllers.rs
@@ -1,7 +1,8 @@
 //! The real controllers of a region: processes that are started, killed and held still by id.
 
-use crate::burst::BURST_IMAGE;
-use crate::plan::{RegionPlan, region_name};
+use crate::names::BURST_IMAGE;
+use crate::names::{region_name, team_name};
+use crate::plan::RegionPlan;
 use crate::scenario::{Borrowing, WarmPool};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -185,11 +186,6 @@
     format!("n{number}")
 }
 
-/// The name of a team.
-pub fn team_name(team: usize) -> String {
-    format!("team-{team:03}")
-}
-
 /// Calls a second that the cloud takes.
 const CLOUD_RPS: f64 = 10.0;
 /// Seconds by which the cloud's list of machines lags.
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -13,7 +13,9 @@
 mod controllers;
 mod counting;
 mod faults;
+mod names;
 mod plan;
+mod prepared;
 mod region;
 mod relays;
 mod report;
@@ -125,10 +127,10 @@
 }
 
 /// A scenario that was read and checked, with what the command line says of the run.
-fn prepare(arguments: &RunArguments) -> Result<run::Prepared, String> {
+fn prepare(arguments: &RunArguments) -> Result<prepared::Prepared, String> {
     let scenario = scenario::load(&arguments.scenario)?.scaled(arguments.size)?;
     let seed = arguments.seed.unwrap_or_else(|| u64::from(std::process::id()));
-    Ok(run::Prepared { scenario, seed, controller: arguments.controller.clone() })
+    Ok(prepared::Prepared { scenario, seed, controller: arguments.controller.clone() })
 }
 
 fn outcome(result: Result<report::Report, String>, arguments: &RunArguments) -> ExitCode {
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -1,6 +1,7 @@
 //! What a region's process is told, and what it answers.
 
 use crate::addresses::RegionNetworks;
+use crate::names::region_name;
 use crate::results::RegionResult;
 use crate::scenario::Scenario;
 use serde::{Deserialize, Serialize};
@@ -42,11 +43,6 @@
     }
 }
 
-/// The name of a region.
-pub fn region_name(region: usize) -> String {
-    format!("region-{region}")
-}
-
 /// What the process of a region says, a line each on its standard output.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RegionMessage {
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -3,14 +3,15 @@
 use crate::borrow;
 use crate::burst;
 use crate::configuration;
-use crate::controllers::{Controllers, LIST_LAG_S, team_name};
+use crate::controllers::{Controllers, LIST_LAG_S};
 use crate::counting::{Traffic, counting};
 use crate::faults::{self, FaultTargets};
+use crate::names::{leak, team_name};
 use crate::plan::{RegionMessage, RegionPlan};
 use crate::relays::{self, Cuts};
 use crate::results::{RegionResult, Role, ServiceTraffic};
 use crate::samples::Sampler;
-use crate::workload::{self, leak};
+use crate::workload;
 use badgerdrift::transport::http::Client;
 use badgerdrift_stand_ins::ground::SimulationContext;
 use badgerdrift_stand_ins::net::SimulatedNetwork;
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,9 +1,7 @@
 //! What a run found, over all regions together.
 
-use crate::borrow::BorrowResult;
-use crate::burst::BurstResult;
-use crate::results::{ChangeResult, RegionResult, Role, RoleUsage, ServiceTraffic};
-use crate::run::Prepared;
+use crate::prepared::Prepared;
+use crate::results::{BorrowResult, BurstResult, ChangeResult, RegionResult, Role, RoleUsage, ServiceTraffic};
 use crate::scenario::Scenario;
 use comfy_table::Table;
 use hdrhistogram::Histogram;
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,7 +1,5 @@
 //! What one region measured.
 
-use crate::borrow::BorrowResult;
-use crate::burst::BurstResult;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -76,6 +74,52 @@
     pub version: Option<u64>,
 }
 
+/// Result of a burst of serving on borrowed accelerators in one region.
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub struct BorrowResult {
+    /// Milliseconds from the burst's begin until each replica answered.
+    pub gained_ms: Vec<u32>,
+    /// Replicas that never answered.
+    pub without_room: usize,
+    /// The least use of any lending team as a part of its floor, from the burst's begin on: what is on
+    /// machines, image fetches included, against the lesser of guarantee and demand.
+    pub least_share_of_floor: f64,
+    /// How long any lending team was below its floor in all.
+    pub below_floor_ms: u64,
+    /// The most that a stopped task or gang that can save has lost, in seconds.
+    pub most_lost_s: f64,
+    /// Tasks of arrays and gangs that were stopped from the burst's begin on.
+    pub stops: usize,
+    /// Milliseconds from the burst's end until the lenders have as many cards in use as before it, or
+    /// as many as are left; none if they had not by the end of the run.
+    pub returned_ms: Option<u32>,
+}
+
+/// Result of a burst of requests to one model in one region.
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub struct BurstResult {
+    /// Milliseconds from each request to its answer.
+    pub answered_ms: Vec<u32>,
+    /// Requests without an answer at the end.
+    pub unanswered: usize,
+    /// Models that were ready as the burst began.
+    pub ready_before: usize,
+    /// Models that were loaded, and tasks that took one over.
+    pub loaded: usize,
+    pub attached: usize,
+    /// Seconds of idle and claimed replicas by team, as recorded in the bills.
+    pub billed: BTreeMap<String, SlotSeconds>,
+    /// The same as the workers saw it.
+    pub seen: BTreeMap<String, SlotSeconds>,
+}
+
+/// Seconds of replicas.
+#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
+pub struct SlotSeconds {
+    pub idle_s: f64,
+    pub claimed_s: f64,
+}
+
 /// What one region measured.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RegionResult {
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -3,23 +3,14 @@
 use crate::addresses::RegionNetworks;
 use crate::child::RegionProcess;
 use crate::plan::{RegionMessage, RegionPlan};
+use crate::prepared::Prepared;
 use crate::report::Report;
 use crate::results::RegionResult;
-use crate::scenario::Scenario;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use tokio::sync::mpsc;
 
-/// A checked scenario, and how it is run.
-#[derive(Clone)]
-pub struct Prepared {
-    pub scenario: Scenario,
-    pub seed: u64,
-    /// The controller program; built if none is named.
-    pub controller: Option<PathBuf>,
-}
-
 /// Runs a scenario; whatever happens, all processes have ended afterwards.
 pub async fn run(prepared: &Prepared) -> Result<Report, String> {
     let controller = match &prepared.controller {
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -1,9 +1,10 @@
 //! Runs a scenario at several sizes and fits a line to each cost.
 
 use crate::comparison::Comparison;
+use crate::prepared::Prepared;
 use crate::report::Report;
 use crate::results::Role;
-use crate::run::{self, Prepared};
+use crate::run;
 use comfy_table::Table;
 use serde::Serialize;
 
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -1,6 +1,6 @@
 //! Jobs that come to one region.
 
-use crate::controllers::team_name;
+use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
 use crate::scenario::{JobClass, Shape};
 use badgerdrift_stand_ins::ground::SimulationContext;
@@ -13,11 +13,6 @@
 /// Image names that the jobs of a region share.
 const IMAGES: u32 = 12;
 
-/// Names live as long as the process: the stand-ins know them as constants.
-pub fn leak(name: String) -> &'static str {
-    Box::leak(name.into_boxed_str())
-}
-
 /// Where the jobs of one class come from.
 struct Arrivals {
     context: SimulationContext,
--- a/crates/stand-ins/src/world/machine.rs
+++ b/crates/stand-ins/src/world/machine.rs
@@ -1,7 +1,6 @@
 //! A machine with the tasks that are on it.
 
 use super::parameters::Flavor;
-use super::slots::LoadedSlot;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::time::Instant;
@@ -50,6 +49,17 @@
     pub(super) attached: bool,
 }
 
+/// A model that is loaded, or being loaded, and that no task has taken over.
+#[derive(Debug, Clone)]
+pub struct LoadedSlot {
+    pub image: String,
+    pub(super) cores: f64,
+    pub(super) cards: f64,
+    pub(super) mem_gb: f64,
+    pub ready: Instant,
+    pub(super) since: Instant,
+}
+
 pub struct Machine {
     pub id: String,
     pub addr: SocketAddr,
--- a/crates/stand-ins/src/world/slots.rs
+++ b/crates/stand-ins/src/world/slots.rs
@@ -2,24 +2,13 @@
 //! `docs/warm-pools.md` describes, and an account of their own of who used what for how long.
 
 use super::SimulationState;
-use super::machine::{Machine, Phase, TaskAttempt};
+use super::machine::{LoadedSlot, Machine, Phase, TaskAttempt};
 use super::parameters::secs;
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// A model that is loaded, or being loaded, and that no task has taken over.
-#[derive(Debug, Clone)]
-pub struct LoadedSlot {
-    pub image: String,
-    pub(super) cores: f64,
-    pub(super) cards: f64,
-    pub(super) mem_gb: f64,
-    pub ready: Instant,
-    pub(super) since: Instant,
-}
-
 /// How long slots were idle and claimed, in seconds, as the workers saw it.
 #[derive(Debug, Clone, Default)]
 pub struct SlotAccount {
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -1,9 +1,9 @@
 //! What a worker does with replies and direct commands: leases, tokens, starts and stops.
 
 use super::job::Job;
-use super::machine::{Machine, Phase, TaskAttempt};
+use super::machine::{LoadedSlot, Machine, Phase, TaskAttempt};
 use super::parameters::secs;
-use super::slots::LoadedSlot;
+
 use super::{SimulationState, StartWait};
 use rand::RngExt;
 use serde_json::{Value, json};
