--- a/crates/borrowing/src/check.rs
+++ b/crates/borrowing/src/check.rs
@@ -2,23 +2,8 @@
 
 use crate::amounts::Amounts;
 use crate::settings::{BorrowingSettings, Lender};
+use badgerdrift_common::FieldError;
 use std::collections::BTreeMap;
-use std::fmt;
-
-/// A field that is at fault, and why.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FieldError {
-    /// The field, as `lender.night.most_gpus`.
-    pub field: String,
-    /// What is wrong with it.
-    pub reason: String,
-}
-
-impl fmt::Display for FieldError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.reason)
-    }
-}
 
 /// What the platform's settings say of a team.
 #[derive(Debug, Clone, Copy, Default)]
@@ -52,15 +37,15 @@
     ) -> Result<(), FieldError> {
         let to = format!("{field}.to");
         if lender.to.is_empty() {
-            return Err(error(&to, "must name a team"));
+            return Err(FieldError::new(&to, "must name a team"));
         }
         for borrower in &lender.to {
             known(&to, borrower, teams)?;
             if borrower == name {
-                return Err(error(&to, "a team does not lend to itself"));
+                return Err(FieldError::new(&to, "a team does not lend to itself"));
             }
             if !self.borrowers.contains_key(borrower) {
-                return Err(error(&to, &format!("{borrower} is no borrower")));
+                return Err(FieldError::new(&to, &format!("{borrower} is no borrower")));
             }
         }
         if let Some(most) = lender.most_gpus {
@@ -69,22 +54,18 @@
         let Some(share) = lender.most_share else { return Ok(()) };
         let field = format!("{field}.most_share");
         if !(0.0..=1.0).contains(&share) {
-            return Err(error(&field, &format!("must be from 0 to 1, is {share}")));
+            return Err(FieldError::new(&field, &format!("must be from 0 to 1, is {share}")));
         }
         let guaranteed = teams.get(name).is_some_and(|team| team.guarantee.gpus > 0.0);
-        if guaranteed { Ok(()) } else { Err(error(&field, "the team is guaranteed no accelerators")) }
+        if guaranteed { Ok(()) } else { Err(FieldError::new(&field, "the team is guaranteed no accelerators")) }
     }
 }
 
 fn known(field: &str, team: &str, teams: &BTreeMap<String, KnownTeam>) -> Result<(), FieldError> {
-    if teams.contains_key(team) { Ok(()) } else { Err(error(field, &format!("no team {team}"))) }
+    if teams.contains_key(team) { Ok(()) } else { Err(FieldError::new(field, &format!("no team {team}"))) }
 }
 
 fn not_negative(field: &str, amount: f64) -> Result<(), FieldError> {
     let sound = amount.is_finite() && amount >= 0.0;
-    if sound { Ok(()) } else { Err(error(field, &format!("must be at least 0, is {amount}"))) }
-}
-
-fn error(field: &str, reason: &str) -> FieldError {
-    FieldError { field: field.into(), reason: reason.into() }
+    if sound { Ok(()) } else { Err(FieldError::new(field, &format!("must be at least 0, is {amount}"))) }
 }
--- a/crates/borrowing/src/lib.rs
+++ b/crates/borrowing/src/lib.rs
@@ -16,10 +16,11 @@
 mod settings;
 
 pub use amounts::Amounts;
-pub use check::{FieldError, KnownTeam};
+pub use badgerdrift_common::{FieldError, Moment};
+pub use check::KnownTeam;
 pub use floor::{JobDemand, TeamShare};
 pub use loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
-pub use loans::{LendingJob, LoanEvent, LoanTransition, Loans, Moment, Proposal, RecordWrite};
+pub use loans::{LendingJob, LoanEvent, LoanTransition, Loans, Proposal, RecordWrite};
 pub use loss::StoppedWork;
 pub use refusal::Refusal;
 pub use settings::{Borrower, BorrowingSettings, Lender, Priority};
--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -7,6 +7,7 @@
 use crate::amounts::Amounts;
 use crate::loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
 use crate::settings::BorrowingSettings;
+use badgerdrift_common::Moment;
 use std::collections::BTreeMap;
 
 pub use records::{LoanEvent, RecordWrite};
@@ -14,15 +15,6 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
-/// A moment by the owner's clocks.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
-    /// Steady time in milliseconds.
-    pub steady_ms: u64,
-    /// Time of day in milliseconds.
-    pub wall_ms: u64,
-}
-
 /// Tasks of one job that are to be stopped for another team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
--- a/crates/warm-pools/src/check.rs
+++ b/crates/warm-pools/src/check.rs
@@ -2,23 +2,8 @@
 
 use crate::calendar::Schedule;
 use crate::settings::{Model, Pool, PoolSettings};
+use badgerdrift_common::FieldError;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
-
-/// A field that is at fault, and why.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FieldError {
-    /// The field, as `pool.counter.payer`.
-    pub field: String,
-    /// What is wrong with it.
-    pub reason: String,
-}
-
-impl fmt::Display for FieldError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.reason)
-    }
-}
 
 /// What of the fleet is known before it is up. Machine types are told by the cloud: until then a
 /// pool's types can't be checked.
@@ -50,11 +35,14 @@
             let field = format!("model.{stable}");
             not_negative(&format!("{field}.size_gb"), model.size_gb)?;
             if model.image.is_empty() {
-                return Err(error(&format!("{field}.image"), "must not be empty"));
+                return Err(FieldError::new(&format!("{field}.image"), "must not be empty"));
             }
             for name in own_names(model) {
                 if let Some(other) = names.insert(name, stable) {
-                    return Err(error(&format!("{field}.names"), &format!("{name} is a name of model {other} too")));
+                    return Err(FieldError::new(
+                        &format!("{field}.names"),
+                        &format!("{name} is a name of model {other} too"),
+                    ));
                 }
             }
         }
@@ -64,20 +52,20 @@
     fn check_pool(&self, field: &str, pool: &Pool, known: &KnownFleet) -> Result<(), FieldError> {
         let within = |name: &str| format!("{field}.{name}");
         if !self.models.contains_key(&pool.model) {
-            return Err(error(&within("model"), &format!("there is no model {}", pool.model)));
+            return Err(FieldError::new(&within("model"), &format!("there is no model {}", pool.model)));
         }
         let Some(limit) = known.team_limits.get(&pool.payer) else {
-            return Err(error(&within("payer"), &format!("there is no team {}", pool.payer)));
+            return Err(FieldError::new(&within("payer"), &format!("there is no team {}", pool.payer)));
         };
         if let Some(team) = pool.claimants.iter().find(|team| !known.team_limits.contains_key(*team)) {
-            return Err(error(&within("claimants"), &format!("there is no team {team}")));
+            return Err(FieldError::new(&within("claimants"), &format!("there is no team {team}")));
         }
         if let Some(zone) = pool.zones.iter().find(|zone| !known.zones.contains(*zone)) {
-            return Err(error(&within("zones"), &format!("there is no zone {zone}")));
+            return Err(FieldError::new(&within("zones"), &format!("there is no zone {zone}")));
         }
         let unknown = |machine: &&String| known.machines.as_ref().is_some_and(|types| !types.contains(*machine));
         if let Some(machine) = pool.machines.iter().find(unknown) {
-            return Err(error(&within("machines"), &format!("there is no machine type {machine}")));
+            return Err(FieldError::new(&within("machines"), &format!("there is no machine type {machine}")));
         }
         positive(&within("cores"), pool.cores)?;
         not_negative(&within("cards"), pool.cards)?;
@@ -88,14 +76,14 @@
             amount.map_or(Ok(()), |amount| not_negative(&within(name), amount))?;
         }
         if pool.loads_at_a_time == 0 {
-            return Err(error(&within("loads_at_a_time"), "must be at least 1"));
+            return Err(FieldError::new(&within("loads_at_a_time"), "must be at least 1"));
         }
         let most = pool.most_wanted() as f64;
         if most * pool.cores > limit.0 || most * pool.cards > limit.1 {
             let reason = format!("{most} replicas are more than the limit of {}", pool.payer);
-            return Err(error(&within("count"), &reason));
+            return Err(FieldError::new(&within("count"), &reason));
         }
-        Schedule::new(pool).map(|_| ()).map_err(|e| error(&within(&e.field), &e.reason))
+        Schedule::new(pool).map(|_| ()).map_err(|e| FieldError::new(&within(&e.field), &e.reason))
     }
 }
 
@@ -108,7 +96,7 @@
     if amount.is_finite() && amount > 0.0 {
         Ok(())
     } else {
-        Err(error(field, &format!("must be above 0, is {amount}")))
+        Err(FieldError::new(field, &format!("must be above 0, is {amount}")))
     }
 }
 
@@ -116,10 +104,6 @@
     if amount.is_finite() && amount >= 0.0 {
         Ok(())
     } else {
-        Err(error(field, &format!("must be 0 or more, is {amount}")))
+        Err(FieldError::new(field, &format!("must be 0 or more, is {amount}")))
     }
 }
-
-fn error(field: &str, reason: &str) -> FieldError {
-    FieldError { field: field.into(), reason: reason.into() }
-}
--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -20,11 +20,12 @@
 mod targets;
 mod wall_clock;
 
+pub use badgerdrift_common::{FieldError, Moment};
 pub use bill::{BillRecord, Charge, DayTotal, Payment, days_around, is_day};
 pub use calendar::{CalendarError, Schedule};
-pub use check::{FieldError, KnownFleet};
+pub use check::KnownFleet;
 pub use money::{MicroUnits, price_of};
-pub use pools::{ClaimError, Moment, PoolEvent, PoolStatus, SlotPlace, WarmPools};
+pub use pools::{ClaimError, PoolEvent, PoolStatus, SlotPlace, WarmPools};
 pub use records::{ClaimRecord, RecordChanges, RecordKey, RecordWrite, SlotRecord, StoredRecord, WriteId};
 pub use settings::{
     Amounts, DateException, HoldKind, Identity, Model, ModelName, Pool, PoolName, PoolSettings, TeamName, Window,
--- a/crates/warm-pools/src/pools/mod.rs
+++ b/crates/warm-pools/src/pools/mod.rs
@@ -16,19 +16,11 @@
 use crate::settings::{PoolSettings, TeamName};
 use crate::slot::{Slot, SlotId, Transition};
 use crate::targets::Targets;
+use badgerdrift_common::Moment;
 use jiff::civil::Date;
 use std::collections::{BTreeMap, BTreeSet};
 use writes::{BillVersion, InFlight};
 
-/// A moment, by both clocks of the owner's host.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
-    /// Milliseconds by a clock that is never set.
-    pub steady_ms: u64,
-    /// Time of day, in milliseconds since 1970 (UTC).
-    pub wall_ms: u64,
-}
-
 /// The pools of one owner.
 #[derive(Debug, Clone)]
 pub struct WarmPools {
