--- a/crates/borrowing/src/loan.rs
+++ b/crates/borrowing/src/loan.rs
@@ -30,7 +30,7 @@
     WithinGuarantee,
     /// It could not be recorded, so that nothing was stopped.
     NotRecorded,
-    /// A takeover found that nothing had been stopped.
+    /// A failover found that nothing had been stopped.
     NotCarriedOut,
 }
 
@@ -54,7 +54,7 @@
 pub enum LoanState {
     /// It was decided; nothing is stopped before its record is written.
     Proposed,
-    /// A takeover found its record; what was stopped is known once all machines are accounted for.
+    /// A failover found its record; what was stopped is known once all machines are accounted for.
     Unsettled,
     /// The borrower has the room.
     Open,
--- a/crates/borrowing/src/loans/follow.rs
+++ b/crates/borrowing/src/loans/follow.rs
@@ -15,10 +15,10 @@
 
     /// What of a job runs again is not lent any more: its oldest loans end first.
     fn follow_lenders(&mut self, lending: impl Fn(&str) -> LendingJob) {
-        let jobs: Vec<String> = self.books.keys().cloned().collect();
+        let jobs: Vec<String> = self.ledgers.keys().cloned().collect();
         for job in jobs {
             let is_lent = |state| matches!(state, LoanState::Open | LoanState::Returning);
-            let entries = self.books[&job].entries.iter().enumerate();
+            let entries = self.ledgers[&job].entries.iter().enumerate();
             let open: Vec<usize> =
                 entries.filter(|(_, entry)| is_lent(entry.loan.state)).map(|(index, _)| index).collect();
             if open.is_empty() {
@@ -29,7 +29,7 @@
                 open.into_iter().for_each(|index| self.end(&job, index, EndCause::LenderOver));
                 continue;
             }
-            let lent: u32 = open.iter().map(|index| self.books[&job].entries[*index].loan.tasks).sum();
+            let lent: u32 = open.iter().map(|index| self.ledgers[&job].entries[*index].loan.tasks).sum();
             let mut run_again = lent.saturating_sub(missing);
             for index in open {
                 run_again -= self.take_back(&job, index, run_again);
@@ -39,14 +39,14 @@
 
     /// At most so many tasks of a loan run again; tells how many it had.
     fn take_back(&mut self, job: &str, index: usize, run_again: u32) -> u32 {
-        let Some(book) = self.books.get_mut(job) else { return 0 };
-        let loan = &mut book.entries[index].loan;
+        let Some(ledger) = self.ledgers.get_mut(job) else { return 0 };
+        let loan = &mut ledger.entries[index].loan;
         let taken = loan.tasks.min(run_again);
         if taken == 0 {
             return 0;
         }
         loan.tasks -= taken;
-        book.dirty = true;
+        ledger.dirty = true;
         if loan.tasks == 0 {
             let returned = loan.state == LoanState::Returning;
             self.end(job, index, if returned { EndCause::Returned } else { EndCause::Replaced });
@@ -59,8 +59,8 @@
         let patience_ms = (self.settings.return_after_s * MS_PER_S) as u64;
         let mut outstanding = self.outstanding();
         for (job, index) in self.open_by_age() {
-            let Some(book) = self.books.get_mut(&job) else { continue };
-            let entry = &mut book.entries[index];
+            let Some(ledger) = self.ledgers.get_mut(&job) else { continue };
+            let entry = &mut ledger.entries[index];
             let need = needs.get(&entry.loan.borrower).copied().unwrap_or_default();
             let Some(sum) = outstanding.get_mut(&entry.loan.borrower) else { continue };
             let without = sum.minus(entry.loan.amounts());
@@ -89,8 +89,8 @@
     /// Open loans, the oldest first.
     fn open_by_age(&self) -> Vec<(String, usize)> {
         let mut open = Vec::new();
-        for (job, book) in &self.books {
-            for (index, entry) in book.entries.iter().enumerate() {
+        for (job, ledger) in &self.ledgers {
+            for (index, entry) in ledger.entries.iter().enumerate() {
                 if entry.loan.state == LoanState::Open && entry.loan.kind == LoanKind::Borrowed {
                     open.push((entry.loan.begun_ms, entry.loan.id, job.clone(), index));
                 }
--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -58,7 +58,7 @@
     pub loan: Loan,
 }
 
-/// A loan with what is known of it in this owner's memory alone.
+/// A loan with what is known of it in this leader's memory alone.
 #[derive(Debug, Clone)]
 struct Entry {
     loan: Loan,
@@ -90,14 +90,14 @@
 pub struct Loans {
     settings: BorrowingSettings,
     /// By the id of the job that lends.
-    books: BTreeMap<String, LoanLedger>,
+    ledgers: BTreeMap<String, LoanLedger>,
     transitions: Vec<LoanTransition>,
 }
 
 impl Loans {
     /// No loans.
     pub fn new(settings: BorrowingSettings) -> Loans {
-        Loans { settings, books: BTreeMap::new(), transitions: Vec::new() }
+        Loans { settings, ledgers: BTreeMap::new(), transitions: Vec::new() }
     }
 
     /// Who lends to whom.
@@ -120,7 +120,7 @@
             state: LoanState::Proposed,
         };
         let lender = proposal.lender;
-        let book = self.books.entry(proposal.lending_job.clone()).or_insert_with(|| LoanLedger {
+        let ledger = self.ledgers.entry(proposal.lending_job.clone()).or_insert_with(|| LoanLedger {
             lender,
             entries: Vec::new(),
             version: 0,
@@ -128,16 +128,16 @@
             in_flight: false,
             indeterminate: false,
         });
-        book.entries.push(Entry { loan, sent: false, told: false, unneeded_since_ms: None });
-        book.dirty = true;
-        let index = book.entries.len() - 1;
+        ledger.entries.push(Entry { loan, sent: false, told: false, unneeded_since_ms: None });
+        ledger.dirty = true;
+        let index = ledger.entries.len() - 1;
         self.note(&proposal.lending_job, index);
     }
 
     /// Gives up a loan that was not recorded. Nothing was stopped for it.
     pub fn abandon(&mut self, id: LoanId) {
         let Some((job, index)) = self.find(id) else { return };
-        let entry = &self.books[&job].entries[index];
+        let entry = &self.ledgers[&job].entries[index];
         if entry.loan.state == LoanState::Proposed {
             self.end(&job, index, EndCause::NotRecorded);
             self.forget_untold(&job);
@@ -146,10 +146,10 @@
 
     /// Drops the loans of a job that ended before any record told of them.
     fn forget_untold(&mut self, job: &str) {
-        let Some(book) = self.books.get_mut(job) else { return };
-        book.entries.retain(|entry| entry.loan.is_active() || entry.told);
-        if book.entries.is_empty() && book.version == 0 {
-            self.books.remove(job);
+        let Some(ledger) = self.ledgers.get_mut(job) else { return };
+        ledger.entries.retain(|entry| entry.loan.is_active() || entry.told);
+        if ledger.entries.is_empty() && ledger.version == 0 {
+            self.ledgers.remove(job);
         }
     }
 
@@ -161,8 +161,8 @@
 
     /// All loans that are kept, with the job and the team that lend.
     pub fn loans(&self) -> impl Iterator<Item = (&str, &str, &Loan)> {
-        self.books.iter().flat_map(|(job, book)| {
-            book.entries.iter().map(move |entry| (job.as_str(), book.lender.as_str(), &entry.loan))
+        self.ledgers.iter().flat_map(|(job, ledger)| {
+            ledger.entries.iter().map(move |entry| (job.as_str(), ledger.lender.as_str(), &entry.loan))
         })
     }
 
@@ -200,8 +200,8 @@
     /// Jobs that gave way less than the quiet time ago: they are passed over while others can give.
     pub fn quiet_jobs(&self, wall_ms: u64) -> impl Iterator<Item = &str> {
         let quiet = move |entry: &&Entry| entry.loan.took_effect() && self.is_quiet(&entry.loan, wall_ms);
-        let books = self.books.iter().filter(move |(_, book)| book.entries.iter().any(|entry| quiet(&entry)));
-        books.map(|(job, _)| job.as_str())
+        let ledgers = self.ledgers.iter().filter(move |(_, ledger)| ledger.entries.iter().any(|entry| quiet(&entry)));
+        ledgers.map(|(job, _)| job.as_str())
     }
 
     /// How many tasks of each job are to be placed first, as their room is being returned.
@@ -220,8 +220,8 @@
     }
 
     fn find(&self, id: LoanId) -> Option<(String, usize)> {
-        self.books.iter().find_map(|(job, book)| {
-            let index = book.entries.iter().position(|entry| entry.loan.id == id)?;
+        self.ledgers.iter().find_map(|(job, ledger)| {
+            let index = ledger.entries.iter().position(|entry| entry.loan.id == id)?;
             Some((job.clone(), index))
         })
     }
@@ -232,22 +232,22 @@
 
     /// Changes the state of a loan, which is to be recorded.
     fn change(&mut self, job: &str, index: usize, state: LoanState) {
-        let Some(book) = self.books.get_mut(job) else { return };
-        book.entries[index].loan.state = state;
-        book.dirty = true;
+        let Some(ledger) = self.ledgers.get_mut(job) else { return };
+        ledger.entries[index].loan.state = state;
+        ledger.dirty = true;
         self.note(job, index);
     }
 
     fn note(&mut self, job: &str, index: usize) {
-        let book = &self.books[job];
-        let loan = book.entries[index].loan.clone();
-        let transition = LoanTransition { lending_job: job.to_string(), lender: book.lender.clone(), loan };
+        let ledger = &self.ledgers[job];
+        let loan = ledger.entries[index].loan.clone();
+        let transition = LoanTransition { lending_job: job.to_string(), lender: ledger.lender.clone(), loan };
         self.transitions.push(transition);
     }
 
     /// The record of a job's loans as it should be.
-    fn record(book: &LoanLedger) -> JobLoans {
-        let loans = book.entries.iter().map(|entry| {
+    fn record(ledger: &LoanLedger) -> JobLoans {
+        let loans = ledger.entries.iter().map(|entry| {
             // Once the record is written the loan is open.
             let state = match entry.loan.state {
                 LoanState::Proposed => LoanState::Open,
@@ -255,6 +255,6 @@
             };
             Loan { state, ..entry.loan.clone() }
         });
-        JobLoans { lender: book.lender.clone(), loans: loans.collect() }
+        JobLoans { lender: ledger.lender.clone(), loans: loans.collect() }
     }
 }
--- a/crates/borrowing/src/loans/records.rs
+++ b/crates/borrowing/src/loans/records.rs
@@ -39,23 +39,27 @@
     /// The records that go into the next commit, at most so many; those of new loans first.
     pub fn next_writes(&mut self, most: usize, wall_ms: u64) -> Vec<RecordWrite> {
         self.forget_old_loans(wall_ms);
-        let due = |book: &LoanLedger| book.dirty && !book.in_flight && !book.indeterminate;
-        let is_new = |book: &LoanLedger| book.entries.iter().any(|entry| entry.loan.state == LoanState::Proposed);
-        let mut jobs: Vec<(bool, String)> =
-            self.books.iter().filter(|(_, book)| due(book)).map(|(job, book)| (!is_new(book), job.clone())).collect();
+        let due = |ledger: &LoanLedger| ledger.dirty && !ledger.in_flight && !ledger.indeterminate;
+        let is_new = |ledger: &LoanLedger| ledger.entries.iter().any(|entry| entry.loan.state == LoanState::Proposed);
+        let mut jobs: Vec<(bool, String)> = self
+            .ledgers
+            .iter()
+            .filter(|(_, ledger)| due(ledger))
+            .map(|(job, ledger)| (!is_new(ledger), job.clone()))
+            .collect();
         jobs.sort_unstable();
         jobs.truncate(most);
         jobs.into_iter().filter_map(|(_, job)| self.begin_write(&job)).collect()
     }
 
     fn begin_write(&mut self, job: &str) -> Option<RecordWrite> {
-        let book = self.books.get_mut(job)?;
-        (book.dirty, book.in_flight) = (false, true);
-        for entry in &mut book.entries {
+        let ledger = self.ledgers.get_mut(job)?;
+        (ledger.dirty, ledger.in_flight) = (false, true);
+        for entry in &mut ledger.entries {
             (entry.sent, entry.told) = (true, true);
         }
-        let value = (!book.entries.is_empty()).then(|| Loans::record(book));
-        Some(RecordWrite { lending_job: job.to_string(), key: loan_key(job), version: book.version, value })
+        let value = (!ledger.entries.is_empty()).then(|| Loans::record(ledger));
+        Some(RecordWrite { lending_job: job.to_string(), key: loan_key(job), version: ledger.version, value })
     }
 
     /// The commit under way was made.
@@ -63,14 +67,14 @@
         let mut events = Vec::new();
         let jobs: Vec<String> = self.in_flight();
         for job in jobs {
-            let Some(book) = self.books.get_mut(&job) else { continue };
-            book.in_flight = false;
-            if book.entries.is_empty() {
-                self.books.remove(&job);
+            let Some(ledger) = self.ledgers.get_mut(&job) else { continue };
+            ledger.in_flight = false;
+            if ledger.entries.is_empty() {
+                self.ledgers.remove(&job);
                 continue;
             }
-            book.version = revision;
-            for index in 0..book.entries.len() {
+            ledger.version = revision;
+            for index in 0..ledger.entries.len() {
                 events.extend(self.entry_written(&job, index));
             }
             self.join_loans(&job);
@@ -79,7 +83,7 @@
     }
 
     fn entry_written(&mut self, job: &str, index: usize) -> Option<LoanEvent> {
-        let entry = self.books.get_mut(job)?.entries.get_mut(index)?;
+        let entry = self.ledgers.get_mut(job)?.entries.get_mut(index)?;
         if !std::mem::take(&mut entry.sent) || entry.loan.state != LoanState::Proposed {
             return None;
         }
@@ -95,21 +99,21 @@
     /// Joins open loans of the job to the same borrower, so that a record stays small however many
     /// bursts there were; of ended ones that took effect the last is kept for each borrower.
     fn join_loans(&mut self, job: &str) {
-        let Some(book) = self.books.get_mut(job) else { return };
+        let Some(ledger) = self.ledgers.get_mut(job) else { return };
         let mut joined: Vec<Entry> = Vec::new();
-        for entry in std::mem::take(&mut book.entries) {
+        for entry in std::mem::take(&mut ledger.entries) {
             let like = |other: &&mut Entry| joins(&other.loan, &entry.loan);
             match joined.iter_mut().find(like) {
                 Some(earlier) => {
                     earlier.loan.tasks += entry.loan.tasks;
                     earlier.loan.begun_ms = earlier.loan.begun_ms.max(entry.loan.begun_ms);
                     earlier.unneeded_since_ms = None;
-                    book.dirty = true;
+                    ledger.dirty = true;
                 }
                 None => joined.push(entry),
             }
         }
-        book.entries = joined;
+        ledger.entries = joined;
     }
 
     /// The commit under way was certainly not made.
@@ -125,47 +129,47 @@
 
     fn give_up_writes(&mut self, indeterminate: bool) {
         for job in self.in_flight() {
-            let Some(book) = self.books.get_mut(&job) else { continue };
-            (book.in_flight, book.dirty) = (false, true);
-            book.indeterminate |= indeterminate;
-            book.entries.iter_mut().for_each(|entry| entry.sent = false);
+            let Some(ledger) = self.ledgers.get_mut(&job) else { continue };
+            (ledger.in_flight, ledger.dirty) = (false, true);
+            ledger.indeterminate |= indeterminate;
+            ledger.entries.iter_mut().for_each(|entry| entry.sent = false);
         }
     }
 
     fn in_flight(&self) -> Vec<String> {
-        self.books.iter().filter(|(_, book)| book.in_flight).map(|(job, _)| job.clone()).collect()
+        self.ledgers.iter().filter(|(_, ledger)| ledger.in_flight).map(|(job, _)| job.clone()).collect()
     }
 
     /// Keys of records that must be read before they are written again.
     pub fn keys_to_read(&self) -> Vec<String> {
-        self.books.iter().filter(|(_, book)| book.indeterminate).map(|(job, _)| loan_key(job)).collect()
+        self.ledgers.iter().filter(|(_, ledger)| ledger.indeterminate).map(|(job, _)| loan_key(job)).collect()
     }
 
     /// Takes the version under which a record was found; 0 if there is none.
     pub fn reread(&mut self, key: &str, version: u64) {
-        let book = self.books.iter_mut().find(|(job, _)| loan_key(job) == key);
-        if let Some((_, book)) = book.filter(|(_, book)| book.indeterminate) {
-            (book.indeterminate, book.version) = (false, version);
+        let ledger = self.ledgers.iter_mut().find(|(job, _)| loan_key(job) == key);
+        if let Some((_, ledger)) = ledger.filter(|(_, ledger)| ledger.indeterminate) {
+            (ledger.indeterminate, ledger.version) = (false, version);
         }
     }
 
     /// Drops ended loans that are of no more use, once a record tells their end: after the quiet
     /// time, or at once where nothing was stopped.
     fn forget_old_loans(&mut self, wall_ms: u64) {
-        let jobs: Vec<String> = self.books.keys().cloned().collect();
+        let jobs: Vec<String> = self.ledgers.keys().cloned().collect();
         for job in jobs {
-            let book = &self.books[&job];
-            if book.dirty || book.in_flight || book.indeterminate {
+            let ledger = &self.ledgers[&job];
+            if ledger.dirty || ledger.in_flight || ledger.indeterminate {
                 continue;
             }
             let is_of_use = |entry: &Entry| {
                 entry.loan.is_active() || (entry.loan.took_effect() && self.is_quiet(&entry.loan, wall_ms))
             };
-            let kept: Vec<Entry> = book.entries.iter().filter(|entry| is_of_use(entry)).cloned().collect();
-            if kept.len() < book.entries.len()
-                && let Some(book) = self.books.get_mut(&job)
+            let kept: Vec<Entry> = ledger.entries.iter().filter(|entry| is_of_use(entry)).cloned().collect();
+            if kept.len() < ledger.entries.len()
+                && let Some(ledger) = self.ledgers.get_mut(&job)
             {
-                (book.entries, book.dirty) = (kept, true);
+                (ledger.entries, ledger.dirty) = (kept, true);
             }
         }
     }
--- a/crates/borrowing/src/loans/restore.rs
+++ b/crates/borrowing/src/loans/restore.rs
@@ -1,10 +1,10 @@
-//! Loans after a takeover: read from their records, then settled by what the machines report.
+//! Loans after a failover: read from their records, then settled by what the machines report.
 
 use super::{Entry, LendingJob, LoanLedger, Loans};
 use crate::loan::{EndCause, JobLoans, LoanKind, LoanState};
 
 impl Loans {
-    /// Begins with the records of an earlier owner, each with the job that lends and its version.
+    /// Begins with the records of an earlier leader, each with the job that lends and its version.
     pub fn restore(&mut self, records: impl IntoIterator<Item = (String, JobLoans, u64)>) {
         for (job, record, version) in records {
             let entries = record.loans.into_iter().map(|mut loan| {
@@ -17,7 +17,7 @@
                 };
                 Entry { loan, sent: false, told: true, unneeded_since_ms: None }
             });
-            let book = LoanLedger {
+            let ledger = LoanLedger {
                 lender: record.lender,
                 entries: entries.collect(),
                 version,
@@ -25,17 +25,17 @@
                 in_flight: false,
                 indeterminate: false,
             };
-            self.books.insert(job, book);
+            self.ledgers.insert(job, ledger);
         }
     }
 
-    /// Settles what an earlier owner left, once all machines are accounted for: no order of its can
+    /// Settles what an earlier leader left, once all machines are accounted for: no order of its can
     /// take effect any more. What it had not stopped is not lent.
     pub fn settle(&mut self, lending: impl Fn(&str) -> LendingJob) {
-        let jobs: Vec<String> = self.books.keys().cloned().collect();
+        let jobs: Vec<String> = self.ledgers.keys().cloned().collect();
         for job in jobs {
             let mut missing = lending(&job).missing;
-            for index in 0..self.books[&job].entries.len() {
+            for index in 0..self.ledgers[&job].entries.len() {
                 missing = missing.saturating_sub(self.settle_loan(&job, index, missing));
             }
         }
@@ -44,8 +44,8 @@
     /// Settles one loan of a job that misses so many tasks beside those of its other loans; tells
     /// how many of them it accounts for.
     fn settle_loan(&mut self, job: &str, index: usize, missing: u32) -> u32 {
-        let Some(book) = self.books.get_mut(job) else { return 0 };
-        let loan = &mut book.entries[index].loan;
+        let Some(ledger) = self.ledgers.get_mut(job) else { return 0 };
+        let loan = &mut ledger.entries[index].loan;
         if loan.state != LoanState::Unsettled {
             return if loan.is_active() { loan.tasks } else { 0 };
         }
--- a/crates/borrowing/src/refusal.rs
+++ b/crates/borrowing/src/refusal.rs
@@ -16,7 +16,7 @@
     LendsItsMost,
     /// No loan can be recorded: the state service does not answer.
     NotRecordable,
-    /// After a takeover, machines of the last owner are not accounted for yet.
+    /// After a failover, machines of the last leader are not accounted for yet.
     MachinesUnaccounted,
 }
 
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Random sequences of loans, commits that are lost or come late, takeovers, needs and returns.
+//! Random sequences of loans, commits that are lost or come late, failovers, needs and returns.
 
 use badgerdrift_borrowing::{
     Amounts, BorrowingSettings, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans, Moment, Proposal,
@@ -271,7 +271,7 @@
             }
             Transition::Need(need) => rig.need = need,
             Transition::Takeover => {
-                // Commits of the last owner guard on the partition's key as well.
+                // Commits of the last leader guard on the partition's key as well.
                 rig.late.clear();
                 rig.waiting.clear();
                 let records = rig.store.iter().map(|(key, (record, version))| {
--- a/crates/fleet-config/src/allowance.rs
+++ b/crates/fleet-config/src/allowance.rs
@@ -4,13 +4,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The last version that each region has confirmed to obey.
+/// The last version that each region has confirmed to apply.
 pub type Confirmations = BTreeMap<RegionName, u64>;
 
 /// What a region may let a team use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Allowance {
-    /// The limit that the region obeys.
+    /// The limit that the region has applied.
     pub limit: Amounts,
     /// False while a part of its share is still counted with a region that has not confirmed.
     pub complete: bool,
@@ -18,11 +18,13 @@
 
 /// What a region had of a team's limit when the team's document last changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    /// What it might let the team use until it obeys the change.
-    pub before: Amounts,
+pub struct PreviousAllocation {
+    /// What it might let the team use until it has applied the change.
+    #[serde(rename = "before")]
+    pub until_confirmed: Amounts,
     /// The part of its new share that it had already.
-    pub kept: Amounts,
+    #[serde(rename = "kept")]
+    pub retained: Amounts,
 }
 
 /// What the regions had of a team's limit when its document last changed.
@@ -31,27 +33,28 @@
     /// The version of that change.
     pub changed_at: u64,
     /// By region.
-    pub held: BTreeMap<RegionName, Held>,
+    #[serde(rename = "held")]
+    pub previous: BTreeMap<RegionName, PreviousAllocation>,
 }
 
 /// What a region has of a team's limit now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct RegionAllowance {
+struct RegionAllocation {
     /// What it is counted with: at least what it may let the team use in any version that it
-    /// may still obey.
-    counted: Amounts,
-    /// What it may let the team use once it obeys the last change.
-    entitled: Amounts,
+    /// may still apply.
+    reserved: Amounts,
+    /// What it may let the team use once it has applied the last change.
+    usable: Amounts,
 }
 
 impl TeamAllowance {
     /// Version 0, in which all regions have their shares.
     pub fn initial(team: &TeamDocument) -> TeamAllowance {
-        let held = |region: &RegionName| {
+        let previous = |region: &RegionName| {
             let share = share_limit(team, region);
-            (region.clone(), Held { before: share, kept: share })
+            (region.clone(), PreviousAllocation { until_confirmed: share, retained: share })
         };
-        TeamAllowance { changed_at: 0, held: team.shares.keys().map(held).collect() }
+        TeamAllowance { changed_at: 0, previous: team.shares.keys().map(previous).collect() }
     }
 
     /// What the regions have as the document changes from `team` to `next` in a version.
@@ -62,49 +65,53 @@
         confirmations: &Confirmations,
         version: u64,
     ) -> TeamAllowance {
-        let standings = self.standings(team, confirmations);
-        let held = |(region, standing): (&RegionName, &RegionAllowance)| {
-            let kept = standing.entitled.zip(share_limit(next, region), Amount::min);
-            (region.clone(), Held { before: standing.counted, kept })
+        let allocations = self.allocations(team, confirmations);
+        let previous = |(region, allocation): (&RegionName, &RegionAllocation)| {
+            let retained = allocation.usable.zip(share_limit(next, region), Amount::min);
+            (region.clone(), PreviousAllocation { until_confirmed: allocation.reserved, retained })
         };
-        TeamAllowance { changed_at: version, held: standings.iter().map(held).collect() }
+        TeamAllowance { changed_at: version, previous: allocations.iter().map(previous).collect() }
     }
 
     /// A region is counted with what it had before until it has confirmed the change. What that
     /// leaves of the limit is given to regions that lack a part of their shares, in the order of
     /// their names, and counted on top until they have confirmed. As confirmations only become
     /// later, what a region was given stays.
-    fn standings(&self, team: &TeamDocument, confirmations: &Confirmations) -> BTreeMap<RegionName, RegionAllowance> {
-        let mut standings: BTreeMap<RegionName, RegionAllowance> = BTreeMap::new();
-        for region in team.shares.keys().chain(self.held.keys()) {
-            let held = self.held.get(region).copied().unwrap_or_default();
+    fn allocations(
+        &self,
+        team: &TeamDocument,
+        confirmations: &Confirmations,
+    ) -> BTreeMap<RegionName, RegionAllocation> {
+        let mut allocations: BTreeMap<RegionName, RegionAllocation> = BTreeMap::new();
+        for region in team.shares.keys().chain(self.previous.keys()) {
+            let previous = self.previous.get(region).copied().unwrap_or_default();
             let confirmed = confirmations.get(region).is_some_and(|version| *version >= self.changed_at);
-            let counted = if confirmed { held.kept } else { held.before };
-            standings.insert(region.clone(), RegionAllowance { counted, entitled: held.kept });
+            let reserved = if confirmed { previous.retained } else { previous.until_confirmed };
+            allocations.insert(region.clone(), RegionAllocation { reserved, usable: previous.retained });
         }
-        let sum = Amounts::sum(standings.values().map(|standing| standing.counted));
+        let sum = Amounts::sum(allocations.values().map(|allocation| allocation.reserved));
         let mut free = team.limit.zip(sum, Amount::less);
-        for (region, standing) in &mut standings {
-            let missing = share_limit(team, region).zip(standing.entitled, Amount::less);
+        for (region, allocation) in &mut allocations {
+            let missing = share_limit(team, region).zip(allocation.usable, Amount::less);
             let given = missing.zip(free, Amount::min);
-            standing.counted = standing.counted.zip(given, Amount::plus);
-            standing.entitled = standing.entitled.zip(given, Amount::plus);
+            allocation.reserved = allocation.reserved.zip(given, Amount::plus);
+            allocation.usable = allocation.usable.zip(given, Amount::plus);
             free = free.zip(given, Amount::less);
         }
-        standings
+        allocations
     }
 
     /// What a region may let the team use.
     pub fn of(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> Allowance {
-        let standing = self.standings(team, confirmations).get(region).copied().unwrap_or_default();
-        let complete = share_limit(team, region).within(&standing.entitled);
-        Allowance { limit: standing.entitled, complete }
+        let allocation = self.allocations(team, confirmations).get(region).copied().unwrap_or_default();
+        let complete = share_limit(team, region).within(&allocation.usable);
+        Allowance { limit: allocation.usable, complete }
     }
 
     /// Is the region counted with more than it may use, until it confirms the change?
     pub fn waits_for(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> bool {
-        let standing = self.standings(team, confirmations).get(region).copied().unwrap_or_default();
-        standing.counted != standing.entitled
+        let allocation = self.allocations(team, confirmations).get(region).copied().unwrap_or_default();
+        allocation.reserved != allocation.usable
     }
 }
 
--- a/crates/fleet-config/src/change.rs
+++ b/crates/fleet-config/src/change.rs
@@ -35,7 +35,7 @@
     pub writes: Vec<Document>,
 }
 
-/// A region tells that its owner, and any successor, obeys the configuration from this version on.
+/// A region tells that its leader, and any successor, has applied the configuration from this version on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// The region.
--- a/crates/fleet-config/src/lib.rs
+++ b/crates/fleet-config/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! A team's limit is divided among the regions. [`ConfigState::allowance`] tells what a region may
 //! let a team use: a region that gives a part of a limit away is counted with what it had until it
-//! has confirmed that its owner, and any successor, obeys the change.
+//! has confirmed that its leader, and any successor, has applied the change.
 #![warn(missing_docs)]
 
 mod acceptor;
@@ -21,7 +21,7 @@
 mod state;
 
 pub use acceptor::{Accepted, Acceptor, Rejection};
-pub use allowance::{Allowance, Confirmations, Held, TeamAllowance};
+pub use allowance::{Allowance, Confirmations, PreviousAllocation, TeamAllowance};
 pub use ballot::{Ballot, ProposerId};
 pub use change::{Batch, Change, ChangeId, Confirmation, Entry, ReadVersion};
 pub use document::{
--- a/crates/fleet-config/src/region.rs
+++ b/crates/fleet-config/src/region.rs
@@ -104,8 +104,8 @@
         Reply::Rejected { rejection, applied: self.acceptor.applied }
     }
 
-    /// May the region's owner start tasks? Not while a confirmation that the region has forgotten
-    /// may still be agreed on: it would obey an older version than it has confirmed.
+    /// May the region's leader start tasks? Not while a confirmation that the region has forgotten
+    /// may still be agreed on: it would apply an older version than it has confirmed.
     pub fn may_start_tasks(&self) -> bool {
         self.acceptor.applied + 1 >= self.acceptor.votes_from
     }
--- a/crates/fleet-config/src/state.rs
+++ b/crates/fleet-config/src/state.rs
@@ -75,7 +75,7 @@
 pub const HISTORY_LENGTH: usize = 200;
 
 impl ConfigState {
-    /// Version 0: each region already obeys the shares of these teams.
+    /// Version 0: each region already has applied the shares of these teams.
     pub fn initial(regions: Vec<RegionName>, documents: Vec<Document>) -> ConfigState {
         let versioned = documents.into_iter().map(|document| {
             let allowance = match &document {
--- a/crates/fleet-config/tests/fleet/checks.rs
+++ b/crates/fleet-config/tests/fleet/checks.rs
@@ -24,7 +24,7 @@
         assert_eq!(*agreed, *record.state, "region {region} has applied something else");
     }
 
-    /// What the owner of a region lets a team use now.
+    /// What the leader of a region lets a team use now.
     pub fn limit_of(&self, region: usize, team: usize) -> u64 {
         if !self.stores[region].record.may_start_tasks() {
             return 0;
@@ -85,7 +85,7 @@
         outcomes
     }
 
-    /// All regions obey and confirm the last version.
+    /// All regions apply and confirm the last version.
     pub fn settle_confirmations(&mut self) {
         for region in 0..REGIONS {
             self.catch_up(region);
--- a/crates/fleet-config/tests/fleet/mod.rs
+++ b/crates/fleet-config/tests/fleet/mod.rs
@@ -68,7 +68,7 @@
     /// The one history, with the state after each version.
     log: Vec<Batch>,
     states: Vec<ConfigState>,
-    /// The version that the owner of each region obeys.
+    /// The version that the leader of each region has applied.
     obeyed: [u64; REGIONS],
     incarnations: u64,
     changes: u64,
@@ -140,7 +140,7 @@
         self.propose(region, Entry::Change(change), 1);
     }
 
-    /// The region's owner tells that it obeys a version, and so will any successor.
+    /// The region's leader tells that it has applied a version, and so will any successor.
     pub fn confirm(&mut self, region: usize) {
         let confirmation = Confirmation { region: region_name(region), version: self.obeyed[region] };
         self.propose(region, Entry::Confirmation(confirmation), 1);
@@ -200,7 +200,7 @@
         self.messages.clear();
     }
 
-    /// The controller's memory is lost; its successor obeys what the state service has.
+    /// The controller's memory is lost; its successor has applied what the state service has.
     pub fn restart_controller(&mut self, region: usize) {
         self.running[region] = None;
         self.obeyed[region] = self.stores[region].record.acceptor.applied;
@@ -260,7 +260,7 @@
         known.then(|| self.log[applied as usize].clone())
     }
 
-    /// The region's owner obeys what the region has applied.
+    /// The region's leader has applied what the region has applied.
     pub fn obey(&mut self, region: usize) {
         self.obeyed[region] = self.stores[region].record.acceptor.applied;
     }
--- a/crates/scale/src/borrow_report.rs
+++ b/crates/scale/src/borrow_report.rs
@@ -1,4 +1,4 @@
-//! The same burst calm, with the owner killed and with machines lost, each with borrowing and without
+//! The same burst calm, with the leader killed and with machines lost, each with borrowing and without
 //! it, over several seeds side by side.
 
 use crate::comparison::Comparison;
@@ -11,7 +11,7 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-/// An owner that is killed in the burst is back after so many seconds.
+/// A leader that is killed in the burst is back after so many seconds.
 const RESTART_S: f64 = 3.0;
 /// It is killed so many seconds after the burst began.
 const KILLED_AFTER_S: f64 = 0.3;
@@ -27,7 +27,7 @@
 pub enum Variant {
     /// Nothing.
     Calm,
-    /// The owner is killed as the burst begins.
+    /// The leader is killed as the burst begins.
     OwnerKilled,
     /// A tenth of the machines dies during the loan.
     MachinesLost,
--- a/crates/scale/src/burst_report.rs
+++ b/crates/scale/src/burst_report.rs
@@ -9,7 +9,7 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-/// An owner that is killed in mid-burst is back after so many seconds.
+/// A leader that is killed in mid-burst is back after so many seconds.
 const RESTART_S: f64 = 3.0;
 /// It is killed so many seconds after the burst began.
 const KILLED_AFTER_S: f64 = 0.01;
@@ -23,7 +23,7 @@
     Warm,
     /// Without it.
     Cold,
-    /// With the pool, and the owner killed in mid-burst.
+    /// With the pool, and the leader killed in mid-burst.
     WarmOwnerKilled,
 }
 
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that the regions share, and when owners obey them.
+//! Changes of the configuration that the regions share, and when leaders apply them.
 
 use crate::names::{region_name, team_name};
 use crate::plan::RegionPlan;
@@ -19,7 +19,7 @@
 
 /// How long the answer to a change is waited for.
 const ANSWER_LIMIT: Duration = Duration::from_secs(20);
-/// How often it is looked whether the owner obeys another version.
+/// How often it is looked whether the leader has applied another version.
 const LOOK: Duration = Duration::from_millis(20);
 /// Parts of its first share, in quarters, that a region may have.
 const QUARTERS: std::ops::RangeInclusive<u64> = 2..=4;
@@ -36,7 +36,7 @@
 }
 
 impl ConfigurationLog {
-    /// The changes, and when the owner obeyed each version.
+    /// The changes, and when the leader applied each version.
     pub fn take(&self) -> (Vec<ChangeResult>, Vec<(u64, u64)>) {
         let mut entries = self.0.lock().unwrap();
         (std::mem::take(&mut entries.changes), std::mem::take(&mut entries.obeyed_at_ms))
@@ -47,7 +47,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Starts the region's part of the changes, and the look at what its owner obeys.
+/// Starts the region's part of the changes, and the look at what its leader has applied.
 pub fn start(context: &SimulationContext, plan: &RegionPlan) -> ConfigurationLog {
     let log = ConfigurationLog::default();
     if let Some(configuration) = &plan.scenario.configuration {
@@ -60,7 +60,7 @@
     log
 }
 
-/// Notes when the owner first obeys each version.
+/// Notes when the leader first has applied each version.
 async fn watch_obeyed(context: SimulationContext, log: ConfigurationLog) {
     let mut noted = 0;
     loop {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -46,7 +46,7 @@
 enum Command {
     /// Runs a scenario once.
     Run(RunArguments),
-    /// Runs a scenario's burst with its warm pool, without it, and with its owner killed.
+    /// Runs a scenario's burst with its warm pool, without it, and with its leader killed.
     Burst {
         #[command(flatten)]
         run: RunArguments,
@@ -54,7 +54,7 @@
         #[arg(long, default_value_t = 1)]
         seeds: u64,
     },
-    /// Runs a scenario's burst of serving with borrowing and without it: calm, with its owner killed,
+    /// Runs a scenario's burst of serving with borrowing and without it: calm, with its leader killed,
     /// and with machines lost.
     Borrow {
         #[command(flatten)]
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -124,7 +124,7 @@
     let workers = SimulationContext {
         seed,
         w: Arc::new(std::sync::Mutex::new(world)),
-        fabric: SimulatedNetwork::new(seed),
+        network: SimulatedNetwork::new(seed),
         user: Client::on(&user_network, USER_CONNECTIONS),
         doors: (0..count).map(|number| plan.networks().controller(number)).collect(),
         real_network: Some(counting(traffic.workers.clone())),
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -58,7 +58,7 @@
 pub struct ConfigurationSummary {
     pub asked: usize,
     pub taken: usize,
-    /// From asking for a change until the region's owner obeys it.
+    /// From asking for a change until the region's leader has applied it.
     pub in_force: BTreeMap<String, WaitSummary>,
 }
 
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -152,7 +152,7 @@
     pub most_used: BTreeMap<String, (f64, f64)>,
     /// Changes of the configuration that were asked for here.
     pub changes: Vec<ChangeResult>,
-    /// When the region's owner first obeyed each version, in milliseconds of the time of day.
+    /// When the region's leader first applied each version, in milliseconds of the time of day.
     pub obeyed_at_ms: Vec<(u64, u64)>,
     /// Controllers that ended by themselves.
     pub controllers_ended: usize,
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -266,9 +266,9 @@
     Rack,
     /// All machines of one zone stop.
     Zone,
-    /// The region's owner ends and comes back after `for_s`.
+    /// The region's leader ends and comes back after `for_s`.
     ControllerKilled,
-    /// The region's owner holds still.
+    /// The region's leader holds still.
     ControllerHeld,
     /// All controllers of the region end and come back after `for_s`.
     ControllersRestarted,
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -14,7 +14,7 @@
 pub struct SimulationContext {
     pub seed: u64,
     pub w: Shared,
-    pub fabric: SimulatedNetwork,
+    pub network: SimulatedNetwork,
     pub user: Client,
     /// Where the controllers serve users and workers.
     pub doors: Arc<[SocketAddr]>,
@@ -52,7 +52,7 @@
     pub fn process(&self, at: IpAddr) -> (Net, u64) {
         match &self.real_network {
             Some(net) => (net.clone(), 0),
-            None => self.fabric.process(at),
+            None => self.network.process(at),
         }
     }
 }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -101,16 +101,16 @@
 impl Sim {
     pub fn new(seed: u64, setup: Setup) -> Sim {
         clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
-        let fabric = SimulatedNetwork::new(seed ^ 0x5eed);
+        let network = SimulatedNetwork::new(seed ^ 0x5eed);
         let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
-        let user = Client::on(&fabric.process(deployment::users()).0, 16);
+        let user = Client::on(&network.process(deployment::users()).0, 16);
         w.lock().unwrap().store.limits = Some(PRESENT_LIMITS);
         w.lock().unwrap().production = vec![setup.production; NODES];
         w.lock().unwrap().parameters.loads_models = setup.loads_models;
         if let Some(capacity) = setup.capacity {
             w.lock().unwrap().parameters.capacity = capacity;
         }
-        let g = SimulationContext { seed, w, fabric, user, doors: doors(), real_network: None };
+        let g = SimulationContext { seed, w, network, user, doors: doors(), real_network: None };
         for i in 0..NODES {
             g.serve(SocketAddr::new(state_of(i), PORT), move |g, req| state_service::state(g, i, req));
             g.serve(SocketAddr::new(cloud_of(i), PORT), cloud::cloud);
@@ -142,18 +142,18 @@
     pub fn kill(&mut self, node: usize) {
         if let Some(life) = self.lives[node].take() {
             self.g.log(format!("n{node} is killed"));
-            self.g.fabric.kill(life);
+            self.g.network.kill(life);
             self.pauses[node].set(false);
         }
     }
 
     pub fn start(&mut self, node: usize) {
         if self.lives[node].is_none() {
-            let (net, life) = self.g.fabric.process(controller(node));
+            let (net, life) = self.g.network.process(controller(node));
             self.lives[node] = Some(life);
             let production = self.g.w.lock().unwrap().production[node];
             if production {
-                self.g.fabric.speak_as_production(life);
+                self.g.network.speak_as_production(life);
             }
             self.g.log(format!("n{node} starts, of the version in production: {production}"));
             self.pauses[node] = Arc::default();
@@ -229,7 +229,7 @@
     }
 
     pub fn cut(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
-        self.g.fabric.cut(a, b, cut);
+        self.g.network.cut(a, b, cut);
     }
 
     // ---- what can be asked ----
@@ -248,7 +248,7 @@
     }
 
     pub fn check(&self) {
-        if let Some(broken) = self.g.fabric.broken() {
+        if let Some(broken) = self.g.network.broken() {
             self.g.w.lock().unwrap().fail(broken);
         }
         let w = self.g.w.lock().unwrap();
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -46,7 +46,7 @@
         w.machines.get(id).map(|m| m.life)
     };
     if let Some(life) = life {
-        g.fabric.kill(life);
+        g.network.kill(life);
     }
 }
 
@@ -57,7 +57,7 @@
         w.machines.get(id).map(|m| m.life)
     };
     if let Some(life) = life {
-        g.fabric.kill(life);
+        g.network.kill(life);
     }
 }
 
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -82,7 +82,7 @@
         let mut inner = self.0.lock().unwrap();
         inner.next_life += 1;
         let life = inner.next_life;
-        (Net::new(Process { fabric: self.clone(), host, life }), life)
+        (Net::new(Process { network: self.clone(), host, life }), life)
     }
 
     /// What the process says to other controllers, and hears from them, is in the form of the
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -13,20 +13,20 @@
 use tokio::time::Instant;
 
 pub(super) struct Process {
-    pub(super) fabric: SimulatedNetwork,
+    pub(super) network: SimulatedNetwork,
     pub(super) host: IpAddr,
     pub(super) life: u64,
 }
 
 impl Process {
     async fn connect_to(&self, addr: SocketAddr) -> io::Result<Box<dyn Stream>> {
-        let lag = Duration::from_millis(self.fabric.0.lock().unwrap().rng.random_range(1..=5));
+        let lag = Duration::from_millis(self.network.0.lock().unwrap().rng.random_range(1..=5));
         tokio::time::sleep(lag).await;
         if self.storms(addr) {
             return std::future::pending().await;
         }
         loop {
-            let mended = self.fabric.0.lock().unwrap().mended.clone();
+            let mended = self.network.0.lock().unwrap().mended.clone();
             let mended = mended.notified();
             tokio::pin!(mended);
             mended.as_mut().enable();
@@ -39,7 +39,7 @@
 
     /// Over 1000 connections in a second: the clock would hardly go on.
     fn storms(&self, addr: SocketAddr) -> bool {
-        let mut inner = self.fabric.0.lock().unwrap();
+        let mut inner = self.network.0.lock().unwrap();
         let now = Instant::now();
         let (since, count) = inner.opened.entry(self.life).or_insert((now, 0));
         if now - *since > Duration::from_secs(1) {
@@ -55,7 +55,7 @@
 
     /// None while the way is held.
     fn try_connect(&self, addr: SocketAddr) -> Option<io::Result<Box<dyn Stream>>> {
-        let mut inner = self.fabric.0.lock().unwrap();
+        let mut inner = self.network.0.lock().unwrap();
         if inner.dead.contains(&self.life) {
             return None;
         }
@@ -73,7 +73,7 @@
         let in_production_form = addr.port() == INTERNAL_PORT && of_production;
         let end = |read: &Shared<Pipe>, write: &Shared<Pipe>, life| MemStream {
             read: MemRead { pipe: read.clone(), timer: None },
-            write: MemWrite { pipe: write.clone(), fabric: self.fabric.clone(), life, in_production_form },
+            write: MemWrite { pipe: write.clone(), network: self.network.clone(), life, in_production_form },
         };
         let (ours, theirs) = (end(&back, &out, self.life), end(&out, &back, there));
         inner.links.retain(|l| l.pipes.iter().any(|p| p.strong_count() > 0));
@@ -95,7 +95,7 @@
 
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
-            let mut inner = self.fabric.0.lock().unwrap();
+            let mut inner = self.network.0.lock().unwrap();
             if inner.bound.get(&addr).is_some_and(|b| !b.tx.is_closed()) {
                 return Err(ErrorKind::AddrInUse.into());
             }
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -49,7 +49,7 @@
 
 pub(super) struct MemWrite {
     pub(super) pipe: Shared<Pipe>,
-    pub(super) fabric: SimulatedNetwork,
+    pub(super) network: SimulatedNetwork,
     pub(super) life: u64,
     /// What is written are frames, which are put into the form of the version in production.
     pub(super) in_production_form: bool,
@@ -105,7 +105,7 @@
 impl MemWrite {
     fn close(&self) {
         // Locked in the same order as by a cut.
-        let inner = self.fabric.0.lock().unwrap();
+        let inner = self.network.0.lock().unwrap();
         if inner.dead.contains(&self.life) {
             return;
         }
@@ -119,7 +119,7 @@
 
 impl AsyncWrite for MemWrite {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let mut inner = self.fabric.0.lock().unwrap();
+        let mut inner = self.network.0.lock().unwrap();
         if inner.dead.contains(&self.life) {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -22,7 +22,7 @@
             (w.late_writes, w.lost_answers, w.late_reports, w.cloud_down) = (0.0, 0.0, 0.0, false);
             w.late_commands = 0.0;
         }
-        self.g.fabric.mend();
+        self.g.network.mend();
         let over = Instant::now();
         let mut rounds = 0;
         loop {
--- a/crates/stand-ins/src/world/terms.rs
+++ b/crates/stand-ins/src/world/terms.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Orders reach a worker: they must not be of an owner that another one has followed.
+    /// Orders reach a worker: they must not be of a leader that another one has followed.
     pub(super) fn check_entitlement(&mut self, worker: &str, message: &Value) {
         let orders = message["orders"].as_array().is_some_and(|orders| !orders.is_empty());
         let (true, true, Some(token)) = (self.check_terms, orders, message["fence"].as_u64()) else { return };
--- a/crates/warm-pools/src/pools/charging.rs
+++ b/crates/warm-pools/src/pools/charging.rs
@@ -8,7 +8,7 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl WarmPools {
-    /// The time that bills go by: the time of day at which this owner began, and the steady time
+    /// The time that bills go by: the time of day at which this leader began, and the steady time
     /// since.
     pub(super) fn bill_ms(&self, now: Moment) -> u64 {
         self.began.wall_ms + now.steady_ms.saturating_sub(self.began.steady_ms)
@@ -59,7 +59,7 @@
 }
 
 impl Slot {
-    /// Was it claimed under an owner before, and is it not known yet whether the claimant has it?
+    /// Was it claimed under a leader before, and is it not known yet whether the claimant has it?
     pub(crate) fn has_unclear_claim(&self) -> bool {
         matches!(self.state, SlotState::Claimed(_)) && !self.seen
     }
--- a/crates/warm-pools/src/pools/claims.rs
+++ b/crates/warm-pools/src/pools/claims.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The owner before this one has recorded a claim, and its task is certainly not on the
+    /// The leader before this one has recorded a claim, and its task is certainly not on the
     /// machine and can't come to it any more: the slot is nobody's again.
     pub fn void_claim(&mut self, id: SlotId, now: Moment) {
         let bill_ms = self.bill_ms(now);
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -95,7 +95,7 @@
             return;
         }
         if !slot.seen {
-            // Until now nobody had observed it since the takeover.
+            // Until now nobody had observed it since the failover.
             slot.charge_until(bill_ms);
             slot.seen = true;
         }
--- a/crates/warm-pools/src/pools/mod.rs
+++ b/crates/warm-pools/src/pools/mod.rs
@@ -1,4 +1,4 @@
-//! All pools of one owner: their slots, and what follows from the time, from reports and claims.
+//! All pools of one leader: their slots, and what follows from the time, from reports and claims.
 
 mod charging;
 mod claims;
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use writes::{BillVersion, InFlight};
 
-/// The pools of one owner.
+/// The pools of one leader.
 #[derive(Debug, Clone)]
 pub struct WarmPools {
     settings: PoolSettings,
@@ -29,7 +29,7 @@
     slots: BTreeMap<SlotId, Slot>,
     /// Bills as recorded, of the days that charges are about.
     bills: BTreeMap<(Date, TeamName), BillVersion>,
-    /// When this owner began: charges are told by the steady clock from then on, so that a step
+    /// When this leader began: charges are told by the steady clock from then on, so that a step
     /// of the time of day neither charges twice nor leaves a gap.
     began: Moment,
     /// How long replicas took until they were warm, lately, by pool.
@@ -80,7 +80,7 @@
         self.slots.get(&id)
     }
 
-    /// The recorded bill of a team for a day, as far as this owner knows it.
+    /// The recorded bill of a team for a day, as far as this leader knows it.
     pub fn bill(&self, day: Date, team: &str) -> Option<&BillRecord> {
         self.bills.get(&(day, team.to_string())).map(|bill| &bill.record)
     }
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -1,4 +1,4 @@
-//! Going on from the records of the owner before.
+//! Going on from the records of the leader before.
 
 use super::writes::BillVersion;
 use super::{Moment, WarmPools};
@@ -8,7 +8,7 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl WarmPools {
-    /// Takes the records of the owner before. What it did not record until now is charged by its
+    /// Takes the records of the leader before. What it did not record until now is charged by its
     /// last record and marked as estimated, up to `estimate_at_most_s`. Whose time a claimed slot's
     /// was is told once it is known whether its task was ever ordered.
     pub fn restore(&mut self, records: impl IntoIterator<Item = (RecordKey, StoredRecord, u64)>, now: Moment) {
@@ -24,7 +24,7 @@
             }
         }
         let recorded_ms = self.slots.values().map(|slot| slot.charged_until_ms).max().unwrap_or(0);
-        // A clock that is behind the last owner's must not charge again what that one did.
+        // A clock that is behind the last leader's must not charge again what that one did.
         self.began = Moment { wall_ms: now.wall_ms.max(recorded_ms), ..now };
         let most_ms = (self.settings.estimate_at_most_s * MS_PER_S) as u64;
         let bill_ms = self.began.wall_ms;
--- a/crates/warm-pools/src/slot.rs
+++ b/crates/warm-pools/src/slot.rs
@@ -130,7 +130,7 @@
     pub price_per_hour: MicroUnits,
     /// Where it stands.
     pub state: SlotState,
-    /// Seen since this owner began; else it may be gone for a while already.
+    /// Seen since this leader began; else it may be gone for a while already.
     pub seen: bool,
     /// Steady time at which it began, or was taken over.
     pub since_ms: u64,
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -138,7 +138,7 @@
     let (mut pools, mut store, mut write) = warm(2);
     pools.claim(1, "notes", claim("blue", 7), at(10_000)).unwrap();
     record_all(&mut pools, &mut store, &mut write);
-    // The next owner's clock is an hour ahead, or an hour behind.
+    // The next leader's clock is an hour ahead, or an hour behind.
     for (wall_step, gap_ms) in [(0i64, 20_000), (HOUR_MS as i64, 900_000), (-(HOUR_MS as i64), 0)] {
         let mut store = store.clone();
         let begin = Moment { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
@@ -156,7 +156,7 @@
     }
 }
 
-// Found in a burst whose owner was killed: claimants were billed for replicas that they never had.
+// Found in a burst whose leader was killed: claimants were billed for replicas that they never had.
 #[test]
 fn a_claim_that_was_not_carried_out_is_billed_to_the_payer() {
     let (mut pools, mut store, mut write) = warm(1);
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Random sequences of claims, lost and late commits, takeovers and losses, against a reference
+//! Random sequences of claims, lost and late commits, failovers and losses, against a reference
 //! that keeps one line for each slot: whose it is, and since when.
 
 mod common;
@@ -21,7 +21,7 @@
 enum Transition {
     /// Time passes.
     Wait(u64),
-    /// The owner looks, and begins with as many slots as it may.
+    /// The leader looks, and begins with as many slots as it may.
     Refill,
     /// Workers report what they have.
     Report,
@@ -39,7 +39,7 @@
     ClaimEnds,
     /// The machine of the oldest slot is lost.
     MachineLost,
-    /// Another owner takes over.
+    /// Another leader takes over.
     Takeover,
 }
 
@@ -190,7 +190,7 @@
     began_ms: BTreeMap<SlotId, u64>,
     /// Milliseconds of slots that are gone.
     ended_ms: u64,
-    /// The owner has looked, and nothing has happened since.
+    /// The leader has looked, and nothing has happened since.
     has_looked: bool,
 }
 
@@ -290,7 +290,7 @@
                 }
             }
             Transition::Takeover => {
-                // The records are as they are; commits of the owner before are refused by its guard.
+                // The records are as they are; commits of the leader before are refused by its guard.
                 system.settle();
                 system.lost.clear();
                 system.pools = WarmPools::new(unbounded_estimates(), now);
@@ -305,7 +305,7 @@
     fn check_invariants(checked: &Checked, _: &Clock) {
         let pools = &checked.system.pools;
         let available = pools.slots().filter(|slot| slot.is_available()).count();
-        // A claim that is given up brings one more, until the owner looks.
+        // A claim that is given up brings one more, until the leader looks.
         assert!(!checked.has_looked || available <= POOL_SIZE, "{available} slots of a pool of {POOL_SIZE}");
         for slot in pools.slots() {
             if let (SlotState::Claimed(claim), Some(ordered)) = (&slot.state, checked.system.ordered.get(&slot.id)) {
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -68,7 +68,7 @@
         sim.run(s(25)).await;
         sim.state_down(false);
         sim.run(s(5)).await;
-        sim.g.fabric.mend();
+        sim.g.network.mend();
     });
 }
 
@@ -105,7 +105,7 @@
         sim.run(s(4)).await;
         ids.iter().for_each(|id| sim.cancel(id, &others(inside)));
         sim.run(s(22)).await;
-        sim.g.fabric.mend();
+        sim.g.network.mend();
     });
 }
 
@@ -176,7 +176,7 @@
             sim.kill(next);
             sim.run(Duration::from_millis(400)).await;
             sim.start(next);
-            sim.g.fabric.mend();
+            sim.g.network.mend();
             for _ in 0..100 {
                 ids.iter().for_each(|id| sim.ask_all(id));
                 sim.run(Duration::from_millis(200)).await;
--- a/tests/fault_combinations/teams.rs
+++ b/tests/fault_combinations/teams.rs
@@ -35,7 +35,7 @@
         sim.run(s(1)).await;
         sim.kill(leader);
         sim.run(s(16)).await;
-        sim.g.fabric.mend();
+        sim.g.network.mend();
         sim.start(leader);
         sim.run(s(5)).await;
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -36,7 +36,7 @@
 
 /// Whole controllers of several regions, and their state services.
 pub struct Fleet {
-    fabric: SimulatedNetwork,
+    network: SimulatedNetwork,
     stores: Vec<Arc<Mutex<Store>>>,
     lives: Vec<[Option<u64>; CONTROLLERS]>,
     pauses: Vec<[Arc<Pause>; CONTROLLERS]>,
@@ -146,14 +146,14 @@
 impl Fleet {
     fn new(seed: u64, shared: bool) -> Fleet {
         clock::simulate_wall(MORNING_MS, true);
-        let fabric = SimulatedNetwork::new(seed);
+        let network = SimulatedNetwork::new(seed);
         let stores: Vec<Arc<Mutex<Store>>> = (0..REGIONS).map(|_| Arc::default()).collect();
-        let operator_net = fabric.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
+        let operator_net = network.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
         let limits = PeerLimits::for_leader_lease(5000);
         let way = |region, n| Peer::start_on(operator_net.clone(), "operator".into(), internal(region, n), limits);
         let mut fleet = Fleet {
             operators: (0..REGIONS).map(|region| (0..CONTROLLERS).map(|n| way(region, n)).collect()).collect(),
-            fabric,
+            network,
             stores,
             lives: vec![[None; CONTROLLERS]; REGIONS],
             pauses: (0..REGIONS).map(|_| Default::default()).collect(),
@@ -170,7 +170,7 @@
 
     fn start_state_service(&self, region: usize) {
         let at = host(region, 1, 0);
-        let (net, store) = (self.fabric.process(at).0, self.stores[region].clone());
+        let (net, store) = (self.network.process(at).0, self.stores[region].clone());
         tokio::spawn(async move {
             let listener = net.bind(SocketAddr::new(at, 80)).await.unwrap();
             http::serve(listener, 500, PATIENCE, move |request| state_service(store.clone(), request)).await;
@@ -183,7 +183,7 @@
         if self.lives[region][controller].is_some() {
             return;
         }
-        let (net, life) = self.fabric.process(host(region, 0, controller));
+        let (net, life) = self.network.process(host(region, 0, controller));
         self.lives[region][controller] = Some(life);
         self.pauses[region][controller] = Arc::default();
         let fleet = self.shared.then(|| fleet_settings(region));
@@ -194,7 +194,7 @@
 
     pub fn kill(&mut self, region: usize, controller: usize) {
         if let Some(life) = self.lives[region][controller].take() {
-            self.fabric.kill(life);
+            self.network.kill(life);
             self.pauses[region][controller].set(false);
         }
     }
@@ -211,13 +211,13 @@
     pub fn cut_off(&self, region: usize, cut: Option<Cut>) {
         for other in (0..REGIONS).filter(|other| *other != region) {
             for (from, to) in (0..CONTROLLERS).flat_map(|from| (0..CONTROLLERS).map(move |to| (from, to))) {
-                self.fabric.cut(host(region, 0, from), host(other, 0, to), cut);
+                self.network.cut(host(region, 0, from), host(other, 0, to), cut);
             }
         }
     }
 
     pub fn mend(&self) {
-        self.fabric.mend();
+        self.network.mend();
     }
 
     pub async fn run(&self, seconds: f64) {
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -50,8 +50,8 @@
     toml::from_str(&text).unwrap()
 }
 
-fn start_state_service(fabric: &SimulatedNetwork, region: u8) {
-    let (net, store) = (fabric.process(state_address(region).ip()).0, Arc::<Mutex<Store>>::default());
+fn start_state_service(network: &SimulatedNetwork, region: u8) {
+    let (net, store) = (network.process(state_address(region).ip()).0, Arc::<Mutex<Store>>::default());
     let answer = move |request: Request| {
         let store = store.clone();
         async move {
@@ -70,8 +70,8 @@
 }
 
 /// Starts a region; the number by which its controller is killed.
-fn start_region(fabric: &SimulatedNetwork, region: u8) -> u64 {
-    start_state_service(fabric, region);
+fn start_region(network: &SimulatedNetwork, region: u8) -> u64 {
+    start_state_service(network, region);
     let regions = json!({
         "north": {"controllers": [address(1, 81)]},
         "south": {"controllers": [address(2, 81)]},
@@ -79,7 +79,7 @@
     let name = if region == 1 { "north" } else { "south" };
     let fleet = Some(serde_json::from_value(json!({"region": name, "regions": regions})).unwrap());
     let subsystems = Subsystems { fleet, ..Subsystems::default() };
-    let (net, life) = fabric.process(address(region, 81).ip());
+    let (net, life) = network.process(address(region, 81).ip());
     tokio::spawn(node::run_on(net, settings(region), Operator::default(), subsystems));
     life
 }
@@ -95,17 +95,17 @@
 /// The metrics of a region after a change that is taken, one that is refused, made from a version
 /// that never was, and one that is unclear, as the other region is gone.
 pub async fn metrics_after_changes() -> String {
-    let fabric = SimulatedNetwork::new(1);
-    start_region(&fabric, 1);
-    let south = start_region(&fabric, 2);
+    let network = SimulatedNetwork::new(1);
+    start_region(&network, 1);
+    let south = start_region(&network, 2);
     sleep(Duration::from_secs(30)).await;
-    let net = fabric.process([10, 9, 0, 1].into()).0;
+    let net = network.process([10, 9, 0, 1].into()).0;
     let limits = PeerLimits::for_leader_lease(GRANT_MS);
     let peer = Peer::start_on(net.clone(), "north".into(), address(1, 81), limits);
     for version in [0, 77] {
         peer.request(change(version), ANSWER_LIMIT).await.expect("an answer");
     }
-    fabric.kill(south);
+    network.kill(south);
     // Whether it is answered does not matter: its outcome is counted.
     let _ = peer.request(change(1), ANSWER_LIMIT).await;
     sleep(ANSWER_LIMIT).await;
