--- a/crates/borrowing/src/amounts.rs
+++ b/crates/borrowing/src/amounts.rs
@@ -21,27 +21,32 @@
     }
 
     /// The sum.
+    #[must_use]
     pub fn plus(self, other: Amounts) -> Amounts {
         Amounts::new(self.cpus + other.cpus, self.gpus + other.gpus)
     }
 
     /// What is left without `other`; may be negative.
+    #[must_use]
     pub fn minus(self, other: Amounts) -> Amounts {
         Amounts::new(self.cpus - other.cpus, self.gpus - other.gpus)
     }
 
     /// The same, and nothing where less than nothing would be left.
+    #[must_use]
     pub fn beyond(self, other: Amounts) -> Amounts {
         let left = self.minus(other);
         Amounts::new(left.cpus.max(0.0), left.gpus.max(0.0))
     }
 
     /// So many times the amounts.
+    #[must_use]
     pub fn times(self, factor: f64) -> Amounts {
         Amounts::new(self.cpus * factor, self.gpus * factor)
     }
 
     /// The lesser of each amount.
+    #[must_use]
     pub fn least(self, other: Amounts) -> Amounts {
         Amounts::new(self.cpus.min(other.cpus), self.gpus.min(other.gpus))
     }
--- a/crates/borrowing/src/check.rs
+++ b/crates/borrowing/src/check.rs
@@ -13,7 +13,11 @@
 }
 
 impl BorrowingSettings {
-    /// Checks what the types can't say; the first field at fault is named.
+    /// Checks what the types can't say.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not valid, with the reason.
     pub fn check(&self, teams: &BTreeMap<String, KnownTeam>) -> Result<(), FieldError> {
         not_negative("quiet_s", self.quiet_s)?;
         not_negative("return_after_s", self.return_after_s)?;
--- a/crates/borrowing/src/loans/follow.rs
+++ b/crates/borrowing/src/loans/follow.rs
@@ -26,7 +26,9 @@
             }
             let LendingJob { over, missing } = lending(&job);
             if over {
-                open.into_iter().for_each(|index| self.end(&job, index, EndCause::LenderOver));
+                for index in open {
+                    self.end(&job, index, EndCause::LenderOver);
+                }
                 continue;
             }
             let lent: u32 = open.iter().map(|index| self.ledgers[&job].entries[*index].loan.tasks).sum();
--- a/crates/borrowing/src/settings.rs
+++ b/crates/borrowing/src/settings.rs
@@ -71,7 +71,11 @@
 }
 
 impl BorrowingSettings {
-    /// May the one team's work of this priority give way to the other's work of that priority?
+    /// Checks that the lender's work of one priority may be preempted for the borrower's work of another.
+    ///
+    /// # Errors
+    ///
+    /// Why no loan is possible between them.
     pub fn permits(&self, lender: &str, gives: Priority, borrower: &str, takes: Priority) -> Result<(), Refusal> {
         if self.borrowers.get(borrower).is_none_or(|team| takes < team.from) {
             return Err(Refusal::NotABorrower);
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -32,7 +32,7 @@
     Restart(u32, u32),
     /// What the borrowers need.
     Need(u32),
-    Takeover,
+    Failover,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
             1 => Just(Transition::Abandon),
             2 => (0..JOBS, 1..4u32).prop_map(|(job, tasks)| Transition::Restart(job, tasks)),
             2 => (0u32..10).prop_map(Transition::Need),
-            1 => Just(Transition::Takeover),
+            1 => Just(Transition::Failover),
         ]
         .boxed()
     }
@@ -81,7 +81,7 @@
 }
 
 /// A partition's loans with a store and the jobs' tasks.
-struct Rig {
+struct Harness {
     loans: Loans,
     store: BTreeMap<String, (JobLoans, u64)>,
     revision: u64,
@@ -99,7 +99,7 @@
     serde_json::from_str(r#"{"quiet_s": 60, "return_after_s": 10}"#).unwrap()
 }
 
-impl Rig {
+impl Harness {
     fn moment(&self) -> Moment {
         Moment { steady_ms: self.now_ms, wall_ms: 1_000_000 + self.now_ms }
     }
@@ -178,6 +178,46 @@
         }
     }
 
+    /// The leader proposes to stop some tasks of a job for another team.
+    fn propose(&mut self, job: u32, borrower: usize, tasks: u32, owed: bool) {
+        let job = format!("run-{job}");
+        let busy: u32 = self.waiting.values().filter(|waiting| waiting.0 == job).map(|waiting| waiting.1).sum();
+        let stopped = self.stopped.get(&job).copied().unwrap_or(0);
+        let tasks = tasks.min(TASKS.saturating_sub(busy + stopped));
+        if tasks > 0 {
+            self.next_id += 1;
+            self.waiting.insert(self.next_id, (job.clone(), tasks));
+            let proposal = Proposal {
+                id: self.next_id,
+                lending_job: job,
+                lender: "night".into(),
+                borrower: BORROWERS[borrower].into(),
+                borrowing_job: "run-9".into(),
+                machine: "g8".into(),
+                tasks,
+                each: Amounts::new(0.0, 1.0),
+                kind: if owed { LoanKind::Borrowed } else { LoanKind::Guaranteed },
+            };
+            let now = self.moment();
+            self.loans.propose(proposal, now);
+        }
+    }
+
+    /// Another leader takes over with what is recorded.
+    fn fail_over(&mut self) {
+        // Commits of the last leader guard on the partition's key as well.
+        self.late.clear();
+        self.waiting.clear();
+        let records = self
+            .store
+            .iter()
+            .map(|(key, (record, version))| (key.trim_start_matches("loan/").to_string(), record.clone(), *version));
+        let mut loans = Loans::new(settings());
+        loans.restore(records.collect::<Vec<_>>());
+        self.loans = loans;
+        self.follow();
+    }
+
     /// All demand ends, and the state service answers: everything is returned and forgotten.
     fn settle_all(&mut self) {
         self.need = 0;
@@ -198,12 +238,12 @@
     }
 }
 
-impl StateMachineTest for Rig {
-    type SystemUnderTest = Rig;
+impl StateMachineTest for Harness {
+    type SystemUnderTest = Harness;
     type Reference = Steps;
 
-    fn init_test(_: &Steps) -> Rig {
-        Rig {
+    fn init_test(_: &Steps) -> Harness {
+        Harness {
             loans: Loans::new(settings()),
             store: BTreeMap::new(),
             revision: 1,
@@ -216,84 +256,51 @@
         }
     }
 
-    fn apply(mut rig: Rig, _: &Steps, transition: Transition) -> Rig {
+    fn apply(mut harness: Harness, _: &Steps, transition: Transition) -> Harness {
         match transition {
             Transition::Wait(ms) => {
-                rig.now_ms += ms;
-                rig.follow();
-            }
-            Transition::Propose(job, borrower, tasks, owed) => {
-                let job = format!("run-{job}");
-                let busy: u32 = rig.waiting.values().filter(|waiting| waiting.0 == job).map(|waiting| waiting.1).sum();
-                let stopped = rig.stopped.get(&job).copied().unwrap_or(0);
-                let tasks = tasks.min(TASKS.saturating_sub(busy + stopped));
-                if tasks > 0 {
-                    rig.next_id += 1;
-                    rig.waiting.insert(rig.next_id, (job.clone(), tasks));
-                    let proposal = Proposal {
-                        id: rig.next_id,
-                        lending_job: job,
-                        lender: "night".into(),
-                        borrower: BORROWERS[borrower].into(),
-                        borrowing_job: "run-9".into(),
-                        machine: "g8".into(),
-                        tasks,
-                        each: Amounts::new(0.0, 1.0),
-                        kind: if owed { LoanKind::Borrowed } else { LoanKind::Guaranteed },
-                    };
-                    let now = rig.moment();
-                    rig.loans.propose(proposal, now);
-                }
+                harness.now_ms += ms;
+                harness.follow();
             }
-            Transition::Commit(outcome) => rig.commit(outcome),
+            Transition::Propose(job, borrower, tasks, owed) => harness.propose(job, borrower, tasks, owed),
+            Transition::Commit(outcome) => harness.commit(outcome),
             Transition::Reread => {
-                for key in rig.loans.keys_to_read() {
-                    rig.loans.reread(&key, rig.store.get(&key).map_or(0, |stored| stored.1));
+                for key in harness.loans.keys_to_read() {
+                    harness.loans.reread(&key, harness.store.get(&key).map_or(0, |stored| stored.1));
                 }
             }
             Transition::LateCommit => {
-                if let Some(writes) = rig.late.pop()
-                    && rig.conditions_hold(&writes)
+                if let Some(writes) = harness.late.pop()
+                    && harness.conditions_hold(&writes)
                 {
-                    rig.make(writes);
+                    harness.make(writes);
                 }
             }
             Transition::Abandon => {
-                for id in rig.loans.unrecorded_before(rig.moment().wall_ms + 1) {
-                    rig.loans.abandon(id);
-                    rig.waiting.remove(&id);
+                for id in harness.loans.unrecorded_before(harness.moment().wall_ms + 1) {
+                    harness.loans.abandon(id);
+                    harness.waiting.remove(&id);
                 }
             }
             Transition::Restart(job, tasks) => {
-                let stopped = rig.stopped.entry(format!("run-{job}")).or_default();
+                let stopped = harness.stopped.entry(format!("run-{job}")).or_default();
                 *stopped = stopped.saturating_sub(tasks);
-                rig.follow();
-            }
-            Transition::Need(need) => rig.need = need,
-            Transition::Takeover => {
-                // Commits of the last leader guard on the partition's key as well.
-                rig.late.clear();
-                rig.waiting.clear();
-                let records = rig.store.iter().map(|(key, (record, version))| {
-                    (key.trim_start_matches("loan/").to_string(), record.clone(), *version)
-                });
-                let mut loans = Loans::new(settings());
-                loans.restore(records.collect::<Vec<_>>());
-                rig.loans = loans;
-                rig.follow();
+                harness.follow();
             }
+            Transition::Need(need) => harness.need = need,
+            Transition::Failover => harness.fail_over(),
         }
-        rig.check();
-        rig
+        harness.check();
+        harness
     }
 
-    fn teardown(mut rig: Rig, _: Steps) {
-        rig.settle_all();
+    fn teardown(mut harness: Harness, _: Steps) {
+        harness.settle_all();
     }
 }
 
 prop_state_machine! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn sums_are_conserved_records_come_first_and_all_is_returned(sequential 1..40 => Rig);
+    fn sums_are_conserved_records_come_first_and_all_is_returned(sequential 1..40 => Harness);
 }
--- a/crates/fleet-config/src/acceptor.rs
+++ b/crates/fleet-config/src/acceptor.rs
@@ -41,6 +41,10 @@
 
 impl Acceptor {
     /// Promises to accept nothing under smaller ballots. The new record, and what was accepted.
+    ///
+    /// # Errors
+    ///
+    /// Rejected after a promise of a larger ballot, or if a vote on this version may have been forgotten.
     pub fn prepare(&self, version: u64, ballot: &Ballot) -> Result<(Acceptor, Option<Accepted>), Rejection> {
         self.may_vote(version, ballot)?;
         let promised = Acceptor { promised: Some(ballot.clone()), ..self.clone() };
@@ -48,6 +52,10 @@
     }
 
     /// Accepts a batch. The new record.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Acceptor::prepare`].
     pub fn accept(&self, version: u64, ballot: &Ballot, batch: &Batch) -> Result<Acceptor, Rejection> {
         self.may_vote(version, ballot)?;
         let accepted = Accepted { ballot: ballot.clone(), batch: batch.clone() };
@@ -55,6 +63,7 @@
     }
 
     /// The record after the next version was applied.
+    #[must_use]
     pub fn advanced(&self) -> Acceptor {
         Acceptor { applied: self.applied + 1, votes_from: self.votes_from, promised: None, accepted: None }
     }
--- a/crates/fleet-config/src/allowance.rs
+++ b/crates/fleet-config/src/allowance.rs
@@ -58,6 +58,7 @@
     }
 
     /// What the regions have as the document changes from `team` to `next` in a version.
+    #[must_use]
     pub fn changed(
         &self,
         team: &TeamDocument,
--- a/crates/fleet-config/src/document.rs
+++ b/crates/fleet-config/src/document.rs
@@ -16,11 +16,13 @@
     pub const UNLIMITED: Amount = Amount(1 << 50);
 
     /// The sum; what is unlimited stays so.
+    #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
         Amount(self.0.saturating_add(other.0)).min(Amount::UNLIMITED)
     }
 
     /// The difference, or nothing if `other` is larger.
+    #[must_use]
     pub fn less(self, other: Amount) -> Amount {
         if self == Amount::UNLIMITED { self } else { Amount(self.0.saturating_sub(other.0)) }
     }
@@ -40,6 +42,7 @@
     pub const UNLIMITED: Amounts = Amounts { cpus: Amount::UNLIMITED, gpus: Amount::UNLIMITED };
 
     /// Combines two amounts, resource by resource.
+    #[must_use]
     pub fn zip(self, other: Amounts, combine: fn(Amount, Amount) -> Amount) -> Amounts {
         Amounts { cpus: combine(self.cpus, other.cpus), gpus: combine(self.gpus, other.gpus) }
     }
@@ -138,6 +141,10 @@
     }
 
     /// Checks what the types cannot say.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not valid, with the reason.
     pub fn check(&self, regions: &[RegionName]) -> Result<(), DocumentError> {
         match self {
             Document::Team(team) => team.check(regions),
--- a/crates/fleet-config/src/state.rs
+++ b/crates/fleet-config/src/state.rs
@@ -117,12 +117,13 @@
         }
         let before = change.writes.iter().filter_map(|document| self.documents.get(&document.name()));
         let before = before.map(|versioned| versioned.document.clone()).collect();
-        let outcome = match self.refusal(change) {
-            Some(refusal) => refusal,
-            None => {
-                change.writes.iter().for_each(|document| self.write(document.clone()));
-                ChangeOutcome::Taken { version: self.version }
+        let outcome = if let Some(refusal) = self.refusal(change) {
+            refusal
+        } else {
+            for document in &change.writes {
+                self.write(document.clone());
             }
+            ChangeOutcome::Taken { version: self.version }
         };
         self.remember(RecordedChange { change: change.clone(), outcome, before });
     }
--- a/crates/fleet-config/tests/fleet/mod.rs
+++ b/crates/fleet-config/tests/fleet/mod.rs
@@ -287,7 +287,7 @@
                 }
             }
             Message::Reply { from, to, ballot, reply } if self.reaches(from, to) => {
-                self.heard(from, to, &ballot, reply)
+                self.heard(from, to, &ballot, reply);
             }
             _ => {}
         }
--- a/crates/warm-pools/src/calendar.rs
+++ b/crates/warm-pools/src/calendar.rs
@@ -55,6 +55,10 @@
 
 impl Schedule {
     /// The schedule that a pool declares.
+    ///
+    /// # Errors
+    ///
+    /// The first time, date or time zone that is not valid, with its field.
     pub fn new(pool: &Pool) -> Result<Schedule, CalendarError> {
         let windows = pool.windows.iter().map(|(name, window)| open_hours(name, window));
         let exceptions = pool.exceptions.iter().map(|(date, exception)| {
--- a/crates/warm-pools/src/check.rs
+++ b/crates/warm-pools/src/check.rs
@@ -18,7 +18,11 @@
 }
 
 impl PoolSettings {
-    /// Checks what the types can't say; the first field at fault is named.
+    /// Checks what the types can't say.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not valid, with the reason.
     pub fn check(&self, known: &KnownFleet) -> Result<(), FieldError> {
         positive("bill_every_s", self.bill_every_s)?;
         not_negative("estimate_at_most_s", self.estimate_at_most_s)?;
--- a/crates/warm-pools/src/pools/claims.rs
+++ b/crates/warm-pools/src/pools/claims.rs
@@ -27,7 +27,11 @@
 }
 
 impl WarmPools {
-    /// May a job of this team whose image has this name claim the slot?
+    /// Checks that a job of this team whose image has this name may claim the slot.
+    ///
+    /// # Errors
+    ///
+    /// Why it may not.
     pub fn may_claim(&self, slot: &Slot, image: &str, team: &str) -> Result<(), ClaimError> {
         if !slot.is_claimable() {
             return Err(ClaimError::NotFree);
@@ -45,6 +49,10 @@
 
     /// Gives a slot to a task of a job whose image has this name. The task must not be ordered
     /// before the claim is recorded.
+    ///
+    /// # Errors
+    ///
+    /// Why the slot cannot be claimed, as [`WarmPools::may_claim`] tells.
     pub fn claim(&mut self, id: SlotId, image: &str, claim: Claim, now: Moment) -> Result<(), ClaimError> {
         let slot = self.slots.get(&id).ok_or(ClaimError::NotFree)?;
         self.may_claim(slot, image, &claim.team)?;
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -135,7 +135,9 @@
     pub fn host_lost(&mut self, host: &str, cause: EndCause, now: Moment) {
         let there = |slot: &&Slot| slot.host == host && !matches!(slot.state, SlotState::Ended(_));
         let lost: Vec<SlotId> = self.slots.values().filter(there).map(|slot| slot.id).collect();
-        lost.into_iter().for_each(|id| self.end(id, cause, now));
+        for id in lost {
+            self.end(id, cause, now);
+        }
     }
 
     /// A slot ends; its last interval is charged, and its record is deleted with the next changes.
@@ -179,11 +181,13 @@
             };
             replaced.extend(slots.into_iter().skip(kept));
         }
-        replaced.into_iter().for_each(|id| self.drain(id, EndCause::Replaced, now));
+        for id in replaced {
+            self.drain(id, EndCause::Replaced, now);
+        }
     }
 
     fn replaced_by_pool(&self) -> std::collections::BTreeMap<String, Vec<SlotId>> {
-        let mut replaced: std::collections::BTreeMap<String, Vec<SlotId>> = Default::default();
+        let mut replaced: std::collections::BTreeMap<String, Vec<SlotId>> = std::collections::BTreeMap::new();
         for slot in self.slots.values().filter(|slot| slot.is_available() && self.is_replaced(slot)) {
             replaced.entry(slot.pool.clone()).or_default().push(slot.id);
         }
--- a/crates/warm-pools/src/pools/writes.rs
+++ b/crates/warm-pools/src/pools/writes.rs
@@ -127,12 +127,11 @@
     /// The slots that the next commit is about: those of a commit that may still be made, or the
     /// first ones that there is room for.
     fn choose(&self, most: usize) -> Vec<SlotId> {
-        let mut due: Vec<(Priority, SlotId)> = match self.retried.is_empty() {
-            false => self.retried.iter().map(|id| (Priority::Claim, *id)).collect(),
-            true => {
-                let changed = self.slots.values().filter(|slot| slot.changed);
-                changed.map(|slot| (slot.priority(), slot.id)).collect()
-            }
+        let mut due: Vec<(Priority, SlotId)> = if self.retried.is_empty() {
+            let changed = self.slots.values().filter(|slot| slot.changed);
+            changed.map(|slot| (slot.priority(), slot.id)).collect()
+        } else {
+            self.retried.iter().map(|id| (Priority::Claim, *id)).collect()
         };
         due.sort_unstable();
         let mut chosen = Vec::new();
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use badgerdrift_warm_pools::{
-    Claim, EndCause, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord, WarmPools,
+    Claim, EndCause, Moment, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord,
+    WarmPools,
 };
 use common::{Store, at, place, settings};
 use proptest::prelude::*;
@@ -40,7 +41,7 @@
     /// The machine of the oldest slot is lost.
     MachineLost,
     /// Another leader takes over.
-    Takeover,
+    Failover,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -83,7 +84,7 @@
             1 => Just(Transition::Abandon),
             2 => Just(Transition::ClaimEnds),
             1 => Just(Transition::MachineLost),
-            1 => Just(Transition::Takeover)
+            1 => Just(Transition::Failover)
         ]
         .boxed()
     }
@@ -109,6 +110,39 @@
 }
 
 impl System {
+    /// The workers report all recorded slots as ready, but for those that are being unloaded.
+    fn report(&mut self, now: Moment) {
+        let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
+        for id in recorded {
+            if matches!(self.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
+                self.pools.not_reported(id, now);
+            } else {
+                self.pools.seen(id, true, now);
+            }
+        }
+    }
+
+    /// A task of this team claims the first free slot.
+    fn claim_first_free(&mut self, team: usize, now: Moment) {
+        let free: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_claimable()).map(|slot| slot.id).collect();
+        if let Some(id) = free.first() {
+            let attempt = self.number();
+            let claim = Claim { job: format!("run-{attempt}"), task: 0, attempt, team: TEAMS[team].into() };
+            assert!(!self.ordered.contains_key(id), "slot {id} was given away before");
+            self.pools.claim(*id, "notes", claim, now).unwrap();
+        }
+    }
+
+    /// Another leader takes over with what is recorded.
+    fn fail_over(&mut self, now: Moment) {
+        // The records are as they are; commits of the leader before are refused by its guard.
+        self.settle();
+        self.lost.clear();
+        self.pools = WarmPools::new(unbounded_estimates(), now);
+        self.pools.restore(self.store.all(), now);
+        self.pools.look(BOOT_MS, now);
+    }
+
     fn commit(&mut self, outcome: Outcome) {
         let id = self.number();
         let Some(changes) = self.pools.next_changes(id, 12) else { return };
@@ -245,27 +279,8 @@
                     system.pools.begin(id, "counter", place(&format!("h{id}")), now);
                 }
             }
-            Transition::Report => {
-                let recorded: Vec<SlotId> =
-                    system.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
-                for id in recorded {
-                    if matches!(system.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
-                        system.pools.not_reported(id, now);
-                    } else {
-                        system.pools.seen(id, true, now);
-                    }
-                }
-            }
-            Transition::Claim(team) => {
-                let free: Vec<SlotId> =
-                    system.pools.slots().filter(|slot| slot.is_claimable()).map(|slot| slot.id).collect();
-                if let Some(id) = free.first() {
-                    let attempt = system.number();
-                    let claim = Claim { job: format!("run-{attempt}"), task: 0, attempt, team: TEAMS[team].into() };
-                    assert!(!system.ordered.contains_key(id), "slot {id} was given away before");
-                    system.pools.claim(*id, "notes", claim, now).unwrap();
-                }
-            }
+            Transition::Report => system.report(now),
+            Transition::Claim(team) => system.claim_first_free(team, now),
             Transition::Commit(outcome) => system.commit(outcome),
             Transition::Reread => system.reread(),
             Transition::LateCommit => {
@@ -289,14 +304,7 @@
                     system.pools.host_lost(&host, EndCause::MachineLost, now);
                 }
             }
-            Transition::Takeover => {
-                // The records are as they are; commits of the leader before are refused by its guard.
-                system.settle();
-                system.lost.clear();
-                system.pools = WarmPools::new(unbounded_estimates(), now);
-                system.pools.restore(system.store.all(), now);
-                system.pools.look(BOOT_MS, now);
-            }
+            Transition::Failover => system.fail_over(now),
         }
         checked.account();
         checked
