--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn work_that_runs_again_elsewhere_is_not_lent_any_more_and_a_job_that_is_over_lends_nothing() {
+fn work_that_runs_again_elsewhere_is_no_longer_lent_and_a_job_that_ended_lends_nothing() {
     let mut loans = open(2);
     loans.follow(missing(0), &needs(2.0), at(1000));
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::Replaced)));
@@ -188,7 +188,7 @@
 
 // A successor finds records of stops that were ordered in part, or not at all.
 #[test]
-fn a_takeover_lends_what_was_stopped_and_no_more() {
+fn a_failover_lends_what_was_stopped_and_no_more() {
     let successor = |tasks_missing: u32| {
         let mut before = Loans::new(settings());
         before.propose(proposal(1, 3), at(0));
--- a/crates/fleet-config/tests/agreement.rs
+++ b/crates/fleet-config/tests/agreement.rs
@@ -128,7 +128,7 @@
             Transition::SetWriteFate { region, fate } => fleet.set_write_fate(region, fate),
             Transition::CarryOutLateWrite { write } => fleet.carry_out_late_write(write),
             Transition::CatchUp { region } => fleet.catch_up(region),
-            Transition::Obey { region } => fleet.obey(region),
+            Transition::Obey { region } => fleet.apply_version(region),
         }
         fleet
     }
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn two_regions_change_one_team_at_once_and_one_is_told_of_the_conflict() {
+fn of_two_concurrent_changes_of_one_team_one_is_refused_as_a_conflict() {
     let mut fleet = Fleet::new();
     fleet.change(0, 0, 30, [1; REGIONS]);
     fleet.change(1, 0, 20, [1; REGIONS]);
@@ -237,9 +237,9 @@
     fleet.run();
     // The cut begins between shrinking and growing.
     fleet.isolated = [true, false, false, false, false];
-    (1..REGIONS).for_each(|region| fleet.obey(region));
+    (1..REGIONS).for_each(|region| fleet.apply_version(region));
     assert_eq!(fleet.limit_of(1, 0), 0, "region 0 has not confirmed");
-    fleet.obey(0);
+    fleet.apply_version(0);
     assert_eq!(fleet.limit_of(0, 0), 0, "it obeys its own part at once");
     fleet.confirm(0);
     fleet.run();
@@ -258,7 +258,7 @@
     fleet.isolated = [false, false, false, false, true];
     fleet.change(0, 0, 25, [1, 1, 1, 1, 0]);
     fleet.run();
-    (0..REGIONS - 1).for_each(|region| fleet.obey(region));
+    (0..REGIONS - 1).for_each(|region| fleet.apply_version(region));
     // Region 4 keeps its 10 of 50 and is counted with them.
     assert_eq!(fleet.limit_of(4, 0), 10);
     let others: u64 = (0..REGIONS - 1).map(|region| fleet.limit_of(region, 0)).sum();
--- a/crates/fleet-config/tests/fleet/checks.rs
+++ b/crates/fleet-config/tests/fleet/checks.rs
@@ -89,13 +89,13 @@
     pub fn settle_confirmations(&mut self) {
         for region in 0..REGIONS {
             self.catch_up(region);
-            self.obey(region);
+            self.apply_version(region);
             self.confirm(region);
             self.attempt_until_agreed(region);
         }
         for region in 0..REGIONS {
             self.catch_up(region);
-            self.obey(region);
+            self.apply_version(region);
         }
         self.check_limits();
     }
--- a/crates/fleet-config/tests/fleet/mod.rs
+++ b/crates/fleet-config/tests/fleet/mod.rs
@@ -261,7 +261,7 @@
     }
 
     /// The region's leader has applied what the region has applied.
-    pub fn obey(&mut self, region: usize) {
+    pub fn apply_version(&mut self, region: usize) {
         self.obeyed[region] = self.stores[region].record.acceptor.applied;
     }
 
--- a/crates/scale/src/borrow_report.rs
+++ b/crates/scale/src/borrow_report.rs
@@ -28,7 +28,8 @@
     /// Nothing.
     Calm,
     /// The leader is killed as the burst begins.
-    OwnerKilled,
+    #[serde(rename = "owner_killed")]
+    LeaderKilled,
     /// A tenth of the machines dies during the loan.
     MachinesLost,
 }
@@ -59,7 +60,8 @@
     /// From the burst's end until all lent work runs again; none if it did not by the end of the run.
     pub return_s: Option<f64>,
     pub stops: usize,
-    pub owner_mean_cores: f64,
+    #[serde(rename = "owner_mean_cores")]
+    pub leader_mean_cores: f64,
     pub broken_rules: Vec<BrokenRule>,
 }
 
@@ -78,7 +80,7 @@
     }
     let mut runs = Vec::new();
     for seed in prepared.seed..prepared.seed + seeds {
-        for variant in [Variant::Calm, Variant::OwnerKilled, Variant::MachinesLost] {
+        for variant in [Variant::Calm, Variant::LeaderKilled, Variant::MachinesLost] {
             for borrowing in [true, false] {
                 let report = run::run(&prepared_for(prepared, variant, borrowing, seed)).await?;
                 runs.push(BorrowRun::new(seed, variant, borrowing, report));
@@ -96,7 +98,7 @@
     let (at_s, for_s) = (settings.at_s, settings.for_s);
     let fault = match variant {
         Variant::Calm => return prepared,
-        Variant::OwnerKilled => Fault {
+        Variant::LeaderKilled => Fault {
             kind: FaultKind::ControllerKilled,
             at_s: at_s + KILLED_AFTER_S,
             region: 0,
@@ -132,7 +134,7 @@
             checkpoint_every_s: classes.map(|class| class.checkpoint_every_s).fold(0.0, f64::max),
             return_s: result.returned_ms.map(|ms| f64::from(ms) / MS_PER_S),
             stops: result.stops,
-            owner_mean_cores: report.usage.get(&Role::Owner).map_or(0.0, |usage| usage.mean_cores),
+            leader_mean_cores: report.usage.get(&Role::Leader).map_or(0.0, |usage| usage.mean_cores),
             broken_rules: report.broken_rules,
         }
     }
@@ -186,7 +188,7 @@
                 format!("{:.1} of {:.0}", run.most_lost_s, run.checkpoint_every_s),
                 run.return_s.map_or("not yet".into(), |s| format!("{s:.1}")),
                 run.stops.to_string(),
-                format!("{:.3}", run.owner_mean_cores),
+                format!("{:.3}", run.leader_mean_cores),
                 if run.broken_rules.is_empty() { "kept" } else { "BROKEN" }.to_string(),
             ]);
         }
--- a/crates/scale/src/burst_report.rs
+++ b/crates/scale/src/burst_report.rs
@@ -24,7 +24,8 @@
     /// Without it.
     Cold,
     /// With the pool, and the leader killed in mid-burst.
-    WarmOwnerKilled,
+    #[serde(rename = "warm_owner_killed")]
+    WarmLeaderKilled,
 }
 
 /// One run of a burst.
@@ -43,7 +44,8 @@
     pub bill_differs_s: f64,
     pub result: BurstResult,
     pub broken_rules: Vec<BrokenRule>,
-    pub owner_mean_cores: f64,
+    #[serde(rename = "owner_mean_cores")]
+    pub leader_mean_cores: f64,
 }
 
 /// All runs of a burst.
@@ -60,7 +62,7 @@
     }
     let mut rows = Vec::new();
     for seed in prepared.seed..prepared.seed + seeds {
-        for variant in [Variant::Warm, Variant::Cold, Variant::WarmOwnerKilled] {
+        for variant in [Variant::Warm, Variant::Cold, Variant::WarmLeaderKilled] {
             let report = run::run(&prepared_for(prepared, variant, seed)).await?;
             rows.push(BurstRow::new(variant, seed, report));
         }
@@ -74,7 +76,7 @@
     match variant {
         Variant::Warm => {}
         Variant::Cold => scenario.warm_pool = None,
-        Variant::WarmOwnerKilled => {
+        Variant::WarmLeaderKilled => {
             let at_s = scenario.burst.as_ref().map_or(0.0, |burst| burst.at_s) + KILLED_AFTER_S;
             let kind = FaultKind::ControllerKilled;
             let killed = Fault { kind, at_s, region: 0, for_s: RESTART_S, count: 0 };
@@ -103,7 +105,7 @@
             max_s: at(1.0),
             bill_differs_s: bill_difference(&result),
             broken_rules: report.broken_rules,
-            owner_mean_cores: report.usage.get(&crate::results::Role::Owner).map_or(0.0, |usage| usage.mean_cores),
+            leader_mean_cores: report.usage.get(&crate::results::Role::Leader).map_or(0.0, |usage| usage.mean_cores),
             result,
         }
     }
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -32,14 +32,14 @@
 #[derive(Default)]
 struct Entries {
     changes: Vec<ChangeResult>,
-    obeyed_at_ms: Vec<(u64, u64)>,
+    applied_at_ms: Vec<(u64, u64)>,
 }
 
 impl ConfigurationLog {
     /// The changes, and when the leader applied each version.
     pub fn take(&self) -> (Vec<ChangeResult>, Vec<(u64, u64)>) {
         let mut entries = self.0.lock().unwrap();
-        (std::mem::take(&mut entries.changes), std::mem::take(&mut entries.obeyed_at_ms))
+        (std::mem::take(&mut entries.changes), std::mem::take(&mut entries.applied_at_ms))
     }
 }
 
@@ -51,7 +51,7 @@
 pub fn start(context: &SimulationContext, plan: &RegionPlan) -> ConfigurationLog {
     let log = ConfigurationLog::default();
     if let Some(configuration) = &plan.scenario.configuration {
-        tokio::spawn(watch_obeyed(context.clone(), log.clone()));
+        tokio::spawn(watch_applied_versions(context.clone(), log.clone()));
         let per_s = plan.part(configuration.changes_per_s);
         if per_s > 0.0 {
             tokio::spawn(make_changes(plan.clone(), per_s, log.clone()));
@@ -61,14 +61,14 @@
 }
 
 /// Notes when the leader first has applied each version.
-async fn watch_obeyed(context: SimulationContext, log: ConfigurationLog) {
+async fn watch_applied_versions(context: SimulationContext, log: ConfigurationLog) {
     let mut noted = 0;
     loop {
         sleep(LOOK).await;
         let version = context.w.lock().unwrap().store.value("config/obeyed")["version"].as_u64().unwrap_or(0);
         let now = now_ms();
         for version in noted + 1..=version {
-            log.0.lock().unwrap().obeyed_at_ms.push((version, now));
+            log.0.lock().unwrap().applied_at_ms.push((version, now));
         }
         noted = noted.max(version);
     }
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -57,12 +57,12 @@
             FaultKind::Machines => self.stop_machines(fault.count, |_| true),
             FaultKind::Rack => self.stop_in_one_zone(fault.count),
             FaultKind::Zone => self.stop_in_one_zone(usize::MAX),
-            FaultKind::ControllerKilled => self.restart_controllers(&[self.owner()], fault.for_s).await,
+            FaultKind::ControllerKilled => self.restart_controllers(&[self.leader()], fault.for_s).await,
             FaultKind::ControllersRestarted => {
                 let all: Vec<usize> = (0..self.context.doors.len()).collect();
                 self.restart_controllers(&all, fault.for_s).await;
             }
-            FaultKind::ControllerHeld => self.hold_owner(fault.for_s).await,
+            FaultKind::ControllerHeld => self.pause_leader(fault.for_s).await,
             FaultKind::StateOutage => {
                 self.context.state_down(true);
                 sleep(secs(fault.for_s)).await;
@@ -98,8 +98,8 @@
     }
 
     /// The controller that holds the jobs, as the state service knows it; the first if none does.
-    fn owner(&self) -> usize {
-        owner(&self.context).unwrap_or(0)
+    fn leader(&self) -> usize {
+        leader(&self.context).unwrap_or(0)
     }
 
     async fn restart_controllers(&self, numbers: &[usize], after_s: f64) {
@@ -112,16 +112,16 @@
         }
     }
 
-    async fn hold_owner(&self, for_s: f64) {
-        let owner = self.owner();
-        report(self.controllers.lock().await.hold(owner, true));
+    async fn pause_leader(&self, for_s: f64) {
+        let leader = self.leader();
+        report(self.controllers.lock().await.hold(leader, true));
         sleep(secs(for_s)).await;
-        report(self.controllers.lock().await.hold(owner, false));
+        report(self.controllers.lock().await.hold(leader, false));
     }
 }
 
 /// The controller that holds the jobs, as the state service knows it.
-pub fn owner(context: &SimulationContext) -> Option<usize> {
+pub fn leader(context: &SimulationContext) -> Option<usize> {
     let record = context.w.lock().unwrap().store.value("part/0");
     record["holder"].as_str()?.strip_prefix('n')?.parse().ok()
 }
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -97,7 +97,7 @@
         }
     }
     let mut result = measurement.finish(&traffic);
-    (result.changes, result.obeyed_at_ms) = configuration.take();
+    (result.changes, result.applied_at_ms) = configuration.take();
     result.burst = burst.finish(&plan).await;
     result.borrow = borrow.finish();
     controllers.lock().await.kill_all().await.map_err(|error| error.to_string())?;
@@ -215,7 +215,7 @@
     }
 
     async fn sample_processes(&mut self) {
-        let owner = faults::owner(&self.context);
+        let leader = faults::leader(&self.context);
         let mut controllers = self.controllers.lock().await;
         if let Some(number) = controllers.ended() {
             self.result.controllers_ended += 1;
@@ -224,7 +224,7 @@
         }
         let ids = (0..controllers.count()).map(|number| (number, controllers.process_id(number)));
         let mut processes: Vec<(Role, u32)> = ids
-            .filter_map(|(number, id)| Some((if owner == Some(number) { Role::Owner } else { Role::Standby }, id?)))
+            .filter_map(|(number, id)| Some((if leader == Some(number) { Role::Leader } else { Role::Standby }, id?)))
             .collect();
         processes.push((Role::StandIns, std::process::id()));
         for (role, id) in processes {
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -47,7 +47,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    Owner,
+    #[serde(rename = "owner")]
+    Leader,
     Standby,
     StandIns,
 }
@@ -70,7 +71,7 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ChangeResult {
     pub asked_at_ms: u64,
-    /// The version in which it was taken; none if it was refused or its outcome stayed unclear.
+    /// The version in which it was taken; none if it was refused or its outcome stayed indeterminate.
     pub version: Option<u64>,
 }
 
@@ -153,7 +154,8 @@
     /// Changes of the configuration that were asked for here.
     pub changes: Vec<ChangeResult>,
     /// When the region's leader first applied each version, in milliseconds of the time of day.
-    pub obeyed_at_ms: Vec<(u64, u64)>,
+    #[serde(rename = "obeyed_at_ms")]
+    pub applied_at_ms: Vec<(u64, u64)>,
     /// Controllers that ended by themselves.
     pub controllers_ended: usize,
     pub broken_rule: Option<String>,
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -66,12 +66,14 @@
     let workers: Figure = |report| per_region(report, report.workers as f64);
     let starts: Figure = |report| per_region(report, report.starts_per_s);
     let costs: [(&'static str, &'static str, Figure, Figure); 7] = [
-        ("owner: processor cores", "workers of the region", workers, |report| usage(report, Role::Owner).mean_cores),
+        ("owner: processor cores", "workers of the region", workers, |report| usage(report, Role::Leader).mean_cores),
         ("owner: processor cores", "task starts a second in the region", starts, |report| {
-            usage(report, Role::Owner).mean_cores
+            usage(report, Role::Leader).mean_cores
         }),
-        ("owner: memory in MB", "workers of the region", workers, |report| usage(report, Role::Owner).most_resident_mb),
-        ("owner: open files", "workers of the region", workers, |report| usage(report, Role::Owner).most_open_files),
+        ("owner: memory in MB", "workers of the region", workers, |report| {
+            usage(report, Role::Leader).most_resident_mb
+        }),
+        ("owner: open files", "workers of the region", workers, |report| usage(report, Role::Leader).most_open_files),
         ("standby: memory in MB", "workers of the region", workers, |report| {
             usage(report, Role::Standby).most_resident_mb
         }),
--- a/crates/warm-pools/src/pools/charging.rs
+++ b/crates/warm-pools/src/pools/charging.rs
@@ -20,7 +20,7 @@
         let every_ms = (self.settings.bill_every_s * MS_PER_S) as u64;
         for slot in self.slots.values_mut() {
             let settled = !slot.changed && !matches!(slot.state, SlotState::Claiming(_) | SlotState::Ended(_));
-            if settled && !slot.has_unclear_claim() && bill_ms >= slot.charged_until_ms + every_ms {
+            if settled && !slot.has_indeterminate_claim() && bill_ms >= slot.charged_until_ms + every_ms {
                 slot.charge_until(bill_ms);
                 slot.changed = true;
             }
@@ -31,7 +31,7 @@
     pub fn set_price(&mut self, id: SlotId, price_per_hour: MicroUnits, now: Moment) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
-        let settled = !matches!(slot.state, SlotState::Ended(_)) && !slot.has_unclear_claim();
+        let settled = !matches!(slot.state, SlotState::Ended(_)) && !slot.has_indeterminate_claim();
         if settled && slot.price_per_hour != price_per_hour {
             slot.charge_until(bill_ms);
             slot.price_per_hour = price_per_hour;
@@ -60,7 +60,7 @@
 
 impl Slot {
     /// Was it claimed under a leader before, and is it not known yet whether the claimant has it?
-    pub(crate) fn has_unclear_claim(&self) -> bool {
+    pub(crate) fn has_indeterminate_claim(&self) -> bool {
         matches!(self.state, SlotState::Claimed(_)) && !self.seen
     }
 
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -30,7 +30,7 @@
         let bill_ms = self.began.wall_ms;
         for slot in self.slots.values_mut() {
             slot.charged_until_ms = slot.charged_until_ms.max(bill_ms.saturating_sub(most_ms));
-            if !slot.has_unclear_claim() {
+            if !slot.has_indeterminate_claim() {
                 slot.charge_until(bill_ms);
             }
             slot.changed = !slot.charges.is_empty();
--- a/crates/warm-pools/src/pools/writes.rs
+++ b/crates/warm-pools/src/pools/writes.rs
@@ -173,7 +173,7 @@
         self.unresolved.push(in_flight);
     }
 
-    /// The records that must be read before there are further changes; none if nothing is unclear.
+    /// The records that must be read before there are further changes; none if nothing is indeterminate.
     pub fn keys_to_read(&self) -> Vec<RecordKey> {
         if self.unresolved_are_read() {
             return Vec::new();
--- a/crates/warm-pools/tests/calendar.rs
+++ b/crates/warm-pools/tests/calendar.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn bad_declarations_are_told_by_field_and_reason() {
+fn invalid_declarations_are_refused_with_field_and_reason() {
     type Change = fn(&mut badgerdrift_warm_pools::PoolSettings);
     let window = |from: &str, to: &str, zone: &str, day: &str| Window {
         days: vec![day.into()],
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_step_of_the_clock_changes_no_bill_of_an_owner() {
+fn a_clock_step_changes_no_bill_of_a_leader() {
     let (mut pools, mut store, mut write) = warm(1);
     for (minute, step) in [(0, 0), (10, HOUR_MS as i64), (20, -(HOUR_MS as i64)), (30, 0)] {
         let now = at(minute * 60_000);
@@ -258,7 +258,7 @@
 
 // An ordinary worker fetches an image under the name that the job gives.
 #[test]
-fn room_beside_an_image_is_claimed_under_the_name_of_the_image_alone() {
+fn capacity_beside_an_image_is_claimed_under_the_name_of_the_image_alone() {
     let mut settings = settings();
     pool(&mut settings).keep = HoldKind::Image;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
--- a/tests/fleet_configuration/changes.rs
+++ b/tests/fleet_configuration/changes.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn two_regions_change_one_team_at_once_and_one_is_told_of_the_conflict() {
+fn of_two_concurrent_changes_of_one_team_one_is_refused_as_a_conflict() {
     day(3, true, async |mut fleet| {
         fleet.begin().await;
         let first = fleet.team_change(0, "red", [1.0, 1.0, 1.0]);
