--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -49,7 +49,7 @@
     Upgrade(usize),
 }
 
-/// The deeds of one fault that begins then.
+/// The actions of one fault that begins then.
 fn fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let other = (node + rng.random_range(1..NODES)) % NODES;
@@ -84,7 +84,7 @@
     }
 }
 
-/// The deeds of one fault of the later kinds that begins then.
+/// The actions of one fault of the later kinds that begins then.
 fn later_fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let end = at + rng.random_range(5.0..30.0);
@@ -170,31 +170,21 @@
         }
         fault_actions.sort_by(|a, b| a.0.total_cmp(&b.0));
         let began = Instant::now();
-        for (at, deed) in fault_actions {
+        for (at, action) in fault_actions {
             self.run((began + secs(at)).saturating_duration_since(Instant::now())).await;
-            self.carry_out(deed, &mut rng);
+            self.carry_out(action, &mut rng);
         }
         self.run((began + secs(day_s)).saturating_duration_since(Instant::now())).await;
     }
 
-    fn carry_out(&mut self, deed: FaultAction, rng: &mut StdRng) {
+    fn carry_out(&mut self, action: FaultAction, rng: &mut StdRng) {
         let now = Instant::now();
-        match deed {
+        match action {
             FaultAction::Submit => {
                 let job = self.random_job();
                 self.submit(job);
             }
-            FaultAction::Cancel => {
-                let open: Vec<String> = {
-                    let w = self.g.w.lock().unwrap();
-                    let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
-                    open.map(|j| j.id.clone()).collect()
-                };
-                if !open.is_empty() {
-                    let id = open[rng.random_range(0..open.len())].clone();
-                    self.cancel(&id, &[0, 1, 2]);
-                }
-            }
+            FaultAction::Cancel => self.cancel_any(rng),
             FaultAction::Kill(n) => self.kill(n),
             FaultAction::Start(n) => self.start(n),
             FaultAction::Outage(down) => self.state_down(down),
@@ -203,15 +193,7 @@
                 self.g.log(format!("cut of {pairs:?}: {cut:?}"));
                 pairs.into_iter().for_each(|(a, b)| self.cut(a, b, cut));
             }
-            FaultAction::CutMachines(n, zone, cut) => {
-                self.g.log(format!("cut of n{n} from machines of {zone:?}: {cut:?}"));
-                let ips: Vec<IpAddr> = {
-                    let w = self.g.w.lock().unwrap();
-                    let all = w.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
-                    all.map(|m| m.addr.ip()).collect()
-                };
-                ips.into_iter().for_each(|ip| self.cut(controller(n), ip, cut));
-            }
+            FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, &zone, cut),
             FaultAction::Deaf(share, s) => self.each(rng, share, "deaf", |m| m.deaf = now + secs(s)),
             FaultAction::Mute(share, s) => self.each(rng, share, "mute", |m| m.mute = now + secs(s)),
             FaultAction::Hang(share, s) => self.each(rng, share, "hang", |m| m.hang = now + secs(s)),
@@ -220,18 +202,7 @@
                     machines::die(&self.g, &id);
                 }
             }
-            FaultAction::Take(count, noticed) => {
-                for id in self.some(rng, count, |spot| spot) {
-                    if noticed {
-                        self.g.log(format!("{id} is to be taken"));
-                        let mut w = self.g.w.lock().unwrap();
-                        let m = w.machines.get_mut(&id).unwrap();
-                        (m.taken, m.changed) = (Some(now + secs(rng.random_range(3.0..12.0))), true);
-                    } else {
-                        machines::remove(&self.g, &id, "is taken without notice");
-                    }
-                }
-            }
+            FaultAction::Take(count, noticed) => self.take_spot_machines(count, noticed, rng),
             FaultAction::Pause(node, paused) => self.pause(node, paused),
             FaultAction::PollRate(rate) => self.poll_rate(rate),
             FaultAction::BootFaults(faults) => self.boot_faults(faults),
@@ -241,14 +212,7 @@
                 let id = self.submit(job);
                 self.cancel_later(&id, secs(rng.random_range(10.0..40.0)));
             }
-            FaultAction::SubmitGuests => {
-                for tasks in [30, 1, 1, 1, 1] {
-                    let mut job = self.job("batch", tasks);
-                    (job.team, job.preemptible, job.cards) = (GUEST.0, rng.random_bool(0.5), 0.5);
-                    job.run_s = rng.random_range(1.0..4.0);
-                    self.submit(job);
-                }
-            }
+            FaultAction::SubmitGuests => self.submit_guests(rng),
             FaultAction::SubmitPipeline => {
                 let jobs = self.random_pipeline(rng);
                 self.submit_pipeline(jobs);
@@ -265,6 +229,56 @@
         }
     }
 
+    /// Cancels one of the jobs that are open.
+    fn cancel_any(&mut self, rng: &mut StdRng) {
+        let open: Vec<String> = {
+            let w = self.g.w.lock().unwrap();
+            let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
+            open.map(|j| j.id.clone()).collect()
+        };
+        if !open.is_empty() {
+            let id = open[rng.random_range(0..open.len())].clone();
+            self.cancel(&id, &[0, 1, 2]);
+        }
+    }
+
+    /// Cuts a controller off from the machines of a zone, or of all zones, or mends that.
+    fn cut_machines(&mut self, node: usize, zone: &str, cut: Option<Cut>) {
+        self.g.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
+        let ips: Vec<IpAddr> = {
+            let w = self.g.w.lock().unwrap();
+            let all = w.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
+            all.map(|m| m.addr.ip()).collect()
+        };
+        for ip in ips {
+            self.cut(controller(node), ip, cut);
+        }
+    }
+
+    /// The cloud takes spot machines back, with a notice or without.
+    fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
+        for id in self.some(rng, count, |spot| spot) {
+            if noticed {
+                self.g.log(format!("{id} is to be taken"));
+                let mut w = self.g.w.lock().unwrap();
+                let m = w.machines.get_mut(&id).unwrap();
+                (m.taken, m.changed) = (Some(Instant::now() + secs(rng.random_range(3.0..12.0))), true);
+            } else {
+                machines::remove(&self.g, &id, "is taken without notice");
+            }
+        }
+    }
+
+    /// A team without a guarantee submits a large array and some small ones.
+    fn submit_guests(&mut self, rng: &mut StdRng) {
+        for tasks in [30, 1, 1, 1, 1] {
+            let mut job = self.job("batch", tasks);
+            (job.team, job.preemptible, job.cards) = (GUEST.0, rng.random_bool(0.5), 0.5);
+            job.run_s = rng.random_range(1.0..4.0);
+            self.submit(job);
+        }
+    }
+
     /// Some of the machines that are up, by their kind.
     fn some(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
         let now = Instant::now();
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -6,9 +6,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Time between two looks at what is left to do.
+const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Services are cancelled after so many looks each.
+const LOOKS_PER_CANCELLATION: usize = 20;
+/// After this time without faults everything must be done.
+const SETTLED_WITHIN: Duration = Duration::from_secs(240);
+/// After this time every question about a job must be answered.
+const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
+
 impl Sim {
-    /// All faults are over: within a bounded time everything is done.
+    /// All faults are over: within a bounded time everything is done, and every job is known.
     pub async fn settle(&mut self) {
+        self.end_faults();
+        self.finish_all_jobs().await;
+        let known = self.accepted_jobs();
+        self.expect_answers(&known).await;
+        self.run(Duration::from_secs(1)).await;
+        let w = self.g.w.lock().unwrap();
+        println!("seed {}: {}", self.g.seed, w.summary());
+        if std::env::var_os("BADGERDRIFT_HISTORY").is_some() {
+            w.history.iter().for_each(|h| println!("{h}"));
+        }
+        let nothing = !known.is_empty() && w.starts == 0;
+        drop(w);
+        assert!(!nothing, "seed {}: nothing ran", self.g.seed);
+    }
+
+    fn end_faults(&mut self) {
         self.g.log("all troubles end".into());
         self.state_down(false);
         for i in 0..NODES {
@@ -23,56 +48,61 @@
             w.late_commands = 0.0;
         }
         self.g.network.mend();
+    }
+
+    /// Runs until no job is left to do; services are cancelled one after the other meanwhile.
+    async fn finish_all_jobs(&mut self) {
         let over = Instant::now();
-        let mut rounds = 0;
+        let mut looks = 0;
         loop {
-            self.run(Duration::from_secs(2)).await;
+            self.run(LOOK_EVERY).await;
             let open = self.g.w.lock().unwrap().unsettled();
             if open.is_empty() {
                 break;
             }
-            rounds += 1;
-            // Services may take up a team's limit, each with a part of its replicas:
-            // those that run have done so by now, and the first of the others goes too.
-            if rounds % 20 == 0 {
-                let services: Vec<String> = {
-                    let w = self.g.w.lock().unwrap();
-                    let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
-                    open.filter(|j| j.shape == "service").map(|j| j.id.clone()).collect()
-                };
-                let (waiting, run): (Vec<String>, Vec<String>) =
-                    services.into_iter().partition(|id| open.iter().any(|o| o.starts_with(id.as_str())));
-                for id in run.iter().chain(waiting.first()) {
-                    self.cancel(id, &[0, 1, 2]);
-                }
+            looks += 1;
+            if looks % LOOKS_PER_CANCELLATION == 0 {
+                self.cancel_services(&open);
             }
-            if over.elapsed() > Duration::from_secs(240) {
+            if over.elapsed() > SETTLED_WITHIN {
                 let w = self.g.w.lock().unwrap();
                 let text = format!("seed {}: unfinished: {open:#?}\n{}", self.g.seed, w.recent(&open[0]));
                 drop(w);
                 panic!("{text}");
             }
         }
-        // Every accepted job is still known, and answered.
+    }
+
+    /// Services may take up a team's limit, each with a part of its replicas: those that run have
+    /// done so by now, and the first of the others goes too.
+    fn cancel_services(&mut self, open: &[String]) {
+        let services: Vec<String> = {
+            let w = self.g.w.lock().unwrap();
+            let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
+            open.filter(|j| j.shape == "service").map(|j| j.id.clone()).collect()
+        };
+        let (waiting, run): (Vec<String>, Vec<String>) =
+            services.into_iter().partition(|id| open.iter().any(|o| o.starts_with(id.as_str())));
+        for id in run.iter().chain(waiting.first()) {
+            self.cancel(id, &[0, 1, 2]);
+        }
+    }
+
+    fn accepted_jobs(&self) -> Vec<String> {
+        let w = self.g.w.lock().unwrap();
+        w.jobs.values().filter(|job| job.accepted.is_some()).map(|job| job.id.clone()).collect()
+    }
+
+    /// Asks about these jobs at all nodes; every one must still be known, and answered.
+    async fn expect_answers(&mut self, known: &[String]) {
         let asked = Instant::now();
-        let known: Vec<String> =
-            self.g.w.lock().unwrap().jobs.values().filter(|j| j.accepted.is_some()).map(|j| j.id.clone()).collect();
-        for id in &known {
+        for id in known {
             self.run(Duration::from_millis(50)).await;
             self.ask_all(id);
         }
-        self.until("every job is answered", Duration::from_secs(75), |w| {
+        self.until("every job is answered", ANSWERED_WITHIN, |w| {
             known.iter().all(|id| w.jobs[id].answered.is_some_and(|a| a > asked))
         })
         .await;
-        self.run(Duration::from_secs(1)).await;
-        let w = self.g.w.lock().unwrap();
-        println!("seed {}: {}", self.g.seed, w.summary());
-        if std::env::var_os("BADGERDRIFT_HISTORY").is_some() {
-            w.history.iter().for_each(|h| println!("{h}"));
-        }
-        let nothing = !known.is_empty() && w.starts == 0;
-        drop(w);
-        assert!(!nothing, "seed {}: nothing ran", self.g.seed);
     }
 }
