--- a/src/borrowing/settings.rs
+++ b/src/borrowing/settings.rs
@@ -1,6 +1,6 @@
 //! The operators' file that declares who lends to whom (HCL).
 
-use crate::settings::{Settings, hcl_text};
+use crate::settings::{ContentError, Settings, SettingsError, hcl_text, load};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, KnownTeam};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,15 +9,14 @@
 const NAMED_BLOCKS: [&str; 2] = ["lender", "borrower"];
 
 /// Reads and checks the file; the error is one line naming file, field and reason.
-pub fn load_borrowing(path: &Path, settings: &Settings) -> Result<BorrowingSettings, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))?;
-    parse_borrowing(&text, settings).map_err(|e| format!("{}: {e}", path.display()))
+pub fn load_borrowing(path: &Path, settings: &Settings) -> Result<BorrowingSettings, SettingsError> {
+    load(path, |text| parse_borrowing(text, settings))
 }
 
 /// The same of the file's text.
-pub(super) fn parse_borrowing(text: &str, settings: &Settings) -> Result<BorrowingSettings, String> {
+pub(super) fn parse_borrowing(text: &str, settings: &Settings) -> Result<BorrowingSettings, ContentError> {
     let borrowing: BorrowingSettings = hcl_text::parse(text, &NAMED_BLOCKS)?;
-    borrowing.check(&known_teams(settings)).map_err(|e| e.to_string())?;
+    borrowing.check(&known_teams(settings)).map_err(ContentError::Borrowing)?;
     Ok(borrowing)
 }
 
--- a/src/borrowing/tests.rs
+++ b/src/borrowing/tests.rs
@@ -47,7 +47,7 @@
         ("lender \"blue\" {", "lender \"blue\" {}\nlender \"blue\" {", "lender.blue: there are two of this name"),
     ] {
         assert!(FILE.contains(from), "{from}");
-        let refused = parse_borrowing(&FILE.replace(from, to), &settings()).unwrap_err();
+        let refused = parse_borrowing(&FILE.replace(from, to), &settings()).unwrap_err().to_string();
         assert!(refused.contains(told) && !refused.contains('\n'), "{told}: {refused}");
     }
 }
@@ -57,6 +57,7 @@
     let mut settings = settings();
     let blue = settings.params.teams.iter_mut().find(|team| team.name == "blue").unwrap();
     blue.gpus = 0.0;
-    let refused = parse_borrowing(&FILE.replace("most_gpus = 64", "most_share = 0.5"), &settings).unwrap_err();
+    let refused =
+        parse_borrowing(&FILE.replace("most_gpus = 64", "most_share = 0.5"), &settings).unwrap_err().to_string();
     assert!(refused.starts_with("lender.blue.most_share: "), "{refused}");
 }
--- a/src/configuration/settings.rs
+++ b/src/configuration/settings.rs
@@ -1,5 +1,6 @@
 //! The operators' file that switches the shared configuration on (HCL).
 
+use crate::settings::{Fault, FieldError, SettingsError, hcl_text, load};
 use badgerdrift_fleet_config::RegionName;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -30,22 +31,23 @@
         self.regions.keys().cloned().collect()
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), FieldError> {
         if !self.regions.contains_key(&self.region) {
-            return Err(format!("region: {} is not among regions", self.region));
+            let fault = Fault::NotAmong { name: self.region.to_string(), list: "regions" };
+            return Err(FieldError::new("region", fault));
         }
         if let Some((name, _)) = self.regions.iter().find(|(_, region)| region.controllers.is_empty()) {
-            return Err(format!("regions.{name}.controllers: must name a controller"));
+            return Err(FieldError::new(format!("regions.{name}.controllers"), Fault::NamesNone("a controller")));
         }
         Ok(())
     }
 }
 
 /// Reads and checks the file; the error is one line naming file and field.
-pub fn load_fleet(path: &Path) -> Result<FleetSettings, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))?;
-    let one_line = |e: hcl::Error| e.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
-    let fleet: FleetSettings = hcl::from_str(&text).map_err(|e| format!("{}: {}", path.display(), one_line(e)))?;
-    fleet.check().map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(fleet)
+pub fn load_fleet(path: &Path) -> Result<FleetSettings, SettingsError> {
+    load(path, |text| {
+        let fleet: FleetSettings = hcl_text::parse(text, &[])?;
+        fleet.check()?;
+        Ok(fleet)
+    })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,11 +5,12 @@
 use badgerdrift::commands::warm_pools::PoolsCommand;
 use badgerdrift::configuration;
 use badgerdrift::control::node::{self, Subsystems};
+use badgerdrift::settings::{ContentError, Fault, FieldError, SettingsError};
 use badgerdrift::transport::network::Net;
 use badgerdrift::{borrowing, commands, settings, warm_pools};
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
 
@@ -72,7 +73,7 @@
     borrowing: Option<PathBuf>,
 }
 
-/// What the files tell.
+/// The content of the files.
 struct Loaded {
     settings: settings::Settings,
     operator: settings::Operator,
@@ -81,28 +82,43 @@
     pools_file: Option<PathBuf>,
 }
 
+/// Why the files can't be used.
+#[derive(Debug, thiserror::Error)]
+enum FilesError {
+    /// One of them can't.
+    #[error(transparent)]
+    File(#[from] SettingsError),
+    /// A setting does not go with a file that is given.
+    #[error(transparent)]
+    Combination(#[from] FieldError),
+}
+
 impl Files {
-    fn load(&self) -> Result<Loaded, String> {
+    fn load(&self) -> Result<Loaded, FilesError> {
         let settings = settings::load_settings(&self.config)?;
-        let operator =
-            self.operator.as_deref().map_or_else(|| Ok(Default::default()), |p: &Path| settings::load_operator(p))?;
+        let operator = self.operator.as_deref().map(settings::load_operator).transpose()?.unwrap_or_default();
         let fleet = self.fleet.as_deref().map(configuration::load_fleet).transpose()?;
         if fleet.is_some() && operator.partitions > 1 {
-            return Err("partitions: must be 1 with a fleet of several regions".into());
+            return Err(one_partition_with("a fleet of several regions").into());
         }
-        let warm_pools = self.warm_pools.as_deref().map(|p| warm_pools::load_pools(p, &settings)).transpose()?;
+        let warm_pools = self.warm_pools.as_deref().map(|file| warm_pools::load_pools(file, &settings)).transpose()?;
         if warm_pools.is_some() && operator.partitions > 1 {
-            return Err("partitions: must be 1 with warm pools".into());
+            return Err(one_partition_with("warm pools").into());
         }
-        let borrowing = self.borrowing.as_deref().map(|p| borrowing::load_borrowing(p, &settings)).transpose()?;
+        let borrowing = self.borrowing.as_deref().map(|file| borrowing::load_borrowing(file, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
-            return Err(format!("{}: partitions: must be 1 with borrowing", file.display()));
+            let source = one_partition_with("borrowing").into();
+            return Err(SettingsError::Invalid { file: file.clone(), source }.into());
         }
         let pools_file = self.warm_pools.clone();
         Ok(Loaded { settings, operator, subsystems: Subsystems { fleet, warm_pools, borrowing }, pools_file })
     }
 }
 
+fn one_partition_with(feature: &'static str) -> FieldError {
+    FieldError::new("partitions", Fault::NotOneWith { feature })
+}
+
 /// Exit status for input that is not sound.
 const BAD_INPUT: u8 = 2;
 
@@ -177,9 +193,9 @@
     }
 }
 
-/// Checks what only the cloud can tell of the pools' file, if there is one.
-async fn check_machine_types(loaded: &Loaded) -> Result<(), String> {
+/// Checks the machine types in the pools' file, if there is one, against those of the cloud.
+async fn check_machine_types(loaded: &Loaded) -> Result<(), SettingsError> {
     let (Some(pools), Some(file)) = (&loaded.subsystems.warm_pools, &loaded.pools_file) else { return Ok(()) };
     let checked = warm_pools::check_machine_types(&Net::default(), &loaded.settings, pools).await;
-    checked.map_err(|error| format!("{}: {error}", file.display()))
+    checked.map_err(|error| SettingsError::Invalid { file: file.clone(), source: ContentError::WarmPools(error) })
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,9 +6,11 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::path::Path;
 
 pub use checks::{check_operator, check_settings};
+pub use errors::{ContentError, Fault, FieldError, HclError, SettingsError};
+pub(crate) use files::load;
+pub use files::{load_operator, load_settings};
 
 /// What the platform hands over.
 #[derive(Debug, Clone, Deserialize)]
@@ -209,42 +211,6 @@
     }
 }
 
-/// Reads and checks the settings file; the error is one line naming file and field.
-pub fn load_settings(path: &Path) -> Result<Settings, String> {
-    let text = read(path)?;
-    let settings: Settings =
-        toml::from_str(&text).map_err(|e| format!("{}: {}", path.display(), locate(&text, e.span(), e.message())))?;
-    check_settings(&settings).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(settings)
-}
-
-/// Reads and checks the operators' file.
-pub fn load_operator(path: &Path) -> Result<Operator, String> {
-    let text = read(path)?;
-    let operator: Operator = hcl::from_str(&text).map_err(|e| {
-        format!("{}: {}", path.display(), e.to_string().split_whitespace().collect::<Vec<_>>().join(" "))
-    })?;
-    check_operator(&operator).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(operator)
-}
-
-fn read(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))
-}
-
-/// Names the line of a parse error, so that the message stays on one line.
-fn locate(text: &str, span: Option<std::ops::Range<usize>>, message: &str) -> String {
-    let message = message.replace('\n', " ");
-    match span {
-        Some(span) => {
-            let line = text[..span.start.min(text.len())].matches('\n').count();
-            let source = text.lines().nth(line).unwrap_or("").trim();
-            format!("line {} ({source}): {message}", line + 1)
-        }
-        None => message,
-    }
-}
-
 /// A controller may be held up for so long by its other work or by the state service.
 const MAX_STALL_MS: u64 = 2500;
 
@@ -292,6 +258,8 @@
 }
 
 mod checks;
+mod errors;
+mod files;
 pub mod hcl_text;
 #[cfg(test)]
 pub mod tests;
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,86 +1,113 @@
-//! Checks of what the types of settings can't say; the error is one line naming the field.
+//! Checks of what the types of settings can't express. The first field at fault is reported.
 
-use super::{Operator, Settings, StateLimits};
+use super::errors::{Fault, FieldError};
+use super::{Limits, Objective, Operator, Settings, StateLimits, Team, Workers};
 use std::collections::HashSet;
 
-fn positive(name: &str, v: f64) -> Result<(), String> {
-    if v.is_finite() && v > 0.0 { Ok(()) } else { Err(format!("{name}: must be above 0, is {v}")) }
+/// Fewest sockets that a controller works with.
+const LEAST_SOCKETS: usize = 16;
+/// A partition's leader lease is taken with so many changes in one commit.
+const LEAST_TXN_OPS: usize = 2;
+
+/// Checks the platform's settings.
+pub fn check_settings(settings: &Settings) -> Result<(), FieldError> {
+    let params = &settings.params;
+    check_names(settings)?;
+    not_negative("params.time_bound_ms", params.time_bound_ms)?;
+    check_teams(&params.teams)?;
+    check_objectives(&params.objectives)?;
+    check_workers(&params.workers)?;
+    check_state_limits(&params.state)?;
+    positive("params.cloud.rps", params.cloud.rps)?;
+    not_negative("params.cloud.list_lag_s", params.cloud.list_lag_s)?;
+    check_limits(&params.limits)
+}
+
+/// Checks the operators' settings.
+pub fn check_operator(operator: &Operator) -> Result<(), FieldError> {
+    positive("bin_width_s", operator.bin_width_s)?;
+    positive("default_deadline_s", operator.default_deadline_s)?;
+    not_negative("idle_keep", operator.idle_keep)?;
+    not_negative("headroom", operator.headroom)?;
+    if operator.partitions == 0 {
+        return Err(FieldError::new("partitions", Fault::BelowMinimum(1)));
+    }
+    Ok(())
+}
+
+fn positive(field: &str, value: f64) -> Result<(), FieldError> {
+    if value.is_finite() && value > 0.0 { Ok(()) } else { Err(FieldError::new(field, Fault::NotPositive(value))) }
 }
 
-fn not_negative(name: &str, v: f64) -> Result<(), String> {
-    if v.is_finite() && v >= 0.0 { Ok(()) } else { Err(format!("{name}: must be 0 or more, is {v}")) }
+fn not_negative(field: &str, value: f64) -> Result<(), FieldError> {
+    if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(FieldError::new(field, Fault::Negative(value))) }
 }
 
-/// Checks what the types cannot say.
-pub fn check_settings(s: &Settings) -> Result<(), String> {
-    if s.node.is_empty() {
-        return Err("node: must not be empty".into());
+/// Names of the controllers and zones.
+fn check_names(settings: &Settings) -> Result<(), FieldError> {
+    if settings.node.is_empty() {
+        return Err(FieldError::new("node", Fault::Empty));
     }
-    let mut names: HashSet<&str> = HashSet::from([s.node.as_str()]);
-    for seed in &s.seeds {
-        if !names.insert(&seed.node) {
-            return Err(format!("seeds.node: {} appears twice", seed.node));
-        }
+    let mut nodes: HashSet<&str> = HashSet::from([settings.node.as_str()]);
+    if let Some(seed) = settings.seeds.iter().find(|seed| !nodes.insert(&seed.node)) {
+        return Err(FieldError::new("seeds.node", Fault::Duplicate(seed.node.clone())));
     }
-    let p = &s.params;
-    if p.zones.is_empty() {
-        return Err("params.zones: must name a zone".into());
+    let zones = &settings.params.zones;
+    if zones.is_empty() {
+        return Err(FieldError::new("params.zones", Fault::NamesNone("a zone")));
     }
-    if !p.zones.contains(&s.site) {
-        return Err(format!("site: {} is not among params.zones", s.site));
+    if !zones.contains(&settings.site) {
+        let fault = Fault::NotAmong { name: settings.site.clone(), list: "params.zones" };
+        return Err(FieldError::new("site", fault));
     }
-    not_negative("params.time_bound_ms", p.time_bound_ms)?;
-    if p.teams.is_empty() {
-        return Err("params.teams: must name a team".into());
+    Ok(())
+}
+
+fn check_teams(teams: &[Team]) -> Result<(), FieldError> {
+    if teams.is_empty() {
+        return Err(FieldError::new("params.teams", Fault::NamesNone("a team")));
     }
-    let mut teams = HashSet::new();
-    for t in &p.teams {
-        if !teams.insert(&t.name) {
-            return Err(format!("params.teams.name: {} appears twice", t.name));
+    let mut names = HashSet::new();
+    for team in teams {
+        if !names.insert(&team.name) {
+            return Err(FieldError::new("params.teams.name", Fault::Duplicate(team.name.clone())));
         }
-        for (field, v, max) in [("cpus", t.cpus, t.cpus_max), ("gpus", t.gpus, t.gpus_max)] {
-            not_negative(&format!("params.teams.{field} of {}", t.name), v)?;
-            not_negative(&format!("params.teams.{field}_max of {}", t.name), max)?;
-            if max > 0.0 && v > max {
-                return Err(format!("params.teams.{field} of {}: above {field}_max", t.name));
+        for (resource, guarantee, limit) in [("cpus", team.cpus, team.cpus_max), ("gpus", team.gpus, team.gpus_max)] {
+            let field = format!("params.teams.{resource} of {}", team.name);
+            not_negative(&field, guarantee)?;
+            not_negative(&format!("params.teams.{resource}_max of {}", team.name), limit)?;
+            if limit > 0.0 && guarantee > limit {
+                return Err(FieldError::new(field, Fault::AboveLimit { limit: format!("{resource}_max") }));
             }
         }
     }
-    for o in &p.objectives {
-        for (field, v) in [("within_s", o.within_s), ("share", o.share)] {
-            if let Some(v) = v {
-                not_negative(&format!("params.objectives.{field}"), v)?;
+    Ok(())
+}
+
+fn check_objectives(objectives: &[Objective]) -> Result<(), FieldError> {
+    for objective in objectives {
+        for (field, value) in [("within_s", objective.within_s), ("share", objective.share)] {
+            if let Some(value) = value {
+                not_negative(&format!("params.objectives.{field}"), value)?;
             }
         }
     }
-    let w = &p.workers;
-    positive("params.workers.report_s", w.report_s)?;
-    positive("params.workers.lease_s", w.lease_s)?;
-    positive("params.workers.gang_wait_s", w.gang_wait_s)?;
-    positive("params.workers.gang_peer_s", w.gang_peer_s)?;
-    positive("params.workers.cancel_s", w.cancel_s)?;
-    if w.lease_s < 2.0 * w.report_s {
-        return Err("params.workers.lease_s: must be at least twice report_s".into());
-    }
-    check_state_limits(&p.state)?;
-    positive("params.cloud.rps", p.cloud.rps)?;
-    not_negative("params.cloud.list_lag_s", p.cloud.list_lag_s)?;
-    if p.limits.max_sockets < 16 {
-        return Err("params.limits.max_sockets: must be at least 16".into());
-    }
-    if let Some(memory_mb) = p.limits.memory_mb {
-        positive("params.limits.memory_mb", memory_mb)?;
-    }
-    if let Some(share) = p.limits.core_share {
-        positive("params.limits.core_share", share)?;
-    }
     Ok(())
 }
 
-/// A partition is taken with so many changes in one commit.
-const LEAST_TXN_OPS: usize = 2;
+fn check_workers(workers: &Workers) -> Result<(), FieldError> {
+    positive("params.workers.report_s", workers.report_s)?;
+    positive("params.workers.lease_s", workers.lease_s)?;
+    positive("params.workers.gang_wait_s", workers.gang_wait_s)?;
+    positive("params.workers.gang_peer_s", workers.gang_peer_s)?;
+    positive("params.workers.cancel_s", workers.cancel_s)?;
+    if workers.lease_s < 2.0 * workers.report_s {
+        return Err(FieldError::new("params.workers.lease_s", Fault::BelowTwice("report_s")));
+    }
+    Ok(())
+}
 
-fn check_state_limits(limits: &StateLimits) -> Result<(), String> {
+fn check_state_limits(limits: &StateLimits) -> Result<(), FieldError> {
     let next = limits.next.unwrap_or_default();
     let amounts = [
         ("rps", Some(limits.rps), next.rps),
@@ -94,17 +121,21 @@
     }
     for (table, changes) in [("params.state", Some(limits.txn_ops)), ("params.state.next", next.txn_ops)] {
         if changes.is_some_and(|changes| changes < LEAST_TXN_OPS) {
-            return Err(format!("{table}.txn_ops: must be at least {LEAST_TXN_OPS}"));
+            return Err(FieldError::new(format!("{table}.txn_ops"), Fault::BelowMinimum(LEAST_TXN_OPS)));
         }
     }
     Ok(())
 }
 
-/// The same of the operators' settings.
-pub fn check_operator(o: &Operator) -> Result<(), String> {
-    positive("bin_width_s", o.bin_width_s)?;
-    positive("default_deadline_s", o.default_deadline_s)?;
-    not_negative("idle_keep", o.idle_keep)?;
-    not_negative("headroom", o.headroom)?;
-    if o.partitions == 0 { Err("partitions: must be at least 1".into()) } else { Ok(()) }
+fn check_limits(limits: &Limits) -> Result<(), FieldError> {
+    if limits.max_sockets < LEAST_SOCKETS {
+        return Err(FieldError::new("params.limits.max_sockets", Fault::BelowMinimum(LEAST_SOCKETS)));
+    }
+    if let Some(memory_mb) = limits.memory_mb {
+        positive("params.limits.memory_mb", memory_mb)?;
+    }
+    if let Some(core_share) = limits.core_share {
+        positive("params.limits.core_share", core_share)?;
+    }
+    Ok(())
 }
--- /dev/null
+++ b/src/settings/files.rs
@@ -0,0 +1,42 @@
+//! Reads files of settings.
+
+use super::checks::{check_operator, check_settings};
+use super::errors::{ContentError, SettingsError};
+use super::hcl_text;
+use super::{Operator, Settings};
+use std::ops::Range;
+use std::path::Path;
+
+/// Reads and checks the platform's file (TOML).
+pub fn load_settings(path: &Path) -> Result<Settings, SettingsError> {
+    load(path, |text| {
+        let settings: Settings = toml::from_str(text).map_err(|source| ContentError::Toml {
+            text_line: source.span().map(|span| line_at(text, span)),
+            source,
+        })?;
+        check_settings(&settings)?;
+        Ok(settings)
+    })
+}
+
+/// Reads and checks the operators' file (HCL).
+pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
+    load(path, |text| {
+        let operator: Operator = hcl_text::parse(text, &[])?;
+        check_operator(&operator)?;
+        Ok(operator)
+    })
+}
+
+/// Reads a file, and has its text parsed and checked.
+pub(crate) fn load<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, ContentError>) -> Result<T, SettingsError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| SettingsError::Unreadable { file: path.to_path_buf(), source })?;
+    parse(&text).map_err(|source| SettingsError::Invalid { file: path.to_path_buf(), source })
+}
+
+/// Number, from 1, and text of the line in which a span begins.
+fn line_at(text: &str, span: Range<usize>) -> (usize, String) {
+    let line = text[..span.start.min(text.len())].matches('\n').count();
+    (line + 1, text.lines().nth(line).unwrap_or("").trim().to_string())
+}
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -66,20 +66,22 @@
     check_settings(&settings()).unwrap();
     let mut s = settings();
     s.params.workers.lease_s = f64::NAN;
-    assert!(check_settings(&s).unwrap_err().contains("lease_s"));
+    assert!(check_settings(&s).unwrap_err().to_string().contains("lease_s"));
     let mut s = settings();
     s.site = "elsewhere".into();
-    assert!(check_settings(&s).unwrap_err().starts_with("site"));
+    assert!(check_settings(&s).unwrap_err().to_string().starts_with("site"));
     let mut s = settings();
     s.params.teams[0].gpus = 99.0;
-    assert!(check_settings(&s).unwrap_err().contains("gpus of red"));
+    assert!(check_settings(&s).unwrap_err().to_string().contains("gpus of red"));
 }
 
 #[test]
 fn the_limits_to_come_are_checked_like_the_present_ones() {
     let with_next = |table: &str| {
         let text = example().replace("[params.cloud]", &format!("[params.state.next]\n{table}\n[params.cloud]"));
-        toml::from_str::<Settings>(&text).map_err(|e| e.to_string()).and_then(|s| check_settings(&s).map(|()| s))
+        toml::from_str::<Settings>(&text)
+            .map_err(|e| e.to_string())
+            .and_then(|s| check_settings(&s).map(|()| s).map_err(|e| e.to_string()))
     };
     let s = with_next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
     assert_eq!(s.write_limits().commit_changes, 4);
--- a/src/warm_pools/settings.rs
+++ b/src/warm_pools/settings.rs
@@ -1,6 +1,6 @@
 //! The operators' file that declares warm pools (HCL).
 
-use crate::settings::{Settings, hcl_text};
+use crate::settings::{ContentError, Fault, FieldError, Settings, SettingsError, hcl_text, load};
 use badgerdrift_warm_pools::{KnownFleet, PoolSettings};
 use std::path::Path;
 
@@ -13,23 +13,24 @@
 /// What the platform's settings tell of the fleet; machine types are told by the cloud later.
 pub fn known_fleet(settings: &Settings) -> KnownFleet {
     let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
-    let limits = settings.params.teams.iter().map(|t| (t.name.clone(), (limit(t.cpus_max), limit(t.gpus_max))));
+    let limits =
+        settings.params.teams.iter().map(|team| (team.name.clone(), (limit(team.cpus_max), limit(team.gpus_max))));
     KnownFleet { zones: settings.params.zones.iter().cloned().collect(), machines: None, team_limits: limits.collect() }
 }
 
 /// Reads and checks the file; the error is one line naming file, field and reason.
-pub fn load_pools(path: &Path, settings: &Settings) -> Result<PoolSettings, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))?;
-    parse_pools(&text, settings).map_err(|e| format!("{}: {e}", path.display()))
+pub fn load_pools(path: &Path, settings: &Settings) -> Result<PoolSettings, SettingsError> {
+    load(path, |text| parse_pools(text, settings))
 }
 
 /// The same of the file's text.
-pub(super) fn parse_pools(text: &str, settings: &Settings) -> Result<PoolSettings, String> {
+pub(super) fn parse_pools(text: &str, settings: &Settings) -> Result<PoolSettings, ContentError> {
     let pools: PoolSettings = hcl_text::parse(text, &NAMED_BLOCKS)?;
-    pools.check(&known_fleet(settings)).map_err(|e| e.to_string())?;
+    pools.check(&known_fleet(settings)).map_err(ContentError::WarmPools)?;
     let changes = settings.write_limits().commit_changes;
     if !pools.pools.is_empty() && changes < LEAST_CHANGES {
-        return Err(format!("params.state.txn_ops: must be at least {LEAST_CHANGES} with warm pools, is {changes}"));
+        let fault = Fault::BelowMinimumWith { minimum: LEAST_CHANGES, feature: "warm pools", actual: changes };
+        return Err(FieldError::new("params.state.txn_ops", fault).into());
     }
     Ok(pools)
 }
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -62,7 +62,7 @@
         ("pool \"counter\" {", "pool \"counter\" {}\npool \"counter\" {", "pool.counter: there are two of this name"),
     ] {
         assert!(FILE.contains(from), "{from}");
-        let refused = parse_pools(&FILE.replace(from, to), &settings()).unwrap_err();
+        let refused = parse_pools(&FILE.replace(from, to), &settings()).unwrap_err().to_string();
         assert!(refused.contains(told) && !refused.contains('\n'), "{refused}");
     }
 }
@@ -72,7 +72,7 @@
 fn a_state_service_with_too_small_commits_is_refused() {
     let mut small = settings();
     small.params.state.txn_ops = 5;
-    let refused = parse_pools(FILE, &small).unwrap_err();
+    let refused = parse_pools(FILE, &small).unwrap_err().to_string();
     assert!(refused.starts_with("params.state.txn_ops: "), "{refused}");
 }
 
