--- a/src/commands/borrowing.rs
+++ b/src/commands/borrowing.rs
@@ -1,8 +1,8 @@
 //! `badgerdrift loans`: shows loans between teams, through any controller.
 
 use crate::borrowing::{LoansRequest, LoansResponse};
-use crate::commands::configuration::CommandError;
 use crate::commands::controller_client::{ask, json_text, retry_later};
+use crate::commands::errors::{CommandError, NotDone};
 use crate::control::partition::LoansStatus;
 use crate::transport::peer::{PeerRequest, PeerResponse};
 use clap::Subcommand;
@@ -24,12 +24,12 @@
 pub async fn run(controller: SocketAddr, command: &LoansCommand) -> Result<String, CommandError> {
     let LoansCommand::Status { json } = command;
     let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(LoansRequest::Status)).await? else {
-        return Err(CommandError::NotDone("the controller knows no loans".into()));
+        return Err(NotDone::Feature("knows no loans").into());
     };
     match response {
         LoansResponse::Status(status) if *json => json_text(&status),
         LoansResponse::Status(status) => Ok(table(&status)),
-        LoansResponse::NoBorrowing => Err(CommandError::NotDone("the controller has no borrowing".into())),
+        LoansResponse::NoBorrowing => Err(NotDone::Feature("has no borrowing").into()),
         LoansResponse::RetryLater(after_s) => Err(retry_later(after_s)),
     }
 }
--- a/src/commands/configuration.rs
+++ b/src/commands/configuration.rs
@@ -1,9 +1,10 @@
 //! `badgerdrift config`: shows and changes the configuration that the regions of a fleet share,
 //! through any controller.
 
-use crate::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionStatus, Unavailable};
-use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::commands::controller_client::connect;
+use crate::commands::errors::{CommandError, InputError, NotDone};
+use crate::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionStatus};
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::{ChangeId, ChangeOutcome, DocumentName, VersionedDocument};
 use clap::Subcommand;
 use file::{document_text, read_changes};
@@ -15,8 +16,6 @@
 
 /// How long an answer is waited for: as long as a controller may try to reach an agreement.
 const ANSWER_LIMIT: Duration = Duration::from_secs(20);
-/// Life of a lease from which the limits of the connection follow.
-const CONNECTION_GRANT_MS: u64 = 20_000;
 
 /// What is asked of a controller.
 #[derive(Subcommand, Debug, Clone)]
@@ -48,24 +47,14 @@
     Status,
 }
 
-/// Why a command failed.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommandError {
-    /// The input is at fault; nothing was applied.
-    BadInput(String),
-    /// The change was not taken, or the controller gave no answer.
-    NotDone(String),
-}
-
-/// The way to the controller.
+/// The connection to the controller.
 struct Connection {
     peer: Peer,
 }
 
 /// Carries a command out through the controller at this internal address; what is to be printed.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
-    let limits = PeerLimits::for_leader_lease(CONNECTION_GRANT_MS);
-    let connection = Connection { peer: Peer::start_on(Net::default(), controller.to_string(), controller, limits) };
+    let connection = Connection { peer: connect(controller) };
     match command {
         ConfigCommand::Get { document: None } => connection.list().await,
         ConfigCommand::Get { document: Some(name) } => connection.get(name).await,
@@ -80,17 +69,17 @@
     async fn ask(&self, request: ConfigurationRequest) -> Result<ConfigurationResponse, CommandError> {
         match self.peer.request(PeerRequest::Configuration(request), ANSWER_LIMIT).await {
             Some(PeerResponse::Configuration(ConfigurationResponse::Unavailable(why))) => {
-                Err(CommandError::NotDone(reason(why).into()))
+                Err(NotDone::Unavailable(why).into())
             }
             Some(PeerResponse::Configuration(response)) => Ok(response),
-            Some(_) => Err(CommandError::NotDone("the controller has no shared configuration".into())),
-            None => Err(CommandError::NotDone("the controller does not answer".into())),
+            Some(_) => Err(NotDone::Feature("has no shared configuration").into()),
+            None => Err(NotDone::NoAnswer.into()),
         }
     }
 
     async fn list(&self) -> Result<String, CommandError> {
         let ConfigurationResponse::Documents(documents) = self.ask(ConfigurationRequest::Documents).await? else {
-            return Err(unexpected());
+            return Err(NotDone::UnexpectedAnswer.into());
         };
         Ok(documents.iter().map(|(name, version)| format!("{name} {version}\n")).collect())
     }
@@ -98,7 +87,7 @@
     async fn document(&self, name: DocumentName) -> Result<Option<VersionedDocument>, CommandError> {
         match self.ask(ConfigurationRequest::Document(name)).await? {
             ConfigurationResponse::Document(document) => Ok(document),
-            _ => Err(unexpected()),
+            _ => Err(NotDone::UnexpectedAnswer.into()),
         }
     }
 
@@ -106,22 +95,22 @@
         let parsed = match name.strip_prefix("team/") {
             Some(team) => DocumentName::Team(team.into()),
             None if name == "operator" => DocumentName::Operator,
-            None => return Err(CommandError::BadInput(format!("{name}: must be `operator` or `team/NAME`"))),
+            None => return Err(InputError::DocumentName(name.into()).into()),
         };
         match self.document(parsed).await? {
             Some(document) => Ok(document_text(&document)),
-            None => Err(CommandError::NotDone(format!("{name}: there is no such document"))),
+            None => Err(NotDone::NoSuchDocument(name.into()).into()),
         }
     }
 
     async fn apply(&self, file: &Path, id: Option<&str>) -> Result<String, CommandError> {
         let id = id.map_or_else(new_id, String::from);
         let change = read_changes(file)?.into_change(&id);
-        // Told before it is sent: with it the outcome can be asked for, whatever happens.
+        // Printed before it is sent: with it the outcome can be asked for, whatever happens.
         eprintln!("change {id}");
         match self.ask(ConfigurationRequest::Apply(change)).await? {
-            ConfigurationResponse::Outcome(outcome) => outcome_text(&id, outcome.as_ref()),
-            _ => Err(unexpected()),
+            ConfigurationResponse::Outcome(outcome) => outcome_text(&id, outcome),
+            _ => Err(NotDone::UnexpectedAnswer.into()),
         }
     }
 
@@ -142,36 +131,19 @@
 
     async fn outcome(&self, id: &str) -> Result<String, CommandError> {
         match self.ask(ConfigurationRequest::Outcome(ChangeId(id.into()))).await? {
-            ConfigurationResponse::Outcome(outcome) => outcome_text(id, outcome.as_ref()),
-            _ => Err(unexpected()),
+            ConfigurationResponse::Outcome(outcome) => outcome_text(id, outcome),
+            _ => Err(NotDone::UnexpectedAnswer.into()),
         }
     }
 
     async fn status(&self) -> Result<String, CommandError> {
         match self.ask(ConfigurationRequest::Status).await? {
             ConfigurationResponse::Status(regions) => Ok(regions.iter().map(status_line).collect()),
-            _ => Err(unexpected()),
+            _ => Err(NotDone::UnexpectedAnswer.into()),
         }
     }
 }
 
-fn unexpected() -> CommandError {
-    CommandError::NotDone("the controller gave another answer than expected".into())
-}
-
-fn reason(why: Unavailable) -> &'static str {
-    match why {
-        Unavailable::NotStarted => "the region has not begun to take part, or waits for the others to begin",
-        Unavailable::SettingsDiffer => "the regions' settings differ",
-        Unavailable::StateService => "the state service does not answer",
-        Unavailable::Indeterminate => {
-            "unclear: the change may still be taken; ask for its outcome, or apply it again with --id"
-        }
-        Unavailable::TooLarge => "the change does not fit into one version: divide it",
-        Unavailable::Busy => "the controller can't do more now",
-    }
-}
-
 fn status_line(status: &RegionStatus) -> String {
     let condition = match status.condition {
         RegionCondition::InForce => "in force".to_string(),
@@ -182,17 +154,15 @@
     format!("{} applied {} obeyed {} {condition}\n", status.region, status.version, status.applied_configuration)
 }
 
-fn outcome_text(id: &str, outcome: Option<&ChangeOutcome>) -> Result<String, CommandError> {
+fn outcome_text(id: &str, outcome: Option<ChangeOutcome>) -> Result<String, CommandError> {
     let refused = match outcome {
-        None => format!("{id}: not known; it may have been made too long ago, or not be agreed on"),
+        None => NotDone::UnknownChange { id: id.into() },
         Some(ChangeOutcome::Taken { version }) => return Ok(format!("taken in version {version}\n")),
-        Some(ChangeOutcome::Conflict { document, found }) => {
-            format!("{document}.version: it has changed meanwhile, in version {found}")
-        }
-        Some(ChangeOutcome::NotRead(document)) => format!("{document}.version: is missing"),
-        Some(ChangeOutcome::Invalid { document, error }) => format!("{document}.{}: {}", error.field, error.reason),
+        Some(ChangeOutcome::Conflict { document, found }) => NotDone::Conflict { document, found },
+        Some(ChangeOutcome::NotRead(document)) => NotDone::NotRead(document),
+        Some(ChangeOutcome::Invalid { document, error }) => NotDone::Invalid { document, error },
     };
-    Err(CommandError::NotDone(refused))
+    Err(refused.into())
 }
 
 fn new_id() -> String {
--- a/src/commands/configuration/file.rs
+++ b/src/commands/configuration/file.rs
@@ -1,6 +1,7 @@
 //! Files with changes of documents (HCL), and documents printed in the same form.
 
-use super::CommandError;
+use crate::commands::errors::{ChangesError, InputError};
+use crate::settings::hcl_text;
 use badgerdrift_fleet_config::{
     Amount, Amounts, Change, ChangeId, Document, OperatorDocument, ReadVersion, Share, TeamDocument, VersionedDocument,
 };
@@ -73,29 +74,27 @@
         Amounts { cpus: amount(self.cpus), gpus: amount(self.gpus) }
     }
 
-    fn check(&self, document: &str, field: &str) -> Result<(), CommandError> {
+    fn check(&self, document: &str, field: &'static str) -> Result<(), ChangesError> {
         let sound = |number: &f64| number.is_finite() && *number >= 0.0 && *number * MILLI < Amount::UNLIMITED.0 as f64;
         match [self.cpus, self.gpus].iter().flatten().all(sound) {
             true => Ok(()),
-            false => Err(CommandError::BadInput(format!("{document}.{field}: must be 0 or more"))),
+            false => Err(ChangesError::Amount { document: document.into(), field }),
         }
     }
 }
 
-pub(super) fn read_changes(file: &Path) -> Result<ChangesFile, CommandError> {
-    let at = |error: String| CommandError::BadInput(format!("{}: {error}", file.display()));
-    let text = std::fs::read_to_string(file).map_err(|error| at(error.to_string()))?;
-    parse_changes(&text).map_err(|error| match error {
-        CommandError::BadInput(error) => at(error),
-        other => other,
-    })
+/// Reads and checks a file of changes.
+pub(super) fn read_changes(file: &Path) -> Result<ChangesFile, InputError> {
+    let text =
+        std::fs::read_to_string(file).map_err(|source| InputError::Unreadable { file: file.to_path_buf(), source })?;
+    parse_changes(&text).map_err(|source| InputError::File { file: file.to_path_buf(), source })
 }
 
-pub(super) fn parse_changes(text: &str) -> Result<ChangesFile, CommandError> {
-    let one_line = |error: hcl::Error| error.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
-    let changes: ChangesFile = hcl::from_str(text).map_err(|error| CommandError::BadInput(one_line(error)))?;
+/// The same of the file's text.
+pub(super) fn parse_changes(text: &str) -> Result<ChangesFile, ChangesError> {
+    let changes: ChangesFile = hcl_text::parse(text, &[])?;
     if changes.team.is_empty() && changes.operator.is_none() {
-        return Err(CommandError::BadInput("team: no document is changed".into()));
+        return Err(ChangesError::Empty);
     }
     for (name, team) in &changes.team {
         let document = format!("team/{name}");
@@ -109,8 +108,7 @@
     for (document, _) in changes.documents() {
         let regions: Vec<String> = changes.team.values().flat_map(|team| team.share.keys().cloned()).collect();
         if let Err(error) = document.check(&regions) {
-            let name = document.name();
-            return Err(CommandError::BadInput(format!("{name}.{}: {}", error.field, error.reason)));
+            return Err(ChangesError::Document { document: document.name(), error });
         }
     }
     Ok(changes)
--- a/src/commands/configuration/tests.rs
+++ b/src/commands/configuration/tests.rs
@@ -1,6 +1,5 @@
 //! Tests of the files that `apply` takes.
 
-use super::CommandError;
 use super::file::{document_text, parse_changes};
 use badgerdrift_fleet_config::VersionedDocument;
 
@@ -46,9 +45,10 @@
     ];
     for (before, after, expected) in cases {
         assert!(CHANGES.contains(before), "{before}");
-        let Err(CommandError::BadInput(error)) = parse_changes(&CHANGES.replacen(before, after, 1)) else {
+        let Err(error) = parse_changes(&CHANGES.replacen(before, after, 1)) else {
             panic!("{after:?} is taken");
         };
+        let error = error.to_string();
         assert!(error.contains(expected), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -3,4 +3,5 @@
 pub mod borrowing;
 pub mod configuration;
 pub mod controller_client;
+pub mod errors;
 pub mod warm_pools;
--- a/src/commands/warm_pools.rs
+++ b/src/commands/warm_pools.rs
@@ -1,7 +1,7 @@
 //! `badgerdrift pools`: shows warm pools and their bills, through any controller.
 
-use crate::commands::configuration::CommandError;
 use crate::commands::controller_client::{ask, json_text, retry_later};
+use crate::commands::errors::{CommandError, InputError, NotDone};
 use crate::transport::peer::{PeerRequest, PeerResponse};
 use crate::warm_pools::{BillRow, PoolsRequest, PoolsResponse};
 use badgerdrift_warm_pools::PoolStatus;
@@ -44,14 +44,14 @@
 pub async fn run(controller: SocketAddr, command: &PoolsCommand) -> Result<String, CommandError> {
     let request = request(command)?;
     let PeerResponse::Pools(response) = ask(controller, PeerRequest::Pools(request)).await? else {
-        return Err(CommandError::NotDone("the controller knows no pools".into()));
+        return Err(NotDone::Feature("knows no pools").into());
     };
     match (response, command) {
         (PoolsResponse::Status(pools), PoolsCommand::Status { json: true }) => json_text(&pools),
         (PoolsResponse::Status(pools), _) => Ok(status_table(&pools)),
         (PoolsResponse::Bill(rows), PoolsCommand::Bill { json: true, .. }) => json_text(&rows),
         (PoolsResponse::Bill(rows), _) => Ok(bill_table(&rows)),
-        (PoolsResponse::NoPools, _) => Err(CommandError::NotDone("the controller has no warm pools".into())),
+        (PoolsResponse::NoPools, _) => Err(NotDone::Feature("has no warm pools").into()),
         (PoolsResponse::RetryLater(after_s), _) => Err(retry_later(after_s)),
     }
 }
@@ -63,19 +63,15 @@
             check_day("--from", from)?;
             check_day("--to", to)?;
             if to < from {
-                return Err(CommandError::BadInput(format!("--to: {to} is before {from}")));
+                return Err(InputError::DaysReversed { from: from.clone(), to: to.clone() }.into());
             }
             Ok(PoolsRequest::Bill { from: from.clone(), to: to.clone(), team: team.clone() })
         }
     }
 }
 
-fn check_day(field: &str, day: &str) -> Result<(), CommandError> {
-    if badgerdrift_warm_pools::is_day(day) {
-        Ok(())
-    } else {
-        Err(CommandError::BadInput(format!("{field}: {day} is no day such as 2026-12-02")))
-    }
+fn check_day(argument: &'static str, day: &str) -> Result<(), InputError> {
+    if badgerdrift_warm_pools::is_day(day) { Ok(()) } else { Err(InputError::Day { argument, value: day.into() }) }
 }
 
 fn status_table(pools: &[PoolStatus]) -> String {
--- a/src/commands/warm_pools/tests.rs
+++ b/src/commands/warm_pools/tests.rs
@@ -12,7 +12,8 @@
         (bill("2026-12-02", "2026-13-02"), "--to: "),
         (bill("2026-12-02", "2026-12-01"), "--to: "),
     ] {
-        let Err(CommandError::BadInput(told)) = request(&command) else { panic!("{command:?} is taken") };
-        assert!(told.starts_with(field), "{told}");
+        let Err(CommandError::BadInput(error)) = request(&command) else { panic!("{command:?} is taken") };
+        let error = error.to_string();
+        assert!(error.starts_with(field), "{error}");
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,8 @@
 //! The program: command line, logging, runtime.
 
 use badgerdrift::commands::borrowing::LoansCommand;
-use badgerdrift::commands::configuration::{CommandError, ConfigCommand};
+use badgerdrift::commands::configuration::ConfigCommand;
+use badgerdrift::commands::errors::CommandError;
 use badgerdrift::commands::warm_pools::PoolsCommand;
 use badgerdrift::configuration;
 use badgerdrift::control::node::{self, Subsystems};
@@ -125,9 +126,9 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(r) => r,
-        Err(e) => {
-            eprintln!("badgerdrift: no runtime: {e}");
+        Ok(runtime) => runtime,
+        Err(error) => {
+            eprintln!("badgerdrift: no runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -138,13 +139,13 @@
             ExitCode::SUCCESS
         }),
         Command::Config { controller, command } => {
-            told(runtime.block_on(commands::configuration::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::configuration::run(controller, &command)))
         }
         Command::Pools { controller, command } => {
-            told(runtime.block_on(commands::warm_pools::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::warm_pools::run(controller, &command)))
         }
         Command::Loans { controller, command } => {
-            told(runtime.block_on(commands::borrowing::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::borrowing::run(controller, &command)))
         }
     }
 }
@@ -159,18 +160,20 @@
     }
 }
 
-/// Prints what a command has to tell.
-fn told(result: Result<String, CommandError>) -> ExitCode {
-    let (error, status) = match result {
+/// Prints the output of a command, or why it failed.
+fn print_outcome(outcome: Result<String, CommandError>) -> ExitCode {
+    let error = match outcome {
         Ok(text) => {
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        Err(CommandError::BadInput(error)) => (error, ExitCode::from(BAD_INPUT)),
-        Err(CommandError::NotDone(error)) => (error, ExitCode::FAILURE),
+        Err(error) => error,
     };
     eprintln!("badgerdrift: {error}");
-    status
+    match error {
+        CommandError::BadInput(_) => ExitCode::from(BAD_INPUT),
+        CommandError::NotDone(_) => ExitCode::FAILURE,
+    }
 }
 
 fn serve(runtime: &tokio::runtime::Runtime, loaded: Loaded) -> ExitCode {
@@ -186,8 +189,8 @@
     }
     match runtime.block_on(node::run(loaded.settings, loaded.operator, loaded.subsystems)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("badgerdrift: a port can't be opened: {e}");
+        Err(error) => {
+            eprintln!("badgerdrift: a port can't be opened: {error}");
             ExitCode::FAILURE
         }
     }
