--- a/src/api/ended_jobs.rs
+++ b/src/api/ended_jobs.rs
@@ -70,7 +70,7 @@
         if answer.status != 200 {
             return;
         }
-        if let Some((end, done)) = wire::told_end(&answer.body) {
+        if let Some((end, done)) = wire::stated_end(&answer.body) {
             self.insert(id, EndedJob { end, done });
         }
     }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -22,9 +22,9 @@
         // What is malformed needs no leader to say so.
         let spec = match wire::parse_submission(&body) {
             Ok(spec) => spec,
-            Err(e) => {
-                let refusal = Response::error(400, &e.message);
-                return match e.id {
+            Err(malformed) => {
+                let refusal = Response::error(400, &malformed.to_string());
+                return match malformed.id {
                     Some(id) => self.unless_known(&id, refusal).await,
                     None => refusal,
                 };
--- a/src/control/partition/users.rs
+++ b/src/control/partition/users.rs
@@ -15,7 +15,7 @@
     pub fn submit(&mut self, body: &[u8], now: u64, wall: u64, waiter: Waiter) {
         let (id, spec) = match wire::parse_submission(body) {
             Ok(spec) => (Some(spec.id.clone()), Ok(spec)),
-            Err(e) => (e.id, Err(e.message)),
+            Err(malformed) => (malformed.id, Err(malformed.reason.to_string())),
         };
         // A known id is answered before any judgement of the rest.
         if let Some(&job_index) = id.as_ref().and_then(|id| self.cluster.job_index.get(id)) {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -2,6 +2,7 @@
 
 mod cloud;
 mod state_service;
+mod submission;
 mod user;
 mod worker;
 
@@ -9,7 +10,8 @@
 pub use state_service::{
     Change, Changes, Item, Page, Revision, StateLease, commit_body, condition, delete, grant_body, put, store,
 };
-pub use user::{MAX_TASKS, Malformed, is_job_id, job_answer, parse_submission, told_end};
+pub use submission::{FieldFault, MAX_TASKS, Malformed, SubmissionError, is_job_id, parse_submission};
+pub use user::{job_answer, stated_end};
 pub use worker::{DO_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, orders, redirect};
 
 #[cfg(test)]
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -45,18 +45,18 @@
         ("flush_s", json!(null)),
         ("due_s", json!(-1)),
     ] {
-        let mut v = submission();
-        v[field] = value;
-        let e = parse_submission(v.to_string().as_bytes()).unwrap_err();
-        assert!(e.message.starts_with(field), "{field}: {}", e.message);
-        assert_eq!(e.id.as_deref(), Some("run-000412"));
+        let mut body = submission();
+        body[field] = value;
+        let malformed = parse_submission(body.to_string().as_bytes()).unwrap_err();
+        assert!(malformed.to_string().starts_with(field), "{field}: {malformed}");
+        assert_eq!(malformed.id.as_deref(), Some("run-000412"));
     }
 }
 
 #[test]
 fn what_is_no_job_is_refused_without_an_id() {
     for body in ["", "[]", "3", "{", "{\"id\":7}", "{\"id\":\"job-000001\"}", "{\"id\":\"run-1\"}"] {
-        let e = parse_submission(body.as_bytes()).unwrap_err();
-        assert!(e.id.is_none(), "{body}");
+        let malformed = parse_submission(body.as_bytes()).unwrap_err();
+        assert!(malformed.id.is_none(), "{body}");
     }
 }
