--- a/src/main.rs
+++ b/src/main.rs
@@ -1,15 +1,17 @@
 //! The program: command line, logging, runtime.
 
 use badgerdrift::commands::borrowing::LoansCommand;
-use badgerdrift::commands::configuration::{CommandError, ConfigCommand};
+use badgerdrift::commands::configuration::ConfigCommand;
+use badgerdrift::commands::errors::CommandError;
 use badgerdrift::commands::warm_pools::PoolsCommand;
 use badgerdrift::configuration;
 use badgerdrift::control::node::{self, Subsystems};
+use badgerdrift::settings::{ContentError, Fault, FieldError, SettingsError};
 use badgerdrift::transport::network::Net;
 use badgerdrift::{borrowing, commands, settings, warm_pools};
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
 
@@ -72,7 +74,7 @@
     borrowing: Option<PathBuf>,
 }
 
-/// What the files tell.
+/// The content of the files.
 struct Loaded {
     settings: settings::Settings,
     operator: settings::Operator,
@@ -81,37 +83,52 @@
     pools_file: Option<PathBuf>,
 }
 
+/// Why the files can't be used.
+#[derive(Debug, thiserror::Error)]
+enum FilesError {
+    /// One of them can't.
+    #[error(transparent)]
+    File(#[from] SettingsError),
+    /// A setting does not go with a file that is given.
+    #[error(transparent)]
+    Combination(#[from] FieldError),
+}
+
 impl Files {
-    fn load(&self) -> Result<Loaded, String> {
+    fn load(&self) -> Result<Loaded, FilesError> {
         let settings = settings::load_settings(&self.config)?;
-        let operator =
-            self.operator.as_deref().map_or_else(|| Ok(Default::default()), |p: &Path| settings::load_operator(p))?;
+        let operator = self.operator.as_deref().map(settings::load_operator).transpose()?.unwrap_or_default();
         let fleet = self.fleet.as_deref().map(configuration::load_fleet).transpose()?;
         if fleet.is_some() && operator.partitions > 1 {
-            return Err("partitions: must be 1 with a fleet of several regions".into());
+            return Err(one_partition_with("a fleet of several regions").into());
         }
-        let warm_pools = self.warm_pools.as_deref().map(|p| warm_pools::load_pools(p, &settings)).transpose()?;
+        let warm_pools = self.warm_pools.as_deref().map(|file| warm_pools::load_pools(file, &settings)).transpose()?;
         if warm_pools.is_some() && operator.partitions > 1 {
-            return Err("partitions: must be 1 with warm pools".into());
+            return Err(one_partition_with("warm pools").into());
         }
-        let borrowing = self.borrowing.as_deref().map(|p| borrowing::load_borrowing(p, &settings)).transpose()?;
+        let borrowing = self.borrowing.as_deref().map(|file| borrowing::load_borrowing(file, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
-            return Err(format!("{}: partitions: must be 1 with borrowing", file.display()));
+            let source = one_partition_with("borrowing").into();
+            return Err(SettingsError::Invalid { file: file.clone(), source }.into());
         }
         let pools_file = self.warm_pools.clone();
         Ok(Loaded { settings, operator, subsystems: Subsystems { fleet, warm_pools, borrowing }, pools_file })
     }
 }
 
+fn one_partition_with(feature: &'static str) -> FieldError {
+    FieldError::new("partitions", Fault::NotOneWith { feature })
+}
+
 /// Exit status for input that is not sound.
 const BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(r) => r,
-        Err(e) => {
-            eprintln!("badgerdrift: no runtime: {e}");
+        Ok(runtime) => runtime,
+        Err(error) => {
+            eprintln!("badgerdrift: no runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -122,13 +139,13 @@
             ExitCode::SUCCESS
         }),
         Command::Config { controller, command } => {
-            told(runtime.block_on(commands::configuration::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::configuration::run(controller, &command)))
         }
         Command::Pools { controller, command } => {
-            told(runtime.block_on(commands::warm_pools::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::warm_pools::run(controller, &command)))
         }
         Command::Loans { controller, command } => {
-            told(runtime.block_on(commands::borrowing::run(controller, &command)))
+            print_outcome(runtime.block_on(commands::borrowing::run(controller, &command)))
         }
     }
 }
@@ -143,18 +160,20 @@
     }
 }
 
-/// Prints what a command has to tell.
-fn told(result: Result<String, CommandError>) -> ExitCode {
-    let (error, status) = match result {
+/// Prints the output of a command, or why it failed.
+fn print_outcome(outcome: Result<String, CommandError>) -> ExitCode {
+    let error = match outcome {
         Ok(text) => {
             print!("{text}");
             return ExitCode::SUCCESS;
         }
-        Err(CommandError::BadInput(error)) => (error, ExitCode::from(BAD_INPUT)),
-        Err(CommandError::NotDone(error)) => (error, ExitCode::FAILURE),
+        Err(error) => error,
     };
     eprintln!("badgerdrift: {error}");
-    status
+    match error {
+        CommandError::BadInput(_) => ExitCode::from(BAD_INPUT),
+        CommandError::NotDone(_) => ExitCode::FAILURE,
+    }
 }
 
 fn serve(runtime: &tokio::runtime::Runtime, loaded: Loaded) -> ExitCode {
@@ -170,16 +189,16 @@
     }
     match runtime.block_on(node::run(loaded.settings, loaded.operator, loaded.subsystems)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("badgerdrift: a port can't be opened: {e}");
+        Err(error) => {
+            eprintln!("badgerdrift: a port can't be opened: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Checks what only the cloud can tell of the pools' file, if there is one.
-async fn check_machine_types(loaded: &Loaded) -> Result<(), String> {
+/// Checks the machine types in the pools' file, if there is one, against those of the cloud.
+async fn check_machine_types(loaded: &Loaded) -> Result<(), SettingsError> {
     let (Some(pools), Some(file)) = (&loaded.subsystems.warm_pools, &loaded.pools_file) else { return Ok(()) };
     let checked = warm_pools::check_machine_types(&Net::default(), &loaded.settings, pools).await;
-    checked.map_err(|error| format!("{}: {error}", file.display()))
+    checked.map_err(|error| SettingsError::Invalid { file: file.clone(), source: ContentError::WarmPools(error) })
 }
