--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -113,7 +113,8 @@
 fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[InstanceKind], now: u64) -> JobDemand {
     let spec = &job.spec;
     let fits = |kind: &InstanceKind| {
-        kind.instance_type.is_some_and(|instance_type| spec.allows_flavor(&cluster.instance_types[instance_type]))
+        kind.instance_type
+            .is_some_and(|instance_type| spec.allows_instance_type(&cluster.instance_types[instance_type]))
             && spec.allows_zone(&kind.zone)
             && (spec.spot || !kind.spot)
     };
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -99,7 +99,8 @@
 
     /// How long a job is expected to take once it may start: its image, the start and the run.
     fn duration_ms(&self, spec: &Spec) -> u64 {
-        let allowed = self.cluster.instance_types.iter().filter(|instance_type| spec.allows_flavor(instance_type));
+        let allowed =
+            self.cluster.instance_types.iter().filter(|instance_type| spec.allows_instance_type(instance_type));
         let slowest = allowed.map(|instance_type| instance_type.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
         let fetch_s = spec.image_gb / slowest.max(LEAST_FETCH_GB_PER_S);
         ((spec.expected_s + fetch_s) * 1000.0) as u64 + self.policy.react_ms
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -121,7 +121,7 @@
     /// Do all teams keep to their limits, whatever machines that are not reconciled may hold?
     pub fn teams_within_limits(&self, now: u64) -> bool {
         let mut used = scheduling::Index::new(&self.cluster, now).usage;
-        for (team, unseen) in self.cluster.unseen() {
+        for (team, unseen) in self.cluster.unlocated_demand() {
             used.entry(team).or_default().add(&unseen);
         }
         let none = scheduling::TeamRule::default();
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -22,7 +22,7 @@
         for (name, pool) in pools {
             while let Some(host_index) = self.place_for_slot(&index, &name, &pool, now) {
                 self.begin_slot(host_index, &name, &pool, now);
-                index.slots[host_index].free.sub(&demand(&pool.amounts()));
+                index.hosts[host_index].free.sub(&demand(&pool.amounts()));
             }
         }
         self.reserve_warm_capacity();
@@ -52,12 +52,12 @@
         }
         let there = hosts_of(&self.cluster, own, name);
         let mut by_zone: HashMap<usize, usize> = HashMap::new();
-        there.iter().for_each(|host| *by_zone.entry(index.slots[*host].zone).or_default() += 1);
+        there.iter().for_each(|host| *by_zone.entry(index.hosts[*host].zone).or_default() += 1);
         let most_in_zone = if pool.spread { pool.most_wanted().div_ceil(2) } else { usize::MAX };
         let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
         let moment = own.moment(now);
         let suits = |(host_index, host): &(HostIndex, &Host)| {
-            let slot = &index.slots[*host_index];
+            let slot = &index.hosts[*host_index];
             slot.usable
                 && slot.reservations == 0
                 && demand(&pool.amounts()).fits(&slot.free)
@@ -66,7 +66,7 @@
                 && own.pools.may_begin(name, self.price_on(pool, host), moment) > 0
         };
         let rank = |(host_index, host): &(HostIndex, &Host)| {
-            let zone = by_zone.get(&index.slots[*host_index].zone).copied().unwrap_or(0);
+            let zone = by_zone.get(&index.hosts[*host_index].zone).copied().unwrap_or(0);
             (Reverse(has_image(host, image)), if pool.spread { zone } else { 0 }, host.attempts.is_empty(), *host_index)
         };
         self.cluster.each_host().filter(suits).min_by_key(rank).map(|(host_index, _)| host_index)
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -67,8 +67,8 @@
     pub exhausted: Vec<usize>,
     /// Work with accelerators found no room in the last cycle, and may not wait long.
     pub accelerators_short: bool,
-    /// When a scheduling cycle last left work without room.
-    pub waited_ms: u64,
+    /// Steady time of the last scheduling cycle that left a job pending.
+    pub last_pending_ms: u64,
     /// What machines that are not reconciled may hold.
     pub unreconciled: Demand,
     /// Their kinds, each one once.
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -96,11 +96,11 @@
     /// The attempt of a gang that is starting or running.
     pub gang_attempt: u64,
     /// Steady time until which room is held for the gang; 0 if none is.
-    pub hold_until_ms: u64,
+    pub gang_reserved_until_ms: u64,
     /// Steady time before which no room is held again after a hold in vain; 0 if there was none.
-    pub no_hold_until_ms: u64,
+    pub gang_backoff_until_ms: u64,
     /// Until when it waits for room next to its image; 0 if it does not yet.
-    pub soon_until_ms: u64,
+    pub image_wait_until_ms: u64,
     /// Accepted in this fencing token: no earlier leader can have started its tasks.
     pub fresh: bool,
     /// Its user has asked for its cancellation, which is said once all its tasks are gone.
@@ -133,9 +133,9 @@
             done: 0,
             recorded_done: Vec::new(),
             gang_attempt: 0,
-            hold_until_ms: 0,
-            no_hold_until_ms: 0,
-            soon_until_ms: 0,
+            gang_reserved_until_ms: 0,
+            gang_backoff_until_ms: 0,
+            image_wait_until_ms: 0,
             fresh: false,
             cancelling: false,
             failed_on: HashSet::new(),
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -97,7 +97,7 @@
         }
     }
     /// May its tasks run on this machine type, and do they fit?
-    pub fn allows_flavor(&self, instance_type: &InstanceType) -> bool {
+    pub fn allows_instance_type(&self, instance_type: &InstanceType) -> bool {
         self.instance_types.as_ref().is_none_or(|f| f.contains(&instance_type.name))
             && self.demand.fits(&instance_type.cap)
     }
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// The cost of stopping a job that gave way lately: any other is stopped before it.
-const QUIET_JOB_COST: f64 = 1000.0;
+const GAVE_WAY_LATELY_COST: f64 = 1000.0;
 
 /// Why an attempt is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -123,7 +123,7 @@
 
     /// May the attempt move for a job of another team? It counts for its team no more until it
     /// runs again.
-    pub(super) fn may_move(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
+    pub(super) fn may_migrate(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
         self.cluster.borrowing.is_none()
             || self.same_team(job_index, attempt.key.job)
             || self.keeps_floor(attempt.key.job, planned)
@@ -267,14 +267,14 @@
     }
 
     /// Did the job give way lately?
-    pub(super) fn is_quiet(&self, job_index: JobIndex) -> bool {
+    pub(super) fn gave_way_lately(&self, job_index: JobIndex) -> bool {
         self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
     }
 
     /// Seconds of work that are lost if the attempt is stopped.
     pub(super) fn lost_s(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
-        let instance_type = &self.cluster.instance_types[self.index.slots[host_index].instance_type];
+        let instance_type = &self.cluster.instance_types[self.index.hosts[host_index].instance_type];
         let rate = instance_type.fetch_gb_per_s;
         StoppedWork {
             ran_s: self.now.saturating_sub(attempt.since_ms) as f64 / 1000.0,
@@ -290,7 +290,7 @@
     /// as a stopped task.
     pub(super) fn loan_cost(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let lease_s = self.policy.lease_ms as f64 / 1000.0;
-        let quiet = if self.is_quiet(attempt.key.job) { QUIET_JOB_COST } else { 0.0 };
+        let quiet = if self.gave_way_lately(attempt.key.job) { GAVE_WAY_LATELY_COST } else { 0.0 };
         quiet + self.lost_s(attempt, host_index) / lease_s
     }
 
@@ -301,8 +301,8 @@
             return most;
         }
         let mut taken = self.index.usage.get(&spec.team).copied().unwrap_or_default();
-        taken.add(&self.unseen.get(&spec.team).copied().unwrap_or_default());
-        taken.add(&self.claimed_by_team(&spec.team));
+        taken.add(&self.unlocated_demand.get(&spec.team).copied().unwrap_or_default());
+        taken.add(&self.reserved_by_team(&spec.team));
         let mut left = team.limit;
         left.sub(&taken);
         let fits = left.slots(&Demand { mem: 0.0, ..spec.demand });
--- a/src/scheduling/cycle/ending.rs
+++ b/src/scheduling/cycle/expected_releases.rs
@@ -6,7 +6,7 @@
 
 /// Tasks of one size that are expected to end before a stop would show its effect.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct EndingTasks {
+pub(super) struct ExpectedReleases {
     demand: Demand,
     /// Expected number, less those whose room was counted for waiting work in this cycle.
     count: f64,
@@ -16,30 +16,33 @@
     /// How many of `tasks` tasks will find room where others end by themselves, at least as
     /// soon as stops would make it. That room counts once in a scheduling cycle, and only while at least
     /// half of the guarantee's time is left: more urgent work may be quicker to take it.
-    pub(super) fn tasks_with_ending_room(&mut self, request: &PlacementRequest, tasks: usize) -> usize {
+    pub(super) fn tasks_covered_by_releases(&mut self, request: &PlacementRequest, tasks: usize) -> usize {
         let react_s = self.policy.react_ms as f64 / 1000.0;
-        let enough_time = match (request.guarantee_s, self.policy.guarantee_s) {
+        let enough_time = match (request.guarantee_left_s, self.policy.guarantee_s) {
             (Some(left_s), Some(within_s)) => left_s >= within_s / 2.0,
-            _ => self.cluster.borrowing.is_some() && request.wait_s.is_some_and(|left_s| left_s >= 2.0 * react_s),
+            _ => {
+                self.cluster.borrowing.is_some()
+                    && request.objective_left_s.is_some_and(|left_s| left_s >= 2.0 * react_s)
+            }
         };
         if !enough_time {
             return 0;
         }
-        let mut ending = self.ending.take().unwrap_or_else(|| self.count_ending());
+        let mut releases = self.expected_releases.take().unwrap_or_else(|| self.expected_releases_by_size());
         let mut found = 0;
-        for group in ending.iter_mut().filter(|group| request.requirements.demand.fits(&group.demand)) {
+        for group in releases.iter_mut().filter(|group| request.requirements.demand.fits(&group.demand)) {
             let taken = (group.count as usize).min(tasks - found);
             group.count -= taken as f64;
             found += taken;
         }
-        self.ending = Some(ending);
+        self.expected_releases = Some(releases);
         found
     }
 
     /// The array tasks expected to end within the time that an order takes to show, by size.
-    fn count_ending(&self) -> Vec<EndingTasks> {
+    fn expected_releases_by_size(&self) -> Vec<ExpectedReleases> {
         let react_s = self.policy.react_ms as f64 / 1000.0;
-        let mut ending: Vec<EndingTasks> = Vec::new();
+        let mut releases: Vec<ExpectedReleases> = Vec::new();
         for job_index in &self.cluster.live {
             let spec = &self.cluster.jobs[*job_index].spec;
             if spec.shape != Shape::Batch || spec.expected_s <= 0.0 {
@@ -47,11 +50,11 @@
             }
             let running = self.index.hosts_of(*job_index).count() as f64;
             let count = running * (react_s / spec.expected_s).min(1.0);
-            match ending.iter_mut().find(|group| group.demand == spec.demand) {
+            match releases.iter_mut().find(|group| group.demand == spec.demand) {
                 Some(group) => group.count += count,
-                None => ending.push(EndingTasks { demand: spec.demand, count }),
+                None => releases.push(ExpectedReleases { demand: spec.demand, count }),
             }
         }
-        ending
+        releases
     }
 }
--- a/src/scheduling/cycle/room.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -3,12 +3,12 @@
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
-use super::displacement::Vacancy;
 use super::planned_stops::PlannedStops;
-use super::preemption::PreemptionScope;
+use super::preemption_eligibility::PreemptionScope;
 use super::queue::QueueTier;
 use super::request::PlacementRequest;
-use super::reservations::HOLD_REACTIONS;
+use super::reservations::RESERVATION_REACTIONS;
+use super::victims::PreemptionPlan;
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
 use crate::scheduling::index::{TaskRequirements, ZoneCounts};
 
@@ -33,52 +33,52 @@
     /// as the guarantee covers, and no more.
     pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
-        if self.known_in_vain(request, scope) {
+        if self.known_blocked(request, scope) {
             return;
         }
         let mut counts = self.index.counts(request.job_index);
         let waiting = self.waiting_tasks(request);
-        let mut left = waiting.saturating_sub(self.claims_of_use(request, &mut counts));
+        let mut left = waiting.saturating_sub(self.keep_usable_reservations(request, &mut counts));
         if self.cluster.borrowing.is_some() {
             left = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, left);
-            left -= self.tasks_with_ending_room(request, left);
+            left -= self.tasks_covered_by_releases(request, left);
         }
         let guaranteed = match scope {
             PreemptionScope::None => 0,
             _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, left),
         };
         let to_be_stopped_for = match scope {
-            PreemptionScope::Begun => guaranteed - self.tasks_with_ending_room(request, guaranteed),
+            PreemptionScope::RecentlyStarted => guaranteed - self.tasks_covered_by_releases(request, guaranteed),
             _ => guaranteed,
         };
-        self.make_room_within(request, scope, &mut counts, to_be_stopped_for);
+        self.preempt_within(request, scope, &mut counts, to_be_stopped_for);
         if request.tier == QueueTier::Ordinary {
-            self.make_room_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
+            self.preempt_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
         }
     }
 
     /// The same for so many tasks, where equal work may be stopped as far as `scope` says.
-    fn make_room_within(
+    fn preempt_within(
         &mut self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         counts: &mut ZoneCounts,
         tasks: usize,
     ) {
-        if tasks == 0 || self.known_in_vain(request, scope) {
+        if tasks == 0 || self.known_blocked(request, scope) {
             return;
         }
-        let mut costs = self.room_costs(request, scope);
+        let mut costs = self.preemption_costs(request, scope);
         if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
-            self.note_in_vain(request, scope);
+            self.note_blocked(request, scope);
         }
         // The least cost last.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        self.take_cheapest(request, scope, costs, counts, tasks);
+        self.preempt_cheapest(request, scope, costs, counts, tasks);
     }
 
     /// Was it in vain for a job like this one? Then it is so again.
-    pub(super) fn known_in_vain(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
+    pub(super) fn known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
         let job = &self.cluster.jobs[request.job_index];
         self.blocked.iter().any(|w| {
             w.urgency >= job.urgency
@@ -89,11 +89,11 @@
         })
     }
 
-    pub(super) fn note_in_vain(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
+    pub(super) fn note_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
         let job = &self.cluster.jobs[request.job_index];
         let (urgency, team) = (job.urgency, job.spec.team.clone());
         // How far a job may go for its guarantee depends on its image, too.
-        let image = (scope == PreemptionScope::Begun).then(|| request.image.clone());
+        let image = (scope == PreemptionScope::RecentlyStarted).then(|| request.image.clone());
         self.blocked.push(BlockedRequirements {
             requirements: request.requirements.clone(),
             urgency,
@@ -112,16 +112,16 @@
     }
 
     /// What room for a task would cost on each machine where it can be made.
-    pub(super) fn room_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
+    pub(super) fn preemption_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
         let none = ZoneCounts::default();
         let mut costs = Vec::new();
-        for (host, slot) in self.index.slots.iter().enumerate() {
+        for (host, slot) in self.index.hosts.iter().enumerate() {
             let left_to_others =
                 request.without_accelerators && self.cluster.instance_types[slot.instance_type].cap.gpus > 0.0;
-            if !request.requirements.takes(slot, &none) || left_to_others {
+            if !request.requirements.accepts(slot, &none) || left_to_others {
                 continue;
             }
-            if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
+            if let Some(PreemptionPlan { cost, .. }) = self.plan_for_task(request, scope, host) {
                 costs.push(Candidate { cost, host });
             }
         }
@@ -130,7 +130,7 @@
 
     /// Makes room for so many tasks. Each machine was looked at once, and is again when
     /// its turn comes: what was done for the tasks before may have made it dearer.
-    fn take_cheapest(
+    fn preempt_cheapest(
         &mut self,
         request: &PlacementRequest,
         scope: PreemptionScope,
@@ -141,40 +141,45 @@
         while left > 0
             && let Some(Candidate { host, .. }) = costs.pop()
         {
-            if !request.requirements.takes(&self.index.slots[host], counts) {
+            if !request.requirements.accepts(&self.index.hosts[host], counts) {
                 continue;
             }
-            let Some(vacancy) = self.room_at(request, scope, host) else { continue };
+            let Some(vacancy) = self.plan_for_task(request, scope, host) else { continue };
             if costs.last().is_some_and(|next| next.cost < vacancy.cost) {
                 insert_by_cost(&mut costs, Candidate { cost: vacancy.cost, host });
                 continue;
             }
             left -= 1;
-            counts.add(self.index.slots[host].zone);
-            self.clear(request, host, &vacancy.departures);
-            let until_ms = self.now + HOLD_REACTIONS * self.policy.react_ms;
-            self.claim(host, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
-            if let Some(Vacancy { cost, .. }) = self.room_at(request, scope, host) {
+            counts.add(self.index.hosts[host].zone);
+            self.execute_preemption(request, host, &vacancy.evictions);
+            let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
+            self.reserve(host, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
+            if let Some(PreemptionPlan { cost, .. }) = self.plan_for_task(request, scope, host) {
                 insert_by_cost(&mut costs, Candidate { cost, host });
             }
         }
     }
 
     /// What room for one more task would cost on a machine, and what has to leave it.
-    fn room_at(&self, request: &PlacementRequest, scope: PreemptionScope, host_index: HostIndex) -> Option<Vacancy> {
-        self.room_for_tasks(request, scope, host_index, 1, &PlannedStops::default())
+    fn plan_for_task(
+        &self,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
+        host_index: HostIndex,
+    ) -> Option<PreemptionPlan> {
+        self.plan_for_tasks(request, scope, host_index, 1, &PlannedStops::default())
     }
 
     /// The same for several tasks together, beside stops that are planned for the same start.
-    pub(super) fn room_for_tasks(
+    pub(super) fn plan_for_tasks(
         &self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         host_index: HostIndex,
         tasks: u32,
         planned: &PlannedStops,
-    ) -> Option<Vacancy> {
-        let s = &self.index.slots[host_index];
+    ) -> Option<PreemptionPlan> {
+        let s = &self.index.hosts[host_index];
         // Room that is held for a gang is left to it; beside others' there may be more.
         let gangs = |c: &Reservation| c.job != request.job_index && self.cluster.jobs[c.job].spec.shape == Shape::Gang;
         if request.avoided_hosts.contains(&host_index)
@@ -183,10 +188,10 @@
             return None;
         }
         let mut demand = request.requirements.demand.times(f64::from(tasks));
-        demand.add(&s.claimed);
-        let mut vacancy = self.plan_further_displacements(request, scope, host_index, &demand, planned)?;
+        demand.add(&s.reserved);
+        let mut vacancy = self.plan_preemption_beside(request, scope, host_index, &demand, planned)?;
         // A replica is worth waiting work to start where its image is.
-        let weight = if request.service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
+        let weight = if request.is_service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
         vacancy.cost += weight * self.cost(request, host_index);
         Some(vacancy)
     }
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -14,7 +14,7 @@
         let mut total = self.index.usage.get(&spec.team).copied().unwrap_or_default();
         total.add(&spec.demand.times(n));
         // Machines that are not reconciled may hold what was not seen of the team's tasks.
-        if let Some(unseen) = self.unseen.get(&spec.team) {
+        if let Some(unseen) = self.unlocated_demand.get(&spec.team) {
             total.add(unseen);
         }
         total.fits(&team.limit)
@@ -23,7 +23,7 @@
     /// Do the attempts on all machines leave no more to this work? An array of thousands of
     /// short tasks would use up the leader's processor time and memory with its reports.
     pub(super) fn too_many_attempts(&self, job: &Job) -> bool {
-        let attempts = self.attempts_before + self.out.starts.len();
+        let attempts = self.attempts_before + self.decisions.starts.len();
         job.urgency == Urgency::Low && job.spec.shape == Shape::Batch && attempts >= self.policy.max_attempts
     }
 
@@ -48,7 +48,7 @@
             return 0;
         }
         let mut taken = self.index.staying.get(&spec.team).copied().unwrap_or_default();
-        taken.add(&self.claimed_by_team(&spec.team));
+        taken.add(&self.reserved_by_team(&spec.team));
         let tasks = |guaranteed: f64, taken: f64, each: f64| {
             let left = guaranteed + ROUNDING - taken;
             if left < 0.0 {
@@ -66,10 +66,10 @@
     }
 
     /// Room that is held for jobs of a team.
-    pub(super) fn claimed_by_team(&self, team: &str) -> Demand {
+    pub(super) fn reserved_by_team(&self, team: &str) -> Demand {
         let mut claimed = Demand::default();
         for (host_index, host) in self.cluster.each_host() {
-            if self.index.slots[host_index].reservations == 0 {
+            if self.index.hosts[host_index].reservations == 0 {
                 continue;
             }
             let of_team = host.reservations.iter().filter(|claim| self.cluster.jobs[claim.job].spec.team == team);
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -1,21 +1,25 @@
-//! The scheduling cycle over the bins: placement and gangs; `room` makes room.
+//! The scheduling cycle: one run over the queue of waiting jobs. Each job is placed where that costs
+//! least; for one that fits nowhere, `free_capacity` and `gang` preempt lesser work.
+//!
+//! All times without a suffix of their own are milliseconds: `now` and fields of machines, attempts and
+//! tasks on the steady clock, `wall` and fields of jobs' acceptance and deadlines on the wall clock.
 
 mod borrowing;
 mod candidates;
 mod cost;
-mod displacement;
-mod ending;
+mod expected_releases;
+mod free_capacity;
 mod gang;
 mod limits;
 mod planned_stops;
-mod preemption;
+mod preemption_eligibility;
 mod queue;
 mod request;
 mod reservations;
-mod room;
 mod tasks;
 mod team_table;
-mod warm_rooms;
+mod victims;
+mod warm_reservations;
 
 use super::Policy;
 use super::index::{Index, TaskRequirements};
@@ -23,16 +27,17 @@
 use badgerdrift_borrowing::Refusal;
 use borrowing::BorrowingDecisions;
 pub use borrowing::StopCause;
-use ending::EndingTasks;
+use expected_releases::ExpectedReleases;
+use free_capacity::BlockedRequirements;
 use queue::{QueueTier, QueuedJob};
 use request::PlacementRequest;
-use room::BlockedRequirements;
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
 use team_table::TeamTable;
 
-/// A class is short of room with less than so many times what it is expected to need.
-const SCARCE: f64 = 2.0;
+/// Capacity for a class is scarce while its one instance type has room for no more than this multiple of
+/// the tasks that are expected.
+const SCARCITY_RATIO: f64 = 2.0;
 
 /// Start this attempt on that machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -45,7 +50,7 @@
     pub attempt: u64,
 }
 
-/// Stop this attempt, to make room.
+/// Stop this attempt, to free capacity for other work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Preemption {
     /// The machine that it is on.
@@ -56,7 +61,7 @@
     pub attempt: u64,
     /// Seconds that it has for saving its state; 0 if it saves none.
     pub grace_s: f64,
-    /// The job that gets the room.
+    /// The job that gets the capacity.
     pub by: JobIndex,
     /// Why it is stopped.
     pub cause: StopCause,
@@ -64,7 +69,7 @@
     pub lost_s: f64,
 }
 
-/// A job that waits, as no work of another team may be stopped for it.
+/// A pending job for which no work of another team may be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusedLoan {
     /// The job.
@@ -80,48 +85,49 @@
     pub starts: Vec<Assignment>,
     /// Attempts to be stopped.
     pub stops: Vec<Preemption>,
-    /// Tasks that were given rooms of warm pools; they are among the starts.
+    /// Starts that take over a warm reservation; they are among `starts`.
     pub warm_claims: Vec<WarmReservationClaim>,
-    /// Slots of warm pools whose rooms are given to other work.
+    /// Pool slots whose warm reservations are given up for other work.
     pub warm_reservations_given_up: Vec<u64>,
-    /// Jobs with tasks that found no room.
+    /// Jobs with tasks for which no capacity was found.
     pub pending_jobs: Vec<JobIndex>,
     /// Jobs among these for which no work of another team may be stopped; none without borrowing.
     pub refused_loans: Vec<RefusedLoan>,
-    /// How many machines were looked at for how many decisions together.
+    /// Machines examined, summed over all decisions.
     pub hosts_examined: u64,
 }
 
-/// Scratch values of one scheduling cycle.
+/// Working state of one scheduling cycle.
 struct SchedulingCycle<'a> {
     cluster: &'a mut ClusterState,
     policy: &'a Policy,
+    /// Steady clock, milliseconds.
     now: u64,
+    /// Wall clock, milliseconds.
+    wall: u64,
     /// Attempts on all machines when the scheduling cycle began, ended ones included.
     attempts_before: usize,
-    wall: u64,
     index: Index,
-    /// Classes whose one machine type has no more room than is expected to be needed.
+    /// Classes whose one instance type has hardly more capacity than they are expected to need.
     scarce_classes: HashSet<String>,
-    /// Kinds of tasks for which no machine has room any more.
-    full: Vec<TaskRequirements>,
-    /// The same even if all lesser work left.
+    /// Kinds of tasks that fit no machine any more.
+    exhausted_requirements: Vec<TaskRequirements>,
+    /// Kinds of tasks that would fit no machine even if all that may be preempted for them were.
     blocked: Vec<BlockedRequirements>,
-    /// What machines that are not reconciled may hold of each team's tasks.
-    unseen: HashMap<String, Demand>,
-    /// Array tasks that end by themselves soon, once they were counted.
-    ending: Option<Vec<EndingTasks>>,
+    /// By team, what unreconciled machines may hold of its tasks.
+    unlocated_demand: HashMap<String, Demand>,
+    /// Array tasks that are expected to end by themselves soon; counted when first needed.
+    expected_releases: Option<Vec<ExpectedReleases>>,
     hosts_examined: Cell<u64>,
     /// Loans between teams.
     borrowing: BorrowingDecisions,
-    out: CycleDecisions,
+    decisions: CycleDecisions,
 }
 
-/// One scheduling cycle over the bins, lowest first. `attempt` yields numbers that never
-/// repeat.
+/// Runs one scheduling cycle at the steady time `now` and the wall time `wall`, both in milliseconds.
+/// `attempt` yields numbers of attempts, which never repeat.
 ///
-/// Only work of `least` urgency or more is placed: scheduling cycles for what can't wait are
-/// short, whatever else does.
+/// Only work of `least` urgency or more is placed, so that cycles for urgent work stay short.
 pub fn schedule(
     cluster: &mut ClusterState,
     policy: &Policy,
@@ -131,18 +137,18 @@
     attempt: impl FnMut() -> u64,
 ) -> CycleDecisions {
     expire_reservations(cluster, now);
-    if !queue::any_waits(cluster, now, least) {
-        // Nothing to decide: what a scheduling cycle counts first would be counted in vain.
+    if !queue::any_pending(cluster, now, least) {
+        // The index and the teams' sums are not worth counting for an empty queue.
         cluster.accelerators_short = false;
         return CycleDecisions::default();
     }
     schedule_with_index(cluster, policy, now, wall, least, attempt).0
 }
 
-/// Drops the claims of room that have run out.
+/// Drops the reservations that have expired.
 fn expire_reservations(cluster: &mut ClusterState, now: u64) {
     for host in cluster.hosts.iter_mut().flatten() {
-        host.reservations.retain(|c| c.until_ms > now);
+        host.reservations.retain(|reservation| reservation.until_ms > now);
     }
 }
 
@@ -156,53 +162,60 @@
     mut attempt: impl FnMut() -> u64,
 ) -> (CycleDecisions, Index) {
     expire_reservations(cluster, now);
-    let index = Index::new(cluster, now);
-    let unseen = cluster.unseen();
-    let attempts_before = cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
-    let borrowing = BorrowingDecisions::new(TeamTable::new(cluster, policy, &index));
-    let mut p = SchedulingCycle {
-        attempts_before,
-        scarce_classes: scarce_classes(cluster, &index),
-        index,
-        cluster,
-        policy,
-        now,
-        wall,
-        full: Vec::new(),
-        blocked: Vec::new(),
-        unseen,
-        ending: None,
-        hosts_examined: Cell::new(0),
-        borrowing,
-        out: CycleDecisions::default(),
-    };
-    p.place_all(least, &mut attempt);
-    p.borrowing.keep_refusal();
-    if !p.out.pending_jobs.is_empty() {
-        p.cluster.waited_ms = now;
-    }
-    let waits = |job_index: &JobIndex| {
-        let job = &p.cluster.jobs[*job_index];
-        job.spec.demand.gpus > 0.0 && job.urgency >= Urgency::High
-    };
-    p.cluster.accelerators_short = p.out.pending_jobs.iter().any(waits);
-    p.out.hosts_examined = p.hosts_examined.get();
-    let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: p.borrowing.refusal(*job)? });
-    p.out.refused_loans = p.out.pending_jobs.iter().filter_map(refused).collect();
-    (p.out, p.index)
+    let mut cycle = SchedulingCycle::new(cluster, policy, now, wall);
+    cycle.place_all(least, &mut attempt);
+    cycle.finish()
 }
 
-/// Classes that can run on one machine type alone and have hardly room there.
+/// Classes that can run on one instance type alone and for which hardly any capacity is left there.
 fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
-    let slots = |r: &Reserve| -> f64 {
-        let hosts = index.slots.iter().filter(|s| s.usable && r.allows(s.instance_type));
-        hosts.map(|s| s.free.slots(&r.demand)).sum()
+    let task_capacity = |reserve: &Reserve| -> f64 {
+        let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
+        hosts.map(|host| host.free.slots(&reserve.demand)).sum()
     };
-    cluster.reserves.iter().filter(|r| slots(r) <= SCARCE * r.tasks).map(|r| r.class.clone()).collect()
+    let scarce = cluster.reserves.iter().filter(|reserve| task_capacity(reserve) <= SCARCITY_RATIO * reserve.tasks);
+    scarce.map(|reserve| reserve.class.clone()).collect()
 }
 
-impl SchedulingCycle<'_> {
-    /// Places what waits, and makes room for what found none.
+impl<'a> SchedulingCycle<'a> {
+    fn new(cluster: &'a mut ClusterState, policy: &'a Policy, now: u64, wall: u64) -> SchedulingCycle<'a> {
+        let index = Index::new(cluster, now);
+        SchedulingCycle {
+            now,
+            wall,
+            attempts_before: cluster.each_host().map(|(_, host)| host.attempts.len()).sum(),
+            scarce_classes: scarce_classes(cluster, &index),
+            exhausted_requirements: Vec::new(),
+            blocked: Vec::new(),
+            unlocated_demand: cluster.unlocated_demand(),
+            expected_releases: None,
+            hosts_examined: Cell::new(0),
+            borrowing: BorrowingDecisions::new(TeamTable::new(cluster, policy, &index)),
+            decisions: CycleDecisions::default(),
+            index,
+            cluster,
+            policy,
+        }
+    }
+
+    /// Sums up the cycle for the next one and for the caller.
+    fn finish(mut self) -> (CycleDecisions, Index) {
+        self.borrowing.keep_refusal();
+        if !self.decisions.pending_jobs.is_empty() {
+            self.cluster.last_pending_ms = self.now;
+        }
+        let lacks_accelerators = |job_index: &JobIndex| {
+            let job = &self.cluster.jobs[*job_index];
+            job.spec.demand.gpus > 0.0 && job.urgency >= Urgency::High
+        };
+        self.cluster.accelerators_short = self.decisions.pending_jobs.iter().any(lacks_accelerators);
+        self.decisions.hosts_examined = self.hosts_examined.get();
+        let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: self.borrowing.refusal(*job)? });
+        self.decisions.refused_loans = self.decisions.pending_jobs.iter().filter_map(refused).collect();
+        (self.decisions, self.index)
+    }
+
+    /// Places what is pending, and frees capacity for what fits nowhere.
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
         for QueuedJob { job_index, tier } in self.queue(least) {
@@ -213,12 +226,14 @@
             {
                 continue;
             }
-            if self.out.pending_jobs.last() != Some(&job_index) && !self.out.pending_jobs.contains(&job_index) {
-                self.out.pending_jobs.push(job_index);
+            if self.decisions.pending_jobs.last() != Some(&job_index)
+                && !self.decisions.pending_jobs.contains(&job_index)
+            {
+                self.decisions.pending_jobs.push(job_index);
             }
             let gang = self.cluster.jobs[job_index].spec.shape == Shape::Gang;
             if tier == QueueTier::Returned && !gang {
-                // Its ordinary turn comes.
+                // The job is queued once more, in a later tier.
                 continue;
             }
             if gang && !gang_leads {
@@ -232,7 +247,7 @@
         }
     }
 
-    /// Places the waiting tasks of a job; false if room lacked.
+    /// Places the pending tasks of a job; false if capacity for one of them lacked.
     fn place(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         match self.cluster.jobs[request.job_index].spec.shape {
             Shape::Gang => self.place_gang(request, attempt),
--- a/src/scheduling/cycle/planned_stops.rs
+++ b/src/scheduling/cycle/planned_stops.rs
@@ -1,5 +1,5 @@
 //! Stops that are planned together and not ordered yet: what they take from each team, and the room
-//! that is promised meanwhile.
+//! that is earmarked meanwhile.
 
 use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Shape};
 
@@ -10,12 +10,12 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct PlannedStops {
     stopped: Vec<PlannedStop>,
-    promised: Vec<PromisedRoom>,
+    earmarked: Vec<EarmarkedCapacity>,
 }
 
-/// Room that is promised to the start, or to a replica that moves for it.
+/// Room that is earmarked to the start, or to a replica that moves for it.
 #[derive(Debug, Clone, Copy)]
-struct PromisedRoom {
+struct EarmarkedCapacity {
     host: HostIndex,
     demand: Demand,
 }
@@ -38,14 +38,14 @@
     }
 
     /// Promises room on a machine.
-    pub(super) fn promise(&mut self, host: HostIndex, demand: Demand) {
-        self.promised.push(PromisedRoom { host, demand });
+    pub(super) fn earmark(&mut self, host: HostIndex, demand: Demand) {
+        self.earmarked.push(EarmarkedCapacity { host, demand });
     }
 
-    /// What is left of `room` on a machine beside what is promised there.
+    /// What is left of `room` on a machine beside what is earmarked there.
     pub(super) fn left_of(&self, mut room: Demand, host: HostIndex) -> Demand {
-        let there = self.promised.iter().filter(|promised| promised.host == host);
-        there.for_each(|promised| room.sub(&promised.demand));
+        let there = self.earmarked.iter().filter(|earmarked| earmarked.host == host);
+        there.for_each(|earmarked| room.sub(&earmarked.demand));
         room
     }
 
--- a/src/scheduling/cycle/preemption.rs
+++ b/src/scheduling/cycle/preemption_eligibility.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::borrowing::StopCause;
-use super::cost::late;
+use super::cost::late_probability;
 use super::planned_stops::PlannedStops;
 use super::request::PlacementRequest;
 use crate::model::{HostIndex, JobIndex, Shape, TaskAttempt, Urgency};
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum PreemptionScope {
     None,
-    Begun,
+    RecentlyStarted,
     Any,
 }
 
@@ -37,8 +37,8 @@
             PreemptionScope::None
         } else if self.wall.saturating_sub(job.ready_ms) >= self.policy.hold_ms {
             PreemptionScope::Any
-        } else if request.guarantee_s.is_some() {
-            PreemptionScope::Begun
+        } else if request.guarantee_left_s.is_some() {
+            PreemptionScope::RecentlyStarted
         } else {
             PreemptionScope::None
         }
@@ -46,15 +46,18 @@
 
     /// The same on one machine: nothing is stopped where the start would be
     /// late for the guarantee all the same.
-    pub(super) fn scope_on(
+    pub(super) fn scope_on_host(
         &self,
         scope: PreemptionScope,
         request: &PlacementRequest,
         host_index: HostIndex,
     ) -> PreemptionScope {
-        let in_time =
-            || request.guarantee_s.is_some_and(|left| late(self.fetch_s(request, host_index), left) < LIKELY_LATE);
-        if scope == PreemptionScope::Begun && !in_time() { PreemptionScope::None } else { scope }
+        let in_time = || {
+            request
+                .guarantee_left_s
+                .is_some_and(|left| late_probability(self.fetch_s(request, host_index), left) < LIKELY_LATE)
+        };
+        if scope == PreemptionScope::RecentlyStarted && !in_time() { PreemptionScope::None } else { scope }
     }
 
     /// Has it run for only a small share of its estimate?
@@ -98,7 +101,7 @@
         }
         let far_enough = match scope {
             PreemptionScope::None => false,
-            PreemptionScope::Begun => self.started_recently(c),
+            PreemptionScope::RecentlyStarted => self.started_recently(c),
             PreemptionScope::Any => true,
         };
         far_enough
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -38,12 +38,12 @@
 }
 
 /// Has any job tasks to place, of this urgency at least?
-pub(super) fn any_waits(cluster: &ClusterState, now: u64, least: Urgency) -> bool {
-    cluster.live.iter().any(|job_index| waits_for_place(cluster, &cluster.jobs[*job_index], now, least))
+pub(super) fn any_pending(cluster: &ClusterState, now: u64, least: Urgency) -> bool {
+    cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, least))
 }
 
 /// Has the job tasks to place, of this urgency at least?
-fn waits_for_place(cluster: &ClusterState, job: &Job, now: u64, least: Urgency) -> bool {
+fn has_pending_tasks(cluster: &ClusterState, job: &Job, now: u64, least: Urgency) -> bool {
     if job.urgency < least || !job.active() {
         return false;
     }
@@ -60,7 +60,7 @@
     pub(super) fn queue(&self, least: Urgency) -> Vec<QueuedJob> {
         let live = self.cluster.live.iter().copied();
         let waits =
-            |job_index: &JobIndex| waits_for_place(self.cluster, &self.cluster.jobs[*job_index], self.now, least);
+            |job_index: &JobIndex| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, least);
         let waiting = live.filter(waits);
         let mut queue: Vec<QueueRank> = waiting.flat_map(|job_index| self.queue_ranks(job_index)).collect();
         queue.sort_unstable();
@@ -82,13 +82,13 @@
             ready_ms: job.ready_ms,
             job: job_index,
         };
-        let guaranteed = self.has_guaranteed_turn(job).then(|| rank(QueueTier::Guaranteed));
+        let guaranteed = self.in_guaranteed_tier(job).then(|| rank(QueueTier::Guaranteed));
         let returned = (self.returning_tasks(job_index) > 0).then(|| rank(QueueTier::Returned));
         returned.into_iter().chain(guaranteed).chain([rank(QueueTier::Ordinary)])
     }
 
     /// May it stop equal work for its guarantee?
-    fn has_guaranteed_turn(&self, job: &Job) -> bool {
+    fn in_guaranteed_tier(&self, job: &Job) -> bool {
         let waited_ms = self.wall.saturating_sub(job.ready_ms);
         let in_time = self.policy.guarantee_s.is_some_and(|within_s| (waited_ms as f64) < within_s * 1000.0);
         let may_stop_equals = in_time || waited_ms >= self.policy.hold_ms;
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -1,8 +1,8 @@
 //! Placement of arrays and services, task by task.
 
-use super::displacement::Vacancy;
 use super::queue::QueueTier;
 use super::request::PlacementRequest;
+use super::victims::PreemptionPlan;
 use super::{Assignment, SchedulingCycle};
 use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
 use crate::scheduling::index::ZoneCounts;
@@ -14,7 +14,7 @@
         let task = &mut job.tasks[key.task as usize];
         task.place = Place::On(host, attempt);
         task.located = true;
-        job.soon_until_ms = 0;
+        job.image_wait_until_ms = 0;
         self.index.start(&job.spec, key.job, host);
         self.borrowing.started(key.job, job.spec.demand);
         let (image, gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
@@ -23,7 +23,7 @@
             let own = h.reservations.iter().position(|claim| claim.job == key.job);
             own.or_else(|| h.reservations.iter().position(|claim| self.cluster.may_use(claim, key.job)))
         });
-        let cache = self.cluster.instance_types[self.index.slots[host].instance_type].cache_gb;
+        let cache = self.cluster.instance_types[self.index.hosts[host].instance_type].cache_gb;
         if let Some(h) = self.cluster.host_mut(host) {
             // Room held for this job is used up by its tasks.
             if let Some(i) = held {
@@ -32,12 +32,12 @@
                 if !demand.fits(&h.reservations[i].demand) {
                     h.reservations.remove(i);
                 }
-                self.index.reclaim(&before, &h.reservations, host);
+                self.index.update_reservations(&before, &h.reservations, host);
             }
             h.use_image(&image, gb, cache, now);
             h.attempts.push(TaskAttempt::sent(key, attempt, demand, now));
         }
-        self.out.starts.push(Assignment { key, host, attempt });
+        self.decisions.starts.push(Assignment { key, host, attempt });
     }
 
     /// Places the idle tasks of an array or service; false if room lacked.
@@ -66,25 +66,27 @@
             if self.too_many_attempts(&self.cluster.jobs[job_index]) {
                 return true; // waits for others to end, not for room
             }
-            if let Some(room) = self.room_for_replica(request, &counts) {
-                let host = self.claim_room(room, TaskKey { job: job_index, task: n as u32 }, attempt());
-                counts.add(self.index.slots[host].zone);
+            if let Some(room) = self.reservation_for_replica(request, &counts) {
+                let host = self.claim_warm_reservation(room, TaskKey { job: job_index, task: n as u32 }, attempt());
+                counts.add(self.index.hosts[host].zone);
                 candidates = None;
                 continue;
             }
             let mut found = candidates.take().unwrap_or_else(|| self.candidates(request));
-            let Some(host) = self.best(request, &found, &counts) else { return false };
+            let Some(host) = self.best_candidate(request, &found, &counts) else { return false };
             // Room that was made for this job is as good as it gets.
             let made = self.cluster.host(host).is_some_and(|h| h.reservations.iter().any(|c| c.job == job_index));
             if !made
-                && self.image_late(request, host).is_some_and(|most| self.wait_for_better_host(request, &counts, most))
+                && self
+                    .earlier_image_gain(request, host)
+                    .is_some_and(|most| self.wait_for_better_host(request, &counts, most))
             {
                 candidates = None;
                 continue;
             }
-            counts.add(self.index.slots[host].zone);
+            counts.add(self.index.hosts[host].zone);
             self.start(TaskKey { job: job_index, task: n as u32 }, host, attempt());
-            self.renew(request, &mut found, host);
+            self.refresh_candidate(request, &mut found, host);
             candidates = Some(found);
         }
         true
@@ -100,9 +102,9 @@
             return true;
         }
         let Some((host_index, vacancy)) = self.cheapest_with_image(request, counts, most) else { return false };
-        self.clear(request, host_index, &vacancy.departures);
+        self.execute_preemption(request, host_index, &vacancy.evictions);
         let until_ms = self.now + self.policy.react_ms;
-        self.claim(host_index, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
+        self.reserve(host_index, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
         true
     }
 
@@ -111,11 +113,11 @@
     fn may_wait_for_image(&mut self, request: &PlacementRequest) -> bool {
         let (now, wait) = (self.now, 2 * self.policy.react_ms);
         let job = &mut self.cluster.jobs[request.job_index];
-        if job.soon_until_ms == 0 {
-            job.soon_until_ms = now + wait;
+        if job.image_wait_until_ms == 0 {
+            job.image_wait_until_ms = now + wait;
             return true;
         }
-        now < job.soon_until_ms
+        now < job.image_wait_until_ms
     }
 
     /// Where room costs least among machines that have the image sooner.
@@ -124,21 +126,20 @@
         request: &PlacementRequest,
         counts: &ZoneCounts,
         most: f64,
-    ) -> Option<(HostIndex, Vacancy)> {
+    ) -> Option<(HostIndex, PreemptionPlan)> {
         let scope = self.scope(request);
-        let mut best: Option<(HostIndex, Vacancy)> = None;
-        for (host_index, slot) in self.index.slots.iter().enumerate() {
+        let mut best: Option<(HostIndex, PreemptionPlan)> = None;
+        for (host_index, slot) in self.index.hosts.iter().enumerate() {
             let here = slot.reservations == 0
-                && request.requirements.takes(slot, counts)
+                && request.requirements.accepts(slot, counts)
                 && !request.avoided_hosts.contains(&host_index);
-            if !here || self.image_late(request, host_index).is_some_and(|m| m > most / 2.0) {
+            if !here || self.earlier_image_gain(request, host_index).is_some_and(|m| m > most / 2.0) {
                 continue;
             }
-            let Some(vacancy) = self.plan_displacements(request, scope, host_index, &request.requirements.demand)
-            else {
+            let Some(vacancy) = self.plan_preemption(request, scope, host_index, &request.requirements.demand) else {
                 continue;
             };
-            if self.lends_for(request.job_index, &vacancy) {
+            if self.stops_other_teams(request.job_index, &vacancy) {
                 // There is room elsewhere: that the image comes later is no need to borrow.
                 continue;
             }
--- a/src/scheduling/cycle/displacement.rs
+++ b/src/scheduling/cycle/victims.rs
@@ -3,31 +3,31 @@
 
 use super::borrowing::StopCause;
 use super::candidates::Candidate;
-use super::cost::MOVE_COST;
+use super::cost::MIGRATION_COST;
 use super::planned_stops::PlannedStops;
-use super::preemption::PreemptionScope;
+use super::preemption_eligibility::PreemptionScope;
 use super::request::PlacementRequest;
-use super::reservations::HOLD_REACTIONS;
+use super::reservations::RESERVATION_REACTIONS;
 use super::{Preemption, SchedulingCycle};
 use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Reservation, Shape, Spec, TaskAttempt};
 use std::cmp::Reverse;
 
 /// The cost of stopping a gang, and of each of its tasks: it loses its place whole, and
 /// places for gangs are few.
-const STOPPED_GANG: f64 = 2.0;
-const STOPPED_GANG_TASK: f64 = 2.0;
+const STOPPED_GANG_COST: f64 = 2.0;
+const STOPPED_GANG_TASK_COST: f64 = 2.0;
 /// The cost of stopping a replica: its users are without it until its image is
 /// somewhere else.
-const STOPPED_REPLICA: f64 = 8.0;
+const STOPPED_REPLICA_COST: f64 = 8.0;
 /// The cost of stopping a task of an array, and of one that has hardly begun.
-const STOPPED_TASK: f64 = 1.0;
-const STOPPED_EARLY: f64 = 0.5;
+const STOPPED_TASK_COST: f64 = 1.0;
+const STOPPED_EARLY_COST: f64 = 0.5;
 /// The further cost if the job can't be in time any more.
-const STOPPED_LATE: f64 = 1.0;
+const STOPPED_LATE_COST: f64 = 1.0;
 
 /// An attempt that would leave its machine.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ExpectedRelease {
+pub(super) struct Eviction {
     attempt: TaskAttempt,
     /// Where it is moved; none if it is stopped.
     destination: Option<HostIndex>,
@@ -35,10 +35,10 @@
 
 /// Room that can be had on a machine.
 #[derive(Debug)]
-pub(super) struct Vacancy {
-    /// A measure of what the departures cost.
+pub(super) struct PreemptionPlan {
+    /// A measure of what the evictions cost.
     pub(super) cost: f64,
-    pub(super) departures: Vec<ExpectedRelease>,
+    pub(super) evictions: Vec<Eviction>,
 }
 
 /// An attempt that may leave its machine.
@@ -49,7 +49,7 @@
 }
 
 /// For which start attempts would leave, and beside which stops.
-struct Displacement<'a> {
+struct PreemptionTarget<'a> {
     request: &'a PlacementRequest,
     scope: PreemptionScope,
     host: HostIndex,
@@ -59,12 +59,12 @@
     planned: &'a PlannedStops,
 }
 
-impl Vacancy {
-    /// Adds the departures to what is planned.
-    pub(super) fn add_departures(&self, cluster: &ClusterState, planned: &mut PlannedStops) {
-        for ExpectedRelease { attempt, destination } in &self.departures {
+impl PreemptionPlan {
+    /// Adds the evictions to what is planned.
+    pub(super) fn add_evictions_to(&self, cluster: &ClusterState, planned: &mut PlannedStops) {
+        for Eviction { attempt, destination } in &self.evictions {
             match destination {
-                Some(host) => planned.promise(*host, attempt.demand),
+                Some(host) => planned.earmark(*host, attempt.demand),
                 None => planned.add(cluster, attempt.key.job),
             }
         }
@@ -73,25 +73,24 @@
 
 impl SchedulingCycle<'_> {
     /// Would work of another team be stopped for the job, while there are loans between teams?
-    pub(super) fn lends_for(&self, job_index: JobIndex, vacancy: &Vacancy) -> bool {
+    pub(super) fn stops_other_teams(&self, job_index: JobIndex, vacancy: &PreemptionPlan) -> bool {
         let team = |job: JobIndex| &self.cluster.jobs[job].spec.team;
-        let stops_others = |departure: &ExpectedRelease| {
-            departure.destination.is_none() && team(departure.attempt.key.job) != team(job_index)
-        };
-        self.cluster.borrowing.is_some() && vacancy.departures.iter().any(stops_others)
+        let stops_others =
+            |eviction: &Eviction| eviction.destination.is_none() && team(eviction.attempt.key.job) != team(job_index);
+        self.cluster.borrowing.is_some() && vacancy.evictions.iter().any(stops_others)
     }
 
     /// A machine with free room and the image for a running replica, so that
     /// moving it there costs it next to nothing, beside what is `planned`.
-    fn relocation_target(&self, from: HostIndex, c: &TaskAttempt, planned: &PlannedStops) -> Option<HostIndex> {
+    fn migration_target(&self, from: HostIndex, c: &TaskAttempt, planned: &PlannedStops) -> Option<HostIndex> {
         let spec = &self.cluster.jobs[c.key.job].spec;
         if spec.shape != Shape::Service || !c.running() || c.stop.is_some() || !self.settled(c) {
             return None;
         }
         let room_for = |host_index: HostIndex| {
-            let s = &self.index.slots[host_index];
+            let s = &self.index.hosts[host_index];
             let mut room = s.free;
-            room.sub(&s.claimed);
+            room.sub(&s.reserved);
             s.usable && host_index != from && spec.demand.fits(&planned.left_of(room, host_index))
         };
         let warm = self.index.warm(self.cluster, &spec.image);
@@ -99,11 +98,11 @@
         open.peek()?;
         let request = self.request(c.key.job);
         let mut counts = self.index.counts(c.key.job);
-        counts.sub(self.index.slots[from].zone);
+        counts.sub(self.index.hosts[from].zone);
         let mut best: Option<Candidate> = None;
         for host_index in open {
             let ready = |h: &Host| h.images.iter().any(|i| i.ready && i.name == spec.image);
-            if !request.requirements.takes(&self.index.slots[host_index], &counts)
+            if !request.requirements.accepts(&self.index.hosts[host_index], &counts)
                 || !self.cluster.host(host_index).is_some_and(ready)
             {
                 continue;
@@ -118,49 +117,49 @@
 
     /// What would have to leave the machine so that `demand` fits, and where
     /// to, if it is moved; with a measure of what that costs.
-    pub(super) fn plan_displacements(
+    pub(super) fn plan_preemption(
         &self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         host_index: HostIndex,
         demand: &Demand,
-    ) -> Option<Vacancy> {
-        self.plan_further_displacements(request, scope, host_index, demand, &PlannedStops::default())
+    ) -> Option<PreemptionPlan> {
+        self.plan_preemption_beside(request, scope, host_index, demand, &PlannedStops::default())
     }
 
     /// The same beside stops on other machines that are planned for the same start.
-    pub(super) fn plan_further_displacements(
+    pub(super) fn plan_preemption_beside(
         &self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         host_index: HostIndex,
         demand: &Demand,
         planned: &PlannedStops,
-    ) -> Option<Vacancy> {
+    ) -> Option<PreemptionPlan> {
         self.hosts_examined.set(self.hosts_examined.get() + 1);
         let h = self.cluster.host(host_index)?;
-        let mut room = planned.left_of(self.index.slots[host_index].free, host_index);
+        let mut room = planned.left_of(self.index.hosts[host_index].free, host_index);
         for c in h.attempts.iter().filter(|c| !c.ended() && c.stop.is_some()) {
             room.add(&c.demand);
         }
         if demand.fits(&room) {
-            return Some(Vacancy { cost: 0.0, departures: Vec::new() });
+            return Some(PreemptionPlan { cost: 0.0, evictions: Vec::new() });
         }
-        let scope = self.scope_on(scope, request, host_index);
-        let displacement = Displacement { request, scope, host: host_index, demand, planned };
-        let victims = self.victims(&displacement, h);
+        let scope = self.scope_on_host(scope, request, host_index);
+        let target = PreemptionTarget { request, scope, host: host_index, demand, planned };
+        let victims = self.potential_victims(&target, h);
         // Most is settled by a look at what could leave at best.
         let mut most = room;
         victims.iter().for_each(|v| most.add(&v.attempt.demand));
         if !demand.fits(&most) {
             return None;
         }
-        self.depart(&displacement, victims, room)
+        self.choose_victims(&target, victims, room)
     }
 
     /// The attempts that may leave a machine, in the order in which they would.
-    fn victims<'a>(&self, displacement: &Displacement, h: &'a Host) -> Vec<Victim<'a>> {
-        let Displacement { request, scope, planned, .. } = *displacement;
+    fn potential_victims<'a>(&self, target: &PreemptionTarget, h: &'a Host) -> Vec<Victim<'a>> {
+        let PreemptionTarget { request, scope, planned, .. } = *target;
         let mut victims: Vec<Victim> = Vec::new();
         for attempt in h.attempts.iter().filter(|c| !c.ended() && c.stop.is_none()) {
             let evict = self.may_evict(request.job_index, scope, attempt, planned);
@@ -168,7 +167,7 @@
             let moves = attempt.running()
                 && self.settled(attempt)
                 && service
-                && self.may_move(request.job_index, attempt, planned);
+                && self.may_migrate(request.job_index, attempt, planned);
             if evict || moves {
                 victims.push(Victim { attempt, evict });
             }
@@ -178,15 +177,20 @@
 
     /// Takes victims until the demand fits into `room` with what they leave: the least
     /// urgent first; of those, the ones that lose least.
-    fn depart(&self, displacement: &Displacement, mut victims: Vec<Victim>, mut room: Demand) -> Option<Vacancy> {
-        let Displacement { request, scope, host: host_index, demand, .. } = *displacement;
-        let mut planned = displacement.planned.clone();
+    fn choose_victims(
+        &self,
+        target: &PreemptionTarget,
+        mut victims: Vec<Victim>,
+        mut room: Demand,
+    ) -> Option<PreemptionPlan> {
+        let PreemptionTarget { request, scope, host: host_index, demand, .. } = *target;
+        let mut planned = target.planned.clone();
         let urgency = |c: &TaskAttempt| self.cluster.jobs[c.key.job].urgency;
         victims.sort_by_key(|v| (urgency(v.attempt), !self.restart_in_time(v.attempt), Reverse(v.attempt.since_ms)));
         if self.cluster.borrowing.is_some() {
             self.sort_by_loss(&mut victims, host_index);
         }
-        let mut departures = Vec::new();
+        let mut evictions = Vec::new();
         let mut cost = 0.0;
         for Victim { attempt, evict } in victims {
             if demand.fits(&room) {
@@ -194,11 +198,11 @@
             }
             // What was taken before it counts: together they may be too much for its team.
             let evict = evict && self.may_evict(request.job_index, scope, attempt, &planned);
-            let moves = self.may_move(request.job_index, attempt, &planned);
-            let destination = moves.then(|| self.relocation_target(host_index, attempt, &planned)).flatten();
+            let moves = self.may_migrate(request.job_index, attempt, &planned);
+            let destination = moves.then(|| self.migration_target(host_index, attempt, &planned)).flatten();
             if let Some(host) = destination {
-                planned.promise(host, attempt.demand);
-                cost += MOVE_COST;
+                planned.earmark(host, attempt.demand);
+                cost += MIGRATION_COST;
                 if self.cluster.borrowing.is_some() {
                     planned.add(self.cluster, attempt.key.job);
                 }
@@ -208,15 +212,16 @@
             } else {
                 continue;
             }
-            departures.push(ExpectedRelease { attempt: *attempt, destination });
+            evictions.push(Eviction { attempt: *attempt, destination });
             room.add(&attempt.demand);
         }
-        demand.fits(&room).then_some(Vacancy { cost, departures })
+        demand.fits(&room).then_some(PreemptionPlan { cost, evictions })
     }
 
     /// What was stopped lately comes last, and before that what loses most.
     fn sort_by_loss(&self, victims: &mut Vec<Victim>, host_index: HostIndex) {
-        let loss = |victim: &Victim| (self.is_quiet(victim.attempt.key.job), self.lost_s(victim.attempt, host_index));
+        let loss =
+            |victim: &Victim| (self.gave_way_lately(victim.attempt.key.job), self.lost_s(victim.attempt, host_index));
         let mut losses: Vec<((bool, f64), Victim)> = victims.drain(..).map(|victim| (loss(&victim), victim)).collect();
         losses.sort_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         victims.extend(losses.into_iter().map(|(_, victim)| victim));
@@ -226,25 +231,30 @@
     fn add_stop_cost(&self, job: JobIndex, cost: f64, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let other_team = self.cluster.jobs[attempt.key.job].spec.team != self.cluster.jobs[job].spec.team;
         if self.cluster.borrowing.is_some() && other_team {
-            return cost + STOPPED_TASK + self.loan_cost(attempt, host_index);
+            return cost + STOPPED_TASK_COST + self.loan_cost(attempt, host_index);
         }
         let victim = &self.cluster.jobs[attempt.key.job].spec;
         let stopped = match victim.shape {
-            Shape::Gang => STOPPED_GANG + STOPPED_GANG_TASK * f64::from(victim.tasks),
-            Shape::Service => STOPPED_REPLICA,
-            Shape::Batch if self.started_recently(attempt) => STOPPED_EARLY,
-            Shape::Batch => STOPPED_TASK,
+            Shape::Gang => STOPPED_GANG_COST + STOPPED_GANG_TASK_COST * f64::from(victim.tasks),
+            Shape::Service => STOPPED_REPLICA_COST,
+            Shape::Batch if self.started_recently(attempt) => STOPPED_EARLY_COST,
+            Shape::Batch => STOPPED_TASK_COST,
         };
-        let late = if self.restart_in_time(attempt) { 0.0 } else { STOPPED_LATE };
+        let late = if self.restart_in_time(attempt) { 0.0 } else { STOPPED_LATE_COST };
         cost + stopped + late
     }
 
-    /// Carries out what `plan_displacements` found.
-    pub(super) fn clear(&mut self, request: &PlacementRequest, host_index: HostIndex, departures: &[ExpectedRelease]) {
-        let until_ms = self.now + HOLD_REACTIONS * self.policy.react_ms;
-        for ExpectedRelease { attempt, destination } in departures {
+    /// Carries out what `plan_preemption` found.
+    pub(super) fn execute_preemption(
+        &mut self,
+        request: &PlacementRequest,
+        host_index: HostIndex,
+        evictions: &[Eviction],
+    ) {
+        let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
+        for Eviction { attempt, destination } in evictions {
             if let Some(to) = destination {
-                self.claim(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
+                self.reserve(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
             }
             let cause = match destination {
                 Some(_) => Ok(StopCause::Move),
@@ -266,7 +276,8 @@
     fn stop_grace_s(&self, request: &PlacementRequest, host_index: HostIndex, victim: &Spec) -> f64 {
         let grace_s = victim.grace_s();
         let fetch_s = self.fetch_s(request, host_index);
-        let late_by_saving = request.wait_s.is_some_and(|left_s| fetch_s <= left_s && left_s < fetch_s + grace_s);
+        let late_by_saving =
+            request.objective_left_s.is_some_and(|left_s| fetch_s <= left_s && left_s < fetch_s + grace_s);
         if late_by_saving && victim.shape == Shape::Batch { 0.0 } else { grace_s }
     }
 
@@ -297,7 +308,7 @@
                     c.stop_awaits_record = matches!(cause, StopCause::Loan(_));
                     stopped += 1;
                     self.index.stop(&self.cluster.jobs[key.job].spec);
-                    self.out.stops.push(Preemption {
+                    self.decisions.stops.push(Preemption {
                         host: i,
                         key: c.key,
                         attempt: c.attempt,
--- a/src/scheduling/cycle/warm_rooms.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -9,15 +9,15 @@
 impl SchedulingCycle<'_> {
     /// The position of a room that is held for a replica like those of this job: a warm one if
     /// there is any.
-    pub(super) fn room_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
-        if !request.service || self.cluster.warm_reservations.is_empty() {
+    pub(super) fn reservation_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
+        if !request.is_service || self.cluster.warm_reservations.is_empty() {
             return None;
         }
         let spec = &self.cluster.jobs[request.job_index].spec;
         let suits = |room: &WarmReservation| {
             room.offer.as_ref().is_some_and(|offer| offer.takes(&spec.image, &spec.team))
                 && spec.demand.fits(&room.demand)
-                && request.requirements.takes(&self.index.slots[room.host], counts)
+                && request.requirements.accepts(&self.index.hosts[room.host], counts)
                 && !request.avoided_hosts.contains(&room.host)
         };
         let rooms = self.cluster.warm_reservations.iter().enumerate().filter(|(_, room)| suits(room));
@@ -25,17 +25,17 @@
     }
 
     /// Gives the room at this position to a task; returns its machine.
-    pub(super) fn claim_room(&mut self, position: usize, key: TaskKey, attempt: u64) -> HostIndex {
-        let room = self.release_room(position);
+    pub(super) fn claim_warm_reservation(&mut self, position: usize, key: TaskKey, attempt: u64) -> HostIndex {
+        let room = self.remove_warm_reservation(position);
         self.start(key, room.host, attempt);
-        self.out.warm_claims.push(WarmReservationClaim { slot: room.slot, host: room.host, key, attempt });
+        self.decisions.warm_claims.push(WarmReservationClaim { slot: room.slot, host: room.host, key, attempt });
         room.host
     }
 
     /// A room is held no more.
-    fn release_room(&mut self, position: usize) -> WarmReservation {
+    fn remove_warm_reservation(&mut self, position: usize) -> WarmReservation {
         let room = self.cluster.warm_reservations.swap_remove(position);
-        self.index.slots[room.host].free.add(&room.demand);
+        self.index.hosts[room.host].free.add(&room.demand);
         room
     }
 
@@ -52,10 +52,10 @@
             return false;
         }
         let waiting = self.waiting_tasks(request);
-        let vacancies = self.vacancies(request);
+        let vacancies = self.yieldable_reservations(request);
         let all: usize = vacancies.iter().map(|vacancy| vacancy.tasks).sum();
         // A gang that does not fit even then gains nothing.
-        if spec.shape == Shape::Gang && all + self.tasks_in_free_room(request) < waiting {
+        if spec.shape == Shape::Gang && all + self.tasks_in_free_capacity(request) < waiting {
             return false;
         }
         let mut left = waiting;
@@ -67,28 +67,28 @@
             left = left.saturating_sub(vacancy.tasks);
             given_up.extend(vacancy.slots);
         }
-        self.give_up(&given_up)
+        self.give_up_reservations(&given_up)
     }
 
     /// Machines on which rooms may be given up for the job, with what that is worth.
-    fn vacancies(&self, request: &PlacementRequest) -> Vec<RoomVacancy> {
-        let kept = self.rooms_within_guarantees();
+    fn yieldable_reservations(&self, request: &PlacementRequest) -> Vec<YieldableReservations> {
+        let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
         let rooms = self.cluster.warm_reservations.iter().filter(|room| room.may_yield && !kept.contains(&room.slot));
         rooms.for_each(|room| by_host.entry(room.host).or_default().push(room));
-        let vacancy = |(host, rooms): (HostIndex, Vec<&WarmReservation>)| self.vacancy(request, host, rooms);
+        let vacancy = |(host, rooms): (HostIndex, Vec<&WarmReservation>)| self.yieldable_on_host(request, host, rooms);
         by_host.into_iter().filter_map(vacancy).collect()
     }
 
-    fn vacancy(
+    fn yieldable_on_host(
         &self,
         request: &PlacementRequest,
         host: HostIndex,
         rooms: Vec<&WarmReservation>,
-    ) -> Option<RoomVacancy> {
-        let slot = &self.index.slots[host];
+    ) -> Option<YieldableReservations> {
+        let slot = &self.index.hosts[host];
         let demand = &request.requirements.demand;
-        if !request.requirements.takes(slot, &ZoneCounts::default()) || request.avoided_hosts.contains(&host) {
+        if !request.requirements.accepts(slot, &ZoneCounts::default()) || request.avoided_hosts.contains(&host) {
             return None;
         }
         let mut free = self.index.free_for(self.cluster, host, request.job_index);
@@ -102,17 +102,17 @@
             slots.push(room.slot);
             if demand.fits(&free) && free.slots(demand) > before {
                 let tasks = (free.slots(demand) - before) as usize;
-                return Some(RoomVacancy { slots, tasks });
+                return Some(YieldableReservations { slots, tasks });
             }
         }
         None
     }
 
     /// Tasks of the job that fit into room that is free as it is.
-    fn tasks_in_free_room(&self, request: &PlacementRequest) -> usize {
+    fn tasks_in_free_capacity(&self, request: &PlacementRequest) -> usize {
         let demand = &request.requirements.demand;
         let none = ZoneCounts::default();
-        let hosts = self.index.slots.iter().enumerate().filter(|(_, slot)| request.requirements.takes(slot, &none));
+        let hosts = self.index.hosts.iter().enumerate().filter(|(_, slot)| request.requirements.accepts(slot, &none));
         hosts
             .map(|(host, _)| self.index.free_for(self.cluster, host, request.job_index))
             .filter(|free| demand.fits(free))
@@ -121,7 +121,7 @@
     }
 
     /// Slots whose rooms are within their payers' guarantees, beside what the payers' tasks take.
-    fn rooms_within_guarantees(&self) -> HashSet<u64> {
+    fn reservations_within_guarantees(&self) -> HashSet<u64> {
         let mut taken: BTreeMap<&str, Demand> = BTreeMap::new();
         let mut kept = HashSet::new();
         let mut rooms: Vec<&WarmReservation> = self.cluster.warm_reservations.iter().collect();
@@ -145,14 +145,14 @@
     }
 
     /// Gives up these slots' rooms; false if there are none.
-    fn give_up(&mut self, slots: &HashSet<u64>) -> bool {
+    fn give_up_reservations(&mut self, slots: &HashSet<u64>) -> bool {
         while let Some(position) = self.cluster.warm_reservations.iter().position(|room| slots.contains(&room.slot)) {
-            let room = self.release_room(position);
-            self.out.warm_reservations_given_up.push(room.slot);
+            let room = self.remove_warm_reservation(position);
+            self.decisions.warm_reservations_given_up.push(room.slot);
         }
         if !slots.is_empty() {
             // What found no room before may find some now.
-            self.full.clear();
+            self.exhausted_requirements.clear();
             self.blocked.clear();
         }
         !slots.is_empty()
@@ -160,7 +160,7 @@
 }
 
 /// Rooms of a machine that may be given up together.
-struct RoomVacancy {
+struct YieldableReservations {
     slots: Vec<u64>,
     /// So many more tasks fit then.
     tasks: usize,
--- a/src/scheduling/index.rs
+++ b/src/scheduling/index.rs
@@ -10,7 +10,7 @@
 
 /// A machine as placement sees it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Slot {
+pub struct HostInfo {
     /// Its type is known, and tasks may be placed on it now.
     pub usable: bool,
     /// Index of its type; 0 if that is not known.
@@ -19,10 +19,10 @@
     pub zone: usize,
     /// True for a spot machine.
     pub spot: bool,
-    /// Room that no attempt takes; claimed room counts as free.
+    /// Room that no attempt takes; reserved room counts as free.
     pub free: Demand,
     /// Room that is held for jobs.
-    pub claimed: Demand,
+    pub reserved: Demand,
     /// Number of claims on it.
     pub reservations: usize,
 }
@@ -84,8 +84,8 @@
     }
 
     /// The same for a machine that is up.
-    pub fn takes(&self, s: &Slot, counts: &ZoneCounts) -> bool {
-        s.usable && self.allows(s.instance_type, s.zone, s.spot, counts)
+    pub fn accepts(&self, host: &HostInfo, counts: &ZoneCounts) -> bool {
+        host.usable && self.allows(host.instance_type, host.zone, host.spot, counts)
     }
 
     /// The same for any number of tasks that are already there.
@@ -101,7 +101,7 @@
 #[derive(Debug, Default)]
 pub struct Index {
     /// The machines, by [`HostIndex`].
-    pub slots: Vec<Slot>,
+    pub hosts: Vec<HostInfo>,
     zones: Vec<String>,
     /// Job and machine of each attempt that has not ended, sorted.
     at: Vec<(JobIndex, HostIndex)>,
@@ -119,16 +119,16 @@
 impl Index {
     /// Counts what is on all machines.
     pub fn new(cluster: &ClusterState, now: u64) -> Index {
-        let mut index = Index { slots: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
+        let mut index = Index { hosts: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
         for zone in cluster.instance_types.iter().flat_map(|f| &f.zones) {
             index.zone_or_insert(zone);
         }
         for (host_index, host) in cluster.hosts.iter().enumerate() {
-            let slot = host.as_ref().map_or_else(Slot::default, |h| index.count_host(cluster, host_index, h, now));
-            index.slots.push(slot);
+            let slot = host.as_ref().map_or_else(HostInfo::default, |h| index.count_host(cluster, host_index, h, now));
+            index.hosts.push(slot);
         }
         for room in &cluster.warm_reservations {
-            index.slots[room.host].free.sub(&room.demand);
+            index.hosts[room.host].free.sub(&room.demand);
         }
         index.at.sort_unstable();
         index.count_teams(cluster);
@@ -143,14 +143,14 @@
     }
 
     /// Counts what is on one machine.
-    fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, h: &Host, now: u64) -> Slot {
-        let mut slot = Slot {
+    fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, h: &Host, now: u64) -> HostInfo {
+        let mut slot = HostInfo {
             usable: h.instance_type.is_some() && usable(h, now),
             instance_type: h.instance_type.unwrap_or(0),
             zone: self.zone_or_insert(&h.zone),
             spot: h.spot,
             free: h.instance_type.map_or(Demand::default(), |f| cluster.instance_types[f].cap),
-            claimed: Demand::default(),
+            reserved: Demand::default(),
             reservations: h.reservations.len(),
         };
         for c in h.attempts.iter().filter(|c| !c.ended()) {
@@ -161,7 +161,7 @@
             }
         }
         for c in &h.reservations {
-            slot.claimed.add(&c.demand);
+            slot.reserved.add(&c.demand);
             *self.reservations.entry(c.job).or_default() += 1;
         }
         slot
@@ -195,7 +195,7 @@
     /// Where the tasks of a job may be.
     pub fn requirements(&self, cluster: &ClusterState, spec: &Spec) -> TaskRequirements {
         TaskRequirements {
-            instance_types: cluster.instance_types.iter().map(|f| spec.allows_flavor(f)).collect(),
+            instance_types: cluster.instance_types.iter().map(|f| spec.allows_instance_type(f)).collect(),
             demand: spec.demand,
             spot: spec.spot,
             zone: spec.zone.as_deref().map(|z| self.zone(z)),
@@ -214,7 +214,7 @@
     /// Copies of the job by zone.
     pub fn counts(&self, job: JobIndex) -> ZoneCounts {
         let mut counts = ZoneCounts::default();
-        self.hosts_of(job).for_each(|h| counts.add(self.slots[h].zone));
+        self.hosts_of(job).for_each(|h| counts.add(self.hosts[h].zone));
         counts
     }
 
@@ -225,7 +225,7 @@
 
     /// What a machine has free for a job, less what is held for others.
     pub fn free_for(&self, cluster: &ClusterState, host_index: HostIndex, job: JobIndex) -> Demand {
-        let slot = &self.slots[host_index];
+        let slot = &self.hosts[host_index];
         let mut free = slot.free;
         if slot.reservations > 0 {
             let reservations = cluster.host(host_index).map_or(&[][..], |h| &h.reservations);
@@ -236,7 +236,7 @@
 
     /// A task was placed.
     pub fn start(&mut self, spec: &Spec, job: JobIndex, host_index: HostIndex) {
-        self.slots[host_index].free.sub(&spec.demand);
+        self.hosts[host_index].free.sub(&spec.demand);
         self.placed.entry(job).or_default().push(host_index);
         sum(&mut self.usage, &spec.team, &spec.demand);
         sum(&mut self.staying, &spec.team, &spec.demand);
@@ -248,17 +248,17 @@
     }
 
     /// The claims on a machine changed from `before`.
-    pub fn reclaim(&mut self, before: &[Reservation], after: &[Reservation], host_index: HostIndex) {
+    pub fn update_reservations(&mut self, before: &[Reservation], after: &[Reservation], host_index: HostIndex) {
         for c in before {
             if let Some(n) = self.reservations.get_mut(&c.job) {
                 *n = n.saturating_sub(1);
             }
         }
-        let slot = &mut self.slots[host_index];
+        let slot = &mut self.hosts[host_index];
         slot.reservations = after.len();
-        slot.claimed = Demand::default();
+        slot.reserved = Demand::default();
         for c in after {
-            slot.claimed.add(&c.demand);
+            slot.reserved.add(&c.demand);
             *self.reservations.entry(c.job).or_default() += 1;
         }
     }
@@ -268,8 +268,8 @@
     pub fn differs(&self, other: &Index, jobs: usize) -> Option<String> {
         let near =
             |a: &Demand, b: &Demand| (a.cpus - b.cpus).abs() + (a.gpus - b.gpus).abs() + (a.mem - b.mem).abs() < 1e-6;
-        for (i, (a, b)) in self.slots.iter().zip(&other.slots).enumerate() {
-            if !near(&a.free, &b.free) || !near(&a.claimed, &b.claimed) || a.reservations != b.reservations {
+        for (i, (a, b)) in self.hosts.iter().zip(&other.hosts).enumerate() {
+            if !near(&a.free, &b.free) || !near(&a.reserved, &b.reserved) || a.reservations != b.reservations {
                 return Some(format!("machine {i}: {a:?}, counted {b:?}"));
             }
         }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -64,7 +64,8 @@
     let Some(team) = policy.teams.get(&spec.team).filter(|team| !team.removed) else {
         return Some(Unschedulable::UnknownTeam(spec.team.clone()));
     };
-    let fits = instance_types.iter().any(|f| spec.allows_flavor(f) && f.zones.iter().any(|z| spec.allows_zone(z)));
+    let fits =
+        instance_types.iter().any(|f| spec.allows_instance_type(f) && f.zones.iter().any(|z| spec.allows_zone(z)));
     if !fits {
         return Some(Unschedulable::FitsNoMachineType);
     }
--- a/src/scheduling/plan/drain.rs
+++ b/src/scheduling/plan/drain.rs
@@ -84,7 +84,7 @@
             Shape::Service => {
                 let requirements = index.requirements(cluster, spec);
                 let mut counts = index.counts(c.key.job);
-                counts.sub(index.slots[host].zone);
+                counts.sub(index.hosts[host].zone);
                 bins.iter().enumerate().find(|(i, b)| {
                     let Some(o) = b.host.and_then(|o| cluster.host(o)) else { return false };
                     let mut room = b.free;
@@ -117,5 +117,5 @@
 /// Least cost of a task on machines that are full of its like.
 fn least_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
     let per_task = |f: &InstanceType| f.price / f.cap.slots(&spec.demand).max(1.0);
-    cluster.instance_types.iter().filter(|f| spec.allows_flavor(f)).map(per_task).fold(f64::INFINITY, f64::min)
+    cluster.instance_types.iter().filter(|f| spec.allows_instance_type(f)).map(per_task).fold(f64::INFINITY, f64::min)
 }
--- a/src/scheduling/plan/fit.rs
+++ b/src/scheduling/plan/fit.rs
@@ -82,7 +82,7 @@
     supply: &SupplyOf,
 ) -> Option<Bin> {
     let mut best: Option<(f64, u32, Bin)> = None;
-    for (i, f) in cluster.instance_types.iter().enumerate().filter(|(_, f)| spec.allows_flavor(f)) {
+    for (i, f) in cluster.instance_types.iter().enumerate().filter(|(_, f)| spec.allows_instance_type(f)) {
         let per = f.cap.slots(&spec.demand).max(1.0);
         for name in f.zones.iter().filter(|z| spec.allows_zone(z)) {
             let Some(zone) = index.zone(name) else { continue };
--- a/src/scheduling/plan/headroom.rs
+++ b/src/scheduling/plan/headroom.rs
@@ -8,7 +8,7 @@
 pub fn reserves(cluster: &ClusterState, policy: &Policy, flows: &[ClassFlow]) -> Vec<Reserve> {
     let reserve = |f: &ClassFlow| Reserve {
         class: f.spec.class.clone(),
-        instance_types: cluster.instance_types.iter().map(|l| f.spec.allows_flavor(l)).collect(),
+        instance_types: cluster.instance_types.iter().map(|l| f.spec.allows_instance_type(l)).collect(),
         demand: f.spec.demand,
         tasks: headroom(cluster, policy, f) as f64,
     };
@@ -18,7 +18,7 @@
 /// Tasks of a class for which room is kept: arrivals and departures during a
 /// boot both vary; as much as the class's objective asks for.
 pub(super) fn headroom(cluster: &ClusterState, policy: &Policy, flow: &ClassFlow) -> usize {
-    let allowed = cluster.instance_types.iter().filter(|f| flow.spec.allows_flavor(f));
+    let allowed = cluster.instance_types.iter().filter(|f| flow.spec.allows_instance_type(f));
     let boot_s = allowed.map(|f| f.boot_s).reduce(f64::min).unwrap_or(0.0);
     let share = policy.waits.get(&flow.spec.class).map_or(0.9, |w| w.1);
     // Work that may wait needs room ahead only as far as a boot is longer.
--- a/src/scheduling/plan/mod.rs
+++ b/src/scheduling/plan/mod.rs
@@ -141,7 +141,7 @@
     // Warm room is worth more than its price while work waits now and then:
     // machines are emptied after a lull in which they could have been had twice.
     let boot_s = cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
-    let lull = now.saturating_sub(cluster.waited_ms) as f64 > 2.0 * boot_s * 1000.0;
+    let lull = now.saturating_sub(cluster.last_pending_ms) as f64 > 2.0 * boot_s * 1000.0;
     let drain = if work.pending_jobs.is_empty() && lull { consolidate(cluster, &index, &bins) } else { Vec::new() };
     Plan { rent, spare, drain }
 }
@@ -149,10 +149,10 @@
 /// The free room of the machines that are in use.
 fn existing_room(cluster: &ClusterState, index: &Index) -> Vec<Bin> {
     let held: HashSet<HostIndex> = cluster.warm_reservations.iter().map(|room| room.host).collect();
-    let in_use = cluster.each_host().filter(|(host_index, _)| index.slots[*host_index].usable);
+    let in_use = cluster.each_host().filter(|(host_index, _)| index.hosts[*host_index].usable);
     in_use
         .map(|(host_index, h)| {
-            let slot = &index.slots[host_index];
+            let slot = &index.hosts[host_index];
             let used = !h.attempts.is_empty() || !h.reservations.is_empty() || held.contains(&host_index);
             Bin {
                 free: slot.free,
--- a/src/scheduling/task_locations.rs
+++ b/src/scheduling/task_locations.rs
@@ -36,7 +36,7 @@
     pub fn clear(&self, job: &Job) -> bool {
         let spec = &job.spec;
         let may_hold = |kind: &InstanceKind| {
-            kind.instance_type.is_none_or(|f| spec.allows_flavor(&self.instance_types[f]))
+            kind.instance_type.is_none_or(|f| spec.allows_instance_type(&self.instance_types[f]))
                 && spec.allows_zone(&kind.zone)
                 && (spec.spot || !kind.spot)
         };
@@ -89,7 +89,7 @@
 
     /// What machines that are not reconciled may hold of each team's tasks: no more
     /// than the tasks that were not seen, and no more than fits there.
-    pub fn unseen(&self) -> HashMap<String, Demand> {
+    pub fn unlocated_demand(&self) -> HashMap<String, Demand> {
         let mut sums: HashMap<String, Demand> = HashMap::new();
         if self.all_reconciled {
             return sums;
--- a/src/scheduling/tests/properties.rs
+++ b/src/scheduling/tests/properties.rs
@@ -49,7 +49,7 @@
                 prop_assert!(spec.spot || !h.spot);
                 prop_assert!(spec.allows_zone(&h.zone));
             }
-            for free in counted.slots.iter().map(|s| s.free) {
+            for free in counted.hosts.iter().map(|s| s.free) {
                 prop_assert!(free.cpus > -1e-6 && free.gpus > -1e-6 && free.mem > -1e-6);
             }
             for (team, used) in Index::new(&w, 0).usage {
