--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -119,8 +119,8 @@
             && (spec.spot || !kind.spot)
     };
     let may_start = job.active() && kinds.iter().any(fits);
-    let placeable = cluster.placeable(job);
-    let idle = || job.tasks.iter().filter(|task| task.retry_ms <= now && placeable.open(task)).count() as u32;
+    let placeable = cluster.placeable_tasks(job);
+    let idle = || job.tasks.iter().filter(|task| task.retry_ms <= now && placeable.includes(task)).count() as u32;
     let waiting = if may_start { idle() + attempts.stopping } else { 0 };
     JobDemand {
         each: Amounts::from(spec.demand),
--- a/src/control/partition/users.rs
+++ b/src/control/partition/users.rs
@@ -185,8 +185,9 @@
         }
         let on_machines = self.cluster.jobs_on_machines();
         // A completion may be in a commit under way: it goes first.
-        let gone =
-            |job_index: &JobIndex| !self.cluster.jobs[*job_index].saving && self.cluster.gone(*job_index, &on_machines);
+        let gone = |job_index: &JobIndex| {
+            !self.cluster.jobs[*job_index].saving && self.cluster.no_task_can_run(*job_index, &on_machines)
+        };
         let settled: Vec<JobIndex> = self.cancelling.iter().copied().filter(gone).collect();
         for job_index in settled {
             self.cancelling.remove(&job_index);
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -9,7 +9,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// The cost of stopping a job that gave way lately: any other is stopped before it.
+/// The cost of stopping a job that was preempted for a loan lately: any other is stopped before it.
 const GAVE_WAY_LATELY_COST: f64 = 1000.0;
 
 /// Why an attempt is stopped.
@@ -19,13 +19,13 @@
     Preemption,
     /// It moves to another machine.
     Move,
-    /// Its team lends the room; the loan is recorded before the stop is ordered.
+    /// Its team lends the capacity; the loan is recorded before the stop is ordered.
     Loan(LoanKind),
-    /// It runs in borrowed room that the lender needs for its floor.
+    /// It runs in borrowed capacity that the lender needs for its floor.
     Reclaim,
 }
 
-/// Which work of each team may give way to a job, by urgency; looked up once.
+/// Which work of each team may be stopped for a job, by urgency; looked up once.
 #[derive(Debug, Default)]
 struct Permits {
     job: Option<JobIndex>,
@@ -46,7 +46,7 @@
     pub(super) teams: TeamTable,
     permits: RefCell<Permits>,
     guarantee: Cell<Option<GuaranteeCheck>>,
-    /// Changes of use and of held room so far.
+    /// Changes of use and of reservations so far.
     changes: Cell<u64>,
     /// Why work of others was not stopped for the job that was looked at last.
     refused: Cell<Option<(JobIndex, Refusal)>>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Use or held room has changed.
+    /// Use or reservations have changed.
     pub(super) fn note_change(&self) {
         self.changes.set(self.changes.get() + 1);
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// May the attempt move for a job of another team? It counts for its team no more until it
+    /// May the attempt migrate for a job of another team? It counts for its team no more until it
     /// runs again.
     pub(super) fn may_migrate(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
         self.cluster.borrowing.is_none()
@@ -176,7 +176,7 @@
         if within_most { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
     }
 
-    /// Do the settings let the one job's work give way to the other's?
+    /// Do the settings let the one job's work be stopped for the other's?
     fn permitted(&self, borrowing: &BorrowingState, job_index: JobIndex, victim: JobIndex) -> Result<(), Refusal> {
         let mut permits = self.borrowing.permits.borrow_mut();
         if permits.job != Some(job_index) {
@@ -193,7 +193,7 @@
     }
 
     /// Is the next start of the job, or all of a gang, within its team's guarantee, beside what runs
-    /// and what room is held for?
+    /// and what is reserved?
     fn starts_within_guarantee(&self, job_index: JobIndex) -> bool {
         let changes = self.borrowing.changes.get();
         let known = self.borrowing.guarantee.get().filter(|known| known.job == job_index && known.changes == changes);
@@ -207,7 +207,7 @@
         within
     }
 
-    /// Does the attempt's team owe room to the job's team, and does that one lack room to its floor?
+    /// Does the attempt's team owe capacity to the job's team, and does that one lack capacity to its floor?
     /// Then what it has borrowed, from whomever, may be stopped whatever the urgencies, while it
     /// stays beyond its guarantee, and one replica of a service at a time.
     fn reclaims(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
@@ -227,7 +227,7 @@
             && (!is_service || self.service_stays_up(victim, planned))
     }
 
-    /// Could work of other teams be stopped for the job whatever the urgencies, as they owe it room?
+    /// Could work of other teams be stopped for the job whatever the urgencies, as they owe it capacity?
     pub(super) fn may_reclaim(&self, job_index: JobIndex) -> bool {
         if self.cluster.borrowing.is_none() {
             return false;
@@ -260,13 +260,13 @@
         lacking.ceil() as u64
     }
 
-    /// How many tasks of the job are placed first, as their room is being returned.
+    /// How many tasks of the job are placed first, as their capacity is being returned.
     pub(super) fn returning_tasks(&self, job_index: JobIndex) -> u32 {
         let borrowing = self.cluster.borrowing.as_ref();
         borrowing.and_then(|borrowing| borrowing.returning.get(&job_index)).copied().unwrap_or(0)
     }
 
-    /// Did the job give way lately?
+    /// Was the job preempted for a loan lately?
     pub(super) fn gave_way_lately(&self, job_index: JobIndex) -> bool {
         self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
     }
@@ -286,15 +286,15 @@
         .lost_s()
     }
 
-    /// What the work costs that is lost if another team's attempt is stopped: a lease's worth as much
-    /// as a stopped task.
+    /// What the work costs that is lost if another team's attempt is stopped: as much work as a worker's lease is long costs
+    /// as much as a stopped task.
     pub(super) fn loan_cost(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let lease_s = self.policy.lease_ms as f64 / 1000.0;
-        let quiet = if self.gave_way_lately(attempt.key.job) { GAVE_WAY_LATELY_COST } else { 0.0 };
-        quiet + self.lost_s(attempt, host_index) / lease_s
+        let gave_way_lately = if self.gave_way_lately(attempt.key.job) { GAVE_WAY_LATELY_COST } else { 0.0 };
+        gave_way_lately + self.lost_s(attempt, host_index) / lease_s
     }
 
-    /// How many more tasks of this kind its team's limit allows, beside what room is held for.
+    /// How many more tasks of this kind its team's limit allows, beside what is reserved.
     pub(super) fn tasks_within_limit(&self, spec: &Spec, most: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
         if team.limit.cpus == f64::INFINITY && team.limit.gpus == f64::INFINITY {
--- a/src/scheduling/cycle/expected_releases.rs
+++ b/src/scheduling/cycle/expected_releases.rs
@@ -1,4 +1,5 @@
-//! Room that frees by itself soon, and so needs no stops.
+//! Expected releases: capacity that is freed soon as tasks end by themselves, and so needs no
+//! preemption.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -8,38 +9,38 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ExpectedReleases {
     demand: Demand,
-    /// Expected number, less those whose room was counted for waiting work in this cycle.
+    /// Expected number, less those whose capacity was counted for pending work in this cycle.
     count: f64,
 }
 
 impl SchedulingCycle<'_> {
-    /// How many of `tasks` tasks will find room where others end by themselves, at least as
-    /// soon as stops would make it. That room counts once in a scheduling cycle, and only while at least
-    /// half of the guarantee's time is left: more urgent work may be quicker to take it.
+    /// How many of `tasks` tasks will find capacity where others end by themselves, at least as soon
+    /// as stops would free it. That capacity counts once in a scheduling cycle, and only while at least
+    /// half of the guarantee's time is left: more urgent work may take it first.
     pub(super) fn tasks_covered_by_releases(&mut self, request: &PlacementRequest, tasks: usize) -> usize {
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let enough_time = match (request.guarantee_left_s, self.policy.guarantee_s) {
             (Some(left_s), Some(within_s)) => left_s >= within_s / 2.0,
             _ => {
-                self.cluster.borrowing.is_some()
-                    && request.objective_left_s.is_some_and(|left_s| left_s >= 2.0 * react_s)
+                let left_s = request.objective_left_s;
+                self.cluster.borrowing.is_some() && left_s.is_some_and(|left_s| left_s >= 2.0 * react_s)
             }
         };
         if !enough_time {
             return 0;
         }
         let mut releases = self.expected_releases.take().unwrap_or_else(|| self.expected_releases_by_size());
-        let mut found = 0;
+        let mut covered = 0;
         for group in releases.iter_mut().filter(|group| request.requirements.demand.fits(&group.demand)) {
-            let taken = (group.count as usize).min(tasks - found);
+            let taken = (group.count as usize).min(tasks - covered);
             group.count -= taken as f64;
-            found += taken;
+            covered += taken;
         }
         self.expected_releases = Some(releases);
-        found
+        covered
     }
 
-    /// The array tasks expected to end within the time that an order takes to show, by size.
+    /// The array tasks expected to end within the time that an order takes to show its effect, by size.
     fn expected_releases_by_size(&self) -> Vec<ExpectedReleases> {
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let mut releases: Vec<ExpectedReleases> = Vec::new();
--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -1,5 +1,4 @@
-//! Making room: what may be stopped or moved for waiting work, and where that costs
-//! least.
+//! Freeing capacity by preemption: for pending work that fits nowhere, where that costs least.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -12,33 +11,33 @@
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
 use crate::scheduling::index::{TaskRequirements, ZoneCounts};
 
-/// The weight of the cost of a place next to that of making room there.
-const PLACE_WEIGHT: f64 = 0.2;
-/// The same for a replica.
-const SERVICE_PLACE_WEIGHT: f64 = 1.0;
+/// The weight of the cost of a placement next to that of the preemption.
+const PLACEMENT_WEIGHT: f64 = 0.2;
+/// The same for a replica: for it, it pays to stop work where its image is.
+const SERVICE_PLACEMENT_WEIGHT: f64 = 1.0;
 
-/// A kind of task for which no machine could make room, with all that it may stop.
+/// A kind of task that would fit no machine even if all that it may preempt were stopped.
 pub(super) struct BlockedRequirements {
     pub(super) requirements: TaskRequirements,
     pub(super) urgency: Urgency,
     pub(super) team: String,
     pub(super) scope: PreemptionScope,
-    /// The image that this holds for, if not for any.
+    /// The image that this holds for; `None` for any.
     pub(super) image: Option<String>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Preempts lesser work for a job that found no room, on the machines where
-    /// that costs least, and holds the room for it. Equal work is stopped for as many tasks
-    /// as the guarantee covers, and no more.
+    /// Preempts lesser work for a job that fits nowhere, on the machines where that costs least, and
+    /// reserves the capacity for it. Equal work is stopped for as many tasks as the guarantee covers,
+    /// and no more.
     pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
         if self.known_blocked(request, scope) {
             return;
         }
         let mut counts = self.index.counts(request.job_index);
-        let waiting = self.waiting_tasks(request);
-        let mut left = waiting.saturating_sub(self.keep_usable_reservations(request, &mut counts));
+        let pending = self.pending_tasks(request);
+        let mut left = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
         if self.cluster.borrowing.is_some() {
             left = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, left);
             left -= self.tasks_covered_by_releases(request, left);
@@ -47,17 +46,17 @@
             PreemptionScope::None => 0,
             _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, left),
         };
-        let to_be_stopped_for = match scope {
+        let tasks_to_preempt_for = match scope {
             PreemptionScope::RecentlyStarted => guaranteed - self.tasks_covered_by_releases(request, guaranteed),
             _ => guaranteed,
         };
-        self.preempt_within(request, scope, &mut counts, to_be_stopped_for);
+        self.preempt_within(request, scope, &mut counts, tasks_to_preempt_for);
         if request.tier == QueueTier::Ordinary {
             self.preempt_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
         }
     }
 
-    /// The same for so many tasks, where equal work may be stopped as far as `scope` says.
+    /// The same for so many tasks, where equal work may be stopped as far as `scope` allows.
     fn preempt_within(
         &mut self,
         request: &PlacementRequest,
@@ -77,18 +76,19 @@
         self.preempt_cheapest(request, scope, costs, counts, tasks);
     }
 
-    /// Was it in vain for a job like this one? Then it is so again.
+    /// Was preemption of no use for a job like this one? Then it is not tried again in this cycle.
     pub(super) fn known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
         let job = &self.cluster.jobs[request.job_index];
-        self.blocked.iter().any(|w| {
-            w.urgency >= job.urgency
-                && w.team == job.spec.team
-                && w.scope >= scope
-                && w.image.as_ref().is_none_or(|i| *i == request.image)
-                && w.requirements.like(&request.requirements)
+        self.blocked.iter().any(|blocked| {
+            blocked.urgency >= job.urgency
+                && blocked.team == job.spec.team
+                && blocked.scope >= scope
+                && blocked.image.as_ref().is_none_or(|image| *image == request.image)
+                && blocked.requirements.like(&request.requirements)
         })
     }
 
+    /// Notes that preemption is of no use for jobs like this one.
     pub(super) fn note_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
         let job = &self.cluster.jobs[request.job_index];
         let (urgency, team) = (job.urgency, job.spec.team.clone());
@@ -103,22 +103,22 @@
         });
     }
 
-    /// How many tasks of the job wait for a place.
-    pub(super) fn waiting_tasks(&self, request: &PlacementRequest) -> usize {
+    /// How many tasks of the job could be placed now if there were capacity.
+    pub(super) fn pending_tasks(&self, request: &PlacementRequest) -> usize {
         let job = &self.cluster.jobs[request.job_index];
-        let placeable = self.cluster.placeable(job);
-        let open = |t: &&Task| t.retry_ms <= self.now && placeable.open(t);
-        job.tasks.iter().filter(open).count()
+        let placeable = self.cluster.placeable_tasks(job);
+        let pending = |task: &&Task| task.retry_ms <= self.now && placeable.includes(task);
+        job.tasks.iter().filter(pending).count()
     }
 
-    /// What room for a task would cost on each machine where it can be made.
+    /// The cost of capacity for a task on each machine where it is or can be freed.
     pub(super) fn preemption_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
-        let none = ZoneCounts::default();
+        let no_tasks = ZoneCounts::default();
         let mut costs = Vec::new();
-        for (host, slot) in self.index.hosts.iter().enumerate() {
+        for (host, host_info) in self.index.hosts.iter().enumerate() {
             let left_to_others =
-                request.without_accelerators && self.cluster.instance_types[slot.instance_type].cap.gpus > 0.0;
-            if !request.requirements.accepts(slot, &none) || left_to_others {
+                request.without_accelerators && self.cluster.instance_types[host_info.instance_type].cap.gpus > 0.0;
+            if !request.requirements.accepts(host_info, &no_tasks) || left_to_others {
                 continue;
             }
             if let Some(PreemptionPlan { cost, .. }) = self.plan_for_task(request, scope, host) {
@@ -128,8 +128,8 @@
         costs
     }
 
-    /// Makes room for so many tasks. Each machine was looked at once, and is again when
-    /// its turn comes: what was done for the tasks before may have made it dearer.
+    /// Preempts for so many tasks. Each machine was looked at once, and is again when its turn comes:
+    /// what was done for the tasks before may have made it dearer.
     fn preempt_cheapest(
         &mut self,
         request: &PlacementRequest,
@@ -144,14 +144,14 @@
             if !request.requirements.accepts(&self.index.hosts[host], counts) {
                 continue;
             }
-            let Some(vacancy) = self.plan_for_task(request, scope, host) else { continue };
-            if costs.last().is_some_and(|next| next.cost < vacancy.cost) {
-                insert_by_cost(&mut costs, Candidate { cost: vacancy.cost, host });
+            let Some(plan) = self.plan_for_task(request, scope, host) else { continue };
+            if costs.last().is_some_and(|next| next.cost < plan.cost) {
+                insert_by_cost(&mut costs, Candidate { cost: plan.cost, host });
                 continue;
             }
             left -= 1;
             counts.add(self.index.hosts[host].zone);
-            self.execute_preemption(request, host, &vacancy.evictions);
+            self.execute_preemption(request, host, &plan.evictions);
             let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
             self.reserve(host, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
             if let Some(PreemptionPlan { cost, .. }) = self.plan_for_task(request, scope, host) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// What room for one more task would cost on a machine, and what has to leave it.
+    /// What has to be evicted for one more task on a machine, with the cost of that and of the placement.
     fn plan_for_task(
         &self,
         request: &PlacementRequest,
@@ -179,26 +179,28 @@
         tasks: u32,
         planned: &PlannedStops,
     ) -> Option<PreemptionPlan> {
-        let s = &self.index.hosts[host_index];
-        // Room that is held for a gang is left to it; beside others' there may be more.
-        let gangs = |c: &Reservation| c.job != request.job_index && self.cluster.jobs[c.job].spec.shape == Shape::Gang;
+        let host_info = &self.index.hosts[host_index];
+        // What is reserved for a gang is left to it; beside others' reservations there may be more.
+        let for_other_gang = |reservation: &Reservation| {
+            reservation.job != request.job_index && self.cluster.jobs[reservation.job].spec.shape == Shape::Gang
+        };
         if request.avoided_hosts.contains(&host_index)
-            || s.reservations > 0 && self.cluster.host(host_index).is_some_and(|h| h.reservations.iter().any(gangs))
+            || host_info.reservations > 0
+                && self.cluster.host(host_index).is_some_and(|host| host.reservations.iter().any(for_other_gang))
         {
             return None;
         }
         let mut demand = request.requirements.demand.times(f64::from(tasks));
-        demand.add(&s.reserved);
-        let mut vacancy = self.plan_preemption_beside(request, scope, host_index, &demand, planned)?;
-        // A replica is worth waiting work to start where its image is.
-        let weight = if request.is_service { SERVICE_PLACE_WEIGHT } else { PLACE_WEIGHT };
-        vacancy.cost += weight * self.cost(request, host_index);
-        Some(vacancy)
+        demand.add(&host_info.reserved);
+        let mut plan = self.plan_preemption_beside(request, scope, host_index, &demand, planned)?;
+        let weight = if request.is_service { SERVICE_PLACEMENT_WEIGHT } else { PLACEMENT_WEIGHT };
+        plan.cost += weight * self.cost(request, host_index);
+        Some(plan)
     }
 }
 
 /// Inserts into a list with the least cost last.
 pub(super) fn insert_by_cost(costs: &mut Vec<Candidate>, candidate: Candidate) {
-    let at = costs.partition_point(|c| c.cost > candidate.cost);
+    let at = costs.partition_point(|other| other.cost > candidate.cost);
     costs.insert(at, candidate);
 }
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -8,14 +8,14 @@
 const ROUNDING: f64 = 1e-6;
 
 impl SchedulingCycle<'_> {
-    /// Would the job's team be within its limit with `n` more tasks?
-    pub(super) fn within_limit(&self, spec: &Spec, n: f64) -> bool {
+    /// Would the job's team be within its limit with `tasks` more of these tasks?
+    pub(super) fn within_limit(&self, spec: &Spec, tasks: f64) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
         let mut total = self.index.usage.get(&spec.team).copied().unwrap_or_default();
-        total.add(&spec.demand.times(n));
-        // Machines that are not reconciled may hold what was not seen of the team's tasks.
-        if let Some(unseen) = self.unlocated_demand.get(&spec.team) {
-            total.add(unseen);
+        total.add(&spec.demand.times(tasks));
+        // Unreconciled machines may hold what was not located of the team's tasks.
+        if let Some(unlocated) = self.unlocated_demand.get(&spec.team) {
+            total.add(unlocated);
         }
         total.fits(&team.limit)
     }
@@ -39,8 +39,8 @@
             && (team.guarantee.cpus <= 0.0 || total.cpus <= team.guarantee.cpus + ROUNDING)
     }
 
-    /// For how many more tasks the guarantee of the job's team has room, beside what runs and
-    /// what room is held for already. Without this bound an array of hundreds of tasks, one of
+    /// How many more tasks the guarantee of the job's team covers, beside what runs and what is
+    /// reserved already. Without this bound an array of hundreds of tasks, one of
     /// which is within its guarantee, would stop hundreds of tasks.
     pub(super) fn tasks_within_guarantee(&self, spec: &Spec, most: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
@@ -65,22 +65,23 @@
         most.min(by_gpus).min(by_cpus)
     }
 
-    /// Room that is held for jobs of a team.
+    /// What is reserved for jobs of a team.
     pub(super) fn reserved_by_team(&self, team: &str) -> Demand {
-        let mut claimed = Demand::default();
+        let mut reserved = Demand::default();
         for (host_index, host) in self.cluster.each_host() {
             if self.index.hosts[host_index].reservations == 0 {
                 continue;
             }
-            let of_team = host.reservations.iter().filter(|claim| self.cluster.jobs[claim.job].spec.team == team);
-            of_team.for_each(|claim| claimed.add(&claim.demand));
+            let of_team =
+                host.reservations.iter().filter(|reservation| self.cluster.jobs[reservation.job].spec.team == team);
+            of_team.for_each(|reservation| reserved.add(&reservation.demand));
         }
-        claimed
+        reserved
     }
 
     /// Would the victim's team be at or beyond its guarantee even without it? Else it could
     /// start the same work within its guarantee again, and two teams would go on taking the
-    /// same room from each other. So each amount counts that [`Self::within_guarantee`] counts,
+    /// same capacity from each other. So each amount counts that [`Self::within_guarantee`] counts,
     /// and a gang counts whole, as it stops whole.
     pub(super) fn beyond_guarantee(&self, victim_job: JobIndex, planned: &PlannedStops) -> bool {
         if planned.stops_whole(self.cluster, victim_job) {
--- /dev/null
+++ b/src/scheduling/cycle/migration.rs
@@ -0,0 +1,51 @@
+//! Migration of replicas: a running replica that takes needed capacity goes to a machine
+//! that has its image.
+
+use super::SchedulingCycle;
+use super::candidates::Candidate;
+use super::planned_stops::PlannedStops;
+use crate::model::{Host, HostIndex, Shape, TaskAttempt};
+
+impl SchedulingCycle<'_> {
+    /// A machine with free capacity and the image for a running replica, beside what is `planned`.
+    /// There it is down for a moment only.
+    pub(super) fn migration_target(
+        &self,
+        from: HostIndex,
+        attempt: &TaskAttempt,
+        planned: &PlannedStops,
+    ) -> Option<HostIndex> {
+        let job_index = attempt.key.job;
+        let spec = &self.cluster.jobs[job_index].spec;
+        if spec.shape != Shape::Service || !attempt.running() || attempt.stop.is_some() || !self.settled(attempt) {
+            return None;
+        }
+        let has_capacity = |host_index: HostIndex| {
+            let host = &self.index.hosts[host_index];
+            let mut free = host.free;
+            free.sub(&host.reserved);
+            host.usable && host_index != from && spec.demand.fits(&planned.left_of(free, host_index))
+        };
+        let warm = self.index.warm(self.cluster, &spec.image);
+        let mut targets = warm.iter().copied().filter(|host_index| has_capacity(*host_index)).peekable();
+        targets.peek()?;
+        let request = self.request(job_index);
+        let mut counts = self.index.counts(job_index);
+        counts.sub(self.index.hosts[from].zone);
+        let mut best: Option<Candidate> = None;
+        for host_index in targets {
+            // The image may have left the cache since the index was counted.
+            let ready = |host: &Host| host.images.iter().any(|image| image.ready && image.name == spec.image);
+            if !request.requirements.accepts(&self.index.hosts[host_index], &counts)
+                || !self.cluster.host(host_index).is_some_and(ready)
+            {
+                continue;
+            }
+            let cost = self.cost(&request, host_index);
+            if best.is_none_or(|best| cost < best.cost) {
+                best = Some(Candidate { cost, host: host_index });
+            }
+        }
+        best.map(|best| best.host)
+    }
+}
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -10,9 +10,13 @@
 mod expected_releases;
 mod free_capacity;
 mod gang;
+mod gang_preemption;
+mod gang_reservations;
 mod limits;
+mod migration;
 mod planned_stops;
 mod preemption_eligibility;
+mod preemption_orders;
 mod queue;
 mod request;
 mod reservations;
@@ -35,7 +39,7 @@
 use std::collections::{HashMap, HashSet};
 use team_table::TeamTable;
 
-/// Capacity for a class is scarce while its one instance type has room for no more than this multiple of
+/// Capacity for a class is scarce while its one instance type fits no more than this multiple of
 /// the tasks that are expected.
 const SCARCITY_RATIO: f64 = 2.0;
 
@@ -138,7 +142,7 @@
 ) -> CycleDecisions {
     expire_reservations(cluster, now);
     if !queue::any_pending(cluster, now, least) {
-        // The index and the teams' sums are not worth counting for an empty queue.
+        // The index and the teams' sums need not be counted for an empty queue.
         cluster.accelerators_short = false;
         return CycleDecisions::default();
     }
--- a/src/scheduling/cycle/planned_stops.rs
+++ b/src/scheduling/cycle/planned_stops.rs
@@ -1,5 +1,5 @@
-//! Stops that are planned together and not ordered yet: what they take from each team, and the room
-//! that is earmarked meanwhile.
+//! Stops that are planned together and not ordered yet: what they take from each team, and the
+//! capacity that is earmarked meanwhile.
 
 use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Shape};
 
@@ -13,7 +13,7 @@
     earmarked: Vec<EarmarkedCapacity>,
 }
 
-/// Room that is earmarked to the start, or to a replica that moves for it.
+/// Capacity that is planned for the start, or for a replica that migrates for it.
 #[derive(Debug, Clone, Copy)]
 struct EarmarkedCapacity {
     host: HostIndex,
@@ -37,16 +37,16 @@
         self.stopped.push(PlannedStop { job, taken });
     }
 
-    /// Promises room on a machine.
+    /// Earmarks capacity on a machine.
     pub(super) fn earmark(&mut self, host: HostIndex, demand: Demand) {
         self.earmarked.push(EarmarkedCapacity { host, demand });
     }
 
-    /// What is left of `room` on a machine beside what is earmarked there.
-    pub(super) fn left_of(&self, mut room: Demand, host: HostIndex) -> Demand {
+    /// What is left of the `free` capacity of a machine beside what is earmarked there.
+    pub(super) fn left_of(&self, mut free: Demand, host: HostIndex) -> Demand {
         let there = self.earmarked.iter().filter(|earmarked| earmarked.host == host);
-        there.for_each(|earmarked| room.sub(&earmarked.demand));
-        room
+        there.for_each(|earmarked| free.sub(&earmarked.demand));
+        free
     }
 
     /// Is the job a gang that is to be stopped already?
@@ -59,7 +59,7 @@
         self.stopped.iter().any(|stop| stop.job == job)
     }
 
-    /// What a team will have less.
+    /// What the planned stops take from a team.
     pub(super) fn taken_from(&self, cluster: &ClusterState, team: &str) -> Demand {
         let mut taken = Demand::default();
         let of_team = self.stopped.iter().filter(|stop| cluster.jobs[stop.job].spec.team == team);
--- a/src/scheduling/cycle/preemption_eligibility.rs
+++ b/src/scheduling/cycle/preemption_eligibility.rs
@@ -1,4 +1,4 @@
-//! Which work may be stopped for other work.
+//! Preemption eligibility: which work may be stopped for other work.
 
 use super::SchedulingCycle;
 use super::borrowing::StopCause;
@@ -7,16 +7,16 @@
 use super::request::PlacementRequest;
 use crate::model::{HostIndex, JobIndex, Shape, TaskAttempt, Urgency};
 
-/// A replica has settled after so many times what an order takes to show.
+/// A replica has settled after this multiple of the time within which an order shows its effect.
 const SETTLED_AFTER_REACTIONS: u64 = 30;
 
-/// Work that has run for less than this share of its estimate has hardly begun.
+/// Work that has run for less than this share of its estimate was started recently.
 const EARLY_SHARE_OF_EXPECTED: f64 = 0.25;
 
 /// A start is in time for a guarantee if it is late with less than this probability.
 const LIKELY_LATE: f64 = 0.5;
 
-/// Which work of its own urgency a job may stop for its team's guarantee.
+/// Which work of its own urgency a job may stop for its team's guarantee; the wider, the larger.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum PreemptionScope {
     None,
@@ -25,10 +25,10 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// How far a job may go to get its team's guarantee from work that is no
-    /// less urgent: while that is in time, work that has hardly begun; once it
-    /// has waited as long as room is held for a gang, any. Without bounds two
-    /// teams' arrays stop each other over and over, and none is in time.
+    /// Which work that is no less urgent a job may stop for its team's guarantee: while the start can
+    /// be in time, work that was started recently; once it has waited as long as capacity is reserved
+    /// for a gang, any. Without bounds two teams' arrays stop each other over and over, and none is in
+    /// time.
     pub(super) fn scope(&self, request: &PlacementRequest) -> PreemptionScope {
         let job = &self.cluster.jobs[request.job_index];
         // A gang starts whole, and so all of it has to be within the guarantee.
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The same on one machine: nothing is stopped where the start would be
-    /// late for the guarantee all the same.
+    /// The same on one machine: nothing is stopped where the start would be late for the guarantee
+    /// all the same.
     pub(super) fn scope_on_host(
         &self,
         scope: PreemptionScope,
@@ -53,63 +53,62 @@
         host_index: HostIndex,
     ) -> PreemptionScope {
         let in_time = || {
-            request
-                .guarantee_left_s
-                .is_some_and(|left| late_probability(self.fetch_s(request, host_index), left) < LIKELY_LATE)
+            let late = |left_s| late_probability(self.fetch_s(request, host_index), left_s);
+            request.guarantee_left_s.is_some_and(|left_s| late(left_s) < LIKELY_LATE)
         };
         if scope == PreemptionScope::RecentlyStarted && !in_time() { PreemptionScope::None } else { scope }
     }
 
     /// Has it run for only a small share of its estimate?
-    pub(super) fn started_recently(&self, c: &TaskAttempt) -> bool {
-        let expected_s = self.cluster.jobs[c.key.job].spec.expected_s;
-        self.now.saturating_sub(c.since_ms) as f64 <= expected_s * 1000.0 * EARLY_SHARE_OF_EXPECTED
+    pub(super) fn started_recently(&self, attempt: &TaskAttempt) -> bool {
+        let expected_s = self.cluster.jobs[attempt.key.job].spec.expected_s;
+        self.now.saturating_sub(attempt.since_ms) as f64 <= expected_s * 1000.0 * EARLY_SHARE_OF_EXPECTED
     }
 
-    /// Has it been there for long? What is stopped sooner was hardly started.
-    pub(super) fn settled(&self, c: &TaskAttempt) -> bool {
-        self.now.saturating_sub(c.since_ms) >= SETTLED_AFTER_REACTIONS * self.policy.react_ms
+    /// Has it been there for long? What is stopped sooner was started in vain.
+    pub(super) fn settled(&self, attempt: &TaskAttempt) -> bool {
+        self.now.saturating_sub(attempt.since_ms) >= SETTLED_AFTER_REACTIONS * self.policy.react_ms
     }
 
     /// Could the attempt's job still be in time if it began anew?
-    pub(super) fn restart_in_time(&self, c: &TaskAttempt) -> bool {
-        let job = &self.cluster.jobs[c.key.job];
+    pub(super) fn restart_in_time(&self, attempt: &TaskAttempt) -> bool {
+        let job = &self.cluster.jobs[attempt.key.job];
         let expected_ms = (job.spec.expected_s * 1000.0) as u64;
         job.due_ms().is_none() || self.wall + expected_ms < self.policy.soft_deadline_ms(job)
     }
 
-    /// May a task of this job push this attempt off its machine, beside the stops that are
-    /// planned for the same start?
+    /// May this attempt be stopped for a task of the job, beside the stops that are planned for the
+    /// same start?
     pub(super) fn may_evict(
         &self,
         job_index: JobIndex,
         scope: PreemptionScope,
-        c: &TaskAttempt,
+        attempt: &TaskAttempt,
         planned: &PlannedStops,
     ) -> bool {
         let job = &self.cluster.jobs[job_index];
-        let victim_job = &self.cluster.jobs[c.key.job];
+        let victim_job = &self.cluster.jobs[attempt.key.job];
         let victim = &victim_job.spec;
-        if c.stop.is_some() || c.ended() {
+        if attempt.stop.is_some() || attempt.ended() {
             return false;
         }
         if victim_job.urgency < job.urgency {
-            return self.stop_cause(job_index, c, planned).is_ok();
+            return self.stop_cause(job_index, attempt, planned).is_ok();
         }
-        if self.may_reclaim(job_index) && self.stop_cause(job_index, c, planned) == Ok(StopCause::Reclaim) {
+        if self.may_reclaim(job_index) && self.stop_cause(job_index, attempt, planned) == Ok(StopCause::Reclaim) {
             return true;
         }
-        let far_enough = match scope {
+        let in_scope = match scope {
             PreemptionScope::None => false,
-            PreemptionScope::RecentlyStarted => self.started_recently(c),
+            PreemptionScope::RecentlyStarted => self.started_recently(attempt),
             PreemptionScope::Any => true,
         };
-        far_enough
-            && (scope == PreemptionScope::Any || self.restart_in_time(c))
+        in_scope
+            && (scope == PreemptionScope::Any || self.restart_in_time(attempt))
             && victim.team != job.spec.team
             && victim.shape != Shape::Service
             && victim_job.urgency <= job.urgency.max(Urgency::Normal)
-            && self.beyond_guarantee(c.key.job, planned)
-            && self.stop_cause(job_index, c, planned).is_ok()
+            && self.beyond_guarantee(attempt.key.job, planned)
+            && self.stop_cause(job_index, attempt, planned).is_ok()
     }
 }
--- /dev/null
+++ b/src/scheduling/cycle/preemption_orders.rs
@@ -0,0 +1,112 @@
+//! Carrying out what was planned: the orders to stop attempts, and the reservations where replicas
+//! migrate to.
+
+use super::borrowing::StopCause;
+use super::planned_stops::PlannedStops;
+use super::request::PlacementRequest;
+use super::reservations::RESERVATION_REACTIONS;
+use super::victims::Eviction;
+use super::{Preemption, SchedulingCycle};
+use crate::model::{HostIndex, JobIndex, Reservation, Shape, Spec, TaskAttempt};
+
+/// What the stops of one eviction have in common.
+struct StopOrder {
+    /// The job that gets the capacity.
+    by: JobIndex,
+    grace_s: f64,
+    cause: StopCause,
+}
+
+impl SchedulingCycle<'_> {
+    /// Carries out what `plan_preemption` found for a machine.
+    pub(super) fn execute_preemption(
+        &mut self,
+        request: &PlacementRequest,
+        host_index: HostIndex,
+        evictions: &[Eviction],
+    ) {
+        let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
+        for Eviction { attempt, destination } in evictions {
+            if let Some(to) = destination {
+                self.reserve(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
+            }
+            let cause = match destination {
+                Some(_) => Ok(StopCause::Move),
+                None => self.stop_cause(request.job_index, attempt, &PlannedStops::default()),
+            };
+            // What was planned together was judged together; what may not be stopped any more is kept.
+            let Ok(cause) = cause else { continue };
+            let grace_s = match cause {
+                StopCause::Loan(_) | StopCause::Reclaim => self.cluster.jobs[attempt.key.job].spec.grace_s(),
+                _ => self.stop_grace_s(request, host_index, &self.cluster.jobs[attempt.key.job].spec),
+            };
+            self.stop(host_index, attempt, &StopOrder { by: request.job_index, grace_s, cause });
+        }
+    }
+
+    /// Seconds that a stopped task has to save its state. An array task has none where a start that
+    /// could be in time would be late for its class's objective by then: it goes on from its last
+    /// checkpoint. A gang would lose as much with each of its tasks, and keeps its time.
+    fn stop_grace_s(&self, request: &PlacementRequest, host_index: HostIndex, victim: &Spec) -> f64 {
+        let grace_s = victim.grace_s();
+        let fetch_s = self.fetch_s(request, host_index);
+        let late_by_saving =
+            request.objective_left_s.is_some_and(|left_s| fetch_s <= left_s && left_s < fetch_s + grace_s);
+        if late_by_saving && victim.shape == Shape::Batch { 0.0 } else { grace_s }
+    }
+
+    /// Orders the stop of an attempt; a gang is stopped whole, on all its machines.
+    fn stop(&mut self, host_index: HostIndex, attempt: &TaskAttempt, order: &StopOrder) {
+        let job_index = attempt.key.job;
+        let spec = &self.cluster.jobs[job_index].spec;
+        let each = spec.demand;
+        let whole_gang = spec.shape == Shape::Gang;
+        let tasks_together = if whole_gang { spec.tasks } else { 1 };
+        let mut hosts: Vec<HostIndex> =
+            if whole_gang { self.index.hosts_of(job_index).collect() } else { vec![host_index] };
+        hosts.sort_unstable();
+        hosts.dedup();
+        let lost_s = self.lost_s(attempt, host_index) / f64::from(tasks_together);
+        let mut stopped = 0;
+        for host in hosts {
+            let same = |other: &TaskAttempt| {
+                host == host_index && other.key == attempt.key && other.attempt == attempt.attempt
+            };
+            let is_stopped = |other: &TaskAttempt| same(other) || (whole_gang && other.key.job == job_index);
+            stopped += self.stop_on_host(host, is_stopped, order, lost_s);
+        }
+        self.borrowing.stopped(job_index, each, stopped, order.cause);
+    }
+
+    /// Orders the stops of these attempts on a machine; returns how many they are. Each loses
+    /// `lost_s` seconds of work.
+    fn stop_on_host(
+        &mut self,
+        host_index: HostIndex,
+        is_stopped: impl Fn(&TaskAttempt) -> bool,
+        order: &StopOrder,
+        lost_s: f64,
+    ) -> u32 {
+        let Some(host) = self.cluster.hosts[host_index].as_mut() else { return 0 };
+        let mut stopped = 0;
+        for attempt in host.attempts.iter_mut().filter(|attempt| !attempt.ended() && attempt.stop.is_none()) {
+            if !is_stopped(attempt) {
+                continue;
+            }
+            attempt.stop = Some(order.grace_s);
+            attempt.stop_awaits_record = matches!(order.cause, StopCause::Loan(_));
+            stopped += 1;
+            self.index.stop(&self.cluster.jobs[attempt.key.job].spec);
+            self.decisions.stops.push(Preemption {
+                host: host_index,
+                key: attempt.key,
+                attempt: attempt.attempt,
+                grace_s: order.grace_s,
+                by: order.by,
+                cause: order.cause,
+                lost_s,
+            });
+        }
+        stopped
+    }
+}
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -1,23 +1,23 @@
-//! The order in which a scheduling cycle looks at jobs.
+//! The queue of a scheduling cycle: in which order it looks at jobs.
 
 use super::SchedulingCycle;
 use crate::model::{ClusterState, Job, JobIndex, Shape, Urgency};
 use std::cmp::Reverse;
 
-/// Which tasks of a job are looked at.
+/// Which tasks of a job are placed; a job is queued once a tier that applies to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueTier {
-    /// Those whose room was lent to another team and is being returned: before all else, in
-    /// room that is free.
+    /// Those whose capacity was lent to another team and is being returned: before all else, and on
+    /// capacity that is free.
     Returned,
-    /// Those within the guarantee of its team, which may stop equal work beyond others'
-    /// guarantees. They come first: what is placed before them they would stop next.
+    /// Those within the guarantee of its team, which may stop equal work beyond others' guarantees.
+    /// They come first: what is placed before them they would stop next.
     Guaranteed,
-    /// All that wait.
+    /// All that are pending.
     Ordinary,
 }
 
-/// A job whose turn comes.
+/// An entry of the queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueuedJob {
     pub(super) job_index: JobIndex,
@@ -42,33 +42,30 @@
     cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, least))
 }
 
-/// Has the job tasks to place, of this urgency at least?
+/// Has the job tasks to place, and this urgency at least?
 fn has_pending_tasks(cluster: &ClusterState, job: &Job, now: u64, least: Urgency) -> bool {
     if job.urgency < least || !job.active() {
         return false;
     }
-    // A task that may be on a machine not reconciled waits; what
-    // was seen alive since is certainly nowhere else.
-    let placeable = cluster.placeable(job);
-    job.tasks.iter().any(|t| t.retry_ms <= now && placeable.open(t))
+    // A task that an unreconciled machine may hold is not placed; what was located since is certainly
+    // nowhere else.
+    let placeable = cluster.placeable_tasks(job);
+    job.tasks.iter().any(|task| task.retry_ms <= now && placeable.includes(task))
 }
 
 impl SchedulingCycle<'_> {
-    /// Jobs with tasks to place: of those that may preempt one another the more
-    /// urgent first, as preemption would turn any other order round; then what is within
-    /// guarantees, then the lowest bin, then the older.
+    /// Jobs with tasks to place: the more urgent first, as preemption would turn any other order
+    /// round; then what is within guarantees, then the lowest bin, then the older.
     pub(super) fn queue(&self, least: Urgency) -> Vec<QueuedJob> {
         let live = self.cluster.live.iter().copied();
-        let waits =
-            |job_index: &JobIndex| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, least);
-        let waiting = live.filter(waits);
-        let mut queue: Vec<QueueRank> = waiting.flat_map(|job_index| self.queue_ranks(job_index)).collect();
+        let pending =
+            live.filter(|job_index| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, least));
+        let mut queue: Vec<QueueRank> = pending.flat_map(|job_index| self.queue_ranks(job_index)).collect();
         queue.sort_unstable();
         queue.into_iter().map(|rank| QueuedJob { job_index: rank.job, tier: rank.tier }).collect()
     }
 
-    /// Its ordinary turn, and before that those of what may stop equal work for its guarantee and
-    /// of what gets back room that was lent.
+    /// One rank for each tier that applies to the job.
     fn queue_ranks(&self, job_index: JobIndex) -> impl Iterator<Item = QueueRank> {
         let job = &self.cluster.jobs[job_index];
         let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
@@ -87,7 +84,7 @@
         returned.into_iter().chain(guaranteed).chain([rank(QueueTier::Ordinary)])
     }
 
-    /// May it stop equal work for its guarantee?
+    /// May it stop equal work for its team's guarantee?
     fn in_guaranteed_tier(&self, job: &Job) -> bool {
         let waited_ms = self.wall.saturating_sub(job.ready_ms);
         let in_time = self.policy.guarantee_s.is_some_and(|within_s| (waited_ms as f64) < within_s * 1000.0);
--- a/src/scheduling/cycle/reservations.rs
+++ b/src/scheduling/cycle/reservations.rs
@@ -1,70 +1,71 @@
-//! Room that is held for jobs.
+//! Reservations of capacity for jobs, on the machines and in the index alike.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
-use crate::model::{HostIndex, JobIndex, Reservation};
+use crate::model::{Host, HostIndex, JobIndex, Reservation};
 use crate::scheduling::index::ZoneCounts;
 
-/// Room that is made for a task is held for so many times what an order takes
-/// to show: what is in the way may have to save.
+/// Capacity that is freed for a task stays reserved for this multiple of the time within which an
+/// order shows its effect: what is stopped may have to save its state.
 pub(super) const RESERVATION_REACTIONS: u64 = 10;
 
+fn reserved_for(host: &Host, job_index: JobIndex) -> bool {
+    host.reservations.iter().any(|reservation| reservation.job == job_index)
+}
+
 impl SchedulingCycle<'_> {
-    /// Holds room on a machine.
-    pub(super) fn reserve(&mut self, host_index: HostIndex, claim: Reservation) {
+    /// Reserves capacity on a machine.
+    pub(super) fn reserve(&mut self, host_index: HostIndex, reservation: Reservation) {
         self.borrowing.note_change();
-        if let Some(h) = self.cluster.host_mut(host_index) {
-            let before = h.reservations.clone();
-            h.reservations.push(claim);
-            self.index.update_reservations(&before, &h.reservations, host_index);
+        if let Some(host) = self.cluster.host_mut(host_index) {
+            let before = host.reservations.clone();
+            host.reservations.push(reservation);
+            self.index.update_reservations(&before, &host.reservations, host_index);
         }
     }
 
-    /// Gives up the room that is held for a job.
+    /// Gives up all reservations of a job.
     pub(super) fn release_reservations(&mut self, job_index: JobIndex) {
         if self.index.reservations_of(job_index) == 0 {
             return;
         }
         self.borrowing.note_change();
-        for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
-            let Some(h) = h.as_mut().filter(|h| h.reservations.iter().any(|c| c.job == job_index)) else { continue };
-            let before = h.reservations.clone();
-            h.reservations.retain(|c| c.job != job_index);
-            self.index.update_reservations(&before, &h.reservations, host_index);
+        for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
+            let Some(host) = host.as_mut().filter(|host| reserved_for(host, job_index)) else { continue };
+            let before = host.reservations.clone();
+            host.reservations.retain(|reservation| reservation.job != job_index);
+            self.index.update_reservations(&before, &host.reservations, host_index);
         }
     }
 
-    /// How many tasks room is held for where zones still allow them, which are
-    /// counted; what is held elsewhere is given up. Room in a zone that the job's
-    /// other tasks filled meanwhile would keep the last one waiting for its end.
+    /// Keeps the job's reservations where zones still allow its tasks, counts these, and gives up the
+    /// others; returns how many are kept. A reservation in a zone that the job's other tasks filled
+    /// meanwhile would keep the last task pending until it expires.
     pub(super) fn keep_usable_reservations(&mut self, request: &PlacementRequest, counts: &mut ZoneCounts) -> usize {
         if self.index.reservations_of(request.job_index) == 0 {
             return 0;
         }
         self.borrowing.note_change();
-        let mut of_use = 0;
+        let mut kept = 0;
         for host_index in 0..self.index.hosts.len() {
             if self.index.hosts[host_index].reservations == 0 {
                 continue;
             }
-            let Some(h) = self.cluster.hosts[host_index]
-                .as_mut()
-                .filter(|h| h.reservations.iter().any(|c| c.job == request.job_index))
-            else {
-                continue;
-            };
-            let before = h.reservations.clone();
-            let slot = &self.index.hosts[host_index];
-            h.reservations.retain(|c| {
-                let fits = c.job != request.job_index || request.requirements.accepts(slot, counts);
-                if fits && c.job == request.job_index {
-                    counts.add(slot.zone);
-                    of_use += 1;
+            let host = self.cluster.hosts[host_index].as_mut();
+            let Some(host) = host.filter(|host| reserved_for(host, request.job_index)) else { continue };
+            let before = host.reservations.clone();
+            let host_info = &self.index.hosts[host_index];
+            host.reservations.retain(|reservation| {
+                let own = reservation.job == request.job_index;
+                let keep = !own || request.requirements.accepts(host_info, counts);
+                if keep && own {
+                    counts.add(host_info.zone);
+                    kept += 1;
                 }
-                fits
+                keep
             });
-            self.index.update_reservations(&before, &h.reservations, host_index);
+            self.index.update_reservations(&before, &host.reservations, host_index);
         }
-        of_use
+        kept
     }
 }
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -1,5 +1,6 @@
 //! Placement of arrays and services, task by task.
 
+use super::candidates::Candidate;
 use super::queue::QueueTier;
 use super::request::PlacementRequest;
 use super::victims::PreemptionPlan;
@@ -7,93 +8,132 @@
 use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
 use crate::scheduling::index::ZoneCounts;
 
+/// What the placement of one task of a job leaves for the next one.
+#[derive(Debug)]
+struct PlacementState {
+    /// The job's tasks by zone, those that capacity is reserved for included.
+    counts: ZoneCounts,
+    /// Machines with capacity for a task; `None` if they have to be found again.
+    candidates: Option<Vec<Candidate>>,
+}
+
+/// What came of one task.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum TaskOutcome {
+    Placed,
+    /// Capacity next to the image is freed and reserved for it.
+    AwaitsBetterHost,
+    NoCapacity,
+}
+
 impl SchedulingCycle<'_> {
     /// Starts an attempt of a task on a machine.
-    pub(super) fn start(&mut self, key: TaskKey, host: HostIndex, attempt: u64) {
+    pub(super) fn start(&mut self, key: TaskKey, host_index: HostIndex, attempt: u64) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
-        task.place = Place::On(host, attempt);
+        task.place = Place::On(host_index, attempt);
         task.located = true;
         job.image_wait_until_ms = 0;
-        self.index.start(&job.spec, key.job, host);
+        self.index.start(&job.spec, key.job, host_index);
         self.borrowing.started(key.job, job.spec.demand);
-        let (image, gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
+        let (image, image_gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
-        let held = self.cluster.host(host).and_then(|h| {
-            let own = h.reservations.iter().position(|claim| claim.job == key.job);
-            own.or_else(|| h.reservations.iter().position(|claim| self.cluster.may_use(claim, key.job)))
-        });
-        let cache = self.cluster.instance_types[self.index.hosts[host].instance_type].cache_gb;
-        if let Some(h) = self.cluster.host_mut(host) {
-            // Room held for this job is used up by its tasks.
-            if let Some(i) = held {
-                let before = h.reservations.clone();
-                h.reservations[i].demand.sub(&demand);
-                if !demand.fits(&h.reservations[i].demand) {
-                    h.reservations.remove(i);
+        let reservation = self.usable_reservation(key, host_index);
+        let cache_gb = self.cluster.instance_types[self.index.hosts[host_index].instance_type].cache_gb;
+        if let Some(host) = self.cluster.host_mut(host_index) {
+            if let Some(position) = reservation {
+                let before = host.reservations.clone();
+                host.reservations[position].demand.sub(&demand);
+                if !demand.fits(&host.reservations[position].demand) {
+                    host.reservations.remove(position);
                 }
-                self.index.update_reservations(&before, &h.reservations, host);
+                self.index.update_reservations(&before, &host.reservations, host_index);
             }
-            h.use_image(&image, gb, cache, now);
-            h.attempts.push(TaskAttempt::sent(key, attempt, demand, now));
+            host.use_image(&image, image_gb, cache_gb, now);
+            host.attempts.push(TaskAttempt::sent(key, attempt, demand, now));
         }
-        self.decisions.starts.push(Assignment { key, host, attempt });
+        self.decisions.starts.push(Assignment { key, host: host_index, attempt });
+    }
+
+    /// Position of the reservation that a start on the machine uses up: the job's own, else its team's.
+    fn usable_reservation(&self, key: TaskKey, host_index: HostIndex) -> Option<usize> {
+        let reservations = &self.cluster.host(host_index)?.reservations;
+        let own = reservations.iter().position(|reservation| reservation.job == key.job);
+        own.or_else(|| reservations.iter().position(|reservation| self.cluster.may_use(reservation, key.job)))
     }
 
-    /// Places the idle tasks of an array or service; false if room lacked.
+    /// Places the idle tasks of an array or service; false if capacity for one of them lacked.
     pub(super) fn place_tasks(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
-        let mut counts = self.index.counts(job_index);
-        let mut candidates = None;
-        let placeable = self.cluster.placeable(&self.cluster.jobs[job_index]);
-        let lingering = self.cluster.lingering(job_index, self.index.hosts_of(job_index));
-        let mut returned = 0;
-        for n in 0..self.cluster.jobs[job_index].tasks.len() {
-            let t = self.cluster.jobs[job_index].tasks[n];
-            if t.retry_ms > self.now || !placeable.open(&t) || lingering.contains(&(n as u32)) {
+        let mut state = PlacementState { counts: self.index.counts(job_index), candidates: None };
+        let placeable = self.cluster.placeable_tasks(&self.cluster.jobs[job_index]);
+        let lingering = self.cluster.tasks_with_stray_attempts(job_index, self.index.hosts_of(job_index));
+        let mut tried = 0;
+        for task_number in 0..self.cluster.jobs[job_index].tasks.len() as u32 {
+            let task = self.cluster.jobs[job_index].tasks[task_number as usize];
+            if task.retry_ms > self.now || !placeable.includes(&task) || lingering.contains(&task_number) {
                 continue;
             }
-            if !self.within_limit(&self.cluster.jobs[job_index].spec, 1.0) {
-                return true; // waits for its own team, not for room
-            }
-            if request.tier == QueueTier::Returned && returned >= self.returning_tasks(job_index) {
-                return true; // the rest waits for its ordinary turn
-            }
-            returned += 1;
-            if request.tier == QueueTier::Guaranteed && !self.within_guarantee(&self.cluster.jobs[job_index].spec, 1) {
-                return true; // the rest waits for its ordinary turn
-            }
-            if self.too_many_attempts(&self.cluster.jobs[job_index]) {
-                return true; // waits for others to end, not for room
-            }
-            if let Some(room) = self.reservation_for_replica(request, &counts) {
-                let host = self.claim_warm_reservation(room, TaskKey { job: job_index, task: n as u32 }, attempt());
-                counts.add(self.index.hosts[host].zone);
-                candidates = None;
-                continue;
+            if self.is_bounded(request, tried) {
+                return true;
             }
-            let mut found = candidates.take().unwrap_or_else(|| self.candidates(request));
-            let Some(host) = self.best_candidate(request, &found, &counts) else { return false };
-            // Room that was made for this job is as good as it gets.
-            let made = self.cluster.host(host).is_some_and(|h| h.reservations.iter().any(|c| c.job == job_index));
-            if !made
-                && self
-                    .earlier_image_gain(request, host)
-                    .is_some_and(|most| self.wait_for_better_host(request, &counts, most))
-            {
-                candidates = None;
-                continue;
+            tried += 1;
+            let key = TaskKey { job: job_index, task: task_number };
+            if self.place_task(request, key, &mut state, attempt) == TaskOutcome::NoCapacity {
+                return false;
             }
-            counts.add(self.index.hosts[host].zone);
-            self.start(TaskKey { job: job_index, task: n as u32 }, host, attempt());
-            self.refresh_candidate(request, &mut found, host);
-            candidates = Some(found);
         }
         true
     }
 
-    /// Makes room where the image is ready, or sooner there, if only a little
-    /// lesser work stands in the way; the task then waits for that room.
+    /// Must the rest of the job's tasks wait, whatever capacity there is: for its own team, for a later
+    /// tier, or for other work to end? `tried` of its tasks were looked at before.
+    fn is_bounded(&self, request: &PlacementRequest, tried: u32) -> bool {
+        let job = &self.cluster.jobs[request.job_index];
+        !self.within_limit(&job.spec, 1.0)
+            || (request.tier == QueueTier::Returned && tried >= self.returning_tasks(request.job_index))
+            || (request.tier == QueueTier::Guaranteed && !self.within_guarantee(&job.spec, 1))
+            || self.too_many_attempts(job)
+    }
+
+    /// Places one task where that costs least: on a warm reservation if there is one for it.
+    fn place_task(
+        &mut self,
+        request: &PlacementRequest,
+        key: TaskKey,
+        state: &mut PlacementState,
+        attempt: &mut impl FnMut() -> u64,
+    ) -> TaskOutcome {
+        if let Some(position) = self.reservation_for_replica(request, &state.counts) {
+            let host = self.claim_warm_reservation(position, key, attempt());
+            state.counts.add(self.index.hosts[host].zone);
+            state.candidates = None;
+            return TaskOutcome::Placed;
+        }
+        let mut candidates = state.candidates.take().unwrap_or_else(|| self.candidates(request));
+        let Some(host) = self.best_candidate(request, &candidates, &state.counts) else {
+            return TaskOutcome::NoCapacity;
+        };
+        // Capacity that was freed for this job is not given up for a better one.
+        let reserved_here = |position: HostIndex| {
+            let host = self.cluster.host(position);
+            host.is_some_and(|host| host.reservations.iter().any(|reservation| reservation.job == key.job))
+        };
+        if !reserved_here(host)
+            && let Some(most) = self.earlier_image_gain(request, host)
+            && self.wait_for_better_host(request, &state.counts, most)
+        {
+            return TaskOutcome::AwaitsBetterHost;
+        }
+        state.counts.add(self.index.hosts[host].zone);
+        self.start(key, host, attempt());
+        self.refresh_candidate(request, &mut candidates, host);
+        state.candidates = Some(candidates);
+        TaskOutcome::Placed
+    }
+
+    /// Frees capacity where the image is ready, or sooner there, if only a little lesser work has to be
+    /// stopped for at most the cost `most`; the task then waits for that capacity.
     fn wait_for_better_host(&mut self, request: &PlacementRequest, counts: &ZoneCounts, most: f64) -> bool {
         if !self.may_wait_for_image(request) {
             return false;
@@ -101,15 +141,15 @@
         if self.index.reservations_of(request.job_index) > 0 {
             return true;
         }
-        let Some((host_index, vacancy)) = self.cheapest_with_image(request, counts, most) else { return false };
-        self.execute_preemption(request, host_index, &vacancy.evictions);
+        let Some((host_index, plan)) = self.cheapest_with_image(request, counts, most) else { return false };
+        self.execute_preemption(request, host_index, &plan.evictions);
         let until_ms = self.now + self.policy.react_ms;
         self.reserve(host_index, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
         true
     }
 
-    /// May it wait for room next to its image, or has it waited long enough? Bounded:
-    /// what is held may be gone, and then any room will do.
+    /// May it wait for capacity next to its image, or has it waited long enough? Bounded: what is
+    /// reserved may be gone, and then any machine will do.
     fn may_wait_for_image(&mut self, request: &PlacementRequest) -> bool {
         let (now, wait) = (self.now, 2 * self.policy.react_ms);
         let job = &mut self.cluster.jobs[request.job_index];
@@ -120,7 +160,7 @@
         now < job.image_wait_until_ms
     }
 
-    /// Where room costs least among machines that have the image sooner.
+    /// Where preemption costs least among machines that have the image sooner.
     fn cheapest_with_image(
         &self,
         request: &PlacementRequest,
@@ -129,22 +169,21 @@
     ) -> Option<(HostIndex, PreemptionPlan)> {
         let scope = self.scope(request);
         let mut best: Option<(HostIndex, PreemptionPlan)> = None;
-        for (host_index, slot) in self.index.hosts.iter().enumerate() {
-            let here = slot.reservations == 0
-                && request.requirements.accepts(slot, counts)
+        for (host_index, host) in self.index.hosts.iter().enumerate() {
+            let allowed = host.reservations == 0
+                && request.requirements.accepts(host, counts)
                 && !request.avoided_hosts.contains(&host_index);
-            if !here || self.earlier_image_gain(request, host_index).is_some_and(|m| m > most / 2.0) {
+            if !allowed || self.earlier_image_gain(request, host_index).is_some_and(|gain| gain > most / 2.0) {
                 continue;
             }
-            let Some(vacancy) = self.plan_preemption(request, scope, host_index, &request.requirements.demand) else {
-                continue;
-            };
-            if self.stops_other_teams(request.job_index, &vacancy) {
-                // There is room elsewhere: that the image comes later is no need to borrow.
+            let demand = &request.requirements.demand;
+            let Some(plan) = self.plan_preemption(request, scope, host_index, demand) else { continue };
+            if self.stops_other_teams(request.job_index, &plan) {
+                // There is capacity elsewhere: that the image comes later is no need to borrow.
                 continue;
             }
-            if vacancy.cost <= most && best.as_ref().is_none_or(|(_, b)| vacancy.cost < b.cost) {
-                best = Some((host_index, vacancy));
+            if plan.cost <= most && best.as_ref().is_none_or(|(_, best)| plan.cost < best.cost) {
+                best = Some((host_index, plan));
             }
         }
         best
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -1,5 +1,5 @@
-//! What a scheduling cycle looks up of teams for each attempt that might be stopped: numbers in place of names,
-//! counted once and kept up to date.
+//! What a scheduling cycle looks up of teams for each attempt that might be stopped: indices in place
+//! of names, counted once and kept up to date.
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::scheduling::Policy;
@@ -21,7 +21,7 @@
     pub(super) most_gpus: f64,
     /// What it has borrowed, less what this cycle takes back.
     pub(super) borrowed: Amounts,
-    /// The teams that owe it room.
+    /// The teams that owe it capacity.
     pub(super) debtors: Vec<TeamIndex>,
 }
 
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -1,4 +1,5 @@
-//! Rooms of warm pools: replicas of their models go there first, and idle ones give way.
+//! Warm reservations: replicas of a pool's models are placed on them first, and idle ones are given
+//! up for other work.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -6,44 +7,55 @@
 use crate::scheduling::index::ZoneCounts;
 use std::collections::{BTreeMap, HashSet};
 
+/// Warm reservations on a machine that may be given up together.
+struct YieldableReservations {
+    /// Their pool slots.
+    slots: Vec<u64>,
+    /// So many more tasks fit then.
+    tasks: usize,
+}
+
 impl SchedulingCycle<'_> {
-    /// The position of a room that is held for a replica like those of this job: a warm one if
-    /// there is any.
+    /// Position of a reservation that is offered to replicas like those of this job: a warm one if there
+    /// is any.
     pub(super) fn reservation_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
         if !request.is_service || self.cluster.warm_reservations.is_empty() {
             return None;
         }
         let spec = &self.cluster.jobs[request.job_index].spec;
-        let suits = |room: &WarmReservation| {
-            room.offer.as_ref().is_some_and(|offer| offer.takes(&spec.image, &spec.team))
-                && spec.demand.fits(&room.demand)
-                && request.requirements.accepts(&self.index.hosts[room.host], counts)
-                && !request.avoided_hosts.contains(&room.host)
+        let suits = |reservation: &WarmReservation| {
+            reservation.offer.as_ref().is_some_and(|offer| offer.takes(&spec.image, &spec.team))
+                && spec.demand.fits(&reservation.demand)
+                && request.requirements.accepts(&self.index.hosts[reservation.host], counts)
+                && !request.avoided_hosts.contains(&reservation.host)
         };
-        let rooms = self.cluster.warm_reservations.iter().enumerate().filter(|(_, room)| suits(room));
-        rooms.min_by_key(|(_, room)| (!room.warm, room.slot)).map(|(position, _)| position)
+        let reservations = self.cluster.warm_reservations.iter().enumerate();
+        reservations
+            .filter(|(_, reservation)| suits(reservation))
+            .min_by_key(|(_, reservation)| (!reservation.warm, reservation.slot))
+            .map(|(position, _)| position)
     }
 
-    /// Gives the room at this position to a task; returns its machine.
+    /// Starts a task on the reservation at this position; returns its machine.
     pub(super) fn claim_warm_reservation(&mut self, position: usize, key: TaskKey, attempt: u64) -> HostIndex {
-        let room = self.remove_warm_reservation(position);
-        self.start(key, room.host, attempt);
-        self.decisions.warm_claims.push(WarmReservationClaim { slot: room.slot, host: room.host, key, attempt });
-        room.host
+        let WarmReservation { slot, host, .. } = self.remove_warm_reservation(position);
+        self.start(key, host, attempt);
+        self.decisions.warm_claims.push(WarmReservationClaim { slot, host, key, attempt });
+        host
     }
 
-    /// A room is held no more.
+    /// Removes a reservation, whose capacity is free then.
     fn remove_warm_reservation(&mut self, position: usize) -> WarmReservation {
-        let room = self.cluster.warm_reservations.swap_remove(position);
-        self.index.hosts[room.host].free.add(&room.demand);
-        room
+        let reservation = self.cluster.warm_reservations.swap_remove(position);
+        self.index.hosts[reservation.host].free.add(&reservation.demand);
+        reservation
     }
 
-    /// Gives up idle rooms for a job that found no other, if it is more urgent than ordinary work
-    /// or within its team's guarantee. Rooms within their payer's guarantee are kept. True if there
-    /// is more room now.
+    /// Gives up idle reservations for a job that fits nowhere else, if it is more urgent than ordinary
+    /// work or within its team's guarantee. Those within their payer's guarantee are kept. True if there
+    /// is more free capacity now.
     pub(super) fn yield_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
-        if !self.cluster.warm_reservations.iter().any(|room| room.may_yield) {
+        if !self.cluster.warm_reservations.iter().any(|reservation| reservation.may_yield) {
             return false;
         }
         let job = &self.cluster.jobs[request.job_index];
@@ -51,55 +63,60 @@
         if job.urgency < Urgency::High && !self.within_guarantee(spec, 1) {
             return false;
         }
-        let waiting = self.waiting_tasks(request);
-        let vacancies = self.yieldable_reservations(request);
-        let all: usize = vacancies.iter().map(|vacancy| vacancy.tasks).sum();
+        let pending = self.pending_tasks(request);
+        let yieldable = self.yieldable_reservations(request);
+        let all: usize = yieldable.iter().map(|on_host| on_host.tasks).sum();
         // A gang that does not fit even then gains nothing.
-        if spec.shape == Shape::Gang && all + self.tasks_in_free_capacity(request) < waiting {
+        if spec.shape == Shape::Gang && all + self.tasks_in_free_capacity(request) < pending {
             return false;
         }
-        let mut left = waiting;
+        let mut left = pending;
         let mut given_up = HashSet::new();
-        for vacancy in vacancies {
+        for on_host in yieldable {
             if left == 0 {
                 break;
             }
-            left = left.saturating_sub(vacancy.tasks);
-            given_up.extend(vacancy.slots);
+            left = left.saturating_sub(on_host.tasks);
+            given_up.extend(on_host.slots);
         }
         self.give_up_reservations(&given_up)
     }
 
-    /// Machines on which rooms may be given up for the job, with what that is worth.
+    /// By machine, the reservations that may be given up for the job, and how many tasks that lets in.
     fn yieldable_reservations(&self, request: &PlacementRequest) -> Vec<YieldableReservations> {
         let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
-        let rooms = self.cluster.warm_reservations.iter().filter(|room| room.may_yield && !kept.contains(&room.slot));
-        rooms.for_each(|room| by_host.entry(room.host).or_default().push(room));
-        let vacancy = |(host, rooms): (HostIndex, Vec<&WarmReservation>)| self.yieldable_on_host(request, host, rooms);
-        by_host.into_iter().filter_map(vacancy).collect()
+        let reservations = self.cluster.warm_reservations.iter();
+        for reservation in reservations.filter(|one| one.may_yield && !kept.contains(&one.slot)) {
+            by_host.entry(reservation.host).or_default().push(reservation);
+        }
+        by_host
+            .into_iter()
+            .filter_map(|(host, reservations)| self.yieldable_on_host(request, host, reservations))
+            .collect()
     }
 
+    /// The reservations on one machine to give up for one or more tasks, if that lets any in.
     fn yieldable_on_host(
         &self,
         request: &PlacementRequest,
         host: HostIndex,
-        rooms: Vec<&WarmReservation>,
+        mut reservations: Vec<&WarmReservation>,
     ) -> Option<YieldableReservations> {
-        let slot = &self.index.hosts[host];
         let demand = &request.requirements.demand;
-        if !request.requirements.accepts(slot, &ZoneCounts::default()) || request.avoided_hosts.contains(&host) {
+        if !request.requirements.accepts(&self.index.hosts[host], &ZoneCounts::default())
+            || request.avoided_hosts.contains(&host)
+        {
             return None;
         }
         let mut free = self.index.free_for(self.cluster, host, request.job_index);
         let before = if demand.fits(&free) { free.slots(demand) } else { 0.0 };
         let mut slots = Vec::new();
-        // Cold rooms first, and no more than one task needs.
-        let mut rooms = rooms;
-        rooms.sort_by_key(|room| (room.warm, room.slot));
-        for room in rooms {
-            free.add(&room.demand);
-            slots.push(room.slot);
+        // Cold ones first, and no more than one task needs.
+        reservations.sort_by_key(|reservation| (reservation.warm, reservation.slot));
+        for reservation in reservations {
+            free.add(&reservation.demand);
+            slots.push(reservation.slot);
             if demand.fits(&free) && free.slots(demand) > before {
                 let tasks = (free.slots(demand) - before) as usize;
                 return Some(YieldableReservations { slots, tasks });
@@ -108,60 +125,56 @@
         None
     }
 
-    /// Tasks of the job that fit into room that is free as it is.
+    /// Tasks of the job that fit into capacity that is free as it is.
     fn tasks_in_free_capacity(&self, request: &PlacementRequest) -> usize {
         let demand = &request.requirements.demand;
-        let none = ZoneCounts::default();
-        let hosts = self.index.hosts.iter().enumerate().filter(|(_, slot)| request.requirements.accepts(slot, &none));
+        let no_tasks = ZoneCounts::default();
+        let hosts = self.index.hosts.iter().enumerate();
         hosts
+            .filter(|(_, host_info)| request.requirements.accepts(host_info, &no_tasks))
             .map(|(host, _)| self.index.free_for(self.cluster, host, request.job_index))
             .filter(|free| demand.fits(free))
             .map(|free| free.slots(demand) as usize)
             .sum()
     }
 
-    /// Slots whose rooms are within their payers' guarantees, beside what the payers' tasks take.
+    /// Pool slots whose reservations are within their payers' guarantees, beside what the payers' tasks
+    /// take.
     fn reservations_within_guarantees(&self) -> HashSet<u64> {
         let mut taken: BTreeMap<&str, Demand> = BTreeMap::new();
         let mut kept = HashSet::new();
-        let mut rooms: Vec<&WarmReservation> = self.cluster.warm_reservations.iter().collect();
-        rooms.sort_by_key(|room| (!room.warm, room.slot));
-        for room in rooms {
-            let Some(offer) = &room.offer else { continue };
-            let Some(team) = self.policy.teams.get(&offer.payer).filter(|team| team.guarantees(&room.demand)) else {
-                continue;
-            };
+        let mut reservations: Vec<&WarmReservation> = self.cluster.warm_reservations.iter().collect();
+        reservations.sort_by_key(|reservation| (!reservation.warm, reservation.slot));
+        for reservation in reservations {
+            let Some(offer) = &reservation.offer else { continue };
+            let rule = self.policy.teams.get(&offer.payer);
+            let Some(team) = rule.filter(|team| team.guarantees(&reservation.demand)) else { continue };
             let staying = || self.index.staying.get(&offer.payer).copied().unwrap_or_default();
             let taken = taken.entry(&offer.payer).or_insert_with(staying);
-            let mut with_room = *taken;
-            with_room.add(&room.demand);
+            let mut with_reservation = *taken;
+            with_reservation.add(&reservation.demand);
             let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
-            if within(with_room.gpus, team.guarantee.gpus) && within(with_room.cpus, team.guarantee.cpus) {
-                *taken = with_room;
-                kept.insert(room.slot);
+            if within(with_reservation.gpus, team.guarantee.gpus) && within(with_reservation.cpus, team.guarantee.cpus)
+            {
+                *taken = with_reservation;
+                kept.insert(reservation.slot);
             }
         }
         kept
     }
 
-    /// Gives up these slots' rooms; false if there are none.
+    /// Gives up the reservations of these pool slots; false if there are none.
     fn give_up_reservations(&mut self, slots: &HashSet<u64>) -> bool {
-        while let Some(position) = self.cluster.warm_reservations.iter().position(|room| slots.contains(&room.slot)) {
-            let room = self.remove_warm_reservation(position);
-            self.decisions.warm_reservations_given_up.push(room.slot);
+        let next = |cycle: &Self| cycle.cluster.warm_reservations.iter().position(|one| slots.contains(&one.slot));
+        while let Some(position) = next(self) {
+            let reservation = self.remove_warm_reservation(position);
+            self.decisions.warm_reservations_given_up.push(reservation.slot);
         }
         if !slots.is_empty() {
-            // What found no room before may find some now.
+            // What fitted nowhere before may fit now.
             self.exhausted_requirements.clear();
             self.blocked.clear();
         }
         !slots.is_empty()
     }
 }
-
-/// Rooms of a machine that may be given up together.
-struct YieldableReservations {
-    slots: Vec<u64>,
-    /// So many more tasks fit then.
-    tasks: usize,
-}
--- a/src/scheduling/plan/mod.rs
+++ b/src/scheduling/plan/mod.rs
@@ -117,8 +117,8 @@
     let have = bins.len();
     for job_index in work.pending_jobs.iter().chain(work.upcoming) {
         let job = &cluster.jobs[*job_index];
-        let placeable = cluster.placeable(job);
-        let n = job.tasks.iter().filter(|t| placeable.open(t)).count();
+        let placeable = cluster.placeable_tasks(job);
+        let n = job.tasks.iter().filter(|t| placeable.includes(t)).count();
         fit(cluster, &index, &mut bins, &job.spec, n, job.avoided_hosts(cluster, now), supply);
     }
     for flow in work.flows {
