--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -113,13 +113,14 @@
 fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[InstanceKind], now: u64) -> JobDemand {
     let spec = &job.spec;
     let fits = |kind: &InstanceKind| {
-        kind.instance_type.is_some_and(|instance_type| spec.allows_flavor(&cluster.instance_types[instance_type]))
+        kind.instance_type
+            .is_some_and(|instance_type| spec.allows_instance_type(&cluster.instance_types[instance_type]))
             && spec.allows_zone(&kind.zone)
             && (spec.spot || !kind.spot)
     };
     let may_start = job.active() && kinds.iter().any(fits);
-    let placeable = cluster.placeable(job);
-    let idle = || job.tasks.iter().filter(|task| task.retry_ms <= now && placeable.open(task)).count() as u32;
+    let placeable = cluster.placeable_tasks(job);
+    let idle = || job.tasks.iter().filter(|task| task.retry_ms <= now && placeable.includes(task)).count() as u32;
     let waiting = if may_start { idle() + attempts.stopping } else { 0 };
     JobDemand {
         each: Amounts::from(spec.demand),
--- a/src/scheduling/cycle/candidates.rs
+++ b/src/scheduling/cycle/candidates.rs
@@ -1,12 +1,12 @@
-//! The machines that have room for a task, and the best of them.
+//! The machines that have capacity for a task, and the best of them.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::HostIndex;
-use crate::scheduling::index::{Slot, ZoneCounts};
+use crate::scheduling::index::{HostInfo, ZoneCounts};
 use crate::scheduling::plan::strands_accelerators;
 
-/// A machine with room for a task, and what placing it there costs.
+/// A machine with capacity for a task, and the cost of placing it there.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) cost: f64,
@@ -14,41 +14,47 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// The machines that have room for a task of the job, with their costs.
+    /// The machines that have capacity for a task of the job, with their costs.
     pub(super) fn candidates(&mut self, request: &PlacementRequest) -> Vec<Candidate> {
-        if !request.held && self.full.iter().any(|w| w.like(&request.requirements)) {
+        let is_exhausted = || self.exhausted_requirements.iter().any(|known| known.like(&request.requirements));
+        if !request.has_reservation && is_exhausted() {
             return Vec::new();
         }
-        self.hosts_examined.set(self.hosts_examined.get() + self.index.slots.len() as u64);
-        let hosts = (0..self.index.slots.len()).filter(|host| self.has_room(request, *host));
+        self.hosts_examined.set(self.hosts_examined.get() + self.index.hosts.len() as u64);
+        let hosts = (0..self.index.hosts.len()).filter(|host| self.has_capacity(request, *host));
         let found: Vec<_> = hosts.map(|host| Candidate { cost: self.cost(request, host), host }).collect();
-        let may_hold_for_others = self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.reserves_for_teams);
-        if may_hold_for_others {
+        let reserves_for_teams = self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.reserves_for_teams);
+        if reserves_for_teams {
+            // That one job finds no capacity tells nothing of a like one of a team with reservations.
             return found;
         }
-        if found.is_empty() && !request.held && !request.without_accelerators && request.avoided_hosts.is_empty() {
-            self.full.push(request.requirements.clone());
+        if found.is_empty()
+            && !request.has_reservation
+            && !request.without_accelerators
+            && request.avoided_hosts.is_empty()
+        {
+            self.exhausted_requirements.push(request.requirements.clone());
         }
         found
     }
 
-    fn has_room(&self, request: &PlacementRequest, host_index: HostIndex) -> bool {
-        let slot = &self.index.slots[host_index];
-        request.requirements.demand.fits(&slot.free)
-            && request.requirements.takes(slot, &ZoneCounts::default())
+    fn has_capacity(&self, request: &PlacementRequest, host_index: HostIndex) -> bool {
+        let host = &self.index.hosts[host_index];
+        request.requirements.demand.fits(&host.free)
+            && request.requirements.accepts(host, &ZoneCounts::default())
             && !request.avoided_hosts.contains(&host_index)
-            && !(request.without_accelerators && self.strands_accelerators(request, slot))
-            && (slot.reservations == 0
+            && !(request.without_accelerators && self.strands_accelerators(request, host))
+            && (host.reservations == 0
                 || request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index)))
     }
 
-    /// Would a task there strand room that work with accelerators needs?
-    fn strands_accelerators(&self, request: &PlacementRequest, s: &Slot) -> bool {
-        strands_accelerators(self.cluster, &self.cluster.jobs[request.job_index].spec, s.instance_type, &s.free)
+    /// Would a task there strand capacity that work with accelerators needs?
+    fn strands_accelerators(&self, request: &PlacementRequest, host: &HostInfo) -> bool {
+        strands_accelerators(self.cluster, &self.cluster.jobs[request.job_index].spec, host.instance_type, &host.free)
     }
 
-    /// The best of the candidates that the zones allow; the least cost wins.
-    pub(super) fn best(
+    /// The candidate with the least cost among those that the zones allow.
+    pub(super) fn best_candidate(
         &self,
         request: &PlacementRequest,
         candidates: &[Candidate],
@@ -56,23 +62,29 @@
     ) -> Option<HostIndex> {
         let mut best: Option<Candidate> = None;
         for candidate in candidates {
-            let cheaper = best.is_none_or(|b| candidate.cost < b.cost);
-            if cheaper && request.requirements.takes(&self.index.slots[candidate.host], counts) {
+            let cheaper = best.is_none_or(|best| candidate.cost < best.cost);
+            if cheaper && request.requirements.accepts(&self.index.hosts[candidate.host], counts) {
                 best = Some(*candidate);
             }
         }
-        best.map(|b| b.host)
+        best.map(|best| best.host)
     }
 
-    /// Looks again at a candidate that took a task.
-    pub(super) fn renew(&self, request: &PlacementRequest, candidates: &mut Vec<Candidate>, host_index: HostIndex) {
-        let Some(i) = candidates.iter().position(|c| c.host == host_index) else { return };
+    /// Updates the cost of a candidate that took a task, or removes it if it is full.
+    pub(super) fn refresh_candidate(
+        &self,
+        request: &PlacementRequest,
+        candidates: &mut Vec<Candidate>,
+        host_index: HostIndex,
+    ) {
+        let Some(position) = candidates.iter().position(|candidate| candidate.host == host_index) else { return };
         let fits = request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index));
-        if fits && !(request.without_accelerators && self.strands_accelerators(request, &self.index.slots[host_index]))
-        {
-            candidates[i].cost = self.cost(request, host_index);
+        let stranding =
+            || request.without_accelerators && self.strands_accelerators(request, &self.index.hosts[host_index]);
+        if fits && !stranding() {
+            candidates[position].cost = self.cost(request, host_index);
         } else {
-            candidates.remove(i);
+            candidates.remove(position);
         }
     }
 }
--- /dev/null
+++ b/src/scheduling/cycle/victims.rs
@@ -0,0 +1,215 @@
+//! Preemption on one machine: which attempts are migrated or stopped so that a task fits, and what
+//! that costs.
+
+use super::SchedulingCycle;
+use super::cost::MIGRATION_COST;
+use super::planned_stops::PlannedStops;
+use super::preemption_eligibility::PreemptionScope;
+use super::request::PlacementRequest;
+use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Shape, TaskAttempt};
+use std::cmp::Reverse;
+
+/// The cost of stopping a gang: its capacity is lost whole, and is hard to find elsewhere.
+const STOPPED_GANG_COST: f64 = 2.0;
+/// The cost of each task of a stopped gang, added to that of the gang.
+const STOPPED_GANG_TASK_COST: f64 = 2.0;
+/// The cost of stopping a replica: its users are without it until its image is somewhere else.
+const STOPPED_REPLICA_COST: f64 = 8.0;
+/// The cost of stopping a task of an array.
+const STOPPED_TASK_COST: f64 = 1.0;
+/// The same for one that has run for only a small share of its estimate.
+const STOPPED_EARLY_COST: f64 = 0.5;
+/// The further cost if the job can't be in time any more.
+const STOPPED_LATE_COST: f64 = 1.0;
+
+/// An attempt that is to leave its machine.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Eviction {
+    pub(super) attempt: TaskAttempt,
+    /// The machine that it migrates to; `None` if it is stopped.
+    pub(super) destination: Option<HostIndex>,
+}
+
+/// What is evicted from a machine for a start.
+#[derive(Debug)]
+pub(super) struct PreemptionPlan {
+    /// A measure of what the evictions cost.
+    pub(super) cost: f64,
+    pub(super) evictions: Vec<Eviction>,
+}
+
+/// An attempt that may leave its machine.
+struct Victim<'a> {
+    attempt: &'a TaskAttempt,
+    /// It may be stopped, and not only migrated.
+    may_be_stopped: bool,
+}
+
+/// The start for which attempts would be evicted, and the stops beside which they are.
+struct PreemptionTarget<'a> {
+    request: &'a PlacementRequest,
+    scope: PreemptionScope,
+    host: HostIndex,
+    /// What must fit on the machine.
+    demand: &'a Demand,
+    /// Stops on other machines that are planned for the same start.
+    planned: &'a PlannedStops,
+}
+
+impl PreemptionPlan {
+    /// Adds the evictions to what is planned.
+    pub(super) fn add_evictions_to(&self, cluster: &ClusterState, planned: &mut PlannedStops) {
+        for Eviction { attempt, destination } in &self.evictions {
+            match destination {
+                Some(host) => planned.earmark(*host, attempt.demand),
+                None => planned.add(cluster, attempt.key.job),
+            }
+        }
+    }
+}
+
+impl SchedulingCycle<'_> {
+    /// Would work of another team be stopped for the job, while there are loans between teams?
+    pub(super) fn stops_other_teams(&self, job_index: JobIndex, plan: &PreemptionPlan) -> bool {
+        let team = |job: JobIndex| &self.cluster.jobs[job].spec.team;
+        let stops_others =
+            |eviction: &Eviction| eviction.destination.is_none() && team(eviction.attempt.key.job) != team(job_index);
+        self.cluster.borrowing.is_some() && plan.evictions.iter().any(stops_others)
+    }
+
+    /// What would have to be evicted from the machine so that `demand` fits; `None` if it can't fit.
+    pub(super) fn plan_preemption(
+        &self,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
+        host_index: HostIndex,
+        demand: &Demand,
+    ) -> Option<PreemptionPlan> {
+        self.plan_preemption_beside(request, scope, host_index, demand, &PlannedStops::default())
+    }
+
+    /// The same beside stops on other machines that are planned for the same start.
+    pub(super) fn plan_preemption_beside(
+        &self,
+        request: &PlacementRequest,
+        scope: PreemptionScope,
+        host_index: HostIndex,
+        demand: &Demand,
+        planned: &PlannedStops,
+    ) -> Option<PreemptionPlan> {
+        self.hosts_examined.set(self.hosts_examined.get() + 1);
+        let host = self.cluster.host(host_index)?;
+        let mut free = planned.left_of(self.index.hosts[host_index].free, host_index);
+        for attempt in host.attempts.iter().filter(|attempt| !attempt.ended() && attempt.stop.is_some()) {
+            free.add(&attempt.demand);
+        }
+        if demand.fits(&free) {
+            return Some(PreemptionPlan { cost: 0.0, evictions: Vec::new() });
+        }
+        let scope = self.scope_on_host(scope, request, host_index);
+        let target = PreemptionTarget { request, scope, host: host_index, demand, planned };
+        let victims = self.potential_victims(&target, host);
+        // Most machines are ruled out by what could be evicted at best.
+        let mut most = free;
+        victims.iter().for_each(|victim| most.add(&victim.attempt.demand));
+        if !demand.fits(&most) {
+            return None;
+        }
+        self.choose_victims(&target, victims, free)
+    }
+
+    /// The attempts that may leave a machine, in the order of its list.
+    fn potential_victims<'a>(&self, target: &PreemptionTarget, host: &'a Host) -> Vec<Victim<'a>> {
+        let PreemptionTarget { request, scope, planned, .. } = *target;
+        let mut victims: Vec<Victim> = Vec::new();
+        for attempt in host.attempts.iter().filter(|attempt| !attempt.ended() && attempt.stop.is_none()) {
+            let may_be_stopped = self.may_evict(request.job_index, scope, attempt, planned);
+            let is_service = self.cluster.jobs[attempt.key.job].spec.shape == Shape::Service;
+            let may_migrate = attempt.running()
+                && self.settled(attempt)
+                && is_service
+                && self.may_migrate(request.job_index, attempt, planned);
+            if may_be_stopped || may_migrate {
+                victims.push(Victim { attempt, may_be_stopped });
+            }
+        }
+        victims
+    }
+
+    /// Chooses victims until the demand fits into `free` with what they leave: the least urgent
+    /// first; of those, the ones that lose least.
+    fn choose_victims(
+        &self,
+        target: &PreemptionTarget,
+        mut victims: Vec<Victim>,
+        mut free: Demand,
+    ) -> Option<PreemptionPlan> {
+        let PreemptionTarget { request, scope, host: host_index, demand, .. } = *target;
+        let mut planned = target.planned.clone();
+        self.sort_by_urgency(&mut victims);
+        if self.cluster.borrowing.is_some() {
+            self.sort_by_loss(&mut victims, host_index);
+        }
+        let mut evictions = Vec::new();
+        let mut cost = 0.0;
+        for Victim { attempt, may_be_stopped } in victims {
+            if demand.fits(&free) {
+                break;
+            }
+            // The victims before it count: together they may be too much for its team.
+            let may_be_stopped = may_be_stopped && self.may_evict(request.job_index, scope, attempt, &planned);
+            let may_migrate = self.may_migrate(request.job_index, attempt, &planned);
+            let destination = may_migrate.then(|| self.migration_target(host_index, attempt, &planned)).flatten();
+            if let Some(host) = destination {
+                planned.earmark(host, attempt.demand);
+                cost += MIGRATION_COST;
+                if self.cluster.borrowing.is_some() {
+                    planned.add(self.cluster, attempt.key.job);
+                }
+            } else if may_be_stopped {
+                cost = self.add_stop_cost(request.job_index, cost, attempt, host_index);
+                planned.add(self.cluster, attempt.key.job);
+            } else {
+                continue;
+            }
+            evictions.push(Eviction { attempt: *attempt, destination });
+            free.add(&attempt.demand);
+        }
+        demand.fits(&free).then_some(PreemptionPlan { cost, evictions })
+    }
+
+    /// The least urgent first, then what can still be in time, then the youngest.
+    fn sort_by_urgency(&self, victims: &mut [Victim]) {
+        victims.sort_by_key(|victim| {
+            let attempt = victim.attempt;
+            let urgency = self.cluster.jobs[attempt.key.job].urgency;
+            (urgency, !self.restart_in_time(attempt), Reverse(attempt.since_ms))
+        });
+    }
+
+    /// What was preempted lately comes last, and before that what loses most.
+    fn sort_by_loss(&self, victims: &mut Vec<Victim>, host_index: HostIndex) {
+        let loss =
+            |victim: &Victim| (self.gave_way_lately(victim.attempt.key.job), self.lost_s(victim.attempt, host_index));
+        let mut losses: Vec<((bool, f64), Victim)> = victims.drain(..).map(|victim| (loss(&victim), victim)).collect();
+        losses.sort_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        victims.extend(losses.into_iter().map(|(_, victim)| victim));
+    }
+
+    /// `cost` with that of stopping an attempt for a job.
+    fn add_stop_cost(&self, job: JobIndex, cost: f64, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
+        let other_team = self.cluster.jobs[attempt.key.job].spec.team != self.cluster.jobs[job].spec.team;
+        if self.cluster.borrowing.is_some() && other_team {
+            return cost + STOPPED_TASK_COST + self.loan_cost(attempt, host_index);
+        }
+        let victim = &self.cluster.jobs[attempt.key.job].spec;
+        let stopped = match victim.shape {
+            Shape::Gang => STOPPED_GANG_COST + STOPPED_GANG_TASK_COST * f64::from(victim.tasks),
+            Shape::Service => STOPPED_REPLICA_COST,
+            Shape::Batch if self.started_recently(attempt) => STOPPED_EARLY_COST,
+            Shape::Batch => STOPPED_TASK_COST,
+        };
+        let late = if self.restart_in_time(attempt) { 0.0 } else { STOPPED_LATE_COST };
+        cost + stopped + late
+    }
+}
