--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -1,9 +1,7 @@
 //! Attempts that end or are lost, and what follows for their tasks and jobs.
 
 use super::Partition;
-use crate::model::{
-    ClusterState, ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange, Urgency,
-};
+use crate::model::{ClusterState, ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange};
 
 /// From so many failures on, a task pauses before it is tried again.
 const FAILS_BEFORE_PAUSE: u16 = 2;
@@ -20,7 +18,7 @@
         reason: ExitReason,
         now: u64,
     ) {
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
         let job = &self.cluster.jobs[key.job];
         tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task ended");
         let shape = job.spec.shape;
@@ -80,7 +78,10 @@
         task.place = Place::Idle;
         // Urgent work may be what ended, or what waits for the room.
         let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.reservations.is_empty());
-        self.urgent_cycle_due |= waited_for || job.urgency >= Urgency::High;
+        if waited_for {
+            self.scheduling_triggers.request_urgent_cycle();
+        }
+        self.scheduling_triggers.request_cycle_for(job.urgency);
         true
     }
 
@@ -142,14 +143,16 @@
             job.unsaved = UnsavedChange::Progress;
             job.unsaved_since_ms = now;
         }
-        self.dirty.insert(job_index);
-        self.done_since_cycle |= job_is_array;
+        self.commit_queue.mark_job(job_index);
+        if job_is_array {
+            self.scheduling_triggers.note_array_task_done();
+        }
     }
 
     /// Stops further attempts of array tasks that are done: they have nothing left to do.
     /// Once for a scheduling cycle, as each look at all attempts costs as much as there are.
     pub(super) fn stop_attempts_of_done_tasks(&mut self) {
-        if !std::mem::take(&mut self.done_since_cycle) {
+        if !self.scheduling_triggers.take_array_tasks_done() {
             return;
         }
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
@@ -177,11 +180,11 @@
     }
 
     /// The attempt is certainly not on the machine any more.
-    pub(super) fn lose(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
+    pub(super) fn remove_attempt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         let ended = h.attempt_mut(key, attempt).is_some_and(|c| c.ended());
         h.attempts.retain(|c| c.key != key || c.attempt != attempt);
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
         self.attempt_lost(host_index, key, attempt, ended);
     }
 
@@ -191,7 +194,7 @@
         let task = &mut job.tasks[key.task as usize];
         if task.place == Place::On(host_index, attempt) {
             task.place = Place::Idle;
-            self.urgent_cycle_due |= job.urgency >= Urgency::High;
+            self.scheduling_triggers.request_cycle_for(job.urgency);
             self.metrics.count("tasks_lost", &job.spec.class);
             if !ended && job.spec.shape == Shape::Gang {
                 self.stop_all(key.job);
@@ -200,13 +203,13 @@
     }
 
     /// All attempts are gone: the machine, or its lease, ended.
-    pub(super) fn lose_all(&mut self, host_index: HostIndex) {
+    pub(super) fn remove_all_attempts(&mut self, host_index: HostIndex) {
         let Some(h) = self.cluster.host_mut(host_index) else { return };
         let attempts = std::mem::take(&mut h.attempts);
         h.has_unknown_tasks = false;
         for c in attempts {
             self.attempt_lost(host_index, c.key, c.attempt, c.ended());
         }
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
     }
 }
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -56,8 +56,7 @@
     }
 
     fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: Moment) {
-        self.next_attempt += 1;
-        let id = self.next_attempt;
+        let id = self.epoch.next_number();
         let lending = &self.cluster.jobs[parties.lending_job].spec;
         let borrowing = &self.cluster.jobs[parties.borrowing_job].spec;
         let machine = stops.first().and_then(|stop| self.cluster.host(stop.host)?.instance_type);
@@ -135,7 +134,7 @@
         let index = |id: &str| cluster.job_index.get(id).copied();
         let closed = if !self.settled || !cluster.all_reconciled {
             Some(Refusal::MachinesUnaccounted)
-        } else if !partition.reservations_recordable {
+        } else if !partition.conditions.reservations_recordable {
             Some(Refusal::NotRecordable)
         } else {
             None
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -21,7 +21,7 @@
         if !own.settled && cluster.all_reconciled {
             own.settled = true;
             own.loans.settle(|job| lending_job(cluster, job));
-            self.cycle_due = true;
+            self.scheduling_triggers.request_cycle();
         }
         if own.settled {
             let demands = TeamDemands::count(cluster, &self.policy.teams, &own.settings, now);
@@ -56,7 +56,7 @@
                 self.dispatch_queue.insert(stop.host);
             }
         }
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
     }
 }
 
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -69,13 +69,13 @@
         if job.end.is_some() {
             return false;
         }
-        let asked = self.dependency_graph.dependents(&job.spec.id).map(|dependent| self.asked_by(dependent));
+        let asked = self.dependencies.graph().dependents(&job.spec.id).map(|dependent| self.asked_by(dependent));
         let obligation = asked.fold(Obligation::to_nobody(job), Obligation::and);
         self.set_obligation(job_index, obligation)
     }
 
     fn internal_dependencies(&self, job_index: JobIndex) -> Vec<JobIndex> {
-        let ids = self.dependency_graph.dependencies(job_index);
+        let ids = self.dependencies.graph().dependencies(job_index);
         ids.filter_map(|id| self.cluster.job_index.get(id).copied()).collect()
     }
 
@@ -92,8 +92,10 @@
             return false;
         }
         (job.urgency, job.needed_by_ms) = (obligation.urgency, obligation.needed_by_ms);
-        self.cycle_due = true;
-        self.urgent_cycle_due |= !job.waiting && job.urgency >= Urgency::High;
+        self.scheduling_triggers.request_cycle();
+        if !job.waiting {
+            self.scheduling_triggers.request_cycle_for(job.urgency);
+        }
         true
     }
 
@@ -107,11 +109,11 @@
 
     /// Waiting jobs that may start within this time, for which room may be needed by then.
     pub fn upcoming(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
-        if self.dependency_graph.is_empty() {
+        if self.dependencies.graph().is_empty() {
             return Vec::new();
         }
         let mut forecast = Forecast { partition: self, began_ms: self.began_ms(), now, until_done_ms: HashMap::new() };
-        let waiting = self.dependency_graph.waiting().filter(|job| {
+        let waiting = self.dependencies.graph().waiting().filter(|job| {
             let job = &self.cluster.jobs[*job];
             job.version > 0 && job.end.is_none() && !job.cancelling
         });
@@ -144,7 +146,7 @@
 impl Forecast<'_> {
     /// Time until the last job that a waiting one needs is done; `None` if that can't be told.
     fn until_start_ms(&mut self, job_index: JobIndex) -> Option<u64> {
-        let ids: Vec<&str> = self.partition.dependency_graph.dependencies(job_index).collect();
+        let ids: Vec<&str> = self.partition.dependencies.graph().dependencies(job_index).collect();
         let mut last = 0;
         for id in ids {
             let dependency = *self.partition.cluster.job_index.get(id)?;
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -5,11 +5,13 @@
 //! says `done`; it is cancelled if its own record says so, or that of any job that it needs,
 //! directly or through others. Its own record follows when there is time for it.
 
+use super::waiting_clients::reply;
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
-use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, Spec, UnsavedChange, Urgency};
+use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, Spec, UnsavedChange};
+use crate::scheduling::dependency_graph::DependencyGraph;
 use crate::wire::Item;
-use std::collections::{BTreeMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// What is known of a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,6 +42,8 @@
 /// Submissions that wait for lookups, and dependencies that belong to other partitions.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
+    /// Which jobs wait for which others.
+    graph: DependencyGraph,
     submissions: BTreeMap<u64, UncheckedSubmission>,
     last_submission: u64,
     lookups: Vec<DependencyLookup>,
@@ -56,6 +60,18 @@
     is_service: bool,
 }
 
+impl DependencyTracker {
+    /// Which jobs wait for which others.
+    pub(super) fn graph(&self) -> &DependencyGraph {
+        &self.graph
+    }
+
+    /// The job waits no more; the dependencies that it still waited for.
+    pub(super) fn remove_waiting(&mut self, job: JobIndex) -> BTreeSet<String> {
+        self.graph.remove(job)
+    }
+}
+
 impl Partition {
     // ---- submissions ----
 
@@ -63,7 +79,7 @@
     /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
     pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if spec.dependencies.contains(&spec.id) {
-            let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
+            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
             return;
         }
         let unknown: Vec<String> =
@@ -91,7 +107,7 @@
             return;
         };
         let Some(found) = found else {
-            let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
+            reply(waiter, UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             return;
         };
         for (id, item) in found {
@@ -100,11 +116,11 @@
                 None if self.dependency_is_known(&id) => {}
                 // Its own creation may have been carried out since, or may still be.
                 None if self.cluster.job_index.contains_key(&id) => {
-                    let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
+                    reply(waiter, UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
                     return;
                 }
                 None => {
-                    let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {id} was never accepted")));
+                    reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} was never accepted")));
                     return;
                 }
             }
@@ -120,7 +136,7 @@
     /// Accepts a job all of whose dependencies are known, unless one of them is a service.
     fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
-            let _ = waiter.send(UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
+            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
             return;
         }
         // What is certainly done need not be stored.
@@ -168,7 +184,7 @@
             tracing::error!(key = item.key, "unreadable job record");
             return;
         };
-        if self.owns_team(&record.spec.team) {
+        if self.teams.owns_team(&record.spec.team) {
             self.adopt_job(item, now);
             return;
         }
@@ -191,7 +207,7 @@
 
     /// How many jobs wait for others.
     pub fn waiting_jobs(&self) -> usize {
-        self.dependency_graph.len()
+        self.dependencies.graph.len()
     }
 
     /// A job was added: others may wait for it, and it may wait for others.
@@ -228,7 +244,7 @@
             self.become_ready(job_index);
             return;
         }
-        self.dependency_graph.add(job_index, open);
+        self.dependencies.graph.add(job_index, open);
         self.oblige_dependencies(job_index);
         self.follow_if_cancelled(job_index);
     }
@@ -241,8 +257,8 @@
         }
         self.cluster.live.push(job_index);
         self.dependencies.ready.push(job_index);
-        self.cycle_due = true;
-        self.urgent_cycle_due |= job.urgency >= Urgency::High;
+        self.scheduling_triggers.request_cycle();
+        self.scheduling_triggers.request_cycle_for(job.urgency);
     }
 
     /// The times of jobs that became ready since the last cycle begin.
@@ -258,7 +274,7 @@
         if self.cluster.jobs[job_index].spec.dependencies == recorded {
             return;
         }
-        let open = self.dependency_graph.remove(job_index);
+        let open = self.dependencies.remove_waiting(job_index);
         self.release_dependencies(&open);
         self.cluster.live.retain(|live| *live != job_index);
         let job = &mut self.cluster.jobs[job_index];
@@ -271,7 +287,7 @@
     pub(super) fn dependency_ended(&mut self, id: &str, end: JobEnd) {
         match end {
             JobEnd::Done => {
-                for job_index in self.dependency_graph.complete(id) {
+                for job_index in self.dependencies.graph.complete(id) {
                     self.become_ready(job_index);
                 }
             }
@@ -284,7 +300,7 @@
     /// Cancels the job if one that it needs is recorded as cancelled.
     pub(super) fn follow_if_cancelled(&mut self, job_index: JobIndex) {
         let is_cancelled = |id: &str| self.dependency_state(id) == DependencyState::Cancelled;
-        let follows = self.dependency_graph.dependencies(job_index).any(is_cancelled);
+        let follows = self.dependencies.graph.dependencies(job_index).any(is_cancelled);
         if follows && self.cluster.jobs[job_index].version > 0 {
             self.follow_cancellation(job_index);
             let id = self.cluster.jobs[job_index].spec.id.clone();
@@ -297,7 +313,7 @@
     fn cancel_dependents(&mut self, id: &str) {
         let mut cancelled = vec![id.to_string()];
         while let Some(id) = cancelled.pop() {
-            let dependents: Vec<JobIndex> = self.dependency_graph.dependents(&id).collect();
+            let dependents: Vec<JobIndex> = self.dependencies.graph.dependents(&id).collect();
             for job_index in dependents {
                 if self.cluster.jobs[job_index].version > 0 {
                     self.follow_cancellation(job_index);
@@ -317,7 +333,7 @@
         tracing::info!(job = job.spec.id, "cancelled with a job that it needs");
         job.end = Some(JobEnd::Cancelled);
         job.unsaved = UnsavedChange::End(JobEnd::Cancelled);
-        self.dirty.insert(job_index);
+        self.commit_queue.mark_job(job_index);
         self.metrics.count("cancellations_followed", &self.cluster.jobs[job_index].spec.class);
         self.job_is_over(job_index);
     }
@@ -330,7 +346,7 @@
         let mut seen = HashSet::from([job_index]);
         let mut jobs = vec![job_index];
         while let Some(next) = jobs.pop() {
-            for id in self.dependency_graph.dependencies(next) {
+            for id in self.dependencies.graph.dependencies(next) {
                 let Some(&dependency) = self.cluster.job_index.get(id) else {
                     return Some(RefusalReason::DependencyElsewhere);
                 };
--- a/src/control/partition/direct.rs
+++ b/src/control/partition/direct.rs
@@ -18,7 +18,7 @@
 
     /// The direct command that a machine is due, if any.
     pub fn direct(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<DirectCommand> {
-        let fencing_token = self.fencing_token;
+        let fencing_token = self.epoch.fencing_token();
         // Before the tasks: one may need the room of a slot that is unloaded.
         let slot_orders = self.slot_orders(host_index);
         let h = self.cluster.hosts.get_mut(host_index)?.as_mut()?;
@@ -103,13 +103,13 @@
     /// True if an attempt, or a record of a machine, can only be settled by a higher token.
     pub fn needs_higher_token(&self) -> bool {
         self.moves_may_be_undone()
-            || self.cluster.each_host().any(|(_, h)| h.seen_token > self.fencing_token)
+            || self.cluster.each_host().any(|(_, h)| h.seen_token > self.epoch.fencing_token())
             || self.cluster.each_host().any(|(_, h)| {
                 // One that answers nothing would not show that it has seen it.
                 h.unanswered_probes < UNREACHABLE_AFTER_MISSES
-                    && h.attempts
-                        .iter()
-                        .any(|c| c.risk.is_some_and(|t| t >= self.fencing_token) && (c.stop.is_some() || c.ended()))
+                    && h.attempts.iter().any(|c| {
+                        c.risk.is_some_and(|t| t >= self.epoch.fencing_token()) && (c.stop.is_some() || c.ended())
+                    })
             })
     }
 }
--- a/src/control/partition/drain.rs
+++ b/src/control/partition/drain.rs
@@ -30,7 +30,7 @@
     pub(super) fn cancel_drain(&mut self) {
         for h in self.cluster.hosts.iter_mut().flatten().filter(|h| h.draining && !h.terminating) {
             h.draining = false;
-            self.cycle_due = true;
+            self.scheduling_triggers.request_cycle();
         }
     }
 }
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -3,15 +3,9 @@
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
 use crate::model::FencingToken;
-use crate::model::{Demand, Host, HostIndex, HostRecord, InstanceKind, InstanceType, JobRecord};
+use crate::model::{Host, HostIndex, HostRecord, InstanceType, JobRecord};
 use crate::wire::Item;
 
-/// Bits of an attempt's number below the fencing token that it began in.
-const ATTEMPT_BITS: u32 = 32;
-
-/// What a machine of unknown type may hold.
-const UNBOUNDED: Demand = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
-
 impl Partition {
     /// Begins a fencing token with what the state service holds. Nothing is known of
     /// the machines until they report under this fencing token.
@@ -24,10 +18,8 @@
         instance_types: Vec<InstanceType>,
         now: u64,
     ) {
-        self.set_fencing_token(fencing_token, version);
-        self.first_token = fencing_token;
-        self.begun_ms = now;
-        self.last_failure_detection_ms = now;
+        self.epoch.begin(fencing_token, version, now);
+        self.failure_detector.begin(now);
         self.cluster.instance_types = instance_types;
         for item in jobs {
             self.load_job(item, now);
@@ -39,19 +31,14 @@
         for item in hosts {
             self.load_host(item, now);
         }
-        self.refresh_reconciliation();
-    }
-
-    /// Do the jobs of this team belong to this partition?
-    pub(super) fn owns_team(&self, team: &str) -> bool {
-        self.teams.get(team).is_none_or(|partition| *partition == self.id)
+        self.count_unreconciled();
     }
 
     /// Takes a job of this partition from its record.
     fn load_job(&mut self, item: Item, now: u64) {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
-                if self.owns_team(&record.spec.team) {
+                if self.teams.owns_team(&record.spec.team) {
                     self.cluster.add_job(record.into_job(item.version, now));
                 }
             }
@@ -63,11 +50,11 @@
     fn load_host(&mut self, item: Item, now: u64) {
         let Some(id) = item.key.strip_prefix(HOST_PREFIX) else { return };
         match serde_json::from_value::<HostRecord>(item.value) {
-            Ok(record) if record.partition == self.id => {
+            Ok(record) if record.partition == self.id() => {
                 self.add_registered(id.to_string(), record, now);
             }
             Ok(record) => {
-                self.hosts_of_other_partitions.insert(id.to_string(), record.partition);
+                self.host_directory.assign(id.to_string(), record.partition);
             }
             Err(e) => tracing::error!(key = item.key, error = %e, "unreadable machine record"),
         }
@@ -79,7 +66,7 @@
         let mut h = Host::new(id, r.zone, r.spot, instance_type, now);
         h.addr = r.addr;
         h.registered = true;
-        h.required_token = self.first_token;
+        h.required_token = self.epoch.first_token();
         self.cluster.add_host(h)
     }
 
@@ -88,25 +75,15 @@
     /// started any of it.
     pub fn adopt_job(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
-        self.obsolete_keys.insert(inbox_key(self.id, &record.spec.id));
+        self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
         if !self.cluster.job_index.contains_key(&record.spec.id) {
             tracing::info!(job = record.spec.id, "job accepted by another node");
             let mut job = record.into_job(item.version, now);
             job.fresh = true;
             let job_index = self.cluster.add_job(job);
             self.job_added(job_index);
-            self.cycle_due = true;
-        }
-    }
-
-    /// A new fencing token: attempts count on from it, so that none repeats. The same one again,
-    /// with the key's version as it is now, begins no count anew.
-    pub fn set_fencing_token(&mut self, fencing_token: FencingToken, version: u64) {
-        if fencing_token > self.fencing_token {
-            self.next_attempt = fencing_token.0 << ATTEMPT_BITS;
+            self.scheduling_triggers.request_cycle();
         }
-        self.fencing_token = fencing_token;
-        self.partition_version = version;
     }
 
     /// Takes the machine types as the cloud tells them now. Places in the list
@@ -118,41 +95,21 @@
                 None => self.cluster.instance_types.push(f),
             }
         }
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
     }
 
-    /// The same if one was reconciled since. Until then it counts as one that is not, which
-    /// holds back more and never less. After a failover thousands are reconciled within a
-    /// second: a look at all machines for each of them would take longer than all else.
+    /// Counts the unreconciled machines again, if one was reconciled since the last count.
     pub fn refresh_unreconciled(&mut self) {
-        if self.reconciliation_due {
-            self.refresh_reconciliation();
+        if self.reconciliation.is_count_due() {
+            self.count_unreconciled();
         }
     }
 
-    /// Looks again which machines of the last leader are still unreconciled.
-    pub(super) fn refresh_reconciliation(&mut self) {
-        self.reconciliation_due = false;
-        let mut open = Demand::default();
-        let mut kinds = Vec::new();
-        let mut all = true;
-        for (_, h) in self.cluster.each_host().filter(|(_, h)| h.registered && !h.reconciled) {
-            all = false;
-            let kind = InstanceKind { instance_type: h.instance_type, zone: h.zone.clone(), spot: h.spot };
-            if !kinds.contains(&kind) {
-                kinds.push(kind);
-            }
-            match h.instance_type {
-                Some(f) => open.add(&self.cluster.instance_types[f].cap),
-                None => open.add(&UNBOUNDED),
-            }
-        }
-        if all && !self.cluster.all_reconciled {
-            tracing::info!(fencing_token = %self.fencing_token, "all machines accounted for");
-            self.cycle_due = true;
+    /// Counts which machines of the last leader are still unreconciled.
+    pub(super) fn count_unreconciled(&mut self) {
+        if self.reconciliation.count(&mut self.cluster) {
+            tracing::info!(fencing_token = %self.epoch.fencing_token(), "all hosts reconciled");
+            self.scheduling_triggers.request_cycle();
         }
-        self.cluster.unreconciled = open;
-        self.cluster.unreconciled_kinds = kinds;
-        self.cluster.all_reconciled = all;
     }
 }
--- a/src/control/partition/report_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -1,35 +1,40 @@
-//! How often attempts are listed in workers' reports: what following them costs the leader.
+//! How often attempts are listed in heartbeats: what following them costs the leader.
 
 use crate::settings::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
 
-/// A rate is measured over so many intervals between reports.
-const MEASURED_REPORTS: u64 = 3;
+/// A rate is measured over so many intervals between heartbeats.
+const MEASURED_HEARTBEATS: u64 = 3;
 const MS_PER_S: f64 = 1000.0;
 
-/// Counts the entries of attempts in reports.
+/// Counts the entries of attempts in heartbeats.
 #[derive(Debug)]
-pub(super) struct ReportLoad {
-    report_ms: u64,
+pub(super) struct HeartbeatLoad {
+    heartbeat_interval_ms: u64,
     began_ms: u64,
     entries: u64,
     entries_per_attempt_s: f64,
 }
 
-impl ReportLoad {
-    /// Nothing is measured yet; workers report every `report_ms`.
-    pub(super) fn new(report_ms: u64) -> ReportLoad {
-        ReportLoad { report_ms: report_ms.max(1), began_ms: 0, entries: 0, entries_per_attempt_s: MOST_ENTRIES_PER_S }
+impl HeartbeatLoad {
+    /// Nothing is measured yet; workers send heartbeats every `heartbeat_interval_ms`.
+    pub(super) fn new(heartbeat_interval_ms: u64) -> HeartbeatLoad {
+        HeartbeatLoad {
+            heartbeat_interval_ms: heartbeat_interval_ms.max(1),
+            began_ms: 0,
+            entries: 0,
+            entries_per_attempt_s: MOST_ENTRIES_PER_S,
+        }
     }
 
-    /// A report has listed so many attempts.
-    pub(super) fn listed(&mut self, entries: usize) {
+    /// A heartbeat has listed so many attempts.
+    pub(super) fn record(&mut self, entries: usize) {
         self.entries += entries as u64;
     }
 
-    /// Most attempts that the leader can follow, of which there are `attempts` now.
+    /// Most attempts that the leader can follow, of which there are `attempts` now; `now` is in milliseconds.
     pub(super) fn most_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
         let measured_ms = now.saturating_sub(self.began_ms);
-        if measured_ms >= MEASURED_REPORTS * self.report_ms {
+        if measured_ms >= MEASURED_HEARTBEATS * self.heartbeat_interval_ms {
             self.measure(attempts, measured_ms);
             self.began_ms = now;
             self.entries = 0;
@@ -38,9 +43,9 @@
     }
 
     /// Takes the rate since the last time. Attempts are listed at least once in the interval
-    /// between two reports, also if none was heard since.
+    /// between two heartbeats, also if none has come since.
     fn measure(&mut self, attempts: usize, measured_ms: u64) {
-        let least = MS_PER_S / self.report_ms as f64;
+        let least = MS_PER_S / self.heartbeat_interval_ms as f64;
         let entries_per_s = self.entries as f64 * MS_PER_S / measured_ms as f64;
         let measured = entries_per_s / attempts.max(1) as f64;
         self.entries_per_attempt_s = measured.max(least).min(MOST_ENTRIES_PER_S);
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -18,7 +18,7 @@
 impl Partition {
     /// Takes a report and returns the orders of its reply.
     pub fn heartbeat(&mut self, r: &Heartbeat, source: StatusSource, now: u64) -> Vec<Order> {
-        if self.terminated_hosts.contains(&r.host) {
+        if self.host_directory.is_terminated(&r.host) {
             return Vec::new();
         }
         let host_index = self.host_of_heartbeat(r, now);
@@ -26,7 +26,7 @@
         if source == StatusSource::Heartbeat {
             h.lease_renewed_ms = now;
         }
-        self.report_load.listed(r.tasks.len());
+        self.heartbeat_load.record(r.tasks.len());
         // Late copies of older reports change nothing.
         if (r.agent_epoch, r.sequence) <= (h.agent_epoch, h.sequence) {
             return Vec::new();
@@ -77,9 +77,10 @@
         }
         let instance_type = self.cluster.instance_type(&r.instance_type);
         let mut h = Host::new(r.host.clone(), r.zone.clone(), r.spot, instance_type, now);
-        h.required_token = self.first_token;
+        h.required_token = self.epoch.first_token();
         // Rented for another partition: it is given away once it is registered.
-        h.transferring_to = self.pending_transfers.remove(&r.host).filter(|p| *p != self.id);
+        h.transferring_to =
+            self.host_directory.take_pending_transfer(&r.host).filter(|to| *to != self.teams.partition());
         self.cluster.add_host(h)
     }
 
@@ -90,7 +91,7 @@
         h.lease_renewed_ms = h.lease_renewed_ms.max(now);
         if h.agent_epoch > 0 {
             tracing::info!(host = h.id, agent_epoch = r.agent_epoch, "machine lost its lease");
-            self.lose_all(host_index);
+            self.remove_all_attempts(host_index);
         }
     }
 
@@ -143,11 +144,13 @@
                 spot = r.spot,
                 "machine is up"
             );
-            self.new_hosts.insert(host_index);
+            self.commit_queue.mark_host(host_index);
         }
         if !h.reconciled {
             h.reconciled = true;
-            self.reconciliation_due |= h.registered;
+            if h.registered {
+                self.reconciliation.note_reconciled();
+            }
         }
     }
 
@@ -193,7 +196,7 @@
         }
         if let Some(h) = self.cluster.host_mut(host_index) {
             if h.has_unknown_tasks && !has_unknown_tasks {
-                self.cycle_due = true;
+                self.scheduling_triggers.request_cycle();
             }
             h.has_unknown_tasks = has_unknown_tasks;
         }
@@ -255,7 +258,7 @@
             .map(|c| (c.key, c.attempt))
             .collect();
         for (key, attempt) in gone {
-            self.lose(host_index, key, attempt);
+            self.remove_attempt(host_index, key, attempt);
         }
     }
 
--- a/src/control/partition/host_routing.rs
+++ b/src/control/partition/host_routing.rs
@@ -7,7 +7,7 @@
 impl Partition {
     /// Does this partition take the machine's reports?
     pub fn belongs(&mut self, r: &Heartbeat) -> HostRouting {
-        if self.cluster.host_index.contains_key(&r.host) || self.terminated_hosts.contains(&r.host) {
+        if self.cluster.host_index.contains_key(&r.host) || self.host_directory.is_terminated(&r.host) {
             // A worker drops what carries a lower token than it has seen: a
             // higher fencing token first.
             if let Some(h) =
@@ -15,14 +15,14 @@
             {
                 h.seen_token = h.seen_token.max(r.seen_token);
             }
-            return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
+            return if r.seen_token > self.epoch.fencing_token() { HostRouting::NotYet } else { HostRouting::Mine };
         }
-        if self.id == 0 && !self.hosts_of_other_partitions.contains_key(&r.host) {
-            return if r.seen_token > self.fencing_token { HostRouting::NotYet } else { HostRouting::Mine };
+        if self.id() == 0 && self.host_directory.other_partition_of(&r.host).is_none() {
+            return if r.seen_token > self.epoch.fencing_token() { HostRouting::NotYet } else { HostRouting::Mine };
         }
-        self.records_to_reread.insert(r.host.clone());
-        match self.hosts_of_other_partitions.get(&r.host) {
-            Some(p) => HostRouting::Elsewhere(*p),
+        self.host_directory.request_reread(&r.host);
+        match self.host_directory.other_partition_of(&r.host) {
+            Some(partition) => HostRouting::Elsewhere(partition),
             None => HostRouting::Unknown,
         }
     }
@@ -31,12 +31,12 @@
     pub fn rechecked(&mut self, id: &str, record: Option<HostRecord>, now: u64) {
         match record {
             // It is looked up again with its next report.
-            Some(r) if r.partition == self.id && self.moves_may_be_undone() => {}
-            Some(r) if r.partition == self.id => {
-                self.hosts_of_other_partitions.remove(id);
+            Some(r) if r.partition == self.id() && self.moves_may_be_undone() => {}
+            Some(r) if r.partition == self.id() => {
+                self.host_directory.unassign(id);
                 if !self.cluster.host_index.contains_key(id) {
                     // The giver made sure that nothing is left on it.
-                    let fencing_token = self.fencing_token;
+                    let fencing_token = self.epoch.fencing_token();
                     let host_index = self.add_registered(id.to_string(), r, now);
                     if let Some(h) = self.cluster.host_mut(host_index) {
                         h.reconciled = true;
@@ -46,10 +46,10 @@
                 }
             }
             Some(r) => {
-                self.hosts_of_other_partitions.insert(id.to_string(), r.partition);
+                self.host_directory.assign(id.to_string(), r.partition);
             }
             None => {
-                self.hosts_of_other_partitions.remove(id);
+                self.host_directory.unassign(id);
             }
         }
     }
@@ -71,7 +71,7 @@
             return false;
         }
         h.transferring_to = Some(to);
-        self.new_hosts.insert(host_index);
+        self.commit_queue.mark_host(host_index);
         true
     }
 }
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -1,31 +1,51 @@
 //! The protocol of a partition, without I/O and clock: its jobs, its machines, what
-//! reports and answers mean, which orders follow, what must be recorded.
+//! heartbeats and answers mean, which orders follow, what must be recorded.
+//!
+//! [`Partition`] is made of parts, each with state of its own: what is to be written
+//! (`commit_queue`), who waits for that (`waiting_clients`), the leader's identity
+//! (`leadership_epoch`), machines that are not here (`host_directory`), what a failover leaves to be
+//! reconciled (`reconciliation`), and so on. The protocol itself is in the methods of `Partition`, by
+//! subject: requests of users in `users`, heartbeats of workers in `heartbeats`, answers to commits in
+//! `records`.
+//!
+//! Times are in milliseconds: `now` by the monotonic clock, `wall` as time of day.
 
 mod attempt_phases;
 mod attempts;
 mod borrowing;
+mod commit_builder;
+mod commit_queue;
 mod critical_path;
 mod dependencies;
 mod direct;
+mod dispatch_queue;
 mod drain;
+mod external_conditions;
 mod failover;
 mod failure_detector;
+mod heartbeat_load;
 mod heartbeats;
+mod host_directory;
 mod host_routing;
 mod keys;
+mod leadership_epoch;
 mod next_commit;
+mod reconciliation;
 mod records;
-mod report_load;
 mod running_counts;
 mod scheduling;
+mod scheduling_triggers;
+mod team_assignment;
 #[cfg(test)]
 pub mod tests;
 mod types;
 mod users;
+mod waiting_clients;
 mod warm_pools;
 
 pub use borrowing::{LoanStatus, LoansStatus, TeamStatus};
 pub use dependencies::DependencyLookup;
+pub use failure_detector::DetectedFailures;
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
 pub use types::{
     Commit, CommitOutcome, DirectCommand, DirectCommandOutcome, HostRouting, JobWrite, PendingWrite, StatusSource,
@@ -33,12 +53,10 @@
 };
 
 use crate::clients::write_limits::WriteLimits;
-use crate::model::FencingToken;
-use crate::model::{ClusterState, HostIndex, JobIndex};
+use crate::model::{ClusterState, FencingToken, HostIndex, JobIndex};
 use crate::runtime::metrics::Metrics;
 use crate::scheduling::Policy;
-use crate::scheduling::dependency_graph::DependencyGraph;
-use std::collections::{BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeSet, HashMap};
 
 /// The state of one partition, and the protocol over it.
 pub struct Partition {
@@ -48,129 +66,139 @@
     pub policy: Policy,
     /// Figures for `GET /metrics`.
     pub metrics: Metrics,
-    /// The leader's fencing token, which is its fencing token; 0 before the records were read.
-    pub fencing_token: FencingToken,
-    /// The fencing token with which this leader began: it may have raised it since.
-    first_token: FencingToken,
-    /// This partition's number, and whether its leader leads.
-    pub id: u32,
-    teams: HashMap<String, u32>,
-    /// Machines of other partitions, as far as the provisioner knows.
-    pub hosts_of_other_partitions: HashMap<String, u32>,
-    /// Machines whose record is to be read again.
-    pub records_to_reread: BTreeSet<String>,
-    /// Where machines go that are on their way, by name; others stay here.
-    pub pending_transfers: HashMap<String, u32>,
-    partition_key: String,
-    partition_version: u64,
-    begun_ms: u64,
-    next_attempt: u64,
-    /// Which jobs wait for which others.
-    dependency_graph: DependencyGraph,
-    dependencies: dependencies::DependencyTracker,
-    /// A controller is known to be of a version that would not let jobs wait: none is accepted.
-    pub has_old_peer: bool,
-    /// Nothing newer than the policy's teams is known; always so without a shared configuration.
-    pub configuration_up_to_date: bool,
-    dirty: BTreeSet<JobIndex>,
-    new_hosts: BTreeSet<HostIndex>,
-    /// Keys that are of no more use.
-    obsolete_keys: BTreeSet<String>,
-    /// Names of machines that were released: late copies of their reports mean nothing.
-    terminated_hosts: HashSet<String>,
-    /// The version of the partition's key under which a record of a machine was written without
-    /// an answer. Such a write may come late, after the machine has moved to another partition
-    /// or back, and undo that; it can't once the key has changed.
-    indeterminate_host_write: Option<u64>,
-    in_flight: Option<Vec<PendingWrite>>,
-    /// Machines of the last leader were reconciled since they were last counted.
-    reconciliation_due: bool,
-    /// Who waits for a job to be accepted, and for it to end.
-    submitters: HashMap<JobIndex, Vec<Waiter>>,
-    cancellers: HashMap<JobIndex, Vec<Waiter>>,
+    teams: team_assignment::TeamAssignment,
+    epoch: leadership_epoch::LeadershipEpoch,
+    conditions: external_conditions::ExternalConditions,
+    host_directory: host_directory::HostDirectory,
+    reconciliation: reconciliation::Reconciliation,
+    failure_detector: failure_detector::FailureDetector,
+    commit_queue: commit_queue::CommitQueue,
+    waiting_clients: waiting_clients::WaitingClients,
     /// Jobs whose cancellation waits for their tasks to be gone.
     cancelling: BTreeSet<JobIndex>,
-    /// Machines that have orders to get without waiting for their next report.
-    pub dispatch_queue: BTreeSet<HostIndex>,
-    /// Running tasks of large jobs, counted now and then.
+    dependencies: dependencies::DependencyTracker,
+    dispatch_queue: dispatch_queue::DispatchQueue,
+    scheduling_triggers: scheduling_triggers::SchedulingTriggers,
     running_counts: running_counts::RunningCounts,
-    /// Something changed that a scheduling cycle may use.
-    pub cycle_due: bool,
-    /// The same, for urgent work.
-    pub urgent_cycle_due: bool,
-    /// Tasks of arrays were done since the last cycle.
-    done_since_cycle: bool,
-    /// Jobs with tasks that found no room in the last cycle.
-    pub pending_jobs: Vec<JobIndex>,
-    /// Machines that scheduling cycles have looked at so far.
-    pub hosts_examined: u64,
+    heartbeat_load: heartbeat_load::HeartbeatLoad,
     /// Pools of warm replicas, if there are any.
     pools: Option<warm_pools::PartitionWarmPools>,
     /// Loans between teams, if there is borrowing.
     loans: Option<borrowing::PartitionBorrowing>,
-    /// The state service answers, so that claims of warm replicas and loans can be recorded.
-    pub reservations_recordable: bool,
-    limits: WriteLimits,
-    /// How often attempts are listed in reports.
-    report_load: report_load::ReportLoad,
-    /// Changes in a commit, fewer for a while after one that was not taken.
-    largest_commit: usize,
-    /// When the last commit was made.
-    last_commit_ms: u64,
-    /// The time of day as last told.
+    /// The time of day of the last scheduling cycle.
     wall_ms: u64,
-    last_failure_detection_ms: u64,
 }
 
 impl Partition {
     /// A partition whose records were not read yet.
     pub fn new(policy: Policy, id: u32, teams: HashMap<String, u32>, limits: WriteLimits) -> Partition {
-        let report_load = report_load::ReportLoad::new(policy.report_ms);
+        let heartbeat_load = heartbeat_load::HeartbeatLoad::new(policy.report_ms);
+        let partition_key = crate::control::membership::partition_key(id);
         Partition {
             cluster: ClusterState { all_reconciled: true, ..ClusterState::default() },
             policy,
             metrics: Metrics::default(),
-            fencing_token: FencingToken::NONE,
-            first_token: FencingToken::NONE,
-            id,
-            teams,
-            hosts_of_other_partitions: HashMap::new(),
-            records_to_reread: BTreeSet::new(),
-            pending_transfers: HashMap::new(),
-            partition_key: crate::control::membership::partition_key(id),
-            partition_version: 0,
-            begun_ms: 0,
-            next_attempt: 0,
-            dependency_graph: DependencyGraph::default(),
-            dependencies: Default::default(),
-            has_old_peer: false,
-            configuration_up_to_date: true,
-            dirty: BTreeSet::new(),
-            new_hosts: BTreeSet::new(),
-            obsolete_keys: BTreeSet::new(),
-            terminated_hosts: HashSet::new(),
-            indeterminate_host_write: None,
-            in_flight: None,
-            reconciliation_due: false,
-            submitters: HashMap::new(),
-            cancellers: HashMap::new(),
+            teams: team_assignment::TeamAssignment::new(id, teams),
+            epoch: leadership_epoch::LeadershipEpoch::new(partition_key),
+            conditions: Default::default(),
+            host_directory: Default::default(),
+            reconciliation: Default::default(),
+            failure_detector: Default::default(),
+            commit_queue: commit_queue::CommitQueue::new(limits),
+            waiting_clients: Default::default(),
             cancelling: BTreeSet::new(),
-            dispatch_queue: BTreeSet::new(),
-            running_counts: running_counts::RunningCounts::new(),
-            cycle_due: true,
-            done_since_cycle: false,
-            urgent_cycle_due: false,
-            pending_jobs: Vec::new(),
-            hosts_examined: 0,
+            dependencies: Default::default(),
+            dispatch_queue: Default::default(),
+            scheduling_triggers: scheduling_triggers::SchedulingTriggers::new(),
+            running_counts: Default::default(),
+            heartbeat_load,
             pools: None,
             loans: None,
-            reservations_recordable: true,
-            limits,
-            report_load,
-            largest_commit: limits.commit_changes,
-            last_commit_ms: 0,
             wall_ms: 0,
-            last_failure_detection_ms: 0,
         }
     }
+
+    /// This partition's number.
+    pub fn id(&self) -> u32 {
+        self.teams.partition()
+    }
+
+    /// The leader's fencing token; `NONE` before the records were read.
+    pub fn fencing_token(&self) -> FencingToken {
+        self.epoch.fencing_token()
+    }
+
+    /// A new fencing token, or the same one again with the partition key's version as it is now.
+    pub fn set_fencing_token(&mut self, fencing_token: FencingToken, partition_version: u64) {
+        self.epoch.set_fencing_token(fencing_token, partition_version);
+    }
+
+    // ---- external conditions ----
+
+    /// Whether a controller is known to be of a version that would not let jobs wait: then no job
+    /// with dependencies is accepted.
+    pub fn set_has_old_peer(&mut self, has_old_peer: bool) {
+        self.conditions.has_old_peer = has_old_peer;
+    }
+
+    /// Whether nothing newer than the policy's teams is known.
+    pub fn set_configuration_up_to_date(&mut self, up_to_date: bool) {
+        self.conditions.configuration_up_to_date = up_to_date;
+    }
+
+    /// Whether the state service answers, so that reservations of warm replicas and loans can be recorded.
+    pub fn set_reservations_recordable(&mut self, recordable: bool) {
+        self.conditions.reservations_recordable = recordable;
+    }
+
+    // ---- scheduling cycles ----
+
+    /// Something changed that a scheduling cycle may use.
+    pub fn request_cycle(&mut self) {
+        self.scheduling_triggers.request_cycle();
+    }
+
+    /// Is a scheduling cycle due?
+    pub fn is_cycle_due(&self) -> bool {
+        self.scheduling_triggers.is_cycle_due()
+    }
+
+    /// Is a scheduling cycle for urgent work due?
+    pub fn is_urgent_cycle_due(&self) -> bool {
+        self.scheduling_triggers.is_urgent_cycle_due()
+    }
+
+    /// Jobs with tasks that found no capacity in the last scheduling cycle.
+    pub fn pending_jobs(&self) -> &[JobIndex] {
+        self.scheduling_triggers.pending_jobs()
+    }
+
+    // ---- machines with orders due ----
+
+    /// Empties the queue of machines that have orders to get without waiting for their next heartbeat.
+    pub fn take_dispatch_queue(&mut self) -> BTreeSet<HostIndex> {
+        self.dispatch_queue.take()
+    }
+
+    /// Queues a machine that has orders to get.
+    pub fn queue_dispatch(&mut self, host: HostIndex) {
+        self.dispatch_queue.insert(host);
+    }
+
+    // ---- machines by name ----
+
+    /// Is the machine one of this partition, or known to be one of another?
+    pub fn knows_host(&self, id: &str) -> bool {
+        self.cluster.host_index.contains_key(id) || self.host_directory.other_partition_of(id).is_some()
+    }
+
+    /// Machines whose records are to be read again now.
+    pub fn take_records_to_reread(&mut self) -> BTreeSet<String> {
+        self.host_directory.take_records_to_reread()
+    }
+
+    /// Replaces the partitions that booting machines go to, by name; others stay here.
+    pub fn set_pending_transfers(&mut self, pending_transfers: HashMap<String, u32>) {
+        self.host_directory.set_pending_transfers(pending_transfers);
+    }
 }
--- a/src/control/partition/records.rs
+++ b/src/control/partition/records.rs
@@ -1,34 +1,34 @@
 //! What the answer to a commit means, and records that are read again.
 
 use super::keys::JOB_PREFIX;
+use super::waiting_clients::reply;
 use super::{CommitOutcome, Partition, PendingWrite, Superseded};
-use crate::model::{HostIndex, JobEnd, JobIndex, JobRecord, UnsavedChange, Urgency};
+use crate::model::{HostIndex, JobEnd, JobIndex, JobRecord, UnsavedChange};
 use crate::wire::Item;
 use badgerdrift_borrowing::LOAN_PREFIX;
 
 impl Partition {
     /// May a late write undo that a machine moves between the partitions?
     pub(super) fn moves_may_be_undone(&self) -> bool {
-        let one_partition = self.teams.values().all(|p| *p == self.id);
-        !one_partition && self.indeterminate_host_write == Some(self.partition_version)
+        !self.teams.owns_all_teams() && self.commit_queue.is_host_write_indeterminate(self.epoch.partition_version())
     }
 
     /// Is a commit under way?
     pub fn committing(&self) -> bool {
-        self.in_flight.is_some()
+        self.commit_queue.is_committing()
     }
 
     /// Takes the result of the commit under way; returns the keys of jobs
     /// whose records must be read again, or `Err` if the partition is lost.
     pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
-        let saved = self.in_flight.take().unwrap_or_default();
+        let saved = self.commit_queue.take_in_flight();
         // After a conflict the records of pools and loans are read again, as after a commit without
         // an answer.
         let conflict = matches!(result, CommitOutcome::Conflict { .. });
         let indeterminate = matches!(result, CommitOutcome::Indeterminate);
         let failed = match result {
             CommitOutcome::Done { revision } => {
-                self.largest_commit = (2 * self.largest_commit).min(self.limits.commit_changes);
+                self.commit_queue.raise_max_changes();
                 saved.into_iter().for_each(|s| self.written(s, revision));
                 return Ok(Vec::new());
             }
@@ -44,7 +44,7 @@
                 indeterminate || (conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans));
             self.not_written(write, indeterminate);
         }
-        if failed.contains(&self.partition_key) {
+        if failed.iter().any(|key| key == self.epoch.partition_key()) {
             return Err(Superseded);
         }
         Ok(failed.into_iter().filter(|key| key.starts_with(JOB_PREFIX)).collect())
@@ -54,15 +54,13 @@
     /// at fault. That one waits for a lease, so that it doesn't keep the others back.
     fn commit_not_taken(&mut self, saved: &[PendingWrite]) {
         self.metrics.count("limits_met", "commit_size");
-        if saved.len() > 1 {
-            self.largest_commit = saved.len() / 2;
+        if !self.commit_queue.lower_max_changes(saved.len()) {
             return;
         }
-        self.largest_commit = self.limits.commit_changes;
         if let [PendingWrite::Job(write)] = saved {
             let job = &mut self.cluster.jobs[write.job];
             tracing::error!(job = job.spec.id, "the state service does not take the job's record");
-            job.write_after_ms = self.last_commit_ms + self.policy.lease_ms;
+            job.write_after_ms = self.commit_queue.last_commit_ms() + self.policy.lease_ms;
         }
     }
 
@@ -92,13 +90,13 @@
             PendingWrite::Host(host_index) => {
                 if let Some(h) = self.cluster.host_mut(host_index) {
                     h.registered = true;
-                    self.cycle_due = true;
+                    self.scheduling_triggers.request_cycle();
                 }
             }
             PendingWrite::TransferredHost(host_index, to) => {
                 if let Some(h) = self.cluster.remove_host(host_index) {
                     tracing::info!(host = h.id, to, "machine given to another partition");
-                    self.hosts_of_other_partitions.insert(h.id, to);
+                    self.host_directory.assign(h.id, to);
                 }
             }
             PendingWrite::Pools => self.pools_written(revision),
@@ -119,7 +117,7 @@
             PendingWrite::Pools => self.pools_not_written(indeterminate),
             PendingWrite::Loans => self.loans_not_written(indeterminate),
             PendingWrite::DeletedKey(key) => {
-                self.obsolete_keys.insert(key);
+                self.commit_queue.mark_obsolete(key);
             }
         }
     }
@@ -137,13 +135,13 @@
         if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(what, UnsavedChange::End(_)) {
             job.unsaved = what;
         }
-        self.dirty.insert(job_index);
+        self.commit_queue.mark_job(job_index);
     }
 
     fn host_not_written(&mut self, host_index: HostIndex, indeterminate: bool) {
-        self.new_hosts.insert(host_index);
+        self.commit_queue.mark_host(host_index);
         if indeterminate {
-            self.indeterminate_host_write = Some(self.partition_version);
+            self.commit_queue.note_indeterminate_host_write(self.epoch.partition_version());
         }
     }
 
@@ -157,8 +155,8 @@
         match what {
             UnsavedChange::End(end) => self.ended(job_index, end),
             UnsavedChange::Creation => {
-                self.cycle_due = true;
-                self.urgent_cycle_due |= job.urgency >= Urgency::High;
+                self.scheduling_triggers.request_cycle();
+                self.scheduling_triggers.request_cycle_for(job.urgency);
                 let spec = &job.spec;
                 tracing::debug!(
                     job = spec.id,
@@ -180,7 +178,7 @@
     pub(super) fn ended(&mut self, job_index: JobIndex, end: JobEnd) {
         let job = &mut self.cluster.jobs[job_index];
         job.unsaved = UnsavedChange::Nothing;
-        self.dirty.remove(&job_index);
+        self.commit_queue.unmark_job(job_index);
         // Known already, from the record of a job that it needs.
         if job.end.replace(end).is_some() {
             return;
@@ -199,30 +197,27 @@
             self.cluster.live.retain(|l| *l != job_index);
             self.stop_all(job_index);
         }
-        let open = self.dependency_graph.remove(job_index);
+        let open = self.dependencies.remove_waiting(job_index);
         self.release_dependencies(&open);
         self.notify_job_end(job_index);
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
     }
 
     /// The job's record is there: cancels it if it needs a cancelled one, and tells those who
     /// wait for it to be accepted, by this submission if it was `created`.
     fn creation_known(&mut self, job_index: JobIndex, created: bool) {
-        let submitters = self.submitters.remove(&job_index).unwrap_or_default();
+        let submitters = self.waiting_clients.take_submitters(job_index);
         self.follow_if_cancelled(job_index);
         let answer = self.accepted(job_index, created);
         for waiter in submitters {
-            let _ = waiter.send(answer.clone());
+            reply(waiter, answer.clone());
         }
     }
 
     /// Tells all who wait for the job how it ended.
     fn notify_job_end(&mut self, job_index: JobIndex) {
         let answer = self.status_of(job_index);
-        let submitters = self.submitters.remove(&job_index).unwrap_or_default();
-        for w in self.cancellers.remove(&job_index).unwrap_or_default().into_iter().chain(submitters) {
-            let _ = w.send(answer.clone());
-        }
+        self.waiting_clients.answer_all(job_index, &answer);
     }
 
     /// A record as read again after a conflict: what it holds is true, what it
@@ -249,11 +244,11 @@
             let job = &mut self.cluster.jobs[job_index];
             if job.unsaved == UnsavedChange::Creation {
                 job.unsaved = UnsavedChange::Nothing;
-                self.dirty.remove(&job_index);
+                self.commit_queue.unmark_job(job_index);
             }
             // Known already, maybe by our own commit whose answer was lost.
             job.accepted_ms = record.accepted_ms;
-            self.cycle_due = true;
+            self.scheduling_triggers.request_cycle();
             self.creation_known(job_index, false);
         }
     }
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -10,7 +10,6 @@
 impl Partition {
     /// One scheduling cycle; the machines with new orders are in `dispatch_queue`.
     pub fn schedule(&mut self, now: u64, wall: u64) {
-        self.cycle_due = false;
         self.run_scheduling_cycle(Urgency::Low, now, wall);
     }
 
@@ -20,7 +19,7 @@
     }
 
     fn run_scheduling_cycle(&mut self, least: Urgency, now: u64, wall: u64) {
-        self.urgent_cycle_due = false;
+        self.scheduling_triggers.begin_cycle(least);
         self.refresh_unreconciled();
         self.note_ready_times(wall);
         self.stop_attempts_of_done_tasks();
@@ -28,11 +27,8 @@
         self.wall_ms = wall;
         self.reserve_warm_capacity();
         self.describe_borrowing(now, wall);
-        let next = &mut self.next_attempt;
-        let out = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || {
-            *next += 1;
-            *next
-        });
+        let epoch = &mut self.epoch;
+        let out = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
         for start in &out.starts {
             self.note_start(start, wall);
         }
@@ -56,7 +52,7 @@
     /// Bounds the attempts by what following those on the machines costs now.
     fn bound_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
-        self.policy.max_attempts = self.report_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
+        self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
     }
 
     /// Measures and logs a start; its machine has an order to get.
@@ -80,7 +76,7 @@
             task = start.key.task,
             attempt = start.attempt,
             host = h.id,
-            fencing_token = %self.fencing_token,
+            fencing_token = %self.epoch.fencing_token(),
             waited,
             cached,
             fetch_s,
@@ -109,11 +105,8 @@
 
     /// Notes which work found no room. What is less urgent than `least` was not tried.
     fn keep_pending_jobs(&mut self, least: Urgency, out: CycleDecisions) {
-        let jobs = &self.cluster.jobs;
-        self.pending_jobs.retain(|job_index| jobs[*job_index].urgency < least && jobs[*job_index].active());
-        self.pending_jobs.extend(out.pending_jobs);
-        self.hosts_examined += out.hosts_examined;
-        if !self.pending_jobs.is_empty() {
+        self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, out.pending_jobs, out.hosts_examined);
+        if !self.scheduling_triggers.pending_jobs().is_empty() {
             self.cancel_drain();
         }
     }
@@ -133,6 +126,6 @@
         let bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
-        self.pending_jobs.iter().map(bin).min()
+        self.scheduling_triggers.pending_jobs().iter().map(bin).min()
     }
 }
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -31,7 +31,7 @@
         p.adopt_job(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
     }
     p.schedule(1000, 1000);
-    assert_eq!((p.dispatch_queue.len(), p.cluster.jobs.len()), (1, 1));
+    assert_eq!((p.dispatch_queue.hosts().len(), p.cluster.jobs.len()), (1, 1));
     let c = p.next_commit(1000, 32).unwrap();
     assert_eq!(c.writes, [wire::delete("in/0/run-000005")]);
 }
@@ -102,10 +102,10 @@
     let for_now = Ok(UserAnswer::RetryLater(RefusalReason::ConfigurationBehind));
     let mut p = partition();
     assert!(matches!(answer(&mut p, "new", "batch"), Ok(UserAnswer::Unschedulable(_))));
-    p.configuration_up_to_date = false;
+    p.conditions.configuration_up_to_date = false;
     assert_eq!(answer(&mut p, "new", "batch"), for_now);
     // The limit is about to grow: what does not fit now may soon.
-    p.configuration_up_to_date = true;
+    p.conditions.configuration_up_to_date = true;
     let red = p.policy.teams.get_mut("red").unwrap();
     (red.limit.gpus, red.settled) = (4.0, false);
     assert_eq!(answer(&mut p, "red", "group"), for_now);
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -107,7 +107,7 @@
         self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
         let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
-        let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token.0, tasks);
+        let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token().0, tasks);
         let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         for order in &orders {
             match order {
@@ -151,7 +151,7 @@
     let mut harness = Harness::new();
     harness.burst(4);
     assert_eq!(stops(&harness.heartbeat()), 0, "no record yet");
-    let host = harness.partition.dispatch_queue.iter().next().copied();
+    let host = harness.partition.dispatch_queue.hosts().iter().next().copied();
     let direct = host.and_then(|host| harness.partition.direct(host, harness.now, false));
     assert_eq!(direct.map_or(0, |direct| stops(&direct.orders)), 0, "nor by a direct command");
     harness.commit_as(false);
@@ -217,7 +217,7 @@
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
     let hosts = self::items(&mut harness.partition).1;
-    harness.partition = partition_of(harness.partition.fencing_token.0 + 1, jobs, hosts);
+    harness.partition = partition_of(harness.partition.fencing_token().0 + 1, jobs, hosts);
     harness.set_up();
     harness.partition.begin_loans(loans);
 }
@@ -329,7 +329,7 @@
 #[test]
 fn nothing_is_proposed_while_the_state_service_does_not_answer() {
     let mut harness = Harness::new();
-    harness.partition.reservations_recordable = false;
+    harness.partition.conditions.reservations_recordable = false;
     harness.burst(4);
     let attempts = harness.partition.cluster.each_host().flat_map(|(_, host)| &host.attempts);
     assert_eq!(attempts.filter(|attempt| attempt.stop.is_some()).count(), 0);
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -156,7 +156,7 @@
 #[test]
 fn while_a_controller_is_known_to_be_old_no_job_is_accepted_that_waits() {
     let mut p = chain();
-    p.has_old_peer = true;
+    p.conditions.has_old_peer = true;
     let mut rx = submit(&mut p, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::ControllerOutdated)));
     // A known one is answered, whatever its body says now.
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -12,17 +12,17 @@
     p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commit(&mut p, 1100, 101);
     p.schedule(1100, 1100);
-    assert!(p.dispatch_queue.is_empty());
+    assert!(p.dispatch_queue.hosts().is_empty());
     // The first report is answered, but shows an older token: the old
     // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
     p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
-    p.dispatch_queue.clear();
+    p.take_dispatch_queue();
     p.schedule(1200, 1200);
-    assert!(p.dispatch_queue.is_empty() && !p.cluster.all_reconciled);
+    assert!(p.dispatch_queue.hosts().is_empty() && !p.cluster.all_reconciled);
     p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
     p.schedule(1300, 1300);
-    assert!(p.dispatch_queue.is_empty() && p.cluster.all_reconciled, "the task runs already");
+    assert!(p.dispatch_queue.hosts().is_empty() && p.cluster.all_reconciled, "the task runs already");
     assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
 }
 
@@ -128,11 +128,11 @@
     let react = p.policy.react_ms;
     let still_old = |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
     p.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
-    assert!(p.dispatch_queue.is_empty());
-    assert!(p.detect_failures(1100 + react - 1, 0).1.is_empty(), "its next report is on its way");
-    assert_eq!(p.detect_failures(1100 + react, 0).1, [0], "the answer may not have reached it");
+    assert!(p.dispatch_queue.hosts().is_empty());
+    assert!(p.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next report is on its way");
+    assert_eq!(p.detect_failures(1100 + react, 0).to_probe, [0], "the answer may not have reached it");
     p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
-    assert!(p.dispatch_queue.contains(&0), "the answer made no difference");
+    assert!(p.dispatch_queue.hosts().contains(&0), "the answer made no difference");
     p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
     p.refresh_unreconciled();
     assert!(p.cluster.all_reconciled);
@@ -146,9 +146,9 @@
     }
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
-    assert_eq!(p.detect_failures(1000, 0).1, [0, 1, 2]);
+    assert_eq!(p.detect_failures(1000, 0).to_probe, [0, 1, 2]);
     p.cluster.host_mut(0).unwrap().unanswered_probes = 1;
-    assert_eq!(p.detect_failures(1100, 0).1, [1, 2, 0]);
+    assert_eq!(p.detect_failures(1100, 0).to_probe, [1, 2, 0]);
 }
 
 // The next size: a controller in a zone that is cut off keeps the leases there alive.
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -171,7 +171,7 @@
         1100,
     );
     assert!(p.next_commit(1100, 32).is_none(), "not registered");
-    let quiet_from = |p: &Partition| (2000..9000).find(|now| p.cut_off(*now));
+    let quiet_from = |p: &Partition| (2000..9000).find(|now| p.is_isolated(*now));
     for i in 0..4 {
         p.heartbeat(&heartbeat(&format!("g{i}"), 1, 9, 4, vec![]), StatusSource::Heartbeat, 1100);
     }
@@ -208,7 +208,7 @@
     commits(&mut p, 1000, 100);
     p.schedule(1000, 1000);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
-    assert!(p.dispatch_queue.contains(&0));
+    assert!(p.dispatch_queue.hosts().contains(&0));
     let d = p.direct(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
     p.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
@@ -305,7 +305,9 @@
 fn no_machine_moves_while_a_late_write_may_undo_it() {
     for partitions in [1, 2] {
         let mut p = partition();
-        p.teams.insert("blue".into(), partitions - 1);
+        let mut teams = settings().partitions_of_teams(1);
+        teams.insert("blue".into(), partitions - 1);
+        p.teams = team_assignment::TeamAssignment::new(0, teams);
         p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
         p.next_commit(1000, 32).unwrap();
         p.committed(CommitOutcome::Indeterminate).unwrap();
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -182,18 +182,18 @@
             m.next_ms = now + REPORT;
             let r = m.heartbeat(id, now);
             let orders = self.partition.heartbeat(&r, StatusSource::Heartbeat, now);
-            if self.partition.fencing_token.0 > m.seen_token {
+            if self.partition.fencing_token().0 > m.seen_token {
                 // A higher token is a change, which is reported after half a second.
-                m.seen_token = self.partition.fencing_token.0;
+                m.seen_token = self.partition.fencing_token().0;
                 m.next_ms = now + REPORT_AFTER_CHANGE;
             }
             m.carry_out(&orders, now, 60_000);
         }
-        if self.partition.cycle_due && now >= self.next_pass {
+        if self.partition.is_cycle_due() && now >= self.next_pass {
             self.partition.schedule(now, now);
             self.next_pass = now + 200;
         }
-        for host_index in std::mem::take(&mut self.partition.dispatch_queue) {
+        for host_index in self.partition.take_dispatch_queue() {
             let Some(d) = self.partition.direct(host_index, now, false) else { continue };
             let m = self.machines.get_mut(&d.id).unwrap();
             if m.next_ms == u64::MAX {
@@ -256,7 +256,9 @@
         let under = |prefix: &'static str| self.stored.iter().filter(move |(k, _)| k.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
         let policy = self.partition.policy.clone();
-        self.partition = Partition::new(policy, 0, self.partition.teams.clone(), settings().write_limits());
+        let teams = self.partition.teams.clone();
+        self.partition = Partition::new(policy, 0, HashMap::new(), settings().write_limits());
+        self.partition.teams = teams;
         self.partition.begin(FencingToken(fencing_token), 78, jobs, hosts, types(), self.now);
     }
 }
@@ -288,16 +290,16 @@
                 f.submit("surge", "service", "urgent", 3, (5.0, 1.0, 35.0));
             }
         }
-        let before = f.partition.hosts_examined;
+        let before = f.partition.scheduling_triggers.hosts_examined();
         f.step();
-        most = most.max(f.partition.hosts_examined - before);
+        most = most.max(f.partition.scheduling_triggers.hosts_examined() - before);
     }
     f.check();
     let running: usize = f.partition.cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
     assert!(
-        running > size * 10 / 3 && f.partition.pending_jobs.len() > 50,
+        running > size * 10 / 3 && f.partition.pending_jobs().len() > 50,
         "{running} tasks, {} jobs wait",
-        f.partition.pending_jobs.len()
+        f.partition.pending_jobs().len()
     );
     // A scheduling cycle looks at each machine once for a job that it places, not for each of its tasks.
     let scale = size / 1500;
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -106,7 +106,7 @@
     let _rx = submit(&mut p, &body("run-000001", shape, tasks), 1000);
     commit(&mut p, 1000, 100);
     p.schedule(1001, 1001);
-    assert_eq!(p.dispatch_queue.len(), 1);
+    assert_eq!(p.dispatch_queue.hosts().len(), 1);
     p
 }
 
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -85,11 +85,11 @@
 fn attempts_never_repeat_across_terms() {
     let mut p = running("batch", 3);
     let last = p.cluster.host(0).unwrap().attempts.iter().map(|c| c.attempt).max().unwrap();
-    let next = p.next_attempt;
-    p.set_fencing_token(p.fencing_token, 78);
-    assert_eq!(p.next_attempt, next, "nor does one when the key was looked at and found as it was");
+    let next = p.epoch.upcoming_number();
+    p.set_fencing_token(p.fencing_token(), 78);
+    assert_eq!(p.epoch.upcoming_number(), next, "nor does one when the key was looked at and found as it was");
     p.set_fencing_token(FencingToken(2), 79);
-    assert!(p.next_attempt > last);
+    assert!(p.epoch.upcoming_number() > last + 1);
 }
 
 // Found on suva grown: a task on a machine with a notice ran into its end, and its
@@ -166,7 +166,7 @@
         }
         p.detect_failures(1000 + sequence, 0);
         let UserAnswer::Status { running, .. } = p.status("run-000001") else { panic!("no status") };
-        assert_eq!(running, p.count_running(0));
+        assert_eq!(running, running_counts::count_running(&p.cluster, 0));
         told.push(running);
     }
     assert!(told[0] > told[1] && told[1] > 0, "{told:?}");
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -17,10 +17,10 @@
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.schedule(1000, 1000);
-    assert!(p.dispatch_queue.is_empty());
+    assert!(p.dispatch_queue.hosts().is_empty());
     commit(&mut p, 1000, 100);
     p.schedule(1001, 1001);
-    assert_eq!(p.dispatch_queue.len(), 1);
+    assert_eq!(p.dispatch_queue.hosts().len(), 1);
 }
 
 #[test]
--- a/src/control/partition/tests/silence.rs
+++ b/src/control/partition/tests/silence.rs
@@ -14,7 +14,7 @@
     let mut released = Vec::new();
     let mut asked = 0;
     for now in (2000..=7000).step_by(250) {
-        let (release, probe) = p.detect_failures(now, 0);
+        let DetectedFailures { to_terminate: release, to_probe: probe } = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe {
             if let Some(d) = p.direct(host_index, now, true) {
@@ -58,8 +58,8 @@
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     p.detect_failures(1200, 0);
-    assert_eq!(p.detect_failures(60_000, 0), (vec![], vec![]));
-    let (release, probe) = p.detect_failures(60_300, 0);
+    assert_eq!(p.detect_failures(60_000, 0), DetectedFailures { to_terminate: vec![], to_probe: vec![] });
+    let DetectedFailures { to_terminate: release, to_probe: probe } = p.detect_failures(60_300, 0);
     assert!(release.is_empty() && probe.is_empty());
 }
 
@@ -73,7 +73,7 @@
     let mut released = Vec::new();
     for (n, now) in (1000..40_000).step_by(500).enumerate() {
         p.heartbeat(&heartbeat("h1", 1, 2 + n as u64, 1, vec![]), StatusSource::Heartbeat, now);
-        let (release, probe) = p.detect_failures(now, 0);
+        let DetectedFailures { to_terminate: release, to_probe: probe } = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe.into_iter().chain((n == 0).then_some(0)) {
             if let Some(d) = p.direct(host_index, now, true) {
@@ -98,7 +98,7 @@
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 2900);
     }
     for now in (2900..=9000).step_by(250) {
-        assert!(p.detect_failures(now, 0).0.is_empty());
+        assert!(p.detect_failures(now, 0).to_terminate.is_empty());
     }
 }
 
@@ -110,17 +110,17 @@
     for i in 0..4 {
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
-    assert!(!p.cut_off(2500));
-    assert!(p.cut_off(4000));
+    assert!(!p.is_isolated(2500));
+    assert!(p.is_isolated(4000));
     for i in 0..2 {
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 2, 1, vec![]), StatusSource::Heartbeat, 3900);
     }
-    assert!(!p.cut_off(4000), "only some are silent");
+    assert!(!p.is_isolated(4000), "only some are silent");
     let host = |i| HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: i };
     let item = |n: u64| Item { key: format!("host/h{n}"), value: serde_json::to_value(host(0)).unwrap(), version: n };
     let mut p = partition_of(5, vec![], (1..6).map(item).collect());
-    assert!(!p.cut_off(9000), "after a takeover they may still be on their way here");
+    assert!(!p.is_isolated(9000), "after a takeover they may still be on their way here");
     // Found in an incident at the next size: one that is cut off from the beginning.
     p.cluster.hosts.iter_mut().flatten().for_each(|h| h.unanswered_probes = UNREACHABLE_AFTER_MISSES);
-    assert!(p.cut_off(9000) && !p.cut_off(2000));
+    assert!(p.is_isolated(9000) && !p.is_isolated(2000));
 }
--- a/src/control/partition/tests/warm_pools/claims.rs
+++ b/src/control/partition/tests/warm_pools/claims.rs
@@ -94,7 +94,7 @@
     let claimed_before = harness.submit("blue", "notes");
     harness.schedule();
     harness.commits = Commits::Refused;
-    harness.partition.reservations_recordable = false;
+    harness.partition.conditions.reservations_recordable = false;
     let job = harness.submit("red", "notes");
     harness.rounds(1);
     assert_eq!(harness.runs(&job), 1, "it does not wait for a claim that can't be recorded");
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -33,7 +33,7 @@
     let mut harness = Harness::new(3);
     let job = harness.submit("blue", "notes");
     harness.schedule();
-    let host = *harness.partition.dispatch_queue.first().unwrap();
+    let host = *harness.partition.dispatch_queue.hosts().first().unwrap();
     harness.commit();
     let late = harness.partition.direct(host, harness.now, false).unwrap();
     let old_token = late.fencing_token.0;
--- a/src/control/partition/tests/warm_pools/machines.rs
+++ b/src/control/partition/tests/warm_pools/machines.rs
@@ -109,7 +109,7 @@
     harness.workers.get_mut(&hung).unwrap().silent = true;
     for _ in 0..2 * LEASE / ROUND_MS {
         harness.round();
-        let (release, _) = harness.partition.detect_failures(harness.now, 0);
+        let release = harness.partition.detect_failures(harness.now, 0).to_terminate;
         assert!(harness.claimed() <= 2, "one at a time, whatever is released: {release:?}");
     }
     let hosts_of_other_partitions = harness.workers.iter().filter(|(id, _)| **id != hung);
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -198,7 +198,7 @@
     }
 
     fn dispatch(&mut self) {
-        for host_index in std::mem::take(&mut self.partition.dispatch_queue) {
+        for host_index in self.partition.take_dispatch_queue() {
             let Some(d) = self.partition.direct(host_index, self.now, false) else { continue };
             let worker = self.workers.get_mut(&d.id).unwrap();
             if worker.silent {
@@ -213,7 +213,7 @@
 
     fn commit(&mut self) {
         // As the leader does: without the state service no claim is offered.
-        self.partition.reservations_recordable = self.commits != Commits::Refused;
+        self.partition.conditions.reservations_recordable = self.commits != Commits::Refused;
         let Some(c) = self.partition.next_commit(self.now, 32) else { return };
         let result = match self.commits {
             Commits::Made => self.make(&c),
--- a/src/control/partition/users.rs
+++ b/src/control/partition/users.rs
@@ -1,5 +1,7 @@
 //! What users ask of a partition: submissions, polls, cancellations.
 
+use super::failure_detector::HeartbeatTimeouts;
+use super::waiting_clients::reply;
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
 use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_MISSES, UnsavedChange, Urgency};
@@ -24,29 +26,29 @@
         }
         let refusal = match spec {
             Ok(spec) if spec.dependencies.is_empty() => return self.accept(spec, now, wall, waiter),
-            Ok(spec) if !self.has_old_peer => return self.submit_waiting(spec, now, wall, waiter),
+            Ok(spec) if !self.conditions.has_old_peer => return self.submit_waiting(spec, now, wall, waiter),
             Ok(_) => UserAnswer::RetryLater(RefusalReason::ControllerOutdated),
             Err(message) => UserAnswer::Malformed(message),
         };
-        let _ = waiter.send(refusal);
+        reply(waiter, refusal);
     }
 
     /// Answers the repeated submission of a job that is known, now or once it is accepted.
     pub(super) fn answer_known(&mut self, job_index: JobIndex, waiter: Waiter) {
         if self.cluster.jobs[job_index].version == 0 {
-            self.submitters.entry(job_index).or_default().push(waiter);
+            self.waiting_clients.await_acceptance(job_index, waiter);
         } else {
-            let _ = waiter.send(self.accepted(job_index, false));
+            reply(waiter, self.accepted(job_index, false));
         }
     }
 
     /// Accepts a new job once that is recorded, unless it can't be served.
     pub(super) fn accept(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         match self.refusal_of(&spec) {
-            Some(refusal) => _ = waiter.send(refusal),
+            Some(refusal) => reply(waiter, refusal),
             None => {
                 let job_index = self.add_submitted(spec, now, wall);
-                self.submitters.entry(job_index).or_default().push(waiter);
+                self.waiting_clients.await_acceptance(job_index, waiter);
             }
         }
     }
@@ -57,12 +59,12 @@
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
         }
         if let Some(why) = scheduling::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
-            return Some(match why.is_for_now(self.configuration_up_to_date) {
+            return Some(match why.is_for_now(self.conditions.configuration_up_to_date) {
                 true => UserAnswer::RetryLater(RefusalReason::ConfigurationBehind),
                 false => UserAnswer::Unschedulable(why.to_string()),
             });
         }
-        if let Some(message) = self.limits.refuses(spec) {
+        if let Some(message) = self.commit_queue.limits().refuses(spec) {
             return Some(UserAnswer::Malformed(message.into()));
         }
         let backlog_s = self.backlog_s(spec.urgency);
@@ -76,7 +78,7 @@
         job.unsaved = UnsavedChange::Creation;
         job.fresh = true;
         let job_index = self.cluster.add_job(job);
-        self.dirty.insert(job_index);
+        self.commit_queue.mark_job(job_index);
         self.job_added(job_index);
         job_index
     }
@@ -84,9 +86,7 @@
     /// Seconds that it takes to record the jobs that were submitted before and are as urgent
     /// or more: a swarm of lesser jobs doesn't keep urgent ones out.
     fn backlog_s(&self, urgency: Urgency) -> f64 {
-        let jobs = self.dirty.iter().map(|job_index| &self.cluster.jobs[*job_index]);
-        let goes_first = |job: &&Job| job.unsaved == UnsavedChange::Creation && job.spec.urgency >= urgency;
-        jobs.filter(goes_first).count() as f64 / self.policy.writes_per_s
+        self.commit_queue.creations_due(&self.cluster.jobs, urgency) as f64 / self.policy.writes_per_s
     }
 
     /// The one place that decides whether a user may be told of a job from memory, and
@@ -107,7 +107,7 @@
         {
             return Err(UserAnswer::RetryLater(reason));
         }
-        let running = if job.end.is_some() { 0 } else { self.running(job_index) };
+        let running = if job.end.is_some() { 0 } else { self.running_counts.of(&self.cluster, job_index) };
         Ok((job.phase(running), running))
     }
 
@@ -142,12 +142,12 @@
     /// soon. What can be reached is stopped in any case.
     pub fn cancel(&mut self, id: &str, now: u64, recordable: bool, waiter: Waiter) {
         let Some(&job_index) = self.cluster.job_index.get(id) else {
-            let _ = waiter.send(UserAnswer::Unknown);
+            reply(waiter, UserAnswer::Unknown);
             return;
         };
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() || job.version == 0 {
-            let _ = waiter.send(self.status_of(job_index));
+            reply(waiter, self.status_of(job_index));
             return;
         }
         if !std::mem::replace(&mut job.cancelling, true) {
@@ -156,30 +156,30 @@
             self.cancelling.insert(job_index);
         }
         if !recordable {
-            let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
+            reply(waiter, UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
         } else if self.may_be_unreachable(job_index, now) {
-            let _ = waiter.send(UserAnswer::RetryLater(RefusalReason::MachineUnreachable));
+            reply(waiter, UserAnswer::RetryLater(RefusalReason::MachineUnreachable));
         } else {
-            let waiters = self.cancellers.entry(job_index).or_default();
-            waiters.retain(|w| !w.is_closed());
-            waiters.push(waiter);
+            self.waiting_clients.await_end(job_index, waiter);
         }
     }
 
     /// May one of the job's tasks be on a machine that does not answer?
     fn may_be_unreachable(&self, job_index: JobIndex, now: u64) -> bool {
-        let silent = |h: &Host| {
-            h.unanswered_probes >= UNREACHABLE_AFTER_MISSES
-                || now.saturating_sub(h.last_heartbeat_ms) > self.unreachable_timeout_ms()
+        let timeout_ms = HeartbeatTimeouts::of(&self.policy).unreachable_after_ms;
+        let is_unreachable = |host: &Host| {
+            host.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+                || now.saturating_sub(host.last_heartbeat_ms) > timeout_ms
         };
-        let there = |h: &Host| h.attempts.iter().any(|c| c.key.job == job_index && !c.ended());
-        self.cluster.each_host().any(|(_, h)| silent(h) && there(h))
+        let has_tasks =
+            |host: &Host| host.attempts.iter().any(|attempt| attempt.key.job == job_index && !attempt.ended());
+        self.cluster.each_host().any(|(_, host)| is_unreachable(host) && has_tasks(host))
     }
 
     /// Cancellations whose tasks are certainly gone are to be recorded, and said
     /// then. Said before, `cancel_s` would count while a machine that nobody can
     /// reach goes on with a task, kept alive by another controller.
-    pub(super) fn settle_cancellations(&mut self) {
+    pub(super) fn record_completed_cancellations(&mut self) {
         if self.cancelling.is_empty() {
             return;
         }
@@ -193,7 +193,7 @@
             let job = &mut self.cluster.jobs[job_index];
             if job.end.is_none() && !matches!(job.unsaved, UnsavedChange::End(_)) {
                 job.unsaved = UnsavedChange::End(JobEnd::Cancelled);
-                self.dirty.insert(job_index);
+                self.commit_queue.mark_job(job_index);
             }
         }
     }
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -39,10 +39,9 @@
     /// The changes of the pools' records that go into the next commit, if there is room for any.
     pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
         let own = self.pools.as_mut()?;
-        let id = self.next_attempt + 1;
-        let changes = own.pools.next_changes(id, most)?;
+        let changes = own.pools.next_changes(self.epoch.upcoming_number(), most)?;
         // The number is a commit's now, and no attempt's.
-        self.next_attempt = id;
+        self.epoch.next_number();
         Some(changes)
     }
 
@@ -88,7 +87,7 @@
                     self.claim_recorded(claim.attempt);
                     self.dispatch_slot(slot);
                 }
-                PoolEvent::SlotFree(_) => self.cycle_due = true,
+                PoolEvent::SlotFree(_) => self.scheduling_triggers.request_cycle(),
             }
         }
     }
@@ -99,7 +98,7 @@
         if let Some(host) = slot.and_then(|slot| self.cluster.host_index.get(&slot.host)) {
             self.dispatch_queue.insert(*host);
         }
-        self.cycle_due = true;
+        self.scheduling_triggers.request_cycle();
     }
 
     /// The task of this attempt may be ordered.
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -49,7 +49,7 @@
             Some((host_index, own.key))
         });
         if let Some((host_index, key)) = found {
-            self.lose(host_index, key, attempt);
+            self.remove_attempt(host_index, key, attempt);
         }
     }
 
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -12,7 +12,7 @@
 impl Partition {
     /// Begins with the slots that are wanted, where there is room that no work waits for.
     pub(super) fn begin_slots(&mut self, now: u64) {
-        if !self.reservations_recordable || !self.cluster.all_reconciled {
+        if !self.conditions.reservations_recordable || !self.cluster.all_reconciled {
             return;
         }
         let Some(own) = &self.pools else { return };
@@ -30,7 +30,7 @@
 
     fn begin_slot(&mut self, host_index: HostIndex, name: &str, pool: &Pool, now: u64) {
         let (Some(own), Some(host)) = (&mut self.pools, self.cluster.hosts[host_index].as_ref()) else { return };
-        self.next_attempt += 1;
+        let number = self.epoch.next_number();
         let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
         let price = instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)));
         let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
@@ -41,7 +41,7 @@
             warm: has_image(host, &image),
         };
         let moment = own.moment(now);
-        own.pools.begin(self.next_attempt, name, place, moment);
+        own.pools.begin(number, name, place, moment);
     }
 
     /// The machine for the next slot of a pool, if one is wanted and there is room for it.
@@ -98,13 +98,13 @@
         let guaranteed = team.guarantees(&demand(&pool.amounts()))
             && within(total.gpus, team.guarantee.gpus)
             && within(total.cpus, team.guarantee.cpus);
-        total.fits(&team.limit) && (guaranteed || self.pending_jobs.is_empty())
+        total.fits(&team.limit) && (guaranteed || self.scheduling_triggers.pending_jobs().is_empty())
     }
 
     /// Replicas that found no machine with room, as tasks for the plan of what to rent.
     pub fn pool_replicas_without_machine(&self, now: u64) -> Vec<(Spec, usize)> {
         let Some(own) = &self.pools else { return Vec::new() };
-        if !self.reservations_recordable {
+        if !self.conditions.reservations_recordable {
             return Vec::new();
         }
         let moment = own.moment(now);
--- a/src/control/partition/warm_pools/reports.rs
+++ b/src/control/partition/warm_pools/reports.rs
@@ -39,7 +39,7 @@
                     tracing::info!(slot = id, "claim of the owner before was not carried out");
                     own.pools.void_claim(id, moment);
                     own.pools.seen(id, false, moment);
-                    self.cycle_due = true;
+                    self.scheduling_triggers.request_cycle();
                 }
                 SlotStatusChange::Nothing => {}
             }
--- a/src/control/partition/warm_pools/rooms.rs
+++ b/src/control/partition/warm_pools/rooms.rs
@@ -12,7 +12,7 @@
     /// recorded: then none is offered, and jobs are placed as usual.
     pub(in crate::control::partition) fn reserve_warm_capacity(&mut self) {
         let Some(own) = &self.pools else { return };
-        let recordable = self.reservations_recordable;
+        let recordable = self.conditions.reservations_recordable;
         let cluster = &self.cluster;
         let rooms = own.pools.slots().filter(|slot| slot.holds_room());
         self.cluster.warm_reservations = rooms
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -81,10 +81,10 @@
         };
         let now = clock::now_ms();
         let mut at = leadership.next_failure_detection_ms;
-        if leadership.partition.cycle_due {
+        if leadership.partition.is_cycle_due() {
             at = at.min(leadership.next_cycle_ms);
         }
-        if leadership.partition.urgent_cycle_due {
+        if leadership.partition.is_urgent_cycle_due() {
             at = at.min(leadership.next_urgent_cycle_ms);
         }
         Duration::from_millis(at.saturating_sub(now).clamp(1, most))
@@ -239,7 +239,7 @@
         if leadership.loaded {
             return;
         }
-        let (fencing_token, version) = (leadership.partition.fencing_token, leadership.version);
+        let (fencing_token, version) = (leadership.partition.fencing_token(), leadership.version);
         leadership.partition.begin(fencing_token, version, l.jobs, l.hosts, l.instance_types, now);
         leadership.partition.begin_pools(l.pool_records, now);
         leadership.partition.begin_loans(l.loan_records);
--- a/src/control/partition_leader/answers.rs
+++ b/src/control/partition_leader/answers.rs
@@ -13,7 +13,7 @@
 impl PartitionLeader {
     /// Answers the report of a worker.
     pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Heartbeat, now: u64) -> HeartbeatReply {
-        let fencing_token = leadership.partition.fencing_token;
+        let fencing_token = leadership.partition.fencing_token();
         if !leadership.loaded {
             // Leases live on while the records are read; but which machines
             // are whose is only known for sure if there is one partition.
@@ -77,7 +77,7 @@
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => {
-                leadership.partition.has_old_peer = self.router.has_old_peer();
+                leadership.partition.set_has_old_peer(self.router.has_old_peer());
                 leadership.partition.submit(&body, now, clock::wall_ms(), reply);
             }
             UserCall::Status(id) => {
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -16,7 +16,7 @@
         let Some(configuration) = &self.router.configuration else { return };
         let Some(published) = configuration.published() else { return };
         let suspended = !published.may_start_tasks;
-        leadership.partition.configuration_up_to_date = published.is_up_to_date();
+        leadership.partition.set_configuration_up_to_date(published.is_up_to_date());
         if leadership.followed.version != Some(published.state.version) || leadership.followed.suspended != suspended {
             self.obey(leadership, &published, configuration.region());
         }
@@ -30,7 +30,7 @@
             policy.teams.values_mut().for_each(|team| team.limit = Demand::default());
         }
         leadership.partition.policy = policy;
-        leadership.partition.cycle_due = true;
+        leadership.partition.request_cycle();
         leadership.followed.version = Some(published.state.version);
         leadership.followed.suspended = suspended;
         tracing::debug!(version = published.state.version, suspended, "configuration in force");
@@ -43,7 +43,7 @@
         let recorded = leadership.followed.recorded;
         let settled = recorded.version == version
             && recorded.kept == version
-            && recorded.fencing_token == leadership.partition.fencing_token;
+            && recorded.fencing_token == leadership.partition.fencing_token();
         if settled || leadership.followed.recording || now < leadership.followed.next_record_ms {
             return;
         }
@@ -52,13 +52,13 @@
         leadership.followed.next_record_ms = now + pause_ms;
         let kept = if !leadership.followed.suspended && leadership.partition.teams_within_limits(now) {
             version
-        } else if recorded.fencing_token == leadership.partition.fencing_token {
+        } else if recorded.fencing_token == leadership.partition.fencing_token() {
             recorded.kept
         } else {
             0
         };
         let applied_configuration =
-            AppliedConfiguration { version, kept, fencing_token: leadership.partition.fencing_token };
+            AppliedConfiguration { version, kept, fencing_token: leadership.partition.fencing_token() };
         if applied_configuration == recorded || leadership.writes.available_tokens(now) == 0 {
             return;
         }
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -30,9 +30,9 @@
     /// Sends their orders to the machines that have new ones.
     pub(super) fn send_orders(&self, leadership: &mut Leadership, now: u64) {
         let (mut free, _) = self.worker.places();
-        for host_index in std::mem::take(&mut leadership.partition.dispatch_queue) {
+        for host_index in leadership.partition.take_dispatch_queue() {
             if free == 0 || leadership.partition.held_up(host_index, now) {
-                leadership.partition.dispatch_queue.insert(host_index);
+                leadership.partition.queue_dispatch(host_index);
             } else {
                 free -= usize::from(self.send_direct(leadership, host_index, now, false));
             }
--- a/src/control/partition_leader/rounds.rs
+++ b/src/control/partition_leader/rounds.rs
@@ -4,6 +4,7 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::control::membership;
+use crate::control::partition::DetectedFailures;
 use crate::runtime::clock;
 use crate::runtime::task;
 use crate::transport::peer::{CapacityReport, PeerRequest, PeerResponse};
@@ -29,7 +30,7 @@
         if now >= leadership.next_plan_ms {
             leadership.next_plan_ms = now + self.settings.react_ms();
             // A waiting task's back-off may have ended, or a hold.
-            leadership.partition.cycle_due = true;
+            leadership.partition.request_cycle();
             timed(leadership, "plan_ms", "all", |leadership| self.plan(leadership, now));
         }
     }
@@ -41,10 +42,11 @@
         leadership.token_check_due = true;
         let stalled = now > leadership.last_failure_detection_ms + 2 * react;
         leadership.last_failure_detection_ms = now;
-        if !stalled && leadership.partition.cut_off(now) {
+        if !stalled && leadership.partition.is_isolated(now) {
             let _ = self.members.try_send(membership::Message::YieldLeadership);
         }
-        let (release, probe) = leadership.partition.detect_failures(now, self.pledge_status.unbound_ms(now));
+        let DetectedFailures { to_terminate: release, to_probe: probe } =
+            leadership.partition.detect_failures(now, self.pledge_status.unbound_ms(now));
         for op in leadership.provisioner.release(release) {
             self.cloud_request(leadership, op);
         }
@@ -54,7 +56,7 @@
     /// Plans machines; what is needed goes to the provisioner.
     fn plan(&self, leadership: &mut Leadership, now: u64) {
         let wall = clock::wall_ms();
-        leadership.partition.reservations_recordable = self.state.answers(self.settings.leader_lease_ttl_ms());
+        leadership.partition.set_reservations_recordable(self.state.answers(self.settings.leader_lease_ttl_ms()));
         self.maintain_pools(leadership, now);
         self.maintain_loans(leadership, now);
         if self.id == 0 {
@@ -65,14 +67,14 @@
             leadership.provisioner.plan(&mut leadership.partition, &leadership.pending_machines, now, wall);
         if self.id == 0 {
             ops.extend(leadership.provisioner.lead(capacity_report, &leadership.partition, now, self.patience()));
-            leadership.partition.pending_transfers = leadership.provisioner.pending_transfers(0);
+            leadership.partition.set_pending_transfers(leadership.provisioner.pending_transfers(0));
         } else {
             self.ask_leader(leadership.n, capacity_report);
         }
         for op in ops {
             self.cloud_request(leadership, op);
         }
-        for host in std::mem::take(&mut leadership.partition.records_to_reread) {
+        for host in leadership.partition.take_records_to_reread() {
             self.records_to_reread(leadership.n, host);
         }
     }
@@ -92,13 +94,13 @@
 
 /// Runs the scheduler if there is something to decide.
 fn run_pass(leadership: &mut Leadership, now: u64) {
-    if leadership.partition.cycle_due && now >= leadership.next_cycle_ms {
+    if leadership.partition.is_cycle_due() && now >= leadership.next_cycle_ms {
         let took =
             timed(leadership, "pass_ms", "all", |leadership| leadership.partition.schedule(now, clock::wall_ms()));
         // Rounds widen with the load: the costlier, the rarer.
         leadership.next_cycle_ms = now + 2 + 5 * took;
         leadership.next_urgent_cycle_ms = leadership.next_urgent_cycle_ms.max(now + took);
-    } else if leadership.partition.urgent_cycle_due && now >= leadership.next_urgent_cycle_ms {
+    } else if leadership.partition.is_urgent_cycle_due() && now >= leadership.next_urgent_cycle_ms {
         // What is urgent need not wait for the next round of all work.
         let took = timed(leadership, "pass_ms", "urgent", |leadership| {
             leadership.partition.schedule_urgent(now, clock::wall_ms())
--- a/src/provisioning/provisioner.rs
+++ b/src/provisioning/provisioner.rs
@@ -141,14 +141,14 @@
         partition.cluster.reserves = scheduling::reserves(&partition.cluster, &partition.policy, &flows);
         let cluster = &partition.cluster;
         let mut capacity_report = CapacityReport {
-            partition: partition.id,
+            partition: partition.id(),
             lowest_bin: partition.lowest_bin(wall),
             assumed: pending_machines.len(),
             wanted: Vec::new(),
             spare: Vec::new(),
         };
         let mut ops = Vec::new();
-        if cluster.instance_types.is_empty() || !partition.counted(now) {
+        if cluster.instance_types.is_empty() || !partition.is_inventory_known(now) {
             return (capacity_report, ops);
         }
         let upcoming = partition.upcoming(longest_boot_ms(cluster), now);
@@ -156,7 +156,7 @@
         let plan = {
             let supply = self.supply(partition, now);
             let work = ExpectedWork {
-                pending_jobs: &partition.pending_jobs,
+                pending_jobs: partition.pending_jobs(),
                 pool_replicas: &pool_replicas,
                 upcoming: &upcoming,
                 flows: &flows,
@@ -223,7 +223,7 @@
             return ops;
         }
         self.capacity_reports.retain(|_, n| now < n.0 + patience_ms);
-        self.capacity_reports.insert(partition.id, (now, own));
+        self.capacity_reports.insert(partition.id(), (now, own));
         let mut spare: Vec<(u32, String)> = Vec::new();
         for (p, (_, n)) in &self.capacity_reports {
             spare.extend(n.spare.iter().filter(|h| !self.moving.contains_key(*h)).map(|h| (*p, h.clone())));
@@ -251,7 +251,7 @@
                 }
                 let rental = Rental { instance_type, zone: m.zone, spot: m.spot, count: left.min(MAX_RENTED) };
                 self.sequence += 1;
-                let name = format!("r-{}-{}", partition.fencing_token, self.sequence);
+                let name = format!("r-{}-{}", partition.fencing_token(), self.sequence);
                 tracing::info!(
                     name,
                     instance_type = m.instance_type,
--- a/src/provisioning/provisioner/boots.rs
+++ b/src/provisioning/provisioner/boots.rs
@@ -156,7 +156,7 @@
     /// Notes when this leader began: what its dependency rented just before is listed a
     /// lag later. The very first leader has none.
     fn note_begin(&mut self, partition: &Partition, now: u64) {
-        let lag_ms = if partition.fencing_token > FencingToken::FIRST { self.lag_ms } else { 0 };
+        let lag_ms = if partition.fencing_token() > FencingToken::FIRST { self.lag_ms } else { 0 };
         self.dependency_listed_ms.get_or_insert(now + lag_ms);
     }
 
@@ -179,7 +179,7 @@
                 self.boot_times.came_up(&MachineKind::of(&machine.kind), machine.age_ms(now), now);
             }
             // One that is up for another partition is still on its way there for a while.
-            if machine.partition != partition.id {
+            if machine.partition != partition.id() {
                 self.moving.insert(id, (machine.partition, machine.kind, now + patience_ms));
             }
         }
@@ -218,7 +218,7 @@
             }
             let machine = self.booting.entry(entry.id.clone()).or_insert_with(|| BootingMachine {
                 timed: entry.booting(),
-                ..BootingMachine::rented(partition.id, kind, now)
+                ..BootingMachine::rented(partition.id(), kind, now)
             });
             machine.listed(entry, now);
             if now >= self.judges_from_ms && self.never_comes_up(&entry.id, partition, now) {
@@ -278,5 +278,5 @@
 
 /// Has the machine reported, to any partition?
 fn is_up(partition: &Partition, id: &str) -> bool {
-    partition.cluster.host_index.contains_key(id) || partition.hosts_of_other_partitions.contains_key(id)
+    partition.knows_host(id)
 }
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -125,7 +125,7 @@
 
     /// Machines that are up report, and do as they are told.
     pub(super) fn heartbeat(&mut self) {
-        let (now, fencing_token) = (self.now, self.partition.fencing_token);
+        let (now, fencing_token) = (self.now, self.partition.fencing_token());
         for (id, machine) in &mut self.machines {
             if machine.up_ms.is_none_or(|t| now < t) {
                 continue;
@@ -231,7 +231,7 @@
     }
 
     pub(super) fn comes_up(&mut self, id: &str) {
-        let fencing_token = self.partition.fencing_token;
+        let fencing_token = self.partition.fencing_token();
         self.partition.heartbeat(&heartbeat(id, 1, 1, fencing_token.0, vec![]), StatusSource::Heartbeat, self.now);
         self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
     }
