--- a/src/api.rs
+++ b/src/api.rs
@@ -7,7 +7,7 @@
 use crate::api::ended_jobs::{EndedJob, EndedJobs};
 use crate::api::refusal::RefusalReason;
 use crate::api::user_metrics::UserMetrics;
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::clients::job_reads::{JobReads, READ_LIMIT, RecordedJob};
 use crate::clients::request_budget::{Purpose, RequestBudget};
 use crate::clients::write_limits::WriteLimits;
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 pub struct Api {
     /// Client of the state service.
-    pub state: State,
+    pub state: StateStore,
     /// Fresh reads of job records.
     pub job_reads: JobReads,
     /// Requests to the state service that users of this node may cause.
@@ -92,7 +92,7 @@
     /// and somebody holds the jobs.
     fn ready(&self) -> Response {
         let now = clock::now_ms();
-        let last = self.state.last_ok_ms();
+        let last = self.state.last_answer_ms();
         let state_ok = last > 0 && now.saturating_sub(last) < self.router.leader_lease_ttl_ms;
         let held = self.router.partitions.iter().all(|d| {
             let leader_status = d.leader_status.borrow();
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -52,7 +52,7 @@
                 r
             }
             // A second way in would only add to the work that the leader has.
-            None if self.router.at_work(partition) && self.state.answers(self.router.leader_lease_ttl_ms) => {
+            None if self.router.at_work(partition) && self.state.is_responsive(self.router.leader_lease_ttl_ms) => {
                 RefusalReason::SubmissionSlow.response()
             }
             // Nobody holds the partition now, or can't be reached, or the job's end is
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -95,7 +95,7 @@
         async move { service.answer(&request) }
     };
     task::spawn(http::serve(listener, 10, Duration::from_secs(5), handler));
-    let state = State::on(&Net::default(), &settings);
+    let state = StateStore::on(&Net::default(), &settings);
     clock::now_ms();
     tokio::time::sleep(Duration::from_millis(2)).await;
     state.get("none").await.unwrap();
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -62,7 +62,7 @@
     /// seen a later fencing token was asked by a leader since: it is to look for that one.
     fn keeps(&self, r: &Heartbeat) -> Option<FencingToken> {
         let (now, leader_lease_ttl_ms) = (clock::now_ms(), self.router.leader_lease_ttl_ms);
-        let alone = !self.state.answers(leader_lease_ttl_ms)
+        let alone = !self.state.is_responsive(leader_lease_ttl_ms)
             && self.router.partitions.iter().all(|d| now >= d.pledge_status.pledged_until_ms());
         let mut route_hints = self.route_hints.lock().ok()?;
         if !alone {
--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -6,7 +6,7 @@
 
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::clients::request_budget::{Purpose, RequestBudget};
 use crate::control::partition::job_key;
 use crate::model::{Dependencies, JobEnd, JobRecord, Shape};
@@ -145,7 +145,7 @@
 /// Reads job records afresh for users; cheap to clone.
 #[derive(Clone)]
 pub struct JobReads {
-    state: State,
+    state: StateStore,
     budget: RequestBudget,
     leader_lease_ttl_ms: u64,
     shared: SharedReads<ReadResult>,
@@ -154,7 +154,7 @@
 impl JobReads {
     /// Reads of this state service, as many as the budget admits. It counts as silent without an
     /// answer for half of `leader_lease_ttl_ms`, in milliseconds.
-    pub fn new(state: State, budget: RequestBudget, leader_lease_ttl_ms: u64) -> JobReads {
+    pub fn new(state: StateStore, budget: RequestBudget, leader_lease_ttl_ms: u64) -> JobReads {
         JobReads { state, budget, leader_lease_ttl_ms, shared: SharedReads::default() }
     }
 
@@ -166,7 +166,7 @@
     /// What the job's record says in a read that is sent after this call.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
         // Known to be silent: refused at once, not after a time-out.
-        if !self.state.answers(self.leader_lease_ttl_ms) {
+        if !self.state.is_responsive(self.leader_lease_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
         }
         let key = job_key(id);
@@ -183,8 +183,8 @@
     }
 }
 
-async fn read_record(state: State, key: String) -> ReadResult {
-    match state.get_within(&key, READ_LIMIT).await {
+async fn read_record(state: StateStore, key: String) -> ReadResult {
+    match state.get_with_timeout(&key, READ_LIMIT).await {
         Ok((Some(item), _)) => match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => Ok(RecordedJob::of(&record)),
             Err(_) => Err(RefusalReason::RecordUnreadable),
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -10,7 +10,7 @@
 use super::records::{self, AppliedConfiguration, StoredRecord};
 use super::regions::Regions;
 use super::settings::FleetSettings;
-use crate::clients::{State, TokenBucket};
+use crate::clients::{StateStore, TokenBucket};
 use crate::runtime::metrics::SharedMetrics;
 use crate::runtime::{clock, task};
 use crate::settings::{Operator, Settings};
@@ -41,7 +41,7 @@
     pub(super) fleet: FleetSettings,
     pub(super) genesis: u64,
     pub(super) initial: ConfigState,
-    pub(super) state: State,
+    pub(super) state: StateStore,
     pub(super) stored: Option<StoredRecord>,
     all_capable: bool,
     pub(super) heard: BTreeMap<RegionName, LastContact>,
@@ -63,7 +63,7 @@
     settings: &Settings,
     operator: &Operator,
     fleet: FleetSettings,
-    state: State,
+    state: StateStore,
     peers: &[Peer],
     metrics: SharedMetrics,
 ) -> ConfigurationHandle {
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -4,7 +4,7 @@
 use super::messages::{ConfigurationRequest, ConfigurationResponse};
 use super::records::PREFIX;
 use super::regions::{Regions, ask};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::runtime::metrics::SharedMetrics;
 use crate::transport::peer::Peer;
 use badgerdrift_fleet_config::{RegionName, Request};
@@ -35,7 +35,7 @@
 }
 
 /// Follows the region's record: one watch, whatever the number of documents.
-pub(super) async fn watch_state(handle: ConfigurationHandle, state: State, react: Duration) {
+pub(super) async fn watch_state(handle: ConfigurationHandle, state: StateStore, react: Duration) {
     let wait_ms = (react * WATCH_REACTIONS).as_millis() as u64;
     let mut after = None;
     loop {
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -1,6 +1,6 @@
 //! The region's record in its state service: keys, values, and what a step changes.
 
-use crate::clients::{RequestError, State};
+use crate::clients::{RequestError, StateStore};
 use crate::model::FencingToken;
 use crate::wire::{self, Item};
 use badgerdrift_fleet_config::{
@@ -93,7 +93,7 @@
 
 /// Reads the region's record; `None` if there is none. `initial` is version 0.
 pub(super) async fn load(
-    state: &State,
+    state: &StateStore,
     initial: &ConfigState,
     genesis: u64,
 ) -> Result<Option<StoredRecord>, LoadError> {
@@ -122,7 +122,7 @@
 
 /// Brings a record up to what the state service has, by the log; `None` if that does not tell.
 pub(super) async fn follow(
-    state: &State,
+    state: &StateStore,
     known: &StoredRecord,
     genesis: u64,
 ) -> Result<Option<StoredRecord>, LoadError> {
@@ -144,13 +144,13 @@
 }
 
 /// One version of the log; `None` if it is not kept.
-pub(super) async fn log_entry(state: &State, version: u64) -> Result<Option<LogEntry>, LoadError> {
+pub(super) async fn log_entry(state: &StateStore, version: u64) -> Result<Option<LogEntry>, LoadError> {
     let item = state.get(&log_key(version)).await?.0;
     item.map(|item| serde_json::from_value(item.value).map_err(|_| LoadError::Unreadable)).transpose()
 }
 
 /// What the region's leader obeys, as recorded.
-pub(super) async fn load_obeyed(state: &State) -> Result<AppliedConfiguration, LoadError> {
+pub(super) async fn load_obeyed(state: &StateStore) -> Result<AppliedConfiguration, LoadError> {
     let item = state.get(OBEYED_KEY).await?.0;
     Ok(item.and_then(|item| serde_json::from_value(item.value).ok()).unwrap_or_default())
 }
--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -7,7 +7,7 @@
 use super::rules::{MembershipRules, Role};
 use super::succession::Succession;
 use super::watch::watch_partition;
-use crate::clients::{RequestError, State};
+use crate::clients::{RequestError, StateStore};
 use crate::model::FencingToken;
 use crate::runtime::clock;
 use crate::runtime::metrics::SharedMetrics;
@@ -29,7 +29,7 @@
     /// Length of the leases of workers.
     pub lease_ms: u64,
     /// The state service.
-    pub state: State,
+    pub state: StateStore,
     /// The other controllers.
     pub peers: Vec<Peer>,
     /// Which of them succeeds whom.
@@ -115,7 +115,7 @@
     fn renew_grant(&self, lease_id: u64, sent: u64, tx: &mpsc::Sender<Message>) {
         let (state, life, tx) = (self.state.clone(), self.leader_lease_ttl_ms, tx.clone());
         task::spawn(async move {
-            let result = state.extend_grant(lease_id, life).await;
+            let result = state.renew_lease(lease_id, life).await;
             let _ = tx.send(Message::Extended { lease_id, sent, result }).await;
         });
     }
@@ -126,7 +126,7 @@
             leader: self.node.clone(),
             fencing_token,
             for_ms: self.leader_lease_ttl_ms,
-            state_ok: self.state.answers(self.leader_lease_ttl_ms),
+            state_ok: self.state.is_responsive(self.leader_lease_ttl_ms),
         };
         for (i, p) in self.peers.iter().enumerate() {
             let (p, request, tx) = (p.clone(), request.clone(), tx.clone());
@@ -178,7 +178,7 @@
         if rules.superseded_by(now, fencing_token) {
             self.step_down(rules, "another holds it").await;
         }
-        let own_state_ok = self.state.answers(self.leader_lease_ttl_ms);
+        let own_state_ok = self.state.is_responsive(self.leader_lease_ttl_ms);
         let ok = rules.pledge(now, (&leader, fencing_token), for_ms, state_ok, own_state_ok);
         // Without the state service, who asks is the only news of who holds the partition.
         if ok && !own_state_ok {
@@ -231,7 +231,7 @@
     ) {
         match result {
             Ok(()) => rules.extended(of, sent, now),
-            Err(RequestError::Missing) => {
+            Err(RequestError::NotFound) => {
                 if matches!(rules.role, Role::Leader { lease_id, .. } if lease_id == of) {
                     self.step_down(rules, "the grant has ended").await;
                 }
@@ -274,7 +274,7 @@
         self.held.fetch_sub(1, Ordering::Relaxed);
         if let Role::Leader { lease_id, .. } = rules.role {
             let state = self.state.clone();
-            task::spawn(async move { state.end_grant(lease_id).await });
+            task::spawn(async move { state.revoke_lease(lease_id).await });
         }
         rules.role = Role::Follower;
         rules.record = None;
--- a/src/control/membership/failover.rs
+++ b/src/control/membership/failover.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{AcquiredLeadership, Message};
 use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::control::partition::CommitOutcome;
 use crate::model::FencingToken;
 use crate::runtime::clock;
@@ -38,7 +38,7 @@
 
 /// At the start: is this node bound by pledges that it does not remember?
 pub(super) async fn read_previous_leader(
-    state: State,
+    state: StateStore,
     partition: u32,
     node: String,
     leader_lease_ttl_ms: u64,
@@ -50,7 +50,7 @@
         // Our own earlier life held it: that one is over.
         (Some(r), _) if r.leader == node => {
             tracing::info!(fencing_token = %r.fencing_token, "ending the grant of an earlier life");
-            state.end_grant(r.lease_id).await.is_ok()
+            state.revoke_lease(r.lease_id).await.is_ok()
         }
         (None, Some(t)) => t.leaders.get(&partition).is_none_or(|h| *h == node),
         (None, None) => true,
@@ -64,7 +64,7 @@
 
 /// Reads the partition's key and the counter of fencing tokens, until that succeeds.
 async fn read_partition_and_token(
-    state: &State,
+    state: &StateStore,
     partition: u32,
     pause: Duration,
 ) -> (Option<PartitionRecord>, Option<FencingTokenRecord>) {
@@ -82,7 +82,7 @@
 
 /// Takes a partition that nobody holds.
 pub(super) async fn take(
-    state: State,
+    state: StateStore,
     partition: u32,
     node: String,
     leader_lease_ttl_ms: u64,
@@ -94,7 +94,7 @@
 }
 
 async fn try_acquire(
-    state: &State,
+    state: &StateStore,
     partition: u32,
     node: &str,
     leader_lease_ttl_ms: u64,
@@ -108,11 +108,11 @@
             LastToken { record, version: 0 }
         }
     };
-    let lease_id = state.new_grant(leader_lease_ttl_ms).await.ok()?;
+    let lease_id = state.create_lease(leader_lease_ttl_ms).await.ok()?;
     match commit_next_token(state, &PartitionClaim { partition, node, version: 0, lease_id }, &last).await {
         Ok(taken) => Some(taken),
         Err(_) => {
-            let _ = state.end_grant(lease_id).await;
+            let _ = state.revoke_lease(lease_id).await;
             None
         }
     }
@@ -120,7 +120,7 @@
 
 /// A fresh fencing token for a partition that is held: all workers will refuse older tokens.
 pub async fn raise_fencing_token(
-    state: &State,
+    state: &StateStore,
     partition: u32,
     node: &str,
     version: u64,
@@ -135,7 +135,7 @@
 
 /// Commits the fencing token after `last` and puts the partition under it.
 async fn commit_next_token(
-    state: &State,
+    state: &StateStore,
     claim: &PartitionClaim<'_>,
     last: &LastToken,
 ) -> Result<AcquiredLeadership, CommitOutcome> {
--- a/src/control/membership/watch.rs
+++ b/src/control/membership/watch.rs
@@ -2,14 +2,19 @@
 
 use super::messages::Message;
 use super::records::{PartitionRecord, partition_key};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::runtime::task;
 use crate::wire::Item;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
 /// Follows the partition's key and keeps the health of the state service known.
-pub(super) async fn watch_partition(state: State, partition: u32, leader_lease_ttl_ms: u64, tx: mpsc::Sender<Message>) {
+pub(super) async fn watch_partition(
+    state: StateStore,
+    partition: u32,
+    leader_lease_ttl_ms: u64,
+    tx: mpsc::Sender<Message>,
+) {
     let key = partition_key(partition);
     task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(leader_lease_ttl_ms / 4), tx.clone()));
     let pause = Duration::from_millis(leader_lease_ttl_ms / 5);
@@ -44,7 +49,7 @@
 }
 
 /// Reads the key again and again, also while the watch waits.
-async fn probe(state: State, key: String, period: Duration, tx: mpsc::Sender<Message>) {
+async fn probe(state: StateStore, key: String, period: Duration, tx: mpsc::Sender<Message>) {
     loop {
         tokio::time::sleep(period).await;
         if let Ok((item, _)) = state.get(&key).await
@@ -56,7 +61,7 @@
 }
 
 /// Tells the actor what the key is now; the revision up to which that is known.
-async fn read_now(state: &State, key: &str, tx: &mpsc::Sender<Message>) -> Option<u64> {
+async fn read_now(state: &StateStore, key: &str, tx: &mpsc::Sender<Message>) -> Option<u64> {
     let (item, revision) = state.get(key).await.ok()?;
     let _ = tx.send(Message::Seen(partition_record(item))).await;
     Some(revision)
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -4,7 +4,7 @@
 use crate::api::{Api, RouteHints};
 use crate::clients::job_reads::JobReads;
 use crate::clients::request_budget::RequestBudget;
-use crate::clients::{Cloud, State, Worker};
+use crate::clients::{Cloud, StateStore, Worker};
 use crate::configuration::{self, FleetSettings};
 use crate::control::membership::{LeaderLease, LeaderStatus, Membership, PledgeStatus, Succession};
 use crate::control::partition_leader::PartitionLeader;
@@ -48,7 +48,7 @@
     tracing::info!(node = settings.node, serve_on = %settings.serve_on, "serving");
 
     let leader_lease_ttl_ms = settings.leader_lease_ttl_ms();
-    let state = State::on(&net, &settings);
+    let state = StateStore::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
     let bounds = Bounds::new(&settings);
     let limits = PeerLimits::for_leader_lease(leader_lease_ttl_ms);
--- a/src/control/partition_leader/answers.rs
+++ b/src/control/partition_leader/answers.rs
@@ -71,7 +71,7 @@
     /// Answers a user.
     pub(super) fn user(&self, leadership: &mut Leadership, call: UserCall, reply: Waiter, now: u64) {
         // Refused at once: nothing can be recorded now.
-        let silent = !self.state.answers(self.settings.leader_lease_ttl_ms());
+        let silent = !self.state.is_responsive(self.settings.leader_lease_ttl_ms());
         match call {
             UserCall::Submit(_) if silent => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
--- a/src/control/partition_leader/cloud_tasks.rs
+++ b/src/control/partition_leader/cloud_tasks.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use super::messages::{BackgroundEvent, BackgroundSender};
 use super::stored_records::flavor_changes;
-use crate::clients::{Cloud, RentResult, State};
+use crate::clients::{Cloud, RentResult, StateStore};
 use crate::model::InstanceType;
 use crate::provisioning::provisioner::CloudRequest;
 use crate::runtime::task;
@@ -123,7 +123,7 @@
 /// Reads the machine types and keeps them for a restart; false if the actor has ended.
 async fn read_flavors(
     cloud: &Cloud,
-    state: &State,
+    state: &StateStore,
     sender: &BackgroundSender,
     known: &mut Vec<InstanceType>,
     value_bytes: usize,
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -3,7 +3,7 @@
 use super::context::{PartitionLeader, WRITE_BURST_S};
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use crate::clients::{State, TokenBucket};
+use crate::clients::{StateStore, TokenBucket};
 use crate::control::membership::{self, PartitionRecord, RaisedToken};
 use crate::control::partition::{CommitOutcome, Superseded};
 use crate::runtime::task;
@@ -108,12 +108,12 @@
 /// The partition's key is not as it was: what to tell its actor. A raise of the fencing token that had
 /// no answer may have been carried out late: then the key's lease is still ours, and the
 /// partition goes on under the later fencing token.
-async fn read_partition_record(state: &State, partition: u32, lease_id: u64) -> BackgroundEvent {
+async fn read_partition_record(state: &StateStore, partition: u32, lease_id: u64) -> BackgroundEvent {
     let found = loop {
         match state.get(&membership::partition_key(partition)).await {
             Ok((item, _)) => break item,
             // While this has no answer nothing can be committed either.
-            Err(_) => sleep(state.pause()).await,
+            Err(_) => sleep(state.retry_delay()).await,
         }
     };
     let ours = found.and_then(|i| {
--- a/src/control/partition_leader/context.rs
+++ b/src/control/partition_leader/context.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{BackgroundSender, Message};
 use crate::borrowing::LoansResponse;
-use crate::clients::{Cloud, State, Worker};
+use crate::clients::{Cloud, StateStore, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
 use crate::control::router::Router;
 use crate::settings::{Operator, Settings};
@@ -33,7 +33,7 @@
     /// Who lends to whom; nothing is lent if absent.
     pub borrowing: Option<Arc<BorrowingSettings>>,
     /// The state service.
-    pub state: State,
+    pub state: StateStore,
     /// The cloud.
     pub cloud: Cloud,
     /// The way to the workers.
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -6,7 +6,7 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use super::stored_records::ExternalRecords;
-use crate::clients::{RequestError, State};
+use crate::clients::{RequestError, StateStore};
 use crate::control::partition::{DependencyLookup, JOB_PREFIX, job_key};
 use crate::runtime::task;
 use crate::wire::Item;
@@ -60,7 +60,7 @@
 }
 
 /// The records that a lookup asks for; `None` if one could not be read.
-async fn read_all(state: &State, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
+async fn read_all(state: &StateStore, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
     let mut found = Vec::new();
     for id in lookup.ids {
         let (item, _) = state.get(&job_key(&id)).await.ok()?;
@@ -72,7 +72,7 @@
 /// Reads the jobs that were not read before, and the changes of all of them since. A change
 /// that came before the reading of a job may be told after it: ends never change.
 async fn read_changes(
-    state: &State,
+    state: &StateStore,
     ids: Vec<String>,
     known: Option<KnownExternalDependencies>,
     records: &mut Vec<Item>,
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use super::stored_records::{FurtherRecords, Loaded, read_keys};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::control::partition;
 use crate::runtime::task;
 use crate::wire::Item;
@@ -23,7 +23,7 @@
                     sender.send(BackgroundEvent::Loaded(loaded)).await;
                     return;
                 }
-                sleep(state.pause()).await;
+                sleep(state.retry_delay()).await;
             }
         });
     }
@@ -56,7 +56,7 @@
                     sender.send(BackgroundEvent::IndeterminateRead(found)).await;
                     return;
                 }
-                sleep(state.pause()).await;
+                sleep(state.retry_delay()).await;
             }
         });
     }
@@ -104,7 +104,7 @@
 }
 
 /// The records of the jobs that are listed under the prefix.
-async fn accepted_jobs(state: &State, prefix: &str) -> Option<Vec<Item>> {
+async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<Item>> {
     let mut items = Vec::new();
     for i in state.list(prefix).await.ok()? {
         let id = i.key.strip_prefix(prefix)?;
--- a/src/control/partition_leader/rounds.rs
+++ b/src/control/partition_leader/rounds.rs
@@ -54,7 +54,7 @@
     /// Plans machines; what is needed goes to the provisioner.
     fn plan(&self, leadership: &mut Leadership, now: u64) {
         let wall = clock::wall_ms();
-        leadership.partition.reservations_recordable = self.state.answers(self.settings.leader_lease_ttl_ms());
+        leadership.partition.reservations_recordable = self.state.is_responsive(self.settings.leader_lease_ttl_ms());
         self.maintain_pools(leadership, now);
         self.maintain_loans(leadership, now);
         if self.id == 0 {
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -1,7 +1,7 @@
 //! What a leader reads from the state service.
 
 use super::followed::KnownExternalDependencies;
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::clients::write_limits::json_bytes;
 use crate::configuration::ConfigurationHandle;
 use crate::model::InstanceType;
@@ -31,7 +31,7 @@
 }
 
 /// The machine types that are kept; one that is there twice counts once.
-pub async fn stored_instance_types(state: &State) -> Option<Vec<InstanceType>> {
+pub async fn stored_instance_types(state: &StateStore) -> Option<Vec<InstanceType>> {
     let mut instance_types: Vec<InstanceType> = Vec::new();
     for item in state.list(INSTANCE_TYPES_KEY).await.ok()? {
         let more: Vec<InstanceType> = serde_json::from_value(item.value).unwrap_or_default();
@@ -67,7 +67,7 @@
 impl Loaded {
     /// Reads the records, and the configuration that the last leader obeyed or a later one.
     pub(super) async fn read(
-        state: &State,
+        state: &StateStore,
         configuration: Option<&ConfigurationHandle>,
         further: FurtherRecords,
     ) -> Option<Loaded> {
@@ -95,7 +95,7 @@
 }
 
 /// All records of slots, and the bills of the days around now.
-async fn read_pool_records(state: &State, wall_ms: u64) -> Option<Vec<Item>> {
+async fn read_pool_records(state: &StateStore, wall_ms: u64) -> Option<Vec<Item>> {
     let mut items = state.list(RecordKey::SLOT_PREFIX).await.ok()?;
     for day in badgerdrift_warm_pools::days_around(wall_ms) {
         items.extend(state.list(&format!("{}{day}/", RecordKey::BILL_PREFIX)).await.ok()?);
@@ -104,7 +104,7 @@
 }
 
 /// These keys as they are now; `None` if one could not be read.
-pub(super) async fn read_keys(state: &State, keys: &[String]) -> Option<Vec<(String, Option<Item>)>> {
+pub(super) async fn read_keys(state: &StateStore, keys: &[String]) -> Option<Vec<(String, Option<Item>)>> {
     let mut found = Vec::new();
     for key in keys {
         let (item, _) = state.get(key).await.ok()?;
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -3,7 +3,7 @@
 
 use crate::api::refusal::RefusalReason;
 use crate::borrowing::{LoansRequest, LoansResponse};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::configuration::ConfigurationHandle;
 use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
 use crate::control::partition::UserAnswer;
@@ -84,7 +84,7 @@
     /// The shared configuration of a fleet, if the controller is told of one.
     pub configuration: Option<ConfigurationHandle>,
     /// The state service, where bills of warm pools are read; none without pools.
-    pub bills: Option<State>,
+    pub bills: Option<StateStore>,
     /// When the leader of each partition was last heard to be at work.
     pub last_heartbeat_ms: Arc<Vec<AtomicU64>>,
 }
--- a/src/warm_pools/bills.rs
+++ b/src/warm_pools/bills.rs
@@ -1,7 +1,7 @@
 //! Bills as they are recorded.
 
 use super::messages::{BillRow, PoolsResponse};
-use crate::clients::State;
+use crate::clients::StateStore;
 use crate::wire::Item;
 use badgerdrift_warm_pools::{BillRecord, RecordKey};
 
@@ -9,7 +9,7 @@
 const RETRY_AFTER_S: u64 = 1;
 
 /// Reads the bills of these days, of all teams or of one.
-pub async fn read_bills(state: &State, from: &str, to: &str, team: Option<&str>) -> PoolsResponse {
+pub async fn read_bills(state: &StateStore, from: &str, to: &str, team: Option<&str>) -> PoolsResponse {
     let Ok(items) = state.list(RecordKey::BILL_PREFIX).await else {
         return PoolsResponse::RetryLater(RETRY_AFTER_S);
     };
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -1,7 +1,7 @@
 //! The machine types that pools name, checked before a controller opens a port.
 
 use super::known_fleet;
-use crate::clients::{Cloud, State};
+use crate::clients::{Cloud, StateStore};
 use crate::control::partition_leader::stored_instance_types;
 use crate::model::InstanceType;
 use crate::settings::Settings;
@@ -19,7 +19,7 @@
 /// looks at the types again once they are known.
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
     let limit = Duration::from_millis(settings.react_ms());
-    let (cloud, state) = (Cloud::on(net, settings), State::on(net, settings));
+    let (cloud, state) = (Cloud::on(net, settings), StateStore::on(net, settings));
     let (offered, kept) =
         tokio::join!(timeout(limit, cloud.instance_types()), timeout(limit, stored_instance_types(&state)));
     let (Ok(Some(offered)), Ok(Some(kept))) = (offered, kept) else {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
-use badgerdrift::clients::{Cloud, RentResult, RequestError, State};
+use badgerdrift::clients::{Cloud, RentResult, RequestError, StateStore};
 use badgerdrift::control::partition::CommitOutcome;
 use badgerdrift::settings::{Settings, load_settings};
 use badgerdrift::transport::http::{self, Request, Response};
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn the_state_client_pages_and_tells_refusals_apart() {
     let addr = scripted(state_script).await;
-    let state = State::new(&settings(addr, addr));
+    let state = StateStore::new(&settings(addr, addr));
     let keys: Vec<String> = state.list("a/").await.unwrap().into_iter().map(|i| i.key).collect();
     assert_eq!(keys, ["a/1", "a/2", "a/3"]);
     assert_eq!(state.get("a/1").await.unwrap().0.unwrap().version, 3);
@@ -64,9 +64,9 @@
     assert!(none.is_none() && revision == 9);
     assert_eq!(state.get("babble").await.err(), Some(RequestError::Refused), "what can't be read is no answer");
     assert_eq!(state.get("busy").await.err(), Some(RequestError::Throttled), "429 is told apart from an outage");
-    assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::Missing), "the keys must be read again");
-    assert_eq!(state.extend_grant(4, 2500).await, Err(RequestError::Missing));
-    assert_eq!(state.new_grant(2500).await, Err(RequestError::Refused));
+    assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::NotFound), "the keys must be read again");
+    assert_eq!(state.renew_lease(4, 2500).await, Err(RequestError::NotFound));
+    assert_eq!(state.create_lease(2500).await, Err(RequestError::Refused));
     assert!(matches!(state.commit(&[], &[]).await, CommitOutcome::Conflict { failed } if failed == ["a/1"]));
 }
 
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -3,7 +3,7 @@
 //! Two regions of one controller each begin, agree on a change, and store it: keys, values, and the
 //! number that stands for version 0 (`genesis`) have to be the same as then.
 
-use badgerdrift::clients::State;
+use badgerdrift::clients::StateStore;
 use badgerdrift::configuration::{self, ConfigurationHandle, FleetSettings};
 use badgerdrift::runtime::metrics::SharedMetrics;
 use badgerdrift::settings::{Operator, Settings};
@@ -146,7 +146,7 @@
     let state_address = SocketAddr::new(state_host(network), HTTP_PORT).to_string();
     let settings: Settings = toml::from_str(&SETTINGS.replace("STATE_SERVICE", &state_address)).unwrap();
     let net = fabric.process(controller_host(network)).0;
-    let state = State::on(&net, &settings);
+    let state = StateStore::on(&net, &settings);
     let (operator, fleet) = (Operator::default(), fleet_settings(region));
     let handle = configuration::start(&net, &settings, &operator, fleet, state, &[], SharedMetrics::default());
     serve_peers(net, network, handle.clone());
