--- a/crates/scale/src/borrow.rs
+++ b/crates/scale/src/borrow.rs
@@ -76,7 +76,7 @@
             }
             let world = self.context.w.lock().unwrap();
             let mut result = self.result.lock().unwrap();
-            self.sample_gain(&world, &jobs, begin, &mut result);
+            Observer::sample_gain(&world, &jobs, begin, &mut result);
             self.sample_floors(&world, &mut result);
             result.stops = world.stopped.len() - stops_before;
             let losses = world.lost_work[losses_before..].iter().filter(|lost| lost.checkpoint_s > 0.0);
@@ -118,7 +118,7 @@
         self.teams.iter().filter_map(|team| used.get(team)).sum()
     }
 
-    fn sample_gain(&self, world: &SimulationState, jobs: &[String], begin: Instant, result: &mut BorrowResult) {
+    fn sample_gain(world: &SimulationState, jobs: &[String], begin: Instant, result: &mut BorrowResult) {
         let began = jobs.iter().filter_map(|id| world.jobs[id].began);
         result.gained_ms = began.map(|at| at.saturating_duration_since(begin).as_millis() as u32).collect();
         result.without_room = jobs.len() - result.gained_ms.len();
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -28,7 +28,7 @@
 
 use clap::{Parser, Subcommand};
 use comparison::Comparison;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Exit status for a scenario that is not sound.
@@ -139,7 +139,7 @@
         Err(error) => return fail(&error),
     };
     println!("{}", report.table());
-    if let Err(error) = write(&arguments.report, &report) {
+    if let Err(error) = write(arguments.report.as_deref(), &report) {
         return fail(&error);
     }
     for broken in &report.broken_rules {
@@ -154,14 +154,14 @@
         Err(error) => return fail(&error),
     };
     println!("{}", report.table());
-    match write(&arguments.report, &report) {
+    match write(arguments.report.as_deref(), &report) {
         Ok(()) if report.rules_hold() => ExitCode::SUCCESS,
         Ok(()) => ExitCode::FAILURE,
         Err(error) => fail(&error),
     }
 }
 
-fn write(path: &Option<PathBuf>, value: &impl serde::Serialize) -> Result<(), String> {
+fn write(path: Option<&Path>, value: &impl serde::Serialize) -> Result<(), String> {
     let Some(path) = path else { return Ok(()) };
     let text = serde_json::to_string_pretty(value).map_err(|error| error.to_string())?;
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -92,7 +92,7 @@
 
 impl Report {
     /// Joins what the regions measured.
-    pub fn new(prepared: &Prepared, regions: Vec<RegionResult>) -> Report {
+    pub fn new(prepared: &Prepared, regions: &[RegionResult]) -> Report {
         let scenario = &prepared.scenario;
         let elapsed_s = regions.iter().map(|region| region.elapsed_s).fold(0.1, f64::max);
         let sum = |of: fn(&RegionResult) -> usize| regions.iter().map(of).sum::<usize>();
@@ -117,14 +117,14 @@
             most_starts_per_s: regions.iter().map(|region| region.most_starts_per_s).sum(),
             stopped_tasks: sum(|region| region.stopped_tasks),
             machine_failures: sum(|region| region.machine_failures),
-            waits: waits(&regions),
+            waits: waits(regions),
             usage,
-            configuration: configuration(&regions),
-            traffic_per_s: rates(&regions, elapsed_s, workers),
+            configuration: configuration(regions),
+            traffic_per_s: rates(regions, elapsed_s, workers),
             controllers_ended: sum(|region| region.controllers_ended),
             burst: scenario.burst.is_some().then(|| regions.first().map(|region| region.burst.clone())).flatten(),
             borrow: scenario.borrowing.is_some().then(|| regions.first().map(|region| region.borrow.clone())).flatten(),
-            broken_rules: broken_rules(scenario, &regions),
+            broken_rules: broken_rules(scenario, regions),
         }
     }
 
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -36,7 +36,7 @@
         results = follow(regions, prepared.scenario.duration_s) => results?,
         _ = tokio::signal::ctrl_c() => return Err("interrupted".into()),
     };
-    Ok(Report::new(prepared, results))
+    Ok(Report::new(prepared, &results))
 }
 
 /// Waits for the results of all regions.
--- a/crates/stand-ins/src/jobs.rs
+++ b/crates/stand-ins/src/jobs.rs
@@ -51,7 +51,7 @@
     pub fn waiting_job(&mut self, waits_on: &[&str]) -> Job {
         let mut job = self.job("batch", 2);
         (job.cards, job.run_s) = (0.0, 3.0);
-        job.waits_on = waits_on.iter().map(|id| id.to_string()).collect();
+        job.waits_on = waits_on.iter().map(ToString::to_string).collect();
         job
     }
 
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -14,6 +14,8 @@
 pub const MODEL_PATH: &str = "/model/";
 /// How long a model works on a request.
 const REQUEST_TIME: Duration = Duration::from_millis(50);
+/// How long a worker waits for the answer to a report.
+const ANSWER_LIMIT: Duration = Duration::from_secs(4);
 
 /// Starts the worker of a machine that was rented.
 pub fn boot(g: &SimulationContext, id: String) {
@@ -135,85 +137,46 @@
     Response::json(200, &serde_json::json!({ "answered": true }))
 }
 
+/// What a worker does after an attempt to report.
+enum Next {
+    /// It stays with the node.
+    Stay,
+    /// It reports to this node at once.
+    Redirected(usize),
+    /// It tries the next node after a pause.
+    TryNext,
+    /// The machine is gone.
+    Gone,
+}
+
+/// A report as it was sent.
+struct SentReport {
+    sent: Instant,
+    tenure: u64,
+    body: String,
+    /// It reaches no controller.
+    mute: bool,
+}
+
 async fn reports(g: SimulationContext, id: String, client: Client) {
     let mut at = {
         let mut w = g.w.lock().unwrap();
         w.rng.random_range(0..g.doors.len())
     };
-    loop {
-        // The next one is due, or something has changed.
-        let last = Instant::now();
-        let due = {
-            let mut w = g.w.lock().unwrap();
-            last + secs(w.parameters.report_s * w.rng.random_range(0.75..1.25))
-        };
-        loop {
-            sleep(Duration::from_millis(50)).await;
-            if !awake(&g, &id).await {
-                return;
-            }
-            let changed = g.w.lock().unwrap().machines[&id].changed;
-            if Instant::now() >= due || (changed && last.elapsed() >= secs(0.5)) {
-                break;
-            }
-        }
-        let (sent, tenure, body, mute) = {
-            let mut w = g.w.lock().unwrap();
-            w.tick_if_due();
-            if !w.machines[&id].exists() {
-                return;
-            }
-            let m = w.machines.get_mut(&id).unwrap();
-            m.changed = false;
-            let mute = m.mute > Instant::now();
-            let body = w.report(&id).to_string();
-            (Instant::now(), w.tenure(&id), body, mute)
-        };
-        copies(&g, &id, &body);
+    while report_due(&g, &id).await {
+        let Some(report) = next_report(&g, &id) else { return };
+        copies(&g, &id, &report.body);
         let mut next = false;
         // A redirection is followed at once.
         for _ in 0..g.doors.len() {
-            if mute {
-                sleep(Duration::from_secs(4)).await;
-                next = true;
-                break;
-            }
-            let limit = Duration::from_secs(4).saturating_sub(sent.elapsed());
-            let r = client.call(g.doors[at], "POST", "/agent/beat", Some(body.as_bytes()), limit).await;
-            let deaf = g.w.lock().unwrap().machines[&id].deaf > Instant::now();
-            if deaf {
-                sleep(Duration::from_secs(4).saturating_sub(sent.elapsed())).await;
-                next = true;
-                break;
-            }
-            if !awake(&g, &id).await {
-                return;
-            }
-            if sent.elapsed() > Duration::from_secs(4) {
-                next = true;
-                break;
-            }
-            match r {
-                Ok((200, b)) => {
-                    let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-                    g.w.lock().unwrap().reply(&id, tenure, sent, &v);
-                    break;
-                }
-                Ok((421, b)) => {
-                    let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-                    let to = v["reports_to"].as_str().and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
-                    match to.filter(|n| *n != at && *n < g.doors.len()) {
-                        Some(n) => at = n,
-                        None => {
-                            next = true;
-                            break;
-                        }
-                    }
-                }
-                _ => {
+            match send_report(&g, &id, &client, at, &report).await {
+                Next::Stay => break,
+                Next::Redirected(node) => at = node,
+                Next::TryNext => {
                     next = true;
                     break;
                 }
+                Next::Gone => return,
             }
         }
         if next {
@@ -223,6 +186,72 @@
     }
 }
 
+/// Waits until the next report is due, or something has changed; false if the machine is gone.
+async fn report_due(g: &SimulationContext, id: &str) -> bool {
+    let last = Instant::now();
+    let due = {
+        let mut w = g.w.lock().unwrap();
+        last + secs(w.parameters.report_s * w.rng.random_range(0.75..1.25))
+    };
+    loop {
+        sleep(Duration::from_millis(50)).await;
+        if !awake(g, id).await {
+            return false;
+        }
+        let changed = g.w.lock().unwrap().machines[id].changed;
+        if Instant::now() >= due || (changed && last.elapsed() >= secs(0.5)) {
+            return true;
+        }
+    }
+}
+
+fn next_report(g: &SimulationContext, id: &str) -> Option<SentReport> {
+    let mut w = g.w.lock().unwrap();
+    w.tick_if_due();
+    if !w.machines[id].exists() {
+        return None;
+    }
+    let m = w.machines.get_mut(id).unwrap();
+    m.changed = false;
+    let mute = m.mute > Instant::now();
+    let body = w.report(id).to_string();
+    Some(SentReport { sent: Instant::now(), tenure: w.tenure(id), body, mute })
+}
+
+async fn send_report(g: &SimulationContext, id: &str, client: &Client, at: usize, report: &SentReport) -> Next {
+    let (sent, body) = (report.sent, report.body.as_bytes());
+    if report.mute {
+        sleep(ANSWER_LIMIT).await;
+        return Next::TryNext;
+    }
+    let limit = ANSWER_LIMIT.saturating_sub(sent.elapsed());
+    let r = client.call(g.doors[at], "POST", "/agent/beat", Some(body), limit).await;
+    let deaf = g.w.lock().unwrap().machines[id].deaf > Instant::now();
+    if deaf {
+        sleep(ANSWER_LIMIT.saturating_sub(sent.elapsed())).await;
+        return Next::TryNext;
+    }
+    if !awake(g, id).await {
+        return Next::Gone;
+    }
+    if sent.elapsed() > ANSWER_LIMIT {
+        return Next::TryNext;
+    }
+    match r {
+        Ok((200, b)) => {
+            let v: Value = serde_json::from_slice(&b).unwrap_or_default();
+            g.w.lock().unwrap().reply(id, report.tenure, sent, &v);
+            Next::Stay
+        }
+        Ok((421, b)) => {
+            let v: Value = serde_json::from_slice(&b).unwrap_or_default();
+            let to = v["reports_to"].as_str().and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
+            to.filter(|n| *n != at && *n < g.doors.len()).map_or(Next::TryNext, Next::Redirected)
+        }
+        _ => Next::TryNext,
+    }
+}
+
 /// Some reports are copied, and the copies come late: at one or all controllers,
 /// after seconds or more than a lease, or as the next leader begins.
 fn copies(g: &SimulationContext, id: &str, body: &str) {
@@ -250,12 +279,12 @@
         let latest = w.parameters.lease_s * 2.5;
         (ip, secs(w.rng.random_range(1.0..latest)), to)
     };
-    send_copy(g, ip, body.into(), after, to);
+    send_copy(g, ip, body, after, &to);
 }
 
-fn send_copy(g: &SimulationContext, ip: IpAddr, body: String, after: Duration, to: Vec<usize>) {
-    for node in to {
-        let (g, body) = (g.clone(), body.clone());
+fn send_copy(g: &SimulationContext, ip: IpAddr, body: &str, after: Duration, to: &[usize]) {
+    for &node in to {
+        let (g, body) = (g.clone(), body.to_string());
         tokio::spawn(async move {
             sleep(after).await;
             let client = Client::on(&g.process(ip).0, 0);
@@ -271,9 +300,10 @@
 /// its first moments.
 pub fn release_kept(g: &SimulationContext) {
     let kept: Vec<(IpAddr, String)> = std::mem::take(&mut g.w.lock().unwrap().kept).into_values().flatten().collect();
+    let nodes: Vec<usize> = (0..g.doors.len()).collect();
     for (ip, body) in kept {
         for ms in [0, 20, 60, 150, 400, 1000] {
-            send_copy(g, ip, body.clone(), Duration::from_millis(ms), (0..g.doors.len()).collect());
+            send_copy(g, ip, &body, Duration::from_millis(ms), &nodes);
         }
     }
 }
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -29,70 +29,94 @@
     serde_json::to_vec(&value).unwrap()
 }
 
+/// What is drawn for one request: how long it takes, and what goes wrong with it.
+struct Fate {
+    lag: Duration,
+    /// A write without an answer is carried out so many seconds late.
+    late_s: Option<f64>,
+    /// It is carried out, and its answer is lost.
+    answer_lost: bool,
+}
+
+/// Does the state service refuse this node, or everybody?
+fn is_down(g: &SimulationContext, node: usize) -> bool {
+    let w = g.w.lock().unwrap();
+    w.store.down || w.refused[node]
+}
+
 async fn answer(g: SimulationContext, node: usize, req: Request) -> Response {
-    let down = |g: &SimulationContext| {
-        let w = g.w.lock().unwrap();
-        w.store.down || w.refused[node]
-    };
     // A storm is told, and ends here: it must not keep the clock from going on.
     if !g.w.lock().unwrap().may_ask(node) {
         return std::future::pending().await;
     }
-    if down(&g) {
+    if is_down(&g, node) {
         return Response::error(503, "trouble");
     }
     if !g.w.lock().unwrap().takes_request() {
         return Response::error(429, "too many requests");
     }
     if req.path.starts_with("/changes") {
-        let q = crate::store::query(&req.path);
-        let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
-        loop {
-            if !down(&g)
-                && let Some(r) = g.w.lock().unwrap().store.changes(&q, Instant::now() > until)
-            {
-                return r;
-            }
-            sleep(Duration::from_millis(25)).await;
-        }
+        return watch(&g, node, &req.path).await;
     }
-    let (lag, late, lost) = {
-        let mut w = g.w.lock().unwrap();
-        let (late, lost) = (w.late_writes, w.lost_answers);
-        let slow = w.rng.random_bool(0.01);
-        let lag = w.rng.random_range(if slow { 50..300 } else { 1..8 });
-        let writes = req.method != "GET";
-        let late = (writes && w.rng.random_bool(late)).then(|| w.rng.random_range(2.0..12.0));
-        (Duration::from_millis(lag), late, writes && w.rng.random_bool(lost))
-    };
-    sleep(lag).await;
-    if let Some(late) = late {
+    let fate = draw_fate(&g, &req);
+    sleep(fate.lag).await;
+    if let Some(late) = fate.late_s {
         sleep(secs(late)).await;
         while g.w.lock().unwrap().store.down {
             sleep(Duration::from_millis(100)).await;
         }
         g.log(format!("late by {late:.1} s for n{node}: {} {}", req.method, req.path));
-    } else if down(&g) {
+    } else if is_down(&g, node) {
         return Response::error(503, "trouble");
     }
-    let (r, claimed) = {
+    let response = carry_out(&g, node, &req);
+    if fate.late_s.is_some() || fate.answer_lost {
+        g.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
+        sleep(PATIENCE).await;
+    }
+    response
+}
+
+/// Answers a watch once something has changed, or its time is over. It waits through outages.
+async fn watch(g: &SimulationContext, node: usize, path: &str) -> Response {
+    let q = crate::store::query(path);
+    let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
+    loop {
+        if !is_down(g, node)
+            && let Some(r) = g.w.lock().unwrap().store.changes(&q, Instant::now() > until)
+        {
+            return r;
+        }
+        sleep(Duration::from_millis(25)).await;
+    }
+}
+
+fn draw_fate(g: &SimulationContext, req: &Request) -> Fate {
+    let mut w = g.w.lock().unwrap();
+    let (late, lost) = (w.late_writes, w.lost_answers);
+    let slow = w.rng.random_bool(0.01);
+    let lag = w.rng.random_range(if slow { 50..300 } else { 1..8 });
+    let writes = req.method != "GET";
+    let late_s = (writes && w.rng.random_bool(late)).then(|| w.rng.random_range(2.0..12.0));
+    Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && w.rng.random_bool(lost) }
+}
+
+/// Carries a request out. A leader that begins by it is noted, and meets late copies of heartbeats.
+fn carry_out(g: &SimulationContext, node: usize, req: &Request) -> Response {
+    let (response, claimed) = {
         let mut w = g.w.lock().unwrap();
         let before = w.store.claims;
-        let r = w.store.handle(&req);
+        let response = w.store.handle(req);
         let claimed = w.store.claims > before;
         if claimed {
             let record = w.store.value("part/0");
             w.note_token(&record);
         }
-        (r, claimed)
+        (response, claimed)
     };
     if claimed {
         g.log(format!("n{node} begins to lead"));
-        machines::release_kept(&g);
-    }
-    if late.is_some() || lost {
-        g.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, r.status));
-        sleep(PATIENCE).await;
+        machines::release_kept(g);
     }
-    r
+    response
 }
--- a/crates/stand-ins/src/world/gang.rs
+++ b/crates/stand-ins/src/world/gang.rs
@@ -1,6 +1,7 @@
 //! Gangs: their tasks start together, complete together and miss one another.
 
 use super::SimulationState;
+use super::job::Job;
 use super::machine::Phase;
 use super::parameters::secs;
 use rand::RngExt;
@@ -14,81 +15,147 @@
     failed: bool,
 }
 
+/// Job and number of an attempt.
+type GangAttempt = (String, u64);
+
+/// A task of a gang on a machine.
+struct Member {
+    machine: String,
+    key: (String, u64),
+    phase: Phase,
+    /// The machine does not hang.
+    executes: bool,
+    due: Instant,
+}
+
+/// How all tasks of an attempt end.
+#[derive(Clone, Copy)]
+struct Ending {
+    why: &'static str,
+    stored: bool,
+}
+
 impl SimulationState {
     pub(super) fn gangs_step(&mut self, now: Instant) {
-        // Members of each attempt: machine, key, phase, whether it executes, when due.
-        let gang_peer_s = self.parameters.gang_peer_s;
-        type Member = (String, (String, u64), Phase, bool, Instant);
-        let mut members: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.alive(now)) {
-            for (k, c) in m.copies.iter().filter(|(_, c)| c.phase.on()) {
-                if self.jobs[&c.job].shape == "group" {
-                    let of = members.entry((c.job.clone(), k.1)).or_default();
-                    of.push((m.id.clone(), k.clone(), c.phase, m.hang <= now, c.due));
-                }
-            }
-        }
-        self.gangs.retain(|k, _| members.contains_key(k));
+        let members = self.gang_members(now);
+        self.gangs.retain(|attempt, _| members.contains_key(attempt));
         for (attempt, all) in members {
             let job = self.jobs[&attempt.0].clone();
-            let size = job.shards as usize;
-            let progress = job.saved_s.get(&0).copied().unwrap_or(0.0);
-            let executing: Vec<&Member> = all.iter().filter(|m| m.3).collect();
-            let Some(g) = self.gangs.get_mut(&attempt) else {
-                if executing.iter().filter(|m| m.2 == Phase::Gathering).count() == size {
-                    self.log(format!("{} try {} runs as a gang", attempt.0, attempt.1));
-                    let gang = Gang { began: now, stopped: None, fails: None, failed: false };
-                    self.gangs.insert(attempt.clone(), gang);
-                    for m in &all {
-                        let machine = self.machines.get_mut(&m.0).unwrap();
-                        machine.copies.get_mut(&m.1).unwrap().phase = Phase::Running;
-                        machine.changed = true;
-                    }
-                }
-                continue;
-            };
-            let whole = executing.iter().filter(|m| m.2 != Phase::Gathering).count() == size;
-            let flushing = executing.iter().filter(|m| m.2 == Phase::Flushing).count();
-            let ran = (g.stopped.unwrap_or(now) - g.began).as_secs_f64();
-            let mut ends: Option<(&'static str, bool)> = None;
-            if !whole && !g.failed {
-                let after = secs(self.rng.random_range(0.2..gang_peer_s * 0.95));
-                g.failed = now >= *g.fails.get_or_insert(now + after);
-            } else if whole {
-                g.fails = None;
-            }
-            if g.failed {
-                ends = Some(("mates_gone", false));
-            } else if flushing == size && executing.iter().all(|m| m.4 <= now) {
-                ends = Some(("halted", true));
-            } else if g.stopped.is_some_and(|s| s + secs(gang_peer_s) <= now) {
-                g.failed = true;
-                ends = Some(("mates_gone", false));
-            } else if g.stopped.is_none() && whole && progress + ran >= job.run_s {
-                let faulty = job.mistaken || executing.iter().any(|m| self.machines[&m.0].faulty);
-                ends = Some((if faulty { "error" } else { "done" }, false));
-            }
-            let Some((why, stored)) = ends else { continue };
-            let j = self.jobs.get_mut(&attempt.0).unwrap();
-            if why == "done" {
-                j.done = (0..job.shards).collect();
-            }
-            let kept = if stored {
-                progress + ran
-            } else if job.checkpoint_s > 0.0 {
-                ((progress + ran) / job.checkpoint_s).floor() * job.checkpoint_s
+            if self.gangs.contains_key(&attempt) {
+                self.running_gang_step(&attempt, &job, &all, now);
             } else {
-                0.0
-            };
-            j.saved_s.insert(0, kept.max(progress));
-            if why == "halted" || why == "mates_gone" {
-                self.note_lost_work(&attempt.0, progress + ran - kept.max(progress));
+                self.start_gang(&attempt, &job, &all, now);
             }
-            for m in executing {
-                // Only what is on a faulty machine fails, and the others miss it; mistakes are in all tasks.
-                let fails = why == "error" && !job.mistaken && !self.machines[&m.0].faulty;
-                self.end(&m.0, &m.1, if fails { "mates_gone" } else { why }, stored);
+        }
+    }
+
+    /// The tasks of each attempt that have their image and have not exited.
+    fn gang_members(&self, now: Instant) -> BTreeMap<GangAttempt, Vec<Member>> {
+        let mut members: BTreeMap<GangAttempt, Vec<Member>> = BTreeMap::new();
+        for machine in self.machines.values().filter(|machine| machine.alive(now)) {
+            for (key, copy) in machine.copies.iter().filter(|(_, copy)| copy.phase.on()) {
+                if self.jobs[&copy.job].shape == "group" {
+                    members.entry((copy.job.clone(), key.1)).or_default().push(Member {
+                        machine: machine.id.clone(),
+                        key: key.clone(),
+                        phase: copy.phase,
+                        executes: machine.hang <= now,
+                        due: copy.due,
+                    });
+                }
             }
         }
+        members
+    }
+
+    /// The gang runs once all its tasks have gathered.
+    fn start_gang(&mut self, attempt: &GangAttempt, job: &Job, all: &[Member], now: Instant) {
+        let gathered = all.iter().filter(|member| member.executes && member.phase == Phase::Gathering).count();
+        if gathered != job.shards as usize {
+            return;
+        }
+        self.log(format!("{} try {} runs as a gang", attempt.0, attempt.1));
+        let gang = Gang { began: now, stopped: None, fails: None, failed: false };
+        self.gangs.insert(attempt.clone(), gang);
+        for member in all {
+            let machine = self.machines.get_mut(&member.machine).unwrap();
+            machine.copies.get_mut(&member.key).unwrap().phase = Phase::Running;
+            machine.changed = true;
+        }
+    }
+
+    fn running_gang_step(&mut self, attempt: &GangAttempt, job: &Job, all: &[Member], now: Instant) {
+        let progress = job.saved_s.get(&0).copied().unwrap_or(0.0);
+        let executing: Vec<&Member> = all.iter().filter(|member| member.executes).collect();
+        let gang = &self.gangs[attempt];
+        let ran = (gang.stopped.unwrap_or(now) - gang.began).as_secs_f64();
+        let Some(ending) = self.gang_ending(attempt, job, &executing, progress + ran, now) else { return };
+        self.end_gang(&attempt.0, job, &executing, ending, (progress, ran));
+    }
+
+    /// How the gang ends now, if it does.
+    fn gang_ending(
+        &mut self,
+        attempt: &GangAttempt,
+        job: &Job,
+        executing: &[&Member],
+        done_s: f64,
+        now: Instant,
+    ) -> Option<Ending> {
+        let gang_peer_s = self.parameters.gang_peer_s;
+        let size = job.shards as usize;
+        let whole = executing.iter().filter(|member| member.phase != Phase::Gathering).count() == size;
+        let flushing = executing.iter().filter(|member| member.phase == Phase::Flushing).count();
+        let gang = self.gangs.get_mut(attempt)?;
+        if !whole && !gang.failed {
+            let after = secs(self.rng.random_range(0.2..gang_peer_s * 0.95));
+            gang.failed = now >= *gang.fails.get_or_insert(now + after);
+        } else if whole {
+            gang.fails = None;
+        }
+        if gang.failed {
+            Some(Ending { why: "mates_gone", stored: false })
+        } else if flushing == size && executing.iter().all(|member| member.due <= now) {
+            Some(Ending { why: "halted", stored: true })
+        } else if gang.stopped.is_some_and(|stopped| stopped + secs(gang_peer_s) <= now) {
+            gang.failed = true;
+            Some(Ending { why: "mates_gone", stored: false })
+        } else if gang.stopped.is_none() && whole && done_s >= job.run_s {
+            let faulty = job.mistaken || executing.iter().any(|member| self.machines[&member.machine].faulty);
+            Some(Ending { why: if faulty { "error" } else { "done" }, stored: false })
+        } else {
+            None
+        }
+    }
+
+    /// Ends all tasks of the attempt, with what is saved of `progress` and the time it `ran`.
+    fn end_gang(
+        &mut self,
+        id: &str,
+        job: &Job,
+        executing: &[&Member],
+        Ending { why, stored }: Ending,
+        (progress, ran): (f64, f64),
+    ) {
+        let ended = self.jobs.get_mut(id).unwrap();
+        if why == "done" {
+            ended.done = (0..job.shards).collect();
+        }
+        let kept = if stored {
+            progress + ran
+        } else if job.checkpoint_s > 0.0 {
+            ((progress + ran) / job.checkpoint_s).floor() * job.checkpoint_s
+        } else {
+            0.0
+        };
+        ended.saved_s.insert(0, kept.max(progress));
+        if why == "halted" || why == "mates_gone" {
+            self.note_lost_work(id, progress + ran - kept.max(progress));
+        }
+        for member in executing {
+            // Only what is on a faulty machine fails, and the others miss it; mistakes are in all tasks.
+            let fails = why == "error" && !job.mistaken && !self.machines[&member.machine].faulty;
+            self.end(&member.machine, &member.key, if fails { "mates_gone" } else { why }, stored);
+        }
     }
 }
--- a/crates/stand-ins/src/world/slots.rs
+++ b/crates/stand-ins/src/world/slots.rs
@@ -132,8 +132,8 @@
     }
 
     /// When a replica that begins now answers requests: its model must be loaded first.
-    pub(super) fn answers_from(&mut self) -> Option<Instant> {
+    pub(super) fn answers_from(&mut self) -> Instant {
         let load = self.parameters.load_s;
-        Some(Instant::now() + secs(self.between(load)))
+        Instant::now() + secs(self.between(load))
     }
 }
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -77,7 +77,7 @@
 
     pub(super) fn execute(&mut self, id: &str, orders: &Value) {
         for o in orders.as_array().into_iter().flatten() {
-            self.log(format!("{id} is told {}", o));
+            self.log(format!("{id} is told {o}"));
             let verb = o["verb"].as_str().unwrap();
             match verb {
                 "load" if self.parameters.loads_models => {
@@ -261,7 +261,7 @@
         started.began.get_or_insert(now);
         started.starts += 1;
         self.check_start(id, key, &job);
-        let answers_from = c.answers_from.or_else(|| self.answers_from());
+        let answers_from = c.answers_from.or_else(|| Some(self.answers_from()));
         let gang_wait_s = self.parameters.gang_wait_s;
         let left = job.run_s - job.saved_s.get(&c.n).copied().unwrap_or(0.0);
         let m = self.machines.get_mut(id).unwrap();
