--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that others wait for, as their records tell them now: where no leader can be asked.
+//! Dependencies as their records state them now, for where no leader can be asked.
 
 use super::Api;
 use crate::api::refusal::RefusalReason;
@@ -13,13 +13,13 @@
 pub(super) struct CheckedSubmission {
     /// What is to be recorded: without the dependencies that are done.
     pub(super) spec: Spec,
-    /// What its user is told: cancelled with a job that it needs, or pending.
+    /// Its phase once it is accepted: cancelled with a dependency, or pending.
     pub(super) phase: JobPhase,
 }
 
 impl Api {
-    /// Checks by fresh reads that all jobs that a new one waits for were accepted and are no
-    /// services; the refusal if not, or if that can't be told now.
+    /// Checks by fresh reads that all dependencies of a new job were accepted and are no services;
+    /// the error is the refusal, also where that can't be read now.
     pub(super) async fn check_dependencies(&self, spec: &Spec) -> Result<CheckedSubmission, Response> {
         let impossible = |why: String| Response::error(422, &format!("waits_on: {why}"));
         let mut checked = CheckedSubmission { spec: spec.clone(), phase: JobPhase::Pending };
@@ -37,7 +37,7 @@
                 RecordedJob::Ended { ended, .. } if ended.end == JobEnd::Done => _ = done.insert(id),
                 RecordedJob::Ended { .. } => checked.phase = JobPhase::Cancelled,
                 RecordedJob::Live(job) => {
-                    let cancelled = self.needs_cancelled(&job.dependencies, Purpose::Change, deadline).await;
+                    let cancelled = self.any_cancelled(&job.dependencies, Purpose::Change, deadline).await;
                     if cancelled.map_err(RefusalReason::response)? {
                         checked.phase = JobPhase::Cancelled;
                     }
@@ -48,9 +48,9 @@
         Ok(checked)
     }
 
-    /// Is any of these jobs, or of those that they need, recorded as cancelled? Each record is
-    /// read after this question came, or tells an end, which never changes.
-    pub(super) async fn needs_cancelled(
+    /// Whether any of these jobs, or of their own dependencies, is recorded as cancelled. Each
+    /// record is read after this call began, or states an end, which never changes.
+    pub(super) async fn any_cancelled(
         &self,
         jobs: &Dependencies,
         purpose: Purpose,
@@ -61,7 +61,7 @@
         while let Some(id) = open.pop() {
             match self.recorded(&id, purpose, deadline).await? {
                 RecordedJob::Ended { ended, .. } if ended.end == JobEnd::Cancelled => return Ok(true),
-                // All that a done job needed was done before it.
+                // All dependencies of a done job were done before it.
                 RecordedJob::Ended { .. } => {}
                 RecordedJob::Live(job) => {
                     let new = job.dependencies.iter().filter(|id| !seen.contains(*id)).map(String::from);
@@ -69,15 +69,15 @@
                     seen.extend(new.iter().cloned());
                     open.extend(new);
                 }
-                // It was accepted, as a job that waits for it was.
+                // It was accepted before the job that waits for it.
                 RecordedJob::Missing => return Err(RefusalReason::DependencyIndeterminate),
             }
         }
         Ok(false)
     }
 
-    /// A job's record as it is now; an end that is remembered needs no read. A job that is
-    /// done was no service.
+    /// A job's record as it is now; a remembered end needs no read. A job that is done was no
+    /// service.
     async fn recorded(&self, id: &str, purpose: Purpose, deadline: Instant) -> Result<RecordedJob, RefusalReason> {
         match self.ended_jobs.get(id).filter(|ended| ended.end == JobEnd::Done) {
             Some(ended) => Ok(RecordedJob::Ended { ended, is_service: false }),
--- a/src/api/ended_jobs.rs
+++ b/src/api/ended_jobs.rs
@@ -1,9 +1,10 @@
-//! Ends of jobs that this node has read or passed on.
+//! Ends of jobs that this node has read or forwarded.
 //!
-//! An end never changes once it is recorded, so that a remembered one may be told without
-//! asking anybody. Nothing else is remembered: that a job lives or is missing may change.
+//! An end never changes once it is recorded, so that a remembered one is answered without a
+//! request to anybody. Nothing else is remembered: that a job is live or missing may change.
 
 use crate::model::JobEnd;
+use crate::runtime::sync::lock;
 use crate::transport::http::Response;
 use crate::wire;
 use std::collections::{HashMap, VecDeque};
@@ -19,7 +20,7 @@
 }
 
 impl EndedJob {
-    /// What users are told of it.
+    /// The answer to users.
     pub fn response(self, id: &str) -> Response {
         Response::json(200, &wire::job_answer(id, self.end.phase(), self.done, 0))
     }
@@ -39,19 +40,19 @@
 }
 
 impl EndedJobs {
-    /// Remembers so many ends at the most; beyond them the one learned first is forgotten.
+    /// Remembers `most` ends at the most; a further one replaces the oldest.
     pub fn new(most: usize) -> EndedJobs {
         EndedJobs { most, ends: Arc::default() }
     }
 
     /// The end of a job, if it is remembered.
     pub fn get(&self, id: &str) -> Option<EndedJob> {
-        self.ends.lock().ok()?.by_id.get(id).copied()
+        lock(&self.ends).by_id.get(id).copied()
     }
 
-    /// Remembers an end; what was learned first of a job stays.
+    /// Remembers an end, unless one of the job is remembered already.
     pub fn insert(&self, id: &str, ended: EndedJob) {
-        let Ok(mut ends) = self.ends.lock() else { return };
+        let mut ends = lock(&self.ends);
         if ends.by_id.contains_key(id) {
             return;
         }
@@ -65,8 +66,8 @@
         ends.by_id.insert(id, ended);
     }
 
-    /// Remembers the end that a leader's answer about a job tells, if it tells one.
-    pub fn insert_told(&self, id: &str, answer: &Response) {
+    /// Remembers the end that a leader's answer about a job states, if it states one.
+    pub fn insert_stated(&self, id: &str, answer: &Response) {
         if answer.status != 200 {
             return;
         }
--- a/src/api/ended_jobs/tests.rs
+++ b/src/api/ended_jobs/tests.rs
@@ -13,14 +13,14 @@
 #[test]
 fn only_ends_that_an_owner_told_are_remembered() {
     let ended = EndedJobs::new(MOST);
-    ended.insert_told("a", &answer(200, JobPhase::Pending));
-    ended.insert_told("a", &answer(200, JobPhase::Running));
-    ended.insert_told("a", &answer(503, JobPhase::Done));
-    ended.insert_told("a", &Response::error(404, "no such job"));
+    ended.insert_stated("a", &answer(200, JobPhase::Pending));
+    ended.insert_stated("a", &answer(200, JobPhase::Running));
+    ended.insert_stated("a", &answer(503, JobPhase::Done));
+    ended.insert_stated("a", &Response::error(404, "no such job"));
     assert_eq!(ended.get("a"), None);
-    ended.insert_told("a", &answer(200, JobPhase::Done));
+    ended.insert_stated("a", &answer(200, JobPhase::Done));
     assert_eq!(ended.get("a"), Some(DONE));
-    ended.insert_told("b", &answer(200, JobPhase::Cancelled));
+    ended.insert_stated("b", &answer(200, JobPhase::Cancelled));
     assert_eq!(ended.get("b"), Some(EndedJob { end: JobEnd::Cancelled, done: 3 }));
 }
 
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -18,23 +18,25 @@
     LeaderUnreachable,
     /// The job's record is not written yet.
     JobNotAccepted,
-    /// The cloud has not told its machine types yet.
+    /// The instance types of the cloud are not known yet.
     MachineTypesUnknown,
-    /// No node is known to own the partition of a machine that reports.
+    /// No node is known to lead the partition of the machine of a heartbeat.
     #[serde(rename = "machine_unowned")]
     MachineWithoutLeader,
-    /// A cancelled job may have tasks on machines that give no answer.
+    /// A cancelled job may have tasks on unreachable machines.
     MachineUnreachable,
     /// The partition's actor took too long over a poll or a cancellation.
     NoDecisionInTime,
     /// The partition's number is out of range.
     NoSuchPartition,
-    /// This node may not act for a machine that reports at present, or does not know it.
-    NotEntitled,
+    /// This node's leader lease is not valid for the machine of a heartbeat, or the machine is not
+    /// known to it.
+    #[serde(rename = "not_entitled")]
+    NotLeaseHolder,
     /// This node has lost, or does not have, the partition.
     #[serde(rename = "not_owner")]
     NotLeader,
-    /// The node cannot take requests, as `GET /ready` tells.
+    /// The node can't serve requests, as `GET /ready` answers.
     NotReady,
     /// The job's record is not in a form that this version reads.
     RecordUnreadable,
@@ -42,22 +44,22 @@
     StateServiceSilent,
     /// The partition's actor or the state service took too long over a submission.
     SubmissionSlow,
-    /// Another region may know the job's team, or a larger limit of it, already.
+    /// Another region may already have applied a version with the job's team, or a larger limit of it.
     ConfigurationBehind,
     /// The new leader has not read the partition's records yet.
     #[serde(rename = "takeover_under_way")]
     FailoverUnderWay,
     /// The budget for reads of job records is used up.
     TooManyReads,
-    /// A controller is of an earlier version, which would not let a job wait for others.
+    /// A controller is of an earlier version, which ignores dependencies.
     ControllerOutdated,
-    /// A job that the job waits for belongs to another partition: only its record tells how it is.
+    /// A dependency belongs to another partition: only its record shows its state.
     #[serde(rename = "predecessor_elsewhere")]
     DependencyElsewhere,
-    /// Whether a job that is waited for was accepted is not known yet.
+    /// Whether a dependency was accepted is not known yet.
     #[serde(rename = "predecessor_unclear")]
     DependencyIndeterminate,
-    /// The queue of the partition's actor is full; a worker reports again.
+    /// The queue of the partition's actor is full; the worker sends its next heartbeat anyway.
     TooManyReports,
     /// The queue of the partition's actor is full.
     TooManyRequests,
@@ -66,7 +68,7 @@
 }
 
 impl RefusalReason {
-    /// 429 where there is more to do than can be done now, else 503.
+    /// The status: 429 where the load is at fault, else 503.
     pub fn status(self) -> u16 {
         match self {
             RefusalReason::SubmissionSlow | RefusalReason::TooManyReads | RefusalReason::TooManySubmissions => 429,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Does the version before know it, too?
+    /// Whether the version before this one knows it, too.
     pub fn is_known_to_all(self) -> bool {
         use RefusalReason::{ConfigurationBehind, ControllerOutdated, DependencyElsewhere, DependencyIndeterminate};
         !matches!(self, ConfigurationBehind | ControllerOutdated | DependencyElsewhere | DependencyIndeterminate)
@@ -114,7 +116,7 @@
             RefusalReason::MachineUnreachable => "some of the job's machines can't be reached",
             RefusalReason::NoDecisionInTime | RefusalReason::SubmissionSlow => "no decision in time",
             RefusalReason::NoSuchPartition => "no such partition",
-            RefusalReason::NotEntitled => "not entitled to act",
+            RefusalReason::NotLeaseHolder => "not entitled to act",
             RefusalReason::NotLeader => "this node does not own the jobs",
             RefusalReason::NotReady => "not ready",
             RefusalReason::RecordUnreadable => "the job's record can't be read",
--- a/src/api/route_hints.rs
+++ b/src/api/route_hints.rs
@@ -1,22 +1,24 @@
-//! Where jobs and machines were last found, and whose leases this node keeps alive.
+//! Where jobs and machines were last found, and whose leases this node renews without a leader.
 
 use crate::model::FencingToken;
 use std::collections::HashMap;
 
-/// Which partition a job or machine was last found in: a hint, nothing more.
+/// In which partition a job or machine was last found. A hint may be outdated or missing: it only
+/// orders the questions.
 pub struct RouteHints {
     /// Most hints of a kind.
     most: usize,
     jobs: HashMap<String, u32>,
     hosts: HashMap<String, u32>,
-    /// Workers whose leases this node keeps alive, with the token that they had first.
-    kept: HashMap<String, FencingToken>,
+    /// Workers whose leases this node renews without a leader, with the fencing token that they had
+    /// seen at first.
+    renewed: HashMap<String, FencingToken>,
 }
 
 impl RouteHints {
-    /// No hints yet, and at most so many of a kind: when there are more they begin anew.
+    /// No hints yet, and `most` of a kind at the most: a further one clears those before it.
     pub fn new(most: usize) -> RouteHints {
-        RouteHints { most, jobs: HashMap::new(), hosts: HashMap::new(), kept: HashMap::new() }
+        RouteHints { most, jobs: HashMap::new(), hosts: HashMap::new(), renewed: HashMap::new() }
     }
 
     /// The partition of a job.
@@ -39,15 +41,15 @@
         remember(&mut self.hosts, self.most, id, partition);
     }
 
-    /// The token that a worker had when this node began to keep its lease alive: this one, if it
-    /// begins now.
+    /// The fencing token that a worker had seen when this node began to renew its lease: this one,
+    /// if it begins now.
     pub(super) fn first_token(&mut self, host: &str, token: FencingToken) -> FencingToken {
-        *self.kept.entry(host.to_string()).or_insert(token)
+        *self.renewed.entry(host.to_string()).or_insert(token)
     }
 
-    /// This node keeps no leases alive any more.
-    pub(super) fn keep_none(&mut self) {
-        self.kept.clear();
+    /// This node renews no leases any more.
+    pub(super) fn stop_renewing(&mut self) {
+        self.renewed.clear();
     }
 }
 
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: passed on to the leader of the team's partition, or accepted without it.
+//! Submissions: forwarded to the leader of the team's partition, or accepted without it.
 
 use super::Api;
 use crate::api::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
@@ -7,6 +7,7 @@
 use crate::control::partition_leader;
 use crate::model::{JobRecord, Spec};
 use crate::runtime::clock;
+use crate::runtime::sync::lock;
 use crate::scheduling::{self, Policy};
 use crate::transport::http::Response;
 use crate::transport::peer::UserCall;
@@ -17,9 +18,9 @@
 const ACCEPTANCE_REQUESTS: usize = 2;
 
 impl Api {
-    /// Answers a submission.
+    /// Answers a submission. A known id is answered before any judgement of the rest.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
-        // What is malformed needs no leader to say so.
+        // What is malformed needs no leader.
         let spec = match wire::parse_submission(&body) {
             Ok(spec) => spec,
             Err(malformed) => {
@@ -33,53 +34,60 @@
         if let Some(ended) = self.ended_jobs.get(&spec.id) {
             return ended.response(&spec.id);
         }
-        let waits = !spec.dependencies.is_empty();
-        if waits && self.router.has_old_peer() {
+        if !spec.dependencies.is_empty() && self.router.has_old_peer() {
             return self.unless_known(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
-        // A leader that is not known to be of this version might not let the job wait.
-        let asked = match waits && !self.router.owner_is_current(partition) {
-            true => None,
-            false => self.router.user(partition, UserCall::Submit(body)).await,
-        };
-        let answer = match asked {
-            Some(r) if r.status != 503 => r,
-            // What keeps the leader from accepting it would not keep this node from it.
-            Some(r)
-                if matches!(r.refusal, Some(ConfigurationBehind | ControllerOutdated | DependencyIndeterminate)) =>
+        let leader_answer = self.ask_leader(partition, &spec, body).await;
+        let answer = self.answer_or_accept(partition, &spec, leader_answer).await;
+        match answer.status {
+            400 | 422 => return self.unless_known(&spec.id, answer).await,
+            200 | 201 => lock(&self.route_hints).remember_job(&spec.id, partition),
+            _ => {}
+        }
+        answer
+    }
+
+    /// The leader's answer to a submission; `None` if it can't be asked or gives none.
+    async fn ask_leader(&self, partition: u32, spec: &Spec, body: Vec<u8>) -> Option<Response> {
+        // A leader that is not known to be of this version might ignore the dependencies.
+        if !spec.dependencies.is_empty() && !self.router.owner_is_current(partition) {
+            return None;
+        }
+        self.router.user(partition, UserCall::Submit(body)).await
+    }
+
+    /// The leader's answer, or this node's own where the leader gave none or could not decide.
+    async fn answer_or_accept(&self, partition: u32, spec: &Spec, leader_answer: Option<Response>) -> Response {
+        match leader_answer {
+            Some(answer) if answer.status != 503 => answer,
+            // The cause of this refusal would not keep this node from accepting the job.
+            Some(answer)
+                if matches!(
+                    answer.refusal,
+                    Some(ConfigurationBehind | ControllerOutdated | DependencyIndeterminate)
+                ) =>
             {
-                r
+                answer
             }
-            // A second way in would only add to the work that the leader has.
+            // A second attempt would only add to the load of the leader.
             None if self.router.at_work(partition) && self.state.answers(self.router.leader_lease_ttl_ms) => {
                 RefusalReason::SubmissionSlow.response()
             }
-            // Nobody holds the partition now, or can't be reached, or the job's end is
-            // being recorded.
+            // The partition has no leader now, it can't be reached, or the job's end is being recorded.
             other => {
                 let later = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
                 match self.fresh(&spec.id, true, Purpose::Change).await {
                     known if known.status == 200 => known,
                     excess if excess.status == 429 => excess,
-                    unknown if unknown.status == 404 => self.accept(partition, &spec).await.unwrap_or(later),
+                    unknown if unknown.status == 404 => self.accept(partition, spec).await.unwrap_or(later),
                     _ => later,
                 }
             }
-        };
-        match answer.status {
-            400 | 422 => return self.unless_known(&spec.id, answer).await,
-            200 | 201 => {
-                if let Ok(mut p) = self.route_hints.lock() {
-                    p.remember_job(&spec.id, partition);
-                }
-            }
-            _ => {}
         }
-        answer
     }
 
-    /// A known job is answered as such even where its content is refused now.
+    /// Answers a known job as such even where its content is refused now.
     async fn unless_known(&self, id: &str, refusal: Response) -> Response {
         if let Some(ended) = self.ended_jobs.get(id) {
             return ended.response(id);
@@ -90,7 +98,7 @@
         }
     }
 
-    /// The policy under the shared configuration, if there is one, and whether nothing newer is known.
+    /// The policy under the shared configuration, if there is one, and whether no later version is known.
     fn current_policy(&self) -> (Arc<Policy>, bool) {
         let Some(configuration) = &self.router.configuration else { return (self.policy.clone(), true) };
         match (configuration.policy(&self.policy), configuration.published()) {
@@ -99,8 +107,10 @@
         }
     }
 
-    /// Accepts a job without its partition's leader: the record is what counts. The
-    /// next leader reads it; a present one is told by a key in its inbox.
+    /// Accepts a job without its partition's leader: the record is the truth. It is created on the
+    /// condition that the key does not exist, and 201 is answered only after that commit. The next
+    /// leader reads it; a present one is notified by a key in its inbox. `None` if the outcome is
+    /// indeterminate or nothing was written.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
         if !self.request_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -4,21 +4,25 @@
 mod dependencies;
 
 use super::*;
+use crate::clients::request_budget::Purpose;
 use crate::control::membership::LeaderStatus;
 use crate::control::partition;
 use crate::control::partition::{UserAnswer, job_key};
+use crate::control::partition_leader;
 use crate::control::router::PartitionHandle;
-use crate::model::{Dependencies, JobEnd, JobRecord};
-use crate::runtime::task;
+use crate::model::{Dependencies, JobEnd, JobPhase, JobRecord};
+use crate::runtime::{clock, task};
 use crate::settings::{Operator, Settings, tests::settings};
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http;
 use crate::transport::network::Net;
+use crate::wire;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
 
 const ID: &str = "run-000001";
 
--- a/src/api/user_metrics.rs
+++ b/src/api/user_metrics.rs
@@ -1,6 +1,7 @@
-//! Counters of what users and workers are told by this node, for `GET /metrics`.
+//! Counters of the answers of this node to users and workers, for `GET /metrics`.
 
 use crate::api::refusal::RefusalReason;
+use crate::runtime::sync::lock;
 use crate::transport::http::Response;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -23,23 +24,20 @@
     /// Counts an answer if it is a refusal.
     pub fn count_answer(&self, answer: &Response) {
         let Some(reason) = answer.refusal else { return };
-        if let Ok(mut counters) = self.counters.lock() {
-            *counters.refusals.entry((reason, answer.status)).or_default() += 1;
-        }
+        *lock(&self.counters).refusals.entry((reason, answer.status)).or_default() += 1;
     }
 
     /// Counts a poll that was answered from a remembered end.
     pub fn count_remembered_poll(&self) {
-        if let Ok(mut counters) = self.counters.lock() {
-            counters.remembered_polls += 1;
-        }
+        lock(&self.counters).remembered_polls += 1;
     }
 
-    /// The counters in the usual text format, with how many questions shared a read that
-    /// another had asked for.
+    /// The counters in the text format; `shared_reads` are the questions that shared the read of
+    /// another one.
     pub fn text(&self, shared_reads: u64) -> String {
         let mut out = String::new();
-        let Ok(counters) = self.counters.lock() else { return out };
+        let counters = lock(&self.counters);
+        // Writing to a String can't fail.
         for ((reason, status), count) in &counters.refusals {
             let reason = reason.label();
             let _ = writeln!(out, "badgerdrift_refusals_total{{reason=\"{reason}\",status=\"{status}\"}} {count}");
