--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A watch of the state service waits for so many times what an order takes to show.
+/// A watch of the state service waits for so many reaction times.
 const WATCH_REACTIONS: u32 = 10;
 
-/// Tells the actor once all other controllers of the region know the shared configuration.
+/// Notifies the actor once all other controllers of the region know the shared configuration.
 pub(super) async fn watch_capable(handle: ConfigurationHandle, peers: Vec<Peer>, genesis: u64, react: Duration) {
     for peer in peers {
         loop {
@@ -31,6 +31,7 @@
             sleep(react).await;
         }
     }
+    // The actor only ends with the node.
     let _ = handle.tx.send(Message::AllCapable).await;
 }
 
@@ -77,7 +78,7 @@
         metrics.count("configuration_exchanges", &region);
         if let Some(ConfigurationResponse::Digest(digest)) = regions.ask(&region, &ConfigurationRequest::Digest).await {
             let (theirs, same) = (digest.version.unwrap_or(0), digest.genesis == genesis);
-            if handle.tx.send(Message::LastContact(digest)).await.is_err() {
+            if handle.tx.send(Message::RegionDigest(digest)).await.is_err() {
                 return;
             }
             if same {
@@ -98,7 +99,7 @@
         }
         let answer = regions.ask(region, &ConfigurationRequest::Log(version)).await;
         let Some(ConfigurationResponse::Log(Some(entry))) = answer else {
-            tracing::debug!(region, version, "a version of the configuration can't be had");
+            tracing::debug!(region, version, "a version of the configuration can't be fetched");
             return;
         };
         let request = Request::Learn { version, batch: entry.batch };
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -1,8 +1,8 @@
-//! The way to this node's configuration actor, for all that follow the configuration.
+//! The handle of this node's configuration actor, for all that follow the configuration.
 
-use super::effect::policy_of;
 use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
 use super::records::AppliedConfiguration;
+use super::region_policy::policy_of;
 use crate::runtime::metrics::gauge_line;
 use crate::scheduling::Policy;
 use badgerdrift_fleet_config::{ConfigState, RegionName};
@@ -15,11 +15,11 @@
     Request(ConfigurationRequest, oneshot::Sender<ConfigurationResponse>),
     /// The region's record may have changed.
     Changed(oneshot::Sender<bool>),
-    /// Another region has told what it has applied.
-    LastContact(super::messages::Digest),
+    /// Another region has answered which version it has applied.
+    RegionDigest(super::messages::Digest),
     /// All controllers of the region know the shared configuration.
     AllCapable,
-    /// This node's leader has recorded that it obeys a version.
+    /// This node's leader has recorded that it has applied a version.
     AppliedConfiguration(AppliedConfiguration),
 }
 
@@ -32,21 +32,21 @@
     pub may_start_tasks: bool,
     /// The last version that is known of any region.
     pub latest: u64,
-    /// So many regions, this one included, were heard lately.
+    /// Number of regions, this one included, that answered lately.
     pub regions_heard: usize,
-    /// The version that the region's leader obeys, as recorded.
+    /// The version that the region's leader has applied, as recorded.
     pub applied_configuration: u64,
 }
 
 impl Published {
-    /// Is nothing newer known, with a majority of regions heard lately?
+    /// Whether no later version is known, while a majority of regions answered lately.
     pub fn is_up_to_date(&self) -> bool {
         let majority = self.state.regions.len() / 2 + 1;
         self.latest <= self.state.version && self.regions_heard >= majority
     }
 }
 
-/// The way to the configuration; cheap to clone.
+/// A handle of the configuration; cheap to clone.
 #[derive(Clone)]
 pub struct ConfigurationHandle {
     pub(super) region: RegionName,
@@ -75,8 +75,9 @@
         self.tx.send(Message::Changed(reply)).await.is_ok() && done.await == Ok(true)
     }
 
-    /// This node's leader has recorded that it obeys a version.
+    /// This node's leader has recorded that it has applied a version.
     pub fn applied_configuration(&self, applied_configuration: AppliedConfiguration) {
+        // A full queue drops it: the leader records again, and the record is read with the next change.
         let _ = self.tx.try_send(Message::AppliedConfiguration(applied_configuration));
     }
 
@@ -90,7 +91,7 @@
         &self.region
     }
 
-    /// Its figures in the text format of `GET /metrics`.
+    /// Its metrics in the text format of `GET /metrics`.
     pub fn metrics_text(&self) -> String {
         let Some(published) = self.published() else { return String::new() };
         let figures = [
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -11,7 +11,7 @@
 pub enum ConfigurationRequest {
     /// From the same region: does the controller know the shared configuration?
     Capable,
-    /// From another region: what has this one applied, and what does its leader obey?
+    /// From another region: which versions have this one and its leader applied?
     Digest,
     /// A part of the agreement on a version.
     Agreement {
@@ -46,11 +46,11 @@
         /// What its version 0 is made of.
         genesis: u64,
     },
-    /// What the region has applied and obeys.
+    /// The versions that the region and its leader have applied.
     Digest(Digest),
     /// The acceptor's answer.
     Agreement(Reply),
-    /// A version of the log; `None` if it is not kept.
+    /// A version of the log; `None` if it is not stored any more.
     Log(Option<LogEntry>),
     /// What became of a change; `None` if that is not known.
     Outcome(Option<ChangeOutcome>),
@@ -84,7 +84,7 @@
     Busy,
 }
 
-/// What a region has applied and obeys.
+/// The versions that a region and its leader have applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The region.
@@ -95,7 +95,7 @@
     pub version: Option<u64>,
     /// It has taken no part in any agreement.
     pub untouched: bool,
-    /// The version that its leader obeys.
+    /// The version that its leader has applied.
     #[serde(rename = "obeyed")]
     pub applied_configuration: u64,
 }
@@ -107,23 +107,23 @@
     pub region: RegionName,
     /// The last version that it is known to have applied.
     pub version: u64,
-    /// The last version that its leader is known to obey.
+    /// The last version that its leader is known to have applied.
     #[serde(rename = "obeyed")]
     pub applied_configuration: u64,
-    /// How it stands to the last version known here.
+    /// Its condition relative to the last version known here.
     pub condition: RegionCondition,
 }
 
-/// How a region stands to the last version.
+/// The condition of a region relative to the last version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegionCondition {
-    /// Its leader obeys it.
+    /// Its leader has applied it.
     InForce,
-    /// Its leader does not obey it yet.
+    /// Its leader has not applied it yet.
     Pending,
-    /// It has not been heard for so many seconds.
+    /// It has not answered for so many seconds.
     UnreachableSince {
-        /// The seconds; `None` if it was never heard.
+        /// The seconds; `None` if it never answered.
         seconds: Option<u64>,
     },
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,24 +1,30 @@
-//! The configuration that the regions of a fleet share: the thin part around
-//! `badgerdrift_fleet_config`, which decides what is agreed on and who may use what.
+//! The configuration that the regions of a fleet share and change while controllers run. Unlike
+//! `settings`, which are files that each controller reads once as it starts, it consists of
+//! versioned documents in the state service of every region. This module connects
+//! `badgerdrift_fleet_config`, which decides what is agreed on and who may use what, to the state
+//! service and to the other controllers.
 //!
-//! [`ConfigurationActor`] owns this region's record and is its acceptor. A task proposes what
-//! operators and the leader ask for, one watches the region's state service, and one exchanges
-//! versions with the other regions. All of it is off unless the controller is told of a fleet.
+//! [`ConfigurationActor`] holds this region's record and is its acceptor. One task proposes what
+//! operators and the leader ask for, one watches the region's state service, and one for each
+//! other region exchanges versions with it. All of it is off unless the controller is given a fleet
+//! file.
 
 mod actor;
-mod effect;
+mod entries;
 mod exchange;
 mod handle;
 mod messages;
 mod proposals;
 mod records;
+mod region_policy;
 mod regions;
 mod settings;
+mod status;
 mod stored;
 
 pub use actor::{ConfigurationActor, start};
-pub use effect::{policy_of, settings_documents};
 pub use handle::{ConfigurationHandle, Published};
 pub use messages::{ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable};
 pub use records::{AppliedConfiguration, LogEntry, applied_configuration_change};
+pub use region_policy::{policy_of, settings_documents};
 pub use settings::{FleetSettings, RegionAddresses, load_fleet};
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -5,7 +5,7 @@
 use super::regions::Regions;
 use crate::clients::write_limits::{WriteLimits, json_bytes};
 use crate::runtime::metrics::SharedMetrics;
-use crate::runtime::task;
+use crate::runtime::{sync, task};
 use badgerdrift_fleet_config::{
     Ballot, Batch, ChangeOutcome, Entry, Proposer, ProposerId, Rejection, Reply, Request, Step,
 };
@@ -16,7 +16,7 @@
 
 /// Entries that wait to be proposed, at the most.
 const MAX_QUEUED: usize = 512;
-/// Attempts at one batch before its outcome is told as unclear.
+/// Attempts at one batch before its outcome is answered as indeterminate.
 const MOST_ATTEMPTS: u32 = 8;
 /// A record holds a batch twice, with the documents before it.
 const BATCH_SHARE: usize = 3;
@@ -39,7 +39,7 @@
     limits: WriteLimits,
     pause: Duration,
     metrics: SharedMetrics,
-    /// The largest round that was heard of.
+    /// The largest round seen so far.
     round: u64,
 }
 
@@ -47,14 +47,14 @@
 enum Attempt {
     /// This batch is in the log now; it may be another one than was proposed.
     Decided(Batch),
-    /// Another attempt was in the way.
-    Again,
+    /// Another attempt conflicts.
+    Conflict,
     /// Too few regions answered.
     NoMajority,
 }
 
 impl Proposals {
-    /// Starts the task; the way to it.
+    /// Starts the task; the sender of its queue.
     pub(super) fn start(
         node: String,
         genesis: u64,
@@ -110,7 +110,7 @@
         bytes * BATCH_SHARE <= self.limits.value_bytes && documents + OTHER_CHANGES <= self.limits.commit_changes
     }
 
-    /// Proposes entries until they are in the log, or their outcome stays unclear.
+    /// Proposes entries until they are in the log, or their outcome stays indeterminate.
     async fn propose(&mut self, taken: Vec<Proposed>) {
         let batch = Batch { entries: taken.iter().map(|proposed| proposed.entry.clone()).collect() };
         for attempt in 0..MOST_ATTEMPTS {
@@ -118,7 +118,7 @@
                 Attempt::Decided(decided) if decided == batch => return self.answer(taken).await,
                 // The version went to somebody else: it is tried again with the next one.
                 Attempt::Decided(_) => {}
-                Attempt::Again | Attempt::NoMajority => {
+                Attempt::Conflict | Attempt::NoMajority => {
                     let spread = rand::rng().random_range(0.5..1.5);
                     sleep(self.pause.mul_f64(spread * f64::from(attempt + 1))).await;
                 }
@@ -138,16 +138,16 @@
         let accept = match self.ask_all(&mut proposer, prepare).await {
             Ok(Step::Accept(batch)) => batch,
             Ok(_) => return Attempt::NoMajority,
-            Err(()) => return Attempt::Again,
+            Err(()) => return Attempt::Conflict,
         };
         let request = Request::Accept { version, ballot, batch: accept };
         match self.ask_all(&mut proposer, request).await {
             Ok(Step::Decided(batch)) => {
-                self.tell_all(&Request::Learn { version, batch: batch.clone() }).await;
+                self.broadcast(&Request::Learn { version, batch: batch.clone() }).await;
                 Attempt::Decided(batch)
             }
             Ok(_) => Attempt::NoMajority,
-            Err(()) => Attempt::Again,
+            Err(()) => Attempt::Conflict,
         }
     }
 
@@ -155,7 +155,7 @@
     /// version was met.
     async fn ask_all(&mut self, proposer: &mut Proposer, request: Request) -> Result<Step, ()> {
         let mut replies = self.send_to_all(&request);
-        let mut in_the_way = false;
+        let mut conflicting = false;
         while let Some((region, reply)) = replies.recv().await {
             let step = match reply {
                 Reply::Promised(accepted) => proposer.promised(region, accepted),
@@ -163,11 +163,11 @@
                 Reply::Learned => Step::Wait,
                 Reply::Rejected { rejection: Rejection::Outbid(ballot), .. } => {
                     self.round = self.round.max(ballot.round);
-                    in_the_way = true;
+                    conflicting = true;
                     Step::Wait
                 }
                 Reply::Rejected { rejection, .. } => {
-                    in_the_way |= rejection == Rejection::Decided;
+                    conflicting |= rejection == Rejection::Decided;
                     Step::Wait
                 }
             };
@@ -175,11 +175,11 @@
                 return Ok(step);
             }
         }
-        if in_the_way { Err(()) } else { Ok(Step::Wait) }
+        if conflicting { Err(()) } else { Ok(Step::Wait) }
     }
 
-    /// Tells a batch to all regions; returns once this one has it.
-    async fn tell_all(&self, request: &Request) {
+    /// Sends a batch to all regions; returns once this one has it.
+    async fn broadcast(&self, request: &Request) {
         let own = self.handle.region.clone();
         let mut replies = self.send_to_all(request);
         while let Some((region, _)) = replies.recv().await {
@@ -198,6 +198,7 @@
             let (regions, request, tx) = (self.regions.clone(), request.clone(), tx.clone());
             task::spawn(async move {
                 if let Some(ConfigurationResponse::Agreement(reply)) = regions.ask(&name, &request).await {
+                    // The proposer may have its majority without this reply.
                     let _ = tx.send((name, reply)).await;
                 }
             });
@@ -205,18 +206,19 @@
         let handle = self.handle.clone();
         task::spawn(async move {
             if let ConfigurationResponse::Agreement(reply) = handle.answer(request).await {
+                // As above.
                 let _ = tx.send((handle.region.clone(), reply)).await;
             }
         });
         rx
     }
 
-    /// Tells the outcomes, which this region knows once it has applied the version.
+    /// Answers with the outcomes, which this region knows once it has applied the version.
     async fn answer(&self, taken: Vec<Proposed>) {
         for Proposed { entry, reply } in taken {
             let Some(reply) = reply else { continue };
             let Entry::Change(change) = entry else {
-                let _ = reply.send(ConfigurationResponse::Outcome(None));
+                sync::reply(reply, ConfigurationResponse::Outcome(None));
                 continue;
             };
             let response = match self.handle.answer(ConfigurationRequest::Outcome(change.id)).await {
@@ -224,7 +226,7 @@
                 other => other,
             };
             self.count(&response);
-            let _ = reply.send(response);
+            sync::reply(reply, response);
         }
     }
 
@@ -232,7 +234,7 @@
         for reply in taken.into_iter().filter_map(|proposed| proposed.reply) {
             let response = ConfigurationResponse::Unavailable(why);
             self.count(&response);
-            let _ = reply.send(response);
+            sync::reply(reply, response);
         }
     }
 
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -17,9 +17,9 @@
 pub(super) const REGION_KEY: &str = "config/region";
 const DOCUMENT_PREFIX: &str = "config/doc/";
 const LOG_PREFIX: &str = "config/log/";
-/// Key of what the region's leader obeys.
-pub(super) const OBEYED_KEY: &str = "config/obeyed";
-/// Versions of the log that are kept for regions that were cut off.
+/// Key of the version that the region's leader has applied.
+pub(super) const APPLIED_KEY: &str = "config/obeyed";
+/// Versions of the log that stay stored for regions that were cut off.
 const KEPT_VERSIONS: u64 = 10_000;
 
 /// One version of the log.
@@ -33,12 +33,12 @@
     pub recorded: Vec<RecordedChange>,
 }
 
-/// What the region's leader obeys.
+/// What the region's leader has applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedConfiguration {
-    /// The version from which on it starts tasks.
+    /// The version by which it starts tasks.
     pub version: u64,
-    /// The version whose limits all teams keep to: what was beyond them has ended.
+    /// The version within whose limits all teams are: what was beyond them has ended.
     pub kept: u64,
     /// The leader's fencing token.
     #[serde(rename = "term")]
@@ -76,7 +76,7 @@
     format!("{LOG_PREFIX}{version:012}")
 }
 
-/// Why the region's record can't be told.
+/// Why the region's record can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadError {
     /// The state service has not answered.
@@ -120,7 +120,7 @@
     }
 }
 
-/// Brings a record up to what the state service has, by the log; `None` if that does not tell.
+/// Brings a record up to what the state service has, by the log; `None` if the log does not hold all of it.
 pub(super) async fn follow(
     state: &State,
     known: &StoredRecord,
@@ -143,21 +143,21 @@
     if region.genesis == genesis { Ok(region) } else { Err(LoadError::Unreadable) }
 }
 
-/// One version of the log; `None` if it is not kept.
+/// One version of the log; `None` if it is not stored any more.
 pub(super) async fn log_entry(state: &State, version: u64) -> Result<Option<LogEntry>, LoadError> {
     let item = state.get(&log_key(version)).await?.0;
     item.map(|item| serde_json::from_value(item.value).map_err(|_| LoadError::Unreadable)).transpose()
 }
 
-/// What the region's leader obeys, as recorded.
-pub(super) async fn load_obeyed(state: &State) -> Result<AppliedConfiguration, LoadError> {
-    let item = state.get(OBEYED_KEY).await?.0;
+/// What the region's leader has applied, as recorded.
+pub(super) async fn load_applied(state: &State) -> Result<AppliedConfiguration, LoadError> {
+    let item = state.get(APPLIED_KEY).await?.0;
     Ok(item.and_then(|item| serde_json::from_value(item.value).ok()).unwrap_or_default())
 }
 
-/// The change that records what the region's leader obeys.
+/// The write that records what the region's leader has applied.
 pub fn applied_configuration_change(applied_configuration: &AppliedConfiguration) -> Value {
-    wire::put(OBEYED_KEY, &json!(applied_configuration), None)
+    wire::put(APPLIED_KEY, &json!(applied_configuration), None)
 }
 
 /// The changes from one record to the next one; `batch` is what was applied, if any was.
--- a/src/configuration/effect.rs
+++ b/src/configuration/region_policy.rs
@@ -10,8 +10,8 @@
 /// Thousandths in a whole.
 const MILLI: f64 = 1000.0;
 
-/// The documents of version 0: each region has what the settings say of the teams, so that the
-/// fleet has as many times as much as it has regions.
+/// The documents of version 0: each region has the guarantees and limits of the settings, the fleet
+/// their sum.
 pub fn settings_documents(settings: &Settings, operator: &Operator, regions: &[RegionName]) -> Vec<Document> {
     let mut documents: Vec<Document> = Vec::new();
     for team in &settings.params.teams {
@@ -36,8 +36,8 @@
     documents
 }
 
-/// The policy in which a region follows the configuration. Teams that are not known any more
-/// keep no room.
+/// The policy of a region under the configuration. Teams that are not known any more have no
+/// guarantee.
 pub fn policy_of(policy: &Policy, state: &ConfigState, region: &str) -> Policy {
     let mut policy = policy.clone();
     policy.teams.clear();
--- a/src/configuration/regions.rs
+++ b/src/configuration/regions.rs
@@ -1,4 +1,4 @@
-//! The ways to the controllers of other regions, and of this one.
+//! Requests to the controllers of other regions, and of this one.
 
 use super::messages::{ConfigurationRequest, ConfigurationResponse};
 use super::settings::FleetSettings;
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// What needs an agreement may take so many times as long as other requests.
-const LENGTHY: u32 = 4;
+/// A request that needs an agreement may take so many times as long as another one.
+const AGREEMENT_FACTOR: u32 = 4;
 
-/// The ways to the other regions; cheap to clone.
+/// Connections to the other regions; cheap to clone.
 #[derive(Clone)]
 pub(super) struct Regions {
     regions: Arc<BTreeMap<RegionName, Region>>,
@@ -22,18 +22,18 @@
 
 struct Region {
     controllers: Vec<Peer>,
-    /// The controller that answered last.
-    at: AtomicUsize,
+    /// Index of the controller that answered last.
+    last_answered: AtomicUsize,
 }
 
 impl Regions {
-    /// The ways to all regions but the fleet's own one.
+    /// Connects to all regions but the fleet's own one.
     pub(super) fn start(net: &Net, fleet: &FleetSettings, limits: PeerLimits, limit: Duration) -> Regions {
         let others = fleet.regions.iter().filter(|(name, _)| **name != fleet.region);
         let start = |(name, region): (&RegionName, &super::RegionAddresses)| {
             let peer = |address| Peer::start_on(net.clone(), format!("{name} {address}"), address, limits);
             let controllers = region.controllers.iter().copied().map(peer).collect();
-            (name.clone(), Region { controllers, at: AtomicUsize::new(0) })
+            (name.clone(), Region { controllers, last_answered: AtomicUsize::new(0) })
         };
         Regions { regions: Arc::new(others.map(start).collect()), limit }
     }
@@ -48,13 +48,13 @@
         self.ask_within(region, request, self.limit).await
     }
 
-    /// The same for what takes a while to answer.
-    pub(super) async fn ask_at_length(
+    /// The same for a request that needs an agreement.
+    pub(super) async fn ask_for_agreement(
         &self,
         region: &str,
         request: &ConfigurationRequest,
     ) -> Option<ConfigurationResponse> {
-        self.ask_within(region, request, self.limit * LENGTHY).await
+        self.ask_within(region, request, self.limit * AGREEMENT_FACTOR).await
     }
 
     async fn ask_within(
@@ -65,11 +65,11 @@
     ) -> Option<ConfigurationResponse> {
         let region = self.regions.get(region)?;
         let count = region.controllers.len();
-        let first = region.at.load(Ordering::Relaxed);
+        let first = region.last_answered.load(Ordering::Relaxed);
         for turn in 0..count {
             let number = (first + turn) % count;
             if let Some(response) = ask(&region.controllers[number], request, limit).await {
-                region.at.store(number, Ordering::Relaxed);
+                region.last_answered.store(number, Ordering::Relaxed);
                 return Some(response);
             }
         }
--- /dev/null
+++ b/src/configuration/status.rs
@@ -0,0 +1,105 @@
+//! What the actor answers and publishes about versions, documents and regions.
+
+use super::actor::{ConfigurationActor, LastContact};
+use super::handle::Published;
+use super::messages::{
+    ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable,
+};
+use super::records::StoredRecord;
+use crate::runtime::clock;
+use badgerdrift_fleet_config::{Acceptor, RegionName};
+
+impl ConfigurationActor {
+    /// Answers a request that changes nothing.
+    pub(super) fn answer_query(&self, request: &ConfigurationRequest) -> ConfigurationResponse {
+        let Some(StoredRecord { record, .. }) = &self.stored else {
+            return ConfigurationResponse::Unavailable(Unavailable::NotStarted);
+        };
+        let state = &record.state;
+        match request {
+            ConfigurationRequest::Outcome(id) => ConfigurationResponse::Outcome(state.outcome(id).cloned()),
+            ConfigurationRequest::Document(name) => ConfigurationResponse::Document(state.documents.get(name).cloned()),
+            ConfigurationRequest::Documents => {
+                let names = state.documents.iter().map(|(name, versioned)| (name.clone(), versioned.version));
+                ConfigurationResponse::Documents(names.collect())
+            }
+            ConfigurationRequest::History => ConfigurationResponse::History(state.history.iter().cloned().collect()),
+            _ => ConfigurationResponse::Status(self.status(state.version)),
+        }
+    }
+
+    /// The version and the effect of this region, for the other ones.
+    pub(super) fn digest(&self) -> Digest {
+        let record = self.stored.as_ref().map(|stored| &stored.record);
+        Digest {
+            region: self.fleet.region.clone(),
+            genesis: self.genesis,
+            version: record.map(|record| record.acceptor.applied),
+            untouched: record.is_none_or(|record| record.acceptor == Acceptor::default()),
+            applied_configuration: self.applied_configuration.version,
+        }
+    }
+
+    /// The versions and conditions of all regions.
+    fn status(&self, own: u64) -> Vec<RegionStatus> {
+        let latest = self.latest(own);
+        let now = clock::now_ms();
+        let status = |region: &RegionName| {
+            if *region == self.fleet.region {
+                return region_status(region, own, self.applied_configuration.version, latest);
+            }
+            let Some(contact) = self.contacts.get(region) else {
+                let condition = RegionCondition::UnreachableSince { seconds: None };
+                return RegionStatus { region: region.clone(), version: 0, applied_configuration: 0, condition };
+            };
+            let mut status = region_status(
+                region,
+                contact.digest.version.unwrap_or(0),
+                contact.digest.applied_configuration,
+                latest,
+            );
+            let unreachable_ms = now.saturating_sub(contact.at_ms);
+            if unreachable_ms > self.contact_ttl_ms {
+                status.condition = RegionCondition::UnreachableSince { seconds: Some(unreachable_ms / 1000) };
+            }
+            status
+        };
+        self.initial.regions.iter().map(status).collect()
+    }
+
+    /// The last version that any region is known to have applied.
+    pub(super) fn latest(&self, own: u64) -> u64 {
+        self.contacts.values().filter_map(|contact| contact.digest.version).fold(own, u64::max)
+    }
+
+    /// Another region has answered which version it has applied.
+    pub(super) async fn record_contact(&mut self, digest: Digest) {
+        if digest.genesis != self.genesis {
+            tracing::error!(region = digest.region, "the region begins with other teams or figures than this one");
+            return;
+        }
+        self.contacts.insert(digest.region.clone(), LastContact { digest, at_ms: clock::now_ms() });
+        if self.stored.is_none() && self.all_capable && self.reload().await.is_ok() && self.stored.is_none() {
+            self.begin().await;
+        }
+    }
+
+    /// Publishes the configuration to all that follow it on this node.
+    pub(super) fn publish(&self) {
+        let now = clock::now_ms();
+        let reachable = self.contacts.values().filter(|contact| now <= contact.at_ms + self.contact_ttl_ms).count();
+        let published = self.stored.as_ref().map(|stored| Published {
+            state: stored.record.state.clone(),
+            may_start_tasks: stored.record.may_start_tasks(),
+            latest: self.latest(stored.record.state.version),
+            regions_heard: reachable + 1,
+            applied_configuration: self.applied_configuration.version,
+        });
+        self.published.send_replace(published);
+    }
+}
+
+fn region_status(region: &RegionName, version: u64, applied_configuration: u64, latest: u64) -> RegionStatus {
+    let condition = if applied_configuration >= latest { RegionCondition::InForce } else { RegionCondition::Pending };
+    RegionStatus { region: region.clone(), version, applied_configuration, condition }
+}
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -1,4 +1,4 @@
-//! The region's record as the actor keeps it: every change is stored before it is told.
+//! The region's record in the actor: every change is stored before it is answered.
 
 use super::actor::ConfigurationActor;
 use super::messages::{ConfigurationResponse, Unavailable};
@@ -12,7 +12,7 @@
 const STORE_ATTEMPTS: usize = 3;
 
 impl ConfigurationActor {
-    /// Handles a request of a proposer. Its answer is told only once the new record is stored.
+    /// Handles a request of a proposer. Its answer is given only once the new record is stored.
     pub(super) async fn agree(&mut self, request: &Request) -> ConfigurationResponse {
         for _ in 0..STORE_ATTEMPTS {
             let Some(stored) = &self.stored else {
@@ -33,6 +33,7 @@
                     }
                 }
                 Err(LoadError::Unanswered | LoadError::Unreadable) => {
+                    // Whether the write applied is indeterminate; the next request reads again if this fails.
                     let _ = self.reload().await;
                     break;
                 }
@@ -72,7 +73,7 @@
                 None => records::load(&self.state, &self.initial, self.genesis).await?,
             };
         }
-        self.applied_configuration = records::load_obeyed(&self.state).await?;
+        self.applied_configuration = records::load_applied(&self.state).await?;
         Ok(())
     }
 
@@ -80,16 +81,17 @@
     /// one that votes only where it can't have voted before.
     pub(super) async fn begin(&mut self) {
         let others = self.initial.regions.len() - 1;
-        let untouched = self.heard.values().all(|heard| heard.digest.untouched);
-        let record = if self.heard.len() == others && untouched {
+        let untouched = self.contacts.values().all(|contact| contact.digest.untouched);
+        let record = if self.contacts.len() == others && untouched {
             RegionRecord::new(self.initial.clone())
-        } else if !untouched && self.heard.len() > others / 2 {
+        } else if !untouched && self.contacts.len() > others / 2 {
             RegionRecord::rejoin(self.initial.clone(), self.latest(0))
         } else {
             return;
         };
         let changes = records::changes(None, &record, None, self.genesis);
         if self.store(record, &changes).await != Ok(true) {
+            // Tried again with the next contact if this fails.
             let _ = self.reload().await;
         }
     }
