--- a/src/borrowing/messages.rs
+++ b/src/borrowing/messages.rs
@@ -1,12 +1,12 @@
-//! What is asked about loans, through any controller.
+//! Requests about loans, through any controller.
 
 use crate::control::partition::LoansStatus;
 use serde::{Deserialize, Serialize};
 
-/// A question about loans.
+/// A request about loans.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LoansRequest {
-    /// How are the loans and the teams?
+    /// The state of the loans and the teams.
     Status,
 }
 
--- a/src/borrowing/mod.rs
+++ b/src/borrowing/mod.rs
@@ -1,6 +1,6 @@
-//! Loans between teams in the controller: the operators' file, and what controllers and operators
-//! ask each other about loans. What is decided is in `badgerdrift_borrowing` and `sched`, what
-//! meets machines and jobs in `partition`.
+//! Loans between teams in the controller: the operators' file, and the requests of controllers and
+//! operators about loans. Decisions about loans are in `badgerdrift_borrowing` and `scheduling`, what
+//! concerns machines and jobs is in `control::partition`.
 
 mod messages;
 mod settings;
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -33,7 +33,7 @@
     /// The last version that is known of any region.
     pub latest: u64,
     /// Number of regions, this one included, that answered lately.
-    pub regions_heard: usize,
+    pub reachable_regions: usize,
     /// The version that the region's leader has applied, as recorded.
     pub applied_configuration: u64,
 }
@@ -42,7 +42,7 @@
     /// Whether no later version is known, while a majority of regions answered lately.
     pub fn is_up_to_date(&self) -> bool {
         let majority = self.state.regions.len() / 2 + 1;
-        self.latest <= self.state.version && self.regions_heard >= majority
+        self.latest <= self.state.version && self.reachable_regions >= majority
     }
 }
 
@@ -98,7 +98,7 @@
             ("configuration_version", published.state.version),
             ("configuration_obeyed", published.applied_configuration),
             ("configuration_latest", published.latest),
-            ("configuration_regions_heard", published.regions_heard as u64),
+            ("configuration_regions_heard", published.reachable_regions as u64),
         ];
         figures.iter().map(|(name, value)| gauge_line(name, *value as usize)).collect()
     }
--- a/src/configuration/status.rs
+++ b/src/configuration/status.rs
@@ -92,7 +92,7 @@
             state: stored.record.state.clone(),
             may_start_tasks: stored.record.may_start_tasks(),
             latest: self.latest(stored.record.state.version),
-            regions_heard: reachable + 1,
+            reachable_regions: reachable + 1,
             applied_configuration: self.applied_configuration.version,
         });
         self.published.send_replace(published);
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -1,58 +1,58 @@
 //! Bounds on what a controller holds at a time, derived from the platform's settings.
 //!
 //! No bound follows from a number of machines: a larger fleet comes with larger limits of the
-//! process. `docs/CAPACITY.md` tells what each one is at 4,000 and at 6,000 machines, and what
+//! process. `docs/CAPACITY.md` lists what each one is at 4,000 and at 6,000 machines, and what
 //! is seen when it is reached.
 
 use crate::settings::{Limits, Settings};
 
 /// Bytes in a megabyte, as the settings count them.
 const BYTES_PER_MB: f64 = 1e6;
-/// Memory that is reckoned with where the settings name none.
+/// Memory that is assumed where the settings name none.
 const ASSUMED_MEMORY_MB: f64 = 256.0;
 
 /// Share of the memory that remembered ends of jobs may take.
 const ENDED_JOBS_SHARE: f64 = 1.0 / 16.0;
-/// What a remembered end takes: its id, and an entry in a map and in a queue.
+/// Bytes of a remembered end: its id, and an entry in a map and in a queue.
 const ENDED_JOB_BYTES: f64 = 160.0;
 
 /// Share of the memory that hints about jobs may take, and those about machines.
 const ROUTE_HINTS_SHARE: f64 = 1.0 / 32.0;
-/// What a hint takes: an id, and an entry in a map.
+/// Bytes of a hint: an id, and an entry in a map.
 const ROUTE_HINT_BYTES: f64 = 80.0;
 
 /// Share of the memory that attempts of tasks may take.
 const ATTEMPTS_SHARE: f64 = 0.5;
-/// What an attempt takes, with its task and its part of the report that is being read: twice the
+/// Bytes of an attempt, with its task and its part of the heartbeat that is being read: twice the
 /// 0.2 KB that were measured with 40 attempts on each of 6,000 machines.
 const ATTEMPT_BYTES: f64 = 400.0;
-/// Entries of attempts in workers' reports that a leader with a whole core can follow in a
+/// Entries of attempts in heartbeats that a leader with a whole core can follow in a
 /// second beside its other work.
 const ENTRIES_PER_CORE: f64 = 60_000.0;
 
-/// How often in a second an attempt is listed, before that was measured and at the most that is
-/// reckoned with: workers with short tasks report more often than they have to.
+/// How often in a second an attempt is listed: assumed until it was measured, and at the most.
+/// Workers with short tasks send heartbeats more often than they have to.
 pub const MOST_ENTRIES_PER_S: f64 = 1.0;
 
-/// Messages that wait for the leader of a partition. It does not grow with the fleet: a report that
-/// waits longer than its worker does is answered in vain, and a leader that is late answers none
-/// in time. What does not fit is refused at once.
+/// Messages that wait for the leader of a partition. It does not grow with the fleet: a heartbeat
+/// that waits longer than its worker does is answered in vain, and a leader that is late answers
+/// none in time. What does not fit is refused at once.
 pub const QUEUED_FOR_LEADER: usize = 1024;
 
 /// Part of the sockets that the server may use; the rest is for what this node opens itself.
 const SERVER_SHARE: (usize, usize) = (3, 4);
-/// Connections to workers that are kept open, as a part of the sockets. Of a thousand machines
-/// few are sent orders at a time: what stays open to the others would use up the sockets that
-/// their reports need.
+/// Idle connections to workers, as a part of the sockets. Of a thousand machines few are sent
+/// orders at a time: what stays open to the others would use up the sockets that their heartbeats
+/// need.
 const WORKER_POOL_PART: usize = 16;
 /// Direct commands to workers under way at a time, as a part of the sockets.
 const DIRECT_COMMANDS_PART: usize = 8;
 
-/// Machines that a leader with a whole core may ask in a second how they are, beside its other
-/// work. A leader with a small share that asked all machines at once after a failover would
-/// answer neither their reports nor users for seconds.
+/// Machines that a leader with a whole core may probe in a second, beside its other work. A leader
+/// with a small share that probed all machines at once after a failover would answer neither
+/// heartbeats nor users for seconds.
 const PROBES_PER_CORE: f64 = 1000.0;
-/// Fewest machines that may be asked in a second.
+/// Fewest machines that may be probed in a second.
 const LEAST_PROBES_PER_S: f64 = 1.0;
 
 /// What a controller holds at the most.
@@ -62,13 +62,13 @@
     pub ended_jobs: usize,
     /// Hints of a kind about where jobs and machines belong; without one all partitions are asked.
     pub route_hints: usize,
-    /// Connections of users and workers; one that waits for its next request makes room.
+    /// Connections of users and workers; beyond them the longest idle one is closed.
     pub server_connections: usize,
-    /// Open connections to workers that are kept for the next direct command.
+    /// Idle connections to workers, for the next direct command.
     pub worker_connections: usize,
     /// Direct commands under way; further ones wait.
     pub direct_commands: usize,
-    /// Machines that may be asked in a second how they are; none if that is not limited.
+    /// Machines that may be probed in a second; `None` if that is not limited.
     pub probes_per_s: Option<f64>,
     /// How many attempts a leader follows.
     pub attempts: AttemptBounds,
@@ -102,7 +102,7 @@
 pub struct AttemptBounds {
     /// Attempts that fit into its memory.
     by_memory: usize,
-    /// Entries of attempts in reports that it can follow in a second; none if that is not limited.
+    /// Entries of attempts in heartbeats that it can follow in a second; `None` if that is not limited.
     entries_per_s: Option<usize>,
 }
 
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Checks the pools against the machine types of the cloud and those that the state service
-/// keeps; the error names the first field at fault.
+/// Checks the pools against the machine types that the cloud and the state service list; the error
+/// names the first field at fault.
 ///
 /// A type that was known once does not keep a controller from starting: the cloud may have
 /// dropped it since. Neither does a cloud or a state service that gives no answer: the leader
-/// looks at the types again once they are known.
+/// checks the types again once they are known.
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
     let limit = Duration::from_millis(settings.react_ms());
     let (cloud, state) = (Cloud::on(net, settings), State::on(net, settings));
-    let (offered, kept) =
+    let (offered, stored) =
         tokio::join!(timeout(limit, cloud.instance_types()), timeout(limit, stored_instance_types(&state)));
-    let (Ok(Some(offered)), Ok(Some(kept))) = (offered, kept) else {
+    let (Ok(Some(offered)), Ok(Some(stored))) = (offered, stored) else {
         tracing::warn!("the machine types of warm pools can't be checked now");
         return Ok(());
     };
-    pools.check(&KnownFleet { machines: Some(names(&offered, &kept)), ..known_fleet(settings) })
+    pools.check(&KnownFleet { machines: Some(names(&offered, &stored)), ..known_fleet(settings) })
 }
 
-fn names(offered: &[InstanceType], kept: &[InstanceType]) -> BTreeSet<String> {
-    offered.iter().chain(kept).map(|instance_type| instance_type.name.clone()).collect()
+fn names(offered: &[InstanceType], stored: &[InstanceType]) -> BTreeSet<String> {
+    offered.iter().chain(stored).map(|instance_type| instance_type.name.clone()).collect()
 }
--- a/src/warm_pools/messages.rs
+++ b/src/warm_pools/messages.rs
@@ -1,14 +1,14 @@
-//! What is asked about pools, through any controller.
+//! Requests about pools, through any controller.
 
 use badgerdrift_warm_pools::{DayTotal, PoolStatus};
 use serde::{Deserialize, Serialize};
 
-/// A question about pools.
+/// A request about pools.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PoolsRequest {
-    /// How are the pools?
+    /// The state of each pool.
     Status,
-    /// What is recorded of the bills of these days, the first and the last, as `2026-12-02`?
+    /// The recorded bills from the first to the last of these days, each as `2026-12-02`.
     Bill {
         /// The first day (UTC).
         from: String,
@@ -36,7 +36,7 @@
 /// The answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PoolsResponse {
-    /// How each pool is.
+    /// The state of each pool.
     Status(Vec<PoolStatus>),
     /// The recorded bills, by day, team and pool.
     Bill(Vec<BillRow>),
--- a/src/warm_pools/mod.rs
+++ b/src/warm_pools/mod.rs
@@ -1,6 +1,6 @@
-//! Warm pools in the controller: the operators' file, and what controllers and operators ask each
-//! other about pools. What is decided is in `badgerdrift_warm_pools`, what meets machines and jobs
-//! in `partition`.
+//! Warm pools in the controller: the operators' file, and the requests of controllers and operators
+//! about pools. Decisions about slots are in `badgerdrift_warm_pools`, what concerns machines and
+//! jobs is in `control::partition`.
 
 mod bills;
 mod machine_types;
--- a/src/warm_pools/settings.rs
+++ b/src/warm_pools/settings.rs
@@ -4,13 +4,14 @@
 use badgerdrift_warm_pools::{KnownFleet, PoolSettings};
 use std::path::Path;
 
-/// A slot's record and the bills that its charges go to change together: two teams on two days.
+/// Changes of a commit that warm pools need: a slot's record and the bills that its charges go to,
+/// of two teams on two days.
 pub const LEAST_CHANGES: usize = 6;
 
 /// Kinds of blocks whose names must differ.
 const NAMED_BLOCKS: [&str; 2] = ["model", "pool"];
 
-/// What the platform's settings tell of the fleet; machine types are told by the cloud later.
+/// The fleet as far as the platform's settings know it; the cloud lists its machine types later.
 pub fn known_fleet(settings: &Settings) -> KnownFleet {
     let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
     let limits =
