--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,12 +1,12 @@
-//! Clocks. Safety counts on the steady clock only; the time of day serves for
-//! deadlines, which outlive a controller.
+//! Clocks. Leases and timeouts are measured on the steady clock alone; the time of day serves for
+//! deadlines of jobs, which outlive a controller.
 
 use std::cell::Cell;
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Bound on the drift of a steady clock, twice over: ours and the other's.
+/// Bound on the drift of two steady clocks against each other, as a share of the time between.
 pub const DRIFT: f64 = 0.001;
 
 static BASE: OnceLock<std::time::Instant> = OnceLock::new();
@@ -18,15 +18,15 @@
 }
 
 thread_local! {
-    /// The time of day, and the instant of the steady clock from which it goes on with that,
-    /// in a simulation.
+    /// In a simulation: the time of day in milliseconds, and the instant of the steady clock from
+    /// which it advances with that; `None` while it stands still.
     static SIMULATED: Cell<Option<(u64, Option<Instant>)>> = const { Cell::new(None) };
 }
 
-/// For simulations: on this thread the time of day is now so many milliseconds, and goes
-/// on with the steady clock or stands still.
-pub fn simulate_wall(now_ms: u64, goes_on: bool) {
-    SIMULATED.set(Some((now_ms, goes_on.then(Instant::now))));
+/// For simulations: sets the time of day of this thread, in milliseconds; it advances with the
+/// steady clock or stands still.
+pub fn simulate_wall(now_ms: u64, advances: bool) {
+    SIMULATED.set(Some((now_ms, advances.then(Instant::now))));
 }
 
 /// Milliseconds of the time of day.
@@ -34,5 +34,5 @@
     if let Some((start_ms, start)) = SIMULATED.get() {
         return start_ms + start.map_or(0, |start| start.elapsed().as_millis() as u64);
     }
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/src/runtime/metrics.rs
+++ b/src/runtime/metrics.rs
@@ -1,28 +1,29 @@
-//! Histograms and counters, told at `GET /metrics` in the usual text format.
+//! Histograms and counters, served at `GET /metrics` in the usual text format.
 
+use crate::runtime::sync::lock;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 
-/// Figures by name and label.
+/// Metrics by name and label.
 #[derive(Default)]
 pub struct Metrics {
     histograms: BTreeMap<(&'static str, String), Histogram<u32>>,
     counters: BTreeMap<(&'static str, String), u64>,
 }
 
-/// Longest time that is told apart: an hour, in milliseconds.
+/// Longest duration of a histogram: an hour, in milliseconds.
 const MAX_OBSERVED_MS: u64 = 3_600_000;
 
 impl Metrics {
     /// Records a duration in milliseconds in a histogram; durations over an hour count as one.
     pub fn observe(&mut self, name: &'static str, label: &str, ms: u64) {
-        let h = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
+        let histogram = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit keeps a histogram at a few kilobytes.
-            Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("bounds that hdrhistogram takes")
+            Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("constant bounds, which hdrhistogram takes")
         });
-        h.saturating_record(ms.clamp(1, MAX_OBSERVED_MS));
+        histogram.saturating_record(ms.clamp(1, MAX_OBSERVED_MS));
     }
 
     /// Raises a counter by one.
@@ -35,40 +36,41 @@
         *self.counters.entry((name, label.to_string())).or_default() += amount;
     }
 
-    /// All figures in the text format of `GET /metrics`.
+    /// All metrics in the text format of `GET /metrics`.
     pub fn text(&self) -> String {
+        // Writing to a String can't fail.
         let mut out = String::new();
-        for ((name, label), h) in &self.histograms {
-            for q in [0.5, 0.9, 0.99] {
-                let v = h.value_at_quantile(q);
-                let _ = writeln!(out, "badgerdrift_{name}{{of=\"{label}\",quantile=\"{q}\"}} {v}");
+        for ((name, label), histogram) in &self.histograms {
+            for quantile in [0.5, 0.9, 0.99] {
+                let value = histogram.value_at_quantile(quantile);
+                let _ = writeln!(out, "badgerdrift_{name}{{of=\"{label}\",quantile=\"{quantile}\"}} {value}");
             }
-            let _ = writeln!(out, "badgerdrift_{name}_count{{of=\"{label}\"}} {}", h.len());
+            let _ = writeln!(out, "badgerdrift_{name}_count{{of=\"{label}\"}} {}", histogram.len());
         }
-        for ((name, label), n) in &self.counters {
-            let _ = writeln!(out, "badgerdrift_{name}_total{{of=\"{label}\"}} {n}");
+        for ((name, label), count) in &self.counters {
+            let _ = writeln!(out, "badgerdrift_{name}_total{{of=\"{label}\"}} {count}");
         }
         out
     }
 }
 
-/// Figures of a whole node; cheap to clone.
+/// Metrics of a whole node; cheap to clone.
 #[derive(Clone, Default)]
 pub struct SharedMetrics(Arc<Mutex<Metrics>>);
 
 impl SharedMetrics {
     /// Adds one to a counter.
     pub fn count(&self, name: &'static str, label: &str) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).count(name, label);
+        lock(&self.0).count(name, label);
     }
 
-    /// All figures in the text format.
+    /// All metrics in the text format.
     pub fn text(&self) -> String {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).text()
+        lock(&self.0).text()
     }
 }
 
-/// A figure without a label that goes up and down, as a line of the text format.
+/// A gauge without a label, as a line of the text format.
 pub fn gauge_line(name: &str, value: usize) -> String {
     format!("badgerdrift_{name} {value}\n")
 }
--- a/src/runtime/task.rs
+++ b/src/runtime/task.rs
@@ -1,5 +1,5 @@
-//! Starts the tasks of a controller. A test may put a gate before all of them, and so
-//! pause one controller of several that run in the same process.
+//! Starts the tasks of a controller. A test may gate all of them, and so pause one controller of
+//! several that run in the same process.
 
 use std::future::{Future, poll_fn};
 use std::pin::pin;
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -1,7 +1,8 @@
-//! The client.
+//! The client: one request at a time on a connection, and a pool of idle connections.
 
 use super::framing::{parse_reply, read_message};
 use super::pool::Pool;
+use crate::runtime::sync::lock;
 use crate::transport::network::{Net, Stream};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -27,18 +28,18 @@
 }
 
 impl Default for Client {
-    /// For a few servers that are asked all the time.
+    /// For a few servers that get requests all the time.
     fn default() -> Client {
-        Client::keeping(SMALL_IDLE_POOL)
+        Client::with_idle(SMALL_IDLE_POOL)
     }
 }
 
-/// Idle connections kept by a client of a few servers.
+/// Idle connections of a client of a few servers.
 pub const SMALL_IDLE_POOL: usize = 16;
 
 impl Client {
-    /// A client that keeps so many idle connections at the most.
-    pub fn keeping(most: usize) -> Client {
+    /// A client with `most` idle connections at the most.
+    pub fn with_idle(most: usize) -> Client {
         Client::on(&Net::default(), most)
     }
 
@@ -67,22 +68,19 @@
         let Ok(Ok(reply)) = timeout_at(deadline, read_message(&mut stream, &mut buf, parse_reply)).await else {
             return Err(CallError::Indeterminate);
         };
-        if !reply.close
-            && buf.is_empty()
-            && let Ok(mut idle) = self.idle.lock()
-        {
-            idle.keep(addr, stream);
+        if !reply.close && buf.is_empty() {
+            lock(&self.idle).put(addr, stream);
         }
         Ok((reply.head, reply.body))
     }
 
     /// An idle connection to the server, or a new one.
     async fn connection(&self, addr: SocketAddr, deadline: Instant) -> Result<Box<dyn Stream>, CallError> {
-        let reused = self.idle.lock().ok().and_then(|mut p| p.take(addr));
+        let reused = lock(&self.idle).take(addr);
         match reused {
-            Some(s) if !s.is_closed() => Ok(s),
+            Some(stream) if !stream.is_closed() => Ok(stream),
             _ => match timeout_at(deadline, self.net.connect(addr)).await {
-                Ok(Ok(s)) => Ok(s),
+                Ok(Ok(stream)) => Ok(stream),
                 _ => Err(CallError::NotSent),
             },
         }
@@ -90,9 +88,7 @@
 
     /// Forgets the idle connections to a machine that is gone.
     pub fn forget(&self, addr: SocketAddr) {
-        if let Ok(mut idle) = self.idle.lock() {
-            idle.forget(addr);
-        }
+        lock(&self.idle).forget(addr);
     }
 }
 
@@ -100,8 +96,8 @@
     let mut out = Vec::with_capacity(128 + body.map_or(0, <[u8]>::len));
     // Writing to a vector can't fail.
     let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {addr}\r\n");
-    if let Some(b) = body {
-        let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n", b.len());
+    if let Some(body) = body {
+        let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n", body.len());
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body.unwrap_or(&[]));
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -18,8 +18,8 @@
 /// Replies of the state service have no size limit; this one only bounds memory.
 const MAX_REPLY: usize = 8 * 1024 * 1024;
 
-/// A head as framing sees it: where the body begins, how long it is, whether
-/// the connection stays open.
+/// The frame of a message: where its body begins, how long it is, and whether the connection ends
+/// after it.
 pub(super) struct Frame {
     head_len: usize,
     body_len: usize,
@@ -28,21 +28,21 @@
 
 /// Headers that framing needs; `Err` is the status of the refusal.
 fn frame(head_len: usize, headers: &[httparse::Header<'_>], max_body: usize) -> Result<Frame, u16> {
-    let mut f = Frame { head_len, body_len: 0, close: false };
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(h.value).map_err(|_| 400u16)?.trim();
-            f.body_len = text.parse().map_err(|_| 400u16)?;
-            if f.body_len > max_body {
+    let mut frame = Frame { head_len, body_len: 0, close: false };
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let text = std::str::from_utf8(header.value).map_err(|_| 400u16)?.trim();
+            frame.body_len = text.parse().map_err(|_| 400u16)?;
+            if frame.body_len > max_body {
                 return Err(413);
             }
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(501);
-        } else if h.name.eq_ignore_ascii_case("connection") && h.value.eq_ignore_ascii_case(b"close") {
-            f.close = true;
+        } else if header.name.eq_ignore_ascii_case("connection") && header.value.eq_ignore_ascii_case(b"close") {
+            frame.close = true;
         }
     }
-    Ok(f)
+    Ok(frame)
 }
 
 /// A message that has arrived whole; the head is that of a request or a reply.
@@ -65,14 +65,14 @@
     parse: impl Fn(&[u8]) -> Parsed<T>,
 ) -> Result<Message<T>, ReadError> {
     loop {
-        if let Some((head, f)) = parse(buf).map_err(ReadError::Refused)? {
-            let total = f.head_len + f.body_len;
+        if let Some((head, frame)) = parse(buf).map_err(ReadError::Refused)? {
+            let total = frame.head_len + frame.body_len;
             while buf.len() < total {
                 read_more(stream, buf).await?;
             }
-            let body = buf[f.head_len..total].to_vec();
+            let body = buf[frame.head_len..total].to_vec();
             buf.drain(..total);
-            return Ok(Message { head, body, close: f.close });
+            return Ok(Message { head, body, close: frame.close });
         }
         if buf.len() > MAX_HEAD {
             return Err(ReadError::Refused(431));
@@ -84,14 +84,14 @@
 /// Appends what arrives next to `buf`.
 async fn read_more(stream: &mut Box<dyn Stream>, buf: &mut Vec<u8>) -> Result<(), ReadError> {
     match read_available(stream, buf).await {
-        Ok(n) if n > 0 => Ok(()),
+        Ok(length) if length > 0 => Ok(()),
         _ => Err(ReadError::Closed),
     }
 }
 
-/// Appends what arrives next to `buf`, and tells how many bytes that is; 0 at the end of the
-/// stream. What is read passes through the stack of the poll: a chunk in the future itself
-/// would take its room in every idle connection, and be cleared for every message.
+/// Appends what arrives next to `buf`; the number of bytes, 0 at the end of the stream. The chunk is
+/// on the stack of the poll: in the future itself it would take memory in every idle connection,
+/// and be cleared for every message.
 pub(super) async fn read_available(stream: &mut Box<dyn Stream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|context| {
         let mut chunk = [MaybeUninit::<u8>::uninit(); READ_CHUNK];
@@ -117,13 +117,13 @@
 /// Reads the head of a request.
 pub(super) fn parse_request(buf: &[u8]) -> Parsed<RequestLine> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut req = httparse::Request::new(&mut headers);
-    match req.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => {
-            let f = frame(n, req.headers, MAX_BODY)?;
-            let method = req.method.unwrap_or("").to_string();
-            let path = req.path.unwrap_or("").to_string();
-            Ok(Some((RequestLine { method, path }, f)))
+    let mut request = httparse::Request::new(&mut headers);
+    match request.parse(buf) {
+        Ok(httparse::Status::Complete(head_len)) => {
+            let frame = frame(head_len, request.headers, MAX_BODY)?;
+            let method = request.method.unwrap_or("").to_string();
+            let path = request.path.unwrap_or("").to_string();
+            Ok(Some((RequestLine { method, path }, frame)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(431),
@@ -134,11 +134,11 @@
 /// Reads the head of a reply: its status.
 pub(super) fn parse_reply(buf: &[u8]) -> Parsed<u16> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut rep = httparse::Response::new(&mut headers);
-    match rep.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => {
-            let f = frame(n, rep.headers, MAX_REPLY)?;
-            Ok(Some((rep.code.unwrap_or(0), f)))
+    let mut reply = httparse::Response::new(&mut headers);
+    match reply.parse(buf) {
+        Ok(httparse::Status::Complete(head_len)) => {
+            let frame = frame(head_len, reply.headers, MAX_REPLY)?;
+            Ok(Some((reply.code.unwrap_or(0), frame)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(_) => Err(400),
--- a/src/transport/http/idle.rs
+++ b/src/transport/http/idle.rs
@@ -1,5 +1,6 @@
 //! Connections of the server that wait for their next request.
 
+use crate::runtime::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
@@ -14,27 +15,25 @@
 /// One connection's entry, for as long as it waits.
 pub(super) struct IdleEntry<'a> {
     idle: &'a Mutex<Idle>,
-    n: u64,
-    pub(super) asked_to_go: Arc<Notify>,
+    number: u64,
+    pub(super) close_request: Arc<Notify>,
 }
 
 impl IdleEntry<'_> {
-    /// Enters a connection; none if the server is at its end.
-    pub(super) fn enter(idle: &Mutex<Idle>) -> Option<IdleEntry<'_>> {
-        let asked_to_go = Arc::new(Notify::new());
-        let mut i = idle.lock().ok()?;
-        i.next += 1;
-        let n = i.next;
-        i.waiting.insert(n, asked_to_go.clone());
-        drop(i);
-        Some(IdleEntry { idle, n, asked_to_go })
+    /// Enters a connection; it leaves with the entry.
+    pub(super) fn enter(idle: &Mutex<Idle>) -> IdleEntry<'_> {
+        let close_request = Arc::new(Notify::new());
+        let mut entries = lock(idle);
+        entries.next += 1;
+        let number = entries.next;
+        entries.waiting.insert(number, close_request.clone());
+        drop(entries);
+        IdleEntry { idle, number, close_request }
     }
 }
 
 impl Drop for IdleEntry<'_> {
     fn drop(&mut self) {
-        if let Ok(mut i) = self.idle.lock() {
-            i.waiting.remove(&self.n);
-        }
+        lock(self.idle).waiting.remove(&self.number);
     }
 }
--- a/src/transport/http/pool.rs
+++ b/src/transport/http/pool.rs
@@ -19,7 +19,7 @@
 }
 
 impl Pool {
-    /// A pool that keeps so many connections at the most.
+    /// A pool of `most` connections at the most.
     pub(super) fn new(most: usize) -> Pool {
         Pool { most, ..Pool::default() }
     }
@@ -32,7 +32,7 @@
     }
 
     /// Puts a connection into the pool.
-    pub(super) fn keep(&mut self, addr: SocketAddr, stream: Open) {
+    pub(super) fn put(&mut self, addr: SocketAddr, stream: Open) {
         let same = self.by_addr.entry(addr).or_default();
         if same.len() >= IDLE_PER_HOST || self.most == 0 {
             return;
@@ -44,7 +44,7 @@
             && let Some((oldest, addr)) = self.by_age.pop_first()
             && let Some(same) = self.by_addr.get_mut(&addr)
         {
-            same.retain(|s| s.0 != oldest);
+            same.retain(|(age, _)| *age != oldest);
             if same.is_empty() {
                 self.by_addr.remove(&addr);
             }
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -1,8 +1,9 @@
-//! The server.
+//! The server: one task a connection, bounded in number.
 
 use super::framing::{Message, ReadError, parse_request, read_available, read_message};
 use super::idle::{Idle, IdleEntry};
 use super::message::{Request, Response, TOO_LARGE, reason};
+use crate::runtime::sync::lock;
 use crate::runtime::task;
 use crate::transport::network::{Listener, Stream};
 use std::future::Future;
@@ -18,14 +19,14 @@
 /// An idle connection may wait this many times as long as a request may take to arrive.
 const IDLE_FACTOR: u32 = 30;
 
-/// Connections beyond the bound that are told so before they are closed, as a part of it.
+/// Connections beyond the bound that get a refusal before they are closed, as a part of it.
 const REFUSED_PART: usize = 16;
 /// Seconds after which a request on such a connection may come again.
 const REFUSED_RETRY_S: u64 = 1;
 
 /// Serves `listener` for ever. `patience` bounds how long a request may take
 /// to arrive; idle connections may stay until there are too many, when the one
-/// that waited longest goes: workers that were cut off leave theirs behind.
+/// that waited longest is closed: workers that were cut off leave theirs behind.
 pub async fn serve<H, F>(listener: impl Listener, max_open: usize, patience: Duration, handler: H)
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
@@ -42,7 +43,7 @@
             continue;
         };
         if open.load(Ordering::Relaxed) >= max_open {
-            let Some((_, oldest)) = idle.lock().ok().and_then(|mut i| i.waiting.pop_first()) else {
+            let Some((_, oldest)) = lock(&idle).waiting.pop_first() else {
                 refuse(stream, patience, &refused, max_open.div_ceil(REFUSED_PART));
                 continue;
             };
@@ -57,8 +58,8 @@
     }
 }
 
-/// Answers the first request of a connection for which there is no place, if there are not
-/// `most` such connections already. Others are closed at once, so that sockets stay free.
+/// Refuses the first request of a connection beyond the bound, if there are fewer than `most`
+/// such connections. Others are closed at once, so that sockets stay free.
 fn refuse(mut stream: Box<dyn Stream>, patience: Duration, refused: &Arc<AtomicUsize>, most: usize) {
     if refused.load(Ordering::Relaxed) >= most {
         return;
@@ -66,15 +67,17 @@
     refused.fetch_add(1, Ordering::Relaxed);
     let refused = refused.clone();
     task::spawn(async move {
-        let _ = timeout(patience, answer_no_place(&mut stream)).await;
+        // The connection is closed in any case.
+        let _ = timeout(patience, answer_refusal(&mut stream)).await;
         refused.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
-async fn answer_no_place(stream: &mut Box<dyn Stream>) {
+async fn answer_refusal(stream: &mut Box<dyn Stream>) {
     if read_message(stream, &mut Vec::new(), parse_request).await.is_ok() {
         let refusal = Response::error(503, "too many connections");
         let refusal = Response { retry_after_s: Some(REFUSED_RETRY_S), ..refusal };
+        // The client may have closed the connection.
         let _ = stream.write_all(&encode_reply(&refusal, true)).await;
     }
 }
@@ -103,18 +106,18 @@
     }
 }
 
-/// Waits for the next request, which may take long; false if the connection is to end.
+/// Waits for the next request, which may take long; `false` if the connection is to end.
 async fn next_request_begins(
     stream: &mut Box<dyn Stream>,
     buf: &mut Vec<u8>,
     patience: Duration,
     idle: &Mutex<Idle>,
 ) -> bool {
-    let Some(waits) = IdleEntry::enter(idle) else { return false };
+    let entry = IdleEntry::enter(idle);
     tokio::select! {
         biased;
-        read = timeout(patience * IDLE_FACTOR, read_available(stream, buf)) => matches!(read, Ok(Ok(n)) if n > 0),
-        () = waits.asked_to_go.notified() => false,
+        read = timeout(patience * IDLE_FACTOR, read_available(stream, buf)) => matches!(read, Ok(Ok(length)) if length > 0),
+        () = entry.close_request.notified() => false,
     }
 }
 
@@ -127,21 +130,22 @@
     }
 }
 
-fn encode_reply(r: &Response, close: bool) -> Vec<u8> {
-    let mut out = Vec::with_capacity(160 + r.body.len());
-    let (status, reason, content_type, length) = (r.status, reason(r.status), r.content_type, r.body.len());
+fn encode_reply(response: &Response, close: bool) -> Vec<u8> {
+    let mut out = Vec::with_capacity(160 + response.body.len());
+    let (status, reason) = (response.status, reason(response.status));
+    let (content_type, length) = (response.content_type, response.body.len());
     // Writing to a vector can't fail.
     let _ = write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n");
-    if let Some(s) = r.retry_after_s {
-        let _ = write!(out, "Retry-After: {s}\r\n");
+    if let Some(seconds) = response.retry_after_s {
+        let _ = write!(out, "Retry-After: {seconds}\r\n");
     }
-    if let Some(a) = r.allow {
-        let _ = write!(out, "Allow: {a}\r\n");
+    if let Some(methods) = response.allow {
+        let _ = write!(out, "Allow: {methods}\r\n");
     }
     if close {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(&r.body);
+    out.extend_from_slice(&response.body);
     out
 }
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -45,7 +45,7 @@
 // besides the one that it reports on, used up the sockets.
 #[tokio::test]
 async fn idle_connections_are_bounded_and_the_oldest_goes_first() {
-    let c = Client::keeping(2);
+    let c = Client::with_idle(2);
     let addrs = [server(1000).await, server(1000).await, server(1000).await];
     for addr in addrs {
         c.call(addr, "GET", "/", None, Duration::from_secs(2)).await.unwrap();
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -19,7 +19,7 @@
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {
     /// True if the other side has closed an idle connection meanwhile.
     fn is_closed(&self) -> bool;
-    /// Both directions, to be used by different tasks.
+    /// Splits the connection into both directions, for different tasks.
     fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf);
 }
 
@@ -37,7 +37,7 @@
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>>;
 }
 
-/// A handle of the network; cheap to clone. TCP by default.
+/// A handle of a network; cheap to clone. TCP by default.
 #[derive(Clone)]
 pub struct Net(Arc<dyn Network>);
 
@@ -77,6 +77,7 @@
 }
 
 fn without_delay(stream: TcpStream) -> Box<dyn Stream> {
+    // Without it the connection is slower, and works.
     let _ = stream.set_nodelay(true);
     Box::new(stream)
 }
@@ -96,7 +97,7 @@
 impl Stream for TcpStream {
     fn is_closed(&self) -> bool {
         let mut byte = [0u8; 1];
-        !matches!(self.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        !matches!(self.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf) {
