--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages between the service and the cloud: machine types, rentals and the list of machines.
+//! Messages between the service and the cloud: instance types, rentals and the list of machines.
 
 use crate::model::{Demand, InstanceType};
 use serde::Deserialize;
@@ -31,21 +31,22 @@
     instance_types: Vec<WireInstanceType>,
 }
 
-/// Reads the machine types.
+/// Reads the instance types; `None` if the body is not in the expected form.
 pub fn parse_flavors(body: &[u8]) -> Option<Vec<InstanceType>> {
-    let w: WireInstanceTypes = serde_json::from_slice(body).ok()?;
+    let message: WireInstanceTypes = serde_json::from_slice(body).ok()?;
     Some(
-        w.instance_types
+        message
+            .instance_types
             .into_iter()
-            .map(|f| InstanceType {
-                name: f.sku,
-                cap: Demand { cpus: f.cores, gpus: f.cards, mem: f.mem_gb },
-                cache_gb: f.cache_gb,
-                fetch_gb_per_s: f.fetch_gb_per_s,
-                price: f.rate,
-                spot_price: f.low_price,
-                boot_s: f.startup_s,
-                zones: f.regions,
+            .map(|listed| InstanceType {
+                name: listed.sku,
+                cap: Demand { cpus: listed.cores, gpus: listed.cards, mem: listed.mem_gb },
+                cache_gb: listed.cache_gb,
+                fetch_gb_per_s: listed.fetch_gb_per_s,
+                price: listed.rate,
+                spot_price: listed.low_price,
+                boot_s: listed.startup_s,
+                zones: listed.regions,
             })
             .collect(),
     )
@@ -56,14 +57,14 @@
 pub struct ListedInstance {
     /// Id of the machine.
     pub id: String,
-    /// Name of its machine type.
+    /// Name of its instance type.
     #[serde(default)]
     #[serde(rename = "flavor")]
     pub instance_type: String,
-    /// Where it stands.
+    /// Its zone.
     #[serde(default, rename = "region")]
     pub zone: String,
-    /// True if the cloud may take it back.
+    /// True if the cloud may preempt it.
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
     #[serde(default)]
@@ -92,24 +93,26 @@
     more: bool,
 }
 
-/// Reads a page of the machine list; true if there are more.
+/// Reads a page of the machine list, and whether further pages follow; `None` if the body is not in
+/// the expected form.
 pub fn parse_list(body: &[u8]) -> Option<(Vec<ListedInstance>, bool)> {
-    let p: ListPage = serde_json::from_slice(body).ok()?;
-    Some((p.hosts, p.more))
+    let page: ListPage = serde_json::from_slice(body).ok()?;
+    Some((page.hosts, page.more))
 }
 
-/// Path of a page of the machine list.
+/// Path of the page of the machine list after this machine; of the first page if that is empty.
 pub fn list_path(after: &str) -> String {
     if after.is_empty() { "/hosts?most=500".into() } else { format!("/hosts?from={after}&most=500") }
 }
 
 /// The body of a rental request.
 pub fn rent_body(name: &str, instance_type: &str, zone: &str, spot: bool, count: usize) -> Vec<u8> {
-    let v = json!({"rental": name, "flavor": instance_type, "region": zone, "preemptible": spot, "number": count});
-    serde_json::to_vec(&v).unwrap_or_default()
+    let request =
+        json!({"rental": name, "flavor": instance_type, "region": zone, "preemptible": spot, "number": count});
+    serde_json::to_vec(&request).unwrap_or_default()
 }
 
-/// The body of a request to release machines.
+/// The body of a request to terminate machines.
 pub fn release_body(hosts: &[String]) -> Vec<u8> {
     serde_json::to_vec(&json!({ "hosts": hosts })).unwrap_or_default()
 }
@@ -119,7 +122,7 @@
     hosts: Vec<String>,
 }
 
-/// Reads the ids of the machines that were rented.
+/// Reads the ids of the machines that were rented; `None` if the body is not in the expected form.
 pub fn parse_rented(body: &[u8]) -> Option<Vec<String>> {
-    serde_json::from_slice::<Rented>(body).ok().map(|r| r.hosts)
+    serde_json::from_slice::<Rented>(body).ok().map(|rented| rented.hosts)
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The protocols' spellings; no other module knows them.
+//! The messages of the protocols with users, workers, the cloud and the state service. Their spellings
+//! occur here alone; the rest of the code uses the names of the model.
 
 mod cloud;
 mod state_service;
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -68,13 +68,13 @@
     pub events: Vec<Change>,
 }
 
-/// The answer to a commit, or about a key that is not there.
+/// The answer to a commit, or about a key that does not exist.
 #[derive(Deserialize)]
 pub struct Revision {
-    /// The revision of the commit, or of the look.
+    /// The revision of the commit, or of the read.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Keys whose guards failed.
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -110,7 +110,7 @@
     serde_json::to_vec(&json!({ "guards": conditions, "apply": apply })).unwrap_or_default()
 }
 
-/// The body of a request for a lease, or for its extension.
+/// The body of a request for a lease of so many milliseconds, or for its extension.
 pub fn grant_body(leader_lease_ttl_ms: u64) -> Vec<u8> {
     serde_json::to_vec(&json!({ "life_ms": leader_lease_ttl_ms })).unwrap_or_default()
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -4,10 +4,10 @@
 use crate::model::Shape;
 use serde_json::{Value, json};
 
-/// A task of a report.
+/// A task in a heartbeat.
 pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> TaskStatus {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
-        .expect("a task of a report")
+        .expect("a task in a heartbeat")
 }
 
 /// A submission that is accepted, with a field that the protocol does not name.
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,50 +1,53 @@
-//! Messages between workers and the service: reports, orders and direct commands.
+//! Messages between workers and the service: heartbeats, orders and direct commands.
+//!
+//! Heartbeats are ordered by agent epoch, then by sequence. A direct command without an answer may
+//! be carried out minutes later, until a heartbeat shows a higher fencing token or agent epoch, or
+//! the machine is terminated.
 
-use crate::model::FencingToken;
-use crate::model::{ExitReason, TaskAttempt, TaskPhase};
+use crate::model::{ExitReason, FencingToken, TaskAttempt, TaskPhase};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Heartbeat {
     /// Id of the machine.
     pub host: String,
     /// Where it takes direct commands.
     pub addr: SocketAddr,
-    /// Name of its machine type.
+    /// Name of its instance type.
     #[serde(rename = "flavor")]
     pub instance_type: String,
-    /// Where it stands.
+    /// Its zone.
     #[serde(rename = "region")]
     pub zone: String,
-    /// True if the cloud may take it back.
+    /// True if the cloud may preempt it.
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
-    /// The worker's session on the machine.
+    /// Epoch of the worker: a later one after each start on the machine.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// Number of the report.
+    /// Number of the heartbeat in its epoch.
     #[serde(rename = "serial")]
     pub sequence: u64,
-    /// The latest token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "fence")]
     pub seen_token: FencingToken,
-    /// Seconds until the cloud takes the machine back, if it has said so.
+    /// Seconds until the cloud preempts the machine, after its notice.
     #[serde(default)]
     pub warning_s: Option<f64>,
     /// The tasks on the machine.
     #[serde(default, rename = "shards")]
     pub tasks: Vec<TaskStatus>,
     /// The models that are loaded and not attached to a task; `None` from a worker without the
-    /// extension for that (`docs/warm-pools.md`).
+    /// extension of `docs/warm-pools.md`.
     #[serde(default)]
     pub slots: Option<Vec<SlotStatus>>,
 }
 
-/// A loaded model of a report.
+/// A loaded model in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct SlotStatus {
     /// Number of the slot.
@@ -53,7 +56,7 @@
     pub ready: bool,
 }
 
-/// A task of a report.
+/// A task in a heartbeat.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TaskStatus {
     /// Job id and task number.
@@ -117,10 +120,10 @@
         }
     }
 
-    /// Job id and task number.
+    /// Job id and task number; `None` if they are not in the expected form.
     pub fn key(&self) -> Option<(&str, u32)> {
-        let (job, n) = self.task.rsplit_once('/')?;
-        Some((job, n.parse().ok()?))
+        let (job, number) = self.task.rsplit_once('/')?;
+        Some((job, number.parse().ok()?))
     }
 }
 
@@ -199,26 +202,26 @@
 
 impl Order {
     /// The order to start an attempt of a task.
-    pub fn run(job: &str, c: &TaskAttempt) -> Order {
-        let task = format!("{job}/{}", c.key.task);
-        match c.slot {
-            Some(slot) => Order::Attach { task, attempt: c.attempt, slot },
-            None => Order::Run { task, attempt: c.attempt },
+    pub fn run(job: &str, attempt: &TaskAttempt) -> Order {
+        let task = format!("{job}/{}", attempt.key.task);
+        match attempt.slot {
+            Some(slot) => Order::Attach { task, attempt: attempt.attempt, slot },
+            None => Order::Run { task, attempt: attempt.attempt },
         }
     }
 
     /// The order to stop an attempt of a task.
-    pub fn stop(job: &str, c: &TaskAttempt, grace_s: f64) -> Order {
-        Order::Stop { task: format!("{job}/{}", c.key.task), attempt: c.attempt, grace_s }
+    pub fn stop(job: &str, attempt: &TaskAttempt, grace_s: f64) -> Order {
+        Order::Stop { task: format!("{job}/{}", attempt.key.task), attempt: attempt.attempt, grace_s }
     }
 
     /// The order to forget an attempt of a task.
-    pub fn reap(job: &str, c: &TaskAttempt) -> Order {
-        Order::Reap { task: format!("{job}/{}", c.key.task), attempt: c.attempt }
+    pub fn reap(job: &str, attempt: &TaskAttempt) -> Order {
+        Order::Reap { task: format!("{job}/{}", attempt.key.task), attempt: attempt.attempt }
     }
 }
 
-/// The reply to a report.
+/// The reply to a heartbeat.
 pub fn orders(fencing_token: FencingToken, orders: &[Order]) -> Value {
     json!({ "fence": fencing_token, "orders": orders })
 }
@@ -228,10 +231,10 @@
     serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": agent_epoch, "orders": orders })).unwrap_or_default()
 }
 
-/// The refusal of a report by a node that does not hold the machine's partition.
+/// The refusal of a heartbeat by a node that does not lead the machine's partition.
 pub fn redirect(node: Option<&str>) -> Value {
     match node {
-        Some(n) => json!({ "reports_to": n }),
+        Some(node) => json!({ "reports_to": node }),
         None => json!({}),
     }
 }
