--- a/src/clients.rs
+++ b/src/clients.rs
@@ -10,8 +10,7 @@
 use crate::settings::Settings;
 use crate::transport::http::{CallError, Client, SMALL_IDLE_POOL};
 use crate::transport::network::Net;
-use crate::wire::{self, Changes, Item, Page, Revision, StateLease, store};
-use serde_json::Value;
+use crate::wire::{self, Changes, Condition, Item, Page, Revision, StateLease, Write, store};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -142,9 +141,9 @@
         }
     }
 
-    /// Makes the changes in `apply` if all conditions in `conditions` hold.
-    pub async fn commit(&self, conditions: &[Value], apply: &[Value]) -> CommitOutcome {
-        let body = wire::commit_body(conditions, apply);
+    /// Makes all writes if all conditions hold, or none.
+    pub async fn commit(&self, conditions: &[Condition], writes: &[Write]) -> CommitOutcome {
+        let body = wire::commit_body(conditions, writes);
         match self.call("POST", store::COMMIT, Some(&body), self.timeout).await {
             Ok((200, b)) => match serde_json::from_slice::<Revision>(&b) {
                 Ok(r) => CommitOutcome::Done { revision: r.revision },
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -7,7 +7,7 @@
     Acceptor, Batch, ConfigState, Confirmations, DocumentName, RecordedChange, RegionRecord, VersionedDocument,
 };
 use serde::{Deserialize, Serialize};
-use serde_json::{Value, json};
+use serde_json::json;
 use std::fmt::Write;
 use std::sync::Arc;
 
@@ -156,7 +156,7 @@
 }
 
 /// The change that records what the region's leader obeys.
-pub fn applied_configuration_change(applied_configuration: &AppliedConfiguration) -> Value {
+pub fn applied_configuration_change(applied_configuration: &AppliedConfiguration) -> wire::Write {
     wire::put(OBEYED_KEY, &json!(applied_configuration), None)
 }
 
@@ -166,7 +166,7 @@
     after: &RegionRecord,
     batch: Option<&Batch>,
     genesis: u64,
-) -> Vec<Value> {
+) -> Vec<wire::Write> {
     let value =
         RegionValue { genesis, acceptor: after.acceptor.clone(), confirmations: after.state.confirmations.clone() };
     let mut changes = vec![wire::put(REGION_KEY, &json!(value), None)];
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -42,7 +42,7 @@
     }
 
     /// Stores a record; false if the stored one is another meanwhile.
-    async fn store(&mut self, next: RegionRecord, changes: &[serde_json::Value]) -> Result<bool, LoadError> {
+    async fn store(&mut self, next: RegionRecord, changes: &[wire::Write]) -> Result<bool, LoadError> {
         let now = clock::now_ms();
         if self.writes.available_tokens(now) == 0 {
             return Err(LoadError::Unanswered);
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -2,9 +2,9 @@
 
 use super::PartitionBorrowing;
 use crate::control::partition::Partition;
+use crate::control::partition::commit_builder::ConditionalWrite;
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
-use serde_json::Value;
 
 /// A record with the id of the job that lends and the version of its key.
 fn record(item: Item) -> Option<(String, JobLoans, u64)> {
@@ -76,12 +76,12 @@
 }
 
 impl PartitionBorrowing {
-    /// The condition and the change for a record.
-    pub(in crate::control::partition) fn encode(write: &RecordWrite) -> (Value, Value) {
-        let change = match &write.value {
-            Some(record) => wire::put(&write.key, &serde_json::to_value(record).unwrap_or_default(), None),
-            None => wire::delete(&write.key),
+    /// The write of a record, and its condition.
+    pub(in crate::control::partition) fn encode(record: &RecordWrite) -> ConditionalWrite {
+        let write = match &record.value {
+            Some(value) => wire::put(&record.key, &serde_json::to_value(value).unwrap_or_default(), None),
+            None => wire::delete(&record.key),
         };
-        (wire::condition(&write.key, write.version), change)
+        ConditionalWrite { condition: wire::condition(&record.key, record.version), write }
     }
 }
--- a/src/control/partition/commit_builder.rs
+++ b/src/control/partition/commit_builder.rs
@@ -1,13 +1,19 @@
 //! A commit that is being put together.
 
 use super::{Commit, PendingWrite};
-use serde_json::{Value as Condition, Value as Write};
+use crate::wire::{Condition, Write};
 
 /// Most bytes of the changes of one commit, under the protocol's 64 KiB.
 const COMMIT_BYTES: usize = 48 * 1024;
 /// Bytes of a change in a commit besides its key, which is there twice, and its value.
 const CHANGE_BYTES: usize = 64;
 
+/// A write with the condition under which it is carried out.
+pub(super) struct ConditionalWrite {
+    pub(super) condition: Condition,
+    pub(super) write: Write,
+}
+
 /// The commit, what it will have written, and its size so far.
 pub(super) struct CommitBuilder {
     commit: Commit,
@@ -59,8 +65,8 @@
     }
 
     /// Adds the changes of the pools or of the loans, which are written or not as one.
-    pub(super) fn add_group(&mut self, changes: Vec<(Condition, Write)>, pending: PendingWrite) {
-        for (condition, write) in changes {
+    pub(super) fn add_group(&mut self, changes: Vec<ConditionalWrite>, pending: PendingWrite) {
+        for ConditionalWrite { condition, write } in changes {
             self.bytes += write.to_string().len() + CHANGE_BYTES;
             self.commit.conditions.push(condition);
             self.commit.writes.push(write);
--- a/src/control/partition/leadership_epoch.rs
+++ b/src/control/partition/leadership_epoch.rs
@@ -1,7 +1,7 @@
 //! One leader's time in office over the partition: its fencing tokens, and the numbers it gives out.
 
 use crate::model::FencingToken;
-use serde_json::Value as Condition;
+use crate::wire::{self, Condition};
 
 /// Bits of a number below the fencing token under which it was given out.
 const NUMBER_BITS: u32 = 32;
@@ -78,7 +78,7 @@
 
     /// The condition of every commit: no other leader, and no other fencing token, since.
     pub(super) fn condition(&self) -> Condition {
-        crate::wire::condition(&self.partition_key, self.partition_version)
+        wire::condition(&self.partition_key, self.partition_version)
     }
 
     /// The number that `next_number` gives next.
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -46,7 +46,7 @@
     p.next_commit(1100, 32).unwrap();
     let keys = p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     assert_eq!(keys, ["job/run-000001"]);
-    let value = first.writes[0]["data"].clone();
+    let value = first.writes[0].to_json()["data"].clone();
     p.reread(Item { key: "job/run-000001".into(), value, version: 99 });
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { .. })));
     assert!(p.next_commit(1200, 32).is_none(), "nothing is left to write");
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -93,13 +93,7 @@
     /// Carries the changes of a commit out.
     fn make(&mut self, commit: &Commit) {
         self.revision += 1;
-        for change in &commit.writes {
-            if let Some(key) = change["put"].as_str() {
-                self.records.insert(key.into(), (change["data"].clone(), self.revision));
-            } else if let Some(key) = change["delete"].as_str() {
-                self.records.remove(key);
-            }
-        }
+        apply_writes(&mut self.records, &commit.writes, self.revision);
     }
 
     /// The machine reports and carries the reply out.
@@ -199,7 +193,7 @@
     let found: Vec<(String, Option<Item>)> = found.collect();
     harness.partition.unclear_keys_read(found);
     let again = harness.partition.next_commit(harness.now, 32).unwrap();
-    assert_eq!(again.conditions.last().unwrap()["stamp"], harness.revision, "on the version that was found");
+    assert_eq!(again.conditions.last().unwrap().version, harness.revision, "on the version that was found");
     harness.make(&again);
     let _ = harness.partition.committed(CommitOutcome::Done { revision: harness.revision });
     assert_eq!(stops(&harness.heartbeat()), 4);
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -59,7 +59,7 @@
         if at_once {
             let keys = p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
             assert_eq!((keys.len(), phase_told(&p)), (1, None));
-            p.reread(Item { key: "job/run-000001".into(), value: c.writes[0]["data"].clone(), version: 101 });
+            p.reread(Item { key: "job/run-000001".into(), value: c.writes[0].to_json()["data"].clone(), version: 101 });
         } else {
             p.committed(CommitOutcome::Done { revision: 102 }).unwrap();
         }
@@ -288,12 +288,12 @@
         p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     }
     p.next_commit(1200, 32).unwrap();
-    p.reread(Item { key: "job/run-000001".into(), value: c.writes[0]["data"].clone(), version: 101 });
+    p.reread(Item { key: "job/run-000001".into(), value: c.writes[0].to_json()["data"].clone(), version: 101 });
     assert!(matches!(first.try_recv(), Ok(UserAnswer::Accepted { .. })));
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
     p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     let c = p.next_commit(1300, 32).unwrap();
-    assert_eq!(c.writes[0]["data"]["end"], "Cancelled");
+    assert_eq!(c.writes[0].to_json()["data"]["end"], "Cancelled");
     p.committed(CommitOutcome::Done { revision: 103 }).unwrap();
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -210,11 +210,10 @@
             self.next_commit = now + (c.writes.len() * self.write_us) as u64 / 1000;
             self.writes += c.writes.len();
             self.largest_commit = self.largest_commit.max(wire::commit_body(&c.conditions, &c.writes).len());
-            for a in &c.writes {
-                if let Some(key) = a["put"].as_str() {
-                    self.stored.insert(key.into(), a["data"].clone());
-                } else if let Some(key) = a["delete"].as_str() {
-                    self.stored.remove(key);
+            for write in c.writes {
+                match write {
+                    Write::Put { key, value, .. } => _ = self.stored.insert(key, value),
+                    Write::Delete { key } => _ = self.stored.remove(&key),
                 }
             }
             self.partition.committed(CommitOutcome::Done { revision: now }).unwrap();
--- a/src/control/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -17,9 +17,9 @@
         assert_eq!(phase(p.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
     let rest = p.next_commit(2000, 32).unwrap();
-    let written: Vec<&str> = rest.writes.iter().map(|a| a["put"].as_str().unwrap()).collect();
+    let written: Vec<String> = rest.writes.iter().map(|a| a.to_json()["put"].as_str().unwrap().to_string()).collect();
     assert_eq!(written, ["job/run-000002", "job/run-000003"]);
-    assert!(rest.writes.iter().all(|a| a["data"]["end"] == "Cancelled"));
+    assert!(rest.writes.iter().all(|a| a.to_json()["data"]["end"] == "Cancelled"));
     p.committed(CommitOutcome::Done { revision: 201 }).unwrap();
     assert!(p.next_commit(2000, 32).is_none());
     p.schedule(2001, 2001);
@@ -121,7 +121,7 @@
     p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     let _rx = submit(&mut p, &body("run-000005", "batch", 2), 2000);
     let commit = p.next_commit(2000, 1).unwrap();
-    assert_eq!(commit.writes[0]["put"], "job/run-000005");
+    assert_eq!(commit.writes[0].to_json()["put"], "job/run-000005");
 }
 
 /// A job on which a thousand others wait.
@@ -146,7 +146,7 @@
     let mut followed = 0;
     let mut revision = 5000;
     while let Some(commit) = p.next_commit(2000, 4) {
-        followed += commit.writes.iter().filter(|a| a["data"]["end"] == "Cancelled").count();
+        followed += commit.writes.iter().filter(|a| a.to_json()["data"]["end"] == "Cancelled").count();
         revision += 1;
         p.committed(CommitOutcome::Done { revision }).unwrap();
     }
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -25,7 +25,7 @@
     while let Some(commit) = p.next_commit(1000, 32) {
         commits += 1;
         assert!(commits < 12, "it repeats for ever");
-        let at_fault = commit.writes.iter().any(|a| a["put"] == "job/run-000001");
+        let at_fault = commit.writes.iter().any(|a| a.to_json()["put"] == "job/run-000001");
         let result = if at_fault { CommitOutcome::NotTaken } else { CommitOutcome::Done { revision: 100 + commits } };
         recorded += if at_fault { 0 } else { commit.writes.len() };
         p.committed(result).unwrap();
@@ -46,14 +46,14 @@
         2000,
     );
     let machines = p.next_commit(60_000, 32);
-    assert!(machines.is_none_or(|c| c.writes.iter().all(|a| a["put"] != "job/run-000001")));
+    assert!(machines.is_none_or(|c| c.writes.iter().all(|a| a.to_json()["put"] != "job/run-000001")));
     p.tasks_done(0, &[0, 1], 61_000);
     if p.committing() {
         p.committed(CommitOutcome::Done { revision: 150 }).unwrap();
     }
     let end = p.next_commit(61_000, 32).unwrap();
-    assert_eq!(end.writes[0]["data"]["end"], "Done");
-    assert!(end.writes[0]["data"].to_string().len() <= RECORD_BYTES);
+    assert_eq!(end.writes[0].to_json()["data"]["end"], "Done");
+    assert!(end.writes[0].to_json()["data"].to_string().len() <= RECORD_BYTES);
 }
 
 /// A partition whose leader can follow 48 entries of attempts a second, with an array of 1,000
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -24,7 +24,7 @@
 use crate::scheduling;
 use crate::settings::{Operator, tests::settings};
 use crate::wire::tests::reported;
-use crate::wire::{self, Heartbeat, Item, Order};
+use crate::wire::{self, Heartbeat, Item, Order, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
@@ -99,6 +99,16 @@
     assert_eq!(p.committed(CommitOutcome::Done { revision }), Ok(vec![]));
 }
 
+/// Carries out the writes of a commit: keys with their values and versions.
+pub(super) fn apply_writes(store: &mut BTreeMap<String, (Value, u64)>, writes: &[Write], revision: u64) {
+    for write in writes {
+        match write {
+            Write::Put { key, value, .. } => _ = store.insert(key.clone(), (value.clone(), revision)),
+            Write::Delete { key } => _ = store.remove(key),
+        }
+    }
+}
+
 /// A partition with one machine in use and one accepted job, placed.
 pub fn running(shape: &str, tasks: u32) -> Partition {
     let mut p = partition();
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -241,21 +241,14 @@
         let failed: Vec<String> = c
             .conditions
             .iter()
-            .map(|condition| (condition["path"].as_str().unwrap(), condition["stamp"].as_u64().unwrap()))
-            .filter(|(key, stamp)| !key.starts_with("part/") && version(key) != *stamp)
-            .map(|(key, _)| key.to_string())
+            .filter(|condition| !condition.key.starts_with("part/") && version(&condition.key) != condition.version)
+            .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
             return CommitOutcome::Conflict { failed };
         }
         self.revision += 1;
-        for change in &c.writes {
-            if let Some(key) = change["put"].as_str() {
-                self.store.insert(key.into(), (change["data"].clone(), self.revision));
-            } else if let Some(key) = change["delete"].as_str() {
-                self.store.remove(key);
-            }
-        }
+        apply_writes(&mut self.store, &c.writes, self.revision);
         CommitOutcome::Done { revision: self.revision }
     }
 
--- a/src/control/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -3,8 +3,7 @@
 use crate::api::refusal::RefusalReason;
 use crate::model::FencingToken;
 use crate::model::{HostIndex, JobIndex, JobPhase, UnsavedChange};
-use crate::wire::{Heartbeat, Order};
-use serde_json::Value;
+use crate::wire::{Condition, Heartbeat, Order, Write};
 use std::net::SocketAddr;
 
 /// How a report came. Only a reply to a heartbeat proves that the replies before
@@ -79,9 +78,9 @@
 #[derive(Debug)]
 pub struct Commit {
     /// Conditions that must all hold.
-    pub conditions: Vec<Value>,
+    pub conditions: Vec<Condition>,
     /// Changes, which are made all or not at all.
-    pub writes: Vec<Value>,
+    pub writes: Vec<Write>,
 }
 
 /// How a commit ended.
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -2,10 +2,10 @@
 
 use super::PartitionWarmPools;
 use crate::control::partition::Partition;
+use crate::control::partition::commit_builder::ConditionalWrite;
 use crate::model::{CachedImage, HostIndex};
 use crate::wire::{self, Item};
 use badgerdrift_warm_pools::{HoldKind, PoolEvent, RecordChanges, RecordKey, StoredRecord};
-use serde_json::Value;
 
 /// A record with the version of its key.
 fn record(item: Item) -> Option<(RecordKey, StoredRecord, u64)> {
@@ -111,15 +111,15 @@
 }
 
 impl PartitionWarmPools {
-    /// The conditions and changes of a commit.
-    pub(in crate::control::partition) fn encode(changes: &RecordChanges) -> Vec<(Value, Value)> {
-        let encode = |write: &badgerdrift_warm_pools::RecordWrite| {
-            let path = write.key.path();
-            let change = match &write.value {
+    /// The writes of the records, and their conditions.
+    pub(in crate::control::partition) fn encode(changes: &RecordChanges) -> Vec<ConditionalWrite> {
+        let encode = |record: &badgerdrift_warm_pools::RecordWrite| {
+            let path = record.key.path();
+            let write = match &record.value {
                 Some(value) => wire::put(&path, &serde_json::to_value(value).unwrap_or_default(), None),
                 None => wire::delete(&path),
             };
-            (wire::condition(&path, write.version), change)
+            ConditionalWrite { condition: wire::condition(&path, record.version), write }
         };
         changes.writes.iter().map(encode).collect()
     }
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -9,14 +9,14 @@
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::LOAN_PREFIX;
 use badgerdrift_warm_pools::RecordKey;
-use serde_json::{Value, json};
+use serde_json::json;
 
 /// Key under which the machine types are kept for a restart in a cloud outage.
 pub const INSTANCE_TYPES_KEY: &str = "flavors";
 
 /// The changes that keep the machine types, in as many values as they need. The first one is
 /// where all of them were kept before.
-pub(super) fn flavor_changes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<Value> {
+pub(super) fn flavor_changes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<wire::Write> {
     let mut values: Vec<Vec<&InstanceType>> = vec![Vec::new()];
     for instance_type in instance_types {
         let Some(last) = values.last_mut() else { break };
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -7,7 +7,8 @@
 
 pub use cloud::{ListedInstance, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
 pub use state_service::{
-    Change, Changes, Item, Page, Revision, StateLease, commit_body, condition, delete, grant_body, put, store,
+    Change, Changes, Condition, Item, Page, Revision, StateLease, Write, commit_body, condition, delete, grant_body,
+    put, store,
 };
 pub use user::{MAX_TASKS, Malformed, is_job_id, job_answer, parse_submission, told_end};
 pub use worker::{DO_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, orders, redirect};
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -87,27 +87,79 @@
     pub id: u64,
 }
 
+/// A condition of a commit: the version that a key must have.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Condition {
+    /// The key.
+    pub key: String,
+    /// Its version; 0 if it must not exist.
+    pub version: u64,
+}
+
+/// A write of a commit.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Write {
+    /// Sets a key.
+    Put {
+        /// The key.
+        key: String,
+        /// Its value.
+        value: Value,
+        /// The lease that the key ends with, if any.
+        lease: Option<u64>,
+    },
+    /// Deletes a key.
+    Delete {
+        /// The key.
+        key: String,
+    },
+}
+
 /// A condition of a commit: the version that a key must have; 0 if it must not exist.
-pub fn condition(key: &str, version: u64) -> Value {
-    json!({ "path": key, "stamp": version })
+pub fn condition(key: &str, version: u64) -> Condition {
+    Condition { key: key.into(), version }
 }
 
 /// A write of a commit; with a lease, the key ends with it.
-pub fn put(key: &str, value: &Value, grant: Option<u64>) -> Value {
-    match grant {
-        Some(g) => json!({ "put": key, "data": value, "grant": g }),
-        None => json!({ "put": key, "data": value }),
-    }
+pub fn put(key: &str, value: &Value, lease: Option<u64>) -> Write {
+    Write::Put { key: key.into(), value: value.clone(), lease }
 }
 
 /// A deletion of a commit.
-pub fn delete(key: &str) -> Value {
-    json!({ "delete": key })
+pub fn delete(key: &str) -> Write {
+    Write::Delete { key: key.into() }
+}
+
+impl Condition {
+    /// The condition as it is sent.
+    pub fn to_json(&self) -> Value {
+        json!({ "path": self.key, "stamp": self.version })
+    }
+}
+
+impl Write {
+    /// The write as it is sent.
+    pub fn to_json(&self) -> Value {
+        match self {
+            Write::Put { key, value, lease: Some(lease) } => json!({ "put": key, "data": value, "grant": lease }),
+            Write::Put { key, value, lease: None } => json!({ "put": key, "data": value }),
+            Write::Delete { key } => json!({ "delete": key }),
+        }
+    }
+}
+
+/// The text of the write as it is sent.
+impl std::fmt::Display for Write {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.to_json().fmt(formatter)
+    }
 }
 
 /// The body of a commit.
-pub fn commit_body(conditions: &[Value], apply: &[Value]) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "guards": conditions, "apply": apply })).unwrap_or_default()
+pub fn commit_body(conditions: &[Condition], writes: &[Write]) -> Vec<u8> {
+    let conditions: Vec<Value> = conditions.iter().map(Condition::to_json).collect();
+    let writes: Vec<Value> = writes.iter().map(Write::to_json).collect();
+    serde_json::to_vec(&json!({ "guards": conditions, "apply": writes })).unwrap_or_default()
 }
 
 /// The body of a request for a lease, or for its extension.
