--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -6,9 +6,8 @@
 use crate::settings::Settings;
 use crate::transport::http::{Client, SMALL_IDLE_POOL};
 use crate::transport::network::Net;
-use crate::wire::{self, Changes, Item, Page, Revision, StateLease, store};
+use crate::wire::{self, Changes, Condition, Item, Page, Revision, StateLease, Write, store};
 use serde::de::DeserializeOwned;
-use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -125,7 +124,7 @@
     ///
     /// A commit without a usable answer is indeterminate: it may be applied at once or late,
     /// also after commits that are sent after it.
-    pub async fn commit(&self, conditions: &[Value], writes: &[Value]) -> CommitOutcome {
+    pub async fn commit(&self, conditions: &[Condition], writes: &[Write]) -> CommitOutcome {
         let body = wire::commit_body(conditions, writes);
         match self.call("POST", store::COMMIT, Some(&body), self.timeout).await {
             Ok((200, answer)) => parse::<Revision>(&answer)
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -9,7 +9,8 @@
 
 pub use cloud::{ListedInstance, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
 pub use state_service::{
-    Change, Changes, Item, Page, Revision, StateLease, commit_body, condition, delete, grant_body, put, store,
+    Change, Changes, Condition, Item, Page, Revision, StateLease, Write, commit_body, condition, delete, grant_body,
+    put, store,
 };
 pub use submission::{FieldFault, MAX_TASKS, Malformed, SubmissionError, is_job_id, parse_submission};
 pub use user::{job_answer, stated_end};
