--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -1,12 +1,13 @@
-//! The actor of a partition's membership: carries out what the rules say.
+//! The election actor of a partition: sends the requests that the election calls for, and
+//! publishes its state.
 
-use super::failover::{read_previous_leader, take};
+use super::campaign::{Candidacy, campaign, read_previous_leader};
+use super::election::{Election, Role};
+use super::failover_order::FailoverOrder;
 use super::leader_lease::{LeaderLease, PledgeStatus};
-use super::messages::{AcquiredLeadership, LeaderStatus, LeadershipChange, Message};
+use super::messages::{AcquiredLeadership, EarlierPledges, LeaderStatus, LeadershipChange, Message, PledgeRequest};
+use super::partition_watch::watch_partition;
 use super::records::PartitionRecord;
-use super::rules::{MembershipRules, Role};
-use super::succession::Succession;
-use super::watch::watch_partition;
 use crate::clients::{RequestError, StateStore};
 use crate::model::FencingToken;
 use crate::runtime::clock;
@@ -17,110 +18,129 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
+use tokio::time::{MissedTickBehavior, interval};
 
-/// What a membership actor works with.
-pub struct Membership {
+/// The lease and the pledges are renewed so many times in the duration of a lease.
+const RENEWALS_PER_LEASE: u64 = 5;
+
+/// The election actor of a partition, and what it needs.
+pub struct ElectionActor {
     /// Number of the partition.
     pub partition: u32,
     /// Name of this node.
     pub node: String,
-    /// Life of leases and pledges.
+    /// Duration of leader leases and pledges in milliseconds.
     pub leader_lease_ttl_ms: u64,
-    /// Length of the leases of workers.
+    /// Duration of the leases of workers in milliseconds.
     pub lease_ms: u64,
-    /// The state service.
+    /// The state store.
     pub state: StateStore,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// Which of them succeeds whom.
-    pub succession: Succession,
+    /// Which of the controllers takes over from which.
+    pub failover_order: FailoverOrder,
     /// Published: until when this node may act.
     pub leader_lease: LeaderLease,
-    /// Published: the pledges given and had.
+    /// Published: the pledges given and received.
     pub pledge_status: PledgeStatus,
-    /// Published: who holds the partition.
+    /// Published: who leads the partition.
     pub leader_status: watch::Sender<LeaderStatus>,
-    /// The way to the partition's actor.
+    /// Notifies the partition's actor.
     pub leadership_changes: mpsc::Sender<LeadershipChange>,
-    /// Partitions that this node holds, so that partitions spread over the nodes.
-    pub held: Arc<AtomicUsize>,
-    /// Counts of the partitions taken and lost.
+    /// Number of partitions that this node leads: a node that leads fewer campaigns earlier, so
+    /// that partitions spread over the nodes.
+    pub led_partitions: Arc<AtomicUsize>,
+    /// Counts of leaderships acquired and lost.
     pub metrics: SharedMetrics,
-    /// Pause before a first take, for a partition that is rather another node's.
-    pub initial_delay_ms: u64,
+    /// Delay of the first campaign after a start in milliseconds, for a partition that is
+    /// preferably led by another node.
+    pub first_campaign_delay_ms: u64,
 }
 
-impl Membership {
-    /// Runs until nobody can send messages any more.
-    pub async fn run(self, tx: mpsc::Sender<Message>, mut rx: mpsc::Receiver<Message>) {
-        let mut rules = MembershipRules::new(&self.node, self.leader_lease_ttl_ms, self.peers.len(), clock::now_ms());
-        rules.record_read = false;
-        self.pledge_status.set(&rules);
-        // Promises are given meanwhile: in an outage the look takes as long as that.
-        task::spawn(read_previous_leader(
-            self.state.clone(),
-            self.partition,
-            self.node.clone(),
-            self.leader_lease_ttl_ms,
-            tx.clone(),
-        ));
-        task::spawn(watch_partition(self.state.clone(), self.partition, self.leader_lease_ttl_ms, tx.clone()));
-        let mut tick = tokio::time::interval(Duration::from_millis(self.leader_lease_ttl_ms / 5));
-        tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+impl ElectionActor {
+    /// Runs until nobody can send messages any more. `own_messages` is the sender to `messages`.
+    pub async fn run(self, own_messages: mpsc::Sender<Message>, mut messages: mpsc::Receiver<Message>) {
+        let mut election = Election::new(&self.node, self.leader_lease_ttl_ms, self.peers.len(), clock::now_ms());
+        election.startup_read_done = false;
+        self.pledge_status.publish(&election);
+        self.start_reads(&own_messages);
+        let mut renewals = interval(Duration::from_millis(self.leader_lease_ttl_ms / RENEWALS_PER_LEASE));
+        renewals.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                m = rx.recv() => match m {
-                    Some(m) => self.handle(&mut rules, m).await,
+                message = messages.recv() => match message {
+                    Some(message) => self.handle(&mut election, message).await,
                     None => return,
                 },
-                _ = tick.tick() => self.renew(&mut rules, &tx),
-            }
-            self.publish(&mut rules);
-            if rules.may_campaign(clock::now_ms()) {
-                rules.role = Role::Candidate;
-                task::spawn(take(
-                    self.state.clone(),
-                    self.partition,
-                    self.node.clone(),
-                    self.leader_lease_ttl_ms,
-                    tx.clone(),
-                ));
+                _ = renewals.tick() => self.renew(&mut election, &own_messages),
             }
+            self.publish(&mut election);
+            self.campaign_if_due(&mut election, &own_messages);
+        }
+    }
+
+    /// Starts to read and to watch the partition's record. Pledges are given meanwhile: in an
+    /// outage of the state store the first read takes as long as that.
+    fn start_reads(&self, own_messages: &mpsc::Sender<Message>) {
+        task::spawn(read_previous_leader(self.state.clone(), self.candidacy(), own_messages.clone()));
+        task::spawn(watch_partition(
+            self.state.clone(),
+            self.partition,
+            self.leader_lease_ttl_ms,
+            own_messages.clone(),
+        ));
+    }
+
+    fn candidacy(&self) -> Candidacy {
+        Candidacy { partition: self.partition, node: self.node.clone(), leader_lease_ttl_ms: self.leader_lease_ttl_ms }
+    }
+
+    fn campaign_if_due(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
+        if election.may_campaign(clock::now_ms()) {
+            election.role = Role::Candidate;
+            task::spawn(campaign(self.state.clone(), self.candidacy(), own_messages.clone()));
         }
     }
 
-    /// Lets the rest of the node know how things stand.
-    fn publish(&self, rules: &mut MembershipRules) {
-        self.leader_lease.set(rules.lease_valid_until());
-        rules.note_token();
-        self.pledge_status.set(rules);
-        let is_self = matches!(rules.role, Role::Leader { .. });
-        let leader = if is_self { Some(self.node.clone()) } else { rules.record.as_ref().map(|r| r.leader.clone()) };
+    /// Publishes the state of the election to the rest of the node.
+    fn publish(&self, election: &mut Election) {
+        self.leader_lease.set_valid_until(election.lease_valid_until());
+        election.note_token();
+        self.pledge_status.publish(election);
+        let is_self = election.is_leader();
+        let leader = if is_self {
+            Some(self.node.clone())
+        } else {
+            election.record.as_ref().map(|record| record.leader.clone())
+        };
         let leader_status = LeaderStatus { leader, is_self };
-        self.leader_status.send_if_modified(|s| std::mem::replace(s, leader_status.clone()) != leader_status);
+        self.leader_status.send_if_modified(|last| std::mem::replace(last, leader_status.clone()) != leader_status);
     }
 
-    /// Renews the lease and the pledges of the partition that this node holds.
-    fn renew(&self, rules: &mut MembershipRules, tx: &mpsc::Sender<Message>) {
-        let sent = clock::now_ms();
-        rules.note_expiry(sent);
-        let Role::Leader { lease_id, fencing_token, expired, .. } = rules.role else { return };
-        self.renew_grant(lease_id, sent, tx);
-        // Promises would only keep the others from keeping leases alive.
-        if !expired {
-            self.renew_promises(fencing_token, sent, tx);
+    /// As the leader, renews the lease and the pledges.
+    fn renew(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
+        let sent_ms = clock::now_ms();
+        election.note_lapse(sent_ms);
+        let Some(leader) = election.leader() else { return };
+        self.renew_lease(leader.lease_id, sent_ms, own_messages);
+        // Pledges would only keep the peers from keeping workers' leases alive.
+        if !leader.has_lapsed() {
+            self.request_pledges(leader.fencing_token, sent_ms, own_messages);
         }
     }
 
-    fn renew_grant(&self, lease_id: u64, sent: u64, tx: &mpsc::Sender<Message>) {
-        let (state, life, tx) = (self.state.clone(), self.leader_lease_ttl_ms, tx.clone());
+    /// Renews the lease. What is granted counts from `sent_ms`, taken before the request is sent.
+    fn renew_lease(&self, lease_id: u64, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
+        let (state, ttl_ms, own_messages) = (self.state.clone(), self.leader_lease_ttl_ms, own_messages.clone());
         task::spawn(async move {
-            let result = state.renew_lease(lease_id, life).await;
-            let _ = tx.send(Message::Extended { lease_id, sent, result }).await;
+            let result = state.renew_lease(lease_id, ttl_ms).await;
+            // The actor ends only with the node.
+            let _ = own_messages.send(Message::LeaseRenewalEnded { lease_id, sent_ms, result }).await;
         });
     }
 
-    fn renew_promises(&self, fencing_token: FencingToken, sent: u64, tx: &mpsc::Sender<Message>) {
+    /// Asks all peers for pledges, which count from `sent_ms` like the lease.
+    fn request_pledges(&self, fencing_token: FencingToken, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
         let request = PeerRequest::Pledge {
             partition: self.partition,
             leader: self.node.clone(),
@@ -128,158 +148,161 @@
             for_ms: self.leader_lease_ttl_ms,
             state_ok: self.state.is_responsive(self.leader_lease_ttl_ms),
         };
-        for (i, p) in self.peers.iter().enumerate() {
-            let (p, request, tx) = (p.clone(), request.clone(), tx.clone());
-            let limit = Duration::from_millis(self.leader_lease_ttl_ms / 2);
+        let timeout = self.pledge_timeout();
+        for (index, peer) in self.peers.iter().enumerate() {
+            let (peer, request, own_messages) = (peer.clone(), request.clone(), own_messages.clone());
             task::spawn(async move {
-                let ok = p.request(request, limit).await == Some(PeerResponse::Accepted);
-                let _ = tx.send(Message::Pledged { peer: i, sent, ok }).await;
+                let answer = match peer.request(request, timeout).await {
+                    Some(PeerResponse::Accepted) => Message::PledgeReceived { peer: index, sent_ms },
+                    _ => Message::PledgeMissing,
+                };
+                // The actor ends only with the node.
+                let _ = own_messages.send(answer).await;
             });
         }
     }
 
-    async fn handle(&self, rules: &mut MembershipRules, m: Message) {
-        let now = clock::now_ms();
-        match m {
-            Message::Pledge { leader, fencing_token, for_ms, state_ok, reply } => {
-                let ok = self.pledge(rules, now, leader, fencing_token, for_ms, state_ok).await;
-                let _ = reply.send(ok);
+    /// How long a peer's answer about a pledge is waited for.
+    fn pledge_timeout(&self) -> Duration {
+        Duration::from_millis(self.leader_lease_ttl_ms / 2)
+    }
+
+    async fn handle(&self, election: &mut Election, message: Message) {
+        let now_ms = clock::now_ms();
+        match message {
+            Message::Pledge { request, reply } => {
+                let given = self.pledge(election, now_ms, request).await;
+                // An asker that waits no longer counts on no pledge; it binds all the same.
+                let _ = reply.send(given);
+            }
+            Message::StartupRead(earlier_pledges) => self.startup_read(election, now_ms, earlier_pledges),
+            Message::RecordObserved(record) => self.record_observed(election, now_ms, record),
+            Message::LeaseRenewalEnded { lease_id, sent_ms, result: Ok(()) } => {
+                election.lease_renewed(lease_id, sent_ms, now_ms)
             }
-            Message::RecordRead { record, unbound } => self.previous_owner_read(rules, now, record, unbound),
-            Message::Seen(record) => self.seen(rules, now, record),
-            Message::Extended { lease_id, sent, result } => self.extended(rules, now, lease_id, sent, result).await,
-            Message::Pledged { peer, sent, ok: true } => rules.pledged(peer, sent, now),
-            Message::Pledged { ok: false, .. } => {}
-            Message::ReleasePledge { fencing_token } => rules.release_pledge(now, fencing_token),
-            Message::YieldLeadership => self.yield_leadership(rules, now).await,
-            Message::Superseded => {
-                if matches!(rules.role, Role::Leader { .. }) {
-                    self.step_down(rules, "superseded").await;
+            Message::LeaseRenewalEnded { lease_id, result: Err(error), .. } => {
+                self.lease_not_renewed(election, lease_id, error).await
+            }
+            Message::PledgeReceived { peer, sent_ms } => election.pledge_received(peer, sent_ms, now_ms),
+            Message::PledgeMissing => {}
+            Message::ReleasePledge { fencing_token } => election.release_pledge(now_ms, fencing_token),
+            Message::YieldLeadership => self.yield_leadership(election, now_ms).await,
+            Message::LeadershipLost => {
+                if election.is_leader() {
+                    self.step_down(election, "superseded").await;
                 }
             }
-            Message::AcquiredLeadership { sent, result: Some(taken) } => self.taken(rules, &taken, sent).await,
-            Message::AcquiredLeadership { result: None, .. } => {
-                rules.role = Role::Follower;
-                rules.retry_after = now + self.leader_lease_ttl_ms / 10;
+            Message::CampaignEnded { sent_ms, acquired: Some(acquired) } => {
+                self.leadership_acquired(election, acquired, sent_ms).await
+            }
+            Message::CampaignEnded { acquired: None, .. } => {
+                election.role = Role::Follower;
+                election.next_campaign_ms = now_ms + self.leader_lease_ttl_ms / 10;
             }
         }
     }
 
-    /// Answers a leader that asks for a pledge.
-    async fn pledge(
-        &self,
-        rules: &mut MembershipRules,
-        now: u64,
-        leader: String,
-        fencing_token: FencingToken,
-        for_ms: u64,
-        state_ok: bool,
-    ) -> bool {
-        if rules.superseded_by(now, fencing_token) {
-            self.step_down(rules, "another holds it").await;
+    /// Answers a leader that asks for a pledge; true if it is given.
+    async fn pledge(&self, election: &mut Election, now_ms: u64, request: PledgeRequest) -> bool {
+        if election.is_deposed_by(now_ms, request.fencing_token) {
+            self.step_down(election, "another holds it").await;
         }
-        let own_state_ok = self.state.is_responsive(self.leader_lease_ttl_ms);
-        let ok = rules.pledge(now, (&leader, fencing_token), for_ms, state_ok, own_state_ok);
-        // Without the state service, who asks is the only news of who holds the partition.
-        if ok && !own_state_ok {
-            rules.record = Some(PartitionRecord { leader, fencing_token, lease_id: 0 });
+        let store_responsive = self.state.is_responsive(self.leader_lease_ttl_ms);
+        let given = election.pledge(now_ms, &request, store_responsive);
+        // Without the state store, only such requests show who leads the partition.
+        if given && !store_responsive {
+            let PledgeRequest { leader, fencing_token, .. } = request;
+            election.record = Some(PartitionRecord { leader, fencing_token, lease_id: 0 });
         }
-        ok
+        given
     }
 
-    fn previous_owner_read(
-        &self,
-        rules: &mut MembershipRules,
-        now: u64,
-        record: Option<PartitionRecord>,
-        unbound: bool,
-    ) {
-        rules.record_read = true;
-        rules.record = record;
-        if unbound {
-            rules.unbound();
-        }
-        rules.retry_after = now + self.initial_delay_ms;
+    fn startup_read(&self, election: &mut Election, now_ms: u64, earlier_pledges: EarlierPledges) {
+        election.startup_read_done = true;
+        election.record = match earlier_pledges {
+            EarlierPledges::NoneBinding => {
+                election.clear_earlier_pledges();
+                None
+            }
+            EarlierPledges::MayBind { record } => record,
+        };
+        election.next_campaign_ms = now_ms + self.first_campaign_delay_ms;
     }
 
-    fn seen(&self, rules: &mut MembershipRules, now: u64, record: Option<PartitionRecord>) {
-        // What a leader sees of itself is no news, and may be old.
-        if matches!(rules.role, Role::Leader { .. }) {
+    fn record_observed(&self, election: &mut Election, now_ms: u64, record: Option<PartitionRecord>) {
+        // A leader knows its own record, and what is read of it may be out of date.
+        if election.is_leader() {
             return;
         }
-        if let (None, Some(lost)) = (&record, &rules.record) {
-            rules.retry_after = rules.retry_after.max(now + self.failover_delay_ms(&lost.leader));
+        if let (None, Some(lost)) = (&record, &election.record) {
+            let earliest_ms = now_ms + self.failover_delay_ms(&lost.leader);
+            election.next_campaign_ms = election.next_campaign_ms.max(earliest_ms);
         }
-        rules.record = record;
+        election.record = record;
     }
 
-    /// How long this node leaves the partition of a lost leader to others: who holds less
-    /// goes first, then whom the workers try next.
-    fn failover_delay_ms(&self, lost_owner: &str) -> u64 {
-        let held = self.held.load(Ordering::Relaxed) as u64;
-        let nodes_before = self.succession.nodes_before(lost_owner) as u64;
-        held * self.leader_lease_ttl_ms / 10 + nodes_before * self.leader_lease_ttl_ms / 5
+    /// For how many milliseconds this node leaves the partition of a lost leader to others: nodes
+    /// that lead fewer partitions go first, then those that the workers try next.
+    fn failover_delay_ms(&self, lost_leader: &str) -> u64 {
+        let led_partitions = self.led_partitions.load(Ordering::Relaxed) as u64;
+        let nodes_before = self.failover_order.nodes_before(lost_leader) as u64;
+        led_partitions * self.leader_lease_ttl_ms / 10 + nodes_before * self.leader_lease_ttl_ms / 5
     }
 
-    async fn extended(
-        &self,
-        rules: &mut MembershipRules,
-        now: u64,
-        of: u64,
-        sent: u64,
-        result: Result<(), RequestError>,
-    ) {
-        match result {
-            Ok(()) => rules.extended(of, sent, now),
-            Err(RequestError::NotFound) => {
-                if matches!(rules.role, Role::Leader { lease_id, .. } if lease_id == of) {
-                    self.step_down(rules, "the grant has ended").await;
-                }
-            }
-            Err(_) => {}
+    /// Steps down if the lease has ended. After any other failure it may live on until it expires.
+    async fn lease_not_renewed(&self, election: &mut Election, lease_id: u64, error: RequestError) {
+        let is_current = election.leader().is_some_and(|leader| leader.lease_id == lease_id);
+        if error == RequestError::NotFound && is_current {
+            self.step_down(election, "the grant has ended").await;
         }
     }
 
-    /// Leaves the partition to the others, and lets them know at once.
-    async fn yield_leadership(&self, rules: &mut MembershipRules, now: u64) {
+    /// Leaves the partition to the other nodes, and releases their pledges at once.
+    async fn yield_leadership(&self, election: &mut Election, now_ms: u64) {
         let pause_ms = 2 * self.lease_ms;
-        let Role::Leader { fencing_token, .. } = rules.role else { return };
-        if !rules.may_yield_leadership(now, pause_ms) {
+        let Some(fencing_token) = election.leader().map(|leader| leader.fencing_token) else { return };
+        if !election.may_yield_leadership(now_ms, pause_ms) {
             return;
         }
-        self.step_down(rules, "its workers are not heard").await;
-        rules.retry_after = now + pause_ms;
-        for p in &self.peers {
-            let (p, request) = (p.clone(), PeerRequest::ReleasePledge { partition: self.partition, fencing_token });
-            let limit = Duration::from_millis(self.leader_lease_ttl_ms / 2);
-            task::spawn(async move { p.request(request, limit).await });
+        self.step_down(election, "its workers are not heard").await;
+        election.next_campaign_ms = now_ms + pause_ms;
+        let timeout = self.pledge_timeout();
+        for peer in &self.peers {
+            let (peer, request) =
+                (peer.clone(), PeerRequest::ReleasePledge { partition: self.partition, fencing_token });
+            // A peer that gets no release keeps to its pledge until that ends.
+            task::spawn(async move { peer.request(request, timeout).await });
         }
     }
 
-    async fn taken(&self, rules: &mut MembershipRules, t: &AcquiredLeadership, sent: u64) {
-        tracing::info!(partition = self.partition, fencing_token = %t.fencing_token, "partition taken");
+    async fn leadership_acquired(&self, election: &mut Election, acquired: AcquiredLeadership, sent_ms: u64) {
+        let AcquiredLeadership { lease_id, fencing_token, .. } = acquired;
+        tracing::info!(partition = self.partition, %fencing_token, "leadership acquired");
         self.metrics.count("partitions_taken", &self.partition.to_string());
-        self.held.fetch_add(1, Ordering::Relaxed);
-        rules.begin(t, sent);
-        rules.record =
-            Some(PartitionRecord { leader: rules.node.clone(), fencing_token: t.fencing_token, lease_id: t.lease_id });
-        let (fencing_token, version, lease_id, start_ms) = (t.fencing_token, t.version, t.lease_id, t.start_ms);
-        let _ =
-            self.leadership_changes.send(LeadershipChange::Begin { fencing_token, version, lease_id, start_ms }).await;
+        self.led_partitions.fetch_add(1, Ordering::Relaxed);
+        election.begin_leadership(&acquired, sent_ms);
+        election.record = Some(PartitionRecord { leader: election.node.clone(), fencing_token, lease_id });
+        // The partition's actor ends only with the node.
+        let _ = self.leadership_changes.send(LeadershipChange::Begin(acquired)).await;
     }
 
-    async fn step_down(&self, rules: &mut MembershipRules, why: &str) {
-        tracing::warn!(partition = self.partition, why, "partition lost");
-        self.metrics.count("partitions_lost", why);
-        self.held.fetch_sub(1, Ordering::Relaxed);
-        if let Role::Leader { lease_id, .. } = rules.role {
-            let state = self.state.clone();
+    /// Stops to lead: the lease is no longer valid here before the partition's actor is notified,
+    /// and revoked in the state store, so that another node may lead at once. `reason` is a label
+    /// of the metrics.
+    async fn step_down(&self, election: &mut Election, reason: &str) {
+        tracing::warn!(partition = self.partition, reason, "leadership lost");
+        self.metrics.count("partitions_lost", reason);
+        self.led_partitions.fetch_sub(1, Ordering::Relaxed);
+        if let Some(leader) = election.leader() {
+            let (state, lease_id) = (self.state.clone(), leader.lease_id);
+            // A lease that can't be revoked expires.
             task::spawn(async move { state.revoke_lease(lease_id).await });
         }
-        rules.role = Role::Follower;
-        rules.record = None;
-        rules.retry_after = clock::now_ms() + self.leader_lease_ttl_ms / 5;
-        self.leader_lease.set(0);
+        election.role = Role::Follower;
+        election.record = None;
+        election.next_campaign_ms = clock::now_ms() + self.leader_lease_ttl_ms / 5;
+        self.leader_lease.set_valid_until(0);
+        // The partition's actor ends only with the node.
         let _ = self.leadership_changes.send(LeadershipChange::End).await;
     }
 }
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to and from a membership actor.
+//! Messages to and from the election actor of a partition.
 
 use super::records::PartitionRecord;
 use crate::clients::RequestError;
@@ -8,100 +8,105 @@
 /// What the rest of the node knows of the partition's leader.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LeaderStatus {
-    /// Name of the node that holds the partition, if known.
+    /// Name of the node that leads the partition, if known.
     pub leader: Option<String>,
     /// True if that is this node.
     pub is_self: bool,
 }
 
-/// What the partition's actor is told.
+/// Notifies the partition's actor that leadership has changed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipChange {
-    /// This node holds the partition from now on.
-    Begin {
-        /// Term under which it holds the partition.
-        fencing_token: FencingToken,
-        /// Version of the partition's key.
-        version: u64,
-        /// Id of the lease that the key is attached to.
-        lease_id: u64,
-        /// Wall time at which the system began.
-        start_ms: u64,
-    },
-    /// It holds the partition no more.
+    /// This node leads the partition from now on.
+    Begin(AcquiredLeadership),
+    /// It no longer leads it.
     End,
 }
 
-/// Messages to a membership actor.
+/// A leader's request for a pledge: that the receiver does not campaign for a while.
+#[derive(Debug, Clone, PartialEq)]
+pub struct PledgeRequest {
+    /// Name of the node that asks.
+    pub leader: String,
+    /// The fencing token under which it leads.
+    pub fencing_token: FencingToken,
+    /// Duration of the pledge in milliseconds.
+    pub for_ms: u64,
+    /// True if the state store has answered the asker lately.
+    pub store_responsive: bool,
+}
+
+/// What the records read after a start say of pledges that were given before a restart.
+#[derive(Debug)]
+pub enum EarlierPledges {
+    /// No such pledge binds this node, and no node leads the partition.
+    NoneBinding,
+    /// They may bind it until they expire.
+    MayBind {
+        /// The partition's record; `None` if no node leads the partition.
+        record: Option<PartitionRecord>,
+    },
+}
+
+/// Messages to the election actor. Times are milliseconds of the steady clock.
 #[derive(Debug)]
 pub enum Message {
-    /// A leader asks this node not to take the partition for a while.
+    /// A leader asks for a pledge.
     Pledge {
-        /// Name of the node that asks.
-        leader: String,
-        /// The fencing token that the pledge is for.
-        fencing_token: FencingToken,
-        /// Duration of the pledge in milliseconds.
-        for_ms: u64,
-        /// True if the state service has answered the asker lately.
-        state_ok: bool,
+        /// The request.
+        request: PledgeRequest,
         /// Takes true if the pledge is given.
         reply: oneshot::Sender<bool>,
     },
-    /// The asker of a pledge has stopped acting.
+    /// A leader that asked for a pledge has stopped acting.
     ReleasePledge {
         /// The fencing token that the pledge was for.
         fencing_token: FencingToken,
     },
-    /// The partition's actor found its commits superseded.
-    Superseded,
-    /// The partition's actor hears its workers no more, and others may.
+    /// The partition's actor found that the partition's key is no longer this node's.
+    LeadershipLost,
+    /// The partition's actor receives no heartbeats, and another node may.
     YieldLeadership,
-    /// The first look at the state service after the start.
-    RecordRead {
-        /// The partition's key; `None` if nobody holds the partition, or `unbound`.
-        record: Option<PartitionRecord>,
-        /// True if no pledge of this node's earlier life binds it.
-        unbound: bool,
-    },
-    /// The partition's key as the state service has it now.
-    Seen(Option<PartitionRecord>),
-    /// The answer to a renewal of the lease.
-    Extended {
+    /// The records were read for the first time after the start.
+    StartupRead(EarlierPledges),
+    /// The partition's record as the state store has it now; `None` if no node leads.
+    RecordObserved(Option<PartitionRecord>),
+    /// A renewal of the lease has ended.
+    LeaseRenewalEnded {
         /// Id of the lease.
         lease_id: u64,
-        /// Steady time at which the request was sent.
-        sent: u64,
-        /// The outcome of the request.
+        /// When the request was sent.
+        sent_ms: u64,
+        /// How it ended.
         result: Result<(), RequestError>,
     },
-    /// The answer of another controller to a request for a pledge.
-    Pledged {
-        /// Index of the other controller.
+    /// A peer has given a pledge.
+    PledgeReceived {
+        /// Index of the peer.
         peer: usize,
-        /// Steady time at which the request was sent.
-        sent: u64,
-        /// True if the pledge was given.
-        ok: bool,
+        /// When the request was sent.
+        sent_ms: u64,
     },
-    /// The end of an attempt to take the partition.
-    AcquiredLeadership {
-        /// Steady time at which the attempt began.
-        sent: u64,
-        /// What was taken; `None` if the attempt failed.
-        result: Option<AcquiredLeadership>,
+    /// A peer has refused a pledge, or did not answer.
+    PledgeMissing,
+    /// A campaign has ended.
+    CampaignEnded {
+        /// When its first request was sent.
+        sent_ms: u64,
+        /// What was acquired; `None` if the campaign failed.
+        acquired: Option<AcquiredLeadership>,
     },
 }
 
-/// A partition that was taken: its lease, its fencing token and the version of its key.
-#[derive(Debug, Clone, PartialEq)]
+/// Leadership of a partition that was acquired by a commit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcquiredLeadership {
-    /// The lease that the key is attached to.
+    /// The lease that the partition's key is attached to.
     pub lease_id: u64,
-    /// The fencing token of the partition.
+    /// The fencing token of this leadership.
     pub fencing_token: FencingToken,
     /// The version of the partition's key.
     pub version: u64,
-    /// Wall time at which the system began.
+    /// Time of day at which the system began, in milliseconds.
     pub start_ms: u64,
 }
--- a/src/control/membership/records.rs
+++ b/src/control/membership/records.rs
@@ -1,4 +1,6 @@
-//! What the state service keeps of partitions and fencing tokens: keys and values.
+//! Records of partitions and fencing tokens in the state store: keys and values.
+//!
+//! Their spelling is fixed: controllers of an earlier version read and write them too.
 
 use crate::model::FencingToken;
 use serde::{Deserialize, Serialize};
@@ -7,7 +9,8 @@
 /// Key of the global counter of fencing tokens.
 pub const FENCING_TOKEN_KEY: &str = "term";
 
-/// Key of a partition.
+/// Key of a partition: it exists while the lease of the partition's leader lives. A leader's
+/// commits have its version as a condition, so that none can be applied after a failover.
 pub fn partition_key(partition: u32) -> String {
     format!("part/{partition}")
 }
@@ -15,10 +18,10 @@
 /// Value of a partition's key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionRecord {
-    /// Name of the node that holds the partition.
+    /// Name of the node that leads the partition.
     #[serde(rename = "holder")]
     pub leader: String,
-    /// The fencing token under which the node holds the partition.
+    /// The fencing token under which it leads.
     #[serde(rename = "term")]
     pub fencing_token: FencingToken,
     /// The lease that the key is attached to.
@@ -26,14 +29,15 @@
     pub lease_id: u64,
 }
 
-/// Value of the counter's key. `start_ms` is the one instant that bins count from.
+/// Value of the counter's key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FencingTokenRecord {
     /// The last fencing token that was given out.
-    pub n: FencingToken,
-    /// Wall time at which the system began.
+    #[serde(rename = "n")]
+    pub last_token: FencingToken,
+    /// Time of day at which the system began, in milliseconds: bins of jobs count from it.
     pub start_ms: u64,
-    /// Who held each partition last.
+    /// The last leader of each partition.
     #[serde(default, rename = "holders")]
     pub leaders: BTreeMap<u32, String>,
 }
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -6,7 +6,7 @@
 use crate::clients::request_budget::RequestBudget;
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::configuration::{self, FleetSettings};
-use crate::control::membership::{LeaderLease, LeaderStatus, Membership, PledgeStatus, Succession};
+use crate::control::membership::{ElectionActor, FailoverOrder, LeaderLease, LeaderStatus, PledgeStatus};
 use crate::control::partition_leader::PartitionLeader;
 use crate::control::router::{PartitionHandle, Router};
 use crate::runtime::metrics::SharedMetrics;
@@ -55,9 +55,9 @@
     let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
-    let held = Arc::new(AtomicUsize::new(0));
+    let led_partitions = Arc::new(AtomicUsize::new(0));
     let metrics = SharedMetrics::default();
-    let succession = Succession::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
+    let failover_order = FailoverOrder::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
     let mut nodes: Vec<&str> = settings.seeds.iter().map(|s| s.node.as_str()).collect();
     nodes.push(&settings.node);
     nodes.sort_unstable();
@@ -73,23 +73,23 @@
         let (members_tx, members_rx) = mpsc::channel(256);
         let (leader_tx, leader_rx) = mpsc::channel(QUEUED_FOR_LEADER);
         let ours = partition as usize % nodes.len() == own;
-        let membership = Membership {
+        let election = ElectionActor {
             partition,
             node: settings.node.clone(),
             leader_lease_ttl_ms,
             lease_ms: settings.lease_ms(),
             state: state.clone(),
             peers: peers.clone(),
-            succession: succession.clone(),
+            failover_order: failover_order.clone(),
             leader_lease: leader_lease.clone(),
             pledge_status: pledge_status.clone(),
             leader_status: leader_status_tx,
             leadership_changes: leadership_changes_tx,
-            held: held.clone(),
+            led_partitions: led_partitions.clone(),
             metrics: metrics.clone(),
-            initial_delay_ms: if operator.partitions > 1 && !ours { leader_lease_ttl_ms / 5 } else { 0 },
+            first_campaign_delay_ms: if operator.partitions > 1 && !ours { leader_lease_ttl_ms / 5 } else { 0 },
         };
-        members.push((membership, members_tx.clone(), members_rx));
+        members.push((election, members_tx.clone(), members_rx));
         leaders.push((leadership_changes, leader_rx));
         handles.push(PartitionHandle {
             leader_status,
@@ -114,8 +114,8 @@
         bills,
         last_heartbeat_ms,
     };
-    for (membership, tx, rx) in members {
-        task::spawn(membership.run(tx, rx));
+    for (election, tx, rx) in members {
+        task::spawn(election.run(tx, rx));
     }
     for (id, (leadership_changes, rx)) in (0..).zip(leaders) {
         let handle = &router.partitions[id as usize];
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -8,7 +8,7 @@
 use super::stored_records::Loaded;
 use crate::api::refusal::RefusalReason;
 use crate::clients::TokenBucket;
-use crate::control::membership::LeadershipChange;
+use crate::control::membership::{AcquiredLeadership, LeadershipChange};
 use crate::control::partition::{Partition, UserAnswer};
 use crate::model::FencingToken;
 use crate::provisioning::provisioner::Provisioner;
@@ -39,7 +39,7 @@
             tokio::select! {
                 biased;
                 t = leadership_changes.recv() => match t {
-                    Some(LeadershipChange::Begin { fencing_token, version, lease_id, start_ms }) => {
+                    Some(LeadershipChange::Begin(AcquiredLeadership { fencing_token, version, lease_id, start_ms })) => {
                         n += 1;
                         self.current.store(n, Ordering::Relaxed);
                         let mut leadership = self.begin(n, fencing_token, version, lease_id, start_ms);
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::clients::{StateStore, TokenBucket};
-use crate::control::membership::{self, PartitionRecord, RaisedToken};
+use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedToken};
 use crate::control::partition::{CommitOutcome, Superseded};
 use crate::runtime::task;
 use tokio::time::sleep;
@@ -42,9 +42,12 @@
         let (id, node, version, lease_id) =
             (self.id, self.settings.node.clone(), leadership.version, leadership.lease_id);
         task::spawn(async move {
-            let event = match membership::raise_fencing_token(&state, id, &node, version, lease_id).await {
+            let update = PartitionKeyUpdate { partition: id, node: &node, version, lease_id };
+            let event = match membership::raise_fencing_token(&state, &update).await {
                 Ok(raised) => BackgroundEvent::Raised(Some(raised)),
-                Err(CommitOutcome::Conflict { .. }) => read_partition_record(&state, id, lease_id).await,
+                Err(AcquireError::Commit(CommitOutcome::Conflict { .. })) => {
+                    read_partition_record(&state, id, lease_id).await
+                }
                 Err(_) => BackgroundEvent::Raised(None),
             };
             sender.send(event).await;
@@ -100,8 +103,8 @@
     /// Another node has the partition: nothing more may be done for it here.
     pub(super) fn superseded(&self, leadership: &mut Leadership) {
         leadership.loaded = false;
-        self.leader_lease.set(0);
-        let _ = self.members.try_send(membership::Message::Superseded);
+        self.leader_lease.set_valid_until(0);
+        let _ = self.members.try_send(membership::Message::LeadershipLost);
     }
 }
 
--- a/src/control/partition_leader/rounds.rs
+++ b/src/control/partition_leader/rounds.rs
@@ -44,7 +44,7 @@
         if !stalled && leadership.partition.cut_off(now) {
             let _ = self.members.try_send(membership::Message::YieldLeadership);
         }
-        let (release, probe) = leadership.partition.detect_failures(now, self.pledge_status.unbound_ms(now));
+        let (release, probe) = leadership.partition.detect_failures(now, self.pledge_status.last_gap_ms(now));
         for op in leadership.provisioner.release(release) {
             self.cloud_request(leadership, op);
         }
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -5,7 +5,7 @@
 use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::clients::StateStore;
 use crate::configuration::ConfigurationHandle;
-use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
+use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeRequest, PledgeStatus};
 use crate::control::partition::UserAnswer;
 use crate::control::partition_leader;
 use crate::model::FencingToken;
@@ -199,7 +199,8 @@
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
-                let m = membership::Message::Pledge { leader, fencing_token, for_ms, state_ok, reply };
+                let request = PledgeRequest { leader, fencing_token, for_ms, store_responsive: state_ok };
+                let m = membership::Message::Pledge { request, reply };
                 if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
                     PeerResponse::Accepted
                 } else {
