--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -130,10 +130,10 @@
             worker: Worker::on(&net, &settings),
             leader_lease: handle.leader_lease.clone(),
             pledge_status: handle.pledge_status.clone(),
-            members: handle.members.clone(),
+            election: handle.members.clone(),
             router: router.clone(),
             tx: handle.leader.clone(),
-            current: Arc::new(AtomicU64::new(0)),
+            current_epoch: Arc::new(AtomicU64::new(0)),
         };
         task::spawn(leader.run(leadership_changes, rx));
     }
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -1,19 +1,17 @@
-//! The actor: its loop, and where each message goes.
+//! The loop of the actor, and the dispatch of its messages.
 
-use super::answers::handle_while_follower;
-use super::context::{PartitionLeader, RETRY_LOANS, RETRY_POOLS, WRITE_BURST_S};
-use super::followed::FollowedConfiguration;
-use super::leadership::Leadership;
+use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PROVISIONER_PARTITION, PartitionLeader, WRITE_BURST_S};
+use super::leadership::{Leadership, NewLeadership};
 use super::messages::{BackgroundEvent, HeartbeatReply, Message};
-use super::stored_records::Loaded;
+use super::requests::handle_while_follower;
+use super::stored_records::StoredRecords;
 use crate::api::refusal::RefusalReason;
 use crate::clients::TokenBucket;
 use crate::control::membership::{AcquiredLeadership, LeadershipChange};
 use crate::control::partition::{Partition, UserAnswer};
-use crate::model::FencingToken;
 use crate::provisioning::provisioner::Provisioner;
 use crate::runtime::clock;
-use crate::runtime::metrics::labelled_gauge_line;
+use crate::runtime::metrics::{Metrics, labelled_gauge_line};
 use crate::scheduling::Policy;
 use crate::settings::bounds::Bounds;
 use crate::transport::peer::PeerResponse;
@@ -22,235 +20,233 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Messages that are taken into a round beside the first one, at the most.
-const MORE_PER_ROUND: usize = 64;
+/// Messages that are handled in a batch beside the first one, at the most.
+const MORE_PER_BATCH: usize = 64;
 
-/// Questions to machines may come in bursts of so many seconds' worth.
+/// Probes of machines may come in bursts of so many seconds.
 const PROBE_BURST_S: f64 = 1.0;
 
 impl PartitionLeader {
-    /// Runs until nobody can send messages any more.
-    pub async fn run(self, mut leadership_changes: mpsc::Receiver<LeadershipChange>, mut rx: mpsc::Receiver<Message>) {
+    /// Runs until nobody can send messages any more. Changes of leadership go first: nothing is
+    /// done for a leadership that is known to have ended.
+    pub async fn run(
+        self,
+        mut leadership_changes: mpsc::Receiver<LeadershipChange>,
+        mut messages: mpsc::Receiver<Message>,
+    ) {
         let mut active: Option<Leadership> = None;
-        let mut n = 0;
-        let mut metrics = Default::default();
+        let mut last_epoch = 0;
+        // They are counted on over all leaderships.
+        let mut metrics = Metrics::default();
         loop {
             let wake = self.next_wake(active.as_ref());
             tokio::select! {
                 biased;
-                t = leadership_changes.recv() => match t {
-                    Some(LeadershipChange::Begin(AcquiredLeadership { fencing_token, version, lease_id, start_ms })) => {
-                        n += 1;
-                        self.current.store(n, Ordering::Relaxed);
-                        let mut leadership = self.begin(n, fencing_token, version, lease_id, start_ms);
+                change = leadership_changes.recv() => match change {
+                    Some(LeadershipChange::Begin(acquired)) => {
+                        last_epoch += 1;
+                        let mut leadership = self.begin_leadership(last_epoch, acquired);
                         leadership.partition.metrics = std::mem::take(&mut metrics);
                         active = Some(leadership);
                     }
                     Some(LeadershipChange::End) => {
-                        self.current.store(0, Ordering::Relaxed);
+                        // Its background tasks end.
+                        self.current_epoch.store(0, Ordering::Relaxed);
                         if let Some(leadership) = active.take() {
                             metrics = leadership.partition.metrics;
                         }
                     }
                     None => return,
                 },
-                m = rx.recv() => match m {
-                    Some(m) => {
-                        self.handle(active.as_mut(), m);
-                        // What has come meanwhile is taken into the same round.
-                        for _ in 0..MORE_PER_ROUND {
-                            let Ok(m) = rx.try_recv() else { break };
-                            self.handle(active.as_mut(), m);
-                        }
-                    }
+                message = messages.recv() => match message {
+                    Some(message) => self.handle_batch(active.as_mut(), message, &mut messages),
                     None => return,
                 },
                 () = sleep(wake) => {}
             }
             if let Some(leadership) = active.as_mut().filter(|leadership| leadership.loaded) {
-                self.drive(leadership);
+                self.run_due_work(leadership);
             }
         }
     }
 
-    /// How long the actor may sleep if nothing comes.
+    /// Handles a message and those that have come meanwhile, before the work that is then due.
+    fn handle_batch(
+        &self,
+        mut active: Option<&mut Leadership>,
+        first: Message,
+        messages: &mut mpsc::Receiver<Message>,
+    ) {
+        self.handle(active.as_deref_mut(), first);
+        for _ in 0..MORE_PER_BATCH {
+            let Ok(message) = messages.try_recv() else { break };
+            self.handle(active.as_deref_mut(), message);
+        }
+    }
+
+    /// How long the actor may sleep if no message comes.
     fn next_wake(&self, active: Option<&Leadership>) -> Duration {
-        let most = self.settings.react_ms() / 2;
+        let longest_ms = self.settings.react_ms() / 2;
         let Some(leadership) = active.filter(|leadership| leadership.loaded) else {
-            return Duration::from_millis(most);
+            return Duration::from_millis(longest_ms);
         };
         let now = clock::now_ms();
-        let mut at = leadership.next_failure_detection_ms;
+        let mut due_ms = leadership.timers.next_failure_detection_ms;
         if leadership.partition.cycle_due {
-            at = at.min(leadership.next_cycle_ms);
+            due_ms = due_ms.min(leadership.timers.next_cycle_ms);
         }
         if leadership.partition.urgent_cycle_due {
-            at = at.min(leadership.next_urgent_cycle_ms);
+            due_ms = due_ms.min(leadership.timers.next_urgent_cycle_ms);
         }
-        Duration::from_millis(at.saturating_sub(now).clamp(1, most))
+        Duration::from_millis(due_ms.saturating_sub(now).clamp(1, longest_ms))
     }
 
-    fn begin(&self, n: u64, fencing_token: FencingToken, version: u64, lease_id: u64, start_ms: u64) -> Leadership {
+    /// Begins a leadership, and starts to read the partition's records.
+    fn begin_leadership(&self, epoch: u64, acquired: AcquiredLeadership) -> Leadership {
+        self.current_epoch.store(epoch, Ordering::Relaxed);
         let now = clock::now_ms();
         let limits = self.settings.write_limits();
-        let policy = Policy::new(&self.settings, &self.operator, start_ms);
+        let policy = Policy::new(&self.settings, &self.operator, acquired.start_ms);
         let teams = self.settings.partitions_of_teams(self.operator.partitions);
         let mut partition = Partition::new(policy, self.id, teams, limits);
-        partition.set_fencing_token(fencing_token, version);
+        partition.set_fencing_token(acquired.fencing_token, acquired.version);
         if let Some(pools) = &self.pools {
             partition.enable_pools(pools.as_ref().clone(), now, clock::wall_ms());
         }
         if let Some(borrowing) = &self.borrowing {
             partition.enable_borrowing(borrowing.clone());
         }
-        self.load(n);
-        Leadership {
+        self.load(epoch);
+        let probes_per_s = Bounds::new(&self.settings).probes_per_s;
+        let new = NewLeadership {
             partition,
             provisioner: Provisioner::new(self.settings.params.cloud.list_lag_s),
-            n,
-            lease_id,
-            version,
-            loaded: false,
-            writes: TokenBucket::new(limits.changes_per_s, WRITE_BURST_S, now),
-            raising: false,
-            raise_after_ms: 0,
-            token_check_due: true,
-            commit_after_ms: 0,
-            next_cycle_ms: 0,
-            next_urgent_cycle_ms: 0,
-            next_failure_detection_ms: 0,
-            last_failure_detection_ms: now,
-            probes: Bounds::new(&self.settings).probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
-            next_plan_ms: 0,
-            known_external_dependencies: None,
-            external_reads_under_way: false,
-            next_external_read_ms: 0,
-            followed: FollowedConfiguration::default(),
-            reading_indeterminate: false,
-            pending_machines: Vec::new(),
-        }
+            epoch,
+            acquired,
+            write_budget: TokenBucket::new(limits.changes_per_s, WRITE_BURST_S, now),
+            probe_budget: probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
+        };
+        Leadership::new(new, now)
     }
 
-    fn handle(&self, active: Option<&mut Leadership>, m: Message) {
+    /// Handles a message. Every answer is given only while the lease is valid: an answer of a
+    /// former leader may be out of date.
+    fn handle(&self, active: Option<&mut Leadership>, message: Message) {
         let Some(leadership) = active else {
-            handle_while_follower(m);
+            handle_while_follower(message);
             return;
         };
         let now = clock::now_ms();
-        let leader_lease = self.leader_lease.holds(now);
-        match m {
+        let lease_valid = self.leader_lease.holds(now);
+        let serving = lease_valid && leadership.loaded;
+        // An asker that waits no longer needs no answer.
+        match message {
             Message::Heartbeat { heartbeat, reply } => {
-                let answer = if leader_lease {
-                    self.heartbeat(leadership, &heartbeat, now)
-                } else {
-                    HeartbeatReply::NotEntitled
-                };
+                let answer =
+                    if lease_valid { self.heartbeat(leadership, &heartbeat, now) } else { HeartbeatReply::NotLeader };
                 let _ = reply.send(answer);
             }
             Message::CapacityReport { capacity_report, reply } => {
-                let known = leader_lease && leadership.loaded && self.id == 0;
-                let _ = reply.send(if known {
+                let answer = if serving && self.id == PROVISIONER_PARTITION {
                     self.capacity_report(leadership, capacity_report, now)
                 } else {
                     PeerResponse::Rejected
-                });
+                };
+                let _ = reply.send(answer);
             }
             Message::TransferHost { host, to, reply } => {
-                let given = leader_lease && leadership.loaded && leadership.partition.transfer_host(&host, to);
-                let _ = reply.send(if given { PeerResponse::Accepted } else { PeerResponse::Rejected });
-            }
-            Message::User { call, reply } if leader_lease && leadership.loaded => {
-                self.user(leadership, call, reply, now)
+                let transferred = serving && leadership.partition.transfer_host(&host, to);
+                let _ = reply.send(if transferred { PeerResponse::Accepted } else { PeerResponse::Rejected });
             }
+            Message::User { call, reply } if serving => self.user(leadership, call, reply, now),
             Message::User { reply, .. } => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::FailoverUnderWay));
             }
-            Message::Pools(reply) => {
-                let answer = if leader_lease && leadership.loaded { self.pool_status(leadership) } else { RETRY_POOLS };
-                let _ = reply.send(answer);
+            Message::PoolStatus(reply) => {
+                let _ = reply.send(if serving { self.pool_status(leadership) } else { POOLS_RETRY_LATER });
             }
-            Message::Loans(reply) => {
-                let answer =
-                    if leader_lease && leadership.loaded { self.loans_status(leadership, now) } else { RETRY_LOANS };
-                let _ = reply.send(answer);
+            Message::LoanStatus(reply) => {
+                let _ = reply.send(if serving { self.loans_status(leadership, now) } else { LOANS_RETRY_LATER });
             }
             Message::Metrics(reply) => {
-                let label = self.id.to_string();
-                let waiting = leadership.partition.waiting_jobs();
-                let gauge = labelled_gauge_line("jobs_waiting_for_others", "partition", &label, waiting);
-                let loans = if leadership.loaded { leadership.partition.loan_gauges(now) } else { String::new() };
-                let _ = reply.send(leadership.partition.metrics.text() + &gauge + &loans);
+                let _ = reply.send(self.metrics_text(leadership, now));
             }
-            // One of an earlier session must not cycle for the one that is under way.
-            Message::Background { leadership_epoch, event } if leadership_epoch == leadership.n => {
+            // A report of an earlier leadership must not be taken for one of this.
+            Message::Background { leadership_epoch, event } if leadership_epoch == leadership.epoch => {
                 self.handle_event(leadership, event, now)
             }
             Message::Background { .. } => {}
         }
     }
 
+    /// The metrics of the partition in the text format of Prometheus.
+    fn metrics_text(&self, leadership: &Leadership, now: u64) -> String {
+        let label = self.id.to_string();
+        let waiting = leadership.partition.waiting_jobs();
+        let gauge = labelled_gauge_line("jobs_waiting_for_others", "partition", &label, waiting);
+        let loans = if leadership.loaded { leadership.partition.loan_gauges(now) } else { String::new() };
+        leadership.partition.metrics.text() + &gauge + &loans
+    }
+
     fn handle_event(&self, leadership: &mut Leadership, event: BackgroundEvent, now: u64) {
         match event {
-            BackgroundEvent::PendingMachine { pending_machines, refused } => {
+            BackgroundEvent::PendingMachines { pending_machines, refused } => {
                 self.pending_machines(leadership, pending_machines, &refused, now)
             }
-            BackgroundEvent::Rechecked { host, record } => leadership.partition.rechecked(&host, record, now),
-            BackgroundEvent::Loaded(loaded) => self.loaded(leadership, loaded, now),
-            BackgroundEvent::DirectDone { command, result } => {
+            BackgroundEvent::HostRecordRead { host, record } => leadership.partition.rechecked(&host, record, now),
+            BackgroundEvent::RecordsLoaded(records) => self.records_loaded(leadership, records, now),
+            BackgroundEvent::DirectCommandEnded { command, result } => {
                 leadership.partition.direct_command_done(&command, result, now)
             }
-            BackgroundEvent::Committed(result) => self.committed(leadership, result, now),
-            BackgroundEvent::Reread(items) => {
-                for i in items {
-                    leadership.partition.reread(i);
-                }
+            BackgroundEvent::CommitEnded(result) => self.commit_ended(leadership, result, now),
+            BackgroundEvent::RecordsReread(items) => {
+                items.into_iter().for_each(|item| leadership.partition.reread(item))
             }
-            BackgroundEvent::Inbox(items) => {
-                for i in items {
-                    leadership.partition.adopt_job(i, now);
-                }
+            BackgroundEvent::InboxRead(items) => {
+                items.into_iter().for_each(|item| leadership.partition.adopt_job(item, now))
             }
             BackgroundEvent::DependenciesRead { submission, found } => {
                 leadership.partition.looked_up(submission, found, now, clock::wall_ms());
             }
             BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
-            BackgroundEvent::IndeterminateRead(found) => self.indeterminate_read(leadership, found),
-            BackgroundEvent::Raised(raised) => self.raised(leadership, raised, now),
+            BackgroundEvent::IndeterminateRecordsRead(found) => self.indeterminate_read(leadership, found),
+            BackgroundEvent::TokenRaiseEnded(raised) => self.token_raise_ended(leadership, raised, now),
             BackgroundEvent::ConfigurationRecorded(applied_configuration) => {
                 self.configuration_recorded(leadership, applied_configuration)
             }
-            BackgroundEvent::Superseded => self.superseded(leadership),
-            BackgroundEvent::Rented { name, result } => self.rented(leadership, &name, result, now),
-            BackgroundEvent::Released { hosts, confirmed } => self.released(leadership, hosts, confirmed),
-            BackgroundEvent::ListedInstance(list) => {
-                for op in leadership.provisioner.listed(&list, &leadership.partition, now) {
-                    self.cloud_request(leadership, op);
+            BackgroundEvent::LeadershipLost => self.leadership_lost(leadership),
+            BackgroundEvent::RentEnded { name, result } => self.rent_ended(leadership, &name, result, now),
+            BackgroundEvent::ReleaseEnded { hosts, confirmed } => self.release_ended(leadership, hosts, confirmed),
+            BackgroundEvent::InstancesListed(list) => {
+                for request in leadership.provisioner.listed(&list, &leadership.partition, now) {
+                    self.send_cloud_request(leadership, request);
                 }
             }
-            BackgroundEvent::InstanceTypes(instance_types) => {
+            BackgroundEvent::InstanceTypesRead(instance_types) => {
                 self.check_pool_machines(&instance_types);
                 leadership.partition.set_instance_types(instance_types);
             }
         }
     }
 
-    fn loaded(&self, leadership: &mut Leadership, l: Loaded, now: u64) {
-        // Once: begun anew, the partition would forget what it has ordered since.
+    /// Begins the work of the leadership on the records that were read. Only once: begun again, the
+    /// partition would forget what it has ordered since.
+    fn records_loaded(&self, leadership: &mut Leadership, records: StoredRecords, now: u64) {
         if leadership.loaded {
             return;
         }
-        let (fencing_token, version) = (leadership.partition.fencing_token, leadership.version);
-        leadership.partition.begin(fencing_token, version, l.jobs, l.hosts, l.instance_types, now);
-        leadership.partition.begin_pools(l.pool_records, now);
-        leadership.partition.begin_loans(l.loan_records);
+        let (fencing_token, version) = (leadership.partition.fencing_token, leadership.key_version);
+        leadership.partition.begin(fencing_token, version, records.jobs, records.hosts, records.instance_types, now);
+        leadership.partition.begin_pools(records.pool_records, now);
+        leadership.partition.begin_loans(records.loan_records);
         leadership.loaded = true;
         tracing::info!(
             %fencing_token,
             jobs = leadership.partition.cluster.live.len(),
             hosts = leadership.partition.cluster.host_index.len(),
-            "loaded"
+            "partition loaded"
         );
-        self.watch_cloud(leadership.n, leadership.partition.cluster.instance_types.clone());
-        self.watch_inbox(leadership.n);
+        self.watch_cloud(leadership.epoch, leadership.partition.cluster.instance_types.clone());
+        self.watch_inbox(leadership.epoch);
     }
 }
--- a/src/control/partition_leader/borrowing.rs
+++ b/src/control/partition_leader/borrowing.rs
@@ -1,19 +1,19 @@
-//! Loans between teams: their upkeep, and what is asked about them.
+//! Loans between teams: their maintenance, and their status.
 
-use super::context::PartitionLeader;
+use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use crate::borrowing::LoansResponse;
 use crate::runtime::clock;
 
 impl PartitionLeader {
-    /// Looks after the loans, if there is borrowing.
+    /// Maintains the loans, if there is borrowing.
     pub(super) fn maintain_loans(&self, leadership: &mut Leadership, now: u64) {
         if self.borrowing.is_some() {
             leadership.partition.maintain_loans(now, clock::wall_ms());
         }
     }
 
-    /// How the loans are.
+    /// The status of the loans.
     pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> LoansResponse {
         leadership.partition.loans_status(now).map_or(LoansResponse::NoBorrowing, LoansResponse::Status)
     }
--- a/src/control/partition_leader/cloud_tasks.rs
+++ b/src/control/partition_leader/cloud.rs
@@ -1,9 +1,9 @@
-//! Operations of the cloud, and the watch of its machine types and its list.
+//! Requests to the cloud, and the watch of its machine types and of its list of machines.
 
-use super::context::PartitionLeader;
+use super::leader::{PROVISIONER_PARTITION, PartitionLeader};
 use super::leadership::Leadership;
 use super::messages::{BackgroundEvent, BackgroundSender};
-use super::stored_records::flavor_changes;
+use super::stored_records::instance_type_writes;
 use crate::clients::{Cloud, RentResult, StateStore};
 use crate::model::InstanceType;
 use crate::provisioning::provisioner::CloudRequest;
@@ -13,13 +13,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The machine types are read in one of so many rounds of the watch.
-const ROUNDS_PER_FLAVORS: u32 = 8;
+/// The machine types are read once in so many reads of the list.
+const LISTS_PER_INSTANCE_TYPE_READ: u32 = 8;
 
 impl PartitionLeader {
-    /// Starts an operation.
-    pub(super) fn cloud_request(&self, leadership: &mut Leadership, op: CloudRequest) {
-        match op {
+    /// Starts a request.
+    pub(super) fn send_cloud_request(&self, leadership: &mut Leadership, request: CloudRequest) {
+        match request {
             CloudRequest::Rent { name, rental, pause_ms } => self.rent(leadership, name, rental, pause_ms),
             CloudRequest::TransferHost { from, host, to } => {
                 let router = self.router.clone();
@@ -32,17 +32,17 @@
     }
 
     fn rent(&self, leadership: &Leadership, name: String, rental: Rental, pause_ms: u64) {
-        let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.n));
+        let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.epoch));
         let instance_type = leadership.partition.cluster.instance_types[rental.instance_type].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
             let result = cloud.rent(&name, &instance_type, &rental.zone, rental.spot, rental.count).await;
-            sender.send(BackgroundEvent::Rented { name, result }).await;
+            sender.send(BackgroundEvent::RentEnded { name, result }).await;
         });
     }
 
     fn release(&self, leadership: &mut Leadership, hosts: Vec<String>) {
-        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(leadership.n), self.cloud_pause());
+        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(leadership.epoch), self.cloud_pause());
         for id in &hosts {
             leadership.partition.mark_terminating(id);
         }
@@ -51,26 +51,27 @@
             if !confirmed {
                 sleep(pause).await;
             }
-            sender.send(BackgroundEvent::Released { hosts, confirmed }).await;
+            sender.send(BackgroundEvent::ReleaseEnded { hosts, confirmed }).await;
         });
     }
 
-    /// Pause before an operation that failed is started again.
+    /// Pause before a request that failed is repeated.
     fn cloud_pause(&self) -> Duration {
         Duration::from_millis(self.settings.react_ms())
     }
 
-    /// Takes in how a rental request ended.
-    pub(super) fn rented(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
-        if let Some(op) = leadership.provisioner.rented(name, result, now) {
-            self.cloud_request(leadership, op);
+    /// Handles the outcome of a rental request.
+    pub(super) fn rent_ended(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
+        if let Some(request) = leadership.provisioner.rented(name, result, now) {
+            self.send_cloud_request(leadership, request);
         }
     }
 
-    /// Takes in how a request to release machines ended.
-    pub(super) fn released(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
+    /// Handles the outcome of a request to terminate machines. It is repeated until the cloud
+    /// confirms it: only then are their tasks free to run elsewhere.
+    pub(super) fn release_ended(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
-            self.cloud_request(leadership, CloudRequest::Release(hosts));
+            self.send_cloud_request(leadership, CloudRequest::Release(hosts));
             return;
         }
         leadership.provisioner.released(&hosts);
@@ -88,30 +89,30 @@
         }
     }
 
-    /// Reads the machine types and the list for as long as the session lasts.
+    /// Reads the machine types, and as the provisioner the list of machines, until leadership ends.
     pub(super) fn watch_cloud(&self, leadership_epoch: u64, known: Vec<InstanceType>) {
         let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(leadership_epoch));
         let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
         let value_bytes = self.settings.write_limits().value_bytes;
-        let leads = self.id == 0;
+        let is_provisioner = self.id == PROVISIONER_PARTITION;
         task::spawn(async move {
             let mut known = known;
-            let mut round = 0u32;
+            let mut reads = 0u32;
             loop {
-                if (round.is_multiple_of(ROUNDS_PER_FLAVORS) || known.is_empty())
-                    && !read_flavors(&cloud, &state, &sender, &mut known, value_bytes).await
+                if (reads.is_multiple_of(LISTS_PER_INSTANCE_TYPE_READ) || known.is_empty())
+                    && !read_instance_types(&cloud, &state, &sender, &mut known, value_bytes).await
                 {
                     return;
                 }
-                if leads
+                if is_provisioner
                     && let Some(list) = cloud.list().await
-                    && !sender.send(BackgroundEvent::ListedInstance(list)).await
+                    && !sender.send(BackgroundEvent::InstancesListed(list)).await
                 {
                     return;
                 }
-                round += 1;
+                reads += 1;
                 sleep(if known.is_empty() { pause / 4 } else { pause }).await;
-                // A later session starts its own.
+                // A later leadership starts its own watch.
                 if !sender.is_current() {
                     return;
                 }
@@ -121,7 +122,7 @@
 }
 
 /// Reads the machine types and keeps them for a restart; false if the actor has ended.
-async fn read_flavors(
+async fn read_instance_types(
     cloud: &Cloud,
     state: &StateStore,
     sender: &BackgroundSender,
@@ -130,10 +131,10 @@
 ) -> bool {
     let Some(instance_types) = cloud.instance_types().await else { return true };
     if known.len() != instance_types.len() {
-        for change in flavor_changes(&instance_types, value_bytes) {
+        for change in instance_type_writes(&instance_types, value_bytes) {
             state.commit(&[], &[change]).await;
         }
     }
     known.clone_from(&instance_types);
-    sender.send(BackgroundEvent::InstanceTypes(instance_types)).await
+    sender.send(BackgroundEvent::InstanceTypesRead(instance_types)).await
 }
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -1,7 +1,7 @@
 //! Commits of the partition's records, and raises of its fencing token.
 
-use super::context::{PartitionLeader, WRITE_BURST_S};
-use super::leadership::Leadership;
+use super::leader::{PartitionLeader, WRITE_BURST_S};
+use super::leadership::{Leadership, TokenRaise};
 use super::messages::BackgroundEvent;
 use crate::clients::{StateStore, TokenBucket};
 use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedToken};
@@ -11,106 +11,109 @@
 
 impl PartitionLeader {
     /// Commits what has changed, or raises the fencing token if that must come first.
+    ///
+    /// Writes to the state store are scarce: at most one commit is under way, with as many writes
+    /// as the budget has, and the partition puts the urgent ones first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
-        if leadership.raising || leadership.partition.committing() || now < leadership.commit_after_ms {
+        let TokenRaise::Idle { not_before_ms } = leadership.token_raise else { return };
+        if leadership.partition.committing() || now < leadership.next_commit_ms {
             return;
         }
-        if leadership.token_check_due && now >= leadership.raise_after_ms {
+        if leadership.token_check_due && now >= not_before_ms {
             leadership.token_check_due = false;
             if leadership.partition.needs_higher_token() {
                 self.raise_fencing_token(leadership);
                 return;
             }
         }
-        let ops = leadership.writes.available_tokens(now);
-        if ops == 0 {
+        let most_writes = leadership.write_budget.available_tokens(now);
+        if most_writes == 0 {
             return;
         }
-        if let Some(c) = leadership.partition.next_commit(now, ops) {
-            leadership.writes.spend(c.writes.len());
-            let (state, sender) = (self.state.clone(), self.sender(leadership.n));
+        if let Some(commit) = leadership.partition.next_commit(now, most_writes) {
+            leadership.write_budget.spend(commit.writes.len());
+            let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
             task::spawn(async move {
-                let result = state.commit(&c.conditions, &c.writes).await;
-                sender.send(BackgroundEvent::Committed(result)).await;
+                let result = state.commit(&commit.conditions, &commit.writes).await;
+                sender.send(BackgroundEvent::CommitEnded(result)).await;
             });
         }
     }
 
     fn raise_fencing_token(&self, leadership: &mut Leadership) {
-        leadership.raising = true;
-        let (state, sender) = (self.state.clone(), self.sender(leadership.n));
+        leadership.token_raise = TokenRaise::UnderWay;
+        let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
         let (id, node, version, lease_id) =
-            (self.id, self.settings.node.clone(), leadership.version, leadership.lease_id);
+            (self.id, self.settings.node.clone(), leadership.key_version, leadership.lease_id);
         task::spawn(async move {
             let update = PartitionKeyUpdate { partition: id, node: &node, version, lease_id };
             let event = match membership::raise_fencing_token(&state, &update).await {
-                Ok(raised) => BackgroundEvent::Raised(Some(raised)),
+                Ok(raised) => BackgroundEvent::TokenRaiseEnded(Some(raised)),
                 Err(AcquireError::Commit(CommitOutcome::Conflict { .. })) => {
                     read_partition_record(&state, id, lease_id).await
                 }
-                Err(_) => BackgroundEvent::Raised(None),
+                Err(_) => BackgroundEvent::TokenRaiseEnded(None),
             };
             sender.send(event).await;
         });
     }
 
-    /// Takes in how a commit ended.
-    pub(super) fn committed(&self, leadership: &mut Leadership, result: CommitOutcome, now: u64) {
-        let in_vain = |r: &CommitOutcome| !matches!(r, CommitOutcome::Done { .. } | CommitOutcome::Conflict { .. });
-        if in_vain(&result) {
-            leadership.commit_after_ms = now + self.settings.react_ms() / 5;
+    /// Handles the outcome of a commit.
+    pub(super) fn commit_ended(&self, leadership: &mut Leadership, result: CommitOutcome, now: u64) {
+        if !matches!(result, CommitOutcome::Done { .. } | CommitOutcome::Conflict { .. }) {
+            leadership.next_commit_ms = now + self.settings.react_ms() / 5;
         }
         if matches!(result, CommitOutcome::Throttled) {
             self.slow_down(leadership, now);
         }
         match leadership.partition.committed(result) {
-            Ok(keys) if !keys.is_empty() => self.reread(leadership.n, keys),
+            Ok(keys) if !keys.is_empty() => self.reread(leadership.epoch, keys),
             Ok(_) => {}
-            // It may be our own raise of the fencing token that came late.
+            // It may be this leadership's own raise of the fencing token that was applied late.
             Err(Superseded) => {
-                leadership.raising = true;
+                leadership.token_raise = TokenRaise::UnderWay;
                 let (state, sender, id, lease_id) =
-                    (self.state.clone(), self.sender(leadership.n), self.id, leadership.lease_id);
+                    (self.state.clone(), self.sender(leadership.epoch), self.id, leadership.lease_id);
                 task::spawn(async move { sender.send(read_partition_record(&state, id, lease_id).await).await });
             }
         }
     }
 
-    /// The service has refused the rate of changes: the lower one that was announced holds now.
+    /// The state store has refused the rate of writes: the lower one that was announced applies now.
     fn slow_down(&self, leadership: &mut Leadership, now: u64) {
         leadership.partition.metrics.count("limits_met", "write_rate");
         let limits = self.settings.write_limits();
         if leadership.partition.policy.writes_per_s > limits.lower_changes_per_s {
-            tracing::info!(per_s = limits.lower_changes_per_s, "the state service takes fewer changes");
+            tracing::info!(per_s = limits.lower_changes_per_s, "the state store accepts fewer writes");
             leadership.partition.policy.writes_per_s = limits.lower_changes_per_s;
-            leadership.writes = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
-            let burst = leadership.writes.available_tokens(now);
-            leadership.writes.spend(burst);
+            leadership.write_budget = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
+            let burst = leadership.write_budget.available_tokens(now);
+            leadership.write_budget.spend(burst);
         }
     }
 
-    /// Takes in how a raise of the fencing token ended.
-    pub(super) fn raised(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
-        leadership.raising = false;
-        leadership.raise_after_ms = now + self.settings.react_ms();
+    /// Handles the outcome of a raise of the fencing token.
+    pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
+        leadership.token_raise = TokenRaise::Idle { not_before_ms: now + self.settings.react_ms() };
         if let Some(RaisedToken { fencing_token, version }) = raised {
             tracing::info!(%fencing_token, "raised the fencing token");
             leadership.partition.set_fencing_token(fencing_token, version);
-            leadership.version = version;
+            leadership.key_version = version;
         }
     }
 
-    /// Another node has the partition: nothing more may be done for it here.
-    pub(super) fn superseded(&self, leadership: &mut Leadership) {
+    /// Another node leads the partition, or none: nothing more may be done for it here.
+    pub(super) fn leadership_lost(&self, leadership: &mut Leadership) {
         leadership.loaded = false;
         self.leader_lease.set_valid_until(0);
-        let _ = self.members.try_send(membership::Message::LeadershipLost);
+        // If its queue is full, the election actor steps down once a renewal finds that the lease has ended.
+        let _ = self.election.try_send(membership::Message::LeadershipLost);
     }
 }
 
-/// The partition's key is not as it was: what to tell its actor. A raise of the fencing token that had
-/// no answer may have been carried out late: then the key's lease is still ours, and the
-/// partition goes on under the later fencing token.
+/// Reads the partition's key, which was found changed. A raise of the fencing token that had no
+/// answer may have been applied late: then the key is still attached to this leadership's lease,
+/// and the leadership goes on under the higher token. Otherwise it is lost.
 async fn read_partition_record(state: &StateStore, partition: u32, lease_id: u64) -> BackgroundEvent {
     let found = loop {
         match state.get(&membership::partition_key(partition)).await {
@@ -119,9 +122,10 @@
             Err(_) => sleep(state.retry_delay()).await,
         }
     };
-    let ours = found.and_then(|i| {
-        let r: PartitionRecord = serde_json::from_value(i.value).ok()?;
-        (r.lease_id == lease_id).then_some(RaisedToken { fencing_token: r.fencing_token, version: i.version })
+    let own_key = found.and_then(|item| {
+        let record: PartitionRecord = serde_json::from_value(item.value).ok()?;
+        (record.lease_id == lease_id)
+            .then_some(RaisedToken { fencing_token: record.fencing_token, version: item.version })
     });
-    ours.map_or(BackgroundEvent::Superseded, |raised| BackgroundEvent::Raised(Some(raised)))
+    own_key.map_or(BackgroundEvent::LeadershipLost, |raised| BackgroundEvent::TokenRaiseEnded(Some(raised)))
 }
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -1,6 +1,6 @@
-//! Following the configuration that the regions of a fleet share.
+//! Applies the configuration that the regions of a fleet share.
 
-use super::context::PartitionLeader;
+use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::configuration::{AppliedConfiguration, Published, applied_configuration_change, policy_of};
@@ -11,19 +11,21 @@
 use crate::wire;
 
 impl PartitionLeader {
-    /// Decides by the last version from now on, and records that.
+    /// Applies the last version, and records that it is applied.
     pub(super) fn follow_configuration(&self, leadership: &mut Leadership, now: u64) {
         let Some(configuration) = &self.router.configuration else { return };
         let Some(published) = configuration.published() else { return };
         let suspended = !published.may_start_tasks;
         leadership.partition.configuration_up_to_date = published.is_up_to_date();
-        if leadership.followed.version != Some(published.state.version) || leadership.followed.suspended != suspended {
-            self.obey(leadership, &published, configuration.region());
+        if leadership.configuration.version != Some(published.state.version)
+            || leadership.configuration.suspended != suspended
+        {
+            self.apply_configuration(leadership, &published, configuration.region());
         }
-        self.record_obeyed(leadership, published.state.version, now);
+        self.record_applied_version(leadership, published.state.version, now);
     }
 
-    fn obey(&self, leadership: &mut Leadership, published: &Published, region: &str) {
+    fn apply_configuration(&self, leadership: &mut Leadership, published: &Published, region: &str) {
         let mut policy = policy_of(&leadership.partition.policy, &published.state, region);
         let suspended = !published.may_start_tasks;
         if suspended {
@@ -31,26 +33,26 @@
         }
         leadership.partition.policy = policy;
         leadership.partition.cycle_due = true;
-        leadership.followed.version = Some(published.state.version);
-        leadership.followed.suspended = suspended;
+        leadership.configuration.version = Some(published.state.version);
+        leadership.configuration.suspended = suspended;
         tracing::debug!(version = published.state.version, suspended, "configuration in force");
     }
 
-    /// Records the version that this leader obeys, and the one whose limits all teams keep to. The
-    /// record guards on this leader's key: whoever takes the partition over later reads this version
-    /// or a later one.
-    fn record_obeyed(&self, leadership: &mut Leadership, version: u64, now: u64) {
-        let recorded = leadership.followed.recorded;
+    /// Records the version that this leader applies, and the one whose limits all teams keep to. The
+    /// write is conditional on the key of this leadership: a later leader reads this version or a
+    /// later one.
+    fn record_applied_version(&self, leadership: &mut Leadership, version: u64, now: u64) {
+        let recorded = leadership.configuration.recorded;
         let settled = recorded.version == version
             && recorded.kept == version
             && recorded.fencing_token == leadership.partition.fencing_token;
-        if settled || leadership.followed.recording || now < leadership.followed.next_record_ms {
+        if settled || leadership.configuration.recording || now < leadership.configuration.next_record_ms {
             return;
         }
         let pause_ms =
             if recorded.version == version { self.settings.react_ms() } else { self.settings.react_ms() / 8 };
-        leadership.followed.next_record_ms = now + pause_ms;
-        let kept = if !leadership.followed.suspended && leadership.partition.teams_within_limits(now) {
+        leadership.configuration.next_record_ms = now + pause_ms;
+        let kept = if !leadership.configuration.suspended && leadership.partition.teams_within_limits(now) {
             version
         } else if recorded.fencing_token == leadership.partition.fencing_token {
             recorded.kept
@@ -59,13 +61,13 @@
         };
         let applied_configuration =
             AppliedConfiguration { version, kept, fencing_token: leadership.partition.fencing_token };
-        if applied_configuration == recorded || leadership.writes.available_tokens(now) == 0 {
+        if applied_configuration == recorded || leadership.write_budget.available_tokens(now) == 0 {
             return;
         }
-        leadership.writes.spend(1);
-        leadership.followed.recording = true;
-        let (state, sender) = (self.state.clone(), self.sender(leadership.n));
-        let condition = wire::condition(&partition_key(self.id), leadership.version);
+        leadership.write_budget.spend(1);
+        leadership.configuration.recording = true;
+        let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
+        let condition = wire::condition(&partition_key(self.id), leadership.key_version);
         task::spawn(async move {
             let result = state.commit(&[condition], &[applied_configuration_change(&applied_configuration)]).await;
             let recorded = matches!(result, CommitOutcome::Done { .. }).then_some(applied_configuration);
@@ -73,16 +75,16 @@
         });
     }
 
-    /// The record was written, or that failed.
+    /// The record was written; `None` if that failed.
     pub(super) fn configuration_recorded(
         &self,
         leadership: &mut Leadership,
         applied_configuration: Option<AppliedConfiguration>,
     ) {
-        leadership.followed.recording = false;
+        leadership.configuration.recording = false;
         if let (Some(applied_configuration), Some(configuration)) = (applied_configuration, &self.router.configuration)
         {
-            leadership.followed.recorded = applied_configuration;
+            leadership.configuration.recorded = applied_configuration;
             configuration.applied_configuration(applied_configuration);
         }
     }
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -1,11 +1,10 @@
-//! Reading the records of jobs that others wait for: of those that a submission names and the
-//! partition does not know, and of those that belong to other partitions.
+//! Reads the records of dependencies: of those that a submission names and the partition does not
+//! know, and of external dependencies, which belong to other partitions.
 
-use super::context::PartitionLeader;
-use super::followed::KnownExternalDependencies;
-use super::leadership::Leadership;
+use super::leader::PartitionLeader;
+use super::leadership::{ExternalDependencies, KnownExternalDependencies, Leadership};
 use super::messages::BackgroundEvent;
-use super::stored_records::ExternalRecords;
+use super::stored_records::ExternalDependencyRecords;
 use crate::clients::{RequestError, StateStore};
 use crate::control::partition::{DependencyLookup, JOB_PREFIX, job_key};
 use crate::runtime::task;
@@ -13,10 +12,10 @@
 use std::collections::HashSet;
 
 impl PartitionLeader {
-    /// Makes the lookups that submissions wait for.
+    /// Starts the lookups that submissions wait for.
     pub(super) fn look_up_dependencies(&self, leadership: &mut Leadership) {
         for lookup in leadership.partition.take_lookups() {
-            let (state, sender) = (self.state.clone(), self.sender(leadership.n));
+            let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
             task::spawn(async move {
                 let submission = lookup.submission;
                 let found = read_all(&state, lookup).await;
@@ -25,32 +24,37 @@
         }
     }
 
-    /// Learns what became of jobs of other partitions that are waited for: with one request a
-    /// round for all of them together, once each was read.
-    pub(super) fn read_externals(&self, leadership: &mut Leadership, now: u64) {
-        if leadership.external_reads_under_way || now < leadership.next_external_read_ms {
+    /// Reads the jobs of other partitions that jobs here depend on: with one request for the
+    /// changes of all of them together, once each was read.
+    pub(super) fn read_external_dependencies(&self, leadership: &mut Leadership, now: u64) {
+        let ExternalDependencies::Idle { known, next_read_ms } = &mut leadership.external_dependencies else { return };
+        if now < *next_read_ms {
             return;
         }
         let ids = leadership.partition.external_dependencies();
         if ids.is_empty() {
-            leadership.known_external_dependencies = None;
+            *known = None;
             return;
         }
-        leadership.external_reads_under_way = true;
-        let (state, sender, known) =
-            (self.state.clone(), self.sender(leadership.n), leadership.known_external_dependencies.take());
+        let known = known.take();
+        leadership.external_dependencies = ExternalDependencies::Reading;
+        let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
         task::spawn(async move {
             let mut records = Vec::new();
             let known = read_changes(&state, ids, known, &mut records).await.ok();
-            sender.send(BackgroundEvent::ExternalDependenciesRead(ExternalRecords { records, known })).await;
+            sender.send(BackgroundEvent::ExternalDependenciesRead(ExternalDependencyRecords { records, known })).await;
         });
     }
 
-    /// Takes in what was read of jobs of other partitions.
-    pub(super) fn external_dependencies_read(&self, leadership: &mut Leadership, read: ExternalRecords, now: u64) {
-        leadership.external_reads_under_way = false;
-        leadership.next_external_read_ms = now + self.settings.react_ms() / 2;
-        leadership.known_external_dependencies = read.known;
+    /// Handles what was read of jobs of other partitions.
+    pub(super) fn external_dependencies_read(
+        &self,
+        leadership: &mut Leadership,
+        read: ExternalDependencyRecords,
+        now: u64,
+    ) {
+        let next_read_ms = now + self.settings.react_ms() / 2;
+        leadership.external_dependencies = ExternalDependencies::Idle { known: read.known, next_read_ms };
         for item in read.records {
             if let Some(id) = item.key.strip_prefix(JOB_PREFIX).map(String::from) {
                 leadership.partition.note_dependency(&id, item, now);
@@ -70,7 +74,7 @@
 }
 
 /// Reads the jobs that were not read before, and the changes of all of them since. A change
-/// that came before the reading of a job may be told after it: ends never change.
+/// that came before the read of a job may be reported after it: ends never change.
 async fn read_changes(
     state: &StateStore,
     ids: Vec<String>,
@@ -79,7 +83,7 @@
 ) -> Result<KnownExternalDependencies, RequestError> {
     let mut known = match known {
         Some(known) => known,
-        // No key has the prefix alone as its name: the answer tells the present revision.
+        // No key has the prefix alone as its name: the answer has the present revision.
         None => KnownExternalDependencies { revision: state.get(JOB_PREFIX).await?.1, ids: HashSet::new() },
     };
     known.ids.retain(|id| ids.contains(id));
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -1,6 +1,6 @@
 //! Direct commands to workers.
 
-use super::context::PartitionLeader;
+use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
 use crate::model::HostIndex;
@@ -8,13 +8,14 @@
 use crate::wire;
 
 impl PartitionLeader {
-    /// Asks machines that have not been heard how they are.
+    /// Probes machines whose heartbeats are missing.
     pub(super) fn probe(&self, leadership: &mut Leadership, hosts: impl IntoIterator<Item = HostIndex>, now: u64) {
-        // Not more than there are places for: one that waits here for its turn
-        // would look deaf.
-        let (free, kept) = self.worker.places();
-        let places = free.saturating_sub(kept);
-        let most = leadership.probes.as_mut().map_or(places, |probes| places.min(probes.available_tokens(now)));
+        // Not more than may be under way: a machine whose probe waits here would look
+        // unreachable.
+        let capacity = self.worker.capacity();
+        let capacity = capacity.free.saturating_sub(capacity.reserved_for_orders);
+        let most =
+            leadership.probe_budget.as_mut().map_or(capacity, |budget| capacity.min(budget.available_tokens(now)));
         let mut sent = 0;
         for host_index in hosts {
             if sent == most {
@@ -22,14 +23,14 @@
             }
             sent += usize::from(self.send_direct(leadership, host_index, now, true));
         }
-        if let Some(probes) = &mut leadership.probes {
-            probes.spend(sent);
+        if let Some(budget) = &mut leadership.probe_budget {
+            budget.spend(sent);
         }
     }
 
-    /// Sends their orders to the machines that have new ones.
+    /// Sends new orders to their machines.
     pub(super) fn send_orders(&self, leadership: &mut Leadership, now: u64) {
-        let (mut free, _) = self.worker.places();
+        let mut free = self.worker.capacity().free;
         for host_index in std::mem::take(&mut leadership.partition.dispatch_queue) {
             if free == 0 || leadership.partition.held_up(host_index, now) {
                 leadership.partition.dispatch_queue.insert(host_index);
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Sends a machine what it is due; false if that is nothing now.
+    /// Sends a machine its orders, or a probe; false if there is nothing to send now.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
         let Some(command) = leadership.partition.direct(host_index, now, probe) else { return false };
         let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
-        let (worker, sender) = (self.worker.clone(), self.sender(leadership.n));
+        let (worker, sender) = (self.worker.clone(), self.sender(leadership.epoch));
         task::spawn(async move {
             let result = worker.direct(command.addr, &body).await;
-            sender.send(BackgroundEvent::DirectDone { command, result }).await;
+            sender.send(BackgroundEvent::DirectCommandEnded { command, result }).await;
         });
         true
     }
--- a/src/control/partition_leader/context.rs
+++ b/src/control/partition_leader/leader.rs
@@ -1,4 +1,4 @@
-//! What the actor of a partition works with.
+//! The actor's settings, clients and channels.
 
 use super::messages::{BackgroundSender, Message};
 use crate::borrowing::LoansResponse;
@@ -13,53 +13,56 @@
 use std::sync::atomic::AtomicU64;
 use tokio::sync::mpsc;
 
+/// The partition whose leader is the provisioner of all.
+pub(super) const PROVISIONER_PARTITION: u32 = 0;
 /// The answer about pools of a leader that has not read its records.
-pub(super) const RETRY_POOLS: PoolsResponse = PoolsResponse::RetryLater(1);
-/// Writes may come in bursts of so many seconds' worth.
+pub(super) const POOLS_RETRY_LATER: PoolsResponse = PoolsResponse::RetryLater(1);
+/// Writes may come in bursts of so many seconds.
 pub(super) const WRITE_BURST_S: f64 = 0.8;
 /// The answer about loans of a leader that has not read its records.
-pub(super) const RETRY_LOANS: LoansResponse = LoansResponse::RetryLater(1);
+pub(super) const LOANS_RETRY_LATER: LoansResponse = LoansResponse::RetryLater(1);
 
-/// What the actor works with.
+/// The actor of a partition: its settings, clients and channels. What it keeps while this node
+/// leads is a `Leadership`.
 pub struct PartitionLeader {
     /// Number of the partition.
     pub id: u32,
-    /// What the platform prescribes.
+    /// The settings of the platform.
     pub settings: Settings,
-    /// What the operator chooses.
+    /// The settings of the operator.
     pub operator: Operator,
     /// Pools of warm replicas; none are kept if absent.
     pub pools: Option<Arc<PoolSettings>>,
-    /// Who lends to whom; nothing is lent if absent.
+    /// Which teams lend to which; nothing is lent if absent.
     pub borrowing: Option<Arc<BorrowingSettings>>,
     /// The state service.
     pub state: StateStore,
     /// The cloud.
     pub cloud: Cloud,
-    /// The way to the workers.
+    /// Sends direct commands to workers.
     pub worker: Worker,
     /// Until when this node may act for the partition.
     pub leader_lease: LeaderLease,
-    /// Promises between the controllers.
+    /// The pledges between the controllers.
     pub pledge_status: PledgeStatus,
-    /// The way to the partition's membership actor.
-    pub members: mpsc::Sender<membership::Message>,
-    /// The ways to the other partitions.
+    /// Mailbox of the partition's election actor.
+    pub election: mpsc::Sender<membership::Message>,
+    /// Routes requests to the other partitions.
     pub router: Router,
-    /// The way to this actor, for its background tasks.
+    /// Mailbox of this actor, for its background tasks.
     pub tx: mpsc::Sender<Message>,
-    /// Number of the leadership epoch under way; 0 if none.
-    pub current: Arc<AtomicU64>,
+    /// Number of the leadership under way; 0 if none.
+    pub current_epoch: Arc<AtomicU64>,
 }
 
 impl PartitionLeader {
-    /// The way back to this actor for background tasks of a session.
+    /// The sender for background tasks of a leadership.
     pub(super) fn sender(&self, leadership_epoch: u64) -> BackgroundSender {
-        BackgroundSender { leadership_epoch, tx: self.tx.clone(), current: self.current.clone() }
+        BackgroundSender { leadership_epoch, tx: self.tx.clone(), current_epoch: self.current_epoch.clone() }
     }
 
-    /// How long what one partition told another counts.
-    pub(super) fn patience(&self) -> u64 {
+    /// For how many milliseconds a report of one partition to another counts.
+    pub(super) fn report_validity_ms(&self) -> u64 {
         3 * self.settings.report_ms()
     }
 }
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -1,9 +1,9 @@
-//! Reading the partition's records from the state service.
+//! Reads the partition's records from the state store.
 
-use super::context::PartitionLeader;
+use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use super::stored_records::{FurtherRecords, Loaded, read_keys};
+use super::stored_records::{FurtherRecords, StoredRecords, read_keys};
 use crate::clients::StateStore;
 use crate::control::partition;
 use crate::runtime::task;
@@ -12,15 +12,15 @@
 use tokio::time::sleep;
 
 impl PartitionLeader {
-    /// Reads what the state service holds, until that succeeds or the session is over.
+    /// Reads the stored records, until that succeeds or leadership ends.
     pub(super) fn load(&self, leadership_epoch: u64) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let configuration = self.router.configuration.clone();
         let further = FurtherRecords { pools: self.pools.is_some(), loans: self.borrowing.is_some() };
         task::spawn(async move {
             while sender.is_current() {
-                if let Some(loaded) = Loaded::read(&state, configuration.as_ref(), further).await {
-                    sender.send(BackgroundEvent::Loaded(loaded)).await;
+                if let Some(records) = StoredRecords::read(&state, configuration.as_ref(), further).await {
+                    sender.send(BackgroundEvent::RecordsLoaded(records)).await;
                     return;
                 }
                 sleep(state.retry_delay()).await;
@@ -33,27 +33,27 @@
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
             let mut items = Vec::new();
-            for k in keys {
-                if let Ok((Some(i), _)) = state.get(&k).await {
-                    items.push(i);
+            for key in keys {
+                if let Ok((Some(item), _)) = state.get(&key).await {
+                    items.push(item);
                 }
             }
-            sender.send(BackgroundEvent::Reread(items)).await;
+            sender.send(BackgroundEvent::RecordsReread(items)).await;
         });
     }
 
-    /// Reads the records of pools and loans that are unclear, until all are read.
-    pub(super) fn read_unclear_records(&self, leadership: &mut Leadership) {
+    /// Reads the records of pools and loans that are indeterminate, until all are read.
+    pub(super) fn read_indeterminate_records(&self, leadership: &mut Leadership) {
         let keys = leadership.partition.unclear_keys();
         if leadership.reading_indeterminate || keys.is_empty() {
             return;
         }
         leadership.reading_indeterminate = true;
-        let (state, sender) = (self.state.clone(), self.sender(leadership.n));
+        let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
         task::spawn(async move {
             while sender.is_current() {
                 if let Some(found) = read_keys(&state, &keys).await {
-                    sender.send(BackgroundEvent::IndeterminateRead(found)).await;
+                    sender.send(BackgroundEvent::IndeterminateRecordsRead(found)).await;
                     return;
                 }
                 sleep(state.retry_delay()).await;
@@ -61,41 +61,41 @@
         });
     }
 
-    /// Takes these records as they are.
+    /// Handles records that were indeterminate, as they were read.
     pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
         leadership.reading_indeterminate = false;
         leadership.partition.unclear_keys_read(found);
     }
 
-    /// Reads the record of a machine that may be another partition's now.
-    pub(super) fn records_to_reread(&self, leadership_epoch: u64, host: String) {
+    /// Reads the record of a machine that may belong to another partition now.
+    pub(super) fn read_host_record(&self, leadership_epoch: u64, host: String) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
             if let Ok((item, _)) = state.get(&partition::host_key(&host)).await {
                 let record = item.and_then(|i| serde_json::from_value(i.value).ok());
-                sender.send(BackgroundEvent::Rechecked { host, record }).await;
+                sender.send(BackgroundEvent::HostRecordRead { host, record }).await;
             }
         });
     }
 
-    /// Reads the jobs that other nodes accept, for as long as the session lasts.
+    /// Reads the jobs that other nodes accept for this partition, until leadership ends.
     pub(super) fn watch_inbox(&self, leadership_epoch: u64) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let prefix = partition::inbox_key(self.id, "");
         let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
         task::spawn(async move {
             while sender.is_current() {
-                let round = async {
+                let read = async {
                     let (_, revision) = state.get(&prefix).await.ok()?;
                     let items = accepted_jobs(&state, &prefix).await?;
                     let any = !items.is_empty();
-                    if !sender.send(BackgroundEvent::Inbox(items)).await {
+                    if !sender.send(BackgroundEvent::InboxRead(items)).await {
                         return None;
                     }
-                    // What was read stays listed until it is deleted.
+                    // An entry stays listed until it is deleted.
                     if any { None } else { state.changes(&prefix, revision, wait_ms).await.ok() }
                 };
-                if round.await.is_none() {
+                if read.await.is_none() {
                     sleep(pause).await;
                 }
             }
@@ -106,8 +106,8 @@
 /// The records of the jobs that are listed under the prefix.
 async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<Item>> {
     let mut items = Vec::new();
-    for i in state.list(prefix).await.ok()? {
-        let id = i.key.strip_prefix(prefix)?;
+    for entry in state.list(prefix).await.ok()? {
+        let id = entry.key.strip_prefix(prefix)?;
         items.extend(state.get(&partition::job_key(id)).await.ok()?.0);
     }
     Some(items)
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -1,13 +1,12 @@
 //! Messages to the actor of a partition, and its answers.
 
-use super::stored_records::{ExternalRecords, Loaded};
+use super::stored_records::{ExternalDependencyRecords, StoredRecords};
 use crate::borrowing::LoansResponse;
 use crate::clients::RentResult;
 use crate::configuration::AppliedConfiguration;
 use crate::control::membership::RaisedToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
-use crate::model::FencingToken;
-use crate::model::{HostRecord, InstanceType};
+use crate::model::{FencingToken, HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::PoolsResponse;
 use crate::wire::{Heartbeat, Item, ListedInstance, Order};
@@ -17,21 +16,21 @@
 
 /// Messages to the actor of a partition.
 pub enum Message {
-    /// A worker reports.
+    /// A heartbeat of a worker.
     Heartbeat {
-        /// The report.
+        /// The heartbeat.
         heartbeat: Arc<Heartbeat>,
         /// Takes the reply to it.
         reply: oneshot::Sender<HeartbeatReply>,
     },
-    /// A user asks.
+    /// A request of a user.
     User {
-        /// What the user asks.
+        /// The request.
         call: UserCall,
         /// Takes the answer.
         reply: Waiter,
     },
-    /// Another partition tells the provisioner which machines it needs.
+    /// Another partition reports to the provisioner which machines it needs.
     CapacityReport {
         /// The report.
         capacity_report: CapacityReport,
@@ -47,52 +46,52 @@
         /// Takes the confirmation.
         reply: oneshot::Sender<PeerResponse>,
     },
-    /// An operator asks how the warm pools are.
-    Pools(oneshot::Sender<PoolsResponse>),
-    /// An operator asks how the loans are.
-    Loans(oneshot::Sender<LoansResponse>),
-    /// The figures of the partition are asked for.
+    /// An operator asks for the status of the warm pools.
+    PoolStatus(oneshot::Sender<PoolsResponse>),
+    /// An operator asks for the status of the loans.
+    LoanStatus(oneshot::Sender<LoansResponse>),
+    /// The metrics of the partition are collected.
     Metrics(oneshot::Sender<String>),
-    /// What a background task reports; dropped if its session is over.
+    /// A background task reports; dropped unless its leadership is under way.
     Background {
-        /// Number of the session that the task belongs to.
+        /// Number of the leadership that the task belongs to.
         leadership_epoch: u64,
         /// The report.
         event: BackgroundEvent,
     },
 }
 
-/// What background tasks of a session report.
+/// What background tasks of a leadership report.
 pub enum BackgroundEvent {
-    /// The provisioner's answer: machines on their way here, and those that the cloud has refused.
-    PendingMachine {
+    /// The provisioner's answer to a capacity report.
+    PendingMachines {
         /// Machines on their way to this partition.
         pending_machines: Vec<Machines>,
         /// Kinds of machines that cannot be had now.
         refused: Vec<Machines>,
     },
     /// The record of a machine as the state service has it now.
-    Rechecked {
+    HostRecordRead {
         /// Id of the machine.
         host: String,
         /// Its record; `None` if there is none.
         record: Option<HostRecord>,
     },
     /// The partition's records have been read.
-    Loaded(Loaded),
+    RecordsLoaded(StoredRecords),
     /// A direct command has ended.
-    DirectDone {
+    DirectCommandEnded {
         /// The command.
         command: DirectCommand,
         /// How it ended.
         result: DirectCommandOutcome,
     },
     /// A commit has ended.
-    Committed(CommitOutcome),
+    CommitEnded(CommitOutcome),
     /// Records that were read again after a conflict.
-    Reread(Vec<Item>),
+    RecordsReread(Vec<Item>),
     /// Jobs that other nodes accepted.
-    Inbox(Vec<Item>),
+    InboxRead(Vec<Item>),
     /// The records of jobs that a submission names, by id; `None` if they could not be read.
     DependenciesRead {
         /// Number of the submission.
@@ -101,59 +100,59 @@
         found: Option<Vec<(String, Option<Item>)>>,
     },
     /// Records of jobs of other partitions that are waited for.
-    ExternalDependenciesRead(ExternalRecords),
-    /// Records of warm pools and loans that were unclear, by key; `None` where there is none.
-    IndeterminateRead(Vec<(String, Option<Item>)>),
-    /// The fencing token was raised; none if that failed.
-    Raised(Option<RaisedToken>),
-    /// It was recorded that this leader obeys a version of the configuration; `None` if that failed.
+    ExternalDependenciesRead(ExternalDependencyRecords),
+    /// Records of warm pools and loans that were indeterminate, by key; `None` where there is none.
+    IndeterminateRecordsRead(Vec<(String, Option<Item>)>),
+    /// A raise of the fencing token has ended; `None` if it failed.
+    TokenRaiseEnded(Option<RaisedToken>),
+    /// The version of the configuration that this leader applies was recorded; `None` if that failed.
     ConfigurationRecorded(Option<AppliedConfiguration>),
-    /// The partition has another leader, or none.
-    Superseded,
+    /// The partition has another leader, or none: its key is not the one of this leadership.
+    LeadershipLost,
     /// A rental request has ended.
-    Rented {
+    RentEnded {
         /// Name of the request.
         name: String,
         /// How it ended.
         result: RentResult,
     },
     /// A request to release machines has ended.
-    Released {
+    ReleaseEnded {
         /// Ids of the machines.
         hosts: Vec<String>,
         /// True if the cloud has confirmed that they are gone.
         confirmed: bool,
     },
     /// The cloud's list of machines.
-    ListedInstance(Vec<ListedInstance>),
+    InstancesListed(Vec<ListedInstance>),
     /// The cloud's machine types.
-    InstanceTypes(Vec<InstanceType>),
+    InstanceTypesRead(Vec<InstanceType>),
 }
 
-/// What becomes of a report.
+/// The reply to a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatReply {
-    /// The token and the orders.
+    /// The host is of this partition; with its orders.
     Orders {
-        /// The fencing token: the leader's fencing token.
+        /// The leader's fencing token.
         fencing_token: FencingToken,
-        /// What the worker is to do.
+        /// What the worker has to do.
         orders: Vec<Order>,
     },
-    /// This node may not act for the machine now.
-    NotEntitled,
+    /// This node may not act for the machine now: it does not lead the partition, or not surely.
+    NotLeader,
     /// The machine belongs to that partition.
     Elsewhere(u32),
     /// The machine is not this partition's.
     Unknown,
 }
 
-/// The way back to the actor for the background tasks of one session.
+/// Sends the reports of the background tasks of one leadership to the actor.
 #[derive(Clone)]
 pub(super) struct BackgroundSender {
     pub(super) leadership_epoch: u64,
     pub(super) tx: mpsc::Sender<Message>,
-    pub(super) current: Arc<AtomicU64>,
+    pub(super) current_epoch: Arc<AtomicU64>,
 }
 
 impl BackgroundSender {
@@ -162,8 +161,8 @@
         self.tx.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
-    /// True while the session is under way.
+    /// True while the leadership is under way. A task that repeats requests ends once it is not.
     pub(super) fn is_current(&self) -> bool {
-        self.current.load(Ordering::Relaxed) == self.leadership_epoch
+        self.current_epoch.load(Ordering::Relaxed) == self.leadership_epoch
     }
 }
--- a/src/control/partition_leader/mod.rs
+++ b/src/control/partition_leader/mod.rs
@@ -1,23 +1,26 @@
-//! The actor of a partition: owns its state, is spoken to by messages, and carries
-//! out what `partition` and `provisioner` decide.
+//! The actor of a partition: owns its state while this node leads it, receives messages, and
+//! carries out what `partition` and `provisioner` decide.
+//!
+//! All I/O is done by background tasks, which report back with the number of their leadership.
+//! They end with it: watches check whether it is still under way between requests, the others
+//! end with their one request, and a report of an earlier leadership is dropped.
 
 mod actor;
-mod answers;
 mod borrowing;
-mod cloud_tasks;
+mod cloud;
 mod commits;
 mod configuration;
-mod context;
 mod dependencies;
 mod dispatch;
-mod followed;
+mod leader;
 mod leadership;
 mod load;
 mod messages;
-mod rounds;
+mod periodic_work;
+mod requests;
 mod stored_records;
 mod warm_pools;
 
-pub use context::PartitionLeader;
+pub use leader::PartitionLeader;
 pub use messages::{BackgroundEvent, HeartbeatReply, Message};
-pub use stored_records::{INSTANCE_TYPES_KEY, Loaded, stored_instance_types};
+pub use stored_records::{INSTANCE_TYPES_KEY, StoredRecords, stored_instance_types};
--- a/src/control/partition_leader/answers.rs
+++ b/src/control/partition_leader/requests.rs
@@ -1,6 +1,6 @@
-//! Answers to workers, users and other partitions.
+//! Handles requests of workers, users and other partitions.
 
-use super::context::{PartitionLeader, RETRY_LOANS, RETRY_POOLS};
+use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PartitionLeader};
 use super::leadership::Leadership;
 use super::messages::{HeartbeatReply, Message};
 use crate::api::refusal::RefusalReason;
@@ -11,46 +11,50 @@
 use crate::wire::Heartbeat;
 
 impl PartitionLeader {
-    /// Answers the report of a worker.
-    pub(super) fn heartbeat(&self, leadership: &mut Leadership, r: &Heartbeat, now: u64) -> HeartbeatReply {
+    /// Answers the heartbeat of a worker.
+    pub(super) fn heartbeat(&self, leadership: &mut Leadership, heartbeat: &Heartbeat, now: u64) -> HeartbeatReply {
         let fencing_token = leadership.partition.fencing_token;
         if !leadership.loaded {
-            // Leases live on while the records are read; but which machines
-            // are whose is only known for sure if there is one partition.
-            let sure = self.operator.partitions == 1 && r.seen_token <= fencing_token;
-            return if sure {
+            // Workers' leases live on while the records are read; but which machines belong to
+            // which partition is only known if there is one.
+            let is_known = self.operator.partitions == 1 && heartbeat.seen_token <= fencing_token;
+            return if is_known {
                 HeartbeatReply::Orders { fencing_token, orders: Vec::new() }
             } else {
-                HeartbeatReply::NotEntitled
+                HeartbeatReply::NotLeader
             };
         }
-        match leadership.partition.belongs(r) {
+        match leadership.partition.belongs(heartbeat) {
             HostRouting::Mine => HeartbeatReply::Orders {
                 fencing_token,
-                orders: leadership.partition.heartbeat(r, StatusSource::Heartbeat, now),
+                orders: leadership.partition.heartbeat(heartbeat, StatusSource::Heartbeat, now),
             },
             HostRouting::NotYet => {
                 leadership.token_check_due = true;
-                HeartbeatReply::NotEntitled
+                HeartbeatReply::NotLeader
             }
-            HostRouting::Elsewhere(p) => HeartbeatReply::Elsewhere(p),
+            HostRouting::Elsewhere(partition) => HeartbeatReply::Elsewhere(partition),
             HostRouting::Unknown => HeartbeatReply::Unknown,
         }
     }
 
-    /// As the provisioner, answers a partition that tells which machines it needs.
+    /// As the provisioner, answers a partition that reports which machines it needs.
     pub(super) fn capacity_report(
         &self,
         leadership: &mut Leadership,
         capacity_report: CapacityReport,
         now: u64,
     ) -> PeerResponse {
-        let (pending_machines, refused) =
-            leadership.provisioner.capacity_report(capacity_report, &leadership.partition, now, self.patience());
+        let (pending_machines, refused) = leadership.provisioner.capacity_report(
+            capacity_report,
+            &leadership.partition,
+            now,
+            self.report_validity_ms(),
+        );
         PeerResponse::PendingMachines { pending_machines, refused }
     }
 
-    /// Takes in the answer of the provisioner.
+    /// Handles the answer of the provisioner.
     pub(super) fn pending_machines(
         &self,
         leadership: &mut Leadership,
@@ -59,21 +63,20 @@
         now: u64,
     ) {
         let cluster = &leadership.partition.cluster;
-        let pending = pending_machines.into_iter().filter_map(|m| {
-            let machine =
-                PendingMachine { instance_type: cluster.instance_type(&m.instance_type)?, zone: m.zone, spot: m.spot };
-            Some(std::iter::repeat_n(machine, m.count))
+        let pending = pending_machines.into_iter().filter_map(|machines| {
+            let instance_type = cluster.instance_type(&machines.instance_type)?;
+            let machine = PendingMachine { instance_type, zone: machines.zone, spot: machines.spot };
+            Some(std::iter::repeat_n(machine, machines.count))
         });
         leadership.pending_machines = pending.flatten().collect();
-        leadership.provisioner.set_refused(refused, &leadership.partition, now + self.patience());
+        leadership.provisioner.set_refused(refused, &leadership.partition, now + self.report_validity_ms());
     }
 
-    /// Answers a user.
+    /// Answers a user. A submission that can't be recorded now is refused at once.
     pub(super) fn user(&self, leadership: &mut Leadership, call: UserCall, reply: Waiter, now: u64) {
-        // Refused at once: nothing can be recorded now.
-        let silent = !self.state.is_responsive(self.settings.leader_lease_ttl_ms());
+        let store_responsive = self.state.is_responsive(self.settings.leader_lease_ttl_ms());
         match call {
-            UserCall::Submit(_) if silent => {
+            UserCall::Submit(_) if !store_responsive => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => {
@@ -83,25 +86,25 @@
             UserCall::Status(id) => {
                 let _ = reply.send(leadership.partition.status(&id));
             }
-            UserCall::Cancel(id) => leadership.partition.cancel(&id, now, !silent, reply),
+            UserCall::Cancel(id) => leadership.partition.cancel(&id, now, store_responsive, reply),
         }
     }
 }
 
-/// Without the partition, users and workers are sent away.
-pub(super) fn handle_while_follower(m: Message) {
-    match m {
+/// Refuses a message while this node does not lead the partition.
+pub(super) fn handle_while_follower(message: Message) {
+    match message {
         Message::Heartbeat { reply, .. } => {
-            let _ = reply.send(HeartbeatReply::NotEntitled);
+            let _ = reply.send(HeartbeatReply::NotLeader);
         }
         Message::User { reply, .. } => {
             let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotLeader));
         }
-        Message::Pools(reply) => {
-            let _ = reply.send(RETRY_POOLS);
+        Message::PoolStatus(reply) => {
+            let _ = reply.send(POOLS_RETRY_LATER);
         }
-        Message::Loans(reply) => {
-            let _ = reply.send(RETRY_LOANS);
+        Message::LoanStatus(reply) => {
+            let _ = reply.send(LOANS_RETRY_LATER);
         }
         Message::Metrics(reply) => {
             let _ = reply.send(String::new());
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -1,6 +1,6 @@
-//! What a leader reads from the state service.
+//! What a leader reads from the state store.
 
-use super::followed::KnownExternalDependencies;
+use super::leadership::KnownExternalDependencies;
 use crate::clients::StateStore;
 use crate::clients::write_limits::json_bytes;
 use crate::configuration::ConfigurationHandle;
@@ -14,9 +14,9 @@
 /// Key under which the machine types are kept for a restart in a cloud outage.
 pub const INSTANCE_TYPES_KEY: &str = "flavors";
 
-/// The changes that keep the machine types, in as many values as they need. The first one is
-/// where all of them were kept before.
-pub(super) fn flavor_changes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<Value> {
+/// The writes that store the machine types, in as many values as they need. An earlier version
+/// kept all of them under the key of the first one.
+pub(super) fn instance_type_writes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<Value> {
     let mut values: Vec<Vec<&InstanceType>> = vec![Vec::new()];
     for instance_type in instance_types {
         let Some(last) = values.last_mut() else { break };
@@ -26,11 +26,16 @@
             values.push(vec![instance_type]);
         }
     }
-    let key = |n: usize| if n == 0 { INSTANCE_TYPES_KEY.to_string() } else { format!("{INSTANCE_TYPES_KEY}/{n}") };
-    values.iter().enumerate().map(|(n, instance_types)| wire::put(&key(n), &json!(instance_types), None)).collect()
+    let key = |index: usize| match index {
+        0 => INSTANCE_TYPES_KEY.to_string(),
+        _ => format!("{INSTANCE_TYPES_KEY}/{index}"),
+    };
+    let write =
+        |(index, instance_types): (usize, &Vec<&InstanceType>)| wire::put(&key(index), &json!(instance_types), None);
+    values.iter().enumerate().map(write).collect()
 }
 
-/// The machine types that are kept; one that is there twice counts once.
+/// The stored machine types; one that is stored twice counts once. `None` if they could not be read.
 pub async fn stored_instance_types(state: &StateStore) -> Option<Vec<InstanceType>> {
     let mut instance_types: Vec<InstanceType> = Vec::new();
     for item in state.list(INSTANCE_TYPES_KEY).await.ok()? {
@@ -44,8 +49,8 @@
     Some(instance_types)
 }
 
-/// What the state service holds at the start of a session.
-pub struct Loaded {
+/// The stored records at the start of a leadership.
+pub struct StoredRecords {
     pub(super) jobs: Vec<Item>,
     pub(super) hosts: Vec<Item>,
     pub(super) instance_types: Vec<InstanceType>,
@@ -64,13 +69,14 @@
     pub(super) loans: bool,
 }
 
-impl Loaded {
-    /// Reads the records, and the configuration that the last leader obeyed or a later one.
+impl StoredRecords {
+    /// Reads the records, and the configuration that the last leader applied or a later one;
+    /// `None` if a read failed.
     pub(super) async fn read(
         state: &StateStore,
         configuration: Option<&ConfigurationHandle>,
         further: FurtherRecords,
-    ) -> Option<Loaded> {
+    ) -> Option<StoredRecords> {
         if let Some(configuration) = configuration
             && !configuration.refresh().await
         {
@@ -81,16 +87,16 @@
         let instance_types = stored_instance_types(state).await?;
         let pool_records = if further.pools { read_pool_records(state, clock::wall_ms()).await? } else { Vec::new() };
         let loan_records = if further.loans { state.list(LOAN_PREFIX).await.ok()? } else { Vec::new() };
-        Some(Loaded { jobs, hosts, instance_types, pool_records, loan_records })
+        Some(StoredRecords { jobs, hosts, instance_types, pool_records, loan_records })
     }
 }
 
 /// What was read of jobs that belong to other partitions.
-pub struct ExternalRecords {
-    /// Their records, each as it was at some moment since the last reading.
+pub struct ExternalDependencyRecords {
+    /// Their records, each as it was at some moment since the last read.
     pub(super) records: Vec<Item>,
     /// Which of the jobs were read, and up to which revision their changes are known; `None`
-    /// if the reading failed and has to begin anew.
+    /// if the read failed and has to begin anew.
     pub(super) known: Option<KnownExternalDependencies>,
 }
 
--- a/src/control/partition_leader/warm_pools.rs
+++ b/src/control/partition_leader/warm_pools.rs
@@ -1,13 +1,13 @@
-//! Warm pools: their upkeep, and what is asked about them.
+//! Warm pools: their maintenance, and their status.
 
-use super::context::PartitionLeader;
+use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use crate::model::InstanceType;
 use crate::runtime::clock;
 use crate::warm_pools::PoolsResponse;
 
 impl PartitionLeader {
-    /// Looks after the pools, if there are any.
+    /// Maintains the pools, if there are any.
     pub(super) fn maintain_pools(&self, leadership: &mut Leadership, now: u64) {
         if self.pools.is_none() {
             return;
@@ -16,8 +16,8 @@
         leadership.partition.maintain_pools(boot_ms, now, clock::wall_ms());
     }
 
-    /// Machine types are told by the cloud: where it gave no answer as this controller started, a
-    /// pool's could not be checked then, and the cloud may have dropped one since.
+    /// Logs the pools whose machine type the cloud does not have. The check at the start needs an
+    /// answer of the cloud, which may also have dropped a type since.
     pub(super) fn check_pool_machines(&self, instance_types: &[InstanceType]) {
         let pools = self.pools.iter().flat_map(|settings| &settings.pools);
         for (pool, machine) in pools.flat_map(|(name, pool)| pool.machines.iter().map(move |machine| (name, machine))) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How the pools are.
+    /// The status of the pools.
     pub(super) fn pool_status(&self, leadership: &Leadership) -> PoolsResponse {
         match &self.pools {
             Some(_) => PoolsResponse::Status(leadership.partition.pool_status()),
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -247,7 +247,7 @@
                 let (reply, answer) = oneshot::channel();
                 let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
                 let asked =
-                    leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Pools(reply)).is_ok());
+                    leader.is_some_and(|leader| leader.try_send(partition_leader::Message::PoolStatus(reply)).is_ok());
                 if asked { answer.await.unwrap_or(RETRY_POOLS) } else { RETRY_POOLS }
             }
             PoolsRequest::Status => self.ask_owner_of_pools().await.unwrap_or(RETRY_POOLS),
@@ -272,7 +272,7 @@
         }
         let (reply, answer) = oneshot::channel();
         let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
-        let asked = leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Loans(reply)).is_ok());
+        let asked = leader.is_some_and(|leader| leader.try_send(partition_leader::Message::LoanStatus(reply)).is_ok());
         if asked { answer.await.unwrap_or(RETRY_LOANS) } else { RETRY_LOANS }
     }
 
