--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -5,7 +5,7 @@
 use crate::borrowing::{LoansRequest, LoansResponse};
 use crate::clients::StateStore;
 use crate::configuration::ConfigurationHandle;
-use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
+use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeRequest, PledgeStatus};
 use crate::control::partition::UserAnswer;
 use crate::control::partition_leader;
 use crate::model::FencingToken;
@@ -199,7 +199,8 @@
                     h.store(clock::now_ms(), Ordering::Relaxed);
                 }
                 let (reply, rx) = oneshot::channel();
-                let m = membership::Message::Pledge { leader, fencing_token, for_ms, state_ok, reply };
+                let request = PledgeRequest { leader, fencing_token, for_ms, store_responsive: state_ok };
+                let m = membership::Message::Pledge { request, reply };
                 if handle.members.try_send(m).is_ok() && rx.await == Ok(true) {
                     PeerResponse::Accepted
                 } else {
@@ -246,7 +247,7 @@
                 let (reply, answer) = oneshot::channel();
                 let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
                 let asked =
-                    leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Pools(reply)).is_ok());
+                    leader.is_some_and(|leader| leader.try_send(partition_leader::Message::PoolStatus(reply)).is_ok());
                 if asked { answer.await.unwrap_or(RETRY_POOLS) } else { RETRY_POOLS }
             }
             PoolsRequest::Status => self.ask_owner_of_pools().await.unwrap_or(RETRY_POOLS),
@@ -271,7 +272,7 @@
         }
         let (reply, answer) = oneshot::channel();
         let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
-        let asked = leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Loans(reply)).is_ok());
+        let asked = leader.is_some_and(|leader| leader.try_send(partition_leader::Message::LoanStatus(reply)).is_ok());
         if asked { answer.await.unwrap_or(RETRY_LOANS) } else { RETRY_LOANS }
     }
 
