--- a/src/borrowing/messages.rs
+++ b/src/borrowing/messages.rs
@@ -5,14 +5,14 @@
 
 /// A request about loans.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum LoansRequest {
+pub enum BorrowingRequest {
     /// The state of the loans and the teams.
     Status,
 }
 
 /// The answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum LoansResponse {
+pub enum BorrowingResponse {
     /// The loans that are not over, and all teams.
     Status(LoansStatus),
     /// The controller has no borrowing.
--- a/src/borrowing/mod.rs
+++ b/src/borrowing/mod.rs
@@ -7,5 +7,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use messages::{LoansRequest, LoansResponse};
+pub use messages::{BorrowingRequest, BorrowingResponse};
 pub use settings::load_borrowing;
--- a/src/commands/borrowing.rs
+++ b/src/commands/borrowing.rs
@@ -1,6 +1,6 @@
 //! `badgerdrift loans`: shows loans between teams, through any controller.
 
-use crate::borrowing::{LoansRequest, LoansResponse};
+use crate::borrowing::{BorrowingRequest, BorrowingResponse};
 use crate::commands::controller_client::{ask, json_text, retry_later};
 use crate::commands::errors::{CommandError, NotDone};
 use crate::control::partition::LoansStatus;
@@ -11,7 +11,7 @@
 
 /// What is asked about loans.
 #[derive(Subcommand, Debug, Clone)]
-pub enum LoansCommand {
+pub enum BorrowingCommand {
     /// Prints the loans that are not over, and what each team uses, lends and lacks.
     Status {
         /// Prints JSON.
@@ -21,16 +21,16 @@
 }
 
 /// Carries a command out through the controller at this internal address; what is to be printed.
-pub async fn run(controller: SocketAddr, command: &LoansCommand) -> Result<String, CommandError> {
-    let LoansCommand::Status { json } = command;
-    let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(LoansRequest::Status)).await? else {
+pub async fn run(controller: SocketAddr, command: &BorrowingCommand) -> Result<String, CommandError> {
+    let BorrowingCommand::Status { json } = command;
+    let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(BorrowingRequest::Status)).await? else {
         return Err(NotDone::Feature("knows no loans").into());
     };
     match response {
-        LoansResponse::Status(status) if *json => json_text(&status),
-        LoansResponse::Status(status) => Ok(table(&status)),
-        LoansResponse::NoBorrowing => Err(NotDone::Feature("has no borrowing").into()),
-        LoansResponse::RetryLater(after_s) => Err(retry_later(after_s)),
+        BorrowingResponse::Status(status) if *json => json_text(&status),
+        BorrowingResponse::Status(status) => Ok(table(&status)),
+        BorrowingResponse::NoBorrowing => Err(NotDone::Feature("has no borrowing").into()),
+        BorrowingResponse::RetryLater(after_s) => Err(retry_later(after_s)),
     }
 }
 
--- a/src/commands/warm_pools.rs
+++ b/src/commands/warm_pools.rs
@@ -3,7 +3,7 @@
 use crate::commands::controller_client::{ask, json_text, retry_later};
 use crate::commands::errors::{CommandError, InputError, NotDone};
 use crate::transport::peer::{PeerRequest, PeerResponse};
-use crate::warm_pools::{BillRow, PoolsRequest, PoolsResponse};
+use crate::warm_pools::{BillRow, WarmPoolsRequest, WarmPoolsResponse};
 use badgerdrift_warm_pools::PoolStatus;
 use clap::Subcommand;
 use std::fmt::Write;
@@ -16,7 +16,7 @@
 
 /// What is asked about pools.
 #[derive(Subcommand, Debug, Clone)]
-pub enum PoolsCommand {
+pub enum WarmPoolsCommand {
     /// Prints how each pool is.
     Status {
         /// Prints JSON.
@@ -41,31 +41,31 @@
 }
 
 /// Carries a command out through the controller at this internal address; what is to be printed.
-pub async fn run(controller: SocketAddr, command: &PoolsCommand) -> Result<String, CommandError> {
+pub async fn run(controller: SocketAddr, command: &WarmPoolsCommand) -> Result<String, CommandError> {
     let request = request(command)?;
     let PeerResponse::Pools(response) = ask(controller, PeerRequest::Pools(request)).await? else {
         return Err(NotDone::Feature("knows no pools").into());
     };
     match (response, command) {
-        (PoolsResponse::Status(pools), PoolsCommand::Status { json: true }) => json_text(&pools),
-        (PoolsResponse::Status(pools), _) => Ok(status_table(&pools)),
-        (PoolsResponse::Bill(rows), PoolsCommand::Bill { json: true, .. }) => json_text(&rows),
-        (PoolsResponse::Bill(rows), _) => Ok(bill_table(&rows)),
-        (PoolsResponse::NoPools, _) => Err(NotDone::Feature("has no warm pools").into()),
-        (PoolsResponse::RetryLater(after_s), _) => Err(retry_later(after_s)),
+        (WarmPoolsResponse::Status(pools), WarmPoolsCommand::Status { json: true }) => json_text(&pools),
+        (WarmPoolsResponse::Status(pools), _) => Ok(status_table(&pools)),
+        (WarmPoolsResponse::Bill(rows), WarmPoolsCommand::Bill { json: true, .. }) => json_text(&rows),
+        (WarmPoolsResponse::Bill(rows), _) => Ok(bill_table(&rows)),
+        (WarmPoolsResponse::NoPools, _) => Err(NotDone::Feature("has no warm pools").into()),
+        (WarmPoolsResponse::RetryLater(after_s), _) => Err(retry_later(after_s)),
     }
 }
 
-fn request(command: &PoolsCommand) -> Result<PoolsRequest, CommandError> {
+fn request(command: &WarmPoolsCommand) -> Result<WarmPoolsRequest, CommandError> {
     match command {
-        PoolsCommand::Status { .. } => Ok(PoolsRequest::Status),
-        PoolsCommand::Bill { from, to, team, .. } => {
+        WarmPoolsCommand::Status { .. } => Ok(WarmPoolsRequest::Status),
+        WarmPoolsCommand::Bill { from, to, team, .. } => {
             check_day("--from", from)?;
             check_day("--to", to)?;
             if to < from {
                 return Err(InputError::DaysReversed { from: from.clone(), to: to.clone() }.into());
             }
-            Ok(PoolsRequest::Bill { from: from.clone(), to: to.clone(), team: team.clone() })
+            Ok(WarmPoolsRequest::Bill { from: from.clone(), to: to.clone(), team: team.clone() })
         }
     }
 }
--- a/src/commands/warm_pools/tests.rs
+++ b/src/commands/warm_pools/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn bill(from: &str, to: &str) -> PoolsCommand {
-    PoolsCommand::Bill { from: from.into(), to: to.into(), team: None, json: false }
+fn bill(from: &str, to: &str) -> WarmPoolsCommand {
+    WarmPoolsCommand::Bill { from: from.into(), to: to.into(), team: None, json: false }
 }
 
 #[test]
--- a/src/control/partition_leader/borrowing.rs
+++ b/src/control/partition_leader/borrowing.rs
@@ -2,7 +2,7 @@
 
 use super::context::PartitionLeader;
 use super::leadership::Leadership;
-use crate::borrowing::LoansResponse;
+use crate::borrowing::BorrowingResponse;
 use crate::runtime::clock;
 
 impl PartitionLeader {
@@ -14,7 +14,7 @@
     }
 
     /// How the loans are.
-    pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> LoansResponse {
-        leadership.partition.loans_status(now).map_or(LoansResponse::NoBorrowing, LoansResponse::Status)
+    pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> BorrowingResponse {
+        leadership.partition.loans_status(now).map_or(BorrowingResponse::NoBorrowing, BorrowingResponse::Status)
     }
 }
--- a/src/control/partition_leader/context.rs
+++ b/src/control/partition_leader/context.rs
@@ -1,12 +1,12 @@
 //! What the actor of a partition works with.
 
 use super::messages::{BackgroundSender, Message};
-use crate::borrowing::LoansResponse;
+use crate::borrowing::BorrowingResponse;
 use crate::clients::{Cloud, State, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
 use crate::control::router::Router;
 use crate::settings::{Operator, Settings};
-use crate::warm_pools::PoolsResponse;
+use crate::warm_pools::WarmPoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use tokio::sync::mpsc;
 
 /// The answer about pools of a leader that has not read its records.
-pub(super) const RETRY_POOLS: PoolsResponse = PoolsResponse::RetryLater(1);
+pub(super) const RETRY_POOLS: WarmPoolsResponse = WarmPoolsResponse::RetryLater(1);
 /// Writes may come in bursts of so many seconds' worth.
 pub(super) const WRITE_BURST_S: f64 = 0.8;
 /// The answer about loans of a leader that has not read its records.
-pub(super) const RETRY_LOANS: LoansResponse = LoansResponse::RetryLater(1);
+pub(super) const RETRY_LOANS: BorrowingResponse = BorrowingResponse::RetryLater(1);
 
 /// What the actor works with.
 pub struct PartitionLeader {
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -1,7 +1,7 @@
 //! Messages to the actor of a partition, and its answers.
 
 use super::stored_records::{ExternalRecords, Loaded};
-use crate::borrowing::LoansResponse;
+use crate::borrowing::BorrowingResponse;
 use crate::clients::RentResult;
 use crate::configuration::AppliedConfiguration;
 use crate::control::membership::RaisedToken;
@@ -9,7 +9,7 @@
 use crate::model::FencingToken;
 use crate::model::{HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
-use crate::warm_pools::PoolsResponse;
+use crate::warm_pools::WarmPoolsResponse;
 use crate::wire::{Heartbeat, Item, ListedInstance, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -48,9 +48,9 @@
         reply: oneshot::Sender<PeerResponse>,
     },
     /// An operator asks how the warm pools are.
-    Pools(oneshot::Sender<PoolsResponse>),
+    Pools(oneshot::Sender<WarmPoolsResponse>),
     /// An operator asks how the loans are.
-    Loans(oneshot::Sender<LoansResponse>),
+    Loans(oneshot::Sender<BorrowingResponse>),
     /// The figures of the partition are asked for.
     Metrics(oneshot::Sender<String>),
     /// What a background task reports; dropped if its session is over.
--- a/src/control/partition_leader/warm_pools.rs
+++ b/src/control/partition_leader/warm_pools.rs
@@ -4,7 +4,7 @@
 use super::leadership::Leadership;
 use crate::model::InstanceType;
 use crate::runtime::clock;
-use crate::warm_pools::PoolsResponse;
+use crate::warm_pools::WarmPoolsResponse;
 
 impl PartitionLeader {
     /// Looks after the pools, if there are any.
@@ -28,10 +28,10 @@
     }
 
     /// How the pools are.
-    pub(super) fn pool_status(&self, leadership: &Leadership) -> PoolsResponse {
+    pub(super) fn pool_status(&self, leadership: &Leadership) -> WarmPoolsResponse {
         match &self.pools {
-            Some(_) => PoolsResponse::Status(leadership.partition.pool_status()),
-            None => PoolsResponse::NoPools,
+            Some(_) => WarmPoolsResponse::Status(leadership.partition.pool_status()),
+            None => WarmPoolsResponse::NoPools,
         }
     }
 }
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -2,7 +2,7 @@
 //! controllers.
 
 use crate::api::refusal::RefusalReason;
-use crate::borrowing::{LoansRequest, LoansResponse};
+use crate::borrowing::{BorrowingRequest, BorrowingResponse};
 use crate::clients::State;
 use crate::configuration::ConfigurationHandle;
 use crate::control::membership::{self, LeaderLease, LeaderStatus, PledgeStatus};
@@ -13,7 +13,7 @@
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http::Response;
 use crate::transport::peer::{Peer, PeerRequest, PeerResponse, UserCall};
-use crate::warm_pools::{PoolsRequest, PoolsResponse, read_bills};
+use crate::warm_pools::{WarmPoolsRequest, WarmPoolsResponse, read_bills};
 use crate::wire;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -36,9 +36,9 @@
 const ONLY_PARTITION: u32 = 0;
 
 /// What is answered about loans while the leader can't be asked.
-const RETRY_LOANS: LoansResponse = LoansResponse::RetryLater(1);
+const RETRY_LOANS: BorrowingResponse = BorrowingResponse::RetryLater(1);
 /// What is answered about pools while their leader can't be asked.
-const RETRY_POOLS: PoolsResponse = PoolsResponse::RetryLater(1);
+const RETRY_POOLS: WarmPoolsResponse = WarmPoolsResponse::RetryLater(1);
 
 /// A partition that there is not: what is released of it changes nothing.
 const NO_PARTITION: u32 = u32::MAX;
@@ -238,30 +238,30 @@
 
     /// Answers a question about warm pools: bills from their records, the rest by the leader,
     /// wherever it is.
-    async fn pools(&self, request: PoolsRequest) -> PoolsResponse {
-        let Some(state) = &self.bills else { return PoolsResponse::NoPools };
+    async fn pools(&self, request: WarmPoolsRequest) -> WarmPoolsResponse {
+        let Some(state) = &self.bills else { return WarmPoolsResponse::NoPools };
         match request {
-            PoolsRequest::Bill { from, to, team } => read_bills(state, &from, &to, team.as_deref()).await,
-            PoolsRequest::Status if self.is_self(ONLY_PARTITION) => {
+            WarmPoolsRequest::Bill { from, to, team } => read_bills(state, &from, &to, team.as_deref()).await,
+            WarmPoolsRequest::Status if self.is_self(ONLY_PARTITION) => {
                 let (reply, answer) = oneshot::channel();
                 let leader = self.partitions.get(ONLY_PARTITION as usize).map(|handle| &handle.leader);
                 let asked =
                     leader.is_some_and(|leader| leader.try_send(partition_leader::Message::Pools(reply)).is_ok());
                 if asked { answer.await.unwrap_or(RETRY_POOLS) } else { RETRY_POOLS }
             }
-            PoolsRequest::Status => self.ask_owner_of_pools().await.unwrap_or(RETRY_POOLS),
+            WarmPoolsRequest::Status => self.ask_owner_of_pools().await.unwrap_or(RETRY_POOLS),
         }
     }
 
-    async fn ask_owner_of_pools(&self) -> Option<PoolsResponse> {
-        match self.ask_only_owner(PeerRequest::Pools(PoolsRequest::Status)).await? {
+    async fn ask_owner_of_pools(&self) -> Option<WarmPoolsResponse> {
+        match self.ask_only_owner(PeerRequest::Pools(WarmPoolsRequest::Status)).await? {
             PeerResponse::Pools(response) => Some(response),
             _ => None,
         }
     }
 
     /// Answers a question about loans, by the leader wherever it is.
-    async fn loans(&self, request: LoansRequest) -> LoansResponse {
+    async fn loans(&self, request: BorrowingRequest) -> BorrowingResponse {
         if !self.is_self(ONLY_PARTITION) {
             let answer = self.ask_only_owner(PeerRequest::Loans(request)).await;
             return match answer {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
 //! The program: command line, logging, runtime.
 
-use badgerdrift::commands::borrowing::LoansCommand;
+use badgerdrift::commands::borrowing::BorrowingCommand;
 use badgerdrift::commands::configuration::ConfigCommand;
 use badgerdrift::commands::errors::CommandError;
-use badgerdrift::commands::warm_pools::PoolsCommand;
+use badgerdrift::commands::warm_pools::WarmPoolsCommand;
 use badgerdrift::configuration;
 use badgerdrift::control::node::{self, Subsystems};
 use badgerdrift::settings::{ContentError, Fault, FieldError, SettingsError};
@@ -43,7 +43,7 @@
         #[arg(long, value_name = "ADDRESS")]
         controller: SocketAddr,
         #[command(subcommand)]
-        command: PoolsCommand,
+        command: WarmPoolsCommand,
     },
     /// Shows loans of accelerators between teams.
     Loans {
@@ -51,7 +51,7 @@
         #[arg(long, value_name = "ADDRESS")]
         controller: SocketAddr,
         #[command(subcommand)]
-        command: LoansCommand,
+        command: BorrowingCommand,
     },
 }
 
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -2,7 +2,7 @@
 //! a body, requests and replies matched by number.
 
 use crate::api::refusal::RefusalReason;
-use crate::borrowing::{LoansRequest, LoansResponse};
+use crate::borrowing::{BorrowingRequest, BorrowingResponse};
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse};
 use crate::model::FencingToken;
 use crate::runtime::clock;
@@ -10,7 +10,7 @@
 use crate::transport::frame_format::{FrameFormat, PeerFormat};
 use crate::transport::network::{Listener, Net};
 use crate::transport::peer_health::{HealthLimits, SharedPeerHealth};
-use crate::warm_pools::{PoolsRequest, PoolsResponse};
+use crate::warm_pools::{WarmPoolsRequest, WarmPoolsResponse};
 use connections::{Connections, Connector};
 use frames::{Frame, encode, frame_reader, read_frame, write_frames};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -69,9 +69,9 @@
     /// A request about the configuration that the regions of a fleet share.
     Configuration(ConfigurationRequest),
     /// A question about warm pools.
-    Pools(PoolsRequest),
+    Pools(WarmPoolsRequest),
     /// A question about loans between teams.
-    Loans(LoansRequest),
+    Loans(BorrowingRequest),
     /// From the provisioner: give this machine, if it is free, to another partition.
     TransferHost {
         /// Partition that the machine belongs to.
@@ -140,9 +140,9 @@
         refused: Vec<Machines>,
     },
     /// The response about warm pools.
-    Pools(PoolsResponse),
+    Pools(WarmPoolsResponse),
     /// The response about loans between teams.
-    Loans(LoansResponse),
+    Loans(BorrowingResponse),
     /// The response about the shared configuration.
     Configuration(ConfigurationResponse),
     /// The response for the user.
--- a/src/warm_pools/bills.rs
+++ b/src/warm_pools/bills.rs
@@ -1,6 +1,6 @@
 //! Bills as they are recorded.
 
-use super::messages::{BillRow, PoolsResponse};
+use super::messages::{BillRow, WarmPoolsResponse};
 use crate::clients::State;
 use crate::wire::Item;
 use badgerdrift_warm_pools::{BillRecord, RecordKey};
@@ -9,11 +9,11 @@
 const RETRY_AFTER_S: u64 = 1;
 
 /// Reads the bills of these days, of all teams or of one.
-pub async fn read_bills(state: &State, from: &str, to: &str, team: Option<&str>) -> PoolsResponse {
+pub async fn read_bills(state: &State, from: &str, to: &str, team: Option<&str>) -> WarmPoolsResponse {
     let Ok(items) = state.list(RecordKey::BILL_PREFIX).await else {
-        return PoolsResponse::RetryLater(RETRY_AFTER_S);
+        return WarmPoolsResponse::RetryLater(RETRY_AFTER_S);
     };
-    PoolsResponse::Bill(items.into_iter().flat_map(|item| rows(item, from, to, team)).collect())
+    WarmPoolsResponse::Bill(items.into_iter().flat_map(|item| rows(item, from, to, team)).collect())
 }
 
 /// The rows of a record, if it is of these days and this team.
--- a/src/warm_pools/messages.rs
+++ b/src/warm_pools/messages.rs
@@ -5,7 +5,7 @@
 
 /// A request about pools.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum PoolsRequest {
+pub enum WarmPoolsRequest {
     /// The state of each pool.
     Status,
     /// The recorded bills from the first to the last of these days, each as `2026-12-02`.
@@ -35,7 +35,7 @@
 
 /// The answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum PoolsResponse {
+pub enum WarmPoolsResponse {
     /// The state of each pool.
     Status(Vec<PoolStatus>),
     /// The recorded bills, by day, team and pool.
--- a/src/warm_pools/mod.rs
+++ b/src/warm_pools/mod.rs
@@ -11,5 +11,5 @@
 
 pub use bills::read_bills;
 pub use machine_types::check_machine_types;
-pub use messages::{BillRow, PoolsRequest, PoolsResponse};
+pub use messages::{BillRow, WarmPoolsRequest, WarmPoolsResponse};
 pub use settings::{LEAST_CHANGES, known_fleet, load_pools};
