--- a/src/control/partition/warm_pools/reports.rs
+++ b/src/control/partition/warm_pools/reports.rs
@@ -104,8 +104,8 @@
         version: slot.identity.version,
         image: slot.image.clone(),
         size_gb: slot.size_gb,
-        cores: slot.amounts.cores,
-        cards: slot.amounts.cards,
+        cpus: slot.amounts.cores,
+        gpus: slot.amounts.cards,
         mem_gb: slot.amounts.mem_gb,
     }
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -154,9 +154,11 @@
         /// Size of the image.
         size_gb: f64,
         /// CPU cores that the slot takes.
-        cores: f64,
+        #[serde(rename = "cores")]
+        cpus: f64,
         /// Accelerators that it takes.
-        cards: f64,
+        #[serde(rename = "cards")]
+        gpus: f64,
         /// Gigabytes of memory that it takes.
         mem_gb: f64,
     },
