--- a/src/api/ended_jobs/tests.rs
+++ b/src/api/ended_jobs/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn only_ends_that_an_owner_told_are_remembered() {
+fn only_ends_stated_by_a_leader_are_remembered() {
     let ended = EndedJobs::new(MOST);
     ended.insert_stated("a", &answer(200, JobPhase::Pending));
     ended.insert_stated("a", &answer(200, JobPhase::Running));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_was_learned_first_of_a_job_stays() {
+fn a_remembered_end_is_not_replaced() {
     let ended = EndedJobs::new(MOST);
     ended.insert("a", DONE);
     ended.insert("a", EndedJob { done: 2, ..DONE });
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_end_learned_first_is_forgotten_first() {
+fn the_oldest_end_is_evicted_first() {
     let ended = EndedJobs::new(MOST);
     for n in 0..=MOST {
         ended.insert(&n.to_string(), DONE);
--- a/src/api/refusal/tests.rs
+++ b/src/api/refusal/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_refusal_tells_why_and_when_to_come_again() {
+fn a_refusal_has_its_reason_and_retry_after() {
     let overload = RefusalReason::TooManySubmissions.response_after(7);
     assert_eq!((overload.status, overload.retry_after_s), (429, Some(7)));
     assert_eq!(overload.refusal, Some(RefusalReason::TooManySubmissions));
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what users and workers are answered, against a scripted state service.
+//! Tests of the answers to users and workers, against a scripted state service.
 
 mod answers;
 mod dependencies;
@@ -26,7 +26,7 @@
 
 const ID: &str = "run-000001";
 
-/// A state service that holds job records, and counts how often that of the first job is read.
+/// A state service with job records, which counts how often that of the first job is read.
 #[derive(Clone, Default)]
 struct StateService {
     records: Arc<Mutex<HashMap<String, JobRecord>>>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Holds the record of the first job, which waits for none.
+    /// Stores the record of the first job, which has no dependencies.
     fn put(&self, end: Option<JobEnd>) {
         self.put_job(ID, end, &[]);
     }
@@ -68,7 +68,7 @@
         self.records.lock().unwrap().insert(id.to_string(), record);
     }
 
-    /// What the commits so far put under this key.
+    /// The last value that the commits so far wrote under this key.
     fn written(&self, key: &str) -> Option<Value> {
         let commits = self.commits.lock().unwrap();
         let changes = commits.iter().filter_map(|apply| apply.as_array()).flatten();
--- a/src/api/tests/answers.rs
+++ b/src/api/tests/answers.rs
@@ -3,37 +3,37 @@
 use super::*;
 
 #[tokio::test]
-async fn an_end_that_was_read_is_told_again_without_a_read() {
+async fn a_recorded_end_is_read_once() {
     let service = StateService::default();
     let api = api_at(&service).await;
     for end in [JobEnd::Done, JobEnd::Cancelled] {
         let api = Api { ended_jobs: EndedJobs::new(1000), ..api.clone() };
         service.put(Some(end));
-        let told = poll(&api).await;
+        let first = poll(&api).await;
         let reads = service.reads();
         let withdrawal = call(&api, "POST", format!("/v1/jobs/{ID}/withdraw"), Vec::new()).await;
         let again = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
         let malformed = call(&api, "POST", "/v1/jobs".to_string(), format!("{{\"id\":\"{ID}\"}}").into_bytes()).await;
         for answer in [poll(&api).await, withdrawal, again, malformed] {
-            assert_eq!((phase(&answer), &answer.body), (phase(&told), &told.body));
+            assert_eq!((phase(&answer), &answer.body), (phase(&first), &first.body));
         }
         assert_eq!(service.reads(), reads, "nothing is read of a job whose end is known");
     }
 }
 
 #[tokio::test]
-async fn an_end_that_an_owner_told_is_told_again_without_the_owner() {
+async fn an_end_stated_by_a_leader_is_answered_without_it() {
     let mut api = api_at(&StateService::default()).await;
     let done = UserAnswer::Status { id: ID.to_string(), phase: JobPhase::Done, done: 2, running: 0 };
-    let (_ownership, mailbox) = led_here(&mut api, done);
-    let told = poll(&api).await;
+    let (_leadership, mailbox) = led_here(&mut api, done);
+    let first = poll(&api).await;
     mailbox.await.unwrap();
     let again = poll(&api).await;
-    assert_eq!((phase(&again), again.body), ((200, "done".to_string()), told.body));
+    assert_eq!((phase(&again), again.body), ((200, "done".to_string()), first.body));
 }
 
 #[tokio::test]
-async fn missing_and_live_jobs_are_read_for_every_question() {
+async fn missing_and_live_jobs_are_read_for_each_poll() {
     let service = StateService::default();
     let api = api_at(&service).await;
     assert_eq!(poll(&api).await.status, 404);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn what_exceeds_the_budget_is_refused_at_once_with_when_to_come_back() {
+async fn requests_beyond_the_budget_are_refused_at_once_with_retry_after() {
     let service = StateService::default();
     let api = api_at(&service).await;
     while api.request_budget.admits(Purpose::Poll) {}
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn refusals_and_spared_reads_are_counted_at_metrics() {
+async fn metrics_count_refusals_and_saved_reads() {
     let service = StateService::default();
     let api = api_at(&service).await;
     service.put(Some(JobEnd::Done));
@@ -85,7 +85,7 @@
 
 // The state service's time-outs add up to more where several calls follow each other.
 #[tokio::test(start_paused = true)]
-async fn an_answer_comes_before_its_user_has_given_up() {
+async fn an_answer_comes_within_the_wait_of_users() {
     let start = Instant::now();
     assert_eq!(in_time(std::future::pending()).await.status, 503);
     assert_eq!(start.elapsed(), MAX_USER_WAIT);
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Tests of jobs that wait for others.
+//! Tests of jobs with dependencies.
 
 use super::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_job_is_called_cancelled_once_the_record_of_one_that_it_needs_says_so() {
+async fn a_job_is_cancelled_once_a_dependency_is_recorded_as_cancelled() {
     let service = StateService::default();
     let api = api_at(&service).await;
     service.put(None);
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn what_a_done_job_needed_is_not_read() {
+async fn dependencies_of_a_done_job_are_not_read() {
     let service = StateService::default();
     let api = api_at(&service).await;
     service.put(Some(JobEnd::Done));
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn where_a_needed_job_can_t_be_read_nothing_is_told() {
+async fn a_job_with_an_unreadable_dependency_gets_503() {
     let service = StateService::default();
     let api = api_at(&service).await;
     service.put_job(SECOND, None, &[ID]);
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn without_an_owner_a_node_checks_what_a_job_waits_for_by_reads() {
+async fn without_a_leader_dependencies_are_checked_by_reads() {
     let service = StateService::default();
     let api = api_at(&service).await;
     let (status, why) = error(&submit_waiting(&api, SECOND, json!([ID])).await);
@@ -66,11 +66,11 @@
     assert_eq!(service.written("job/run-000002").unwrap()["spec"]["waits_on"], ID);
     service.put(Some(JobEnd::Cancelled));
     assert_eq!(phase(&submit_waiting(&api, THIRD, json!([ID])).await), (201, "cancelled".to_string()));
-    assert_eq!(service.written("job/run-000003").unwrap()["end"], Value::Null, "its owner records that");
+    assert_eq!(service.written("job/run-000003").unwrap()["end"], Value::Null, "its leader records that");
 }
 
 #[tokio::test]
-async fn a_service_is_never_waited_for_and_bad_lists_are_named() {
+async fn a_service_is_no_dependency_and_malformed_lists_are_refused() {
     let service = StateService::default();
     let api = api_at(&service).await;
     service.put(None);
@@ -81,7 +81,7 @@
         assert!(status == 400 && why.contains("waits_on"), "{bad}: {status} {why}");
     }
     let (status, _) = error(&submit_waiting(&api, ID, json!("run-1")).await);
-    assert_eq!(status, 200, "a known job is answered whatever its body says now");
+    assert_eq!(status, 200, "a known job is answered whatever its body is now");
 }
 
 /// The interface of a node that knows one other controller, whose frames are in this format.
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn nothing_that_waits_is_accepted_while_a_controller_is_known_to_be_old() {
+async fn no_job_with_dependencies_is_accepted_beside_an_outdated_controller() {
     let service = StateService::default();
     let api = api_beside(&service, FrameFormat::UNNAMED).await;
     service.put(None);
@@ -111,12 +111,12 @@
 
 // Accepted past the leader, an old next leader would start it at once.
 #[tokio::test]
-async fn what_the_owner_refuses_for_an_old_controller_or_an_unclear_one_is_not_accepted_past_it() {
+async fn a_leaders_refusal_for_outdated_or_indeterminate_dependencies_stands() {
     for reason in [RefusalReason::ControllerOutdated, RefusalReason::DependencyIndeterminate] {
         let service = StateService::default();
         let mut api = api_at(&service).await;
         service.put(None);
-        let _owner = led_here(&mut api, UserAnswer::RetryLater(reason));
+        let _leader = led_here(&mut api, UserAnswer::RetryLater(reason));
         assert_eq!(submit_waiting(&api, SECOND, json!([ID])).await.status, 503);
         assert!(service.written("job/run-000002").is_none());
     }
@@ -124,7 +124,7 @@
 
 // It would accept the job as one that waits for none.
 #[tokio::test]
-async fn a_job_that_waits_is_passed_on_only_to_an_owner_that_is_known_to_let_it_wait() {
+async fn a_job_with_dependencies_is_forwarded_only_to_a_current_leader() {
     let service = StateService::default();
     let mut api = api_beside(&service, FrameFormat::CURRENT).await;
     service.put(None);
@@ -133,11 +133,11 @@
     let other = LeaderStatus { is_self: false, leader: Some("worker-1".into()) };
     leader_status.send(other).unwrap();
     assert!(api.router.owner_is_current(0));
-    let unheard = crate::transport::peer::Peer::start(
+    let unknown = crate::transport::peer::Peer::start(
         "worker-1".into(),
         "127.0.0.1:1".parse().unwrap(),
         crate::transport::peer::PeerLimits::for_leader_lease(api.router.leader_lease_ttl_ms),
     );
-    api.router.peers = Arc::new(vec![unheard]);
-    assert!(!api.router.owner_is_current(0), "a silent one is not known to");
+    api.router.peers = Arc::new(vec![unknown]);
+    assert!(!api.router.owner_is_current(0), "one without an answer is not known to be current");
 }
--- a/src/api/user_metrics/tests.rs
+++ b/src/api/user_metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn refusals_are_told_by_reason_and_status() {
+fn refusals_are_counted_by_reason_and_status() {
     let metrics = UserMetrics::default();
     metrics.count_answer(&RefusalReason::TooManyReads.response());
     metrics.count_answer(&RefusalReason::TooManyReads.response());
--- a/src/borrowing/tests.rs
+++ b/src/borrowing/tests.rs
@@ -19,7 +19,7 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_the_one_that_is_delivered_is_sound() {
+fn a_file_is_read_and_the_delivered_one_is_valid() {
     let borrowing = parse_borrowing(FILE, &settings()).unwrap();
     assert_eq!((borrowing.quiet_s, borrowing.return_after_s), (1800.0, 20.0));
     assert_eq!(borrowing.lenders["blue"].to, ["red"]);
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn bad_files_are_told_in_one_line_with_field_and_reason() {
-    for (from, to, told) in [
+fn errors_name_field_and_reason_in_one_line() {
+    for (from, to, expected) in [
         ("lender \"blue\"", "lender \"nobody\"", "lender.nobody: no team nobody"),
         ("borrower \"red\"", "borrower \"nobody\"", "borrower.nobody: no team nobody"),
         ("most_gpus = 64", "most_gpus = -1", "lender.blue.most_gpus: must be at least 0, is -1"),
@@ -48,7 +48,7 @@
     ] {
         assert!(FILE.contains(from), "{from}");
         let refused = parse_borrowing(&FILE.replace(from, to), &settings()).unwrap_err().to_string();
-        assert!(refused.contains(told) && !refused.contains('\n'), "{told}: {refused}");
+        assert!(refused.contains(expected) && !refused.contains('\n'), "{expected}: {refused}");
     }
 }
 
--- a/src/commands/borrowing.rs
+++ b/src/commands/borrowing.rs
@@ -20,7 +20,8 @@
     },
 }
 
-/// Carries a command out through the controller at this internal address; what is to be printed.
+/// Carries a command out through the controller at this internal address; returns what is to be
+/// printed.
 pub async fn run(controller: SocketAddr, command: &BorrowingCommand) -> Result<String, CommandError> {
     let BorrowingCommand::Status { json } = command;
     let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(BorrowingRequest::Status)).await? else {
@@ -35,6 +36,7 @@
 }
 
 fn table(status: &LoansStatus) -> String {
+    // Writing to a String can't fail.
     let mut text =
         String::from("lender           borrower         job                  state      tasks     gpus    cpus\n");
     for entry in &status.loans {
--- a/src/commands/configuration.rs
+++ b/src/commands/configuration.rs
@@ -52,7 +52,8 @@
     peer: Peer,
 }
 
-/// Carries a command out through the controller at this internal address; what is to be printed.
+/// Carries a command out through the controller at this internal address; returns what is to be
+/// printed.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
     let connection = Connection { peer: connect(controller) };
     match command {
@@ -124,6 +125,7 @@
                 Some(present) if present.document == document => continue,
                 Some(present) => format!("{name}: differs from version {}", present.version),
             };
+            // Writing to a String can't fail.
             let _ = writeln!(text, "{line}");
         }
         Ok(text)
--- a/src/commands/configuration/file.rs
+++ b/src/commands/configuration/file.rs
@@ -169,6 +169,7 @@
             figures.bin_width_s, figures.default_deadline_s, figures.idle_keep, figures.headroom
         ),
         Document::Team(team) => {
+            // Writing to a String can't fail.
             let mut text = format!("team {:?} {{\n  version = {version}\n  removed = {}\n", team.name, team.removed);
             let _ = writeln!(text, "  guarantee {{{}}}", amounts_text(team.guarantee));
             let _ = writeln!(text, "  limit {{{}}}", amounts_text(team.limit));
--- a/src/commands/configuration/tests.rs
+++ b/src/commands/configuration/tests.rs
@@ -21,7 +21,7 @@
 "#;
 
 #[test]
-fn a_document_is_read_as_it_is_printed() {
+fn a_printed_document_is_read_back() {
     let changes = parse_changes(CHANGES).unwrap();
     let (document, version) = changes.documents().remove(0);
     assert_eq!(version, 3);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn bad_input_is_told_in_one_line_with_document_and_field() {
+fn errors_name_document_and_field_in_one_line() {
     let cases = [
         ("version = 3", "", "missing field `version`"),
         ("limit { cpus = 40.5 }", "limit { cpus = 30 }", "team/red.shares: the regions' limits add up"),
--- a/src/commands/controller_client.rs
+++ b/src/commands/controller_client.rs
@@ -1,4 +1,4 @@
-//! What the program's commands ask a running controller, and how answers are printed.
+//! Requests of the program's commands to a running controller, and how answers are printed.
 
 use crate::commands::errors::{CommandError, NotDone};
 use crate::transport::network::Net;
@@ -18,13 +18,13 @@
     Peer::start_on(Net::default(), controller.to_string(), controller, limits)
 }
 
-/// Asks the controller at this internal address.
+/// Sends a request to the controller at this internal address.
 pub async fn ask(controller: SocketAddr, request: PeerRequest) -> Result<PeerResponse, CommandError> {
     let answer = connect(controller).request(request, ANSWER_LIMIT).await;
     answer.ok_or(CommandError::NotDone(NotDone::NoAnswer))
 }
 
-/// What a command says that can't be answered now.
+/// The error of a command that can't be answered now.
 pub fn retry_later(after_s: u64) -> CommandError {
     NotDone::RetryLater { after_s }.into()
 }
--- a/src/commands/errors.rs
+++ b/src/commands/errors.rs
@@ -97,7 +97,7 @@
     /// The answer can't be printed as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A feature is switched off, or unknown to the controller; the text says which.
+    /// A feature is switched off, or unknown to the controller; the text names it.
     #[error("the controller {0}")]
     Feature(&'static str),
     /// No answer is possible now.
--- a/src/commands/warm_pools.rs
+++ b/src/commands/warm_pools.rs
@@ -40,7 +40,8 @@
     },
 }
 
-/// Carries a command out through the controller at this internal address; what is to be printed.
+/// Carries a command out through the controller at this internal address; returns what is to be
+/// printed.
 pub async fn run(controller: SocketAddr, command: &WarmPoolsCommand) -> Result<String, CommandError> {
     let request = request(command)?;
     let PeerResponse::Pools(response) = ask(controller, PeerRequest::Pools(request)).await? else {
@@ -75,6 +76,7 @@
 }
 
 fn status_table(pools: &[PoolStatus]) -> String {
+    // Writing to a String can't fail.
     let mut text =
         String::from("pool                 payer            wanted renting loading  idle claimed draining  idle/h\n");
     for pool in pools {
@@ -96,6 +98,7 @@
 }
 
 fn bill_table(rows: &[BillRow]) -> String {
+    // Writing to a String can't fail.
     let mut text = String::from(
         "day        team             pool                   idle s     idle  claimed s  claimed  estimated s\n",
     );
--- a/src/main.rs
+++ b/src/main.rs
@@ -120,7 +120,7 @@
     FieldError::new("partitions", Fault::NotOneWith { feature })
 }
 
-/// Exit status for input that is not sound.
+/// Exit status for invalid input.
 const BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
--- a/src/runtime/metrics/tests.rs
+++ b/src/runtime/metrics/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 #[test]
-fn figures_are_told_by_name_and_label() {
-    let mut m = Metrics::default();
+fn metrics_are_printed_by_name_and_label() {
+    let mut metrics = Metrics::default();
     for ms in 1..=100 {
-        m.observe("decision_ms", "chat", ms);
+        metrics.observe("decision_ms", "chat", ms);
     }
-    m.count("preempted", "sweep");
-    let text = m.text();
+    metrics.count("preempted", "sweep");
+    let text = metrics.text();
     assert!(text.contains("badgerdrift_decision_ms_count{of=\"chat\"} 100"));
     assert!(text.contains("badgerdrift_preempted_total{of=\"sweep\"} 1"));
 }
 
 #[test]
-fn figures_of_a_node_are_counted_by_all_its_parts() {
+fn clones_of_shared_metrics_count_together() {
     let metrics = SharedMetrics::default();
     metrics.clone().count("partitions_lost", "superseded");
     metrics.count("partitions_lost", "superseded");
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a controller holds at a time, derived from the platform's settings.
+//! Bounds on what a controller stores and serves at a time, derived from the platform's settings.
 //!
 //! No bound follows from a number of machines: a larger fleet comes with larger limits of the
 //! process. `docs/CAPACITY.md` lists what each one is at 4,000 and at 6,000 machines, and what
@@ -55,7 +55,7 @@
 /// Fewest machines that may be probed in a second.
 const LEAST_PROBES_PER_S: f64 = 1.0;
 
-/// What a controller holds at the most.
+/// Upper bounds of a controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Ends of jobs that are remembered; one that is forgotten is read from its record.
--- a/src/settings/bounds/tests.rs
+++ b/src/settings/bounds/tests.rs
@@ -8,19 +8,19 @@
     settings
 }
 
-// A fixed count of attempts gave six to each of 4,000 machines, with most of the room idle.
+// A fixed count of attempts gave six to each of 4,000 machines, with most of the capacity idle.
 #[test]
-fn attempts_are_bounded_by_what_following_them_costs() {
+fn attempts_are_bounded_by_memory_and_processor() {
     let bounds = Bounds::new(&large_deployment()).attempts;
     assert_eq!(bounds.most(MOST_ENTRIES_PER_S), 24_000);
-    // Long tasks are listed once in a report, every 4 s.
+    // Long tasks are listed once in a heartbeat, every 4 s.
     assert_eq!(bounds.most(0.25), 96_000);
     assert!(bounds.most(0.25) >= 16 * 6000);
     assert_eq!(bounds.most(1e-9), bounds.by_memory, "memory bounds them in any case");
 }
 
 #[test]
-fn larger_processes_hold_more() {
+fn bounds_grow_with_the_process() {
     let (small, large) = (Bounds::new(&settings()), Bounds::new(&large_deployment()));
     assert!(large.ended_jobs > 3 * small.ended_jobs && large.route_hints > 3 * small.route_hints);
     assert!(large.attempts.by_memory > 3 * small.attempts.by_memory);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn limits_that_the_settings_leave_out_bound_all_the_same() {
+fn absent_limits_have_defaults() {
     let mut settings = settings();
     settings.params.limits = Limits { max_sockets: 16, memory_mb: None, core_share: None };
     let bounds = Bounds::new(&settings);
@@ -38,9 +38,9 @@
     assert!(bounds.worker_connections >= 1 && bounds.direct_commands >= 1);
 }
 
-// Asked all at once, the machines of a taken-over fleet held up a leader with a small share.
+// Probed all at once after a failover, the machines of a fleet held up a leader with a small share.
 #[test]
-fn questions_to_machines_follow_the_processor_share() {
+fn probes_follow_the_processor_share() {
     let rate = |core_share| {
         let mut settings = settings();
         settings.params.limits.core_share = core_share;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -62,29 +62,29 @@
 }
 
 #[test]
-fn unknown_settings_are_ignored_and_bad_ones_named() {
+fn unknown_settings_are_ignored_and_invalid_ones_named() {
     check_settings(&settings()).unwrap();
-    let mut s = settings();
-    s.params.workers.lease_s = f64::NAN;
-    assert!(check_settings(&s).unwrap_err().to_string().contains("lease_s"));
-    let mut s = settings();
-    s.site = "elsewhere".into();
-    assert!(check_settings(&s).unwrap_err().to_string().starts_with("site"));
-    let mut s = settings();
-    s.params.teams[0].gpus = 99.0;
-    assert!(check_settings(&s).unwrap_err().to_string().contains("gpus of red"));
+    let mut invalid = settings();
+    invalid.params.workers.lease_s = f64::NAN;
+    assert!(check_settings(&invalid).unwrap_err().to_string().contains("lease_s"));
+    let mut invalid = settings();
+    invalid.site = "elsewhere".into();
+    assert!(check_settings(&invalid).unwrap_err().to_string().starts_with("site"));
+    let mut invalid = settings();
+    invalid.params.teams[0].gpus = 99.0;
+    assert!(check_settings(&invalid).unwrap_err().to_string().contains("gpus of red"));
 }
 
 #[test]
-fn the_limits_to_come_are_checked_like_the_present_ones() {
+fn later_limits_are_checked_like_the_present_ones() {
     let with_next = |table: &str| {
         let text = example().replace("[params.cloud]", &format!("[params.state.next]\n{table}\n[params.cloud]"));
         toml::from_str::<Settings>(&text)
             .map_err(|e| e.to_string())
-            .and_then(|s| check_settings(&s).map(|()| s).map_err(|e| e.to_string()))
+            .and_then(|settings| check_settings(&settings).map(|()| settings).map_err(|e| e.to_string()))
     };
-    let s = with_next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
-    assert_eq!(s.write_limits().commit_changes, 4);
+    let settings_with_next = with_next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
+    assert_eq!(settings_with_next.write_limits().commit_changes, 4);
     assert_eq!(with_next("").unwrap().write_limits(), settings().write_limits());
     for (bad, field) in [
         ("value_kb = 0.0", "value_kb"),
@@ -99,9 +99,9 @@
 }
 
 #[test]
-fn operators_names_are_checked() {
-    let o: Operator = hcl::from_str("bin_width_s = 2").unwrap();
-    assert_eq!(o.bin_width_s, 2.0);
+fn unknown_operator_settings_are_refused() {
+    let operator: Operator = hcl::from_str("bin_width_s = 2").unwrap();
+    assert_eq!(operator.bin_width_s, 2.0);
     assert!(hcl::from_str::<Operator>("bin_widht_s = 2").is_err());
     assert!(check_operator(&Operator { headroom: -1.0, ..Operator::default() }).is_err());
 }
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -33,7 +33,7 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_the_one_that_is_delivered_is_sound() {
+fn a_file_is_read_and_the_delivered_one_is_valid() {
     let pools = parse_pools(FILE, &settings()).unwrap();
     assert_eq!((pools.pools["counter"].most_wanted(), pools.models["notes"].version), (6, 3));
     assert!(parse_pools("", &settings()).unwrap().pools.is_empty());
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn bad_files_are_told_in_one_line_with_field_and_reason() {
-    for (from, to, told) in [
+fn errors_name_field_and_reason_in_one_line() {
+    for (from, to, expected) in [
         ("payer  = \"red\"", "payer  = \"nobody\"", "pool.counter.payer: there is no team nobody"),
         ("count  = 2", "count  = -2", "-2"),
         ("count  = 2", "counts = 2", "counts"),
@@ -63,11 +63,11 @@
     ] {
         assert!(FILE.contains(from), "{from}");
         let refused = parse_pools(&FILE.replace(from, to), &settings()).unwrap_err().to_string();
-        assert!(refused.contains(told) && !refused.contains('\n'), "{refused}");
+        assert!(refused.contains(expected) && !refused.contains('\n'), "{refused}");
     }
 }
 
-// A slot and its bills change together: a state service that can't do that is told of at once.
+// A slot and its bills change together: a state service that can't do that is expected of at once.
 #[test]
 fn a_state_service_with_too_small_commits_is_refused() {
     let mut small = settings();
@@ -132,7 +132,7 @@
 
     // An operator learnt of a type with a mistake from the log of a controller that ran.
     #[tokio::test]
-    async fn a_type_that_nobody_knows_is_refused_with_its_field() {
+    async fn an_unknown_instance_type_is_refused_with_its_field() {
         let refused = check(cloud_with(&["g4"]), state_with("c8")).await;
         assert_eq!(refused.unwrap_err(), "pool.counter.machines: there is no machine type g8");
         assert_eq!(check(cloud_with(&["g4", "g8"]), state_with("c8")).await, Ok(()));
@@ -140,7 +140,7 @@
 
     // Refused for these, controllers could not be started again when it matters most.
     #[tokio::test]
-    async fn a_type_that_was_known_once_or_can_not_be_asked_for_keeps_nobody_from_starting() {
+    async fn a_former_or_unreadable_instance_type_does_not_prevent_the_start() {
         assert_eq!(check(cloud_with(&["g4"]), state_with("g8")).await, Ok(()), "the cloud has dropped it");
         assert_eq!(check(None, state_with("c8")).await, Ok(()));
         assert_eq!(check(cloud_with(&["g4"]), None).await, Ok(()));
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_no_job_is_refused_without_an_id() {
+fn bodies_without_a_job_id_are_refused_without_one() {
     for body in ["", "[]", "3", "{", "{\"id\":7}", "{\"id\":\"job-000001\"}", "{\"id\":\"run-1\"}"] {
         let malformed = parse_submission(body.as_bytes()).unwrap_err();
         assert!(malformed.id.is_none(), "{body}");
