--- a/src/main.rs
+++ b/src/main.rs
@@ -108,7 +108,7 @@
         }
         let borrowing = self.borrowing.as_deref().map(|file| borrowing::load_borrowing(file, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
-            let source = one_partition_with("borrowing").into();
+            let source = Box::new(one_partition_with("borrowing").into());
             return Err(SettingsError::Invalid { file: file.clone(), source }.into());
         }
         let pools_file = self.warm_pools.clone();
@@ -200,5 +200,8 @@
 async fn check_machine_types(loaded: &Loaded) -> Result<(), SettingsError> {
     let (Some(pools), Some(file)) = (&loaded.subsystems.warm_pools, &loaded.pools_file) else { return Ok(()) };
     let checked = warm_pools::check_machine_types(&Net::default(), &loaded.settings, pools).await;
-    checked.map_err(|error| SettingsError::Invalid { file: file.clone(), source: ContentError::WarmPools(error) })
+    checked.map_err(|error| SettingsError::Invalid {
+        file: file.clone(),
+        source: Box::new(ContentError::WarmPools(error)),
+    })
 }
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -21,7 +21,7 @@
         /// The file.
         file: PathBuf,
         /// What is wrong with its content.
-        source: ContentError,
+        source: Box<ContentError>,
     },
 }
 
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -32,7 +32,7 @@
 pub(crate) fn load<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, ContentError>) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Unreadable { file: path.to_path_buf(), source })?;
-    parse(&text).map_err(|source| SettingsError::Invalid { file: path.to_path_buf(), source })
+    parse(&text).map_err(|source| SettingsError::Invalid { file: path.to_path_buf(), source: Box::new(source) })
 }
 
 /// Number, from 1, and text of the line in which a span begins.
