--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -1,12 +1,12 @@
 //! The actor's settings, clients and channels.
 
 use super::messages::{BackgroundSender, Message};
-use crate::borrowing::LoansResponse;
+use crate::borrowing::BorrowingResponse;
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
 use crate::control::router::Router;
 use crate::settings::{Operator, Settings};
-use crate::warm_pools::PoolsResponse;
+use crate::warm_pools::WarmPoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 /// The partition whose leader is the provisioner of all.
 pub(super) const PROVISIONER_PARTITION: u32 = 0;
 /// The answer about pools of a leader that has not read its records.
-pub(super) const POOLS_RETRY_LATER: PoolsResponse = PoolsResponse::RetryLater(1);
+pub(super) const POOLS_RETRY_LATER: WarmPoolsResponse = WarmPoolsResponse::RetryLater(1);
 /// Writes may come in bursts of so many seconds.
 pub(super) const WRITE_BURST_S: f64 = 0.8;
 /// The answer about loans of a leader that has not read its records.
-pub(super) const LOANS_RETRY_LATER: LoansResponse = LoansResponse::RetryLater(1);
+pub(super) const LOANS_RETRY_LATER: BorrowingResponse = BorrowingResponse::RetryLater(1);
 
 /// The actor of a partition: its settings, clients and channels. What it keeps while this node
 /// leads is a `Leadership`.
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -1,14 +1,14 @@
 //! Messages to the actor of a partition, and its answers.
 
 use super::stored_records::{ExternalDependencyRecords, StoredRecords};
-use crate::borrowing::LoansResponse;
+use crate::borrowing::BorrowingResponse;
 use crate::clients::RentResult;
 use crate::configuration::AppliedConfiguration;
 use crate::control::membership::RaisedToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::model::{FencingToken, HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
-use crate::warm_pools::PoolsResponse;
+use crate::warm_pools::WarmPoolsResponse;
 use crate::wire::{Heartbeat, Item, ListedInstance, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -47,9 +47,9 @@
         reply: oneshot::Sender<PeerResponse>,
     },
     /// An operator asks for the status of the warm pools.
-    PoolStatus(oneshot::Sender<PoolsResponse>),
+    PoolStatus(oneshot::Sender<WarmPoolsResponse>),
     /// An operator asks for the status of the loans.
-    LoanStatus(oneshot::Sender<LoansResponse>),
+    LoanStatus(oneshot::Sender<BorrowingResponse>),
     /// The metrics of the partition are collected.
     Metrics(oneshot::Sender<String>),
     /// A background task reports; dropped unless its leadership is under way.
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
 //! The program: command line, logging, runtime.
 
-use badgerdrift::commands::borrowing::LoansCommand;
+use badgerdrift::commands::borrowing::BorrowingCommand;
 use badgerdrift::commands::configuration::ConfigCommand;
 use badgerdrift::commands::errors::CommandError;
-use badgerdrift::commands::warm_pools::PoolsCommand;
+use badgerdrift::commands::warm_pools::WarmPoolsCommand;
 use badgerdrift::configuration;
 use badgerdrift::control::node::{self, Subsystems};
 use badgerdrift::settings::{ContentError, Fault, FieldError, SettingsError};
@@ -43,7 +43,7 @@
         #[arg(long, value_name = "ADDRESS")]
         controller: SocketAddr,
         #[command(subcommand)]
-        command: PoolsCommand,
+        command: WarmPoolsCommand,
     },
     /// Shows loans of accelerators between teams.
     Loans {
@@ -51,7 +51,7 @@
         #[arg(long, value_name = "ADDRESS")]
         controller: SocketAddr,
         #[command(subcommand)]
-        command: LoansCommand,
+        command: BorrowingCommand,
     },
 }
 
@@ -108,7 +108,7 @@
         }
         let borrowing = self.borrowing.as_deref().map(|file| borrowing::load_borrowing(file, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
-            let source = one_partition_with("borrowing").into();
+            let source = Box::new(one_partition_with("borrowing").into());
             return Err(SettingsError::Invalid { file: file.clone(), source }.into());
         }
         let pools_file = self.warm_pools.clone();
@@ -120,7 +120,7 @@
     FieldError::new("partitions", Fault::NotOneWith { feature })
 }
 
-/// Exit status for input that is not sound.
+/// Exit status for invalid input.
 const BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -200,5 +200,8 @@
 async fn check_machine_types(loaded: &Loaded) -> Result<(), SettingsError> {
     let (Some(pools), Some(file)) = (&loaded.subsystems.warm_pools, &loaded.pools_file) else { return Ok(()) };
     let checked = warm_pools::check_machine_types(&Net::default(), &loaded.settings, pools).await;
-    checked.map_err(|error| SettingsError::Invalid { file: file.clone(), source: ContentError::WarmPools(error) })
+    checked.map_err(|error| SettingsError::Invalid {
+        file: file.clone(),
+        source: Box::new(ContentError::WarmPools(error)),
+    })
 }
