--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -218,7 +218,7 @@
             BackgroundEvent::RentEnded { name, result } => self.rent_ended(leadership, &name, result, now),
             BackgroundEvent::ReleaseEnded { hosts, confirmed } => self.release_ended(leadership, hosts, confirmed),
             BackgroundEvent::InstancesListed(list) => {
-                for request in leadership.provisioner.listed(&list, &leadership.partition, now) {
+                for request in leadership.provisioner.process_list(&list, &leadership.partition, now) {
                     self.send_cloud_request(leadership, request);
                 }
             }
--- a/src/control/partition_leader/cloud.rs
+++ b/src/control/partition_leader/cloud.rs
@@ -8,7 +8,7 @@
 use crate::model::InstanceType;
 use crate::provisioning::provisioner::CloudRequest;
 use crate::runtime::task;
-use crate::scheduling::Rental;
+use crate::scheduling::ScaleOut;
 use crate::transport::peer::PeerRequest;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -20,23 +20,24 @@
     /// Starts a request.
     pub(super) fn send_cloud_request(&self, leadership: &mut Leadership, request: CloudRequest) {
         match request {
-            CloudRequest::Rent { name, rental, pause_ms } => self.rent(leadership, name, rental, pause_ms),
+            CloudRequest::ScaleOut { name, scale_out, pause_ms } => self.rent(leadership, name, scale_out, pause_ms),
             CloudRequest::TransferHost { from, host, to } => {
                 let router = self.router.clone();
                 task::spawn(async move {
                     router.request(from, PeerRequest::TransferHost { partition: from, host, to }).await
                 });
             }
-            CloudRequest::Release(hosts) => self.release(leadership, hosts),
+            CloudRequest::Terminate(hosts) => self.release(leadership, hosts),
         }
     }
 
-    fn rent(&self, leadership: &Leadership, name: String, rental: Rental, pause_ms: u64) {
+    fn rent(&self, leadership: &Leadership, name: String, scale_out: ScaleOut, pause_ms: u64) {
         let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.epoch));
-        let instance_type = leadership.partition.cluster.instance_types[rental.instance_type].name.clone();
+        let ScaleOut { offering, count } = scale_out;
+        let instance_type = leadership.partition.cluster.instance_types[offering.instance_type].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
-            let result = cloud.rent(&name, &instance_type, &rental.zone, rental.spot, rental.count).await;
+            let result = cloud.rent(&name, &instance_type, &offering.zone, offering.spot, count).await;
             sender.send(BackgroundEvent::RentEnded { name, result }).await;
         });
     }
@@ -62,7 +63,7 @@
 
     /// Handles the outcome of a rental request.
     pub(super) fn rent_ended(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
-        if let Some(request) = leadership.provisioner.rented(name, result, now) {
+        if let Some(request) = leadership.provisioner.scale_out_answered(name, result, now) {
             self.send_cloud_request(leadership, request);
         }
     }
@@ -71,10 +72,10 @@
     /// confirms it: only then are their tasks free to run elsewhere.
     pub(super) fn release_ended(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
-            self.send_cloud_request(leadership, CloudRequest::Release(hosts));
+            self.send_cloud_request(leadership, CloudRequest::Terminate(hosts));
             return;
         }
-        leadership.provisioner.released(&hosts);
+        leadership.provisioner.hosts_terminated(&hosts);
         for id in &hosts {
             if let Some(addr) = leadership
                 .partition
--- a/src/control/partition_leader/leadership.rs
+++ b/src/control/partition_leader/leadership.rs
@@ -7,8 +7,8 @@
 use crate::configuration::AppliedConfiguration;
 use crate::control::membership::AcquiredLeadership;
 use crate::control::partition::Partition;
+use crate::model::InstanceOffering;
 use crate::provisioning::provisioner::Provisioner;
-use crate::scheduling::PendingMachine;
 use std::collections::HashSet;
 
 /// One leadership of the partition.
@@ -39,7 +39,7 @@
     /// Indeterminate records of warm pools and loans are being read.
     pub(super) reading_indeterminate: bool,
     /// What the provisioner reports as on its way to this partition.
-    pub(super) pending_machines: Vec<PendingMachine>,
+    pub(super) pending_machines: Vec<InstanceOffering>,
 }
 
 /// A partition as a new leadership begins, and the bounds of its requests.
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -49,7 +49,7 @@
         }
         let DetectedFailures { to_terminate: release, to_probe: probe } =
             leadership.partition.detect_failures(now, self.pledge_status.last_gap_ms(now));
-        for request in leadership.provisioner.release(release) {
+        for request in leadership.provisioner.terminate(release) {
             self.send_cloud_request(leadership, request);
         }
         self.probe(leadership, probe, now);
@@ -69,10 +69,14 @@
                 self.report_validity_ms(),
             );
         }
-        let (capacity_report, mut requests) =
-            leadership.provisioner.plan(&mut leadership.partition, &leadership.pending_machines, now, wall_ms);
+        let (capacity_report, mut requests) = leadership.provisioner.plan_partition(
+            &mut leadership.partition,
+            &leadership.pending_machines,
+            now,
+            wall_ms,
+        );
         if self.id == PROVISIONER_PARTITION {
-            requests.extend(leadership.provisioner.lead(
+            requests.extend(leadership.provisioner.distribute(
                 capacity_report,
                 &leadership.partition,
                 now,
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -5,8 +5,8 @@
 use super::messages::{HeartbeatReply, Message};
 use crate::api::refusal::RefusalReason;
 use crate::control::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
+use crate::model::InstanceOffering;
 use crate::runtime::clock;
-use crate::scheduling::PendingMachine;
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::wire::Heartbeat;
 
@@ -45,7 +45,7 @@
         capacity_report: CapacityReport,
         now: u64,
     ) -> PeerResponse {
-        let (pending_machines, refused) = leadership.provisioner.capacity_report(
+        let (pending_machines, refused) = leadership.provisioner.answer_capacity_report(
             capacity_report,
             &leadership.partition,
             now,
@@ -65,7 +65,7 @@
         let cluster = &leadership.partition.cluster;
         let pending = pending_machines.into_iter().filter_map(|machines| {
             let instance_type = cluster.instance_type(&machines.instance_type)?;
-            let machine = PendingMachine { instance_type, zone: machines.zone, spot: machines.spot };
+            let machine = InstanceOffering { instance_type, zone: machines.zone, spot: machines.spot };
             Some(std::iter::repeat_n(machine, machines.count))
         });
         leadership.pending_machines = pending.flatten().collect();
