--- a/src/control/partition/attempt_phases.rs
+++ b/src/control/partition/attempt_phases.rs
@@ -1,11 +1,18 @@
-//! Attempts as reports show them: those that are seen first, and the phases that they reach.
+//! Attempts as heartbeats show them: those that are seen first, and the phases that they reach.
 
 use super::Partition;
 use crate::model::{ClusterState, HostIndex, Place, Shape, TaskAttempt, TaskKey, TaskPhase};
 
 impl Partition {
-    /// An attempt that we did not start: an earlier leader did, or a late order.
-    pub(super) fn adopt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, phase: TaskPhase, now: u64) {
+    /// An attempt that this leader did not start: an earlier one did, or a late order.
+    pub(super) fn add_reported_attempt(
+        &mut self,
+        host_index: HostIndex,
+        key: TaskKey,
+        attempt: u64,
+        phase: TaskPhase,
+        now: u64,
+    ) {
         let job = &mut self.cluster.jobs[key.job];
         let idle = job.tasks[key.task as usize].place == Place::Idle;
         let ended = matches!(phase, TaskPhase::Ended(_));
@@ -25,17 +32,17 @@
         let cache = self
             .cluster
             .host(host_index)
-            .and_then(|h| h.instance_type)
+            .and_then(|host| host.instance_type)
             .map_or(0.0, |f| self.cluster.instance_types[f].cache_gb);
-        if let Some(h) = self.cluster.host_mut(host_index) {
-            h.use_image(&image, gb, cache, now);
+        if let Some(host) = self.cluster.host_mut(host_index) {
+            host.use_image(&image, gb, cache, now);
             let stop = (!wanted && !ended).then_some(0.0);
-            h.attempts.push(TaskAttempt { stop, ..TaskAttempt::sent(key, attempt, demand, now) });
+            host.attempts.push(TaskAttempt { stop, ..TaskAttempt::sent(key, attempt, demand, now) });
         }
     }
 
     /// Takes the phase of an attempt that was in phase `before`.
-    pub(super) fn phase_seen(
+    pub(super) fn apply_phase(
         &mut self,
         host_index: HostIndex,
         key: TaskKey,
@@ -45,21 +52,21 @@
         now: u64,
     ) {
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
-        let Some(h) = hosts[host_index].as_mut() else { return };
-        let Some(c) = h.attempt_mut(key, attempt) else { return };
-        c.phase = phase;
+        let Some(host) = hosts[host_index].as_mut() else { return };
+        let Some(known) = host.attempt_mut(key, attempt) else { return };
+        known.phase = phase;
         let job = &mut jobs[key.job];
-        if phase == TaskPhase::Saving && c.stop.is_none() && self.loans.is_some() {
-            // An earlier leader has stopped it: it is on its way out, and its team's use is less by it.
-            c.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
+        if phase == TaskPhase::Saving && known.stop.is_none() && self.loans.is_some() {
+            // An earlier leader has ordered its stop, and its team's use is less by it.
+            known.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
         }
-        job.tasks[key.task as usize].located |= !c.ended();
-        let after_order_ms = now.saturating_sub(c.since_ms);
+        job.tasks[key.task as usize].located |= !known.ended();
+        let after_order_ms = now.saturating_sub(known.since_ms);
         match phase {
             TaskPhase::Gathering | TaskPhase::Running => {
-                h.image_ready(&job.spec.image);
+                host.image_ready(&job.spec.image);
                 if before != phase && phase == TaskPhase::Running {
-                    self.note_running(key, attempt, after_order_ms);
+                    self.record_running(key, attempt, after_order_ms);
                 }
             }
             TaskPhase::Ended(reason) if before != phase => self.attempt_ended(host_index, key, attempt, reason, now),
@@ -68,16 +75,9 @@
     }
 
     /// Logs and measures that an attempt has begun to run.
-    fn note_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
+    fn record_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
         let spec = &self.cluster.jobs[key.job].spec;
-        tracing::debug!(
-            job = spec.id,
-            class = spec.class,
-            task = key.task,
-            attempt,
-            after_order = after_order_ms,
-            "running"
-        );
+        tracing::debug!(job = spec.id, class = spec.class, task = key.task, attempt, after_order_ms, "running");
         self.metrics.observe("start_after_order_ms", &spec.class, after_order_ms);
     }
 }
--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -26,15 +26,15 @@
             self.attempt_completed(host_index, key, now);
             return;
         }
-        if !self.free_place(host_index, key, attempt) {
+        if !self.vacate_place(host_index, key, attempt) {
             return;
         }
-        self.hold_room_of_done(host_index, key.job, now);
+        self.reserve_capacity_of_done(host_index, key.job, now);
         match reason {
             ExitReason::Error | ExitReason::NoSuch => self.task_failed(host_index, key, reason, now),
             ExitReason::NoRoom | ExitReason::InUse => {
-                if let Some(h) = self.cluster.host_mut(host_index) {
-                    h.blocked_until_ms = now + 2 * self.policy.react_ms;
+                if let Some(host) = self.cluster.host_mut(host_index) {
+                    host.blocked_until_ms = now + 2 * self.policy.react_ms;
                 }
             }
             _ => {}
@@ -49,35 +49,37 @@
         let spec = &self.cluster.jobs[key.job].spec;
         let done: Vec<u32> = if spec.shape == Shape::Gang { (0..spec.tasks).collect() } else { vec![key.task] };
         self.tasks_done(key.job, &done, now);
-        self.note_success(host_index, key);
+        self.record_task_success(host_index, key);
     }
 
     /// A task is done on a machine: that one is sound, and where the task failed before, the
     /// machine was at fault.
-    fn note_success(&mut self, sound: HostIndex, key: TaskKey) {
-        if let Some(h) = self.cluster.host_mut(sound) {
-            h.failed_jobs.clear();
-            h.succeeded_elsewhere = false;
+    fn record_task_success(&mut self, sound: HostIndex, key: TaskKey) {
+        if let Some(host) = self.cluster.host_mut(sound) {
+            host.failed_jobs.clear();
+            host.succeeded_elsewhere = false;
         }
         let job = &self.cluster.jobs[key.job];
         let failed = job.spec.shape == Shape::Gang || job.tasks[key.task as usize].fails > 0;
-        for host in job.failed_on.iter().filter(|_| failed) {
-            if let Some(h) = self.cluster.hosts[*host].as_mut().filter(|h| h.failed_jobs.contains(&key.job)) {
-                h.succeeded_elsewhere = true;
+        for host_index in job.failed_on.iter().filter(|_| failed) {
+            if let Some(host) =
+                self.cluster.hosts[*host_index].as_mut().filter(|host| host.failed_jobs.contains(&key.job))
+            {
+                host.succeeded_elsewhere = true;
             }
         }
     }
 
     /// The task is idle again, if this attempt was its place; false if it was not.
-    fn free_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
+    fn vacate_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
         if task.place != Place::On(host_index, attempt) {
             return false;
         }
         task.place = Place::Idle;
-        // Urgent work may be what ended, or what waits for the room.
-        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|h| !h.reservations.is_empty());
+        // Urgent work may be what ended, or what waits for the capacity.
+        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|host| !host.reservations.is_empty());
         if waited_for {
             self.scheduling_triggers.request_urgent_cycle();
         }
@@ -92,7 +94,7 @@
         task.fails = task.fails.saturating_add(1);
         if task.fails >= FAILS_BEFORE_PAUSE {
             // Fails wherever it runs: ever longer pauses, so that it
-            // doesn't retake room in each cycle.
+            // doesn't retake capacity in each cycle.
             task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
         }
         if reason == ExitReason::Error {
@@ -110,11 +112,11 @@
         job.avoid_hosts_until_ms = now + 2 * self.policy.lease_ms + (boot_s * 1000.0) as u64;
         let blames_job = job.failed_on.len() > 1 || hosts == 1;
         if blames_job {
-            for h in self.cluster.hosts.iter_mut().flatten() {
-                h.failed_jobs.remove(&job_index);
+            for host in self.cluster.hosts.iter_mut().flatten() {
+                host.failed_jobs.remove(&job_index);
             }
-        } else if let Some(h) = self.cluster.host_mut(host_index) {
-            h.failed_jobs.insert(job_index);
+        } else if let Some(host) = self.cluster.host_mut(host_index) {
+            host.failed_jobs.insert(job_index);
         }
     }
 
@@ -122,8 +124,8 @@
     pub(super) fn tasks_done(&mut self, job_index: JobIndex, tasks: &[u32], now: u64) {
         let job = &mut self.cluster.jobs[job_index];
         let mut new = 0;
-        for t in tasks {
-            let task = &mut job.tasks[*t as usize];
+        for task_number in tasks {
+            let task = &mut job.tasks[*task_number as usize];
             if task.place != Place::Done {
                 task.place = Place::Done;
                 new += 1;
@@ -135,7 +137,7 @@
         job.done += new;
         let job_is_array = job.spec.shape == Shape::Batch;
         if job.done >= job.spec.tasks {
-            // A cancellation that is on its way goes first; else the job is done.
+            // A cancellation that is to be recorded goes first; else the job is done.
             if !matches!(job.unsaved, UnsavedChange::End(_)) {
                 job.unsaved = UnsavedChange::End(JobEnd::Done);
             }
@@ -145,7 +147,7 @@
         }
         self.commit_queue.mark_job(job_index);
         if job_is_array {
-            self.scheduling_triggers.note_array_task_done();
+            self.scheduling_triggers.mark_array_task_done();
         }
     }
 
@@ -156,7 +158,7 @@
             return;
         }
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
-        for attempt in hosts.iter_mut().flatten().flat_map(|h| h.attempts.iter_mut()) {
+        for attempt in hosts.iter_mut().flatten().flat_map(|host| host.attempts.iter_mut()) {
             let job = &jobs[attempt.key.job];
             let done = job.spec.shape == Shape::Batch && job.tasks[attempt.key.task as usize].place == Place::Done;
             if done && !attempt.ended() && attempt.stop.is_none() {
@@ -168,11 +170,11 @@
     /// Stops all attempts of a job at once: it is over, or a gang that lost a
     /// task, whose rest must go before the next attempt.
     pub(super) fn stop_all(&mut self, job_index: JobIndex) {
-        for (host_index, h) in self.cluster.hosts.iter_mut().enumerate() {
-            let Some(h) = h else { continue };
-            for c in h.attempts.iter_mut().filter(|c| c.key.job == job_index && !c.ended()) {
-                if c.stop_due().is_none_or(|g| g > 0.0) {
-                    (c.stop, c.stop_awaits_record) = (Some(0.0), false);
+        for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
+            let Some(host) = host else { continue };
+            for attempt in host.attempts.iter_mut().filter(|attempt| attempt.key.job == job_index && !attempt.ended()) {
+                if attempt.stop_due().is_none_or(|g| g > 0.0) {
+                    (attempt.stop, attempt.stop_awaits_record) = (Some(0.0), false);
                     self.dispatch_queue.insert(host_index);
                 }
             }
@@ -181,9 +183,9 @@
 
     /// The attempt is certainly not on the machine any more.
     pub(super) fn remove_attempt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
-        let Some(h) = self.cluster.host_mut(host_index) else { return };
-        let ended = h.attempt_mut(key, attempt).is_some_and(|c| c.ended());
-        h.attempts.retain(|c| c.key != key || c.attempt != attempt);
+        let Some(host) = self.cluster.host_mut(host_index) else { return };
+        let ended = host.attempt_mut(key, attempt).is_some_and(|own| own.ended());
+        host.attempts.retain(|own| own.key != key || own.attempt != attempt);
         self.scheduling_triggers.request_cycle();
         self.attempt_lost(host_index, key, attempt, ended);
     }
@@ -204,11 +206,11 @@
 
     /// All attempts are gone: the machine, or its lease, ended.
     pub(super) fn remove_all_attempts(&mut self, host_index: HostIndex) {
-        let Some(h) = self.cluster.host_mut(host_index) else { return };
-        let attempts = std::mem::take(&mut h.attempts);
-        h.has_unknown_tasks = false;
-        for c in attempts {
-            self.attempt_lost(host_index, c.key, c.attempt, c.ended());
+        let Some(host) = self.cluster.host_mut(host_index) else { return };
+        let attempts = std::mem::take(&mut host.attempts);
+        host.has_unknown_tasks = false;
+        for attempt in attempts {
+            self.attempt_lost(host_index, attempt.key, attempt.attempt, attempt.ended());
         }
         self.scheduling_triggers.request_cycle();
     }
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -3,6 +3,7 @@
 use super::PartitionBorrowing;
 use crate::control::partition::Partition;
 use crate::control::partition::commit_builder::ConditionalWrite;
+use crate::control::partition::commit_results::WriteFailure;
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
 
@@ -11,8 +12,8 @@
     let job = item.key.strip_prefix(LOAN_PREFIX)?.to_string();
     match serde_json::from_value(item.value) {
         Ok(record) => Some((job, record, item.version)),
-        Err(e) => {
-            tracing::error!(key = item.key, error = %e, "unreadable record of loans");
+        Err(error) => {
+            tracing::error!(key = item.key, %error, "unreadable record of loans");
             None
         }
     }
@@ -37,16 +38,15 @@
         for LoanEvent::Recorded(id) in own.loans.written(revision) {
             self.order_waiting_stops(id);
         }
-        self.note_loan_transitions();
+        self.report_loan_transitions();
     }
 
-    /// The loans' part of a commit was not made, or that is `indeterminate`.
-    pub(in crate::control::partition) fn loans_not_written(&mut self, indeterminate: bool) {
+    /// The loans' part of a commit was not made, or maybe not.
+    pub(in crate::control::partition) fn loans_not_written(&mut self, failure: WriteFailure) {
         let Some(own) = &mut self.loans else { return };
-        if indeterminate {
-            own.loans.indeterminate();
-        } else {
-            own.loans.not_written();
+        match failure {
+            WriteFailure::Indeterminate => own.loans.indeterminate(),
+            WriteFailure::NotCarriedOut => own.loans.not_written(),
         }
     }
 
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle is told of loans, and what it decided about them.
+//! What a scheduling cycle takes into account of loans, and what it decided about them.
 
 use super::demand::TeamDemands;
 use super::{PartitionBorrowing, WaitingStop};
@@ -17,12 +17,12 @@
 }
 
 impl Partition {
-    /// Tells the scheduler which work of other teams may be stopped.
+    /// Describes to the scheduler which work of other teams may be stopped.
     pub(in crate::control::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
         let Some(own) = &self.loans else { return };
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
         let lending = own.lending_state(self, &demands, wall);
-        self.release_lent_rooms(&demands);
+        self.release_team_reservations(&demands);
         let reserves_for_teams =
             self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|claim| claim.for_team));
         self.cluster.borrowing = Some(BorrowingState { reserves_for_teams, ..lending });
@@ -50,9 +50,9 @@
         for (parties, stops) in stops {
             self.propose_loan(parties, &stops, now);
         }
-        self.note_lost_work(outcome);
-        self.note_refused_loans(&outcome.refused_loans);
-        self.note_loan_transitions();
+        self.count_lost_work(outcome);
+        self.report_refused_loans(&outcome.refused_loans);
+        self.report_loan_transitions();
     }
 
     fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: Moment) {
@@ -79,7 +79,7 @@
     }
 
     /// Counts the work that is lost by stops for other teams.
-    fn note_lost_work(&mut self, outcome: &CycleDecisions) {
+    fn count_lost_work(&mut self, outcome: &CycleDecisions) {
         for stop in outcome.stops.iter().filter(|stop| matches!(stop.cause, StopCause::Loan(_) | StopCause::Reclaim)) {
             let team = &self.cluster.jobs[stop.key.job].spec.team;
             self.metrics.add("loan_work_lost_s", team, stop.lost_s.ceil() as u64);
@@ -87,12 +87,12 @@
     }
 
     /// Logs and counts why no work of others is stopped for jobs that wait, once for each reason.
-    fn note_refused_loans(&mut self, refused: &[RefusedLoan]) {
+    fn report_refused_loans(&mut self, refused: &[RefusedLoan]) {
         let Some(own) = &mut self.loans else { return };
         for RefusedLoan { job, reason } in refused {
             if own.refused.insert(*job, *reason) != Some(*reason) {
                 let spec = &self.cluster.jobs[*job].spec;
-                tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "no loan");
+                tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "loan refused");
                 self.metrics.count("loans_refused", reason.label());
             }
         }
@@ -100,8 +100,8 @@
         own.refused.retain(|job, _| waits(job) || self.cluster.jobs[*job].active());
     }
 
-    /// Logs and counts what has happened to loans since the last call.
-    pub(in crate::control::partition) fn note_loan_transitions(&mut self) {
+    /// Logs and counts the state changes of loans since the last call.
+    pub(in crate::control::partition) fn report_loan_transitions(&mut self) {
         let Some(own) = &mut self.loans else { return };
         for transition in own.loans.take_transitions() {
             let loan = &transition.loan;
@@ -120,7 +120,7 @@
                 tasks = loan.tasks,
                 gpus = loan.amounts().gpus,
                 cpus = loan.amounts().cpus,
-                "loan changes"
+                "loan changed state"
             );
             self.metrics.count("loans", if cause.is_empty() { loan.state.label() } else { cause });
         }
@@ -128,7 +128,7 @@
 }
 
 impl PartitionBorrowing {
-    /// What the scheduler is told.
+    /// What the scheduler takes into account.
     fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> BorrowingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is looked after with every plan: loans that could not be recorded, what the last leader
+//! Periodic maintenance: loans that could not be recorded, what the last leader
 //! left, needs that are gone and work that runs again.
 
 use super::demand::{TeamDemands, missing_tasks};
@@ -7,15 +7,15 @@
 use badgerdrift_borrowing::{LendingJob, LoanId, Moment};
 
 /// A loan that is not recorded within this multiple of `react_ms` is given up: nothing is stopped.
-const RECORD_PATIENCE: u64 = 2;
+const RECORD_TIMEOUT_REACTIONS: u64 = 2;
 
 impl Partition {
-    /// Looks after the loans, if there is borrowing.
+    /// Maintains the loans, if there is borrowing.
     pub fn maintain_loans(&mut self, now: u64, wall: u64) {
         if self.loans.is_none() {
             return;
         }
-        self.give_up_unrecorded_loans(wall);
+        self.abandon_unrecorded_loans(wall);
         let Some(own) = &mut self.loans else { return };
         let cluster = &self.cluster;
         if !own.settled && cluster.all_reconciled {
@@ -28,12 +28,12 @@
             let moment = Moment { steady_ms: now, wall_ms: wall };
             own.loans.follow(|job| lending_job(cluster, job), &demands.needs, moment);
         }
-        self.note_loan_transitions();
+        self.report_loan_transitions();
     }
 
-    fn give_up_unrecorded_loans(&mut self, wall: u64) {
+    fn abandon_unrecorded_loans(&mut self, wall: u64) {
         let Some(own) = &self.loans else { return };
-        let before_ms = wall.saturating_sub(RECORD_PATIENCE * self.policy.react_ms);
+        let before_ms = wall.saturating_sub(RECORD_TIMEOUT_REACTIONS * self.policy.react_ms);
         for id in own.loans.unrecorded_before(before_ms) {
             self.abandon_loan(id);
         }
@@ -48,7 +48,7 @@
         own.loans.abandon(id);
         for stop in own.waiting_stops.remove(&id).unwrap_or_default() {
             let Some(host) = self.cluster.host_mut(stop.host) else { continue };
-            // The room is not made: it is looked for anew.
+            // The capacity does not become free: other capacity is looked for.
             host.reservations.retain(|claim| Some(claim.job) != borrowing_job);
             let attempt = host.attempt_mut(stop.key, stop.attempt);
             if let Some(attempt) = attempt.filter(|attempt| attempt.stop_awaits_record) {
--- a/src/control/partition/borrowing/mod.rs
+++ b/src/control/partition/borrowing/mod.rs
@@ -1,13 +1,13 @@
 //! Loans between teams in the partition: the thin part around `badgerdrift_borrowing`, which keeps
 //! the loans and their records. Here they meet scheduling cycles, attempts, orders and commits. All of it is
-//! off unless the controller is told who lends to whom.
+//! off unless the settings say who lends to whom.
 
 mod commits;
 mod decisions;
 mod demand;
 mod maintenance;
-mod rooms;
 mod status;
+mod team_reservations;
 
 pub use status::{LoanStatus, LoansStatus, TeamStatus};
 
--- a/src/control/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of loans.
+//! Loans as operators see them.
 
 use super::demand::TeamDemands;
 use crate::control::partition::Partition;
--- a/src/control/partition/borrowing/rooms.rs
+++ b/src/control/partition/borrowing/team_reservations.rs
@@ -1,4 +1,4 @@
-//! Room that a borrower has left, and that is kept for it while its need may come back.
+//! Capacity that a borrower has left, and that stays reserved for its team while its need may come back.
 
 use super::demand::TeamDemands;
 use crate::control::partition::Partition;
@@ -9,9 +9,9 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl Partition {
-    /// A borrower's job is cancelled, and its tasks are being stopped: their room is held for the team
+    /// A borrower's job is cancelled, and its tasks are being stopped: their capacity is reserved for the team
     /// for as long as a loan outlives its need, so that a burst that flickers stops nothing a second
-    /// time. Held only once the tasks are gone, it would be promised to others by then.
+    /// time. Reserved only once the tasks are gone, it would be reserved for others by then.
     pub(in crate::control::partition) fn reserve_capacity_of_cancelled(&mut self, job_index: JobIndex, now: u64) {
         if !self.borrows(job_index) {
             return;
@@ -20,12 +20,12 @@
         let hosts: Vec<(HostIndex, usize)> =
             self.cluster.each_host().map(|(host_index, host)| (host_index, of_job(host))).collect();
         for (host_index, tasks) in hosts {
-            (0..tasks).for_each(|_| self.hold_lent_room(host_index, job_index, now));
+            (0..tasks).for_each(|_| self.reserve_for_team(host_index, job_index, now));
         }
     }
 
-    /// A task of a borrower is done, and its job with it: its room is held as well.
-    pub(in crate::control::partition) fn hold_room_of_done(
+    /// A task of a borrower is done, and its job with it: its capacity is reserved as well.
+    pub(in crate::control::partition) fn reserve_capacity_of_done(
         &mut self,
         host_index: HostIndex,
         job_index: JobIndex,
@@ -33,7 +33,7 @@
     ) {
         let job = &self.cluster.jobs[job_index];
         if !job.active() && !job.cancelling && self.borrows(job_index) {
-            self.hold_lent_room(host_index, job_index, now);
+            self.reserve_for_team(host_index, job_index, now);
         }
     }
 
@@ -44,12 +44,12 @@
         borrower.is_some_and(|team| Priority::from(job.urgency) >= team.from)
     }
 
-    fn hold_lent_room(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
+    fn reserve_for_team(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
         let Some(own) = &self.loans else { return };
         let job = &self.cluster.jobs[job_index];
         let each = Amounts::from(job.spec.demand);
-        let held = self.held_for_team(&job.spec.team).plus(each);
-        if !self.most_held_for_team(&job.spec.team).covers_for(held, each) {
+        let held = self.reserved_for_team(&job.spec.team).plus(each);
+        if !self.max_reserved_for_team(&job.spec.team).covers_for(held, each) {
             return;
         }
         // Until the loan is returned, which is seen with one of the next plans.
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Most room that is held for a team: what it has borrowed and need not return yet, and what it
+    /// Most capacity that is reserved for a team: what it has borrowed and need not return yet, and what it
     /// is guaranteed, as it would stop others for that again.
-    fn most_held_for_team(&self, team: &str) -> Amounts {
+    fn max_reserved_for_team(&self, team: &str) -> Amounts {
         let Some(own) = &self.loans else { return Amounts::default() };
         let open = own.loans.open_to(team);
         if open.is_nothing() {
@@ -71,16 +71,16 @@
         open.plus(self.policy.teams.get(team).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default())
     }
 
-    /// Room that is held for all jobs of a team.
-    fn held_for_team(&self, team: &str) -> Amounts {
+    /// Capacity that is reserved for all jobs of a team.
+    fn reserved_for_team(&self, team: &str) -> Amounts {
         let reservations = self.cluster.each_host().flat_map(|(_, host)| &host.reservations);
         let of_team = reservations.filter(|claim| claim.for_team && self.cluster.jobs[claim.job].spec.team == team);
         of_team.fold(Amounts::default(), |sum, claim| sum.plus(Amounts::from(claim.demand)))
     }
 
-    /// Gives up room that is held for borrowers whose loans are returned. A lender that lacks room to
+    /// Releases capacity that is reserved for borrowers whose loans are returned. A lender that lacks capacity to
     /// its floor need not wait for that.
-    pub(super) fn release_lent_rooms(&mut self, demands: &TeamDemands) {
+    pub(super) fn release_team_reservations(&mut self, demands: &TeamDemands) {
         let Some(own) = &self.loans else { return };
         let lacks = |team: &str| demands.shares.get(team).is_some_and(|share| !share.shortfall().is_nothing());
         let owing = own.loans.owed().into_keys().filter(|(lender, _)| lacks(lender)).map(|(_, borrower)| borrower);
--- a/src/control/partition/commit_queue.rs
+++ b/src/control/partition/commit_queue.rs
@@ -181,7 +181,7 @@
     // ---- writes without an answer ----
 
     /// A machine's record was written without an answer, while the partition's key had this version.
-    pub(super) fn note_indeterminate_host_write(&mut self, partition_version: u64) {
+    pub(super) fn set_indeterminate_host_write(&mut self, partition_version: u64) {
         self.indeterminate_host_write = Some(partition_version);
     }
 
--- a/src/control/partition/records.rs
+++ b/src/control/partition/commit_results.rs
@@ -1,15 +1,27 @@
 //! What the answer to a commit means, and records that are read again.
+//!
+//! A write without an answer may be carried out at once or late, even after newer ones; it can't be
+//! once the version that it is conditional on has changed.
 
 use super::keys::JOB_PREFIX;
 use super::waiting_clients::reply;
-use super::{CommitOutcome, Partition, PendingWrite, Superseded};
+use super::{CommitOutcome, JobWrite, Partition, PendingWrite, Superseded};
 use crate::model::{HostIndex, JobEnd, JobIndex, JobRecord, UnsavedChange};
 use crate::wire::Item;
 use badgerdrift_borrowing::LOAN_PREFIX;
 
+/// Why a change counts as not written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum WriteFailure {
+    /// It was certainly not carried out, and won't be.
+    NotCarriedOut,
+    /// It may have been carried out, or may still be.
+    Indeterminate,
+}
+
 impl Partition {
-    /// May a late write undo that a machine moves between the partitions?
-    pub(super) fn moves_may_be_undone(&self) -> bool {
+    /// May a late write undo the transfer of a machine between partitions?
+    pub(super) fn is_transfer_indeterminate(&self) -> bool {
         !self.teams.owns_all_teams() && self.commit_queue.is_host_write_indeterminate(self.epoch.partition_version())
     }
 
@@ -19,7 +31,11 @@
     }
 
     /// Takes the result of the commit under way; returns the keys of jobs
-    /// whose records must be read again, or `Err` if the partition is lost.
+    /// whose records must be read again.
+    ///
+    /// # Errors
+    ///
+    /// [`Superseded`] if the partition's key is not as it was: another may lead it.
     pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
         let saved = self.commit_queue.take_in_flight();
         // After a conflict the records of pools and loans are read again, as after a commit without
@@ -40,9 +56,10 @@
             CommitOutcome::Refused | CommitOutcome::Throttled | CommitOutcome::Indeterminate => Vec::new(),
         };
         for write in saved {
-            let indeterminate =
-                indeterminate || (conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans));
-            self.not_written(write, indeterminate);
+            let reread = conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans);
+            let failure =
+                if indeterminate || reread { WriteFailure::Indeterminate } else { WriteFailure::NotCarriedOut };
+            self.not_written(write, failure);
         }
         if failed.iter().any(|key| key == self.epoch.partition_key()) {
             return Err(Superseded);
@@ -59,20 +76,20 @@
         }
         if let [PendingWrite::Job(write)] = saved {
             let job = &mut self.cluster.jobs[write.job];
-            tracing::error!(job = job.spec.id, "the state service does not take the job's record");
+            tracing::error!(job = job.spec.id, "the state service rejected the job's record");
             job.write_after_ms = self.commit_queue.last_commit_ms() + self.policy.lease_ms;
         }
     }
 
     /// Keys of pools and loans that must be read before their records are written again.
-    pub fn unclear_keys(&self) -> Vec<String> {
+    pub fn indeterminate_keys(&self) -> Vec<String> {
         let mut keys = self.pool_keys_to_read();
         keys.extend(self.loan_keys_to_read());
         keys
     }
 
     /// Takes these keys as they are now.
-    pub fn unclear_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
+    pub fn indeterminate_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
         let (loans, pools): (Vec<_>, Vec<_>) = found.into_iter().partition(|(key, _)| key.starts_with(LOAN_PREFIX));
         for (key, item) in &loans {
             self.loan_key_read(key, item.as_ref());
@@ -85,18 +102,18 @@
         match saved {
             PendingWrite::Job(write) => {
                 self.cluster.jobs[write.job].recorded_done = write.done;
-                self.job_saved(write.job, write.change, revision);
+                self.job_recorded(write.job, write.change, revision);
             }
             PendingWrite::Host(host_index) => {
-                if let Some(h) = self.cluster.host_mut(host_index) {
-                    h.registered = true;
+                if let Some(host) = self.cluster.host_mut(host_index) {
+                    host.registered = true;
                     self.scheduling_triggers.request_cycle();
                 }
             }
-            PendingWrite::TransferredHost(host_index, to) => {
-                if let Some(h) = self.cluster.remove_host(host_index) {
-                    tracing::info!(host = h.id, to, "machine given to another partition");
-                    self.host_directory.assign(h.id, to);
+            PendingWrite::TransferredHost { host: host_index, to } => {
+                if let Some(host) = self.cluster.remove_host(host_index) {
+                    tracing::info!(host = host.id, to, "host transferred to another partition");
+                    self.host_directory.assign(host.id, to);
                 }
             }
             PendingWrite::Pools => self.pools_written(revision),
@@ -105,28 +122,27 @@
         }
     }
 
-    /// A change was not carried out, or maybe not if that is `indeterminate`.
-    fn not_written(&mut self, saved: PendingWrite, indeterminate: bool) {
+    /// A change was not carried out, or maybe not.
+    fn not_written(&mut self, saved: PendingWrite, failure: WriteFailure) {
         match saved {
-            PendingWrite::Job(write) => {
-                self.job_not_written(write.job, write.change, write.end_was_open, indeterminate)
+            PendingWrite::Job(write) => self.job_not_written(&write, failure),
+            PendingWrite::Host(host_index) | PendingWrite::TransferredHost { host: host_index, .. } => {
+                self.host_not_written(host_index, failure)
             }
-            PendingWrite::Host(host_index) | PendingWrite::TransferredHost(host_index, _) => {
-                self.host_not_written(host_index, indeterminate)
-            }
-            PendingWrite::Pools => self.pools_not_written(indeterminate),
-            PendingWrite::Loans => self.loans_not_written(indeterminate),
+            PendingWrite::Pools => self.pools_not_written(failure),
+            PendingWrite::Loans => self.loans_not_written(failure),
             PendingWrite::DeletedKey(key) => {
                 self.commit_queue.mark_obsolete(key);
             }
         }
     }
 
-    fn job_not_written(&mut self, job_index: JobIndex, what: UnsavedChange, end_was_open: bool, indeterminate: bool) {
-        let job = &mut self.cluster.jobs[job_index];
+    fn job_not_written(&mut self, write: &JobWrite, failure: WriteFailure) {
+        let job = &mut self.cluster.jobs[write.job];
+        let what = write.change;
         job.saving = false;
         // What was certainly refused is not open; an earlier write may be.
-        job.end_open &= indeterminate || end_was_open;
+        job.end_indeterminate &= failure == WriteFailure::Indeterminate || write.end_was_indeterminate;
         // Found to exist meanwhile: it need not be created any more.
         if what == UnsavedChange::Creation && job.version > 0 {
             return;
@@ -135,23 +151,23 @@
         if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(what, UnsavedChange::End(_)) {
             job.unsaved = what;
         }
-        self.commit_queue.mark_job(job_index);
+        self.commit_queue.mark_job(write.job);
     }
 
-    fn host_not_written(&mut self, host_index: HostIndex, indeterminate: bool) {
+    fn host_not_written(&mut self, host_index: HostIndex, failure: WriteFailure) {
         self.commit_queue.mark_host(host_index);
-        if indeterminate {
-            self.commit_queue.note_indeterminate_host_write(self.epoch.partition_version());
+        if failure == WriteFailure::Indeterminate {
+            self.commit_queue.set_indeterminate_host_write(self.epoch.partition_version());
         }
     }
 
     /// A job's record was written.
-    pub(super) fn job_saved(&mut self, job_index: JobIndex, what: UnsavedChange, version: u64) {
+    pub(super) fn job_recorded(&mut self, job_index: JobIndex, what: UnsavedChange, version: u64) {
         let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         job.version = version;
         // Earlier writes guard on an older version: they can't be carried out any more.
-        job.end_open = false;
+        job.end_indeterminate = false;
         match what {
             UnsavedChange::End(end) => self.ended(job_index, end),
             UnsavedChange::Creation => {
@@ -168,7 +184,7 @@
                     dependencies = spec.dependencies.iter().count(),
                     "accepted"
                 );
-                self.creation_known(job_index, true);
+                self.creation_confirmed(job_index, true);
             }
             _ => {}
         }
@@ -184,12 +200,12 @@
             return;
         }
         let id = job.spec.id.clone();
-        self.job_is_over(job_index);
+        self.retire_job(job_index);
         self.dependency_ended(&id, end);
     }
 
     /// Nothing more is to be done for a job but to stop what is left of it.
-    pub(super) fn job_is_over(&mut self, job_index: JobIndex) {
+    pub(super) fn retire_job(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         job.retire();
         self.cancelling.remove(&job_index);
@@ -205,9 +221,9 @@
 
     /// The job's record is there: cancels it if it needs a cancelled one, and tells those who
     /// wait for it to be accepted, by this submission if it was `created`.
-    fn creation_known(&mut self, job_index: JobIndex, created: bool) {
+    fn creation_confirmed(&mut self, job_index: JobIndex, created: bool) {
         let submitters = self.waiting_clients.take_submitters(job_index);
-        self.follow_if_cancelled(job_index);
+        self.cancel_if_dependency_cancelled(job_index);
         let answer = self.accepted(job_index, created);
         for waiter in submitters {
             reply(waiter, answer.clone());
@@ -233,14 +249,14 @@
             return;
         }
         let created = job.version == 0;
-        job.end_open &= item.version == job.version;
+        job.end_indeterminate &= item.version == job.version;
         job.version = item.version;
         if let Some(end) = record.end {
             self.ended(job_index, end);
             return;
         }
         if created {
-            self.take_recorded_dependencies(job_index, record.spec.dependencies);
+            self.replace_dependencies(job_index, record.spec.dependencies);
             let job = &mut self.cluster.jobs[job_index];
             if job.unsaved == UnsavedChange::Creation {
                 job.unsaved = UnsavedChange::Nothing;
@@ -249,7 +265,7 @@
             // Known already, maybe by our own commit whose answer was lost.
             job.accepted_ms = record.accepted_ms;
             self.scheduling_triggers.request_cycle();
-            self.creation_known(job_index, false);
+            self.creation_confirmed(job_index, false);
         }
     }
 }
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -1,4 +1,4 @@
-//! One deadline over a pipeline: what the jobs that need a job ask of it.
+//! One deadline over a pipeline: deadlines and urgency of jobs follow from their dependents.
 //!
 //! A job has to be done by the latest start of each job that needs it: that one's own deadline
 //! less what it is expected to take. So the longest path decides, from the last job back. Its
@@ -9,69 +9,74 @@
 use crate::model::{Job, JobIndex, Spec, Urgency};
 use std::collections::{BTreeSet, HashMap};
 
-/// Estimates are often wrong by half: so many times as long is reckoned with.
+/// Estimates are often wrong by half: durations are multiplied by this.
 const ESTIMATE_MARGIN: f64 = 1.5;
 /// Least rate of a fetch that its duration is computed with.
-const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// What a job owes to those that need it.
+/// Seconds that it takes to fetch an image.
+pub(super) fn fetch_s(image_gb: f64, gb_per_s: f64) -> f64 {
+    image_gb / gb_per_s.max(MIN_FETCH_GB_PER_S)
+}
+
+/// What a job's dependents need of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Obligation {
+struct DependentNeeds {
     urgency: Urgency,
     needed_by_ms: Option<u64>,
 }
 
-impl Obligation {
-    fn of(job: &Job) -> Obligation {
-        Obligation { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
+impl DependentNeeds {
+    fn of(job: &Job) -> DependentNeeds {
+        DependentNeeds { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
     }
 
-    /// What remains of a job's obligation if nobody needs it.
-    fn to_nobody(job: &Job) -> Obligation {
-        Obligation { urgency: job.spec.urgency, needed_by_ms: None }
+    /// The needs of a job that has no dependents.
+    fn to_nobody(job: &Job) -> DependentNeeds {
+        DependentNeeds { urgency: job.spec.urgency, needed_by_ms: None }
     }
 
     /// Both obligations together.
-    fn and(self, other: Obligation) -> Obligation {
+    fn and(self, other: DependentNeeds) -> DependentNeeds {
         let deadlines = [self.needed_by_ms, other.needed_by_ms];
-        Obligation { urgency: self.urgency.max(other.urgency), needed_by_ms: deadlines.into_iter().flatten().min() }
+        DependentNeeds { urgency: self.urgency.max(other.urgency), needed_by_ms: deadlines.into_iter().flatten().min() }
     }
 }
 
 impl Partition {
-    /// A job has come to wait for its dependencies: scheduling cycles on what it asks of them.
-    pub(super) fn oblige_dependencies(&mut self, job_index: JobIndex) {
+    /// A job has come to wait for its dependencies: its dependencies get its deadline and urgency.
+    pub(super) fn propagate_needs(&mut self, job_index: JobIndex) {
         let mut changed = vec![job_index];
         while let Some(dependent) = changed.pop() {
-            let asked = self.asked_by(dependent);
+            let asked = self.needs_of(dependent);
             for dependency in self.internal_dependencies(dependent) {
                 let job = &self.cluster.jobs[dependency];
-                if self.set_obligation(dependency, Obligation::of(job).and(asked)) {
+                if self.set_needs(dependency, DependentNeeds::of(job).and(asked)) {
                     changed.push(dependency);
                 }
             }
         }
     }
 
-    /// A job that waited for these is over: they owe it nothing any more.
+    /// A job that waited for these is over: it needs nothing of them any more.
     pub(super) fn release_dependencies(&mut self, ids: &BTreeSet<String>) {
         let mut open: Vec<JobIndex> = ids.iter().filter_map(|id| self.cluster.job_index.get(id).copied()).collect();
         while let Some(dependency) = open.pop() {
-            if self.recompute_obligation(dependency) {
+            if self.recompute_needs(dependency) {
                 open.extend(self.internal_dependencies(dependency));
             }
         }
     }
 
-    /// Reckons a job's obligation from all that need it; true if it has changed.
-    pub(super) fn recompute_obligation(&mut self, job_index: JobIndex) -> bool {
+    /// Computes a job's needs from all its dependents; true if they have changed.
+    pub(super) fn recompute_needs(&mut self, job_index: JobIndex) -> bool {
         let job = &self.cluster.jobs[job_index];
         if job.end.is_some() {
             return false;
         }
-        let asked = self.dependencies.graph().dependents(&job.spec.id).map(|dependent| self.asked_by(dependent));
-        let obligation = asked.fold(Obligation::to_nobody(job), Obligation::and);
-        self.set_obligation(job_index, obligation)
+        let asked = self.dependencies.graph().dependents(&job.spec.id).map(|dependent| self.needs_of(dependent));
+        let needs = asked.fold(DependentNeeds::to_nobody(job), DependentNeeds::and);
+        self.set_needs(job_index, needs)
     }
 
     fn internal_dependencies(&self, job_index: JobIndex) -> Vec<JobIndex> {
@@ -79,19 +84,19 @@
         ids.filter_map(|id| self.cluster.job_index.get(id).copied()).collect()
     }
 
-    /// What a waiting job asks of those that it waits for.
-    fn asked_by(&self, dependent: JobIndex) -> Obligation {
+    /// What a waiting job needs of its dependencies.
+    fn needs_of(&self, dependent: JobIndex) -> DependentNeeds {
         let job = &self.cluster.jobs[dependent];
         let margin_ms = (self.duration_ms(&job.spec) as f64 * ESTIMATE_MARGIN) as u64;
-        Obligation { urgency: job.urgency, needed_by_ms: job.due_ms().map(|due| due.saturating_sub(margin_ms)) }
+        DependentNeeds { urgency: job.urgency, needed_by_ms: job.due_ms().map(|due| due.saturating_sub(margin_ms)) }
     }
 
-    fn set_obligation(&mut self, job_index: JobIndex, obligation: Obligation) -> bool {
+    fn set_needs(&mut self, job_index: JobIndex, needs: DependentNeeds) -> bool {
         let job = &mut self.cluster.jobs[job_index];
-        if job.end.is_some() || Obligation::of(job) == obligation {
+        if job.end.is_some() || DependentNeeds::of(job) == needs {
             return false;
         }
-        (job.urgency, job.needed_by_ms) = (obligation.urgency, obligation.needed_by_ms);
+        (job.urgency, job.needed_by_ms) = (needs.urgency, needs.needed_by_ms);
         self.scheduling_triggers.request_cycle();
         if !job.waiting {
             self.scheduling_triggers.request_cycle_for(job.urgency);
@@ -103,16 +108,17 @@
     fn duration_ms(&self, spec: &Spec) -> u64 {
         let allowed = self.cluster.instance_types.iter().filter(|instance_type| spec.allows_flavor(instance_type));
         let slowest = allowed.map(|instance_type| instance_type.fetch_gb_per_s).fold(f64::INFINITY, f64::min);
-        let fetch_s = spec.image_gb / slowest.max(LEAST_FETCH_GB_PER_S);
+        let fetch_s = fetch_s(spec.image_gb, slowest);
         ((spec.expected_s + fetch_s) * 1000.0) as u64 + self.policy.react_ms
     }
 
-    /// Waiting jobs that may start within this time, for which room may be needed by then.
+    /// Waiting jobs that may start within this time, for which capacity may be needed by then.
     pub fn upcoming(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
         if self.dependencies.graph().is_empty() {
             return Vec::new();
         }
-        let mut forecast = Forecast { partition: self, began_ms: self.began_ms(), now, until_done_ms: HashMap::new() };
+        let mut forecast =
+            CompletionForecast { partition: self, began_ms: self.began_ms(), now, until_done_ms: HashMap::new() };
         let waiting = self.dependencies.graph().waiting().filter(|job| {
             let job = &self.cluster.jobs[*job];
             job.version > 0 && job.end.is_none() && !job.cancelling
@@ -135,16 +141,16 @@
 }
 
 /// When jobs are expected to be done.
-struct Forecast<'a> {
+struct CompletionForecast<'a> {
     partition: &'a Partition,
     began_ms: HashMap<JobIndex, u64>,
     now: u64,
-    /// Time until each job is done; `None` if that can't be told.
+    /// Time until each job is done; `None` if that is not known.
     until_done_ms: HashMap<JobIndex, Option<u64>>,
 }
 
-impl Forecast<'_> {
-    /// Time until the last job that a waiting one needs is done; `None` if that can't be told.
+impl CompletionForecast<'_> {
+    /// Time until the last job that a waiting one needs is done; `None` if that is not known.
     fn until_start_ms(&mut self, job_index: JobIndex) -> Option<u64> {
         let ids: Vec<&str> = self.partition.dependencies.graph().dependencies(job_index).collect();
         let mut last = 0;
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -34,7 +34,7 @@
 }
 
 /// A submission that waits for its lookup.
-pub(super) struct UncheckedSubmission {
+pub(super) struct PendingSubmission {
     spec: Spec,
     waiter: Waiter,
 }
@@ -44,7 +44,7 @@
 pub(super) struct DependencyTracker {
     /// Which jobs wait for which others.
     graph: DependencyGraph,
-    submissions: BTreeMap<u64, UncheckedSubmission>,
+    submissions: BTreeMap<u64, PendingSubmission>,
     last_submission: u64,
     lookups: Vec<DependencyLookup>,
     /// Dependencies that this partition does not hold, as far as their records were read.
@@ -92,7 +92,7 @@
         books.last_submission += 1;
         let submission = books.last_submission;
         books.lookups.push(DependencyLookup { submission, ids: unknown });
-        books.submissions.insert(submission, UncheckedSubmission { spec, waiter });
+        books.submissions.insert(submission, PendingSubmission { spec, waiter });
     }
 
     /// Lookups that are to be made now.
@@ -102,8 +102,14 @@
 
     /// The records that a lookup found, or `None` if it failed; answers the submission or goes
     /// on with it.
-    pub fn looked_up(&mut self, submission: u64, found: Option<Vec<(String, Option<Item>)>>, now: u64, wall: u64) {
-        let Some(UncheckedSubmission { spec, waiter }) = self.dependencies.submissions.remove(&submission) else {
+    pub fn dependencies_read(
+        &mut self,
+        submission: u64,
+        found: Option<Vec<(String, Option<Item>)>>,
+        now: u64,
+        wall: u64,
+    ) {
+        let Some(PendingSubmission { spec, waiter }) = self.dependencies.submissions.remove(&submission) else {
             return;
         };
         let Some(found) = found else {
@@ -112,7 +118,7 @@
         };
         for (id, item) in found {
             match item {
-                Some(item) => self.note_dependency(&id, item, now),
+                Some(item) => self.add_dependency_record(&id, item, now),
                 None if self.dependency_is_known(&id) => {}
                 // Its own creation may have been carried out since, or may still be.
                 None if self.cluster.job_index.contains_key(&id) => {
@@ -127,7 +133,7 @@
         }
         // The same job may have been submitted again, and accepted, meanwhile.
         if let Some(&job_index) = self.cluster.job_index.get(&spec.id) {
-            self.answer_known(job_index, waiter);
+            self.answer_resubmission(job_index, waiter);
         } else {
             self.accept_waiting(spec, now, wall, waiter);
         }
@@ -176,7 +182,7 @@
 
     /// Takes in the record of a dependency that this partition did not know: a job of its own
     /// that another node accepted, or one of another partition.
-    pub fn note_dependency(&mut self, id: &str, item: Item, now: u64) {
+    pub fn add_dependency_record(&mut self, id: &str, item: Item, now: u64) {
         if self.cluster.job_index.contains_key(id) {
             return;
         }
@@ -185,7 +191,7 @@
             return;
         };
         if self.teams.owns_team(&record.spec.team) {
-            self.adopt_job(item, now);
+            self.add_job_of_other_node(item, now);
             return;
         }
         let external = self.dependencies.external.entry(id.to_string()).or_default();
@@ -211,21 +217,21 @@
     }
 
     /// A job was added: others may wait for it, and it may wait for others.
-    pub(super) fn job_added(&mut self, job_index: JobIndex) {
+    pub(super) fn register_job(&mut self, job_index: JobIndex) {
         let job = &self.cluster.jobs[job_index];
         let (id, end) = (job.spec.id.clone(), job.end);
         self.dependencies.external.remove(&id);
         match end {
             Some(end) => self.dependency_ended(&id, end),
             None => {
-                self.recompute_obligation(job_index);
-                self.enter_dependencies(job_index);
+                self.recompute_needs(job_index);
+                self.register_dependencies(job_index);
             }
         }
     }
 
     /// Enters a job into the dependency graph, or calls it ready if nothing keeps it waiting.
-    pub(super) fn enter_dependencies(&mut self, job_index: JobIndex) {
+    pub(super) fn register_dependencies(&mut self, job_index: JobIndex) {
         let job = &self.cluster.jobs[job_index];
         if job.end.is_some() || !job.waiting {
             return;
@@ -245,8 +251,8 @@
             return;
         }
         self.dependencies.graph.add(job_index, open);
-        self.oblige_dependencies(job_index);
-        self.follow_if_cancelled(job_index);
+        self.propagate_needs(job_index);
+        self.cancel_if_dependency_cancelled(job_index);
     }
 
     /// The last job that it needs is recorded as done: it takes part in scheduling cycles from now on.
@@ -262,7 +268,7 @@
     }
 
     /// The times of jobs that became ready since the last cycle begin.
-    pub(super) fn note_ready_times(&mut self, wall: u64) {
+    pub(super) fn set_ready_times(&mut self, wall: u64) {
         for job_index in std::mem::take(&mut self.dependencies.ready) {
             let job = &mut self.cluster.jobs[job_index];
             job.ready_ms = wall.max(job.accepted_ms);
@@ -270,7 +276,7 @@
     }
 
     /// The record of a job names other dependencies than the submission that was refused for it.
-    pub(super) fn take_recorded_dependencies(&mut self, job_index: JobIndex, recorded: Dependencies) {
+    pub(super) fn replace_dependencies(&mut self, job_index: JobIndex, recorded: Dependencies) {
         if self.cluster.jobs[job_index].spec.dependencies == recorded {
             return;
         }
@@ -280,7 +286,7 @@
         let job = &mut self.cluster.jobs[job_index];
         job.spec.dependencies = recorded;
         job.waiting = true;
-        self.enter_dependencies(job_index);
+        self.register_dependencies(job_index);
     }
 
     /// The record of a job says that it is over: what follows for those that wait for it.
@@ -298,11 +304,11 @@
     // ---- cancellation ----
 
     /// Cancels the job if one that it needs is recorded as cancelled.
-    pub(super) fn follow_if_cancelled(&mut self, job_index: JobIndex) {
+    pub(super) fn cancel_if_dependency_cancelled(&mut self, job_index: JobIndex) {
         let is_cancelled = |id: &str| self.dependency_state(id) == DependencyState::Cancelled;
         let follows = self.dependencies.graph.dependencies(job_index).any(is_cancelled);
         if follows && self.cluster.jobs[job_index].version > 0 {
-            self.follow_cancellation(job_index);
+            self.cancel_dependent(job_index);
             let id = self.cluster.jobs[job_index].spec.id.clone();
             self.cancel_dependents(&id);
         }
@@ -316,7 +322,7 @@
             let dependents: Vec<JobIndex> = self.dependencies.graph.dependents(&id).collect();
             for job_index in dependents {
                 if self.cluster.jobs[job_index].version > 0 {
-                    self.follow_cancellation(job_index);
+                    self.cancel_dependent(job_index);
                     cancelled.push(self.cluster.jobs[job_index].spec.id.clone());
                 }
             }
@@ -325,24 +331,24 @@
 
     /// The job is cancelled, as a job that it needs is recorded as that; its own record is
     /// still to be written. None of its tasks was ever started.
-    fn follow_cancellation(&mut self, job_index: JobIndex) {
+    fn cancel_dependent(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() {
             return;
         }
-        tracing::info!(job = job.spec.id, "cancelled with a job that it needs");
+        tracing::info!(job = job.spec.id, "job cancelled with a dependency");
         job.end = Some(JobEnd::Cancelled);
         job.unsaved = UnsavedChange::End(JobEnd::Cancelled);
         self.commit_queue.mark_job(job_index);
         self.metrics.count("cancellations_followed", &self.cluster.jobs[job_index].spec.class);
-        self.job_is_over(job_index);
+        self.retire_job(job_index);
     }
 
     // ---- answers ----
 
-    /// Why nothing may be told from memory of a job that waits, if so: whether a job that it
+    /// Why no answer about a waiting job may be given from memory, if so: whether a job that it
     /// needs is cancelled is being recorded, or stands in the record of another partition.
-    pub(super) fn waiting_is_indeterminate(&self, job_index: JobIndex) -> Option<RefusalReason> {
+    pub(super) fn waiting_indeterminate_reason(&self, job_index: JobIndex) -> Option<RefusalReason> {
         let mut seen = HashSet::from([job_index]);
         let mut jobs = vec![job_index];
         while let Some(next) = jobs.pop() {
@@ -351,7 +357,7 @@
                     return Some(RefusalReason::DependencyElsewhere);
                 };
                 let job = &self.cluster.jobs[dependency];
-                if job.end.is_none() && job.end_open && job.cancelling {
+                if job.end.is_none() && job.end_indeterminate && job.cancelling {
                     return Some(RefusalReason::EndBeingRecorded);
                 }
                 if seen.insert(dependency) {
--- a/src/control/partition/drain.rs
+++ b/src/control/partition/drain.rs
@@ -5,31 +5,31 @@
 use crate::scheduling::Drain;
 
 impl Partition {
-    /// Begins to empty a machine: each replica is stopped with room held for it
+    /// Begins to empty a machine: each replica is stopped with capacity reserved for it
     /// where it goes.
-    pub fn drain(&mut self, d: &Drain, now: u64) {
+    pub fn drain(&mut self, drain: &Drain, now: u64) {
         let until_ms = now + self.policy.lease_ms;
-        let Some(h) = self.cluster.host_mut(d.host) else { return };
-        h.draining = true;
-        tracing::info!(host = h.id, moves = d.moves.len(), "emptying a machine");
-        for (key, attempt, _) in &d.moves {
-            if let Some(c) = h.attempt_mut(*key, *attempt) {
-                (c.stop, c.stop_awaits_record) = (Some(0.0), false);
+        let Some(host) = self.cluster.host_mut(drain.host) else { return };
+        host.draining = true;
+        tracing::info!(host = host.id, moves = drain.moves.len(), "draining host");
+        for (key, attempt, _) in &drain.moves {
+            if let Some(own) = host.attempt_mut(*key, *attempt) {
+                (own.stop, own.stop_awaits_record) = (Some(0.0), false);
             }
         }
-        self.dispatch_queue.insert(d.host);
-        for (key, _, to) in &d.moves {
+        self.dispatch_queue.insert(drain.host);
+        for (key, _, to) in &drain.moves {
             let demand = self.cluster.jobs[key.job].spec.demand;
-            if let Some(h) = self.cluster.host_mut(*to) {
-                h.reservations.push(Reservation::of_job(key.job, demand, until_ms));
+            if let Some(host) = self.cluster.host_mut(*to) {
+                host.reservations.push(Reservation::of_job(key.job, demand, until_ms));
             }
         }
     }
 
     /// Takes machines that were being emptied into use again.
     pub(super) fn cancel_drain(&mut self) {
-        for h in self.cluster.hosts.iter_mut().flatten().filter(|h| h.draining && !h.terminating) {
-            h.draining = false;
+        for host in self.cluster.hosts.iter_mut().flatten().filter(|host| host.draining && !host.terminating) {
+            host.draining = false;
             self.scheduling_triggers.request_cycle();
         }
     }
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -7,8 +7,9 @@
 use crate::wire::Item;
 
 impl Partition {
-    /// Begins a fencing token with what the state service holds. Nothing is known of
-    /// the machines until they report under this fencing token.
+    /// Begins to lead, with this fencing token and what the state service holds. Nothing is known of
+    /// the machines until they report under this fencing token: nothing is placed meanwhile that one of
+    /// them may hold or may still start.
     pub fn begin(
         &mut self,
         fencing_token: FencingToken,
@@ -26,7 +27,7 @@
         }
         // Once all are there that they may wait for.
         for job_index in 0..self.cluster.jobs.len() {
-            self.enter_dependencies(job_index);
+            self.register_dependencies(job_index);
         }
         for item in hosts {
             self.load_host(item, now);
@@ -42,7 +43,7 @@
                     self.cluster.add_job(record.into_job(item.version, now));
                 }
             }
-            Err(e) => tracing::error!(key = item.key, error = %e, "unreadable job record"),
+            Err(error) => tracing::error!(key = item.key, %error, "unreadable job record"),
         }
     }
 
@@ -56,24 +57,24 @@
             Ok(record) => {
                 self.host_directory.assign(id.to_string(), record.partition);
             }
-            Err(e) => tracing::error!(key = item.key, error = %e, "unreadable machine record"),
+            Err(error) => tracing::error!(key = item.key, %error, "unreadable host record"),
         }
     }
 
     /// Adds a machine that the registry assigns to this partition.
-    pub(super) fn add_registered(&mut self, id: String, r: HostRecord, now: u64) -> HostIndex {
-        let instance_type = self.cluster.instance_type(&r.instance_type);
-        let mut h = Host::new(id, r.zone, r.spot, instance_type, now);
-        h.addr = r.addr;
-        h.registered = true;
-        h.required_token = self.epoch.first_token();
-        self.cluster.add_host(h)
+    pub(super) fn add_registered(&mut self, id: String, record: HostRecord, now: u64) -> HostIndex {
+        let instance_type = self.cluster.instance_type(&record.instance_type);
+        let mut host = Host::new(id, record.zone, record.spot, instance_type, now);
+        host.addr = record.addr;
+        host.registered = true;
+        host.required_token = self.epoch.first_token();
+        self.cluster.add_host(host)
     }
 
     /// A job that another node accepted while it could not reach this one. It
     /// was not there when the records were read, so no earlier leader has
     /// started any of it.
-    pub fn adopt_job(&mut self, item: Item, now: u64) {
+    pub fn add_job_of_other_node(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
         if !self.cluster.job_index.contains_key(&record.spec.id) {
@@ -81,18 +82,18 @@
             let mut job = record.into_job(item.version, now);
             job.fresh = true;
             let job_index = self.cluster.add_job(job);
-            self.job_added(job_index);
+            self.register_job(job_index);
             self.scheduling_triggers.request_cycle();
         }
     }
 
-    /// Takes the machine types as the cloud tells them now. Places in the list
+    /// Takes the machine types as the cloud lists them now. Places in the list
     /// stay, for machines refer to them.
     pub fn set_instance_types(&mut self, instance_types: Vec<InstanceType>) {
-        for f in instance_types {
-            match self.cluster.instance_types.iter_mut().find(|o| o.name == f.name) {
-                Some(old) => *old = f,
-                None => self.cluster.instance_types.push(f),
+        for instance_type in instance_types {
+            match self.cluster.instance_types.iter_mut().find(|known| known.name == instance_type.name) {
+                Some(old) => *old = instance_type,
+                None => self.cluster.instance_types.push(instance_type),
             }
         }
         self.scheduling_triggers.request_cycle();
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -171,7 +171,7 @@
                 tracing::info!(host = host.id, "worker lease expired");
                 host.reconciled = true;
             }
-            self.reconciliation.note_reconciled();
+            self.reconciliation.request_count();
         }
         self.refresh_unreconciled();
     }
--- a/src/control/partition/host_directory.rs
+++ b/src/control/partition/host_directory.rs
@@ -1,4 +1,4 @@
-//! Which machines are not this partition's: those of others, those on their way, those that are gone.
+//! Which machines are not this partition's: those of others, those that are booting, those that are gone.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -8,7 +8,7 @@
     /// Partitions of the machines that others hold, as far as the registry was read.
     other_partitions: HashMap<String, u32>,
     records_to_reread: BTreeSet<String>,
-    /// Partitions that machines go to which are on their way; others stay here.
+    /// Partitions that booting machines go to; others stay here.
     pending_transfers: HashMap<String, u32>,
     /// Terminated machines: late copies of their heartbeats mean nothing.
     terminated: HashSet<String>,
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -5,8 +5,8 @@
 //! (`commit_queue`), who waits for that (`waiting_clients`), the leader's identity
 //! (`leadership_epoch`), machines that are not here (`host_directory`), what a failover leaves to be
 //! reconciled (`reconciliation`), and so on. The protocol itself is in the methods of `Partition`, by
-//! subject: requests of users in `users`, heartbeats of workers in `heartbeats`, answers to commits in
-//! `records`.
+//! subject: requests of users in `user_requests`, heartbeats of workers in `heartbeats`, answers to commits in
+//! `commit_results`.
 //!
 //! Times are in milliseconds: `now` by the monotonic clock, `wall` as time of day.
 
@@ -15,9 +15,10 @@
 mod borrowing;
 mod commit_builder;
 mod commit_queue;
+mod commit_results;
 mod critical_path;
 mod dependencies;
-mod direct;
+mod direct_commands;
 mod dispatch_queue;
 mod drain;
 mod external_conditions;
@@ -31,15 +32,15 @@
 mod leadership_epoch;
 mod next_commit;
 mod reconciliation;
-mod records;
 mod running_counts;
 mod scheduling;
 mod scheduling_triggers;
+mod task_orders;
 mod team_assignment;
 #[cfg(test)]
 pub mod tests;
 mod types;
-mod users;
+mod user_requests;
 mod waiting_clients;
 mod warm_pools;
 
--- a/src/control/partition/next_commit.rs
+++ b/src/control/partition/next_commit.rs
@@ -55,12 +55,17 @@
             if !builder.reserve_job_record(&key, value.to_string().len()) {
                 break;
             }
-            let write = JobWrite { job: job_index, change: job.unsaved, end_was_open: job.end_open, done: record.done };
+            let write = JobWrite {
+                job: job_index,
+                change: job.unsaved,
+                end_was_indeterminate: job.end_indeterminate,
+                done: record.done,
+            };
             let condition = wire::condition(&key, job.version);
             builder.add_conditional(condition, wire::put(&key, &value, None), PendingWrite::Job(write));
             job.saving = true;
             // From its sending on another node may read the end.
-            job.end_open |= end.is_some();
+            job.end_indeterminate |= end.is_some();
             job.unsaved = UnsavedChange::Nothing;
             self.commit_queue.unmark_job(job_index);
         }
@@ -98,7 +103,7 @@
             let record = HostRecord { addr, instance_type, zone, spot: host.spot, partition };
             let Ok(value) = serde_json::to_value(record) else { continue };
             let pending = match host.transferring_to {
-                Some(to) => PendingWrite::TransferredHost(host_index, to),
+                Some(to) => PendingWrite::TransferredHost { host: host_index, to },
                 None => PendingWrite::Host(host_index),
             };
             builder.add(wire::put(&host_key(&host.id), &value, None), pending);
--- a/src/control/partition/reconciliation.rs
+++ b/src/control/partition/reconciliation.rs
@@ -19,7 +19,7 @@
     /// A machine of the last leader was reconciled. Until the next count it is taken for one that is not,
     /// which holds back more and never less: after a failover thousands are reconciled within a
     /// second, and a look at all machines for each of them would take longer than all else.
-    pub(super) fn note_reconciled(&mut self) {
+    pub(super) fn request_count(&mut self) {
         self.count_due = true;
     }
 
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -1,12 +1,9 @@
-//! Passes over the waiting work, and what is logged of them.
+//! Scheduling cycles over the pending work, and what is logged of them.
 
-use super::Partition;
+use super::{Partition, critical_path};
 use crate::model::{JobIndex, Urgency};
 use crate::scheduling::{self, Assignment, CycleDecisions, Preemption};
 
-/// Least rate of a fetch that its duration is computed with.
-const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
-
 impl Partition {
     /// One scheduling cycle; the machines with new orders are in `dispatch_queue`.
     pub fn schedule(&mut self, now: u64, wall: u64) {
@@ -21,7 +18,7 @@
     fn run_scheduling_cycle(&mut self, least: Urgency, now: u64, wall: u64) {
         self.scheduling_triggers.begin_cycle(least);
         self.refresh_unreconciled();
-        self.note_ready_times(wall);
+        self.set_ready_times(wall);
         self.stop_attempts_of_done_tasks();
         self.bound_attempts(now);
         self.wall_ms = wall;
@@ -30,63 +27,64 @@
         let epoch = &mut self.epoch;
         let out = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
         for start in &out.starts {
-            self.note_start(start, wall);
+            self.record_start(start, wall);
         }
         for stop in &out.stops {
-            self.note_stop(stop);
+            self.record_preemption(stop);
         }
         self.apply_warm_decisions(&out, now);
         self.apply_loan_decisions(&out, now, wall);
-        self.note_transitions();
+        self.report_slot_transitions();
         tracing::debug!(
             least = ?least,
             hosts_examined = out.hosts_examined,
             starts = out.starts.len(),
             stops = out.stops.len(),
             pending_jobs = out.pending_jobs.len(),
-            "pass"
+            "scheduling cycle"
         );
-        self.keep_pending_jobs(least, out);
+        self.update_pending_jobs(least, out);
     }
 
-    /// Bounds the attempts by what following those on the machines costs now.
+    /// Limits the attempts by the measured cost of following those on the machines.
     fn bound_attempts(&mut self, now: u64) {
-        let attempts = self.cluster.each_host().map(|(_, h)| h.attempts.len()).sum();
+        let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
         self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
     }
 
     /// Measures and logs a start; its machine has an order to get.
-    fn note_start(&mut self, start: &Assignment, wall: u64) {
+    fn record_start(&mut self, start: &Assignment, wall: u64) {
         let job = &self.cluster.jobs[start.key.job];
-        let waited = wall.saturating_sub(job.ready_ms);
-        self.metrics.observe("decision_ms", &job.spec.class, waited);
-        self.log_start(start, waited);
+        let waited_ms = wall.saturating_sub(job.ready_ms);
+        self.metrics.observe("decision_ms", &job.spec.class, waited_ms);
+        self.log_start(start, waited_ms);
         self.dispatch_queue.insert(start.host);
     }
 
-    fn log_start(&self, start: &Assignment, waited: u64) {
-        let Some(h) = self.cluster.host(start.host) else { return };
+    fn log_start(&self, start: &Assignment, waited_ms: u64) {
+        let Some(host) = self.cluster.host(start.host) else { return };
         let spec = &self.cluster.jobs[start.key.job].spec;
-        let rate = |f: usize| self.cluster.instance_types[f].fetch_gb_per_s.max(LEAST_FETCH_GB_PER_S);
-        let fetch_s = h.instance_type.map_or(0.0, |f| spec.image_gb / rate(f));
-        let cached = h.images.iter().any(|i| i.ready && i.name == spec.image);
+        let fetch_s = host.instance_type.map_or(0.0, |index| {
+            critical_path::fetch_s(spec.image_gb, self.cluster.instance_types[index].fetch_gb_per_s)
+        });
+        let cached = host.images.iter().any(|i| i.ready && i.name == spec.image);
         tracing::debug!(
             job = spec.id,
             class = spec.class,
             task = start.key.task,
             attempt = start.attempt,
-            host = h.id,
+            host = host.id,
             fencing_token = %self.epoch.fencing_token(),
-            waited,
+            waited_ms,
             cached,
             fetch_s,
-            spot = h.spot,
+            spot = host.spot,
             "start"
         );
     }
 
     /// Counts and logs a preemption; its machine has an order to get.
-    fn note_stop(&mut self, stop: &Preemption) {
+    fn record_preemption(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
         let by = &self.cluster.jobs[stop.by].spec;
         tracing::debug!(
@@ -99,12 +97,12 @@
             "preempted"
         );
         self.metrics.count("tasks_preempted", &spec.class);
-        // What is lent is ordered once that is recorded.
+        // What is lent is stopped once that is recorded.
         self.dispatch_queue.insert(stop.host);
     }
 
-    /// Notes which work found no room. What is less urgent than `least` was not tried.
-    fn keep_pending_jobs(&mut self, least: Urgency, out: CycleDecisions) {
+    /// Keeps which work found no capacity. What is less urgent than `least` was not tried.
+    fn update_pending_jobs(&mut self, least: Urgency, out: CycleDecisions) {
         self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, out.pending_jobs, out.hosts_examined);
         if !self.scheduling_triggers.pending_jobs().is_empty() {
             self.cancel_drain();
@@ -121,7 +119,7 @@
         used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&none).limit))
     }
 
-    /// The lowest bin that waits for room.
+    /// The lowest deadline bin of the pending jobs.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
         let bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
--- a/src/control/partition/scheduling_triggers.rs
+++ b/src/control/partition/scheduling_triggers.rs
@@ -30,7 +30,7 @@
         self.cycle_due = true;
     }
 
-    /// The same for work of this urgency alone: only urgent work has cycles of its own.
+    /// Work of this urgency may be placed: if it is urgent, a cycle for urgent work is due.
     pub(super) fn request_cycle_for(&mut self, urgency: Urgency) {
         self.urgent_cycle_due |= urgency >= Urgency::High;
     }
@@ -59,7 +59,7 @@
     }
 
     /// A task of an array is done: further attempts of it are to be stopped.
-    pub(super) fn note_array_task_done(&mut self) {
+    pub(super) fn mark_array_task_done(&mut self) {
         self.array_tasks_done = true;
     }
 
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -15,7 +15,7 @@
     let mut rx = submit(&mut p, br#"{"id":"run-000001"}"#, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { created: false, .. })));
     let mut rx = submit(&mut p, br#"{"id":"run-000002"}"#, 1000);
-    assert!(matches!(rx.try_recv(), Ok(UserAnswer::Malformed(_))));
+    assert!(matches!(rx.try_recv(), Ok(UserAnswer::InvalidSubmission(_))));
     assert_eq!(p.status("run-000009"), UserAnswer::Unknown);
 }
 
@@ -28,7 +28,7 @@
     let record = JobRecord { spec, accepted_ms: 900, end: None, done: vec![] };
     let value = serde_json::to_value(record).unwrap();
     for _ in 0..2 {
-        p.adopt_job(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
+        p.add_job_of_other_node(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
     }
     p.schedule(1000, 1000);
     assert_eq!((p.dispatch_queue.hosts().len(), p.cluster.jobs.len()), (1, 1));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_unclear_creation_is_written_again_and_found() {
+fn an_indeterminate_creation_is_written_again_and_found() {
     let mut p = partition();
     let mut rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     let first = p.next_commit(1000, 32).unwrap();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn submissions_beyond_what_can_be_recorded_soon_are_told_when_to_come_back() {
+fn submissions_beyond_what_can_be_recorded_soon_get_a_time_to_retry() {
     let mut p = partition();
     let mut busy = Vec::new();
     let mut kept = Vec::new();
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -146,7 +146,7 @@
     harness.burst(4);
     assert_eq!(stops(&harness.heartbeat()), 0, "no record yet");
     let host = harness.partition.dispatch_queue.hosts().iter().next().copied();
-    let direct = host.and_then(|host| harness.partition.direct(host, harness.now, false));
+    let direct = host.and_then(|host| harness.partition.next_direct_command(host, harness.now, false));
     assert_eq!(direct.map_or(0, |direct| stops(&direct.orders)), 0, "nor by a direct command");
     harness.commit_as(false);
     assert_eq!(stops(&harness.heartbeat()), 0, "refused");
@@ -182,7 +182,7 @@
     assert_eq!(stops(&harness.heartbeat()), 0, "not known to be recorded");
     assert!(harness.partition.next_commit(harness.now, 32).is_none(), "to be read first");
     harness.make(&late);
-    let found = harness.partition.unclear_keys().into_iter().map(|key| {
+    let found = harness.partition.indeterminate_keys().into_iter().map(|key| {
         let item = harness.records.get(&key).map(|(value, version)| Item {
             key: key.clone(),
             value: value.clone(),
@@ -191,7 +191,7 @@
         (key, item)
     });
     let found: Vec<(String, Option<Item>)> = found.collect();
-    harness.partition.unclear_keys_read(found);
+    harness.partition.indeterminate_keys_read(found);
     let again = harness.partition.next_commit(harness.now, 32).unwrap();
     assert_eq!(again.conditions.last().unwrap().version, harness.revision, "on the version that was found");
     harness.make(&again);
@@ -202,7 +202,7 @@
 }
 
 /// Another leader begins with what is stored. The machine has not reported to it.
-fn take_over(harness: &mut Harness) {
+fn fail_over(harness: &mut Harness) {
     let items = |prefix: &str| -> Vec<Item> {
         let under = harness.records.iter().filter(|(key, _)| key.starts_with(prefix));
         under
@@ -217,12 +217,12 @@
 }
 
 #[test]
-fn a_successor_lends_nothing_before_all_machines_are_accounted_for() {
+fn a_new_leader_lends_nothing_before_all_machines_are_reconciled() {
     let mut harness = Harness::new();
     harness.burst(4);
     // The record is written, and no stop was ordered.
     harness.commit_as(true);
-    take_over(&mut harness);
+    fail_over(&mut harness);
     harness.now += STEP_MS;
     harness.partition.maintain_loans(harness.now, harness.now);
     harness.partition.schedule(harness.now, harness.now);
@@ -243,7 +243,7 @@
     harness.burst(4);
     harness.commit_as(true);
     harness.saving = (4..8).map(|task| format!("run-000001/{task}")).collect();
-    take_over(&mut harness);
+    fail_over(&mut harness);
     for _ in 0..6 {
         harness.step(true);
         let kept =
@@ -258,7 +258,7 @@
 // A change of the configuration raises the lender's guarantee in mid-loan: it gets room back at
 // once, by one replica after the other, while the borrower keeps its own guarantee.
 #[test]
-fn a_lender_whose_guarantee_is_raised_in_mid_loan_gets_room_back() {
+fn a_lender_whose_guarantee_is_raised_in_mid_loan_gets_capacity_back() {
     let mut harness = Harness::new();
     harness.burst(6);
     harness.steps(4);
@@ -343,7 +343,7 @@
 
 // The borrower's need may come back, but the lender has fallen below its floor meanwhile.
 #[test]
-fn room_that_is_held_for_a_borrower_is_given_up_for_a_lender_below_its_floor() {
+fn capacity_that_is_reserved_for_a_borrower_is_released_for_a_lender_below_its_floor() {
     let mut harness = Harness::new();
     harness.burst(4);
     harness.steps(4);
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_takeover_reckons_the_same_deadlines_whatever_the_order_of_the_records() {
+fn a_failover_computes_the_same_deadlines_whatever_the_order_of_the_records() {
     let waits = |id: &str, on: &str, due: Option<f64>| {
         let mut item = record(id, "batch", "red", None, 50);
         item.value["spec"]["waits_on"] = json!(on);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn room_is_planned_for_jobs_that_may_start_before_a_machine_is_up() {
+fn capacity_is_planned_for_jobs_that_may_start_before_a_machine_is_up() {
     let mut p = chain();
     let index = |id: &str| p.cluster.job_index[id];
     let (second, third) = (index(SECOND), index(THIRD));
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -103,13 +103,13 @@
     let lookups = p.take_lookups();
     assert_eq!((lookups.len(), lookups[0].ids.as_slice()), (1, &[FIRST.to_string()][..]));
     assert!(rx.try_recv().is_err(), "nothing is said before the read");
-    p.looked_up(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    p.dependencies_read(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(why)) if why.contains(FIRST)));
     assert!(p.next_commit(1000, 32).is_none());
     // A read that failed tells nothing.
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
-    p.looked_up(lookup.submission, None, 1000, 1000);
+    p.dependencies_read(lookup.submission, None, 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::StateServiceSilent)));
 }
 
@@ -119,21 +119,21 @@
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "red", None, 50);
-    p.looked_up(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
     commit_all(&mut p, 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
     assert!(!job(&p, FIRST).waiting && job(&p, SECOND).waiting);
 }
 
 #[test]
-fn a_job_whose_creation_is_unclear_is_neither_known_nor_unknown() {
+fn a_job_whose_creation_is_indeterminate_is_neither_known_nor_unknown() {
     let mut p = partition();
     let _rx = submit(&mut p, &body(FIRST, "batch", 2), 1000);
     p.next_commit(1000, 32).unwrap();
     p.committed(CommitOutcome::Indeterminate).unwrap();
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
-    p.looked_up(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate)));
 }
 
@@ -149,7 +149,7 @@
     let mut rx = submit(&mut p, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(THIRD, "service", "red", None, 50);
-    p.looked_up(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
+    p.dependencies_read(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
 }
 
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn after_a_takeover_a_job_waits_for_what_is_not_recorded_as_done() {
+fn after_a_failover_a_job_waits_for_what_is_not_recorded_as_done() {
     let mut second = record(SECOND, "batch", "red", None, 51);
     second.value["spec"]["waits_on"] = json!(FIRST);
     let open = partition_of(2, vec![record(FIRST, "batch", "red", None, 50), second.clone()], vec![]);
@@ -232,7 +232,7 @@
     let _rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = p.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "blue", None, 50);
-    p.looked_up(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
     commit_all(&mut p, 1000);
     assert_eq!(p.external_dependencies(), [FIRST]);
     p
@@ -242,9 +242,9 @@
 fn a_job_of_another_partition_is_waited_for_until_its_record_tells_its_end() {
     let mut p = with_external();
     assert_eq!(phase(p.status(SECOND)), Err(RefusalReason::DependencyElsewhere), "its record alone tells");
-    p.note_dependency(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
+    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
     assert!(job(&p, SECOND).waiting);
-    p.note_dependency(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
+    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
     assert!(job(&p, SECOND).active() && p.external_dependencies().is_empty());
     assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Pending));
 }
@@ -252,7 +252,7 @@
 #[test]
 fn a_job_is_cancelled_with_one_of_another_partition() {
     let mut p = with_external();
-    p.note_dependency(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
+    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
     assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Cancelled));
     assert_eq!(job(&p, SECOND).unsaved, UnsavedChange::End(JobEnd::Cancelled));
 }
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_takeover_places_nothing_before_every_machine_is_accounted_for() {
+fn a_failover_places_nothing_before_every_machine_is_reconciled() {
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_takeover_goes_on_without_a_machine_that_outlived_its_lease_or_is_gone() {
+fn a_failover_goes_on_without_a_machine_whose_lease_expired_or_that_is_gone() {
     for gone in [true, false] {
         let mut old = running("service", 1);
         let (jobs, hosts) = items(&mut old);
@@ -46,7 +46,7 @@
 // The next size: some machine is always dead, hung or cut. What was seen alive since
 // the failover is not there, and what its type can't hold is not either.
 #[test]
-fn a_takeover_holds_back_only_what_an_unaccounted_machine_may_hold() {
+fn a_failover_holds_back_only_what_an_unreconciled_machine_may_hold() {
     let mut old = partition();
     for (n, host) in ["h1", "h2"].iter().enumerate() {
         old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
@@ -120,7 +120,7 @@
 // With 3.6% of a core a new leader of 240 machines asked each of them directly, though each had
 // just reported to it, and answered nobody for two seconds.
 #[test]
-fn a_machine_learns_a_new_owners_token_from_the_answer_to_its_report() {
+fn a_machine_learns_a_new_leaders_token_from_the_answer_to_its_heartbeat() {
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
@@ -153,7 +153,7 @@
 
 // The next size: a controller in a zone that is cut off keeps the leases there alive.
 #[test]
-fn a_lease_is_outlived_only_while_no_other_controller_could_keep_it_alive() {
+fn a_lease_expires_only_while_no_other_controller_could_renew_it() {
     let mut p = running("service", 1);
     let end = 1000 + 3 * LEASE;
     for now in (1000..=end).step_by(500) {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn new_jobs_need_not_wait_for_unaccounted_machines() {
+fn new_jobs_need_not_wait_for_unreconciled_machines() {
     let mut old = running("service", 1);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -40,7 +40,7 @@
 // An end that was sent may have been carried out, and another node may have read it and
 // told it. Until that is settled the leader, whose memory has no end yet, says nothing.
 #[test]
-fn nothing_older_is_told_while_an_end_may_have_been_recorded() {
+fn nothing_older_is_answered_while_an_end_may_have_been_recorded() {
     for at_once in [true, false] {
         let mut p = running("batch", 1);
         done_on_h1(&mut p, 1100);
@@ -109,7 +109,7 @@
     );
     let mut rx = cancel(&mut p, "run-000001", 1200, false);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
-    let d = p.direct(0, 1200, false).unwrap();
+    let d = p.next_direct_command(0, 1200, false).unwrap();
     assert!(matches!(d.orders[..], [Order::Stop { .. }]));
     p.heartbeat(
         &heartbeat("h1", 1, 3, 1, vec![reported("run-000001/0", a, "ended", Some("halted"))]),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_cancellation_that_a_silent_machine_holds_up_is_refused_at_once() {
+fn a_cancellation_that_an_unreachable_machine_delays_is_refused_at_once() {
     let mut p = running("service", 1);
     p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     let mut rx = cancel(&mut p, "run-000001", 1200, true);
@@ -209,7 +209,7 @@
     p.schedule(1000, 1000);
     assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
     assert!(p.dispatch_queue.hosts().contains(&0));
-    let d = p.direct(0, 1010, false).unwrap();
+    let d = p.next_direct_command(0, 1010, false).unwrap();
     assert!(d.orders.is_empty());
     p.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))), 1020);
     commits(&mut p, 1020, 101);
@@ -257,7 +257,7 @@
 // Teams at their limit while the leader changes: what unreconciled machines may hold of a
 // team counts, also of a job whose cancellation was asked for, and no longer than that.
 #[test]
-fn a_team_at_its_limit_waits_for_what_unaccounted_machines_may_hold() {
+fn a_team_at_its_limit_waits_for_what_unreconciled_machines_may_hold() {
     let mut old = running("service", 8);
     let (jobs, hosts) = items(&mut old);
     let mut p = partition_of(5, jobs, hosts);
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -194,7 +194,7 @@
             self.next_pass = now + 200;
         }
         for host_index in self.partition.take_dispatch_queue() {
-            let Some(d) = self.partition.direct(host_index, now, false) else { continue };
+            let Some(d) = self.partition.next_direct_command(host_index, now, false) else { continue };
             let m = self.machines.get_mut(&d.id).unwrap();
             if m.next_ms == u64::MAX {
                 self.partition.direct_command_done(&d, DirectCommandOutcome::NotSent, now);
@@ -249,8 +249,8 @@
         assert!(self.largest_commit <= 64 * 1024, "{} bytes", self.largest_commit);
     }
 
-    /// Another leader takes over with what is stored; the machines named are dead.
-    fn take_over(&mut self, fencing_token: u64) {
+    /// Another leader begins with what is stored; the machines named are dead.
+    fn fail_over(&mut self, fencing_token: u64) {
         let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(k, _)| k.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
@@ -264,13 +264,13 @@
 
 // The next size: decisions, records and rentals must not cost machines times jobs.
 #[test]
-fn fifteen_hundred_machines_start_take_a_burst_and_are_taken_over() {
+fn fifteen_hundred_machines_start_take_a_burst_and_fail_over() {
     a_fleet_starts_takes_a_burst_and_is_taken_over(1500);
 }
 
 // No bound of ours may stand below 4,000 machines, with half as many again.
 #[test]
-fn six_thousand_machines_start_take_a_burst_and_are_taken_over() {
+fn six_thousand_machines_start_take_a_burst_and_fail_over() {
     a_fleet_starts_takes_a_burst_and_is_taken_over(6000);
 }
 
@@ -313,7 +313,7 @@
             m.next_ms = u64::MAX;
         }
     }
-    f.take_over(2);
+    f.fail_over(2);
     for _ in 0..60 {
         f.step();
     }
--- a/src/control/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn while_a_cancellation_is_unclear_dependents_neither_start_nor_end_and_nothing_is_told_of_them() {
+fn while_a_cancellation_is_indeterminate_dependents_neither_start_nor_end_and_no_answer_is_given() {
     let mut p = chain();
     cancel(&mut p, FIRST);
     p.next_commit(2000, 32).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_takeover_between_the_first_cancellation_and_the_dependents_records_loses_nothing() {
+fn a_failover_between_the_first_cancellation_and_the_dependents_records_loses_nothing() {
     let waits = |id: &str, on: &str, version| {
         let mut item = record(id, "batch", "red", None, version);
         item.value["spec"]["waits_on"] = json!(on);
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn progress_that_has_no_room_is_left_out_and_the_end_is_recorded() {
+fn progress_that_does_not_fit_is_left_out_and_the_end_is_recorded() {
     let mut p = running("batch", 2);
     p.cluster.jobs[0].spec.image = "i".repeat(RECORD_BYTES + 4096);
     let first = attempt(&p, 0);
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A partition that was taken over with these records.
+/// A partition whose new leader has read these records.
 pub fn partition_of(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -9,7 +9,7 @@
     let (tx, mut rx) = oneshot::channel();
     let a = [attempt(&p, 0), attempt(&p, 1)];
     p.cancel("run-000001", 1000, true, tx);
-    let d = p.direct(0, 1100, false).unwrap();
+    let d = p.next_direct_command(0, 1100, false).unwrap();
     assert!(d.orders.iter().all(|o| matches!(o, Order::Stop { .. })) && d.orders.len() == 2);
     p.schedule(1200, 1200);
     // While one of them may be there, the user is told nothing that a clock starts with.
@@ -31,7 +31,7 @@
 #[test]
 fn a_direct_command_without_an_answer_binds_its_tasks_until_a_higher_token() {
     let mut p = running("service", 1);
-    let d = p.direct(0, 1001, false).unwrap();
+    let d = p.next_direct_command(0, 1001, false).unwrap();
     p.direct_command_done(&d, DirectCommandOutcome::Indeterminate, 2000);
     // The machine does not list it, and it may still come.
     let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
@@ -53,7 +53,7 @@
 fn an_ended_attempt_is_not_reaped_while_its_run_may_come() {
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
-    let d = p.direct(0, 1001, false).unwrap();
+    let d = p.next_direct_command(0, 1001, false).unwrap();
     let ended = || vec![reported("run-000001/0", a, "ended", Some("error"))];
     assert_eq!(
         reaps(&p.heartbeat(&heartbeat("h1", 1, 2, 1, ended()), StatusSource::Heartbeat, 1100)),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn attempts_never_repeat_across_terms() {
+fn attempts_never_repeat_across_fencing_tokens() {
     let mut p = running("batch", 3);
     let last = p.cluster.host(0).unwrap().attempts.iter().map(|c| c.attempt).max().unwrap();
     let next = p.epoch.upcoming_number();
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_superseded_owner_learns_it_from_its_commit() {
+fn a_superseded_leader_learns_it_from_its_commit() {
     let mut p = partition();
     let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
     let c = p.next_commit(1000, 32).unwrap();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn done_is_said_after_its_commit_and_reaped_then() {
+fn done_is_answered_after_its_commit_and_reaped_then() {
     let mut p = running("batch", 1);
     let a = attempt(&p, 0);
     let done = || vec![reported("run-000001/0", a, "ended", Some("done"))];
@@ -85,10 +85,10 @@
     commit(&mut p, 1100, 101);
     assert!(p.transfer_host("h2", 1));
     commit(&mut p, 1200, 102);
-    assert_eq!(p.belongs(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::Elsewhere(1));
+    assert_eq!(p.route_heartbeat(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::OtherPartition(1));
     // One that comes from a partition with a higher fencing token needs a higher one here.
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
-    p.rechecked("h3", Some(record), 1300);
-    assert_eq!(p.belongs(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::NotYet);
+    p.host_record_read("h3", Some(record), 1300);
+    assert_eq!(p.route_heartbeat(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::AwaitsHigherToken);
     assert!(p.needs_higher_token());
 }
--- a/src/control/partition/tests/silence.rs
+++ b/src/control/partition/tests/silence.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_silent_machine_keeps_its_tasks_until_its_lease_or_release() {
+fn an_unreachable_machine_keeps_its_tasks_until_its_lease_expires_or_it_is_terminated() {
     let mut p = running("service", 1);
     let a = attempt(&p, 0);
     p.heartbeat(
@@ -17,7 +17,7 @@
         let DetectedFailures { to_terminate: release, to_probe: probe } = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe {
-            if let Some(d) = p.direct(host_index, now, true) {
+            if let Some(d) = p.next_direct_command(host_index, now, true) {
                 asked += 1;
                 p.direct_command_done(&d, DirectCommandOutcome::NotSent, now + 200);
             }
@@ -53,7 +53,7 @@
 // The next size: a controller that stands still for seconds finds all machines
 // silent when it wakes, before it has read what they said meanwhile.
 #[test]
-fn silence_while_the_owner_slept_is_not_the_machines() {
+fn a_pause_of_the_leader_is_not_counted_as_silence_of_the_machines() {
     let mut p = partition();
     p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     p.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
@@ -76,7 +76,7 @@
         let DetectedFailures { to_terminate: release, to_probe: probe } = p.detect_failures(now, 0);
         released.extend(release);
         for host_index in probe.into_iter().chain((n == 0).then_some(0)) {
-            if let Some(d) = p.direct(host_index, now, true) {
+            if let Some(d) = p.next_direct_command(host_index, now, true) {
                 p.direct_command_done(&d, DirectCommandOutcome::NotSent, now);
             }
         }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn many_silent_machines_at_once_are_not_released() {
+fn many_suspect_machines_at_once_are_not_terminated() {
     let mut p = partition();
     for i in 0..6 {
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
@@ -105,7 +105,7 @@
 // Found on a day of cuts: the leader kept the partition while no report reached
 // it, and every lease ran out.
 #[test]
-fn an_owner_that_hears_no_worker_any_more_is_cut_off() {
+fn a_leader_without_any_heartbeats_is_isolated() {
     let mut p = partition();
     for i in 0..4 {
         p.heartbeat(&heartbeat(&format!("h{i}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
@@ -119,7 +119,7 @@
     let host = |i| HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: i };
     let item = |n: u64| Item { key: format!("host/h{n}"), value: serde_json::to_value(host(0)).unwrap(), version: n };
     let mut p = partition_of(5, vec![], (1..6).map(item).collect());
-    assert!(!p.is_isolated(9000), "after a takeover they may still be on their way here");
+    assert!(!p.is_isolated(9000), "after a failover they may still be on their way here");
     // Found in an incident at the next size: one that is cut off from the beginning.
     p.cluster.hosts.iter_mut().flatten().for_each(|h| h.unanswered_probes = UNREACHABLE_AFTER_MISSES);
     assert!(p.is_isolated(9000) && !p.is_isolated(2000));
--- a/src/control/partition/tests/warm_pools/claims.rs
+++ b/src/control/partition/tests/warm_pools/claims.rs
@@ -16,7 +16,7 @@
 fn without_pools_no_record_is_written_and_no_slot_is_ordered() {
     let mut harness = Harness::cold(3, "loaded");
     harness.pools.pools.clear();
-    harness.take_over();
+    harness.fail_over();
     let job = harness.submit("blue", "notes");
     harness.rounds(10);
     assert_eq!((harness.loads, harness.runs(&job)), (0, 1));
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_successor_neither_gives_a_claimed_replica_away_nor_loses_it() {
+fn a_new_leader_neither_gives_a_reserved_replica_away_nor_loses_it() {
     // The leader ends before its claim is recorded, between the record and the order, or after it.
     for (recorded, ordered) in [(false, false), (true, false), (true, true)] {
         let mut harness = Harness::new(3);
@@ -16,7 +16,7 @@
             harness.dispatch();
         }
         let before = harness.attached(&job);
-        harness.take_over();
+        harness.fail_over();
         let other = harness.submit("red", "notes");
         harness.rounds(10);
         assert_eq!((harness.runs(&job), harness.runs(&other)), (1, 1));
@@ -29,15 +29,15 @@
 
 // A paused leader wakes and goes on: its token is refused by the workers, its writes by the guard.
 #[test]
-fn an_owner_that_was_replaced_orders_nothing() {
+fn a_superseded_leader_orders_nothing() {
     let mut harness = Harness::new(3);
     let job = harness.submit("blue", "notes");
     harness.schedule();
     let host = *harness.partition.dispatch_queue.hosts().first().unwrap();
     harness.commit();
-    let late = harness.partition.direct(host, harness.now, false).unwrap();
+    let late = harness.partition.next_direct_command(host, harness.now, false).unwrap();
     let old_token = late.fencing_token.0;
-    harness.take_over();
+    harness.fail_over();
     harness.rounds(4);
     assert!(old_token < harness.workers[&late.id].seen_token, "the worker refuses the late order");
     assert_eq!(harness.runs(&job), 1);
@@ -49,7 +49,7 @@
     let mut harness = Harness::new(4);
     let model = harness.pools.models.get_mut("notes").unwrap();
     (model.version, model.image) = (4, "notes-4".into());
-    harness.take_over();
+    harness.fail_over();
     let before: Vec<u64> = harness.partition.pool_slots().map(|slot| slot.id).collect();
     let job = harness.submit("blue", "notes");
     for _ in 0..12 {
@@ -69,7 +69,7 @@
     let job = harness.submit("blue", "notes");
     harness.rounds(6);
     harness.pools.pools.get_mut("counter").unwrap().count = 0;
-    harness.take_over();
+    harness.fail_over();
     harness.rounds(6);
     assert_eq!((harness.idle(), harness.claimed(), harness.runs(&job)), (0, 1, 1));
     assert!(harness.workers.values().all(|worker| worker.slots.is_empty()));
@@ -85,7 +85,7 @@
             "draining" => harness.pools.pools.get_mut("counter").unwrap().count = 1,
             _ => harness.rounds(1),
         }
-        harness.take_over();
+        harness.fail_over();
         harness.rounds(1);
         let before: Vec<u64> = harness.partition.pool_slots().map(|slot| slot.id).collect();
         // What was `notes` is `letters` now, and `notes` is a new model.
@@ -96,7 +96,7 @@
         harness.pools.models.insert("notes".into(), notes);
         harness.pools.models.insert("letters".into(), letters);
         harness.pools.models.get_mut("notes").unwrap().version = 4;
-        harness.take_over();
+        harness.fail_over();
         let job = harness.submit("blue", "notes");
         harness.rounds(12);
         assert_eq!(harness.runs(&job), 1, "{state}");
--- a/src/control/partition/tests/warm_pools/machines.rs
+++ b/src/control/partition/tests/warm_pools/machines.rs
@@ -8,7 +8,7 @@
     let mut harness = Harness::cold(4, "loaded");
     // One replica a machine.
     harness.pools.pools.get_mut("counter").unwrap().cards = 5.0;
-    harness.take_over();
+    harness.fail_over();
     harness.rounds(8);
     let lost: BTreeSet<String> = harness.partition.pool_slots().map(|slot| slot.host.clone()).collect();
     assert_eq!((harness.idle(), lost.len()), (POOL_SIZE, 2));
@@ -79,7 +79,7 @@
 
 // An ordinary worker knows nothing of slots: room is held beside its image.
 #[test]
-fn room_is_held_beside_an_image_on_ordinary_workers() {
+fn capacity_is_held_beside_an_image_on_ordinary_workers() {
     let mut harness = Harness::cold(3, "image");
     harness.rounds(4);
     // No machine has the image: the room is held all the same, and claimed under the image's name.
@@ -139,7 +139,7 @@
 
 // What a worker keeps beyond its session is not known: rooms beside images begin anew, too.
 #[test]
-fn rooms_on_a_machine_whose_session_began_anew_begin_anew() {
+fn slots_on_a_machine_with_a_new_agent_epoch_begin_anew() {
     let mut harness = Harness::cold(2, "image");
     harness.rounds(4);
     let before: Vec<u64> = harness.partition.pool_slots().map(|slot| slot.id).collect();
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -134,12 +134,12 @@
         for n in 0..workers {
             harness.workers.insert(format!("h{n}"), Worker { agent_epoch: 1, ..Worker::default() });
         }
-        harness.take_over();
+        harness.fail_over();
         harness
     }
 
     /// Another leader begins with what is stored.
-    fn take_over(&mut self) {
+    fn fail_over(&mut self) {
         self.fencing_token += 1;
         self.late.clear();
         let items = |prefix: &str| -> Vec<Item> {
@@ -199,7 +199,7 @@
 
     fn dispatch(&mut self) {
         for host_index in self.partition.take_dispatch_queue() {
-            let Some(d) = self.partition.direct(host_index, self.now, false) else { continue };
+            let Some(d) = self.partition.next_direct_command(host_index, self.now, false) else { continue };
             let worker = self.workers.get_mut(&d.id).unwrap();
             if worker.silent {
                 self.partition.direct_command_done(&d, DirectCommandOutcome::NotSent, self.now);
--- a/src/control/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -6,7 +6,7 @@
 use crate::wire::{Condition, Heartbeat, Order, Write};
 use std::net::SocketAddr;
 
-/// How a report came. Only a reply to a heartbeat proves that the replies before
+/// How a worker's status came. Only a heartbeat proves that the replies to the heartbeats before
 /// it are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusSource {
@@ -25,9 +25,9 @@
     pub id: String,
     /// Where its worker takes direct commands.
     pub addr: SocketAddr,
-    /// The fencing token: the leader's fencing token when the command was made.
+    /// The leader's fencing token when the command was made.
     pub fencing_token: FencingToken,
-    /// Session of the worker that the command is meant for; 0 if not known yet.
+    /// Agent epoch of the worker that the command is meant for; 0 if not known yet.
     pub agent_epoch: u64,
     /// What the worker is to do; empty for a mere probe.
     pub orders: Vec<Order>,
@@ -36,7 +36,7 @@
 /// How a direct command ended.
 #[derive(Debug)]
 pub enum DirectCommandOutcome {
-    /// 200 or 409, with the worker's report.
+    /// 200 or 409, with the worker's status.
     Answered(Box<Heartbeat>),
     /// The worker cannot have received it.
     NotSent,
@@ -49,23 +49,28 @@
 pub struct JobWrite {
     /// The job.
     pub job: JobIndex,
-    /// The change that it tells.
+    /// The change that it records.
     pub change: UnsavedChange,
-    /// Whether an earlier write of the job's end was open already.
-    pub end_was_open: bool,
-    /// The done tasks that it tells, as ranges, first and one past the last.
+    /// Whether an earlier write of the job's end could still be carried out already.
+    pub end_was_indeterminate: bool,
+    /// The done tasks that it records, as ranges: first, and one past the last.
     pub done: Vec<(u32, u32)>,
 }
 
-/// What a commit under way will have told.
+/// What a commit under way will have written.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingWrite {
     /// The record of a job.
     Job(JobWrite),
     /// The record of a machine.
     Host(HostIndex),
-    /// The record of a machine that moves to the partition of this number.
-    TransferredHost(HostIndex, u32),
+    /// The record of a machine that is transferred to another partition.
+    TransferredHost {
+        /// The machine.
+        host: HostIndex,
+        /// The partition.
+        to: u32,
+    },
     /// Records of warm pools.
     Pools,
     /// Records of loans between teams.
@@ -107,15 +112,15 @@
     Indeterminate,
 }
 
-/// Whether a partition takes a machine's reports.
+/// Whether a partition takes a machine's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRouting {
     /// The partition takes them.
-    Mine,
+    Local,
     /// Ours, but only under a fencing token that is still to come.
-    NotYet,
+    AwaitsHigherToken,
     /// The machine belongs to the partition of this number.
-    Elsewhere(u32),
+    OtherPartition(u32),
     /// Not this partition's, and it does not know whose.
     Unknown,
 }
@@ -124,7 +129,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Superseded;
 
-/// What a user is told.
+/// The answer to a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserAnswer {
     /// The job is recorded.
@@ -148,7 +153,7 @@
         running: u32,
     },
     /// The submission does not follow the protocol; with the reason.
-    Malformed(String),
+    InvalidSubmission(String),
     /// The submission is well-formed but cannot be served; with the reason.
     Unschedulable(String),
     /// There is no such job.
--- a/src/control/partition/users.rs
+++ b/src/control/partition/user_requests.rs
@@ -1,4 +1,4 @@
-//! What users ask of a partition: submissions, polls, cancellations.
+//! Requests of users to a partition: submissions, polls, cancellations.
 
 use super::failure_detector::HeartbeatTimeouts;
 use super::waiting_clients::reply;
@@ -13,28 +13,28 @@
 
 impl Partition {
     /// A submission. The answer comes at once or, through the waiter, after
-    /// the commit.
+    /// the commit that creates the record: an accepted job is never lost.
     pub fn submit(&mut self, body: &[u8], now: u64, wall: u64, waiter: Waiter) {
         let (id, spec) = match wire::parse_submission(body) {
             Ok(spec) => (Some(spec.id.clone()), Ok(spec)),
-            Err(e) => (e.id, Err(e.message)),
+            Err(error) => (error.id, Err(error.message)),
         };
-        // A known id is answered before any judgement of the rest.
+        // A known id is answered before the rest is checked: repeating a submission is safe.
         if let Some(&job_index) = id.as_ref().and_then(|id| self.cluster.job_index.get(id)) {
-            self.answer_known(job_index, waiter);
+            self.answer_resubmission(job_index, waiter);
             return;
         }
         let refusal = match spec {
             Ok(spec) if spec.dependencies.is_empty() => return self.accept(spec, now, wall, waiter),
             Ok(spec) if !self.conditions.has_old_peer => return self.submit_waiting(spec, now, wall, waiter),
             Ok(_) => UserAnswer::RetryLater(RefusalReason::ControllerOutdated),
-            Err(message) => UserAnswer::Malformed(message),
+            Err(message) => UserAnswer::InvalidSubmission(message),
         };
         reply(waiter, refusal);
     }
 
     /// Answers the repeated submission of a job that is known, now or once it is accepted.
-    pub(super) fn answer_known(&mut self, job_index: JobIndex, waiter: Waiter) {
+    pub(super) fn answer_resubmission(&mut self, job_index: JobIndex, waiter: Waiter) {
         if self.cluster.jobs[job_index].version == 0 {
             self.waiting_clients.await_acceptance(job_index, waiter);
         } else {
@@ -65,7 +65,7 @@
             });
         }
         if let Some(message) = self.commit_queue.limits().refuses(spec) {
-            return Some(UserAnswer::Malformed(message.into()));
+            return Some(UserAnswer::InvalidSubmission(message.into()));
         }
         let backlog_s = self.backlog_s(spec.urgency);
         let busy = backlog_s * BACKLOG_MS_PER_S > self.policy.lease_ms as f64;
@@ -79,31 +79,31 @@
         job.fresh = true;
         let job_index = self.cluster.add_job(job);
         self.commit_queue.mark_job(job_index);
-        self.job_added(job_index);
+        self.register_job(job_index);
         job_index
     }
 
     /// Seconds that it takes to record the jobs that were submitted before and are as urgent
-    /// or more: a swarm of lesser jobs doesn't keep urgent ones out.
+    /// or more: a burst of less urgent jobs doesn't keep urgent ones out.
     fn backlog_s(&self, urgency: Urgency) -> f64 {
         self.commit_queue.creations_due(&self.cluster.jobs, urgency) as f64 / self.policy.writes_per_s
     }
 
-    /// The one place that decides whether a user may be told of a job from memory, and
-    /// what: its phase and how many of its tasks run. While a write of its end may have
-    /// been carried out, another node may have read the end and told it: nothing older
-    /// may be said then, and the record must be read afresh.
+    /// The one place that decides whether a user may be answered about a job from memory, and
+    /// with what: its phase and how many of its tasks run. The records are the truth: while a write of
+    /// its end may have been carried out, another node may have read the end and answered with it.
+    /// Nothing older may be answered then, and the record must be read again.
     fn answerable_phase(&self, job_index: JobIndex) -> Result<(JobPhase, u32), UserAnswer> {
         let job = &self.cluster.jobs[job_index];
         if job.version == 0 {
             return Err(UserAnswer::RetryLater(RefusalReason::JobNotAccepted));
         }
-        if job.end.is_none() && job.end_open {
+        if job.end.is_none() && job.end_indeterminate {
             return Err(UserAnswer::RetryLater(RefusalReason::EndBeingRecorded));
         }
         if job.end.is_none()
             && job.waiting
-            && let Some(reason) = self.waiting_is_indeterminate(job_index)
+            && let Some(reason) = self.waiting_indeterminate_reason(job_index)
         {
             return Err(UserAnswer::RetryLater(reason));
         }
@@ -111,7 +111,7 @@
         Ok((job.phase(running), running))
     }
 
-    /// What a user is told whose job is accepted.
+    /// The answer to a user whose job is accepted.
     pub(super) fn accepted(&self, job_index: JobIndex, created: bool) -> UserAnswer {
         match self.answerable_phase(job_index) {
             Ok((phase, _)) => UserAnswer::Accepted { created, id: self.cluster.jobs[job_index].spec.id.clone(), phase },
@@ -119,7 +119,7 @@
         }
     }
 
-    /// What a user is told who asks for a job.
+    /// The answer to a user who asks for a job.
     pub fn status(&self, id: &str) -> UserAnswer {
         match self.cluster.job_index.get(id) {
             Some(&job_index) => self.status_of(job_index),
@@ -130,7 +130,7 @@
     /// The same for a job that is known.
     pub(super) fn status_of(&self, job_index: JobIndex) -> UserAnswer {
         let job = &self.cluster.jobs[job_index];
-        // All tasks may be done before the record says so; the end is said later.
+        // All tasks may be done before the record says so; the end is answered only after its commit.
         let done = job.done.min(job.spec.tasks);
         match self.answerable_phase(job_index) {
             Ok((phase, running)) => UserAnswer::Status { id: job.spec.id.clone(), phase, done, running },
@@ -139,7 +139,8 @@
     }
 
     /// A cancellation; answered after its commit, or at once where that can't come
-    /// soon. What can be reached is stopped in any case.
+    /// soon (`recordable` is false while the state service does not answer). What can be reached is
+    /// stopped in any case.
     pub fn cancel(&mut self, id: &str, now: u64, recordable: bool, waiter: Waiter) {
         let Some(&job_index) = self.cluster.job_index.get(id) else {
             reply(waiter, UserAnswer::Unknown);
@@ -176,8 +177,8 @@
         self.cluster.each_host().any(|(_, host)| is_unreachable(host) && has_tasks(host))
     }
 
-    /// Cancellations whose tasks are certainly gone are to be recorded, and said
-    /// then. Said before, `cancel_s` would count while a machine that nobody can
+    /// Cancellations whose tasks are certainly gone are to be recorded, and answered
+    /// then. Answered before, `cancel_s` would count while a machine that nobody can
     /// reach goes on with a task, kept alive by another controller.
     pub(super) fn record_completed_cancellations(&mut self) {
         if self.cancelling.is_empty() {
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -3,6 +3,7 @@
 use super::PartitionWarmPools;
 use crate::control::partition::Partition;
 use crate::control::partition::commit_builder::ConditionalWrite;
+use crate::control::partition::commit_results::WriteFailure;
 use crate::model::{CachedImage, HostIndex};
 use crate::wire::{self, Item};
 use badgerdrift_warm_pools::{HoldKind, PoolEvent, RecordChanges, RecordKey, StoredRecord};
@@ -12,8 +13,8 @@
     let key = RecordKey::parse(&item.key)?;
     match serde_json::from_value(item.value) {
         Ok(record) => Some((key, record, item.version)),
-        Err(e) => {
-            tracing::error!(key = item.key, error = %e, "unreadable record of a warm pool");
+        Err(error) => {
+            tracing::error!(key = item.key, %error, "unreadable record of a warm pool");
             None
         }
     }
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The changes of the pools' records that go into the next commit, if there is room for any.
+    /// The changes of the pools' records that go into the next commit, if any fit.
     pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
         let own = self.pools.as_mut()?;
         let changes = own.pools.next_changes(self.epoch.upcoming_number(), most)?;
@@ -52,13 +53,12 @@
         self.follow_pool_events(events);
     }
 
-    /// The pools' part of a commit was not made, or that is `indeterminate`.
-    pub(in crate::control::partition) fn pools_not_written(&mut self, indeterminate: bool) {
+    /// The pools' part of a commit was not made, or maybe not.
+    pub(in crate::control::partition) fn pools_not_written(&mut self, failure: WriteFailure) {
         let Some(own) = &mut self.pools else { return };
-        if indeterminate {
-            own.pools.indeterminate();
-        } else {
-            own.pools.not_written();
+        match failure {
+            WriteFailure::Indeterminate => own.pools.indeterminate(),
+            WriteFailure::NotCarriedOut => own.pools.not_written(),
         }
     }
 
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is looked after with every plan: targets, claims, slots that have lost their machine,
+//! Periodic maintenance: targets, reservations, slots that have lost their machine,
 //! prices, and new slots.
 
 use super::amounts;
@@ -8,42 +8,42 @@
 
 /// A claim that is not recorded within this multiple of `react_ms` is given up: its task is placed
 /// as usual.
-const CLAIM_PATIENCE: u64 = 2;
+const CLAIM_TIMEOUT_REACTIONS: u64 = 2;
 
 impl Partition {
-    /// Looks after the pools. `boot_ms` is how long a machine takes to boot.
+    /// Maintains the pools. `boot_ms` is how long a machine takes to boot.
     pub fn maintain_pools(&mut self, boot_ms: u64, now: u64, wall: u64) {
         let Some(own) = &mut self.pools else { return };
         own.wall_ms = wall;
         let moment = own.moment(now);
         own.pools.look(boot_ms, moment);
-        self.give_up_claims(now);
-        self.end_claims(now);
+        self.abandon_unrecorded_claims(now);
+        self.release_ended_claims(now);
         self.end_lost_slots(now);
         self.update_prices(now);
         self.reserve_warm_capacity();
-        self.begin_slots(now);
-        self.dispatch_draining();
-        self.note_transitions();
+        self.place_slots(now);
+        self.dispatch_draining_slots();
+        self.report_slot_transitions();
     }
 
     /// Claims that could not be recorded in time are given up. Their tasks were not ordered.
-    fn give_up_claims(&mut self, now: u64) {
+    fn abandon_unrecorded_claims(&mut self, now: u64) {
         let Some(own) = &mut self.pools else { return };
-        let before_ms = now.saturating_sub(CLAIM_PATIENCE * self.policy.react_ms);
+        let before_ms = now.saturating_sub(CLAIM_TIMEOUT_REACTIONS * self.policy.react_ms);
         let late = own.pools.claims_unrecorded_since(before_ms);
         for (id, _) in &late {
             own.pools.abandon_claim(*id);
         }
         for (slot, claim) in late {
-            tracing::info!(slot, job = claim.job, "claim given up, as it is not recorded");
+            tracing::info!(slot, job = claim.job, "warm reservation not recorded in time, abandoned");
             self.metrics.count("warm_claims_given_up", &claim.team);
-            self.take_back_unordered(claim.attempt);
+            self.remove_unordered_attempt(claim.attempt);
         }
     }
 
     /// An attempt that was never ordered is nowhere: its task is placed again.
-    fn take_back_unordered(&mut self, attempt: u64) {
+    fn remove_unordered_attempt(&mut self, attempt: u64) {
         let found = self.cluster.each_host().find_map(|(host_index, host)| {
             let own = host.attempts.iter().find(|own| own.attempt == attempt && own.awaits_record)?;
             Some((host_index, own.key))
@@ -54,7 +54,7 @@
     }
 
     /// Claims whose attempts are gone end; what waits to be recorded has an attempt as well.
-    pub(in crate::control::partition) fn end_claims(&mut self, now: u64) {
+    pub(in crate::control::partition) fn release_ended_claims(&mut self, now: u64) {
         let Some(own) = &self.pools else { return };
         let gone = |host: &str, attempt: u64| {
             let host = self.cluster.host_index.get(host).and_then(|index| self.cluster.host(*index));
@@ -104,7 +104,7 @@
     }
 
     /// Machines with slots to be unloaded have an order to get.
-    fn dispatch_draining(&mut self) {
+    fn dispatch_draining_slots(&mut self) {
         let draining = self.pool_slots().filter(|slot| matches!(slot.state, SlotState::Draining(_)));
         let hosts: Vec<HostIndex> =
             draining.filter_map(|slot| self.cluster.host_index.get(&slot.host).copied()).collect();
--- a/src/control/partition/warm_pools/mod.rs
+++ b/src/control/partition/warm_pools/mod.rs
@@ -1,12 +1,12 @@
 //! The partition's warm pools: the thin part around `badgerdrift_warm_pools`, which decides how
 //! many replicas are wanted, whose each one is and who pays. Here they meet machines, attempts,
-//! orders and commits. All of it is off unless the controller is told of pools.
+//! orders and commits. All of it is off unless pools are configured.
 
 mod commits;
 mod maintenance;
 mod placement;
-mod reports;
-mod rooms;
+mod reservations;
+mod slot_statuses;
 
 use super::Partition;
 use crate::model::Demand;
@@ -15,7 +15,7 @@
 /// The pools of a partition.
 pub(super) struct PartitionWarmPools {
     pools: WarmPools,
-    /// The last time of day that was told.
+    /// The time of day of the last maintenance, in milliseconds.
     wall_ms: u64,
 }
 
@@ -38,8 +38,8 @@
         self.pools.as_ref().map(|own| own.pools.status()).unwrap_or_default()
     }
 
-    /// Logs and counts what has happened to slots since the last call.
-    pub(in crate::control::partition) fn note_transitions(&mut self) {
+    /// Logs and counts the state changes of slots since the last call.
+    pub(in crate::control::partition) fn report_slot_transitions(&mut self) {
         let Some(own) = &mut self.pools else { return };
         for transition in own.pools.take_transitions() {
             let from = transition.from.as_ref().map_or("none", SlotState::label);
@@ -48,7 +48,7 @@
                 SlotState::Draining(cause) | SlotState::Ended(cause) => cause.label(),
                 _ => "",
             };
-            tracing::info!(slot = transition.slot, pool = transition.pool, from, to, cause, "warm slot changes");
+            tracing::info!(slot = transition.slot, pool = transition.pool, from, to, cause, "warm slot changed state");
             self.metrics.count("warm_slots", if cause.is_empty() { to } else { cause });
         }
     }
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -1,6 +1,6 @@
-//! Where new slots go, and machines for those that find no room.
+//! Where new slots go, and machines for those that find no capacity.
 
-use super::rooms::hosts_of;
+use super::reservations::hosts_of;
 use super::{PartitionWarmPools, amounts, demand};
 use crate::control::partition::Partition;
 use crate::model::{Host, HostIndex, Shape, Spec, Urgency};
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 
 impl Partition {
-    /// Begins with the slots that are wanted, where there is room that no work waits for.
-    pub(super) fn begin_slots(&mut self, now: u64) {
+    /// Begins with the slots that are wanted, where there is capacity that no work waits for.
+    pub(super) fn place_slots(&mut self, now: u64) {
         if !self.conditions.reservations_recordable || !self.cluster.all_reconciled {
             return;
         }
@@ -44,7 +44,7 @@
         own.pools.begin(number, name, place, moment);
     }
 
-    /// The machine for the next slot of a pool, if one is wanted and there is room for it.
+    /// The machine for the next slot of a pool, if one is wanted and there is capacity for it.
     fn place_for_slot(&self, index: &Index, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
         let own = self.pools.as_ref()?;
         if !self.payer_may_hold(own, index, pool) {
@@ -87,7 +87,7 @@
     }
 
     /// Would the payer's tasks and idle replicas keep to its limit with one more? And is no work
-    /// waiting that would have the room at once: work beyond the payer's guarantee gives way.
+    /// pending that would take the capacity at once: work beyond the payer's guarantee yields.
     fn payer_may_hold(&self, own: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
         let mut total = index.usage.get(&pool.payer).copied().unwrap_or_default();
@@ -101,7 +101,7 @@
         total.fits(&team.limit) && (guaranteed || self.scheduling_triggers.pending_jobs().is_empty())
     }
 
-    /// Replicas that found no machine with room, as tasks for the plan of what to rent.
+    /// Replicas that found no machine with free capacity, as tasks for the plan of what to rent.
     pub fn pool_replicas_without_machine(&self, now: u64) -> Vec<(Spec, usize)> {
         let Some(own) = &self.pools else { return Vec::new() };
         if !self.conditions.reservations_recordable {
--- a/src/control/partition/warm_pools/rooms.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told of the pools, and what it decided about them.
+//! What the scheduler takes into account of the pools, and what it decided about them.
 
 use super::{PartitionWarmPools, demand};
 use crate::control::partition::Partition;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl Partition {
-    /// Tells the scheduler which room is held. Without the state service no claim could be
+    /// Describes to the scheduler which capacity is reserved. Without the state service no claim could be
     /// recorded: then none is offered, and jobs are placed as usual.
     pub(in crate::control::partition) fn reserve_warm_capacity(&mut self) {
         let Some(own) = &self.pools else { return };
@@ -20,10 +20,10 @@
             .collect();
     }
 
-    /// Takes in what a scheduling cycle decided about rooms.
+    /// Takes in what a scheduling cycle decided about reserved capacity.
     pub(in crate::control::partition) fn apply_warm_decisions(&mut self, outcome: &CycleDecisions, now: u64) {
         for claim in &outcome.warm_claims {
-            self.room_claimed(claim, now);
+            self.claim_reservation(claim, now);
         }
         let Some(own) = &mut self.pools else { return };
         let moment = own.moment(now);
@@ -35,18 +35,25 @@
         }
     }
 
-    /// A task was given a room: the claim is recorded before the task is ordered.
-    fn room_claimed(&mut self, room: &WarmReservationClaim, now: u64) {
+    /// A task is placed in a warm slot. The reservation is recorded before the task is ordered: an attempt is
+    /// never in a slot that another leader would give away.
+    fn claim_reservation(&mut self, room: &WarmReservationClaim, now: u64) {
         let Some(own) = &mut self.pools else { return };
         let spec = &self.cluster.jobs[room.key.job].spec;
         let claim = Claim { job: spec.id.clone(), task: room.key.task, attempt: room.attempt, team: spec.team.clone() };
         let moment = own.moment(now);
         let claimed = own.pools.claim(room.slot, &spec.image, claim, moment);
-        tracing::info!(slot = room.slot, job = spec.id, team = spec.team, taken = claimed.is_ok(), "warm slot claimed");
+        tracing::info!(
+            slot = room.slot,
+            job = spec.id,
+            team = spec.team,
+            taken = claimed.is_ok(),
+            "warm slot reserved"
+        );
         let loaded = own.pools.slot(room.slot).is_some_and(|slot| slot.keep == HoldKind::Loaded);
         let host = self.cluster.host_mut(room.host);
         let Some(attempt) = host.and_then(|host| host.attempt_mut(room.key, room.attempt)) else { return };
-        // What could not be claimed after all is an ordinary start in the room that was held.
+        // What could not be reserved after all is an ordinary start in the capacity that was held.
         attempt.awaits_record = claimed.is_ok();
         attempt.slot = (claimed.is_ok() && loaded).then_some(room.slot);
     }
@@ -79,7 +86,7 @@
     }
 }
 
-/// The hosts on which a pool's slots hold room, one entry a slot.
+/// The hosts on which a pool's slots hold capacity, one entry a slot.
 pub(super) fn hosts_of<'a>(cluster: &'a ClusterState, own: &'a PartitionWarmPools, pool: &'a str) -> Vec<HostIndex> {
     let slots = own.pools.slots().filter(|slot| slot.pool == pool && slot.is_available());
     slots.filter_map(|slot| cluster.host_index.get(&slot.host).copied()).collect()
--- a/src/control/partition/warm_pools/reports.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -1,42 +1,47 @@
-//! What reports say of slots, and the orders that follow.
+//! What heartbeats say of slots, and the orders that follow.
 
 use crate::control::partition::Partition;
 use crate::model::HostIndex;
 use crate::wire::{Heartbeat, Order};
 use badgerdrift_warm_pools::{EndCause, HoldKind, Slot, SlotId, SlotState};
 
-/// What a report means for a slot.
+/// What a heartbeat means for a slot.
 enum SlotStatusChange {
     /// It is there, warm or not yet.
     Seen { warm: bool },
     /// It is not there.
     Missing,
-    /// The claim that the leader before recorded was not carried out, and can't be any more.
-    ClaimNotCarriedOut,
-    /// Nothing can be told from the report.
+    /// The reservation by the previous leader was never recorded, and can't be any more.
+    ClaimNeverRecorded,
+    /// The heartbeat does not show it.
     Nothing,
 }
 
 impl Partition {
-    /// Takes what a current report says of the slots on its machine.
-    pub(in crate::control::partition) fn slots_reported(&mut self, host_index: HostIndex, r: &Heartbeat, now: u64) {
+    /// Applies what a current heartbeat says of the slots on its machine.
+    pub(in crate::control::partition) fn apply_slot_statuses(
+        &mut self,
+        host_index: HostIndex,
+        heartbeat: &Heartbeat,
+        now: u64,
+    ) {
         let Some(own) = &self.pools else { return };
-        let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == r.host).collect();
-        let another_session = on_host.iter().any(|slot| slot.agent_epoch != r.agent_epoch);
-        let news: Vec<(SlotId, SlotStatusChange)> =
-            on_host.iter().map(|slot| (slot.id, self.slot_news(slot, host_index, r))).collect();
+        let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == heartbeat.host).collect();
+        let another_session = on_host.iter().any(|slot| slot.agent_epoch != heartbeat.agent_epoch);
+        let changes: Vec<(SlotId, SlotStatusChange)> =
+            on_host.iter().map(|slot| (slot.id, self.slot_status_change(slot, host_index, heartbeat))).collect();
         let moment = own.moment(now);
         let Some(own) = &mut self.pools else { return };
         if another_session {
-            own.pools.host_lost(&r.host, EndCause::SessionLost, moment);
+            own.pools.host_lost(&heartbeat.host, EndCause::SessionLost, moment);
             return;
         }
-        for (id, news) in news {
-            match news {
+        for (id, change) in changes {
+            match change {
                 SlotStatusChange::Seen { warm } => own.pools.seen(id, warm, moment),
                 SlotStatusChange::Missing => own.pools.not_reported(id, moment),
-                SlotStatusChange::ClaimNotCarriedOut => {
-                    tracing::info!(slot = id, "claim of the owner before was not carried out");
+                SlotStatusChange::ClaimNeverRecorded => {
+                    tracing::info!(slot = id, "reservation of the previous leader was never recorded");
                     own.pools.void_claim(id, moment);
                     own.pools.seen(id, false, moment);
                     self.scheduling_triggers.request_cycle();
@@ -46,14 +51,14 @@
         }
     }
 
-    fn slot_news(&self, slot: &Slot, host_index: HostIndex, r: &Heartbeat) -> SlotStatusChange {
+    fn slot_status_change(&self, slot: &Slot, host_index: HostIndex, heartbeat: &Heartbeat) -> SlotStatusChange {
         let Some(host) = self.cluster.host(host_index) else { return SlotStatusChange::Nothing };
         if let SlotState::Claimed(claim) = &slot.state {
             let there = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
             return match (there, slot.seen) {
                 (true, _) => SlotStatusChange::Seen { warm: true },
-                // No order of the leader before can come any more: the machine has seen our token.
-                (false, false) => SlotStatusChange::ClaimNotCarriedOut,
+                // No order of the previous leader can come any more: the machine has seen this leader's token.
+                (false, false) => SlotStatusChange::ClaimNeverRecorded,
                 (false, true) => SlotStatusChange::Nothing,
             };
         }
@@ -61,10 +66,11 @@
             let warm = host.images.iter().any(|image| image.ready && image.name == slot.image);
             return SlotStatusChange::Seen { warm };
         }
-        let reported = r.slots.as_ref().and_then(|slots| slots.iter().find(|reported| reported.slot == slot.id));
+        let reported =
+            heartbeat.slots.as_ref().and_then(|slots| slots.iter().find(|reported| reported.slot == slot.id));
         match (reported, &slot.state) {
             (Some(reported), _) => SlotStatusChange::Seen { warm: reported.ready },
-            // The order to load it may still be on its way.
+            // The order to load it may not have arrived yet.
             (None, SlotState::Loading) => SlotStatusChange::Nothing,
             (None, _) => SlotStatusChange::Missing,
         }
@@ -87,12 +93,14 @@
     }
 
     /// Orders to unload what a worker has and no record knows, or not any more.
-    pub(in crate::control::partition) fn unknown_slots(&self, r: &Heartbeat) -> Vec<Order> {
+    pub(in crate::control::partition) fn unknown_slots(&self, heartbeat: &Heartbeat) -> Vec<Order> {
         let Some(own) = &self.pools else { return Vec::new() };
         let known = |id: SlotId| {
-            own.pools.slot(id).is_some_and(|slot| slot.host == r.host && !matches!(slot.state, SlotState::Ended(_)))
+            own.pools
+                .slot(id)
+                .is_some_and(|slot| slot.host == heartbeat.host && !matches!(slot.state, SlotState::Ended(_)))
         };
-        let unknown = r.slots.iter().flatten().filter(|reported| !known(reported.slot));
+        let unknown = heartbeat.slots.iter().flatten().filter(|reported| !known(reported.slot));
         unknown.map(|reported| Order::Unload { slot: reported.slot }).collect()
     }
 }
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -194,7 +194,7 @@
             BackgroundEvent::PendingMachine { pending_machines, refused } => {
                 self.pending_machines(leadership, pending_machines, &refused, now)
             }
-            BackgroundEvent::Rechecked { host, record } => leadership.partition.rechecked(&host, record, now),
+            BackgroundEvent::Rechecked { host, record } => leadership.partition.host_record_read(&host, record, now),
             BackgroundEvent::Loaded(loaded) => self.loaded(leadership, loaded, now),
             BackgroundEvent::DirectDone { command, result } => {
                 leadership.partition.direct_command_done(&command, result, now)
@@ -207,11 +207,11 @@
             }
             BackgroundEvent::Inbox(items) => {
                 for i in items {
-                    leadership.partition.adopt_job(i, now);
+                    leadership.partition.add_job_of_other_node(i, now);
                 }
             }
             BackgroundEvent::DependenciesRead { submission, found } => {
-                leadership.partition.looked_up(submission, found, now, clock::wall_ms());
+                leadership.partition.dependencies_read(submission, found, now, clock::wall_ms());
             }
             BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
             BackgroundEvent::IndeterminateRead(found) => self.indeterminate_read(leadership, found),
--- a/src/control/partition_leader/answers.rs
+++ b/src/control/partition_leader/answers.rs
@@ -24,16 +24,16 @@
                 HeartbeatReply::NotEntitled
             };
         }
-        match leadership.partition.belongs(r) {
-            HostRouting::Mine => HeartbeatReply::Orders {
+        match leadership.partition.route_heartbeat(r) {
+            HostRouting::Local => HeartbeatReply::Orders {
                 fencing_token,
                 orders: leadership.partition.heartbeat(r, StatusSource::Heartbeat, now),
             },
-            HostRouting::NotYet => {
+            HostRouting::AwaitsHigherToken => {
                 leadership.token_check_due = true;
                 HeartbeatReply::NotEntitled
             }
-            HostRouting::Elsewhere(p) => HeartbeatReply::Elsewhere(p),
+            HostRouting::OtherPartition(p) => HeartbeatReply::Elsewhere(p),
             HostRouting::Unknown => HeartbeatReply::Unknown,
         }
     }
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -53,7 +53,7 @@
         leadership.known_external_dependencies = read.known;
         for item in read.records {
             if let Some(id) = item.key.strip_prefix(JOB_PREFIX).map(String::from) {
-                leadership.partition.note_dependency(&id, item, now);
+                leadership.partition.add_dependency_record(&id, item, now);
             }
         }
     }
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -31,7 +31,7 @@
     pub(super) fn send_orders(&self, leadership: &mut Leadership, now: u64) {
         let (mut free, _) = self.worker.places();
         for host_index in leadership.partition.take_dispatch_queue() {
-            if free == 0 || leadership.partition.held_up(host_index, now) {
+            if free == 0 || leadership.partition.is_command_delayed(host_index, now) {
                 leadership.partition.queue_dispatch(host_index);
             } else {
                 free -= usize::from(self.send_direct(leadership, host_index, now, false));
@@ -41,7 +41,7 @@
 
     /// Sends a machine what it is due; false if that is nothing now.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
-        let Some(command) = leadership.partition.direct(host_index, now, probe) else { return false };
+        let Some(command) = leadership.partition.next_direct_command(host_index, now, probe) else { return false };
         let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
         let (worker, sender) = (self.worker.clone(), self.sender(leadership.n));
         task::spawn(async move {
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -44,7 +44,7 @@
 
     /// Reads the records of pools and loans that are unclear, until all are read.
     pub(super) fn read_unclear_records(&self, leadership: &mut Leadership) {
-        let keys = leadership.partition.unclear_keys();
+        let keys = leadership.partition.indeterminate_keys();
         if leadership.reading_indeterminate || keys.is_empty() {
             return;
         }
@@ -64,7 +64,7 @@
     /// Takes these records as they are.
     pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
         leadership.reading_indeterminate = false;
-        leadership.partition.unclear_keys_read(found);
+        leadership.partition.indeterminate_keys_read(found);
     }
 
     /// Reads the record of a machine that may be another partition's now.
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -324,7 +324,7 @@
         UserAnswer::Status { id, phase, done, running } => {
             Response::json(200, &wire::job_answer(&id, phase, done, running))
         }
-        UserAnswer::Malformed(m) => Response::error(400, &m),
+        UserAnswer::InvalidSubmission(m) => Response::error(400, &m),
         UserAnswer::Unschedulable(m) => Response::error(422, &m),
         UserAnswer::Unknown => Response::error(404, "no such job"),
         UserAnswer::RetryLater(reason) => reason.response(),
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -86,7 +86,7 @@
     pub write_after_ms: u64,
     /// A write of its end was sent and may be carried out or not, now or later. Until
     /// that is settled another node may read the end, and tell it.
-    pub end_open: bool,
+    pub end_indeterminate: bool,
     /// The state of each task, by its number.
     pub tasks: Vec<Task>,
     /// Tasks that are done, whether recorded or not.
@@ -128,7 +128,7 @@
             unsaved_since_ms: now,
             saving: false,
             write_after_ms: 0,
-            end_open: false,
+            end_indeterminate: false,
             tasks,
             done: 0,
             recorded_done: Vec::new(),
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -94,7 +94,7 @@
     /// Told to stop, with this grace.
     pub stop: Option<f64>,
     /// Highest fencing token of a direct command with its `run` that had no answer.
-    pub risk: Option<FencingToken>,
+    pub indeterminate_order_token: Option<FencingToken>,
     /// Its `run` is in a direct command under way.
     pub in_flight: bool,
     /// Serial of the last report of its machine that listed it; 0 if none did.
@@ -119,7 +119,7 @@
             phase,
             since_ms: now,
             stop: None,
-            risk: None,
+            indeterminate_order_token: None,
             in_flight: false,
             listed_sequence: 0,
             awaits_record: false,
