--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -5,17 +5,17 @@
 //! says `done`; it is cancelled if its own record says so, or that of any job that it needs,
 //! directly or through others. Its own record follows when there is time for it.
 
-use super::waiting_clients::reply;
-use super::{Partition, UserAnswer, Waiter};
+use super::Partition;
+use super::external_dependencies::ExternalDependencies;
 use crate::api::refusal::RefusalReason;
-use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, Spec, UnsavedChange};
+use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, UnsavedChange};
 use crate::scheduling::dependency_graph::DependencyGraph;
 use crate::wire::Item;
-use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::collections::{BTreeSet, HashSet};
 
 /// What is known of a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DependencyState {
+pub(super) enum DependencyState {
     /// Recorded as done.
     Done,
     /// Recorded as cancelled, or needing a job that is.
@@ -24,42 +24,15 @@
     Open,
 }
 
-/// Records that have to be read before a submission is decided.
-#[derive(Debug, PartialEq, Eq)]
-pub struct DependencyLookup {
-    /// Number of the submission.
-    pub submission: u64,
-    /// Ids of the jobs.
-    pub ids: Vec<String>,
-}
-
-/// A submission that waits for its lookup.
-pub(super) struct PendingSubmission {
-    spec: Spec,
-    waiter: Waiter,
-}
-
-/// Submissions that wait for lookups, and dependencies that belong to other partitions.
+/// Which jobs wait for which others, and what is known of the jobs of other partitions.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
-    /// Which jobs wait for which others.
     graph: DependencyGraph,
-    submissions: BTreeMap<u64, PendingSubmission>,
-    last_submission: u64,
-    lookups: Vec<DependencyLookup>,
-    /// Dependencies that this partition does not hold, as far as their records were read.
-    external: BTreeMap<String, ExternalJob>,
+    external: ExternalDependencies,
     /// Jobs whose last dependency is done, since the last cycle.
     ready: Vec<JobIndex>,
 }
 
-/// A job that another partition holds.
-#[derive(Debug, Clone, Copy, Default)]
-struct ExternalJob {
-    end: Option<JobEnd>,
-    is_service: bool,
-}
-
 impl DependencyTracker {
     /// Which jobs wait for which others.
     pub(super) fn graph(&self) -> &DependencyGraph {
@@ -73,105 +46,29 @@
 }
 
 impl Partition {
-    // ---- submissions ----
-
-    /// A submission of a job that waits for others: names that are not known are looked up in
-    /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
-    pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
-        if spec.dependencies.contains(&spec.id) {
-            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
-            return;
-        }
-        let unknown: Vec<String> =
-            spec.dependencies.iter().filter(|id| !self.dependency_is_known(id)).map(String::from).collect();
-        if unknown.is_empty() {
-            self.accept_waiting(spec, now, wall, waiter);
-            return;
-        }
-        let books = &mut self.dependencies;
-        books.last_submission += 1;
-        let submission = books.last_submission;
-        books.lookups.push(DependencyLookup { submission, ids: unknown });
-        books.submissions.insert(submission, PendingSubmission { spec, waiter });
-    }
-
-    /// Lookups that are to be made now.
-    pub fn take_lookups(&mut self) -> Vec<DependencyLookup> {
-        std::mem::take(&mut self.dependencies.lookups)
-    }
-
-    /// The records that a lookup found, or `None` if it failed; answers the submission or goes
-    /// on with it.
-    pub fn dependencies_read(
-        &mut self,
-        submission: u64,
-        found: Option<Vec<(String, Option<Item>)>>,
-        now: u64,
-        wall: u64,
-    ) {
-        let Some(PendingSubmission { spec, waiter }) = self.dependencies.submissions.remove(&submission) else {
-            return;
-        };
-        let Some(found) = found else {
-            reply(waiter, UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
-            return;
-        };
-        for (id, item) in found {
-            match item {
-                Some(item) => self.add_dependency_record(&id, item, now),
-                None if self.dependency_is_known(&id) => {}
-                // Its own creation may have been carried out since, or may still be.
-                None if self.cluster.job_index.contains_key(&id) => {
-                    reply(waiter, UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
-                    return;
-                }
-                None => {
-                    reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} was never accepted")));
-                    return;
-                }
-            }
-        }
-        // The same job may have been submitted again, and accepted, meanwhile.
-        if let Some(&job_index) = self.cluster.job_index.get(&spec.id) {
-            self.answer_resubmission(job_index, waiter);
-        } else {
-            self.accept_waiting(spec, now, wall, waiter);
-        }
-    }
-
-    /// Accepts a job all of whose dependencies are known, unless one of them is a service.
-    fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
-        if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
-            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
-            return;
-        }
-        // What is certainly done need not be stored.
-        let open = |id: &str| self.dependency_state(id) != DependencyState::Done;
-        spec.dependencies.retain(open);
-        self.accept(spec, now, wall, waiter);
-    }
+    // ---- what is known of dependencies ----
 
     /// Is the job certainly accepted?
-    fn dependency_is_known(&self, id: &str) -> bool {
+    pub(super) fn dependency_is_known(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].version > 0,
-            None => self.dependencies.external.contains_key(id),
+            None => self.dependencies.external.is_known(id),
         }
     }
 
-    // ---- what is known of dependencies ----
-
-    fn is_service(&self, id: &str) -> bool {
+    /// Is the job known to be a service, which never is done?
+    pub(super) fn is_service(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].spec.shape == Shape::Service,
-            None => self.dependencies.external.get(id).is_some_and(|job| job.is_service),
+            None => self.dependencies.external.is_service(id),
         }
     }
 
-    fn dependency_state(&self, id: &str) -> DependencyState {
+    /// What is known of a dependency.
+    pub(super) fn dependency_state(&self, id: &str) -> DependencyState {
         let end = match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].end,
-            None => self.dependencies.external.get(id).and_then(|job| job.end),
+            None => self.dependencies.external.end_of(id),
         };
         match end {
             Some(JobEnd::Done) => DependencyState::Done,
@@ -194,11 +91,7 @@
             self.add_job_of_other_node(item, now);
             return;
         }
-        let external = self.dependencies.external.entry(id.to_string()).or_default();
-        external.is_service = record.spec.shape == Shape::Service;
-        if let Some(end) = record.end
-            && external.end.replace(end).is_none()
-        {
+        if let Some(end) = self.dependencies.external.update(id, record.spec.shape, record.end) {
             self.dependency_ended(id, end);
         }
     }
@@ -206,7 +99,7 @@
     /// Dependencies without a known end that this partition does not hold: their records are
     /// to be watched.
     pub fn external_dependencies(&self) -> Vec<String> {
-        self.dependencies.external.iter().filter(|(_, job)| job.end.is_none()).map(|(id, _)| id.clone()).collect()
+        self.dependencies.external.open()
     }
 
     // ---- waiting jobs ----
@@ -241,7 +134,7 @@
         for id in names {
             if self.dependency_state(&id) != DependencyState::Done {
                 if !self.cluster.job_index.contains_key(&id) {
-                    self.dependencies.external.entry(id.clone()).or_default();
+                    self.dependencies.external.insert(id.clone());
                 }
                 open.push(id);
             }
--- /dev/null
+++ b/src/control/partition/dependency_lookups.rs
@@ -0,0 +1,126 @@
+//! Submissions of jobs that wait for others, which are decided once all these are known.
+
+use super::dependencies::DependencyState;
+use super::waiting_clients::reply;
+use super::{Partition, UserAnswer, Waiter};
+use crate::api::refusal::RefusalReason;
+use crate::model::Spec;
+use crate::wire::Item;
+use std::collections::BTreeMap;
+
+/// Records that have to be read before a submission is decided.
+#[derive(Debug, PartialEq, Eq)]
+pub struct DependencyLookup {
+    /// Number of the submission.
+    pub submission: u64,
+    /// Ids of the jobs.
+    pub ids: Vec<String>,
+}
+
+/// A submission that waits for its lookup.
+pub(super) struct PendingSubmission {
+    spec: Spec,
+    waiter: Waiter,
+}
+
+/// Submissions that wait for lookups, and the lookups that are still to be made.
+#[derive(Default)]
+pub(super) struct DependencyLookups {
+    submissions: BTreeMap<u64, PendingSubmission>,
+    last_submission: u64,
+    due: Vec<DependencyLookup>,
+}
+
+impl DependencyLookups {
+    /// The submission waits until the records of these jobs were read.
+    fn request(&mut self, spec: Spec, waiter: Waiter, ids: Vec<String>) {
+        self.last_submission += 1;
+        let submission = self.last_submission;
+        self.due.push(DependencyLookup { submission, ids });
+        self.submissions.insert(submission, PendingSubmission { spec, waiter });
+    }
+
+    /// Lookups that are to be made now.
+    fn take_due(&mut self) -> Vec<DependencyLookup> {
+        std::mem::take(&mut self.due)
+    }
+
+    /// The lookup for this submission has ended.
+    fn complete(&mut self, submission: u64) -> Option<PendingSubmission> {
+        self.submissions.remove(&submission)
+    }
+}
+
+impl Partition {
+    /// A submission of a job that waits for others: names that are not known are looked up in
+    /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
+    pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
+        if spec.dependencies.contains(&spec.id) {
+            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
+            return;
+        }
+        let unknown: Vec<String> =
+            spec.dependencies.iter().filter(|id| !self.dependency_is_known(id)).map(String::from).collect();
+        if unknown.is_empty() {
+            self.accept_waiting(spec, now, wall, waiter);
+            return;
+        }
+        self.dependency_lookups.request(spec, waiter, unknown);
+    }
+
+    /// Lookups that are to be made now.
+    pub fn take_lookups(&mut self) -> Vec<DependencyLookup> {
+        self.dependency_lookups.take_due()
+    }
+
+    /// The records that a lookup found, or `None` if it failed; answers the submission or goes
+    /// on with it.
+    pub fn dependencies_read(
+        &mut self,
+        submission: u64,
+        found: Option<Vec<(String, Option<Item>)>>,
+        now: u64,
+        wall: u64,
+    ) {
+        let Some(PendingSubmission { spec, waiter }) = self.dependency_lookups.complete(submission) else {
+            return;
+        };
+        let Some(found) = found else {
+            reply(waiter, UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
+            return;
+        };
+        for (id, item) in found {
+            match item {
+                Some(item) => self.add_dependency_record(&id, item, now),
+                None if self.dependency_is_known(&id) => {}
+                // Its own creation may have been carried out since, or may still be.
+                None if self.cluster.job_index.contains_key(&id) => {
+                    reply(waiter, UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
+                    return;
+                }
+                None => {
+                    reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} was never accepted")));
+                    return;
+                }
+            }
+        }
+        // The same job may have been submitted again, and accepted, meanwhile.
+        if let Some(&job_index) = self.cluster.job_index.get(&spec.id) {
+            self.answer_resubmission(job_index, waiter);
+        } else {
+            self.accept_waiting(spec, now, wall, waiter);
+        }
+    }
+
+    /// Accepts a job all of whose dependencies are known, unless one of them is a service.
+    fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
+        if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
+            reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
+            return;
+        }
+        // What is certainly done need not be stored.
+        let open = |id: &str| self.dependency_state(id) != DependencyState::Done;
+        spec.dependencies.retain(open);
+        self.accept(spec, now, wall, waiter);
+    }
+}
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -18,10 +18,12 @@
 mod commit_results;
 mod critical_path;
 mod dependencies;
+mod dependency_lookups;
 mod direct_commands;
 mod dispatch_queue;
 mod drain;
 mod external_conditions;
+mod external_dependencies;
 mod failover;
 mod failure_detector;
 mod heartbeat_load;
@@ -45,7 +47,7 @@
 mod warm_pools;
 
 pub use borrowing::{LoanStatus, LoansStatus, TeamStatus};
-pub use dependencies::DependencyLookup;
+pub use dependency_lookups::DependencyLookup;
 pub use failure_detector::DetectedFailures;
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
 pub use types::{
@@ -78,6 +80,7 @@
     /// Jobs whose cancellation waits for their tasks to be gone.
     cancelling: BTreeSet<JobIndex>,
     dependencies: dependencies::DependencyTracker,
+    dependency_lookups: dependency_lookups::DependencyLookups,
     dispatch_queue: dispatch_queue::DispatchQueue,
     scheduling_triggers: scheduling_triggers::SchedulingTriggers,
     running_counts: running_counts::RunningCounts,
@@ -109,6 +112,7 @@
             waiting_clients: Default::default(),
             cancelling: BTreeSet::new(),
             dependencies: Default::default(),
+            dependency_lookups: Default::default(),
             dispatch_queue: Default::default(),
             scheduling_triggers: scheduling_triggers::SchedulingTriggers::new(),
             running_counts: Default::default(),
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -11,6 +11,7 @@
 mod followed_cancellations;
 mod limits;
 mod orders;
+mod parts;
 mod recording;
 mod silence;
 mod warm_pools;
