--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -5,8 +5,8 @@
 //! (`commit_queue`), who waits for that (`waiting_clients`), the leader's identity
 //! (`leadership_epoch`), machines that are not here (`host_directory`), what a failover leaves to be
 //! reconciled (`reconciliation`), and so on. The protocol itself is in the methods of `Partition`, by
-//! subject: requests of users in `users`, heartbeats of workers in `heartbeats`, answers to commits in
-//! `records`.
+//! subject: requests of users in `user_requests`, heartbeats of workers in `heartbeats`, answers to commits in
+//! `commit_results`.
 //!
 //! Times are in milliseconds: `now` by the monotonic clock, `wall` as time of day.
 
@@ -15,12 +15,15 @@
 mod borrowing;
 mod commit_builder;
 mod commit_queue;
+mod commit_results;
 mod critical_path;
 mod dependencies;
-mod direct;
+mod dependency_lookups;
+mod direct_commands;
 mod dispatch_queue;
 mod drain;
 mod external_conditions;
+mod external_dependencies;
 mod failover;
 mod failure_detector;
 mod heartbeat_load;
@@ -31,20 +34,20 @@
 mod leadership_epoch;
 mod next_commit;
 mod reconciliation;
-mod records;
 mod running_counts;
 mod scheduling;
 mod scheduling_triggers;
+mod task_orders;
 mod team_assignment;
 #[cfg(test)]
 pub mod tests;
 mod types;
-mod users;
+mod user_requests;
 mod waiting_clients;
 mod warm_pools;
 
 pub use borrowing::{LoanStatus, LoansStatus, TeamStatus};
-pub use dependencies::DependencyLookup;
+pub use dependency_lookups::DependencyLookup;
 pub use failure_detector::DetectedFailures;
 pub use keys::{JOB_PREFIX, host_key, inbox_key, job_key};
 pub use types::{
@@ -77,6 +80,7 @@
     /// Jobs whose cancellation waits for their tasks to be gone.
     cancelling: BTreeSet<JobIndex>,
     dependencies: dependencies::DependencyTracker,
+    dependency_lookups: dependency_lookups::DependencyLookups,
     dispatch_queue: dispatch_queue::DispatchQueue,
     scheduling_triggers: scheduling_triggers::SchedulingTriggers,
     running_counts: running_counts::RunningCounts,
@@ -108,6 +112,7 @@
             waiting_clients: Default::default(),
             cancelling: BTreeSet::new(),
             dependencies: Default::default(),
+            dependency_lookups: Default::default(),
             dispatch_queue: Default::default(),
             scheduling_triggers: scheduling_triggers::SchedulingTriggers::new(),
             running_counts: Default::default(),
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -11,6 +11,7 @@
 mod followed_cancellations;
 mod limits;
 mod orders;
+mod parts;
 mod recording;
 mod silence;
 mod warm_pools;
@@ -47,7 +48,7 @@
     }
 }
 
-/// A partition that was taken over with these records.
+/// A partition whose new leader has read these records.
 pub fn partition_of(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -193,7 +193,9 @@
             BackgroundEvent::PendingMachines { pending_machines, refused } => {
                 self.pending_machines(leadership, pending_machines, &refused, now)
             }
-            BackgroundEvent::HostRecordRead { host, record } => leadership.partition.rechecked(&host, record, now),
+            BackgroundEvent::HostRecordRead { host, record } => {
+                leadership.partition.host_record_read(&host, record, now)
+            }
             BackgroundEvent::RecordsLoaded(records) => self.records_loaded(leadership, records, now),
             BackgroundEvent::DirectCommandEnded { command, result } => {
                 leadership.partition.direct_command_done(&command, result, now)
@@ -203,10 +205,10 @@
                 items.into_iter().for_each(|item| leadership.partition.reread(item))
             }
             BackgroundEvent::InboxRead(items) => {
-                items.into_iter().for_each(|item| leadership.partition.adopt_job(item, now))
+                items.into_iter().for_each(|item| leadership.partition.add_job_of_other_node(item, now))
             }
             BackgroundEvent::DependenciesRead { submission, found } => {
-                leadership.partition.looked_up(submission, found, now, clock::wall_ms());
+                leadership.partition.dependencies_read(submission, found, now, clock::wall_ms());
             }
             BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
             BackgroundEvent::IndeterminateRecordsRead(found) => self.indeterminate_read(leadership, found),
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -57,7 +57,7 @@
         leadership.external_dependencies = ExternalDependencies::Idle { known: read.known, next_read_ms };
         for item in read.records {
             if let Some(id) = item.key.strip_prefix(JOB_PREFIX).map(String::from) {
-                leadership.partition.note_dependency(&id, item, now);
+                leadership.partition.add_dependency_record(&id, item, now);
             }
         }
     }
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -24,16 +24,16 @@
                 HeartbeatReply::NotLeader
             };
         }
-        match leadership.partition.belongs(heartbeat) {
-            HostRouting::Mine => HeartbeatReply::Orders {
+        match leadership.partition.route_heartbeat(heartbeat) {
+            HostRouting::Local => HeartbeatReply::Orders {
                 fencing_token,
                 orders: leadership.partition.heartbeat(heartbeat, StatusSource::Heartbeat, now),
             },
-            HostRouting::NotYet => {
+            HostRouting::AwaitsHigherToken => {
                 leadership.token_check_due = true;
                 HeartbeatReply::NotLeader
             }
-            HostRouting::Elsewhere(partition) => HeartbeatReply::Elsewhere(partition),
+            HostRouting::OtherPartition(partition) => HeartbeatReply::Elsewhere(partition),
             HostRouting::Unknown => HeartbeatReply::Unknown,
         }
     }
