--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -39,7 +39,7 @@
         }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
         // A leader that is not known to be of this version might not let the job wait.
-        let asked = match waits && !self.router.owner_is_current(partition) {
+        let asked = match waits && !self.router.leader_is_current(partition) {
             true => None,
             false => self.router.user(partition, UserCall::Submit(body)).await,
         };
@@ -52,7 +52,9 @@
                 r
             }
             // A second way in would only add to the work that the leader has.
-            None if self.router.at_work(partition) && self.state.is_responsive(self.router.leader_lease_ttl_ms) => {
+            None if self.router.leader_is_active(partition)
+                && self.state.is_responsive(self.router.leader_lease_ttl_ms) =>
+            {
                 RefusalReason::SubmissionSlow.response()
             }
             // Nobody holds the partition now, or can't be reached, or the job's end is
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -114,7 +114,7 @@
             partitions: Default::default(),
             peers: Default::default(),
             leader_lease_ttl_ms,
-            last_heartbeat_ms: Default::default(),
+            last_pledge_request_ms: Default::default(),
         },
         teams: Default::default(),
         policy: Arc::new(Policy::new(&settings, &Operator::default(), 0)),
@@ -147,7 +147,7 @@
         leader_lease: Default::default(),
         pledge_status: Default::default(),
         leader,
-        members,
+        election: members,
     };
     api.router.partitions = Arc::new(vec![handle]);
     let mailbox = task::spawn(async move {
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -89,7 +89,7 @@
     let mut api = api_at(service).await;
     let limits = crate::transport::peer::PeerLimits::for_leader_lease(api.router.leader_lease_ttl_ms);
     let peer = crate::transport::peer::Peer::start("worker-1".into(), "127.0.0.1:1".parse().unwrap(), limits);
-    peer.format.heard(format);
+    peer.format.received(format);
     api.router.peers = Arc::new(vec![peer]);
     api
 }
@@ -129,15 +129,15 @@
     let mut api = api_beside(&service, FrameFormat::CURRENT).await;
     service.put(None);
     let (leader_status, _mailbox) = led_here(&mut api, UserAnswer::Unknown);
-    assert!(api.router.owner_is_current(0), "it is this node");
+    assert!(api.router.leader_is_current(0), "it is this node");
     let other = LeaderStatus { is_self: false, leader: Some("worker-1".into()) };
     leader_status.send(other).unwrap();
-    assert!(api.router.owner_is_current(0));
+    assert!(api.router.leader_is_current(0));
     let unheard = crate::transport::peer::Peer::start(
         "worker-1".into(),
         "127.0.0.1:1".parse().unwrap(),
         crate::transport::peer::PeerLimits::for_leader_lease(api.router.leader_lease_ttl_ms),
     );
     api.router.peers = Arc::new(vec![unheard]);
-    assert!(!api.router.owner_is_current(0), "a silent one is not known to");
+    assert!(!api.router.leader_is_current(0), "a silent one is not known to");
 }
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -96,10 +96,10 @@
             leader_lease,
             pledge_status,
             leader: leader_tx,
-            members: members_tx,
+            election: members_tx,
         });
     }
-    let last_heartbeat_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
+    let last_pledge_request_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
     let pools = subsystems.warm_pools.map(Arc::new);
     let borrowing = subsystems.borrowing.map(Arc::new);
     let bills = pools.is_some().then(|| state.clone());
@@ -112,7 +112,7 @@
         leader_lease_ttl_ms,
         configuration,
         bills,
-        last_heartbeat_ms,
+        last_pledge_request_ms,
     };
     for (election, tx, rx) in members {
         task::spawn(election.run(tx, rx));
@@ -130,7 +130,7 @@
             worker: Worker::on(&net, &settings),
             leader_lease: handle.leader_lease.clone(),
             pledge_status: handle.pledge_status.clone(),
-            election: handle.members.clone(),
+            election: handle.election.clone(),
             router: router.clone(),
             tx: handle.leader.clone(),
             current_epoch: Arc::new(AtomicU64::new(0)),
--- /dev/null
+++ b/src/control/router/answers.rs
@@ -0,0 +1,178 @@
+//! Answers requests of the other controllers, or of this one, by the actors on this node.
+//!
+//! Each request to an actor is answered at once if its mailbox is full: a request that can't be
+//! served is refused, and not held back.
+
+use super::{MAX_COMMIT_WAIT, MAX_POLL_WAIT, PartitionHandle, Router};
+use crate::api::refusal::RefusalReason;
+use crate::borrowing::{LoansRequest, LoansResponse};
+use crate::control::membership::{self, PledgeRequest};
+use crate::control::partition::UserAnswer;
+use crate::control::partition_leader;
+use crate::runtime::clock;
+use crate::transport::frame_format::FrameFormat;
+use crate::transport::http::Response;
+use crate::transport::peer::{PeerRequest, PeerResponse, UserCall};
+use crate::warm_pools::{PoolsRequest, PoolsResponse, read_bills};
+use crate::wire;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+/// The partition whose leader keeps warm pools and loans: with them there is only one.
+const ONLY_PARTITION: u32 = 0;
+/// The partition whose leader is the provisioner of all.
+const PROVISIONER_PARTITION: u32 = 0;
+/// The answer about loans while the leader can't be asked.
+const LOANS_RETRY_LATER: LoansResponse = LoansResponse::RetryLater(1);
+/// The answer about pools while their leader can't be asked.
+const POOLS_RETRY_LATER: PoolsResponse = PoolsResponse::RetryLater(1);
+
+impl Router {
+    /// Answers another controller, or this one, by the actors on this node. `format` is the one
+    /// that the asker speaks.
+    pub async fn answer(&self, request: PeerRequest, format: FrameFormat) -> PeerResponse {
+        match request {
+            PeerRequest::Pledge { partition, leader, fencing_token, for_ms, state_ok } => {
+                let request = PledgeRequest { leader, fencing_token, for_ms, store_responsive: state_ok };
+                self.answer_pledge(partition, request, format).await
+            }
+            PeerRequest::ReleasePledge { partition, fencing_token } => {
+                if let Some(handle) = self.handle(partition) {
+                    // A pledge that is not released ends by itself.
+                    let _ = handle.election.try_send(membership::Message::ReleasePledge { fencing_token });
+                }
+                PeerResponse::Accepted
+            }
+            PeerRequest::User { partition, call } => {
+                let response = self.answer_user(partition, call).await;
+                PeerResponse::User {
+                    status: response.status,
+                    body: response.body,
+                    retry_after_s: response.retry_after_s,
+                    refusal: response.refusal,
+                }
+            }
+            PeerRequest::Configuration(request) => match &self.configuration {
+                Some(configuration) => PeerResponse::Configuration(configuration.answer(request).await),
+                None => PeerResponse::Rejected,
+            },
+            PeerRequest::Pools(request) => PeerResponse::Pools(self.pools(request).await),
+            PeerRequest::Loans(request) => PeerResponse::Loans(self.loans(request).await),
+            PeerRequest::CapacityReport(capacity_report) => {
+                let message = |reply| partition_leader::Message::CapacityReport { capacity_report, reply };
+                self.ask_actor(PROVISIONER_PARTITION, message).await.unwrap_or(PeerResponse::Rejected)
+            }
+            PeerRequest::TransferHost { partition, host, to } => {
+                let message = |reply| partition_leader::Message::TransferHost { host, to, reply };
+                self.ask_actor(partition, message).await.unwrap_or(PeerResponse::Rejected)
+            }
+        }
+    }
+
+    fn handle(&self, partition: u32) -> Option<&PartitionHandle> {
+        self.partitions.get(partition as usize)
+    }
+
+    /// Answers a leader that asks for a pledge. The request also shows that the leader is active,
+    /// and which format its node speaks.
+    async fn answer_pledge(&self, partition: u32, request: PledgeRequest, format: FrameFormat) -> PeerResponse {
+        if let Some(peer) = self.peers.iter().find(|peer| peer.name == request.leader) {
+            peer.health.received();
+            peer.format.received(format);
+        }
+        let Some(handle) = self.handle(partition) else { return PeerResponse::Rejected };
+        if let Some(last_ms) = self.last_pledge_request_ms.get(partition as usize) {
+            last_ms.store(clock::now_ms(), Ordering::Relaxed);
+        }
+        let (reply, given) = oneshot::channel();
+        let queued = handle.election.try_send(membership::Message::Pledge { request, reply }).is_ok();
+        if queued && given.await == Ok(true) { PeerResponse::Accepted } else { PeerResponse::Rejected }
+    }
+
+    /// Answers a request about warm pools: bills by their records, the status by the leader, on
+    /// whichever node it is.
+    async fn pools(&self, request: PoolsRequest) -> PoolsResponse {
+        let Some(state) = &self.bills else { return PoolsResponse::NoPools };
+        match request {
+            PoolsRequest::Bill { from, to, team } => read_bills(state, &from, &to, team.as_deref()).await,
+            PoolsRequest::Status if self.is_self(ONLY_PARTITION) => {
+                self.ask_actor(ONLY_PARTITION, partition_leader::Message::PoolStatus).await.unwrap_or(POOLS_RETRY_LATER)
+            }
+            PoolsRequest::Status => match self.ask_remote_leader(PeerRequest::Pools(PoolsRequest::Status)).await {
+                Some(PeerResponse::Pools(response)) => response,
+                _ => POOLS_RETRY_LATER,
+            },
+        }
+    }
+
+    /// Answers a request about loans by the leader, on whichever node it is.
+    async fn loans(&self, request: LoansRequest) -> LoansResponse {
+        if self.is_self(ONLY_PARTITION) {
+            let answer = self.ask_actor(ONLY_PARTITION, partition_leader::Message::LoanStatus).await;
+            return answer.unwrap_or(LOANS_RETRY_LATER);
+        }
+        match self.ask_remote_leader(PeerRequest::Loans(request)).await {
+            Some(PeerResponse::Loans(response)) => response,
+            _ => LOANS_RETRY_LATER,
+        }
+    }
+
+    /// Asks the leader of the only partition, which is another node.
+    async fn ask_remote_leader(&self, request: PeerRequest) -> Option<PeerResponse> {
+        let name = self.leader(ONLY_PARTITION)?;
+        let peer = self.peers.iter().find(|peer| peer.name == name)?;
+        let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
+        peer.request(request, limit).await
+    }
+
+    /// The answer of a partition's actor on this node; `None` if its mailbox is full, or if it
+    /// dropped the request.
+    async fn ask_actor<T>(
+        &self,
+        partition: u32,
+        message: impl FnOnce(oneshot::Sender<T>) -> partition_leader::Message,
+    ) -> Option<T> {
+        let actor: &mpsc::Sender<partition_leader::Message> = &self.handle(partition)?.leader;
+        let (reply, answer) = oneshot::channel();
+        actor.try_send(message(reply)).ok()?;
+        answer.await.ok()
+    }
+
+    /// Answers a user by the partition's actor on this node.
+    async fn answer_user(&self, partition: u32, call: UserCall) -> Response {
+        let Some(handle) = self.handle(partition) else {
+            return RefusalReason::NoSuchPartition.response();
+        };
+        let (reply, answer) = oneshot::channel();
+        let is_submission = matches!(call, UserCall::Submit(_));
+        let longest = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
+        if handle.leader.try_send(partition_leader::Message::User { call, reply }).is_err() {
+            return RefusalReason::TooManyRequests.response();
+        }
+        // A commit that takes longer is answered when the user retries.
+        match timeout(Duration::from_millis(self.leader_lease_ttl_ms).min(longest), answer).await {
+            Ok(Ok(answer)) => to_response(answer),
+            _ if is_submission => RefusalReason::SubmissionSlow.response(),
+            _ => RefusalReason::NoDecisionInTime.response(),
+        }
+    }
+}
+
+fn to_response(answer: UserAnswer) -> Response {
+    match answer {
+        UserAnswer::Accepted { created, id, phase } => {
+            let status = if created { 201 } else { 200 };
+            Response::json(status, &wire::job_answer(&id, phase, 0, 0))
+        }
+        UserAnswer::Status { id, phase, done, running } => {
+            Response::json(200, &wire::job_answer(&id, phase, done, running))
+        }
+        UserAnswer::Malformed(message) => Response::error(400, &message),
+        UserAnswer::Unschedulable(message) => Response::error(422, &message),
+        UserAnswer::Unknown => Response::error(404, "no such job"),
+        UserAnswer::RetryLater(reason) => reason.response(),
+        UserAnswer::Busy(after_s) => RefusalReason::TooManySubmissions.response_after(after_s),
+    }
+}
--- a/src/transport/frame_format.rs
+++ b/src/transport/frame_format.rs
@@ -1,4 +1,4 @@
-//! The format that a controller speaks, as its frames tell it.
+//! The format that a controller speaks, as its frames name it.
 //!
 //! While an upgrade is under way controllers of two versions serve together. A frame names
 //! the format of its sender in a field that the version before ignores and leaves out.
@@ -18,7 +18,7 @@
     /// The format that this version speaks: with jobs that wait for others.
     pub const CURRENT: FrameFormat = FrameFormat(1);
 
-    /// Does its speaker know all that this version may say?
+    /// Whether its speaker can read all that this version may send.
     pub fn is_current(self) -> bool {
         self >= FrameFormat::CURRENT
     }
@@ -32,7 +32,7 @@
     format: Arc<AtomicU32>,
 }
 
-/// Stands for a peer of which no frame has come.
+/// Stands for a peer from which no frame has come.
 const UNKNOWN: u32 = u32::MAX;
 
 impl PeerFormat {
@@ -42,9 +42,9 @@
     }
 
     /// A frame in this format has come from the peer.
-    pub fn heard(&self, format: FrameFormat) {
+    pub fn received(&self, format: FrameFormat) {
         if self.format.swap(format.0, Ordering::Relaxed) != format.0 {
-            tracing::info!(peer = %self.peer, format = format.0, current = format.is_current(), "controller tells its version");
+            tracing::info!(peer = %self.peer, format = format.0, current = format.is_current(), "version of the controller");
         }
     }
 
@@ -53,12 +53,12 @@
         Some(self.format.load(Ordering::Relaxed)).filter(|format| *format != UNKNOWN).map(FrameFormat)
     }
 
-    /// Has the peer said that it is of an earlier version?
+    /// Whether the peer is known to be of an earlier version.
     pub fn is_old(&self) -> bool {
         self.get().is_some_and(|format| !format.is_current())
     }
 
-    /// Has the peer said that it knows all that this version may say?
+    /// Whether the peer is known to read all that this version may send.
     pub fn is_current(&self) -> bool {
         self.get().is_some_and(FrameFormat::is_current)
     }
--- a/src/transport/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -107,8 +107,8 @@
     }
 
     fn received(&mut self, connection: u64, frame: Frame<PeerResponse>) {
-        self.health.heard();
-        self.format.heard(frame.format);
+        self.health.received();
+        self.format.received(frame.format);
         let Some(connection) = self.connections.iter_mut().find(|c| c.number == connection) else { return };
         connection.responses += 1;
         if let Some(waiting) = self.waiting.remove(&frame.number) {
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -122,14 +122,14 @@
 }
 
 /// Life of a lease in these tests.
-pub const GRANT_TTL_MS: u64 = 2500;
+pub const LEASE_TTL_MS: u64 = 2500;
 
 /// A peer "b", and the connections that it accepts and leaves unanswered.
 pub fn scripted_peer(connect_after: Option<Duration>) -> (Peer, Accepted) {
     let (accepted, rx) = mpsc::unbounded_channel();
     let net = Net::new(ScriptedNetwork { connect_after, accepted });
     let addr = "127.0.0.1:1".parse().unwrap();
-    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::for_leader_lease(GRANT_TTL_MS));
+    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::for_leader_lease(LEASE_TTL_MS));
     (peer, Accepted(Mutex::new(rx)))
 }
 
@@ -163,7 +163,7 @@
     for request in requests {
         assert_eq!(request.await.unwrap(), None);
     }
-    let connect_limit = PeerLimits::for_leader_lease(GRANT_TTL_MS).connect;
+    let connect_limit = PeerLimits::for_leader_lease(LEASE_TTL_MS).connect;
     assert!(begin.elapsed() < connect_limit + Duration::from_millis(50), "{:?}", begin.elapsed());
 }
 
@@ -224,10 +224,10 @@
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     let limit = Duration::from_millis(500);
     for _ in 0..2 {
-        assert!(!peer.health.is_silent());
+        assert!(!peer.health.is_unresponsive());
         assert_eq!(peer.request(poll(), limit).await, None);
     }
-    assert!(peer.health.is_silent());
+    assert!(peer.health.is_unresponsive());
     let begin = Instant::now();
     for _ in 0..20 {
         assert_eq!(peer.request(poll(), limit).await, None);
@@ -239,17 +239,17 @@
 
     // It goes on: the next probe is answered, and all requests after it.
     tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
-    sleep(Duration::from_millis(PeerLimits::for_leader_lease(GRANT_TTL_MS).health.probe_interval_ms)).await;
+    sleep(Duration::from_millis(PeerLimits::for_leader_lease(LEASE_TTL_MS).health.probe_interval_ms)).await;
     assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
-    assert!(!peer.health.is_silent());
+    assert!(!peer.health.is_unresponsive());
     assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_hangs_at_connect_is_silent() {
+async fn a_peer_that_hangs_at_connect_is_unresponsive() {
     let (peer, _accepted) = scripted_peer(None);
     for _ in 0..2 {
         assert_eq!(peer.request(poll(), Duration::from_secs(10)).await, None);
     }
-    assert!(peer.health.is_silent());
+    assert!(peer.health.is_unresponsive());
 }
--- a/src/transport/peer_health.rs
+++ b/src/transport/peer_health.rs
@@ -1,34 +1,34 @@
-//! Judges from unanswered requests whether another controller is silent, so that users
-//! are not kept waiting for it.
+//! Judges from unanswered requests whether another controller is unresponsive, so that users are
+//! not kept waiting for it.
 
 use crate::runtime::clock;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Requests in a row that a peer leaves unanswered before it counts as silent.
+/// Requests in a row that a peer leaves unanswered before it counts as unresponsive.
 const MAX_UNANSWERED: u32 = 2;
 
-/// Bounds of the judgement, in milliseconds.
+/// Limits of the judgement, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// A peer that was heard within this time is not silent, only slow.
-    pub heartbeat_timeout_ms: u64,
-    /// Interval of the user requests that probe a silent peer.
+    /// A peer from which anything was received within this time is only slow.
+    pub receive_timeout_ms: u64,
+    /// Interval of the user requests that probe an unresponsive peer.
     pub probe_interval_ms: u64,
 }
 
 impl HealthLimits {
-    /// A leader asks for pledges five times in a lease's life: two of them are missing.
-    /// Probes are half a life apart.
+    /// The limits for a duration of leader leases. A leader asks for pledges five times in it: two of
+    /// them are missing. Probes are half of it apart.
     pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> HealthLimits {
-        HealthLimits { heartbeat_timeout_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
+        HealthLimits { receive_timeout_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
     }
 }
 
 /// What an event changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The peer counts as silent from now on.
-    FoundSilent,
+    /// The peer counts as unresponsive from now on.
+    BecameUnresponsive,
     /// The peer answers again.
     Recovered,
     /// It is judged as before.
@@ -39,44 +39,46 @@
 #[derive(Debug)]
 pub struct PeerHealth {
     limits: HealthLimits,
-    /// Requests without an answer since the peer was last heard.
+    /// Requests without an answer since anything was received from the peer.
     unanswered: u32,
-    last_heartbeat_ms: Option<u64>,
-    /// While it is silent: when it was found to be, or was last probed.
+    /// When a response or a request last came from the peer, in milliseconds of the steady clock.
+    last_received_ms: Option<u64>,
+    /// While it is unresponsive: when it was found to be, or was last probed.
     probed_ms: Option<u64>,
 }
 
 impl PeerHealth {
     /// A peer that is taken to be healthy.
     pub fn new(limits: HealthLimits) -> PeerHealth {
-        PeerHealth { limits, unanswered: 0, last_heartbeat_ms: None, probed_ms: None }
+        PeerHealth { limits, unanswered: 0, last_received_ms: None, probed_ms: None }
     }
 
     /// A response or a request has come from the peer.
-    pub fn heard(&mut self, now_ms: u64) -> HealthChange {
+    pub fn received(&mut self, now_ms: u64) -> HealthChange {
         self.unanswered = 0;
-        self.last_heartbeat_ms = Some(now_ms);
+        self.last_received_ms = Some(now_ms);
         match self.probed_ms.take() {
             Some(_) => HealthChange::Recovered,
             None => HealthChange::Unchanged,
         }
     }
 
-    /// A request that was sent then is given up without an answer.
+    /// A request that was sent at `sent_ms` is given up without an answer.
     pub fn unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
-        if self.last_heartbeat_ms.is_some_and(|heard| heard >= sent_ms) {
+        if self.last_received_ms.is_some_and(|received_ms| received_ms >= sent_ms) {
             return HealthChange::Unchanged;
         }
         self.unanswered = self.unanswered.saturating_add(1);
-        let quiet = self.last_heartbeat_ms.is_none_or(|heard| now_ms >= heard + self.limits.heartbeat_timeout_ms);
-        if self.is_silent() || self.unanswered < MAX_UNANSWERED || !quiet {
+        let is_overdue =
+            self.last_received_ms.is_none_or(|received_ms| now_ms >= received_ms + self.limits.receive_timeout_ms);
+        if self.is_unresponsive() || self.unanswered < MAX_UNANSWERED || !is_overdue {
             return HealthChange::Unchanged;
         }
         self.probed_ms = Some(now_ms);
-        HealthChange::FoundSilent
+        HealthChange::BecameUnresponsive
     }
 
-    /// May a user's request be sent now? To a silent peer one is sent in each interval.
+    /// Whether a user's request may be sent now. To an unresponsive peer one is sent in each interval.
     pub fn may_ask(&mut self, now_ms: u64) -> bool {
         let Some(probed_ms) = self.probed_ms else { return true };
         let due = now_ms >= probed_ms + self.limits.probe_interval_ms;
@@ -86,13 +88,14 @@
         due
     }
 
-    /// True while the peer counts as silent.
-    pub fn is_silent(&self) -> bool {
+    /// True while the peer counts as unresponsive.
+    pub fn is_unresponsive(&self) -> bool {
         self.probed_ms.is_some()
     }
 }
 
-/// The health of a named peer, shared by all who ask it; cheap to clone. Logs the changes.
+/// The health of a named peer, shared by all tasks that send it requests; cheap to clone. Logs the
+/// changes.
 #[derive(Debug, Clone)]
 pub struct SharedPeerHealth {
     name: Arc<str>,
@@ -105,9 +108,9 @@
         SharedPeerHealth { name: name.into(), health: Arc::new(Mutex::new(PeerHealth::new(limits))) }
     }
 
-    /// See [`PeerHealth::heard`].
-    pub fn heard(&self) {
-        let change = self.lock().heard(clock::now_ms());
+    /// See [`PeerHealth::received`].
+    pub fn received(&self) {
+        let change = self.lock().received(clock::now_ms());
         self.log(change);
     }
 
@@ -122,9 +125,9 @@
         self.lock().may_ask(clock::now_ms())
     }
 
-    /// See [`PeerHealth::is_silent`].
-    pub fn is_silent(&self) -> bool {
-        self.lock().is_silent()
+    /// See [`PeerHealth::is_unresponsive`].
+    pub fn is_unresponsive(&self) -> bool {
+        self.lock().is_unresponsive()
     }
 
     fn lock(&self) -> MutexGuard<'_, PeerHealth> {
@@ -133,7 +136,7 @@
 
     fn log(&self, change: HealthChange) {
         match change {
-            HealthChange::FoundSilent => tracing::info!(peer = %self.name, "controller is silent"),
+            HealthChange::BecameUnresponsive => tracing::info!(peer = %self.name, "controller is unresponsive"),
             HealthChange::Recovered => tracing::info!(peer = %self.name, "controller answers again"),
             HealthChange::Unchanged => {}
         }
--- a/src/transport/peer_health/tests.rs
+++ b/src/transport/peer_health/tests.rs
@@ -1,66 +1,66 @@
 use super::*;
 
-const LIMITS: HealthLimits = HealthLimits { heartbeat_timeout_ms: 1000, probe_interval_ms: 1250 };
+const LIMITS: HealthLimits = HealthLimits { receive_timeout_ms: 1000, probe_interval_ms: 1250 };
 
-fn silent_since(now_ms: u64) -> PeerHealth {
+fn unresponsive_since(now_ms: u64) -> PeerHealth {
     let mut health = PeerHealth::new(LIMITS);
     health.unanswered(0, now_ms);
-    assert_eq!(health.unanswered(0, now_ms), HealthChange::FoundSilent);
+    assert_eq!(health.unanswered(0, now_ms), HealthChange::BecameUnresponsive);
     health
 }
 
 #[test]
-fn a_peer_is_silent_after_two_unanswered_requests_in_a_row() {
+fn a_peer_is_unresponsive_after_two_unanswered_requests_in_a_row() {
     let mut health = PeerHealth::new(LIMITS);
     assert_eq!(health.unanswered(0, 500), HealthChange::Unchanged);
-    assert!(!health.is_silent());
-    assert_eq!(health.unanswered(600, 1100), HealthChange::FoundSilent);
-    assert!(health.is_silent());
+    assert!(!health.is_unresponsive());
+    assert_eq!(health.unanswered(600, 1100), HealthChange::BecameUnresponsive);
+    assert!(health.is_unresponsive());
 }
 
 #[test]
-fn a_request_counts_only_if_nothing_was_heard_since_it_was_sent() {
+fn a_request_counts_only_if_nothing_was_received_since_it_was_sent() {
     let mut health = PeerHealth::new(LIMITS);
-    health.heard(100);
+    health.received(100);
     for sent_ms in [0, 50, 100] {
         assert_eq!(health.unanswered(sent_ms, 5000), HealthChange::Unchanged);
     }
     health.unanswered(101, 5000);
-    assert!(!health.is_silent());
+    assert!(!health.is_unresponsive());
 }
 
 #[test]
-fn an_answer_in_between_begins_the_count_anew() {
+fn an_answer_in_between_resets_the_count() {
     let mut health = PeerHealth::new(LIMITS);
     health.unanswered(0, 500);
-    health.heard(600);
+    health.received(600);
     health.unanswered(700, 5000);
-    assert!(!health.is_silent());
+    assert!(!health.is_unresponsive());
 }
 
 // A busy leader answers late, and asks for pledges all the time.
 #[test]
-fn a_peer_heard_a_moment_ago_is_slow_and_not_silent() {
+fn a_peer_from_which_something_was_received_lately_is_slow_and_not_unresponsive() {
     let mut health = PeerHealth::new(LIMITS);
-    health.heard(1000);
+    health.received(1000);
     for now_ms in [1300, 1600, 1999] {
         assert_eq!(health.unanswered(1001, now_ms), HealthChange::Unchanged);
     }
-    assert_eq!(health.unanswered(1001, 2000), HealthChange::FoundSilent);
+    assert_eq!(health.unanswered(1001, 2000), HealthChange::BecameUnresponsive);
 }
 
 #[test]
-fn a_silent_peer_is_asked_once_in_an_interval() {
-    let mut health = silent_since(1000);
-    let asked: Vec<u64> = (1000..=5000).step_by(10).filter(|now_ms| health.may_ask(*now_ms)).collect();
-    assert_eq!(asked, [2250, 3500, 4750]);
+fn an_unresponsive_peer_is_probed_once_in_an_interval() {
+    let mut health = unresponsive_since(1000);
+    let probes: Vec<u64> = (1000..=5000).step_by(10).filter(|now_ms| health.may_ask(*now_ms)).collect();
+    assert_eq!(probes, [2250, 3500, 4750]);
 }
 
 #[test]
-fn whatever_is_heard_ends_the_silence() {
-    let mut health = silent_since(1000);
+fn a_peer_is_responsive_again_once_anything_is_received() {
+    let mut health = unresponsive_since(1000);
     assert!(!health.may_ask(1100));
-    assert_eq!(health.heard(1200), HealthChange::Recovered);
+    assert_eq!(health.received(1200), HealthChange::Recovered);
     assert!(health.may_ask(1200) && health.may_ask(1200));
-    assert_eq!(health.heard(1300), HealthChange::Unchanged);
+    assert_eq!(health.received(1300), HealthChange::Unchanged);
 }
