--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -51,7 +51,7 @@
     /// The leader's answer to a submission; `None` if it can't be asked or gives none.
     async fn ask_leader(&self, partition: u32, spec: &Spec, body: Vec<u8>) -> Option<Response> {
         // A leader that is not known to be of this version might ignore the dependencies.
-        if !spec.dependencies.is_empty() && !self.router.owner_is_current(partition) {
+        if !spec.dependencies.is_empty() && !self.router.leader_is_current(partition) {
             return None;
         }
         self.router.user(partition, UserCall::Submit(body)).await
@@ -71,7 +71,9 @@
                 answer
             }
             // A second attempt would only add to the load of the leader.
-            None if self.router.at_work(partition) && self.state.is_responsive(self.router.leader_lease_ttl_ms) => {
+            None if self.router.leader_is_active(partition)
+                && self.state.is_responsive(self.router.leader_lease_ttl_ms) =>
+            {
                 RefusalReason::SubmissionSlow.response()
             }
             // The partition has no leader now, it can't be reached, or the job's end is being recorded.
