--- a/crates/borrowing/tests/floors.rs
+++ b/crates/borrowing/tests/floors.rs
@@ -1,5 +1,7 @@
 //! Floors, losses and who may lend to whom.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 use badgerdrift_borrowing::{
     Amounts, BorrowingSettings, JobDemand, KnownTeam, Priority, Refusal, StoppedWork, TeamShare,
 };
--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -1,5 +1,7 @@
 //! The life of a loan, with commits that are made, refused, late or without an answer.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 use badgerdrift_borrowing::{
     Amounts, BorrowingSettings, EndCause, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans, Moment,
     Proposal,
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -1,5 +1,7 @@
 //! Random sequences of loans, commits that are lost or come late, failovers, needs and returns.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 use badgerdrift_borrowing::{
     Amounts, BorrowingSettings, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans, Moment, Proposal,
     RecordWrite,
--- a/crates/fleet-config/tests/agreement.rs
+++ b/crates/fleet-config/tests/agreement.rs
@@ -3,6 +3,8 @@
 //! service forgets, and writes without an answer are carried out late. `PROPTEST_CASES` raises the
 //! number of cases.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 mod fleet;
 
 use badgerdrift_fleet_config::{
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,5 +1,6 @@
 //! Runs real controllers against stand-ins at the size of a target fleet, and reports how they fare.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a load tool: a wrong assumption ends the run")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 mod addresses;
--- a/crates/scale/tests/small_run.rs
+++ b/crates/scale/tests/small_run.rs
@@ -1,5 +1,7 @@
 //! The scale run at a small size, with real controllers: it works, whatever its speed.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -193,7 +193,7 @@
                 self.g.log(format!("cut of {pairs:?}: {cut:?}"));
                 pairs.into_iter().for_each(|(a, b)| self.cut(a, b, cut));
             }
-            FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, &zone, cut),
+            FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, zone, cut),
             FaultAction::Deaf(share, s) => self.each(rng, share, "deaf", |m| m.deaf = now + secs(s)),
             FaultAction::Mute(share, s) => self.each(rng, share, "mute", |m| m.mute = now + secs(s)),
             FaultAction::Hang(share, s) => self.each(rng, share, "hang", |m| m.hang = now + secs(s)),
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -2,6 +2,11 @@
 //! check the rules as things happen. [`Sim`] puts them and real controllers on one thread, in
 //! simulated time, over a network in memory; the scale run uses them over loopback.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "the stand-ins are test code: a wrong assumption ends the run"
+)]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 pub mod cloud;
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -138,13 +138,13 @@
 }
 
 /// What a worker does after an attempt to report.
-enum Next {
+enum AfterReport {
     /// It stays with the node.
     Stay,
     /// It reports to this node at once.
     Redirected(usize),
     /// It tries the next node after a pause.
-    TryNext,
+    TryAnother,
     /// The machine is gone.
     Gone,
 }
@@ -170,13 +170,13 @@
         // A redirection is followed at once.
         for _ in 0..g.doors.len() {
             match send_report(&g, &id, &client, at, &report).await {
-                Next::Stay => break,
-                Next::Redirected(node) => at = node,
-                Next::TryNext => {
+                AfterReport::Stay => break,
+                AfterReport::Redirected(node) => at = node,
+                AfterReport::TryAnother => {
                     next = true;
                     break;
                 }
-                Next::Gone => return,
+                AfterReport::Gone => return,
             }
         }
         if next {
@@ -218,37 +218,37 @@
     Some(SentReport { sent: Instant::now(), tenure: w.tenure(id), body, mute })
 }
 
-async fn send_report(g: &SimulationContext, id: &str, client: &Client, at: usize, report: &SentReport) -> Next {
+async fn send_report(g: &SimulationContext, id: &str, client: &Client, at: usize, report: &SentReport) -> AfterReport {
     let (sent, body) = (report.sent, report.body.as_bytes());
     if report.mute {
         sleep(ANSWER_LIMIT).await;
-        return Next::TryNext;
+        return AfterReport::TryAnother;
     }
     let limit = ANSWER_LIMIT.saturating_sub(sent.elapsed());
     let r = client.call(g.doors[at], "POST", "/agent/beat", Some(body), limit).await;
     let deaf = g.w.lock().unwrap().machines[id].deaf > Instant::now();
     if deaf {
         sleep(ANSWER_LIMIT.saturating_sub(sent.elapsed())).await;
-        return Next::TryNext;
+        return AfterReport::TryAnother;
     }
     if !awake(g, id).await {
-        return Next::Gone;
+        return AfterReport::Gone;
     }
     if sent.elapsed() > ANSWER_LIMIT {
-        return Next::TryNext;
+        return AfterReport::TryAnother;
     }
     match r {
         Ok((200, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
             g.w.lock().unwrap().reply(id, report.tenure, sent, &v);
-            Next::Stay
+            AfterReport::Stay
         }
         Ok((421, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
             let to = v["reports_to"].as_str().and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
-            to.filter(|n| *n != at && *n < g.doors.len()).map_or(Next::TryNext, Next::Redirected)
+            to.filter(|n| *n != at && *n < g.doors.len()).map_or(AfterReport::TryAnother, AfterReport::Redirected)
         }
-        _ => Next::TryNext,
+        _ => AfterReport::TryAnother,
     }
 }
 
--- a/crates/stand-ins/src/world/job.rs
+++ b/crates/stand-ins/src/world/job.rs
@@ -8,6 +8,7 @@
 use tokio::time::Instant;
 
 /// A job: what was submitted, what it does, and what its user was told.
+#[allow(clippy::struct_excessive_bools, reason = "independent facts of a simulated job")]
 #[derive(Debug, Clone)]
 pub struct Job {
     pub id: String,
--- a/crates/stand-ins/src/world/machine.rs
+++ b/crates/stand-ins/src/world/machine.rs
@@ -60,6 +60,7 @@
     pub(super) since: Instant,
 }
 
+#[allow(clippy::struct_excessive_bools, reason = "independent faults of a simulated machine")]
 pub struct Machine {
     pub id: String,
     pub addr: SocketAddr,
--- a/crates/warm-pools/tests/calendar.rs
+++ b/crates/warm-pools/tests/calendar.rs
@@ -1,5 +1,7 @@
 //! Windows, exceptions, daylight saving, and clocks that step.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 mod common;
 
 use badgerdrift_warm_pools::{AcceptedTime, Schedule, Window};
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -1,5 +1,7 @@
 //! Slots, claims, bills and names, one at a time.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 mod common;
 
 use badgerdrift_warm_pools::{
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -1,6 +1,8 @@
 //! Random sequences of claims, lost and late commits, failovers and losses, against a reference
 //! that keeps one line for each slot: whose it is, and since when.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 mod common;
 
 use badgerdrift_warm_pools::{
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -2,6 +2,8 @@
 //!
 //!     cargo run --release --example pass_cost -- 480 4000
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a measurement: a wrong assumption ends it")]
+
 use badgerdrift::control::partition::Partition;
 use badgerdrift::model::{Demand, FencingToken, Host, InstanceType, Job, Shape, Spec, Urgency};
 use badgerdrift::scheduling::{Policy, TeamRule};
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,6 @@
 //! The clients against scripted peers that page, refuse, forget and babble.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use badgerdrift::clients::{Cloud, RentResult, RequestError, StateStore};
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::{charged, days_without_headroom, s};
 use crate::simulation::{seeds, simulate_with};
-use badgerdrift_stand_ins::world::{BootFaults, SimulationState, secs};
+use badgerdrift_stand_ins::world::{BootFaults, Job, SimulationState, secs};
 use badgerdrift_stand_ins::{Setup, Sim};
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
 }
 
 async fn until_all_are_returned(sim: &Sim) {
-    sim.until("all work is done", s(120), |w| w.jobs.values().all(|j| j.over())).await;
+    sim.until("all work is done", s(120), |w| w.jobs.values().all(Job::over)).await;
     let none = |w: &SimulationState| w.machines.values().all(|m| !m.exists());
     sim.until("all machines are returned", s(RETURNED_S), none).await;
 }
@@ -120,7 +120,7 @@
         simulate_with(Setup::without_headroom(), seed, async |mut sim| {
             sim.run(s(5)).await;
             submit_work(&mut sim);
-            sim.until("all work is done", s(120), |w| w.jobs.values().all(|j| j.over())).await;
+            sim.until("all work is done", s(120), |w| w.jobs.values().all(Job::over)).await;
             let w = sim.g.w.lock().unwrap();
             assert_eq!(w.machines.len(), NEEDED, "seed {seed}: machines that were rented\n{}", w.recent(""));
         });
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,7 @@
 //! The check of the list of tests that may fail (`.ci/known-red`), on lists of its own.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
+
 use std::fs::{self, File};
 use std::path::Path;
 use std::process::{Command, Stdio};
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,6 +1,7 @@
 //! The whole service against stand-ins, on loopback. Each controller runs on a
 //! runtime of its own, so that it can be killed.
 
+#![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 mod stand_ins;
