--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -42,7 +42,7 @@
     }
     let fills = timed(|| fleet.schedule(1000, 1000));
     // The machines have begun what they were told.
-    for host in fleet.cluster.hosts.iter_mut().flatten() {
+    for host in fleet.cluster_mut().hosts.iter_mut().flatten() {
         host.attempts.iter_mut().for_each(|attempt| attempt.phase = badgerdrift::model::TaskPhase::Running);
     }
     for number in 0..machines / 4 {
@@ -51,7 +51,7 @@
     fleet.maintain_loans(2000, 2000);
     let burst = timed(|| fleet.schedule(2000, 2000));
     let later = timed(|| (1..=PASSES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / PASSES as u32;
-    let attempts = fleet.cluster.each_host().flat_map(|(_, host)| &host.attempts);
+    let attempts = fleet.cluster().each_host().flat_map(|(_, host)| &host.attempts);
     let stops = attempts.filter(|attempt| attempt.stop.is_some()).count();
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
     println!("{machines:8}  {borrowing:9}  {:18.1}  {:20.1}  {:15.1}  {stops:5}", ms(fills), ms(burst), ms(later));
@@ -89,7 +89,7 @@
         let mut host = Host::new(format!("host-{number:06}"), "a".into(), false, Some(0), 0);
         (host.registered, host.reconciled) = (true, true);
         host.addr = Some(([10, 0, 0, 1], 9000).into());
-        partition.cluster.add_host(host);
+        partition.cluster_mut().add_host(host);
     }
     if borrowing {
         partition.enable_borrowing(Arc::new(borrowing_settings()));
@@ -129,5 +129,5 @@
     };
     let mut job = Job::new(spec, number as u64, 0);
     (job.version, job.fresh) = (1, true);
-    fleet.cluster.add_job(job);
+    fleet.cluster_mut().add_job(job);
 }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -77,7 +77,7 @@
 }
 
 fn instance_type() -> Value {
-    serde_json::to_value(&partition::tests::partition().cluster.instance_types[0]).unwrap()
+    serde_json::to_value(&partition::tests::partition().cluster().instance_types[0]).unwrap()
 }
 
 fn submission() -> Vec<u8> {
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -64,11 +64,11 @@
 /// The state of one partition, and the protocol over it.
 pub struct Partition {
     /// Its jobs, machines and machine types.
-    pub cluster: ClusterState,
+    cluster: ClusterState,
     /// Settings that decisions depend on.
-    pub policy: Policy,
+    policy: Policy,
     /// Figures for `GET /metrics`.
-    pub metrics: Metrics,
+    metrics: Metrics,
     teams: team_assignment::TeamAssignment,
     epoch: leadership_epoch::LeadershipEpoch,
     conditions: external_conditions::ExternalConditions,
@@ -138,6 +138,36 @@
         self.epoch.set_fencing_token(fencing_token, partition_version);
     }
 
+    /// Its jobs, machines and machine types.
+    pub fn cluster(&self) -> &ClusterState {
+        &self.cluster
+    }
+
+    /// The same, to be filled by trials.
+    pub fn cluster_mut(&mut self) -> &mut ClusterState {
+        &mut self.cluster
+    }
+
+    /// Settings that decisions depend on.
+    pub fn policy(&self) -> &Policy {
+        &self.policy
+    }
+
+    /// The same, to be changed while the leader leads.
+    pub fn policy_mut(&mut self) -> &mut Policy {
+        &mut self.policy
+    }
+
+    /// Figures for `GET /metrics`.
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
+    }
+
+    /// The same, to count on in.
+    pub fn metrics_mut(&mut self) -> &mut Metrics {
+        &mut self.metrics
+    }
+
     // ---- external conditions ----
 
     /// Whether a controller is known to be of a version that would not let jobs wait: then no job
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -46,6 +46,16 @@
         self.update_pending_jobs(least, out);
     }
 
+    /// Sets aside capacity for work that is expected to arrive at these rates.
+    pub fn reserve_for_flows(&mut self, flows: &[scheduling::ClassFlow]) {
+        self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, flows);
+    }
+
+    /// Replaces the machine types of which no more can be rented now.
+    pub fn set_exhausted(&mut self, exhausted: Vec<usize>) {
+        self.cluster.exhausted = exhausted;
+    }
+
     /// Limits the attempts by the measured cost of following those on the machines.
     fn bound_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -43,13 +43,13 @@
                         n += 1;
                         self.current.store(n, Ordering::Relaxed);
                         let mut leadership = self.begin(n, fencing_token, version, lease_id, start_ms);
-                        leadership.partition.metrics = std::mem::take(&mut metrics);
+                        *leadership.partition.metrics_mut() = std::mem::take(&mut metrics);
                         active = Some(leadership);
                     }
                     Some(LeadershipChange::End) => {
                         self.current.store(0, Ordering::Relaxed);
-                        if let Some(leadership) = active.take() {
-                            metrics = leadership.partition.metrics;
+                        if let Some(mut leadership) = active.take() {
+                            metrics = std::mem::take(leadership.partition.metrics_mut());
                         }
                     }
                     None => return,
@@ -179,7 +179,7 @@
                 let waiting = leadership.partition.waiting_jobs();
                 let gauge = labelled_gauge_line("jobs_waiting_for_others", "partition", &label, waiting);
                 let loans = if leadership.loaded { leadership.partition.loan_gauges(now) } else { String::new() };
-                let _ = reply.send(leadership.partition.metrics.text() + &gauge + &loans);
+                let _ = reply.send(leadership.partition.metrics().text() + &gauge + &loans);
             }
             // One of an earlier session must not cycle for the one that is under way.
             Message::Background { leadership_epoch, event } if leadership_epoch == leadership.n => {
@@ -246,11 +246,11 @@
         leadership.loaded = true;
         tracing::info!(
             %fencing_token,
-            jobs = leadership.partition.cluster.live.len(),
-            hosts = leadership.partition.cluster.host_index.len(),
+            jobs = leadership.partition.cluster().live.len(),
+            hosts = leadership.partition.cluster().host_index.len(),
             "loaded"
         );
-        self.watch_cloud(leadership.n, leadership.partition.cluster.instance_types.clone());
+        self.watch_cloud(leadership.n, leadership.partition.cluster().instance_types.clone());
         self.watch_inbox(leadership.n);
     }
 }
--- a/src/control/partition_leader/answers.rs
+++ b/src/control/partition_leader/answers.rs
@@ -58,7 +58,7 @@
         refused: &[Machines],
         now: u64,
     ) {
-        let cluster = &leadership.partition.cluster;
+        let cluster = leadership.partition.cluster();
         let pending = pending_machines.into_iter().filter_map(|m| {
             let machine =
                 PendingMachine { instance_type: cluster.instance_type(&m.instance_type)?, zone: m.zone, spot: m.spot };
--- a/src/control/partition_leader/cloud_tasks.rs
+++ b/src/control/partition_leader/cloud_tasks.rs
@@ -33,7 +33,7 @@
 
     fn rent(&self, leadership: &Leadership, name: String, rental: Rental, pause_ms: u64) {
         let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.n));
-        let instance_type = leadership.partition.cluster.instance_types[rental.instance_type].name.clone();
+        let instance_type = leadership.partition.cluster().instance_types[rental.instance_type].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
             let result = cloud.rent(&name, &instance_type, &rental.zone, rental.spot, rental.count).await;
@@ -77,10 +77,10 @@
         for id in &hosts {
             if let Some(addr) = leadership
                 .partition
-                .cluster
+                .cluster()
                 .host_index
                 .get(id)
-                .and_then(|index| leadership.partition.cluster.host(*index)?.addr)
+                .and_then(|index| leadership.partition.cluster().host(*index)?.addr)
             {
                 self.worker.forget(addr);
             }
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -75,11 +75,11 @@
 
     /// The service has refused the rate of changes: the lower one that was announced holds now.
     fn slow_down(&self, leadership: &mut Leadership, now: u64) {
-        leadership.partition.metrics.count("limits_met", "write_rate");
+        leadership.partition.metrics_mut().count("limits_met", "write_rate");
         let limits = self.settings.write_limits();
-        if leadership.partition.policy.writes_per_s > limits.lower_changes_per_s {
+        if leadership.partition.policy().writes_per_s > limits.lower_changes_per_s {
             tracing::info!(per_s = limits.lower_changes_per_s, "the state service takes fewer changes");
-            leadership.partition.policy.writes_per_s = limits.lower_changes_per_s;
+            leadership.partition.policy_mut().writes_per_s = limits.lower_changes_per_s;
             leadership.writes = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
             let burst = leadership.writes.available_tokens(now);
             leadership.writes.spend(burst);
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -24,12 +24,12 @@
     }
 
     fn obey(&self, leadership: &mut Leadership, published: &Published, region: &str) {
-        let mut policy = policy_of(&leadership.partition.policy, &published.state, region);
+        let mut policy = policy_of(leadership.partition.policy(), &published.state, region);
         let suspended = !published.may_start_tasks;
         if suspended {
             policy.teams.values_mut().for_each(|team| team.limit = Demand::default());
         }
-        leadership.partition.policy = policy;
+        *leadership.partition.policy_mut() = policy;
         leadership.partition.request_cycle();
         leadership.followed.version = Some(published.state.version);
         leadership.followed.suspended = suspended;
--- a/src/control/partition_leader/rounds.rs
+++ b/src/control/partition_leader/rounds.rs
@@ -119,7 +119,7 @@
     let began = tokio::time::Instant::now();
     work(leadership);
     let took = began.elapsed().as_millis() as u64;
-    leadership.partition.metrics.observe(name, label, took);
+    leadership.partition.metrics_mut().observe(name, label, took);
     tracing::debug!(name, label, took, "done");
     took
 }
--- a/src/provisioning/provisioner.rs
+++ b/src/provisioning/provisioner.rs
@@ -100,7 +100,7 @@
         self.capacity_reports.insert(to, (now, capacity_report));
         let named = |instance_type: usize, zone: String, spot: bool| {
             Some(Machines {
-                instance_type: partition.cluster.instance_types.get(instance_type)?.name.clone(),
+                instance_type: partition.cluster().instance_types.get(instance_type)?.name.clone(),
                 zone,
                 spot,
                 count: 1,
@@ -115,7 +115,7 @@
     pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused.clear();
         for m in refused {
-            if let Some(f) = partition.cluster.instance_type(&m.instance_type) {
+            if let Some(f) = partition.cluster().instance_type(&m.instance_type) {
                 self.refused.insert((f, m.zone.clone(), m.spot), (until_ms, 0));
             }
         }
@@ -131,15 +131,15 @@
         wall: u64,
     ) -> (CapacityReport, Vec<CloudRequest>) {
         for (name, label) in self.events.drain(..) {
-            partition.metrics.count(name, &label);
+            partition.metrics_mut().count(name, &label);
         }
         let flows = flows(partition, wall);
         let gone = |f: usize, z: &String| self.refused.get(&(f, z.clone(), false)).is_some_and(|r| now < r.0);
-        let instance_types = partition.cluster.instance_types.iter().enumerate();
+        let instance_types = partition.cluster().instance_types.iter().enumerate();
         let exhausted = instance_types.filter(|(i, f)| f.zones.iter().all(|z| gone(*i, z))).map(|(i, _)| i).collect();
-        partition.cluster.exhausted = exhausted;
-        partition.cluster.reserves = scheduling::reserves(&partition.cluster, &partition.policy, &flows);
-        let cluster = &partition.cluster;
+        partition.set_exhausted(exhausted);
+        partition.reserve_for_flows(&flows);
+        let cluster = partition.cluster();
         let mut capacity_report = CapacityReport {
             partition: partition.id(),
             lowest_bin: partition.lowest_bin(wall),
@@ -161,7 +161,7 @@
                 upcoming: &upcoming,
                 flows: &flows,
             };
-            scheduling::plan(cluster, &partition.policy, now, &work, pending_machines, &supply)
+            scheduling::plan(cluster, partition.policy(), now, &work, pending_machines, &supply)
         };
         let machines = |r: Rental| {
             let instance_type = cluster.instance_types[r.instance_type].name.clone();
@@ -172,7 +172,7 @@
         for host_index in plan.spare {
             let Some(h) = cluster.host(host_index) else { continue };
             let Some(boot_s) = h.instance_type.map(|f| cluster.instance_types[f].boot_s) else { continue };
-            let keep = (partition.policy.idle_keep * boot_s * 1000.0) as u64;
+            let keep = (partition.policy().idle_keep * boot_s * 1000.0) as u64;
             if now > h.idle_since_ms + keep {
                 idle.push(h.id.clone());
             } else {
@@ -200,7 +200,7 @@
                 return Supply::Refused;
             }
             let kind = MachineKind { instance_type, zone: zone.to_string(), spot };
-            let nominal_ms = boots::nominal_boot_ms(&partition.cluster.instance_types[instance_type]);
+            let nominal_ms = boots::nominal_boot_ms(&partition.cluster().instance_types[instance_type]);
             let late = late.get(&kind).copied().unwrap_or(0);
             Supply::Available { cost_factor: self.boot_times.cost_factor(&kind, nominal_ms, late, now) }
         }
@@ -217,7 +217,7 @@
         now: u64,
         patience_ms: u64,
     ) -> Vec<CloudRequest> {
-        let cluster = &partition.cluster;
+        let cluster = partition.cluster();
         let mut ops = Vec::new();
         if !self.dependency_known || cluster.instance_types.is_empty() {
             return ops;
@@ -290,12 +290,12 @@
 
 /// Arrivals of each class within the longest boot, from what was accepted.
 fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
-    let boot_s = partition.cluster.instance_types.iter().map(|f| f.boot_s).fold(1.0, f64::max);
+    let boot_s = partition.cluster().instance_types.iter().map(|f| f.boot_s).fold(1.0, f64::max);
     let window_s = 3.0 * boot_s;
-    let since = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy.start_ms);
+    let since = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy().start_ms);
     let span_s = (wall.saturating_sub(since) as f64 / 1000.0).max(boot_s);
     let mut sums: BTreeMap<&str, (&Spec, f64, f64)> = BTreeMap::new();
-    for job in partition.cluster.jobs.iter().filter(|j| j.accepted_ms >= since) {
+    for job in partition.cluster().jobs.iter().filter(|j| j.accepted_ms >= since) {
         let n = f64::from(job.spec.tasks);
         let s = sums.entry(&job.spec.class).or_insert((&job.spec, 0.0, 0.0));
         *s = (&job.spec, s.1 + n, s.2 + n * n);
--- a/src/provisioning/provisioner/boots.rs
+++ b/src/provisioning/provisioner/boots.rs
@@ -133,7 +133,7 @@
         }
         for (id, machine) in &mut self.booting {
             let kind = MachineKind::of(&machine.kind);
-            let nominal_ms = nominal_boot_ms(&partition.cluster.instance_types[kind.instance_type]);
+            let nominal_ms = nominal_boot_ms(&partition.cluster().instance_types[kind.instance_type]);
             let age_ms = machine.age_ms(now);
             let late = self.boot_times.is_late(&kind, nominal_ms, age_ms, now);
             if late && !machine.late {
@@ -163,8 +163,8 @@
     /// Judges no machine for a while after rounds were missed.
     fn note_round(&mut self, partition: &Partition, now: u64, patience_ms: u64) {
         self.note_begin(partition, now);
-        self.react_ms = partition.policy.react_ms;
-        if now > self.last_round_ms + STALL_RATIO * partition.policy.react_ms {
+        self.react_ms = partition.policy().react_ms;
+        if now > self.last_round_ms + STALL_RATIO * partition.policy().react_ms {
             self.judges_from_ms = now + patience_ms;
         }
         self.last_round_ms = now;
@@ -210,7 +210,7 @@
                 drop.push(entry.id.clone());
                 continue;
             }
-            let Some(instance_type) = partition.cluster.instance_type(&entry.instance_type) else { continue };
+            let Some(instance_type) = partition.cluster().instance_type(&entry.instance_type) else { continue };
             let kind = PendingMachine { instance_type, zone: entry.zone.clone(), spot: entry.spot };
             self.kinds.insert(entry.id.clone(), kind.clone());
             if is_up(partition, &entry.id) {
@@ -236,7 +236,7 @@
     /// How long a machine is expected to take until it is up, whatever its kind: by the boots that
     /// were seen lately, or by the nominal time.
     pub fn expected_boot_ms(&self, partition: &Partition, now: u64) -> u64 {
-        let kinds = partition.cluster.instance_types.iter().enumerate().flat_map(|(instance_type, f)| {
+        let kinds = partition.cluster().instance_types.iter().enumerate().flat_map(|(instance_type, f)| {
             let nominal_ms = nominal_boot_ms(f);
             let of_zone = move |zone: &String| {
                 [false, true].map(|spot| (MachineKind { instance_type, zone: zone.clone(), spot }, nominal_ms))
@@ -260,11 +260,11 @@
     fn never_comes_up(&self, id: &str, partition: &Partition, now: u64) -> bool {
         let Some(machine) = self.booting.get(id) else { return false };
         let kind = MachineKind::of(&machine.kind);
-        let nominal_ms = nominal_boot_ms(&partition.cluster.instance_types[kind.instance_type]);
+        let nominal_ms = nominal_boot_ms(&partition.cluster().instance_types[kind.instance_type]);
         match machine.running_ms {
             Some(running_ms) => {
                 let expected_ms = self.boot_times.expected_ms(&kind, nominal_ms, now);
-                now.saturating_sub(running_ms) > expected_ms.max(partition.policy.lease_ms)
+                now.saturating_sub(running_ms) > expected_ms.max(partition.policy().lease_ms)
             }
             None => self.boot_times.is_lost(&kind, nominal_ms, machine.age_ms(now), now),
         }
@@ -273,7 +273,7 @@
 
 /// The label of counters for machines of one type in one zone.
 fn kind_label(partition: &Partition, kind: &MachineKind) -> String {
-    format!("{}/{}", partition.cluster.instance_types[kind.instance_type].name, kind.zone)
+    format!("{}/{}", partition.cluster().instance_types[kind.instance_type].name, kind.zone)
 }
 
 /// Has the machine reported, to any partition?
--- a/src/provisioning/provisioner/tests/late_boots.rs
+++ b/src/provisioning/provisioner/tests/late_boots.rs
@@ -98,7 +98,7 @@
     bench.run(BOOT_MS);
     assert_eq!(bench.rented.len(), 2, "one replacement");
     bench.run(10 * BOOT_MS);
-    let metrics = bench.partition.metrics.text();
+    let metrics = bench.partition.metrics().text();
     for counted in [r#"boots_late_total{of="g8/a"} 1"#, r#"boots_failed_total{of="g8/a"} 1"#] {
         assert!(metrics.contains(counted), "{counted} in {metrics}");
     }
@@ -152,7 +152,7 @@
     bench.run(BOOT_MS * 9 / 4);
     assert_eq!(bench.zones(), ["a", "b"]);
     // Up after 2.6 boot times, and idle for as long as any machine may be.
-    let keep_ms = (bench.partition.policy.idle_keep * BOOT_MS as f64) as u64;
+    let keep_ms = (bench.partition.policy().idle_keep * BOOT_MS as f64) as u64;
     bench.run(BOOT_MS / 2 + keep_ms);
     assert_eq!(bench.zones(), ["a"], "the surplus is returned");
     assert_eq!(bench.rented.len(), 2);
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn of(mut partition: Partition) -> Bench {
-        partition.policy.headroom = 0.0;
+        partition.policy_mut().headroom = 0.0;
         Bench {
             partition,
             provisioner: Provisioner::new(LAG_S),
--- a/src/provisioning/provisioner/tests/rental_requests.rs
+++ b/src/provisioning/provisioner/tests/rental_requests.rs
@@ -35,7 +35,7 @@
     assert_eq!(sent.len(), 8);
     let pauses: Vec<u64> = sent.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(pauses.is_sorted() && pauses[6] >= 8 * pauses[0], "{pauses:?}");
-    let metrics = bench.partition.metrics.text();
+    let metrics = bench.partition.metrics().text();
     assert!(metrics.contains(r#"rentals_total{of="unanswered"} 8"#), "{metrics}");
     assert!(metrics.contains(r#"rentals_total{of="abandoned"} 1"#), "{metrics}");
     // The cloud answers again.
