--- a/src/control/partition/attempt_phases.rs
+++ b/src/control/partition/attempt_phases.rs
@@ -56,7 +56,7 @@
         let Some(known) = host.attempt_mut(key, attempt) else { return };
         known.phase = phase;
         let job = &mut jobs[key.job];
-        if phase == TaskPhase::Saving && known.stop.is_none() && self.loans.is_some() {
+        if phase == TaskPhase::Saving && known.stop.is_none() && self.borrowing.is_some() {
             // An earlier leader has ordered its stop, and its team's use is less by it.
             known.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
         }
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -22,20 +22,20 @@
 impl Partition {
     /// Begins with the records of the last leader's loans.
     pub fn begin_loans(&mut self, items: Vec<Item>) {
-        if let Some(own) = &mut self.loans {
-            own.loans.restore(items.into_iter().filter_map(record));
+        if let Some(borrowing) = &mut self.borrowing {
+            borrowing.loans.restore(items.into_iter().filter_map(record));
         }
     }
 
     /// The records of loans that go into the next commit, at most so many.
     pub(in crate::control::partition) fn next_loan_writes(&mut self, most: usize, wall: u64) -> Vec<RecordWrite> {
-        self.loans.as_mut().map(|own| own.loans.next_writes(most, wall)).unwrap_or_default()
+        self.borrowing.as_mut().map(|borrowing| borrowing.loans.next_writes(most, wall)).unwrap_or_default()
     }
 
     /// The loans' part of a commit was made: what it tells of may be stopped.
     pub(in crate::control::partition) fn loans_written(&mut self, revision: u64) {
-        let Some(own) = &mut self.loans else { return };
-        for LoanEvent::Recorded(id) in own.loans.written(revision) {
+        let Some(borrowing) = &mut self.borrowing else { return };
+        for LoanEvent::Recorded(id) in borrowing.loans.written(revision) {
             self.order_waiting_stops(id);
         }
         self.report_loan_transitions();
@@ -43,29 +43,29 @@
 
     /// The loans' part of a commit was not made, or maybe not.
     pub(in crate::control::partition) fn loans_not_written(&mut self, failure: WriteFailure) {
-        let Some(own) = &mut self.loans else { return };
+        let Some(borrowing) = &mut self.borrowing else { return };
         match failure {
-            WriteFailure::Indeterminate => own.loans.indeterminate(),
-            WriteFailure::NotCarriedOut => own.loans.not_written(),
+            WriteFailure::Indeterminate => borrowing.loans.indeterminate(),
+            WriteFailure::NotCarriedOut => borrowing.loans.not_written(),
         }
     }
 
     /// Keys of loans that must be read before their records are written again.
     pub(in crate::control::partition) fn loan_keys_to_read(&self) -> Vec<String> {
-        self.loans.iter().flat_map(|own| own.loans.keys_to_read()).collect()
+        self.borrowing.iter().flat_map(|borrowing| borrowing.loans.keys_to_read()).collect()
     }
 
     /// Takes a key as it is now.
     pub(in crate::control::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
-        if let Some(own) = &mut self.loans {
-            own.loans.reread(key, item.map_or(0, |item| item.version));
+        if let Some(borrowing) = &mut self.borrowing {
+            borrowing.loans.reread(key, item.map_or(0, |item| item.version));
         }
     }
 
     /// The record is written: the stops for the loan are due.
     fn order_waiting_stops(&mut self, id: LoanId) {
-        let Some(own) = &mut self.loans else { return };
-        for stop in own.waiting_stops.remove(&id).unwrap_or_default() {
+        let Some(borrowing) = &mut self.borrowing else { return };
+        for stop in borrowing.waiting_stops.remove(&id).unwrap_or_default() {
             let host = self.cluster.host_mut(stop.host);
             if let Some(attempt) = host.and_then(|host| host.attempt_mut(stop.key, stop.attempt)) {
                 attempt.stop_awaits_record = false;
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -19,9 +19,9 @@
 impl Partition {
     /// Describes to the scheduler which work of other teams may be stopped.
     pub(in crate::control::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
-        let Some(own) = &self.loans else { return };
-        let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
-        let lending = own.lending_state(self, &demands, wall);
+        let Some(borrowing) = &self.borrowing else { return };
+        let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
+        let lending = borrowing.lending_state(self, &demands, wall);
         self.release_team_reservations(&demands);
         let reserves_for_teams =
             self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|claim| claim.for_team));
@@ -35,7 +35,7 @@
         now: u64,
         wall: u64,
     ) {
-        if self.loans.is_none() {
+        if self.borrowing.is_none() {
             return;
         }
         let mut stops: BTreeMap<LoanParties, Vec<&Preemption>> = BTreeMap::new();
@@ -73,9 +73,9 @@
             kind: if parties.guaranteed { LoanKind::Guaranteed } else { LoanKind::Borrowed },
         };
         let waiting = stops.iter().map(|stop| WaitingStop { host: stop.host, key: stop.key, attempt: stop.attempt });
-        let Some(own) = &mut self.loans else { return };
-        own.waiting_stops.insert(id, waiting.collect());
-        own.loans.propose(proposal, now);
+        let Some(borrowing) = &mut self.borrowing else { return };
+        borrowing.waiting_stops.insert(id, waiting.collect());
+        borrowing.loans.propose(proposal, now);
     }
 
     /// Counts the work that is lost by stops for other teams.
@@ -88,22 +88,22 @@
 
     /// Logs and counts why no work of others is stopped for jobs that wait, once for each reason.
     fn report_refused_loans(&mut self, refused: &[RefusedLoan]) {
-        let Some(own) = &mut self.loans else { return };
+        let Some(borrowing) = &mut self.borrowing else { return };
         for RefusedLoan { job, reason } in refused {
-            if own.refused.insert(*job, *reason) != Some(*reason) {
+            if borrowing.refused.insert(*job, *reason) != Some(*reason) {
                 let spec = &self.cluster.jobs[*job].spec;
                 tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "loan refused");
                 self.metrics.count("loans_refused", reason.label());
             }
         }
         let waits = |job: &JobIndex| refused.iter().any(|refused| refused.job == *job);
-        own.refused.retain(|job, _| waits(job) || self.cluster.jobs[*job].active());
+        borrowing.refused.retain(|job, _| waits(job) || self.cluster.jobs[*job].active());
     }
 
     /// Logs and counts the state changes of loans since the last call.
     pub(in crate::control::partition) fn report_loan_transitions(&mut self) {
-        let Some(own) = &mut self.loans else { return };
-        for transition in own.loans.take_transitions() {
+        let Some(borrowing) = &mut self.borrowing else { return };
+        for transition in borrowing.loans.take_transitions() {
             let loan = &transition.loan;
             let cause = match loan.state {
                 badgerdrift_borrowing::LoanState::Ended(cause) => cause.label(),
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -12,41 +12,41 @@
 impl Partition {
     /// Maintains the loans, if there is borrowing.
     pub fn maintain_loans(&mut self, now: u64, wall: u64) {
-        if self.loans.is_none() {
+        if self.borrowing.is_none() {
             return;
         }
         self.abandon_unrecorded_loans(wall);
-        let Some(own) = &mut self.loans else { return };
+        let Some(borrowing) = &mut self.borrowing else { return };
         let cluster = &self.cluster;
-        if !own.settled && cluster.all_reconciled {
-            own.settled = true;
-            own.loans.settle(|job| lending_job(cluster, job));
+        if !borrowing.settled && cluster.all_reconciled {
+            borrowing.settled = true;
+            borrowing.loans.settle(|job| lending_job(cluster, job));
             self.scheduling_triggers.request_cycle();
         }
-        if own.settled {
-            let demands = TeamDemands::count(cluster, &self.policy.teams, &own.settings, now);
+        if borrowing.settled {
+            let demands = TeamDemands::count(cluster, &self.policy.teams, &borrowing.settings, now);
             let moment = Moment { steady_ms: now, wall_ms: wall };
-            own.loans.follow(|job| lending_job(cluster, job), &demands.needs, moment);
+            borrowing.loans.follow(|job| lending_job(cluster, job), &demands.needs, moment);
         }
         self.report_loan_transitions();
     }
 
     fn abandon_unrecorded_loans(&mut self, wall: u64) {
-        let Some(own) = &self.loans else { return };
+        let Some(borrowing) = &self.borrowing else { return };
         let before_ms = wall.saturating_sub(RECORD_TIMEOUT_REACTIONS * self.policy.react_ms);
-        for id in own.loans.unrecorded_before(before_ms) {
+        for id in borrowing.loans.unrecorded_before(before_ms) {
             self.abandon_loan(id);
         }
     }
 
     /// Gives up a loan that could not be recorded: what was to be stopped for it goes on.
     fn abandon_loan(&mut self, id: LoanId) {
-        let Some(own) = &mut self.loans else { return };
+        let Some(borrowing) = &mut self.borrowing else { return };
         let borrowing_job =
-            own.loans.loans().find(|(_, _, loan)| loan.id == id).map(|(_, _, loan)| &loan.borrowing_job);
+            borrowing.loans.loans().find(|(_, _, loan)| loan.id == id).map(|(_, _, loan)| &loan.borrowing_job);
         let borrowing_job = borrowing_job.and_then(|job| self.cluster.job_index.get(job)).copied();
-        own.loans.abandon(id);
-        for stop in own.waiting_stops.remove(&id).unwrap_or_default() {
+        borrowing.loans.abandon(id);
+        for stop in borrowing.waiting_stops.remove(&id).unwrap_or_default() {
             let Some(host) = self.cluster.host_mut(stop.host) else { continue };
             // The capacity does not become free: other capacity is looked for.
             host.reservations.retain(|claim| Some(claim.job) != borrowing_job);
--- a/src/control/partition/borrowing/mod.rs
+++ b/src/control/partition/borrowing/mod.rs
@@ -40,7 +40,7 @@
 impl Partition {
     /// Switches borrowing on; the settings were checked.
     pub fn enable_borrowing(&mut self, settings: Arc<BorrowingSettings>) {
-        self.loans = Some(PartitionBorrowing {
+        self.borrowing = Some(PartitionBorrowing {
             loans: Loans::new(settings.as_ref().clone()),
             settings,
             waiting_stops: BTreeMap::new(),
--- a/src/control/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -48,9 +48,9 @@
 impl Partition {
     /// How the loans are; none if there is no borrowing.
     pub fn loans_status(&self, now: u64) -> Option<LoansStatus> {
-        let own = self.loans.as_ref()?;
-        let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &own.settings, now);
-        let (lent, borrowed) = (own.loans.lent(), own.loans.borrowed());
+        let borrowing = self.borrowing.as_ref()?;
+        let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
+        let (lent, borrowed) = (borrowing.loans.lent(), borrowing.loans.borrowed());
         let amount = |sums: &BTreeMap<String, Amounts>, team: &str| sums.get(team).copied().unwrap_or_default();
         let team_status = |(team, share): (&String, &TeamShare)| TeamStatus {
             team: team.clone(),
@@ -60,7 +60,7 @@
             lent: amount(&lent, team),
             borrowed: amount(&borrowed, team),
         };
-        let loans = own.loans.loans().filter(|(_, _, loan)| loan.is_active());
+        let loans = borrowing.loans.loans().filter(|(_, _, loan)| loan.is_active());
         let loan_status = |(job, team, loan): (&str, &str, &Loan)| LoanStatus {
             lender: team.to_string(),
             lending_job: job.to_string(),
--- a/src/control/partition/borrowing/team_reservations.rs
+++ b/src/control/partition/borrowing/team_reservations.rs
@@ -40,12 +40,12 @@
     /// Is it a job that its team may borrow for?
     fn borrows(&self, job_index: JobIndex) -> bool {
         let job = &self.cluster.jobs[job_index];
-        let borrower = self.loans.as_ref().and_then(|own| own.settings.borrowers.get(&job.spec.team));
+        let borrower = self.borrowing.as_ref().and_then(|borrowing| borrowing.settings.borrowers.get(&job.spec.team));
         borrower.is_some_and(|team| Priority::from(job.urgency) >= team.from)
     }
 
     fn reserve_for_team(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
-        let Some(own) = &self.loans else { return };
+        let Some(borrowing) = &self.borrowing else { return };
         let job = &self.cluster.jobs[job_index];
         let each = Amounts::from(job.spec.demand);
         let held = self.reserved_for_team(&job.spec.team).plus(each);
@@ -53,7 +53,7 @@
             return;
         }
         // Until the loan is returned, which is seen with one of the next plans.
-        let until_ms = now + (own.settings.return_after_s * MS_PER_S) as u64 + 2 * self.policy.react_ms;
+        let until_ms = now + (borrowing.settings.return_after_s * MS_PER_S) as u64 + 2 * self.policy.react_ms;
         let claim = Reservation::of_team(job_index, job.spec.demand, until_ms);
         if let Some(host) = self.cluster.host_mut(host_index) {
             host.reservations.push(claim);
@@ -63,8 +63,8 @@
     /// Most capacity that is reserved for a team: what it has borrowed and need not return yet, and what it
     /// is guaranteed, as it would stop others for that again.
     fn max_reserved_for_team(&self, team: &str) -> Amounts {
-        let Some(own) = &self.loans else { return Amounts::default() };
-        let open = own.loans.open_to(team);
+        let Some(borrowing) = &self.borrowing else { return Amounts::default() };
+        let open = borrowing.loans.open_to(team);
         if open.is_nothing() {
             return open;
         }
@@ -81,10 +81,12 @@
     /// Releases capacity that is reserved for borrowers whose loans are returned. A lender that lacks capacity to
     /// its floor need not wait for that.
     pub(super) fn release_team_reservations(&mut self, demands: &TeamDemands) {
-        let Some(own) = &self.loans else { return };
+        let Some(borrowing) = &self.borrowing else { return };
         let lacks = |team: &str| demands.shares.get(team).is_some_and(|share| !share.shortfall().is_nothing());
-        let owing = own.loans.owed().into_keys().filter(|(lender, _)| lacks(lender)).map(|(_, borrower)| borrower);
-        let returned = own.settings.borrowers.keys().filter(|team| own.loans.open_to(team).is_nothing()).cloned();
+        let owing =
+            borrowing.loans.owed().into_keys().filter(|(lender, _)| lacks(lender)).map(|(_, borrower)| borrower);
+        let returned =
+            borrowing.settings.borrowers.keys().filter(|team| borrowing.loans.open_to(team).is_nothing()).cloned();
         let given_up: Vec<String> = owing.chain(returned).collect();
         let jobs = &self.cluster.jobs;
         let released = |claim: &Reservation| claim.for_team && given_up.contains(&jobs[claim.job].spec.team);
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -26,7 +26,7 @@
     }
 
     /// Is a commit under way?
-    pub fn committing(&self) -> bool {
+    pub fn is_committing(&self) -> bool {
         self.commit_queue.is_committing()
     }
 
@@ -37,7 +37,7 @@
     ///
     /// [`Superseded`] if the partition's key is not as it was: another may lead it.
     pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
-        let saved = self.commit_queue.take_in_flight();
+        let pending = self.commit_queue.take_in_flight();
         // After a conflict the records of pools and loans are read again, as after a commit without
         // an answer.
         let conflict = matches!(result, CommitOutcome::Conflict { .. });
@@ -45,17 +45,17 @@
         let failed = match result {
             CommitOutcome::Done { revision } => {
                 self.commit_queue.raise_max_changes();
-                saved.into_iter().for_each(|s| self.written(s, revision));
+                pending.into_iter().for_each(|s| self.written(s, revision));
                 return Ok(Vec::new());
             }
             CommitOutcome::Conflict { failed } => failed,
             CommitOutcome::NotTaken => {
-                self.commit_not_taken(&saved);
+                self.commit_not_taken(&pending);
                 Vec::new()
             }
             CommitOutcome::Refused | CommitOutcome::Throttled | CommitOutcome::Indeterminate => Vec::new(),
         };
-        for write in saved {
+        for write in pending {
             let reread = conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans);
             let failure =
                 if indeterminate || reread { WriteFailure::Indeterminate } else { WriteFailure::NotCarriedOut };
@@ -69,12 +69,12 @@
 
     /// The service takes no such commit: the next ones are smaller, until one change alone is
     /// at fault. That one waits for a lease, so that it doesn't keep the others back.
-    fn commit_not_taken(&mut self, saved: &[PendingWrite]) {
+    fn commit_not_taken(&mut self, pending: &[PendingWrite]) {
         self.metrics.count("limits_met", "commit_size");
-        if !self.commit_queue.lower_max_changes(saved.len()) {
+        if !self.commit_queue.lower_max_changes(pending.len()) {
             return;
         }
-        if let [PendingWrite::Job(write)] = saved {
+        if let [PendingWrite::Job(write)] = pending {
             let job = &mut self.cluster.jobs[write.job];
             tracing::error!(job = job.spec.id, "the state service rejected the job's record");
             job.write_after_ms = self.commit_queue.last_commit_ms() + self.policy.lease_ms;
@@ -98,8 +98,8 @@
     }
 
     /// A change was carried out.
-    fn written(&mut self, saved: PendingWrite, revision: u64) {
-        match saved {
+    fn written(&mut self, pending: PendingWrite, revision: u64) {
+        match pending {
             PendingWrite::Job(write) => {
                 self.cluster.jobs[write.job].recorded_done = write.done;
                 self.job_recorded(write.job, write.change, revision);
@@ -123,8 +123,8 @@
     }
 
     /// A change was not carried out, or maybe not.
-    fn not_written(&mut self, saved: PendingWrite, failure: WriteFailure) {
-        match saved {
+    fn not_written(&mut self, pending: PendingWrite, failure: WriteFailure) {
+        match pending {
             PendingWrite::Job(write) => self.job_not_written(&write, failure),
             PendingWrite::Host(host_index) | PendingWrite::TransferredHost { host: host_index, .. } => {
                 self.host_not_written(host_index, failure)
@@ -139,17 +139,17 @@
 
     fn job_not_written(&mut self, write: &JobWrite, failure: WriteFailure) {
         let job = &mut self.cluster.jobs[write.job];
-        let what = write.change;
+        let change = write.change;
         job.saving = false;
-        // What was certainly refused is not open; an earlier write may be.
+        // What was certainly refused is not indeterminate; an earlier write may be.
         job.end_indeterminate &= failure == WriteFailure::Indeterminate || write.end_was_indeterminate;
         // Found to exist meanwhile: it need not be created any more.
-        if what == UnsavedChange::Creation && job.version > 0 {
+        if change == UnsavedChange::Creation && job.version > 0 {
             return;
         }
         // What came meanwhile weighs more, except against a creation or an end.
-        if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(what, UnsavedChange::End(_)) {
-            job.unsaved = what;
+        if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(change, UnsavedChange::End(_)) {
+            job.unsaved = change;
         }
         self.commit_queue.mark_job(write.job);
     }
@@ -162,13 +162,13 @@
     }
 
     /// A job's record was written.
-    pub(super) fn job_recorded(&mut self, job_index: JobIndex, what: UnsavedChange, version: u64) {
+    pub(super) fn job_recorded(&mut self, job_index: JobIndex, change: UnsavedChange, version: u64) {
         let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         job.version = version;
-        // Earlier writes guard on an older version: they can't be carried out any more.
+        // Earlier writes are conditional on an older version: they can't be carried out any more.
         job.end_indeterminate = false;
-        match what {
+        match change {
             UnsavedChange::End(end) => self.ended(job_index, end),
             UnsavedChange::Creation => {
                 self.scheduling_triggers.request_cycle();
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The job's record says that it is over.
+    /// The job's record says that it is over. An end never changes: the first one stays.
     pub(super) fn ended(&mut self, job_index: JobIndex, end: JobEnd) {
         let job = &mut self.cluster.jobs[job_index];
         job.unsaved = UnsavedChange::Nothing;
@@ -219,8 +219,8 @@
         self.scheduling_triggers.request_cycle();
     }
 
-    /// The job's record is there: cancels it if it needs a cancelled one, and tells those who
-    /// wait for it to be accepted, by this submission if it was `created`.
+    /// The job's record is there: cancels it if it needs a cancelled one, and answers those who
+    /// wait for it to be accepted; `created` by one of their submissions.
     fn creation_confirmed(&mut self, job_index: JobIndex, created: bool) {
         let submitters = self.waiting_clients.take_submitters(job_index);
         self.cancel_if_dependency_cancelled(job_index);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Tells all who wait for the job how it ended.
+    /// Answers all who wait for the job with how it ended.
     fn notify_job_end(&mut self, job_index: JobIndex) {
         let answer = self.status_of(job_index);
         self.waiting_clients.answer_all(job_index, &answer);
@@ -262,7 +262,7 @@
                 job.unsaved = UnsavedChange::Nothing;
                 self.commit_queue.unmark_job(job_index);
             }
-            // Known already, maybe by our own commit whose answer was lost.
+            // Known already, maybe by a commit of this leader whose answer was lost.
             job.accepted_ms = record.accepted_ms;
             self.scheduling_triggers.request_cycle();
             self.creation_confirmed(job_index, false);
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -1,4 +1,4 @@
-//! Taking a partition over: its records, its fencing tokens and the machines of the last leader.
+//! Failover: a new leader begins with the records, and with the machines of the last one.
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -86,9 +86,9 @@
     running_counts: running_counts::RunningCounts,
     heartbeat_load: heartbeat_load::HeartbeatLoad,
     /// Pools of warm replicas, if there are any.
-    pools: Option<warm_pools::PartitionWarmPools>,
+    warm_pools: Option<warm_pools::PartitionWarmPools>,
     /// Loans between teams, if there is borrowing.
-    loans: Option<borrowing::PartitionBorrowing>,
+    borrowing: Option<borrowing::PartitionBorrowing>,
     /// The time of day of the last scheduling cycle.
     wall_ms: u64,
 }
@@ -117,8 +117,8 @@
             scheduling_triggers: scheduling_triggers::SchedulingTriggers::new(),
             running_counts: Default::default(),
             heartbeat_load,
-            pools: None,
-            loans: None,
+            warm_pools: None,
+            borrowing: None,
             wall_ms: 0,
         }
     }
--- a/src/control/partition/next_commit.rs
+++ b/src/control/partition/next_commit.rs
@@ -61,6 +61,7 @@
                 end_was_indeterminate: job.end_indeterminate,
                 done: record.done,
             };
+            // The version is 0 for a creation: a job that exists already is never created anew.
             let condition = wire::condition(&key, job.version);
             builder.add_conditional(condition, wire::put(&key, &value, None), PendingWrite::Job(write));
             job.saving = true;
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -25,25 +25,25 @@
         self.reserve_warm_capacity();
         self.describe_borrowing(now, wall);
         let epoch = &mut self.epoch;
-        let out = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
-        for start in &out.starts {
+        let decisions = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
+        for start in &decisions.starts {
             self.record_start(start, wall);
         }
-        for stop in &out.stops {
+        for stop in &decisions.stops {
             self.record_preemption(stop);
         }
-        self.apply_warm_decisions(&out, now);
-        self.apply_loan_decisions(&out, now, wall);
+        self.apply_warm_decisions(&decisions, now);
+        self.apply_loan_decisions(&decisions, now, wall);
         self.report_slot_transitions();
         tracing::debug!(
             least = ?least,
-            hosts_examined = out.hosts_examined,
-            starts = out.starts.len(),
-            stops = out.stops.len(),
-            pending_jobs = out.pending_jobs.len(),
+            hosts_examined = decisions.hosts_examined,
+            starts = decisions.starts.len(),
+            stops = decisions.stops.len(),
+            pending_jobs = decisions.pending_jobs.len(),
             "scheduling cycle"
         );
-        self.update_pending_jobs(least, out);
+        self.update_pending_jobs(least, decisions);
     }
 
     /// Sets aside capacity for work that is expected to arrive at these rates.
@@ -77,7 +77,7 @@
         let fetch_s = host.instance_type.map_or(0.0, |index| {
             critical_path::fetch_s(spec.image_gb, self.cluster.instance_types[index].fetch_gb_per_s)
         });
-        let cached = host.images.iter().any(|i| i.ready && i.name == spec.image);
+        let cached = host.images.iter().any(|image| image.ready && image.name == spec.image);
         tracing::debug!(
             job = spec.id,
             class = spec.class,
@@ -112,8 +112,8 @@
     }
 
     /// Keeps which work found no capacity. What is less urgent than `least` was not tried.
-    fn update_pending_jobs(&mut self, least: Urgency, out: CycleDecisions) {
-        self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, out.pending_jobs, out.hosts_examined);
+    fn update_pending_jobs(&mut self, least: Urgency, decisions: CycleDecisions) {
+        self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, decisions.pending_jobs, decisions.hosts_examined);
         if !self.scheduling_triggers.pending_jobs().is_empty() {
             self.cancel_drain();
         }
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -5,88 +5,88 @@
 
 #[test]
 fn a_job_is_accepted_after_its_commit_and_known_ever_after() {
-    let mut p = partition();
-    let mut rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
+    let mut partition = partition();
+    let mut rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
     assert!(rx.try_recv().is_err(), "nothing is said before the commit");
-    assert!(matches!(p.status("run-000001"), UserAnswer::RetryLater(_)));
-    commit(&mut p, 1000, 100);
+    assert!(matches!(partition.status("run-000001"), UserAnswer::RetryLater(_)));
+    commit(&mut partition, 1000, 100);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { created: true, .. })));
     // A retry is answered even if its content would be refused now.
-    let mut rx = submit(&mut p, br#"{"id":"run-000001"}"#, 1000);
+    let mut rx = submit(&mut partition, br#"{"id":"run-000001"}"#, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { created: false, .. })));
-    let mut rx = submit(&mut p, br#"{"id":"run-000002"}"#, 1000);
+    let mut rx = submit(&mut partition, br#"{"id":"run-000002"}"#, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::InvalidSubmission(_))));
-    assert_eq!(p.status("run-000009"), UserAnswer::Unknown);
+    assert_eq!(partition.status("run-000009"), UserAnswer::Unknown);
 }
 
 #[test]
 fn a_job_that_another_node_accepted_is_placed_and_its_notice_deleted() {
-    let mut p = partition();
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    commit(&mut p, 1000, 99);
+    let mut partition = partition();
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    commit(&mut partition, 1000, 99);
     let spec = wire::parse_submission(&body("run-000005", "batch", 1)).unwrap();
     let record = JobRecord { spec, accepted_ms: 900, end: None, done: vec![] };
     let value = serde_json::to_value(record).unwrap();
     for _ in 0..2 {
-        p.add_job_of_other_node(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
+        partition.add_job_of_other_node(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
     }
-    p.schedule(1000, 1000);
-    assert_eq!((p.dispatch_queue.hosts().len(), p.cluster.jobs.len()), (1, 1));
-    let c = p.next_commit(1000, 32).unwrap();
+    partition.schedule(1000, 1000);
+    assert_eq!((partition.dispatch_queue.hosts().len(), partition.cluster.jobs.len()), (1, 1));
+    let c = partition.next_commit(1000, 32).unwrap();
     assert_eq!(c.writes, [wire::delete("in/0/run-000005")]);
 }
 
 #[test]
 fn an_indeterminate_creation_is_written_again_and_found() {
-    let mut p = partition();
-    let mut rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
-    let first = p.next_commit(1000, 32).unwrap();
-    p.committed(CommitOutcome::Indeterminate).unwrap();
+    let mut partition = partition();
+    let mut rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
+    let first = partition.next_commit(1000, 32).unwrap();
+    partition.committed(CommitOutcome::Indeterminate).unwrap();
     assert!(rx.try_recv().is_err());
-    p.next_commit(1100, 32).unwrap();
-    let keys = p.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+    partition.next_commit(1100, 32).unwrap();
+    let keys = partition.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     assert_eq!(keys, ["job/run-000001"]);
     let value = first.writes[0].to_json()["data"].clone();
-    p.reread(Item { key: "job/run-000001".into(), value, version: 99 });
+    partition.reread(Item { key: "job/run-000001".into(), value, version: 99 });
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { .. })));
-    assert!(p.next_commit(1200, 32).is_none(), "nothing is left to write");
+    assert!(partition.next_commit(1200, 32).is_none(), "nothing is left to write");
 }
 
 #[test]
 fn submissions_beyond_what_can_be_recorded_soon_get_a_time_to_retry() {
-    let mut p = partition();
+    let mut partition = partition();
     let mut busy = Vec::new();
     let mut kept = Vec::new();
     for n in 0..1000 {
-        let mut rx = submit(&mut p, &body(&format!("run-{n:06}"), "batch", 1), 1000);
+        let mut rx = submit(&mut partition, &body(&format!("run-{n:06}"), "batch", 1), 1000);
         match rx.try_recv() {
             Ok(UserAnswer::Busy(after_s)) => busy.push(after_s),
             Ok(other) => panic!("{other:?}"),
             Err(_) => kept.push(rx),
         }
     }
-    let per_life = p.policy.writes_per_s * LEASE as f64 / 4000.0;
+    let per_life = partition.policy.writes_per_s * LEASE as f64 / 4000.0;
     assert!((kept.len() as f64 - per_life).abs() <= 2.0, "{} of {per_life}", kept.len());
     assert!(busy.iter().all(|s| *s >= LEASE / 4000));
     // What was taken is still answered by its id.
-    assert!(submit(&mut p, &body("run-000000", "batch", 1), 1000).try_recv().is_err());
+    assert!(submit(&mut partition, &body("run-000000", "batch", 1), 1000).try_recv().is_err());
 }
 
 // A swarm of best-effort jobs kept replicas out, whose users were told to come back later.
 #[test]
 fn urgent_jobs_are_recorded_before_a_swarm_of_lesser_ones() {
-    let mut p = partition();
+    let mut partition = partition();
     let with_urgency = |n: usize, urgency: &str| -> Vec<u8> {
         let mut job: serde_json::Value = serde_json::from_slice(&body(&format!("run-{n:06}"), "batch", 1)).unwrap();
         job["urgency"] = json!(urgency);
         job.to_string().into_bytes()
     };
     let busy = |answer: &mut oneshot::Receiver<UserAnswer>| matches!(answer.try_recv(), Ok(UserAnswer::Busy(_)));
-    let mut swarm: Vec<_> = (0..500).map(|n| submit(&mut p, &with_urgency(n, "best_effort"), 1000)).collect();
+    let mut swarm: Vec<_> = (0..500).map(|n| submit(&mut partition, &with_urgency(n, "best_effort"), 1000)).collect();
     assert!(busy(swarm.last_mut().unwrap()), "more than can be recorded soon");
-    let mut urgent = submit(&mut p, &with_urgency(900, "production"), 1000);
+    let mut urgent = submit(&mut partition, &with_urgency(900, "production"), 1000);
     assert!(!busy(&mut urgent));
-    let first = &p.next_commit(1000, 1).unwrap().writes[0];
+    let first = &partition.next_commit(1000, 1).unwrap().writes[0];
     assert!(first.to_string().contains("run-000900"), "{first}");
 }
 
@@ -98,32 +98,33 @@
         job["owner"] = json!(team);
         job.to_string().into_bytes()
     };
-    let answer = |p: &mut Partition, team: &str, shape: &str| submit(p, &of_team(team, shape), 1000).try_recv();
+    let answer =
+        |partition: &mut Partition, team: &str, shape: &str| submit(partition, &of_team(team, shape), 1000).try_recv();
     let for_now = Ok(UserAnswer::RetryLater(RefusalReason::ConfigurationBehind));
-    let mut p = partition();
-    assert!(matches!(answer(&mut p, "new", "batch"), Ok(UserAnswer::Unschedulable(_))));
-    p.conditions.configuration_up_to_date = false;
-    assert_eq!(answer(&mut p, "new", "batch"), for_now);
+    let mut partition = partition();
+    assert!(matches!(answer(&mut partition, "new", "batch"), Ok(UserAnswer::Unschedulable(_))));
+    partition.conditions.configuration_up_to_date = false;
+    assert_eq!(answer(&mut partition, "new", "batch"), for_now);
     // The limit is about to grow: what does not fit now may soon.
-    p.conditions.configuration_up_to_date = true;
-    let red = p.policy.teams.get_mut("red").unwrap();
+    partition.conditions.configuration_up_to_date = true;
+    let red = partition.policy.teams.get_mut("red").unwrap();
     (red.limit.gpus, red.settled) = (4.0, false);
-    assert_eq!(answer(&mut p, "red", "group"), for_now);
-    p.policy.teams.get_mut("red").unwrap().settled = true;
-    assert!(matches!(answer(&mut p, "red", "group"), Ok(UserAnswer::Unschedulable(_))));
+    assert_eq!(answer(&mut partition, "red", "group"), for_now);
+    partition.policy.teams.get_mut("red").unwrap().settled = true;
+    assert!(matches!(answer(&mut partition, "red", "group"), Ok(UserAnswer::Unschedulable(_))));
     // A removed team takes no new jobs.
-    p.policy.teams.get_mut("red").unwrap().removed = true;
-    assert!(matches!(answer(&mut p, "red", "batch"), Ok(UserAnswer::Unschedulable(_))));
+    partition.policy.teams.get_mut("red").unwrap().removed = true;
+    assert!(matches!(answer(&mut partition, "red", "batch"), Ok(UserAnswer::Unschedulable(_))));
 }
 
 #[test]
 fn limits_are_kept_to_once_all_that_is_beyond_them_has_ended() {
-    let mut p = running("batch", 2);
-    assert!(p.teams_within_limits(1002));
-    p.policy.teams.get_mut("red").unwrap().limit.gpus = 1.0;
-    assert!(!p.teams_within_limits(1002), "two tasks with an accelerator each are on machines");
-    p.cluster.host_mut(0).unwrap().attempts.pop();
-    assert!(p.teams_within_limits(1002));
-    p.policy.teams.remove("red");
-    assert!(!p.teams_within_limits(1002), "a team that is not known may use nothing");
+    let mut partition = running("batch", 2);
+    assert!(partition.teams_within_limits(1002));
+    partition.policy.teams.get_mut("red").unwrap().limit.gpus = 1.0;
+    assert!(!partition.teams_within_limits(1002), "two tasks with an accelerator each are on machines");
+    partition.cluster.host_mut(0).unwrap().attempts.pop();
+    assert!(partition.teams_within_limits(1002));
+    partition.policy.teams.remove("red");
+    assert!(!partition.teams_within_limits(1002), "a team that is not known may use nothing");
 }
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -309,7 +309,7 @@
 #[test]
 fn without_borrowing_stops_are_ordered_at_once_and_nothing_is_recorded() {
     let mut harness = Harness::new();
-    harness.partition.loans = None;
+    harness.partition.borrowing = None;
     harness.partition.cluster.borrowing = None;
     harness.burst(4);
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -6,29 +6,29 @@
 
 #[test]
 fn the_last_job_s_deadline_and_priority_count_for_all_that_it_needs() {
-    let mut p = chain();
-    assert_eq!((job(&p, FIRST).due_ms(), job(&p, FIRST).urgency), (None, Urgency::Normal));
-    accept_waiting(&mut p, "run-000004", &[THIRD], json!({"due_s": 100.0, "urgency": "urgent"}));
+    let mut partition = chain();
+    assert_eq!((job(&partition, FIRST).due_ms(), job(&partition, FIRST).urgency), (None, Urgency::Normal));
+    accept_waiting(&mut partition, "run-000004", &[THIRD], json!({"due_s": 100.0, "urgency": "urgent"}));
     // Ten seconds of run, one of fetch, one to react, half as much again, for each job between.
     let between = 1.5 * 12.0;
-    let due: Vec<f64> = [FIRST, SECOND, THIRD].map(|id| job(&p, id).due_ms().unwrap() as f64 / 1000.0).into();
+    let due: Vec<f64> = [FIRST, SECOND, THIRD].map(|id| job(&partition, id).due_ms().unwrap() as f64 / 1000.0).into();
     assert_eq!(due, [101.0 - 3.0 * between, 101.0 - 2.0 * between, 101.0 - between]);
-    assert!(p.cluster.jobs.iter().all(|job| job.urgency == Urgency::High));
+    assert!(partition.cluster.jobs.iter().all(|job| job.urgency == Urgency::High));
 }
 
 #[test]
 fn the_earliest_of_several_deadlines_counts_and_goes_with_its_job() {
-    let mut p = chain();
-    accept_waiting(&mut p, "run-000004", &[SECOND], json!({"due_s": 400.0, "urgency": "urgent"}));
-    let late = job(&p, FIRST).due_ms();
-    accept_waiting(&mut p, "run-000005", &[SECOND], json!({"due_s": 200.0}));
-    assert_eq!(job(&p, FIRST).due_ms().map(|due| due + 200_000), late);
-    cancel(&mut p, "run-000005");
-    commit_all(&mut p, 2000);
-    assert_eq!((job(&p, FIRST).due_ms(), job(&p, FIRST).urgency), (late, Urgency::High));
-    cancel(&mut p, "run-000004");
-    commit_all(&mut p, 2000);
-    assert_eq!((job(&p, FIRST).due_ms(), job(&p, FIRST).urgency), (None, Urgency::Normal));
+    let mut partition = chain();
+    accept_waiting(&mut partition, "run-000004", &[SECOND], json!({"due_s": 400.0, "urgency": "urgent"}));
+    let late = job(&partition, FIRST).due_ms();
+    accept_waiting(&mut partition, "run-000005", &[SECOND], json!({"due_s": 200.0}));
+    assert_eq!(job(&partition, FIRST).due_ms().map(|due| due + 200_000), late);
+    cancel(&mut partition, "run-000005");
+    commit_all(&mut partition, 2000);
+    assert_eq!((job(&partition, FIRST).due_ms(), job(&partition, FIRST).urgency), (late, Urgency::High));
+    cancel(&mut partition, "run-000004");
+    commit_all(&mut partition, 2000);
+    assert_eq!((job(&partition, FIRST).due_ms(), job(&partition, FIRST).urgency), (None, Urgency::Normal));
 }
 
 #[test]
@@ -49,15 +49,15 @@
 
 #[test]
 fn capacity_is_planned_for_jobs_that_may_start_before_a_machine_is_up() {
-    let mut p = chain();
-    let index = |id: &str| p.cluster.job_index[id];
+    let mut partition = chain();
+    let index = |id: &str| partition.cluster.job_index[id];
     let (second, third) = (index(SECOND), index(THIRD));
     // Each takes twelve seconds in all.
-    assert_eq!(p.upcoming(11_000, 1000), [] as [usize; 0]);
-    assert_eq!(p.upcoming(12_000, 1000), [second]);
-    assert_eq!(p.upcoming(24_000, 1000), [second, third]);
-    p.schedule(1000, 1000);
-    assert_eq!(p.upcoming(7_000, 6000), [second], "the first has run for five seconds");
-    cancel(&mut p, FIRST);
-    assert_eq!(p.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for what is cancelled");
+    assert_eq!(partition.upcoming(11_000, 1000), [] as [usize; 0]);
+    assert_eq!(partition.upcoming(12_000, 1000), [second]);
+    assert_eq!(partition.upcoming(24_000, 1000), [second, third]);
+    partition.schedule(1000, 1000);
+    assert_eq!(partition.upcoming(7_000, 6000), [second], "the first has run for five seconds");
+    cancel(&mut partition, FIRST);
+    assert_eq!(partition.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for what is cancelled");
 }
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -25,53 +25,53 @@
 }
 
 /// The same, accepted.
-pub(super) fn accept_waiting(p: &mut Partition, id: &str, dependencies: &[&str], fields: Value) -> UserAnswer {
-    let mut rx = submit(p, &waiting_body(id, dependencies, fields), 1000);
-    commit_all(p, 1000);
+pub(super) fn accept_waiting(partition: &mut Partition, id: &str, dependencies: &[&str], fields: Value) -> UserAnswer {
+    let mut rx = submit(partition, &waiting_body(id, dependencies, fields), 1000);
+    commit_all(partition, 1000);
     rx.try_recv().expect("it is answered")
 }
 
 /// Takes all commits that are due as made, each at a later revision.
-pub(super) fn commit_all(p: &mut Partition, now: u64) {
-    let mut revision = p.cluster.jobs.iter().map(|job| job.version).max().unwrap_or(0).max(100);
-    while p.next_commit(now, 32).is_some() {
+pub(super) fn commit_all(partition: &mut Partition, now: u64) {
+    let mut revision = partition.cluster.jobs.iter().map(|job| job.version).max().unwrap_or(0).max(100);
+    while partition.next_commit(now, 32).is_some() {
         revision += 1;
-        p.committed(CommitOutcome::Done { revision }).unwrap();
+        partition.committed(CommitOutcome::Done { revision }).unwrap();
     }
 }
 
 /// A partition with a machine in use, and a chain of three jobs of which none has ended.
 pub(super) fn chain() -> Partition {
-    let mut p = partition();
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    accept_waiting(&mut p, FIRST, &[], json!({}));
-    accept_waiting(&mut p, SECOND, &[FIRST], json!({}));
-    accept_waiting(&mut p, THIRD, &[SECOND], json!({}));
-    p
+    let mut partition = partition();
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    accept_waiting(&mut partition, FIRST, &[], json!({}));
+    accept_waiting(&mut partition, SECOND, &[FIRST], json!({}));
+    accept_waiting(&mut partition, THIRD, &[SECOND], json!({}));
+    partition
 }
 
-pub(super) fn job<'a>(p: &'a Partition, id: &str) -> &'a crate::model::Job {
-    &p.cluster.jobs[p.cluster.job_index[id]]
+pub(super) fn job<'a>(partition: &'a Partition, id: &str) -> &'a crate::model::Job {
+    &partition.cluster.jobs[partition.cluster.job_index[id]]
 }
 
 /// Jobs with an attempt on the machine.
-pub(super) fn placed(p: &Partition) -> Vec<String> {
-    let attempts = &p.cluster.host(0).unwrap().attempts;
-    let mut ids: Vec<String> = attempts.iter().map(|a| p.cluster.jobs[a.key.job].spec.id.clone()).collect();
+pub(super) fn placed(partition: &Partition) -> Vec<String> {
+    let attempts = &partition.cluster.host(0).unwrap().attempts;
+    let mut ids: Vec<String> = attempts.iter().map(|a| partition.cluster.jobs[a.key.job].spec.id.clone()).collect();
     ids.dedup();
     ids
 }
 
 /// The machine reports the two tasks of a job as ended with this reason.
-pub(super) fn report_ended(p: &mut Partition, id: &str, sequence: u64) {
-    let index = p.cluster.job_index[id];
-    let ended = p.cluster.host(0).unwrap().attempts.iter().filter(|a| a.key.job == index);
+pub(super) fn report_ended(partition: &mut Partition, id: &str, sequence: u64) {
+    let index = partition.cluster.job_index[id];
+    let ended = partition.cluster.host(0).unwrap().attempts.iter().filter(|a| a.key.job == index);
     let mut tasks = Vec::new();
     for a in ended {
         tasks.push(reported(&format!("{id}/{}", a.key.task), a.attempt, "ended", Some("done")));
     }
     assert_eq!(tasks.len(), 2, "both tasks of {id} were started");
-    p.heartbeat(&heartbeat("h1", 1, sequence, 1, tasks), StatusSource::Heartbeat, 2000);
+    partition.heartbeat(&heartbeat("h1", 1, sequence, 1, tasks), StatusSource::Heartbeat, 2000);
 }
 
 pub(super) fn phase(answer: UserAnswer) -> Result<JobPhase, RefusalReason> {
@@ -82,8 +82,8 @@
     }
 }
 
-pub(super) fn cancel(p: &mut Partition, id: &str) {
-    p.cancel(id, 2000, true, tokio::sync::oneshot::channel().0);
+pub(super) fn cancel(partition: &mut Partition, id: &str) {
+    partition.cancel(id, 2000, true, tokio::sync::oneshot::channel().0);
 }
 
 /// The record of a job with this end, as it stands in the state service.
@@ -98,111 +98,111 @@
 
 #[test]
 fn only_jobs_that_a_fresh_read_does_not_find_are_called_never_accepted() {
-    let mut p = partition();
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
-    let lookups = p.take_lookups();
+    let mut partition = partition();
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let lookups = partition.take_lookups();
     assert_eq!((lookups.len(), lookups[0].ids.as_slice()), (1, &[FIRST.to_string()][..]));
     assert!(rx.try_recv().is_err(), "nothing is said before the read");
-    p.dependencies_read(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    partition.dependencies_read(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(why)) if why.contains(FIRST)));
-    assert!(p.next_commit(1000, 32).is_none());
+    assert!(partition.next_commit(1000, 32).is_none());
     // A read that failed tells nothing.
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
-    let lookup = p.take_lookups().pop().unwrap();
-    p.dependencies_read(lookup.submission, None, 1000, 1000);
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let lookup = partition.take_lookups().pop().unwrap();
+    partition.dependencies_read(lookup.submission, None, 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::StateServiceSilent)));
 }
 
 #[test]
 fn a_job_that_another_node_accepted_a_moment_ago_may_be_named() {
-    let mut p = partition();
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
-    let lookup = p.take_lookups().pop().unwrap();
+    let mut partition = partition();
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let lookup = partition.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "red", None, 50);
-    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
-    commit_all(&mut p, 1000);
+    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    commit_all(&mut partition, 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
-    assert!(!job(&p, FIRST).waiting && job(&p, SECOND).waiting);
+    assert!(!job(&partition, FIRST).waiting && job(&partition, SECOND).waiting);
 }
 
 #[test]
 fn a_job_whose_creation_is_indeterminate_is_neither_known_nor_unknown() {
-    let mut p = partition();
-    let _rx = submit(&mut p, &body(FIRST, "batch", 2), 1000);
-    p.next_commit(1000, 32).unwrap();
-    p.committed(CommitOutcome::Indeterminate).unwrap();
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
-    let lookup = p.take_lookups().pop().unwrap();
-    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    let mut partition = partition();
+    let _rx = submit(&mut partition, &body(FIRST, "batch", 2), 1000);
+    partition.next_commit(1000, 32).unwrap();
+    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let lookup = partition.take_lookups().pop().unwrap();
+    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate)));
 }
 
 #[test]
 fn a_job_names_neither_itself_nor_a_service() {
-    let mut p = partition();
-    let mut rx = submit(&mut p, &waiting_body(FIRST, &[FIRST], json!({})), 1000);
+    let mut partition = partition();
+    let mut rx = submit(&mut partition, &waiting_body(FIRST, &[FIRST], json!({})), 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
-    let _rx = submit(&mut p, &body(FIRST, "service", 1), 1000);
-    commit_all(&mut p, 1000);
-    assert!(matches!(accept_waiting(&mut p, SECOND, &[FIRST], json!({})), UserAnswer::Unschedulable(_)));
+    let _rx = submit(&mut partition, &body(FIRST, "service", 1), 1000);
+    commit_all(&mut partition, 1000);
+    assert!(matches!(accept_waiting(&mut partition, SECOND, &[FIRST], json!({})), UserAnswer::Unschedulable(_)));
     // The same for a service that is found by a read.
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
-    let lookup = p.take_lookups().pop().unwrap();
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
+    let lookup = partition.take_lookups().pop().unwrap();
     let found = record(THIRD, "service", "red", None, 50);
-    p.dependencies_read(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
+    partition.dependencies_read(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
 }
 
 #[test]
 fn while_a_controller_is_known_to_be_old_no_job_is_accepted_that_waits() {
-    let mut p = chain();
-    p.conditions.has_old_peer = true;
-    let mut rx = submit(&mut p, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
+    let mut partition = chain();
+    partition.conditions.has_old_peer = true;
+    let mut rx = submit(&mut partition, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::ControllerOutdated)));
     // A known one is answered, whatever its body says now.
-    let mut rx = submit(&mut p, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
+    let mut rx = submit(&mut partition, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
 }
 
 #[test]
 fn what_is_done_need_not_be_stored() {
-    let mut p = chain();
-    p.schedule(1001, 1001);
-    report_ended(&mut p, FIRST, 2);
-    commit_all(&mut p, 2000);
-    accept_waiting(&mut p, "run-000004", &[FIRST, THIRD], json!({}));
-    assert_eq!(job(&p, "run-000004").spec.dependencies.iter().collect::<Vec<_>>(), [THIRD]);
+    let mut partition = chain();
+    partition.schedule(1001, 1001);
+    report_ended(&mut partition, FIRST, 2);
+    commit_all(&mut partition, 2000);
+    accept_waiting(&mut partition, "run-000004", &[FIRST, THIRD], json!({}));
+    assert_eq!(job(&partition, "run-000004").spec.dependencies.iter().collect::<Vec<_>>(), [THIRD]);
 }
 
 // ---- waiting ----
 
 #[test]
 fn a_job_starts_once_the_end_of_its_predecessor_is_recorded_and_known() {
-    let mut p = chain();
-    p.schedule(1001, 1001);
-    p.schedule_urgent(1002, 1002);
-    assert_eq!(placed(&p), [FIRST]);
-    report_ended(&mut p, FIRST, 2);
-    p.schedule(2000, 2000);
-    assert_eq!(placed(&p), [FIRST], "a report alone starts nothing");
-    p.next_commit(2000, 32).unwrap();
-    p.schedule(2001, 2001);
-    p.committed(CommitOutcome::Indeterminate).unwrap();
-    p.schedule(2002, 2002);
-    assert_eq!(placed(&p), [FIRST], "nor does a write that is under way or unclear");
-    commit_all(&mut p, 2100);
-    p.schedule(2101, 7101);
-    assert_eq!(placed(&p), [FIRST, SECOND]);
-    assert_eq!(job(&p, SECOND).ready_ms, 7101, "its times begin now");
-    assert!(job(&p, THIRD).waiting);
+    let mut partition = chain();
+    partition.schedule(1001, 1001);
+    partition.schedule_urgent(1002, 1002);
+    assert_eq!(placed(&partition), [FIRST]);
+    report_ended(&mut partition, FIRST, 2);
+    partition.schedule(2000, 2000);
+    assert_eq!(placed(&partition), [FIRST], "a report alone starts nothing");
+    partition.next_commit(2000, 32).unwrap();
+    partition.schedule(2001, 2001);
+    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    partition.schedule(2002, 2002);
+    assert_eq!(placed(&partition), [FIRST], "nor does a write that is under way or unclear");
+    commit_all(&mut partition, 2100);
+    partition.schedule(2101, 7101);
+    assert_eq!(placed(&partition), [FIRST, SECOND]);
+    assert_eq!(job(&partition, SECOND).ready_ms, 7101, "its times begin now");
+    assert!(job(&partition, THIRD).waiting);
 }
 
 #[test]
 fn a_job_that_waits_costs_a_pass_nothing_and_counts_nowhere() {
-    let p = chain();
-    assert_eq!(p.cluster.live, [p.cluster.job_index[FIRST]]);
-    assert_eq!(p.cluster.jobs.iter().filter(|job| job.active()).count(), 1);
-    assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Pending));
+    let partition = chain();
+    assert_eq!(partition.cluster.live, [partition.cluster.job_index[FIRST]]);
+    assert_eq!(partition.cluster.jobs.iter().filter(|job| job.active()).count(), 1);
+    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending));
 }
 
 #[test]
@@ -214,8 +214,8 @@
     // In any order of the records.
     let done = record(FIRST, "batch", "red", Some(JobEnd::Done), 50);
     for jobs in [vec![done.clone(), second.clone()], vec![second.clone(), done]] {
-        let p = partition_of(2, jobs, vec![]);
-        assert!(job(&p, SECOND).active(), "a task of it that runs already must not be stopped");
+        let partition = partition_of(2, jobs, vec![]);
+        assert!(job(&partition, SECOND).active(), "a task of it that runs already must not be stopped");
     }
 }
 
@@ -226,33 +226,33 @@
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
-    let mut p = Partition::new(policy, 0, teams, s.write_limits());
-    let instance_types = partition().cluster.instance_types;
-    p.begin(FencingToken(1), 77, vec![], vec![], instance_types, 1000);
-    let _rx = submit(&mut p, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
-    let lookup = p.take_lookups().pop().unwrap();
+    let mut partition = Partition::new(policy, 0, teams, s.write_limits());
+    let instance_types = super::partition().cluster.instance_types;
+    partition.begin(FencingToken(1), 77, vec![], vec![], instance_types, 1000);
+    let _rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let lookup = partition.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "blue", None, 50);
-    p.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
-    commit_all(&mut p, 1000);
-    assert_eq!(p.external_dependencies(), [FIRST]);
-    p
+    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    commit_all(&mut partition, 1000);
+    assert_eq!(partition.external_dependencies(), [FIRST]);
+    partition
 }
 
 #[test]
 fn a_job_of_another_partition_is_waited_for_until_its_record_tells_its_end() {
-    let mut p = with_external();
-    assert_eq!(phase(p.status(SECOND)), Err(RefusalReason::DependencyElsewhere), "its record alone tells");
-    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
-    assert!(job(&p, SECOND).waiting);
-    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
-    assert!(job(&p, SECOND).active() && p.external_dependencies().is_empty());
-    assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Pending));
+    let mut partition = with_external();
+    assert_eq!(phase(partition.status(SECOND)), Err(RefusalReason::DependencyElsewhere), "its record alone tells");
+    partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
+    assert!(job(&partition, SECOND).waiting);
+    partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
+    assert!(job(&partition, SECOND).active() && partition.external_dependencies().is_empty());
+    assert_eq!(phase(partition.status(SECOND)), Ok(JobPhase::Pending));
 }
 
 #[test]
 fn a_job_is_cancelled_with_one_of_another_partition() {
-    let mut p = with_external();
-    p.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
-    assert_eq!(phase(p.status(SECOND)), Ok(JobPhase::Cancelled));
-    assert_eq!(job(&p, SECOND).unsaved, UnsavedChange::End(JobEnd::Cancelled));
+    let mut partition = with_external();
+    partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
+    assert_eq!(phase(partition.status(SECOND)), Ok(JobPhase::Cancelled));
+    assert_eq!(job(&partition, SECOND).unsaved, UnsavedChange::End(JobEnd::Cancelled));
 }
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -7,23 +7,23 @@
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
+    let mut partition = partition_of(5, jobs, hosts);
     // Another, new machine has room.
-    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
-    commit(&mut p, 1100, 101);
-    p.schedule(1100, 1100);
-    assert!(p.dispatch_queue.hosts().is_empty());
+    partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
+    commit(&mut partition, 1100, 101);
+    partition.schedule(1100, 1100);
+    assert!(partition.dispatch_queue.hosts().is_empty());
     // The first report is answered, but shows an older token: the old
     // leader's command may still come.
     let up = || vec![reported("run-000001/0", a, "running", None)];
-    p.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
-    p.take_dispatch_queue();
-    p.schedule(1200, 1200);
-    assert!(p.dispatch_queue.hosts().is_empty() && !p.cluster.all_reconciled);
-    p.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
-    p.schedule(1300, 1300);
-    assert!(p.dispatch_queue.hosts().is_empty() && p.cluster.all_reconciled, "the task runs already");
-    assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
+    partition.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
+    partition.take_dispatch_queue();
+    partition.schedule(1200, 1200);
+    assert!(partition.dispatch_queue.hosts().is_empty() && !partition.cluster.all_reconciled);
+    partition.heartbeat(&heartbeat("h1", 1, 8, 5, up()), StatusSource::Heartbeat, 1300);
+    partition.schedule(1300, 1300);
+    assert!(partition.dispatch_queue.hosts().is_empty() && partition.cluster.all_reconciled, "the task runs already");
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(_, n) if n == a));
 }
 
 #[test]
@@ -31,15 +31,15 @@
     for gone in [true, false] {
         let mut old = running("service", 1);
         let (jobs, hosts) = items(&mut old);
-        let mut p = partition_of(5, jobs, hosts);
-        p.detect_failures(1000 + LEASE, 0);
-        assert!(!p.cluster.all_reconciled, "its lease may still live");
+        let mut partition = partition_of(5, jobs, hosts);
+        partition.detect_failures(1000 + LEASE, 0);
+        assert!(!partition.cluster.all_reconciled, "its lease may still live");
         if gone {
-            p.host_terminated("h1");
+            partition.host_terminated("h1");
         } else {
-            p.detect_failures(1000 + LEASE + 1100, 0);
+            partition.detect_failures(1000 + LEASE + 1100, 0);
         }
-        assert!(p.cluster.all_reconciled);
+        assert!(partition.cluster.all_reconciled);
     }
 }
 
@@ -54,22 +54,19 @@
     }
     commit(&mut old, 1000, 100);
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
+    let mut partition = partition_of(5, jobs, hosts);
     let seen = |phase, n| heartbeat("h1", 1, n, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
-    p.heartbeat(&seen("running", 10), StatusSource::Heartbeat, 1100);
-    assert!(!p.cluster.all_reconciled);
+    partition.heartbeat(&seen("running", 10), StatusSource::Heartbeat, 1100);
+    assert!(!partition.cluster.all_reconciled);
     // The first job's replica ends: it was on h1, and so not on h2.
-    p.heartbeat(&seen("ended", 11), StatusSource::Heartbeat, 1200);
-    p.schedule(1300, 1300);
-    assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(..)));
-    assert_eq!(p.cluster.jobs[1].tasks[0].place, Place::Idle, "this one may be on h2");
-    let (tx, mut rx) = oneshot::channel();
-    p.cancel("run-000001", 1000, true, tx);
-    assert!(p.next_commit(1300, 32).is_none() && rx.try_recv().is_err(), "nor is its end said");
-    p.host_terminated("h2");
-    while p.next_commit(1400, 32).is_some() {
-        p.committed(CommitOutcome::Done { revision: 102 }).unwrap();
-    }
+    partition.heartbeat(&seen("ended", 11), StatusSource::Heartbeat, 1200);
+    partition.schedule(1300, 1300);
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)));
+    assert_eq!(partition.cluster.jobs[1].tasks[0].place, Place::Idle, "this one may be on h2");
+    let mut rx = request_cancellation(&mut partition, "run-000001", 1000, true);
+    assert!(partition.next_commit(1300, 32).is_none() && rx.try_recv().is_err(), "nor is its end said");
+    partition.host_terminated("h2");
+    commit_all_at(&mut partition, 1400, 102);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
@@ -82,17 +79,15 @@
         let a = attempt(&old, 0);
         old.cluster.jobs[0].spec.spread = spread;
         let (jobs, hosts) = items(&mut old);
-        let mut p = partition_of(5, jobs, hosts);
+        let mut partition = partition_of(5, jobs, hosts);
         let ended = |phase, n| heartbeat("h2", 1, n, 5, vec![reported("run-000001/0", a, phase, Some("halted"))]);
-        p.heartbeat(&ended("running", 1), StatusSource::Heartbeat, 1100);
-        p.heartbeat(&ended("ended", 2), StatusSource::Heartbeat, 1200);
-        while p.next_commit(1200, 32).is_some() {
-            p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
-        }
-        p.schedule(1300, 1300);
+        partition.heartbeat(&ended("running", 1), StatusSource::Heartbeat, 1100);
+        partition.heartbeat(&ended("ended", 2), StatusSource::Heartbeat, 1200);
+        commit_all_at(&mut partition, 1200, 90);
+        partition.schedule(1300, 1300);
         // The other task may be on h1, or come to be there.
-        assert_eq!(p.cluster.jobs[0].tasks[0].place == Place::Idle, spread);
-        assert_eq!(p.cluster.jobs[0].tasks[1].place, Place::Idle);
+        assert_eq!(partition.cluster.jobs[0].tasks[0].place == Place::Idle, spread);
+        assert_eq!(partition.cluster.jobs[0].tasks[1].place, Place::Idle);
     }
 }
 
@@ -102,19 +97,17 @@
 fn a_late_copy_from_a_machine_that_is_gone_locates_nothing() {
     let mut old = running("service", 1);
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
-    p.heartbeat(
+    let mut partition = partition_of(5, jobs, hosts);
+    partition.heartbeat(
         &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
         StatusSource::Heartbeat,
         1100,
     );
-    p.host_terminated("h0");
-    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
-    while p.next_commit(1200, 32).is_some() {
-        p.committed(CommitOutcome::Done { revision: 90 }).unwrap();
-    }
-    p.schedule(1300, 1300);
-    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
+    partition.host_terminated("h0");
+    partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
+    commit_all_at(&mut partition, 1200, 90);
+    partition.schedule(1300, 1300);
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
 }
 
 // With 3.6% of a core a new leader of 240 machines asked each of them directly, though each had
@@ -124,18 +117,18 @@
     let mut old = running("service", 1);
     let a = attempt(&old, 0);
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
-    let react = p.policy.react_ms;
+    let mut partition = partition_of(5, jobs, hosts);
+    let react = partition.policy.react_ms;
     let still_old = |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", a, "running", None)]);
-    p.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
-    assert!(p.dispatch_queue.hosts().is_empty());
-    assert!(p.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next report is on its way");
-    assert_eq!(p.detect_failures(1100 + react, 0).to_probe, [0], "the answer may not have reached it");
-    p.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
-    assert!(p.dispatch_queue.hosts().contains(&0), "the answer made no difference");
-    p.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
-    p.refresh_unreconciled();
-    assert!(p.cluster.all_reconciled);
+    partition.heartbeat(&still_old(7), StatusSource::Heartbeat, 1100);
+    assert!(partition.dispatch_queue.hosts().is_empty());
+    assert!(partition.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next report is on its way");
+    assert_eq!(partition.detect_failures(1100 + react, 0).to_probe, [0], "the answer may not have reached it");
+    partition.heartbeat(&still_old(8), StatusSource::Heartbeat, 1100 + react);
+    assert!(partition.dispatch_queue.hosts().contains(&0), "the answer made no difference");
+    partition.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
+    partition.refresh_unreconciled();
+    assert!(partition.cluster.all_reconciled);
 }
 
 #[test]
@@ -145,36 +138,36 @@
         old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
-    assert_eq!(p.detect_failures(1000, 0).to_probe, [0, 1, 2]);
-    p.cluster.host_mut(0).unwrap().unanswered_probes = 1;
-    assert_eq!(p.detect_failures(1100, 0).to_probe, [1, 2, 0]);
+    let mut partition = partition_of(5, jobs, hosts);
+    assert_eq!(partition.detect_failures(1000, 0).to_probe, [0, 1, 2]);
+    partition.cluster.host_mut(0).unwrap().unanswered_probes = 1;
+    assert_eq!(partition.detect_failures(1100, 0).to_probe, [1, 2, 0]);
 }
 
 // The next size: a controller in a zone that is cut off keeps the leases there alive.
 #[test]
 fn a_lease_expires_only_while_no_other_controller_could_renew_it() {
-    let mut p = running("service", 1);
+    let mut partition = running("service", 1);
     let end = 1000 + 3 * LEASE;
     for now in (1000..=end).step_by(500) {
-        p.detect_failures(now, now);
+        partition.detect_failures(now, now);
     }
-    assert!(matches!(p.cluster.jobs[0].tasks[0].place, Place::On(..)), "another was unbound until now");
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)), "another was unbound until now");
     for now in (end..=end + LEASE + 1500).step_by(500) {
-        p.detect_failures(now, end);
+        partition.detect_failures(now, end);
     }
-    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
 }
 
 #[test]
 fn new_jobs_need_not_wait_for_unreconciled_machines() {
     let mut old = running("service", 1);
     let (jobs, hosts) = items(&mut old);
-    let mut p = partition_of(5, jobs, hosts);
-    p.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
-    let _rx = submit(&mut p, &body("run-000002", "service", 1), 1100);
-    commit(&mut p, 1100, 101);
-    p.schedule(1100, 1100);
-    assert!(p.cluster.jobs[1].tasks[0].place != Place::Idle);
-    assert_eq!(p.cluster.jobs[0].tasks[0].place, Place::Idle);
+    let mut partition = partition_of(5, jobs, hosts);
+    partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
+    let _rx = submit(&mut partition, &body("run-000002", "service", 1), 1100);
+    commit(&mut partition, 1100, 101);
+    partition.schedule(1100, 1100);
+    assert!(partition.cluster.jobs[1].tasks[0].place != Place::Idle);
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
 }
--- a/src/control/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -7,65 +7,68 @@
 
 #[test]
 fn one_recorded_cancellation_decides_for_all_dependents_at_once() {
-    let mut p = chain();
-    cancel(&mut p, FIRST);
-    assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Pending), "it is not recorded yet");
+    let mut partition = chain();
+    cancel(&mut partition, FIRST);
+    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending), "it is not recorded yet");
     // One change alone is committed: the others' records are still to come.
-    p.next_commit(2000, 1).unwrap();
-    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
+    partition.next_commit(2000, 1).unwrap();
+    partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     for id in [FIRST, SECOND, THIRD] {
-        assert_eq!(phase(p.status(id)), Ok(JobPhase::Cancelled), "{id}");
+        assert_eq!(phase(partition.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
-    let rest = p.next_commit(2000, 32).unwrap();
+    let rest = partition.next_commit(2000, 32).unwrap();
     let written: Vec<String> = rest.writes.iter().map(|a| a.to_json()["put"].as_str().unwrap().to_string()).collect();
     assert_eq!(written, ["job/run-000002", "job/run-000003"]);
     assert!(rest.writes.iter().all(|a| a.to_json()["data"]["end"] == "Cancelled"));
-    p.committed(CommitOutcome::Done { revision: 201 }).unwrap();
-    assert!(p.next_commit(2000, 32).is_none());
-    p.schedule(2001, 2001);
-    assert!(placed(&p).is_empty());
+    partition.committed(CommitOutcome::Done { revision: 201 }).unwrap();
+    assert!(partition.next_commit(2000, 32).is_none());
+    partition.schedule(2001, 2001);
+    assert!(placed(&partition).is_empty());
 }
 
 #[test]
 fn while_a_cancellation_is_indeterminate_dependents_neither_start_nor_end_and_no_answer_is_given() {
-    let mut p = chain();
-    cancel(&mut p, FIRST);
-    p.next_commit(2000, 32).unwrap();
+    let mut partition = chain();
+    cancel(&mut partition, FIRST);
+    partition.next_commit(2000, 32).unwrap();
     for id in [FIRST, SECOND, THIRD] {
-        assert_eq!(phase(p.status(id)), Err(RefusalReason::EndBeingRecorded), "{id}");
+        assert_eq!(phase(partition.status(id)), Err(RefusalReason::EndBeingRecorded), "{id}");
     }
-    p.committed(CommitOutcome::Indeterminate).unwrap();
-    assert_eq!(phase(p.status(THIRD)), Err(RefusalReason::EndBeingRecorded));
-    assert!(job(&p, THIRD).waiting && job(&p, THIRD).end.is_none());
+    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    assert_eq!(phase(partition.status(THIRD)), Err(RefusalReason::EndBeingRecorded));
+    assert!(job(&partition, THIRD).waiting && job(&partition, THIRD).end.is_none());
     // It was refused after all, by the next try.
-    p.next_commit(2100, 32).unwrap();
-    p.committed(CommitOutcome::Refused).unwrap();
-    assert_eq!(phase(p.status(THIRD)), Err(RefusalReason::EndBeingRecorded), "the first may still come");
-    commit_all(&mut p, 2200);
-    assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Cancelled));
+    partition.next_commit(2100, 32).unwrap();
+    partition.committed(CommitOutcome::Refused).unwrap();
+    assert_eq!(phase(partition.status(THIRD)), Err(RefusalReason::EndBeingRecorded), "the first may still come");
+    commit_all(&mut partition, 2200);
+    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Cancelled));
 }
 
 #[test]
 fn a_refused_cancellation_leaves_its_dependents_as_they_were() {
-    let mut p = chain();
-    cancel(&mut p, FIRST);
-    p.next_commit(2000, 32).unwrap();
-    p.committed(CommitOutcome::Refused).unwrap();
-    assert_eq!(phase(p.status(THIRD)), Ok(JobPhase::Pending));
+    let mut partition = chain();
+    cancel(&mut partition, FIRST);
+    partition.next_commit(2000, 32).unwrap();
+    partition.committed(CommitOutcome::Refused).unwrap();
+    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending));
 }
 
 #[test]
 fn a_cancellation_that_meets_the_end_of_the_job_cancels_nothing_after_it() {
-    let mut p = chain();
-    p.schedule(1001, 1001);
-    report_ended(&mut p, FIRST, 2);
-    p.next_commit(2000, 32).unwrap();
-    cancel(&mut p, FIRST);
-    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
-    commit_all(&mut p, 2000);
-    assert_eq!(phase(p.status(FIRST)), Ok(JobPhase::Done));
-    p.schedule(2001, 2001);
-    assert_eq!((placed(&p), phase(p.status(SECOND))), (vec![FIRST.into(), SECOND.into()], Ok(JobPhase::Pending)));
+    let mut partition = chain();
+    partition.schedule(1001, 1001);
+    report_ended(&mut partition, FIRST, 2);
+    partition.next_commit(2000, 32).unwrap();
+    cancel(&mut partition, FIRST);
+    partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
+    commit_all(&mut partition, 2000);
+    assert_eq!(phase(partition.status(FIRST)), Ok(JobPhase::Done));
+    partition.schedule(2001, 2001);
+    assert_eq!(
+        (placed(&partition), phase(partition.status(SECOND))),
+        (vec![FIRST.into(), SECOND.into()], Ok(JobPhase::Pending))
+    );
 }
 
 #[test]
@@ -76,91 +79,91 @@
         item
     };
     let cancelled = record(FIRST, "batch", "red", Some(JobEnd::Cancelled), 50);
-    let mut p = partition_of(2, vec![waits(THIRD, SECOND, 52), waits(SECOND, FIRST, 51), cancelled], vec![]);
+    let mut partition = partition_of(2, vec![waits(THIRD, SECOND, 52), waits(SECOND, FIRST, 51), cancelled], vec![]);
     for id in [SECOND, THIRD] {
-        assert_eq!(phase(p.status(id)), Ok(JobPhase::Cancelled), "{id}");
+        assert_eq!(phase(partition.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
-    let commit = p.next_commit(2000, 32).unwrap();
+    let commit = partition.next_commit(2000, 32).unwrap();
     assert_eq!(commit.writes.len(), 2, "their own records follow");
 }
 
 #[test]
 fn a_job_that_names_a_cancelled_one_is_accepted_and_cancelled() {
-    let mut p = chain();
-    cancel(&mut p, FIRST);
-    commit_all(&mut p, 2000);
-    let answer = accept_waiting(&mut p, "run-000004", &[THIRD], json!({}));
+    let mut partition = chain();
+    cancel(&mut partition, FIRST);
+    commit_all(&mut partition, 2000);
+    let answer = accept_waiting(&mut partition, "run-000004", &[THIRD], json!({}));
     assert!(matches!(answer, UserAnswer::Accepted { created: true, phase: JobPhase::Cancelled, .. }), "{answer:?}");
     // Repeats, polls and cancellations of it get the usual answers.
-    let mut rx = submit(&mut p, &waiting_body("run-000004", &[], json!({})), 2000);
+    let mut rx = submit(&mut partition, &waiting_body("run-000004", &[], json!({})), 2000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { created: false, phase: JobPhase::Cancelled, .. })));
     let (tx, mut rx) = tokio::sync::oneshot::channel();
-    p.cancel("run-000004", 2000, true, tx);
+    partition.cancel("run-000004", 2000, true, tx);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Cancelled));
 }
 
 #[test]
 fn a_dependent_whose_creation_was_under_way_follows_when_it_is_recorded() {
-    let mut p = chain();
-    let mut rx = submit(&mut p, &waiting_body("run-000004", &[THIRD], json!({})), 2000);
-    cancel(&mut p, FIRST);
+    let mut partition = chain();
+    let mut rx = submit(&mut partition, &waiting_body("run-000004", &[THIRD], json!({})), 2000);
+    cancel(&mut partition, FIRST);
     // The cancellation is recorded first, by itself.
-    p.next_commit(2000, 1).unwrap();
-    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
-    assert_eq!(phase(p.status("run-000004")), Err(RefusalReason::JobNotAccepted));
-    commit_all(&mut p, 2000);
+    partition.next_commit(2000, 1).unwrap();
+    partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
+    assert_eq!(phase(partition.status("run-000004")), Err(RefusalReason::JobNotAccepted));
+    commit_all(&mut partition, 2000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Cancelled));
-    assert_eq!(phase(p.status("run-000004")), Ok(JobPhase::Cancelled));
+    assert_eq!(phase(partition.status("run-000004")), Ok(JobPhase::Cancelled));
 }
 
 #[test]
 fn the_records_of_dependents_give_way_to_ends_and_creations() {
-    let mut p = chain();
-    cancel(&mut p, FIRST);
-    p.next_commit(2000, 1).unwrap();
-    p.committed(CommitOutcome::Done { revision: 200 }).unwrap();
-    let _rx = submit(&mut p, &body("run-000005", "batch", 2), 2000);
-    let commit = p.next_commit(2000, 1).unwrap();
+    let mut partition = chain();
+    cancel(&mut partition, FIRST);
+    partition.next_commit(2000, 1).unwrap();
+    partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
+    let _rx = submit(&mut partition, &body("run-000005", "batch", 2), 2000);
+    let commit = partition.next_commit(2000, 1).unwrap();
     assert_eq!(commit.writes[0].to_json()["put"], "job/run-000005");
 }
 
 /// A job on which a thousand others wait.
 fn wide_fan() -> (Partition, Vec<String>) {
-    let mut p = partition();
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    accept_waiting(&mut p, FIRST, &[], json!({}));
+    let mut partition = partition();
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    accept_waiting(&mut partition, FIRST, &[], json!({}));
     let ids: Vec<String> = (100..1100).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
-        accept_waiting(&mut p, id, &[FIRST], json!({}));
+        accept_waiting(&mut partition, id, &[FIRST], json!({}));
     }
-    (p, ids)
+    (partition, ids)
 }
 
 #[test]
 fn one_change_cancels_a_thousand_dependents() {
-    let (mut p, ids) = wide_fan();
-    cancel(&mut p, FIRST);
-    assert_eq!(p.next_commit(2000, 1).unwrap().writes.len(), 1);
-    p.committed(CommitOutcome::Done { revision: 5000 }).unwrap();
-    assert!(ids.iter().all(|id| phase(p.status(id)) == Ok(JobPhase::Cancelled)));
+    let (mut partition, ids) = wide_fan();
+    cancel(&mut partition, FIRST);
+    assert_eq!(partition.next_commit(2000, 1).unwrap().writes.len(), 1);
+    partition.committed(CommitOutcome::Done { revision: 5000 }).unwrap();
+    assert!(ids.iter().all(|id| phase(partition.status(id)) == Ok(JobPhase::Cancelled)));
     let mut followed = 0;
     let mut revision = 5000;
-    while let Some(commit) = p.next_commit(2000, 4) {
+    while let Some(commit) = partition.next_commit(2000, 4) {
         followed += commit.writes.iter().filter(|a| a.to_json()["data"]["end"] == "Cancelled").count();
         revision += 1;
-        p.committed(CommitOutcome::Done { revision }).unwrap();
+        partition.committed(CommitOutcome::Done { revision }).unwrap();
     }
     assert_eq!(followed, 1000);
 }
 
 #[test]
 fn a_thousand_dependents_are_released_together() {
-    let (mut p, ids) = wide_fan();
-    p.schedule(1001, 1001);
-    assert_eq!(p.cluster.live.len(), 1);
-    report_ended(&mut p, FIRST, 2);
-    commit_all(&mut p, 2000);
-    assert_eq!(p.cluster.live.len(), 1000);
-    assert!(ids.iter().all(|id| job(&p, id).active()));
-    assert_eq!(p.waiting_jobs(), 0);
+    let (mut partition, ids) = wide_fan();
+    partition.schedule(1001, 1001);
+    assert_eq!(partition.cluster.live.len(), 1);
+    report_ended(&mut partition, FIRST, 2);
+    commit_all(&mut partition, 2000);
+    assert_eq!(partition.cluster.live.len(), 1000);
+    assert!(ids.iter().all(|id| job(&partition, id).active()));
+    assert_eq!(partition.waiting_jobs(), 0);
 }
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -9,49 +9,51 @@
     let mut s = settings();
     s.params.state.next = Some(NextStateLimits { value_kb: Some(2.0), txn_ops: Some(4), ..NextStateLimits::default() });
     let policy = Policy::new(&s, &Operator::default(), 0);
-    let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(FencingToken(1), 77, vec![], vec![], partition().cluster.instance_types, 1000);
-    let _waiters: Vec<_> = (1..10).map(|n| submit(&mut p, &body(&format!("run-{n:06}"), "batch", 1), 1000)).collect();
-    let commit = p.next_commit(1000, 32).unwrap();
+    let mut partition = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
+    partition.begin(FencingToken(1), 77, vec![], vec![], super::partition().cluster.instance_types, 1000);
+    let _waiters: Vec<_> =
+        (1..10).map(|n| submit(&mut partition, &body(&format!("run-{n:06}"), "batch", 1), 1000)).collect();
+    let commit = partition.next_commit(1000, 32).unwrap();
     assert_eq!(commit.writes.len(), 4);
 }
 
 #[test]
 fn a_commit_that_is_not_taken_is_divided_until_the_record_at_fault_waits_alone() {
-    let mut p = partition();
-    let _waiters: Vec<_> = (1..=4).map(|n| submit(&mut p, &body(&format!("run-{n:06}"), "batch", 1), 1000)).collect();
+    let mut partition = partition();
+    let _waiters: Vec<_> =
+        (1..=4).map(|n| submit(&mut partition, &body(&format!("run-{n:06}"), "batch", 1), 1000)).collect();
     let mut recorded = 0;
     let mut commits = 0;
-    while let Some(commit) = p.next_commit(1000, 32) {
+    while let Some(commit) = partition.next_commit(1000, 32) {
         commits += 1;
         assert!(commits < 12, "it repeats for ever");
         let at_fault = commit.writes.iter().any(|a| a.to_json()["put"] == "job/run-000001");
         let result = if at_fault { CommitOutcome::NotTaken } else { CommitOutcome::Done { revision: 100 + commits } };
         recorded += if at_fault { 0 } else { commit.writes.len() };
-        p.committed(result).unwrap();
+        partition.committed(result).unwrap();
     }
     assert_eq!(recorded, 3, "the others are recorded");
-    assert!(p.next_commit(1000 + p.policy.lease_ms, 32).is_some(), "it is tried again");
+    assert!(partition.next_commit(1000 + partition.policy.lease_ms, 32).is_some(), "it is tried again");
 }
 
 #[test]
 fn progress_that_does_not_fit_is_left_out_and_the_end_is_recorded() {
-    let mut p = running("batch", 2);
-    p.cluster.jobs[0].spec.image = "i".repeat(RECORD_BYTES + 4096);
-    let first = attempt(&p, 0);
-    let key = format!("run-000001/{}", p.cluster.host(0).unwrap().attempts[0].key.task);
-    p.heartbeat(
+    let mut partition = running("batch", 2);
+    partition.cluster.jobs[0].spec.image = "i".repeat(RECORD_BYTES + 4096);
+    let first = attempt(&partition, 0);
+    let key = format!("run-000001/{}", partition.cluster.host(0).unwrap().attempts[0].key.task);
+    partition.heartbeat(
         &heartbeat("h1", 1, 2, 1, vec![reported(&key, first, "ended", Some("done"))]),
         StatusSource::Heartbeat,
         2000,
     );
-    let machines = p.next_commit(60_000, 32);
+    let machines = partition.next_commit(60_000, 32);
     assert!(machines.is_none_or(|c| c.writes.iter().all(|a| a.to_json()["put"] != "job/run-000001")));
-    p.tasks_done(0, &[0, 1], 61_000);
-    if p.committing() {
-        p.committed(CommitOutcome::Done { revision: 150 }).unwrap();
+    partition.tasks_done(0, &[0, 1], 61_000);
+    if partition.is_committing() {
+        partition.committed(CommitOutcome::Done { revision: 150 }).unwrap();
     }
-    let end = p.next_commit(61_000, 32).unwrap();
+    let end = partition.next_commit(61_000, 32).unwrap();
     assert_eq!(end.writes[0].to_json()["data"]["end"], "Done");
     assert!(end.writes[0].to_json()["data"].to_string().len() <= RECORD_BYTES);
 }
@@ -63,53 +65,54 @@
     s.params.limits.core_share = Some(0.0008);
     s.params.workers.report_s = 4.0;
     (s.params.teams[0].gpus, s.params.teams[0].gpus_max) = (0.0, 0.0);
-    let mut p = Partition::new(Policy::new(&s, &Operator::default(), 0), 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(FencingToken(1), 77, vec![], vec![], vec![instance_type()], 1000);
+    let mut partition =
+        Partition::new(Policy::new(&s, &Operator::default(), 0), 0, s.partitions_of_teams(1), s.write_limits());
+    partition.begin(FencingToken(1), 77, vec![], vec![], vec![instance_type()], 1000);
     let mut submission: serde_json::Value = serde_json::from_slice(&body("run-000001", "batch", 1000)).unwrap();
     submission["urgency"] = json!("best_effort");
-    let _rx = submit(&mut p, submission.to_string().as_bytes(), 1000);
-    commit(&mut p, 1000, 100);
-    p
+    let _rx = submit(&mut partition, submission.to_string().as_bytes(), 1000);
+    commit(&mut partition, 1000, 100);
+    partition
 }
 
 /// All machines report at this moment what they were ordered.
-fn all_report(p: &mut Partition, sequence: u64, now: u64) {
+fn all_report(partition: &mut Partition, sequence: u64, now: u64) {
     for host in 0..40 {
-        let tasks = p.cluster.host_index.get(&format!("h{host}")).map(|&index| {
-            let attempts = p.cluster.host(index).unwrap().attempts.clone();
+        let tasks = partition.cluster.host_index.get(&format!("h{host}")).map(|&index| {
+            let attempts = partition.cluster.host(index).unwrap().attempts.clone();
             let listed =
                 attempts.iter().map(|a| reported(&format!("run-000001/{}", a.key.task), a.attempt, "running", None));
             listed.collect()
         });
         let r = heartbeat(&format!("h{host}"), 1, sequence, 1, tasks.unwrap_or_default());
-        p.heartbeat(&r, StatusSource::Heartbeat, now);
+        partition.heartbeat(&r, StatusSource::Heartbeat, now);
     }
 }
 
-fn attempts_on_all(p: &Partition) -> usize {
-    p.cluster.each_host().map(|(_, h)| h.attempts.len()).sum()
+fn attempts_on_all(partition: &Partition) -> usize {
+    partition.cluster.each_host().map(|(_, h)| h.attempts.len()).sum()
 }
 
 // A fixed count of attempts left most of 4,000 machines idle: what an attempt costs depends on
 // how often it is listed.
 #[test]
 fn long_tasks_may_be_more_than_short_ones() {
-    let mut p = partition_with_a_large_array();
-    all_report(&mut p, 1, 1000);
-    commit(&mut p, 1000, 101);
-    commit(&mut p, 1000, 102);
-    p.schedule(1001, 1001);
-    assert_eq!(attempts_on_all(&p), 48, "nothing is measured yet");
+    let mut partition = partition_with_a_large_array();
+    all_report(&mut partition, 1, 1000);
+    commit(&mut partition, 1000, 101);
+    commit(&mut partition, 1000, 102);
+    partition.schedule(1001, 1001);
+    assert_eq!(attempts_on_all(&partition), 48, "nothing is measured yet");
     // Listed once in 4 s, four times as many are followed.
     for round in 1..=6 {
-        all_report(&mut p, 1 + round, 1000 + 4000 * round);
-        p.schedule(1001 + 4000 * round, 1001 + 4000 * round);
+        all_report(&mut partition, 1 + round, 1000 + 4000 * round);
+        partition.schedule(1001 + 4000 * round, 1001 + 4000 * round);
     }
-    assert_eq!(attempts_on_all(&p), 4 * 48);
+    assert_eq!(attempts_on_all(&partition), 4 * 48);
     // Their tasks now end and begin all the time, and reports come every half second: no more.
     for round in 1..=40 {
-        all_report(&mut p, 100 + round, 30_000 + 500 * round);
-        p.schedule(30_001 + 500 * round, 30_001 + 500 * round);
+        all_report(&mut partition, 100 + round, 30_000 + 500 * round);
+        partition.schedule(30_001 + 500 * round, 30_001 + 500 * round);
     }
-    assert_eq!(p.policy.max_attempts, 48);
+    assert_eq!(partition.policy.max_attempts, 48);
 }
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -52,9 +52,9 @@
 pub fn partition_of(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let s = settings();
     let policy = Policy::new(&s, &Operator::default(), 0);
-    let mut p = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
-    p.begin(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
-    p
+    let mut partition = Partition::new(policy, 0, s.partitions_of_teams(1), s.write_limits());
+    partition.begin(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
+    partition
 }
 
 /// A new partition, without jobs and machines.
@@ -88,16 +88,35 @@
 }
 
 /// Submits a job; the receiver gets the answer.
-pub fn submit(p: &mut Partition, b: &[u8], now: u64) -> oneshot::Receiver<UserAnswer> {
+pub fn submit(partition: &mut Partition, b: &[u8], now: u64) -> oneshot::Receiver<UserAnswer> {
     let (tx, rx) = oneshot::channel();
-    p.submit(b, now, now, tx);
+    partition.submit(b, now, now, tx);
     rx
 }
 
 /// Takes the next commit, which must be due, as made at this revision.
-pub fn commit(p: &mut Partition, now: u64, revision: u64) {
-    assert!(p.next_commit(now, 32).is_some());
-    assert_eq!(p.committed(CommitOutcome::Done { revision }), Ok(vec![]));
+pub fn commit(partition: &mut Partition, now: u64, revision: u64) {
+    assert!(partition.next_commit(now, 32).is_some());
+    assert_eq!(partition.committed(CommitOutcome::Done { revision }), Ok(vec![]));
+}
+
+/// Takes all commits that are due as made at this revision.
+pub(super) fn commit_all_at(partition: &mut Partition, now: u64, revision: u64) {
+    while partition.next_commit(now, 32).is_some() {
+        partition.committed(CommitOutcome::Done { revision }).unwrap();
+    }
+}
+
+/// Asks for the cancellation of a job; the receiver gets the answer.
+pub(super) fn request_cancellation(
+    partition: &mut Partition,
+    id: &str,
+    now: u64,
+    recordable: bool,
+) -> oneshot::Receiver<UserAnswer> {
+    let (tx, rx) = oneshot::channel();
+    partition.cancel(id, now, recordable, tx);
+    rx
 }
 
 /// Carries out the writes of a commit: keys with their values and versions.
@@ -112,18 +131,18 @@
 
 /// A partition with one machine in use and one accepted job, placed.
 pub fn running(shape: &str, tasks: u32) -> Partition {
-    let mut p = partition();
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    let _rx = submit(&mut p, &body("run-000001", shape, tasks), 1000);
-    commit(&mut p, 1000, 100);
-    p.schedule(1001, 1001);
-    assert_eq!(p.dispatch_queue.hosts().len(), 1);
-    p
+    let mut partition = partition();
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    let _rx = submit(&mut partition, &body("run-000001", shape, tasks), 1000);
+    commit(&mut partition, 1000, 100);
+    partition.schedule(1001, 1001);
+    assert_eq!(partition.dispatch_queue.hosts().len(), 1);
+    partition
 }
 
 /// Number of the `n`-th attempt on the first machine.
-pub fn attempt(p: &Partition, n: usize) -> u64 {
-    p.cluster.host(0).unwrap().attempts[n].attempt
+pub fn attempt(partition: &Partition, n: usize) -> u64 {
+    partition.cluster.host(0).unwrap().attempts[n].attempt
 }
 
 pub(super) fn runs(orders: &[Order]) -> usize {
@@ -135,11 +154,11 @@
 }
 
 /// The records of the jobs and machines of a partition.
-pub fn items(p: &mut Partition) -> (Vec<Item>, Vec<Item>) {
+pub fn items(partition: &mut Partition) -> (Vec<Item>, Vec<Item>) {
     let item = |key, value, version| Item { key, value, version };
     let job =
         |j: &Job| item(job_key(&j.spec.id), serde_json::to_value(JobRecord::of(j, None, RECORD_BYTES)).unwrap(), 100);
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     let host = |(_, h): (HostIndex, &Host)| item(host_key(&h.id), serde_json::to_value(&record).unwrap(), 90);
-    (p.cluster.jobs.iter().map(job).collect(), p.cluster.each_host().map(host).collect())
+    (partition.cluster.jobs.iter().map(job).collect(), partition.cluster.each_host().map(host).collect())
 }
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -4,51 +4,51 @@
 
 #[test]
 fn a_superseded_leader_learns_it_from_its_commit() {
-    let mut p = partition();
-    let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
-    let c = p.next_commit(1000, 32).unwrap();
+    let mut partition = partition();
+    let _rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
+    let c = partition.next_commit(1000, 32).unwrap();
     assert_eq!(c.conditions[0], wire::condition("part/0", 77), "every commit guards on the part's key");
-    assert_eq!(p.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
+    assert_eq!(partition.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
 }
 
 #[test]
 fn a_machine_is_used_once_it_is_registered() {
-    let mut p = partition();
-    let _rx = submit(&mut p, &body("run-000001", "batch", 2), 1000);
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    p.schedule(1000, 1000);
-    assert!(p.dispatch_queue.hosts().is_empty());
-    commit(&mut p, 1000, 100);
-    p.schedule(1001, 1001);
-    assert_eq!(p.dispatch_queue.hosts().len(), 1);
+    let mut partition = partition();
+    let _rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    partition.schedule(1000, 1000);
+    assert!(partition.dispatch_queue.hosts().is_empty());
+    commit(&mut partition, 1000, 100);
+    partition.schedule(1001, 1001);
+    assert_eq!(partition.dispatch_queue.hosts().len(), 1);
 }
 
 #[test]
 fn done_is_answered_after_its_commit_and_reaped_then() {
-    let mut p = running("batch", 1);
-    let a = attempt(&p, 0);
+    let mut partition = running("batch", 1);
+    let a = attempt(&partition, 0);
     let done = || vec![reported("run-000001/0", a, "ended", Some("done"))];
-    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 2, 1, done()), StatusSource::Heartbeat, 1100)), 0);
-    assert!(matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Pending, .. }));
-    commit(&mut p, 1100, 101);
-    assert!(matches!(p.status("run-000001"), UserAnswer::Status { phase: JobPhase::Done, done: 1, .. }));
-    assert_eq!(reaps(&p.heartbeat(&heartbeat("h1", 1, 3, 1, done()), StatusSource::Heartbeat, 1200)), 1);
+    assert_eq!(reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, done()), StatusSource::Heartbeat, 1100)), 0);
+    assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Pending, .. }));
+    commit(&mut partition, 1100, 101);
+    assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Done, done: 1, .. }));
+    assert_eq!(reaps(&partition.heartbeat(&heartbeat("h1", 1, 3, 1, done()), StatusSource::Heartbeat, 1200)), 1);
     // It is over: a cancellation that comes now changes nothing.
     let (tx, mut rx) = oneshot::channel();
-    p.cancel("run-000001", 1000, true, tx);
+    partition.cancel("run-000001", 1000, true, tx);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Done, .. })));
 }
 
 #[test]
 fn a_large_job_fits_into_its_record() {
-    let mut p = partition();
+    let mut partition = partition();
     let mut b: Value = serde_json::from_slice(&body("run-000001", "batch", 100_000)).unwrap();
     b["cards"] = json!(0.0);
-    let _rx = submit(&mut p, b.to_string().as_bytes(), 1000);
-    commit(&mut p, 1000, 100);
+    let _rx = submit(&mut partition, b.to_string().as_bytes(), 1000);
+    commit(&mut partition, 1000, 100);
     let every_other: Vec<u32> = (0..100_000).step_by(2).collect();
-    p.tasks_done(0, &every_other, 1100);
-    let c = p.next_commit(1100 + 60_000, 32).unwrap();
+    partition.tasks_done(0, &every_other, 1100);
+    let c = partition.next_commit(1100 + 60_000, 32).unwrap();
     assert!(c.writes[0].to_string().len() < 32 * 1024);
 }
 
@@ -56,39 +56,39 @@
 // ended attempt was reaped: the reports grew until controllers went beyond their memory.
 #[test]
 fn recorded_tasks_are_reaped_while_others_end_all_the_time() {
-    let mut p = partition();
-    p.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    let _rx = submit(&mut p, &body("run-000001", "batch", 3), 1000);
-    commit(&mut p, 1000, 100);
-    p.schedule(1000, 1000);
-    let attempts: Vec<u64> = (0..3).map(|n| attempt(&p, n)).collect();
+    let mut partition = partition();
+    partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
+    let _rx = submit(&mut partition, &body("run-000001", "batch", 3), 1000);
+    commit(&mut partition, 1000, 100);
+    partition.schedule(1000, 1000);
+    let attempts: Vec<u64> = (0..3).map(|n| attempt(&partition, n)).collect();
     let listed = |ended: usize| -> Vec<wire::TaskStatus> {
         let phase = |n: usize| if n < ended { "ended" } else { "running" };
         let task = |n: usize| reported(&format!("run-000001/{n}"), attempts[n], phase(n), Some("done"));
         (0..3).map(task).collect()
     };
     let reaped = |orders: &[Order]| orders.iter().filter(|o| matches!(o, Order::Reap { .. })).count();
-    let orders = p.heartbeat(&heartbeat("h1", 1, 2, 1, listed(1)), StatusSource::Heartbeat, 2000);
+    let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, listed(1)), StatusSource::Heartbeat, 2000);
     assert_eq!(reaped(&orders), 0, "not recorded yet");
-    let progress_due = 2000 + 10 * p.policy.report_ms;
-    commit(&mut p, progress_due, 101);
-    let orders = p.heartbeat(&heartbeat("h1", 1, 3, 1, listed(2)), StatusSource::Heartbeat, progress_due + 1);
+    let progress_due = 2000 + 10 * partition.policy.report_ms;
+    commit(&mut partition, progress_due, 101);
+    let orders = partition.heartbeat(&heartbeat("h1", 1, 3, 1, listed(2)), StatusSource::Heartbeat, progress_due + 1);
     assert_eq!(reaped(&orders), 1, "the first is recorded, the second is not");
 }
 
 #[test]
 fn a_machine_moves_between_partitions_only_when_it_is_free() {
-    let mut p = running("service", 1);
-    assert!(!p.transfer_host("h1", 1), "a task is on it");
-    p.heartbeat(&heartbeat("h2", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1100);
-    assert!(!p.transfer_host("h2", 1), "not registered yet");
-    commit(&mut p, 1100, 101);
-    assert!(p.transfer_host("h2", 1));
-    commit(&mut p, 1200, 102);
-    assert_eq!(p.route_heartbeat(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::OtherPartition(1));
+    let mut partition = running("service", 1);
+    assert!(!partition.transfer_host("h1", 1), "a task is on it");
+    partition.heartbeat(&heartbeat("h2", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1100);
+    assert!(!partition.transfer_host("h2", 1), "not registered yet");
+    commit(&mut partition, 1100, 101);
+    assert!(partition.transfer_host("h2", 1));
+    commit(&mut partition, 1200, 102);
+    assert_eq!(partition.route_heartbeat(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::OtherPartition(1));
     // One that comes from a partition with a higher fencing token needs a higher one here.
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
-    p.host_record_read("h3", Some(record), 1300);
-    assert_eq!(p.route_heartbeat(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::AwaitsHigherToken);
-    assert!(p.needs_higher_token());
+    partition.host_record_read("h3", Some(record), 1300);
+    assert_eq!(partition.route_heartbeat(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::AwaitsHigherToken);
+    assert!(partition.needs_higher_token());
 }
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -150,9 +150,9 @@
         };
         let policy = Policy::new(&self.settings, &Operator::default(), 0);
         let teams = self.settings.partitions_of_teams(1);
-        let mut p = Partition::new(policy, 0, teams, self.settings.write_limits());
-        p.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
-        p.begin(
+        let mut partition = Partition::new(policy, 0, teams, self.settings.write_limits());
+        partition.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
+        partition.begin(
             FencingToken(self.fencing_token),
             self.fencing_token,
             items("job/"),
@@ -160,8 +160,8 @@
             vec![instance_type()],
             self.now,
         );
-        p.begin_pools(items("pool/"), self.now);
-        self.partition = p;
+        partition.begin_pools(items("pool/"), self.now);
+        self.partition = partition;
     }
 
     fn rounds(&mut self, n: usize) {
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -11,6 +11,13 @@
 /// milliseconds of the lease for each second of the backlog.
 const BACKLOG_MS_PER_S: f64 = 4000.0;
 
+/// What may be answered about a job from memory.
+struct AnswerablePhase {
+    phase: JobPhase,
+    /// Tasks that run.
+    running: u32,
+}
+
 impl Partition {
     /// A submission. The answer comes at once or, through the waiter, after
     /// the commit that creates the record: an accepted job is never lost.
@@ -93,7 +100,7 @@
     /// with what: its phase and how many of its tasks run. The records are the truth: while a write of
     /// its end may have been carried out, another node may have read the end and answered with it.
     /// Nothing older may be answered then, and the record must be read again.
-    fn answerable_phase(&self, job_index: JobIndex) -> Result<(JobPhase, u32), UserAnswer> {
+    fn answerable_phase(&self, job_index: JobIndex) -> Result<AnswerablePhase, UserAnswer> {
         let job = &self.cluster.jobs[job_index];
         if job.version == 0 {
             return Err(UserAnswer::RetryLater(RefusalReason::JobNotAccepted));
@@ -108,13 +115,15 @@
             return Err(UserAnswer::RetryLater(reason));
         }
         let running = if job.end.is_some() { 0 } else { self.running_counts.of(&self.cluster, job_index) };
-        Ok((job.phase(running), running))
+        Ok(AnswerablePhase { phase: job.phase(running), running })
     }
 
     /// The answer to a user whose job is accepted.
     pub(super) fn accepted(&self, job_index: JobIndex, created: bool) -> UserAnswer {
         match self.answerable_phase(job_index) {
-            Ok((phase, _)) => UserAnswer::Accepted { created, id: self.cluster.jobs[job_index].spec.id.clone(), phase },
+            Ok(AnswerablePhase { phase, .. }) => {
+                UserAnswer::Accepted { created, id: self.cluster.jobs[job_index].spec.id.clone(), phase }
+            }
             Err(later) => later,
         }
     }
@@ -133,7 +142,9 @@
         // All tasks may be done before the record says so; the end is answered only after its commit.
         let done = job.done.min(job.spec.tasks);
         match self.answerable_phase(job_index) {
-            Ok((phase, running)) => UserAnswer::Status { id: job.spec.id.clone(), phase, done, running },
+            Ok(AnswerablePhase { phase, running }) => {
+                UserAnswer::Status { id: job.spec.id.clone(), phase, done, running }
+            }
             Err(later) => later,
         }
     }
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -23,10 +23,10 @@
 impl Partition {
     /// Begins with the pools' records. What is warm on ordinary machines is known from them alone.
     pub fn begin_pools(&mut self, items: Vec<Item>, now: u64) {
-        let Some(own) = &mut self.pools else { return };
-        let moment = own.moment(now);
-        own.pools.restore(items.into_iter().filter_map(record), moment);
-        for slot in own.pools.slots().filter(|slot| slot.keep == HoldKind::Image && slot.is_claimable()) {
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let moment = warm_pools.moment(now);
+        warm_pools.pools.restore(items.into_iter().filter_map(record), moment);
+        for slot in warm_pools.pools.slots().filter(|slot| slot.keep == HoldKind::Image && slot.is_claimable()) {
             let host = self.cluster.host_index.get(&slot.host).copied();
             if let Some(host) = host.and_then(|index: HostIndex| self.cluster.host_mut(index))
                 && host.images.iter().all(|image| image.name != slot.image)
@@ -39,8 +39,8 @@
 
     /// The changes of the pools' records that go into the next commit, if any fit.
     pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
-        let own = self.pools.as_mut()?;
-        let changes = own.pools.next_changes(self.epoch.upcoming_number(), most)?;
+        let warm_pools = self.warm_pools.as_mut()?;
+        let changes = warm_pools.pools.next_changes(self.epoch.upcoming_number(), most)?;
         // The number is a commit's now, and no attempt's.
         self.epoch.next_number();
         Some(changes)
@@ -48,34 +48,34 @@
 
     /// The pools' part of a commit was made.
     pub(in crate::control::partition) fn pools_written(&mut self, revision: u64) {
-        let Some(own) = &mut self.pools else { return };
-        let events = own.pools.written(revision);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let events = warm_pools.pools.written(revision);
         self.follow_pool_events(events);
     }
 
     /// The pools' part of a commit was not made, or maybe not.
     pub(in crate::control::partition) fn pools_not_written(&mut self, failure: WriteFailure) {
-        let Some(own) = &mut self.pools else { return };
+        let Some(warm_pools) = &mut self.warm_pools else { return };
         match failure {
-            WriteFailure::Indeterminate => own.pools.indeterminate(),
-            WriteFailure::NotCarriedOut => own.pools.not_written(),
+            WriteFailure::Indeterminate => warm_pools.pools.indeterminate(),
+            WriteFailure::NotCarriedOut => warm_pools.pools.not_written(),
         }
     }
 
     /// Keys of the pools that must be read before their records are written again.
     pub fn pool_keys_to_read(&self) -> Vec<String> {
-        let keys = self.pools.iter().flat_map(|own| own.pools.keys_to_read());
+        let keys = self.warm_pools.iter().flat_map(|warm_pools| warm_pools.pools.keys_to_read());
         keys.map(|key| key.path()).collect()
     }
 
     /// Takes these keys as they are now.
     pub fn pool_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
-        let Some(own) = &mut self.pools else { return };
+        let Some(warm_pools) = &mut self.warm_pools else { return };
         let found = found.into_iter().filter_map(|(key, item)| {
             let item = item.and_then(record).map(|(_, record, version)| (record, version));
             Some((RecordKey::parse(&key)?, item))
         });
-        let events = own.pools.reread(found.collect());
+        let events = warm_pools.pools.reread(found.collect());
         self.follow_pool_events(events);
     }
 
@@ -94,7 +94,7 @@
 
     /// The machine of a slot has orders to get.
     fn dispatch_slot(&mut self, slot: u64) {
-        let slot = self.pools.as_ref().and_then(|own| own.pools.slot(slot));
+        let slot = self.warm_pools.as_ref().and_then(|warm_pools| warm_pools.pools.slot(slot));
         if let Some(host) = slot.and_then(|slot| self.cluster.host_index.get(&slot.host)) {
             self.dispatch_queue.insert(*host);
         }
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -13,10 +13,10 @@
 impl Partition {
     /// Maintains the pools. `boot_ms` is how long a machine takes to boot.
     pub fn maintain_pools(&mut self, boot_ms: u64, now: u64, wall: u64) {
-        let Some(own) = &mut self.pools else { return };
-        own.wall_ms = wall;
-        let moment = own.moment(now);
-        own.pools.look(boot_ms, moment);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        warm_pools.wall_ms = wall;
+        let moment = warm_pools.moment(now);
+        warm_pools.pools.look(boot_ms, moment);
         self.abandon_unrecorded_claims(now);
         self.release_ended_claims(now);
         self.end_lost_slots(now);
@@ -29,11 +29,11 @@
 
     /// Claims that could not be recorded in time are given up. Their tasks were not ordered.
     fn abandon_unrecorded_claims(&mut self, now: u64) {
-        let Some(own) = &mut self.pools else { return };
+        let Some(warm_pools) = &mut self.warm_pools else { return };
         let before_ms = now.saturating_sub(CLAIM_TIMEOUT_REACTIONS * self.policy.react_ms);
-        let late = own.pools.claims_unrecorded_since(before_ms);
+        let late = warm_pools.pools.claims_unrecorded_since(before_ms);
         for (id, _) in &late {
-            own.pools.abandon_claim(*id);
+            warm_pools.pools.abandon_claim(*id);
         }
         for (slot, claim) in late {
             tracing::info!(slot, job = claim.job, "warm reservation not recorded in time, abandoned");
@@ -55,29 +55,29 @@
 
     /// Claims whose attempts are gone end; what waits to be recorded has an attempt as well.
     pub(in crate::control::partition) fn release_ended_claims(&mut self, now: u64) {
-        let Some(own) = &self.pools else { return };
+        let Some(warm_pools) = &self.warm_pools else { return };
         let gone = |host: &str, attempt: u64| {
             let host = self.cluster.host_index.get(host).and_then(|index| self.cluster.host(*index));
             host.is_some_and(|host| !host.attempts.iter().any(|own| own.attempt == attempt && !own.ended()))
         };
-        let claims = own.pools.slots().filter(|slot| slot.seen).filter_map(|slot| Some((slot, slot.claim()?)));
+        let claims = warm_pools.pools.slots().filter(|slot| slot.seen).filter_map(|slot| Some((slot, slot.claim()?)));
         let ended: Vec<SlotId> =
             claims.filter(|(slot, claim)| gone(&slot.host, claim.attempt)).map(|(slot, _)| slot.id).collect();
-        let moment = own.moment(now);
-        let Some(own) = &mut self.pools else { return };
-        ended.into_iter().for_each(|id| own.pools.claim_ended(id, moment));
+        let moment = warm_pools.moment(now);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        ended.into_iter().for_each(|id| warm_pools.pools.claim_ended(id, moment));
     }
 
     /// Slots on machines that are gone, or are to be returned.
     fn end_lost_slots(&mut self, now: u64) {
-        let Some(own) = &mut self.pools else { return };
-        let moment = own.moment(now);
-        let hosts: Vec<(SlotId, String)> = own.pools.slots().map(|slot| (slot.id, slot.host.clone())).collect();
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let moment = warm_pools.moment(now);
+        let hosts: Vec<(SlotId, String)> = warm_pools.pools.slots().map(|slot| (slot.id, slot.host.clone())).collect();
         for (id, host) in hosts {
             match self.cluster.host_index.get(&host).and_then(|index| self.cluster.host(*index)) {
-                None => own.pools.host_lost(&host, EndCause::MachineLost, moment),
+                None => warm_pools.pools.host_lost(&host, EndCause::MachineLost, moment),
                 Some(host) if host.preemption_notice || host.terminating || host.draining || host.faulty() => {
-                    own.pools.drain(id, EndCause::MachineLost, moment)
+                    warm_pools.pools.drain(id, EndCause::MachineLost, moment)
                 }
                 Some(_) => {}
             }
@@ -86,13 +86,13 @@
 
     /// Slots are charged by the present prices of their machines.
     fn update_prices(&mut self, now: u64) {
-        let Some(own) = &mut self.pools else { return };
-        let moment = own.moment(now);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let moment = warm_pools.moment(now);
         let flavor_of = |host: &str| {
             let host = self.cluster.host(*self.cluster.host_index.get(host)?)?;
             Some((&self.cluster.instance_types[host.instance_type?], host.spot))
         };
-        let prices: Vec<(SlotId, u64)> = own
+        let prices: Vec<(SlotId, u64)> = warm_pools
             .pools
             .slots()
             .filter_map(|slot| {
@@ -100,7 +100,7 @@
                 Some((slot.id, price_of(&slot.amounts, &amounts(&instance_type.cap), instance_type.price(spot))))
             })
             .collect();
-        prices.into_iter().for_each(|(id, price)| own.pools.set_price(id, price, moment));
+        prices.into_iter().for_each(|(id, price)| warm_pools.pools.set_price(id, price, moment));
     }
 
     /// Machines with slots to be unloaded have an order to get.
--- a/src/control/partition/warm_pools/mod.rs
+++ b/src/control/partition/warm_pools/mod.rs
@@ -30,18 +30,18 @@
     /// Switches the pools on; the settings were checked.
     pub fn enable_pools(&mut self, settings: PoolSettings, now: u64, wall: u64) {
         let pools = WarmPools::new(settings, Moment { steady_ms: now, wall_ms: wall });
-        self.pools = Some(PartitionWarmPools { pools, wall_ms: wall });
+        self.warm_pools = Some(PartitionWarmPools { pools, wall_ms: wall });
     }
 
     /// How the pools are; none if there are none.
     pub fn pool_status(&self) -> Vec<PoolStatus> {
-        self.pools.as_ref().map(|own| own.pools.status()).unwrap_or_default()
+        self.warm_pools.as_ref().map(|warm_pools| warm_pools.pools.status()).unwrap_or_default()
     }
 
     /// Logs and counts the state changes of slots since the last call.
     pub(in crate::control::partition) fn report_slot_transitions(&mut self) {
-        let Some(own) = &mut self.pools else { return };
-        for transition in own.pools.take_transitions() {
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        for transition in warm_pools.pools.take_transitions() {
             let from = transition.from.as_ref().map_or("none", SlotState::label);
             let to = transition.to.label();
             let cause = match transition.to {
@@ -55,7 +55,7 @@
 
     /// The slots of the pools.
     pub fn pool_slots(&self) -> impl Iterator<Item = &Slot> {
-        self.pools.iter().flat_map(|own| own.pools.slots())
+        self.warm_pools.iter().flat_map(|warm_pools| warm_pools.pools.slots())
     }
 }
 
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -15,9 +15,9 @@
         if !self.conditions.reservations_recordable || !self.cluster.all_reconciled {
             return;
         }
-        let Some(own) = &self.pools else { return };
+        let Some(warm_pools) = &self.warm_pools else { return };
         let pools: Vec<(String, Pool)> =
-            own.pools.settings().pools.iter().map(|(name, pool)| (name.clone(), pool.clone())).collect();
+            warm_pools.pools.settings().pools.iter().map(|(name, pool)| (name.clone(), pool.clone())).collect();
         let mut index = Index::new(&self.cluster, now);
         for (name, pool) in pools {
             while let Some(host_index) = self.place_for_slot(&index, &name, &pool, now) {
@@ -29,33 +29,37 @@
     }
 
     fn begin_slot(&mut self, host_index: HostIndex, name: &str, pool: &Pool, now: u64) {
-        let (Some(own), Some(host)) = (&mut self.pools, self.cluster.hosts[host_index].as_ref()) else { return };
+        let (Some(warm_pools), Some(host)) = (&mut self.warm_pools, self.cluster.hosts[host_index].as_ref()) else {
+            return;
+        };
         let number = self.epoch.next_number();
         let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
         let price = instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)));
-        let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
+        let image =
+            warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
         let place = SlotPlace {
             host: host.id.clone(),
             agent_epoch: host.agent_epoch,
             price_per_hour: price,
             warm: has_image(host, &image),
         };
-        let moment = own.moment(now);
-        own.pools.begin(number, name, place, moment);
+        let moment = warm_pools.moment(now);
+        warm_pools.pools.begin(number, name, place, moment);
     }
 
     /// The machine for the next slot of a pool, if one is wanted and there is capacity for it.
     fn place_for_slot(&self, index: &Index, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
-        let own = self.pools.as_ref()?;
-        if !self.payer_may_hold(own, index, pool) {
+        let warm_pools = self.warm_pools.as_ref()?;
+        if !self.payer_may_hold(warm_pools, index, pool) {
             return None;
         }
-        let there = hosts_of(&self.cluster, own, name);
+        let there = hosts_of(&self.cluster, warm_pools, name);
         let mut by_zone: HashMap<usize, usize> = HashMap::new();
         there.iter().for_each(|host| *by_zone.entry(index.slots[*host].zone).or_default() += 1);
         let most_in_zone = if pool.spread { pool.most_wanted().div_ceil(2) } else { usize::MAX };
-        let image = own.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
-        let moment = own.moment(now);
+        let image =
+            warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
+        let moment = warm_pools.moment(now);
         let suits = |(host_index, host): &(HostIndex, &Host)| {
             let slot = &index.slots[*host_index];
             slot.usable
@@ -63,7 +67,7 @@
                 && demand(&pool.amounts()).fits(&slot.free)
                 && self.allows(pool, host)
                 && by_zone.get(&slot.zone).copied().unwrap_or(0) < most_in_zone
-                && own.pools.may_begin(name, self.price_on(pool, host), moment) > 0
+                && warm_pools.pools.may_begin(name, self.price_on(pool, host), moment) > 0
         };
         let rank = |(host_index, host): &(HostIndex, &Host)| {
             let zone = by_zone.get(&index.slots[*host_index].zone).copied().unwrap_or(0);
@@ -88,10 +92,10 @@
 
     /// Would the payer's tasks and idle replicas keep to its limit with one more? And is no work
     /// pending that would take the capacity at once: work beyond the payer's guarantee yields.
-    fn payer_may_hold(&self, own: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
+    fn payer_may_hold(&self, warm_pools: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
         let mut total = index.usage.get(&pool.payer).copied().unwrap_or_default();
-        let held = own.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
+        let held = warm_pools.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
         held.for_each(|slot| total.add(&demand(&slot.amounts)));
         total.add(&demand(&pool.amounts()));
         let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
@@ -103,17 +107,17 @@
 
     /// Replicas that found no machine with free capacity, as tasks for the plan of what to rent.
     pub fn pool_replicas_without_machine(&self, now: u64) -> Vec<(Spec, usize)> {
-        let Some(own) = &self.pools else { return Vec::new() };
+        let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
         if !self.conditions.reservations_recordable {
             return Vec::new();
         }
-        let moment = own.moment(now);
-        let pools = own.pools.settings().pools.iter();
+        let moment = warm_pools.moment(now);
+        let pools = warm_pools.pools.settings().pools.iter();
         let missing = pools.filter(|(_, pool)| self.machines_may_suit(pool)).map(|(name, pool)| {
             let price = self.least_price(pool);
-            (name, pool, own.pools.may_begin(name, price, moment))
+            (name, pool, warm_pools.pools.may_begin(name, price, moment))
         });
-        missing.flat_map(|(name, pool, count)| self.replica_specs(own, name, pool, count)).collect()
+        missing.flat_map(|(name, pool, count)| self.replica_specs(warm_pools, name, pool, count)).collect()
     }
 
     /// Machines are rented for loaded models only where some worker is known to load them.
@@ -130,8 +134,14 @@
     }
 
     /// So many replicas as tasks, divided among the pool's zones.
-    fn replica_specs(&self, own: &PartitionWarmPools, name: &str, pool: &Pool, count: usize) -> Vec<(Spec, usize)> {
-        let Some(model) = own.pools.settings().models.get(&pool.model) else { return Vec::new() };
+    fn replica_specs(
+        &self,
+        warm_pools: &PartitionWarmPools,
+        name: &str,
+        pool: &Pool,
+        count: usize,
+    ) -> Vec<(Spec, usize)> {
+        let Some(model) = warm_pools.pools.settings().models.get(&pool.model) else { return Vec::new() };
         let zones: Vec<Option<String>> =
             if pool.zones.is_empty() { vec![None] } else { pool.zones.iter().cloned().map(Some).collect() };
         let parts = zones.len();
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -11,12 +11,14 @@
     /// Describes to the scheduler which capacity is reserved. Without the state service no claim could be
     /// recorded: then none is offered, and jobs are placed as usual.
     pub(in crate::control::partition) fn reserve_warm_capacity(&mut self) {
-        let Some(own) = &self.pools else { return };
+        let Some(warm_pools) = &self.warm_pools else { return };
         let recordable = self.conditions.reservations_recordable;
         let cluster = &self.cluster;
-        let rooms = own.pools.slots().filter(|slot| slot.holds_room());
-        self.cluster.warm_reservations = rooms
-            .filter_map(|slot| Some(own.warm_reservation(slot, *cluster.host_index.get(&slot.host)?, recordable)))
+        let holding = warm_pools.pools.slots().filter(|slot| slot.holds_room());
+        self.cluster.warm_reservations = holding
+            .filter_map(|slot| {
+                Some(warm_pools.warm_reservation(slot, *cluster.host_index.get(&slot.host)?, recordable))
+            })
             .collect();
     }
 
@@ -25,11 +27,11 @@
         for claim in &outcome.warm_claims {
             self.claim_reservation(claim, now);
         }
-        let Some(own) = &mut self.pools else { return };
-        let moment = own.moment(now);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let moment = warm_pools.moment(now);
         for slot in &outcome.warm_reservations_given_up {
-            own.pools.drain(*slot, EndCause::RoomNeeded, moment);
-            if let Some(host) = own.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
+            warm_pools.pools.drain(*slot, EndCause::RoomNeeded, moment);
+            if let Some(host) = warm_pools.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
             }
         }
@@ -37,25 +39,26 @@
 
     /// A task is placed in a warm slot. The reservation is recorded before the task is ordered: an attempt is
     /// never in a slot that another leader would give away.
-    fn claim_reservation(&mut self, room: &WarmReservationClaim, now: u64) {
-        let Some(own) = &mut self.pools else { return };
-        let spec = &self.cluster.jobs[room.key.job].spec;
-        let claim = Claim { job: spec.id.clone(), task: room.key.task, attempt: room.attempt, team: spec.team.clone() };
-        let moment = own.moment(now);
-        let claimed = own.pools.claim(room.slot, &spec.image, claim, moment);
+    fn claim_reservation(&mut self, placed: &WarmReservationClaim, now: u64) {
+        let Some(warm_pools) = &mut self.warm_pools else { return };
+        let spec = &self.cluster.jobs[placed.key.job].spec;
+        let claim =
+            Claim { job: spec.id.clone(), task: placed.key.task, attempt: placed.attempt, team: spec.team.clone() };
+        let moment = warm_pools.moment(now);
+        let claimed = warm_pools.pools.claim(placed.slot, &spec.image, claim, moment);
         tracing::info!(
-            slot = room.slot,
+            slot = placed.slot,
             job = spec.id,
             team = spec.team,
             taken = claimed.is_ok(),
             "warm slot reserved"
         );
-        let loaded = own.pools.slot(room.slot).is_some_and(|slot| slot.keep == HoldKind::Loaded);
-        let host = self.cluster.host_mut(room.host);
-        let Some(attempt) = host.and_then(|host| host.attempt_mut(room.key, room.attempt)) else { return };
+        let loaded = warm_pools.pools.slot(placed.slot).is_some_and(|slot| slot.keep == HoldKind::Loaded);
+        let host = self.cluster.host_mut(placed.host);
+        let Some(attempt) = host.and_then(|host| host.attempt_mut(placed.key, placed.attempt)) else { return };
         // What could not be reserved after all is an ordinary start in the capacity that was held.
         attempt.awaits_record = claimed.is_ok();
-        attempt.slot = (claimed.is_ok() && loaded).then_some(room.slot);
+        attempt.slot = (claimed.is_ok() && loaded).then_some(placed.slot);
     }
 }
 
@@ -87,7 +90,11 @@
 }
 
 /// The hosts on which a pool's slots hold capacity, one entry a slot.
-pub(super) fn hosts_of<'a>(cluster: &'a ClusterState, own: &'a PartitionWarmPools, pool: &'a str) -> Vec<HostIndex> {
-    let slots = own.pools.slots().filter(|slot| slot.pool == pool && slot.is_available());
+pub(super) fn hosts_of<'a>(
+    cluster: &'a ClusterState,
+    warm_pools: &'a PartitionWarmPools,
+    pool: &'a str,
+) -> Vec<HostIndex> {
+    let slots = warm_pools.pools.slots().filter(|slot| slot.pool == pool && slot.is_available());
     slots.filter_map(|slot| cluster.host_index.get(&slot.host).copied()).collect()
 }
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -25,25 +25,25 @@
         heartbeat: &Heartbeat,
         now: u64,
     ) {
-        let Some(own) = &self.pools else { return };
-        let on_host: Vec<&Slot> = own.pools.slots().filter(|slot| slot.host == heartbeat.host).collect();
+        let Some(warm_pools) = &self.warm_pools else { return };
+        let on_host: Vec<&Slot> = warm_pools.pools.slots().filter(|slot| slot.host == heartbeat.host).collect();
         let another_session = on_host.iter().any(|slot| slot.agent_epoch != heartbeat.agent_epoch);
         let changes: Vec<(SlotId, SlotStatusChange)> =
             on_host.iter().map(|slot| (slot.id, self.slot_status_change(slot, host_index, heartbeat))).collect();
-        let moment = own.moment(now);
-        let Some(own) = &mut self.pools else { return };
+        let moment = warm_pools.moment(now);
+        let Some(warm_pools) = &mut self.warm_pools else { return };
         if another_session {
-            own.pools.host_lost(&heartbeat.host, EndCause::SessionLost, moment);
+            warm_pools.pools.host_lost(&heartbeat.host, EndCause::SessionLost, moment);
             return;
         }
         for (id, change) in changes {
             match change {
-                SlotStatusChange::Seen { warm } => own.pools.seen(id, warm, moment),
-                SlotStatusChange::Missing => own.pools.not_reported(id, moment),
+                SlotStatusChange::Seen { warm } => warm_pools.pools.seen(id, warm, moment),
+                SlotStatusChange::Missing => warm_pools.pools.not_reported(id, moment),
                 SlotStatusChange::ClaimNeverRecorded => {
                     tracing::info!(slot = id, "reservation of the previous leader was never recorded");
-                    own.pools.void_claim(id, moment);
-                    own.pools.seen(id, false, moment);
+                    warm_pools.pools.void_claim(id, moment);
+                    warm_pools.pools.seen(id, false, moment);
                     self.scheduling_triggers.request_cycle();
                 }
                 SlotStatusChange::Nothing => {}
@@ -78,11 +78,11 @@
 
     /// The orders for the slots of a machine: what its worker should have done and has not.
     pub(in crate::control::partition) fn slot_orders(&self, host_index: HostIndex) -> Vec<Order> {
-        let Some(own) = &self.pools else { return Vec::new() };
+        let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
         let Some(host) = self.cluster.host(host_index).filter(|host| host.loads_models && host.reconciled) else {
             return Vec::new();
         };
-        let loaded = own.pools.slots().filter(|slot| slot.host == host.id && slot.keep == HoldKind::Loaded);
+        let loaded = warm_pools.pools.slots().filter(|slot| slot.host == host.id && slot.keep == HoldKind::Loaded);
         loaded
             .filter_map(|slot| match slot.state {
                 SlotState::Loading if slot.is_recorded() => Some(load(slot)),
@@ -94,9 +94,10 @@
 
     /// Orders to unload what a worker has and no record knows, or not any more.
     pub(in crate::control::partition) fn unknown_slots(&self, heartbeat: &Heartbeat) -> Vec<Order> {
-        let Some(own) = &self.pools else { return Vec::new() };
+        let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
         let known = |id: SlotId| {
-            own.pools
+            warm_pools
+                .pools
                 .slot(id)
                 .is_some_and(|slot| slot.host == heartbeat.host && !matches!(slot.state, SlotState::Ended(_)))
         };
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -12,7 +12,7 @@
 impl PartitionLeader {
     /// Commits what has changed, or raises the fencing token if that must come first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
-        if leadership.raising || leadership.partition.committing() || now < leadership.commit_after_ms {
+        if leadership.raising || leadership.partition.is_committing() || now < leadership.commit_after_ms {
             return;
         }
         if leadership.token_check_due && now >= leadership.raise_after_ms {
