--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -46,14 +46,14 @@
                     Some(LeadershipChange::Begin(acquired)) => {
                         last_epoch += 1;
                         let mut leadership = self.begin_leadership(last_epoch, acquired);
-                        leadership.partition.metrics = std::mem::take(&mut metrics);
+                        *leadership.partition.metrics_mut() = std::mem::take(&mut metrics);
                         active = Some(leadership);
                     }
                     Some(LeadershipChange::End) => {
                         // Its background tasks end.
                         self.current_epoch.store(0, Ordering::Relaxed);
-                        if let Some(leadership) = active.take() {
-                            metrics = leadership.partition.metrics;
+                        if let Some(mut leadership) = active.take() {
+                            metrics = std::mem::take(leadership.partition.metrics_mut());
                         }
                     }
                     None => return,
@@ -185,7 +185,7 @@
         let waiting = leadership.partition.waiting_jobs();
         let gauge = labelled_gauge_line("jobs_waiting_for_others", "partition", &label, waiting);
         let loans = if leadership.loaded { leadership.partition.loan_gauges(now) } else { String::new() };
-        leadership.partition.metrics.text() + &gauge + &loans
+        leadership.partition.metrics().text() + &gauge + &loans
     }
 
     fn handle_event(&self, leadership: &mut Leadership, event: BackgroundEvent, now: u64) {
@@ -244,11 +244,11 @@
         leadership.loaded = true;
         tracing::info!(
             %fencing_token,
-            jobs = leadership.partition.cluster.live.len(),
-            hosts = leadership.partition.cluster.host_index.len(),
+            jobs = leadership.partition.cluster().live.len(),
+            hosts = leadership.partition.cluster().host_index.len(),
             "partition loaded"
         );
-        self.watch_cloud(leadership.epoch, leadership.partition.cluster.instance_types.clone());
+        self.watch_cloud(leadership.epoch, leadership.partition.cluster().instance_types.clone());
         self.watch_inbox(leadership.epoch);
     }
 }
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -134,7 +134,7 @@
     let began = tokio::time::Instant::now();
     work(leadership);
     let took_ms = began.elapsed().as_millis() as u64;
-    leadership.partition.metrics.observe(name, label, took_ms);
+    leadership.partition.metrics_mut().observe(name, label, took_ms);
     tracing::debug!(name, label, took = took_ms, "done");
     took_ms
 }
--- a/src/provisioning/provisioner/distribution.rs
+++ b/src/provisioning/provisioner/distribution.rs
@@ -51,7 +51,7 @@
         }
         self.capacity_reports.insert(to, ReceivedReport { received_ms: now, report });
         let named = |offering: InstanceOffering| {
-            let instance_type = partition.cluster.instance_types.get(offering.instance_type)?.name.clone();
+            let instance_type = partition.cluster().instance_types.get(offering.instance_type)?.name.clone();
             Some(Machines { instance_type, zone: offering.zone, spot: offering.spot, count: 1 })
         };
         let refused = self.refused.iter().filter(|(_, backoff)| now < backoff.until_ms);
@@ -64,7 +64,7 @@
     pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused.clear();
         for machines in refused {
-            if let Some(offering) = offering(&partition.cluster, machines) {
+            if let Some(offering) = offering(partition.cluster(), machines) {
                 self.refused.insert(offering, Backoff { until_ms, pause_ms: 0 });
             }
         }
@@ -82,7 +82,7 @@
         now: u64,
         report_ttl_ms: u64,
     ) -> Vec<CloudRequest> {
-        if !self.predecessor_known || partition.cluster.instance_types.is_empty() {
+        if !self.predecessor_known || partition.cluster().instance_types.is_empty() {
             return Vec::new();
         }
         self.capacity_reports.retain(|_, received| now < received.received_ms + report_ttl_ms);
@@ -91,7 +91,7 @@
         let mut requests = Vec::new();
         for to in self.partitions_by_bin() {
             for wanted in self.take_wanted(to) {
-                let Some(offering) = offering(&partition.cluster, &wanted) else { continue };
+                let Some(offering) = offering(partition.cluster(), &wanted) else { continue };
                 let transfers = self.transfer_spare(to, &offering, wanted.count, &mut spare, now + report_ttl_ms);
                 let left = wanted.count - transfers.len();
                 requests.extend(transfers);
@@ -155,7 +155,7 @@
         let offering = &scale_out.offering;
         tracing::info!(
             name,
-            instance_type = partition.cluster.instance_types[offering.instance_type].name,
+            instance_type = partition.cluster().instance_types[offering.instance_type].name,
             zone = offering.zone,
             spot = offering.spot,
             count = scale_out.count,
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -34,11 +34,12 @@
         wall: u64,
     ) -> (CapacityReport, Vec<CloudRequest>) {
         for (name, label) in self.counts.drain(..) {
-            partition.metrics.count(name, &label);
+            partition.metrics_mut().count(name, &label);
         }
         let flows = flows(partition, wall);
-        partition.cluster.exhausted = self.exhausted_types(&partition.cluster, now);
-        partition.cluster.reserves = scheduling::reserves(&partition.cluster, &partition.policy, &flows);
+        let exhausted = self.exhausted_types(partition.cluster(), now);
+        partition.set_exhausted(exhausted);
+        partition.reserve_for_flows(&flows);
         let mut report = CapacityReport {
             partition: partition.id(),
             lowest_bin: partition.lowest_bin(wall),
@@ -46,11 +47,11 @@
             wanted: Vec::new(),
             spare: Vec::new(),
         };
-        if partition.cluster.instance_types.is_empty() || !partition.is_inventory_known(now) {
+        if partition.cluster().instance_types.is_empty() || !partition.is_inventory_known(now) {
             return (report, Vec::new());
         }
         let plan = self.plan_capacity(partition, &flows, pending_machines, now);
-        report.wanted = plan.scale_out.into_iter().map(|request| machines(&partition.cluster, request)).collect();
+        report.wanted = plan.scale_out.into_iter().map(|request| machines(partition.cluster(), request)).collect();
         let (spare, expendable) = spare_and_expendable(partition, plan.unneeded, now);
         report.spare = frame_sizes::names_for_frame(spare);
         let requests = self.terminate(expendable);
@@ -79,7 +80,7 @@
         pending_machines: &[InstanceOffering],
         now: u64,
     ) -> CapacityPlan {
-        let cluster = &partition.cluster;
+        let cluster = partition.cluster();
         let work = ExpectedWork {
             pending_jobs: partition.pending_jobs(),
             pool_replicas: &partition.pool_replicas_without_machine(now),
@@ -87,7 +88,7 @@
             flows,
         };
         let availability = self.availability(partition, now);
-        scheduling::plan_capacity(cluster, &partition.policy, now, &work, pending_machines, &availability)
+        scheduling::plan_capacity(cluster, partition.policy(), now, &work, pending_machines, &availability)
     }
 
     /// Whether each offering can be had now, by what was refused and how boots went.
@@ -101,7 +102,7 @@
             if self.is_refused(offering, now) {
                 return Availability::Refused;
             }
-            let nominal_ms = partition.cluster.instance_types[offering.instance_type].boot_ms();
+            let nominal_ms = partition.cluster().instance_types[offering.instance_type].boot_ms();
             let late = late_by_offering.get(offering).copied().unwrap_or(0);
             Availability::Available { cost_factor: self.boot_times.cost_factor(offering, nominal_ms, late, now) }
         }
@@ -117,12 +118,12 @@
 /// Ids of the unneeded machines that other partitions may have, and of the machines to return: those
 /// that were idle for too long, and those without attempts that can't be used.
 fn spare_and_expendable(partition: &Partition, unneeded: Vec<HostIndex>, now: u64) -> (Vec<String>, Vec<String>) {
-    let cluster = &partition.cluster;
+    let cluster = partition.cluster();
     let (mut spare, mut expendable) = (Vec::new(), Vec::new());
     for host_index in unneeded {
         let Some(host) = cluster.host(host_index) else { continue };
         let Some(boot_s) = host.instance_type.map(|index| cluster.instance_types[index].boot_s) else { continue };
-        let keep_ms = (partition.policy.idle_keep * boot_s * 1000.0) as u64;
+        let keep_ms = (partition.policy().idle_keep * boot_s * 1000.0) as u64;
         if now > host.idle_since_ms + keep_ms {
             expendable.push(host.id.clone());
         } else {
@@ -141,13 +142,13 @@
 
 /// Arrivals of each class within some of the longest boots, from what was accepted.
 fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
-    let instance_types = partition.cluster.instance_types.iter();
+    let instance_types = partition.cluster().instance_types.iter();
     let boot_s = instance_types.map(|instance_type| instance_type.boot_s).fold(LEAST_BOOT_S, f64::max);
     let window_s = FLOW_WINDOW_BOOTS * boot_s;
-    let since_ms = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy.start_ms);
+    let since_ms = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy().start_ms);
     let span_s = (wall.saturating_sub(since_ms) as f64 / 1000.0).max(boot_s);
     let mut by_class: BTreeMap<&str, Arrivals> = BTreeMap::new();
-    for job in partition.cluster.jobs.iter().filter(|job| job.accepted_ms >= since_ms) {
+    for job in partition.cluster().jobs.iter().filter(|job| job.accepted_ms >= since_ms) {
         let tasks = f64::from(job.spec.tasks);
         let none = Arrivals { spec: &job.spec, tasks: 0.0, squares: 0.0 };
         let arrivals = by_class.entry(&job.spec.class).or_insert(none);
