--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Burst;
 use crate::workload::leak;
 use badgerdrift::transport::network::Net;
-use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift::warm_pools::{BillRow, PoolsRequest, PoolsResponse};
 use badgerdrift_stand_ins::ground::SimulationContext;
 use badgerdrift_stand_ins::machines::MODEL_PATH;
@@ -170,7 +170,7 @@
     let [from, to] = ALL_DAYS.map(String::from);
     let request = PeerRequest::Pools(PoolsRequest::Bill { from, to, team: None });
     for number in 0..plan.scenario.controllers_per_region {
-        let limits = PeerLimits::for_leader_lease(BILL_LIMIT.as_millis() as u64);
+        let limits = PeerTimeouts::for_leader_lease(BILL_LIMIT.as_millis() as u64);
         let address = plan.networks().controller_internal(number);
         let peer = Peer::start_on(Net::default(), address.to_string(), address, limits);
         if let Some(PeerResponse::Pools(PoolsResponse::Bill(rows))) = peer.request(request.clone(), BILL_LIMIT).await {
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -5,7 +5,7 @@
 use crate::results::ChangeResult;
 use badgerdrift::configuration::{ConfigurationRequest, ConfigurationResponse};
 use badgerdrift::transport::network::Net;
-use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift_fleet_config::{
     Amount, Amounts, Change, ChangeId, ChangeOutcome, Document, DocumentName, ReadVersion, Share, TeamDocument,
 };
@@ -76,7 +76,7 @@
 
 async fn make_changes(plan: RegionPlan, per_s: f64, log: ConfigurationLog) {
     let mut rng = StdRng::seed_from_u64(plan.seed ^ (plan.region as u64 + 1) << 32);
-    let limits = PeerLimits::for_leader_lease(ANSWER_LIMIT.as_millis() as u64);
+    let limits = PeerTimeouts::for_leader_lease(ANSWER_LIMIT.as_millis() as u64);
     let controllers: Vec<Peer> = (0..plan.scenario.controllers_per_region)
         .map(|number| {
             let address = plan.networks().controller_internal(number);
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -87,7 +87,7 @@
 /// The interface of a node that knows one other controller, whose frames are in this format.
 async fn api_beside(service: &StateService, format: FrameFormat) -> Api {
     let mut api = api_at(service).await;
-    let limits = crate::transport::peer::PeerLimits::for_leader_lease(api.router.leader_lease_ttl_ms);
+    let limits = crate::transport::peer::PeerTimeouts::for_leader_lease(api.router.leader_lease_ttl_ms);
     let peer = crate::transport::peer::Peer::start("worker-1".into(), "127.0.0.1:1".parse().unwrap(), limits);
     peer.format.received(format);
     api.router.peers = Arc::new(vec![peer]);
@@ -136,7 +136,7 @@
     let unheard = crate::transport::peer::Peer::start(
         "worker-1".into(),
         "127.0.0.1:1".parse().unwrap(),
-        crate::transport::peer::PeerLimits::for_leader_lease(api.router.leader_lease_ttl_ms),
+        crate::transport::peer::PeerTimeouts::for_leader_lease(api.router.leader_lease_ttl_ms),
     );
     api.router.peers = Arc::new(vec![unheard]);
     assert!(!api.router.leader_is_current(0), "a silent one is not known to");
--- a/src/commands/configuration.rs
+++ b/src/commands/configuration.rs
@@ -3,7 +3,7 @@
 
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionStatus, Unavailable};
 use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift_fleet_config::{ChangeId, ChangeOutcome, DocumentName, VersionedDocument};
 use clap::Subcommand;
 use file::{document_text, read_changes};
@@ -64,7 +64,7 @@
 
 /// Carries a command out through the controller at this internal address; what is to be printed.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
-    let limits = PeerLimits::for_leader_lease(CONNECTION_GRANT_MS);
+    let limits = PeerTimeouts::for_leader_lease(CONNECTION_GRANT_MS);
     let connection = Connection { peer: Peer::start_on(Net::default(), controller.to_string(), controller, limits) };
     match command {
         ConfigCommand::Get { document: None } => connection.list().await,
--- a/src/commands/controller_client.rs
+++ b/src/commands/controller_client.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::configuration::CommandError;
 use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// Asks the controller at this internal address.
 pub async fn ask(controller: SocketAddr, request: PeerRequest) -> Result<PeerResponse, CommandError> {
-    let limits = PeerLimits::for_leader_lease(CONNECTION_GRANT_MS);
+    let limits = PeerTimeouts::for_leader_lease(CONNECTION_GRANT_MS);
     let peer = Peer::start_on(Net::default(), controller.to_string(), controller, limits);
     let answer = peer.request(request, ANSWER_LIMIT).await;
     answer.ok_or_else(|| CommandError::NotDone("the controller does not answer".into()))
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -15,7 +15,7 @@
 use crate::runtime::{clock, task};
 use crate::settings::{Operator, Settings};
 use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits};
+use crate::transport::peer::{Peer, PeerTimeouts};
 use badgerdrift_fleet_config::{Acceptor, ConfigState, Confirmation, Entry, RegionName};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -74,7 +74,7 @@
     let (published_tx, published) = watch::channel(None);
     let handle = ConfigurationHandle { region: fleet.region.clone(), tx, published };
     let react = Duration::from_millis(settings.react_ms());
-    let limits = PeerLimits::for_leader_lease(settings.leader_lease_ttl_ms());
+    let limits = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
     let ways = Regions::start(net, &fleet, limits, react);
     let node = format!("{} {}", fleet.region, settings.node);
     let proposals =
--- a/src/configuration/regions.rs
+++ b/src/configuration/regions.rs
@@ -3,7 +3,7 @@
 use super::messages::{ConfigurationRequest, ConfigurationResponse};
 use super::settings::FleetSettings;
 use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift_fleet_config::RegionName;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 
 impl Regions {
     /// The ways to all regions but the fleet's own one.
-    pub(super) fn start(net: &Net, fleet: &FleetSettings, limits: PeerLimits, limit: Duration) -> Regions {
+    pub(super) fn start(net: &Net, fleet: &FleetSettings, limits: PeerTimeouts, limit: Duration) -> Regions {
         let others = fleet.regions.iter().filter(|(name, _)| **name != fleet.region);
         let start = |(name, region): (&RegionName, &super::RegionAddresses)| {
             let peer = |address| Peer::start_on(net.clone(), format!("{name} {address}"), address, limits);
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -16,7 +16,7 @@
 use crate::settings::{Operator, Seed, Settings};
 use crate::transport::http;
 use crate::transport::network::Net;
-use crate::transport::peer::{self, Peer, PeerLimits};
+use crate::transport::peer::{self, Peer, PeerTimeouts};
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
@@ -51,7 +51,7 @@
     let state = StateStore::on(&net, &settings);
     let cloud = Cloud::on(&net, &settings);
     let bounds = Bounds::new(&settings);
-    let limits = PeerLimits::for_leader_lease(leader_lease_ttl_ms);
+    let limits = PeerTimeouts::for_leader_lease(leader_lease_ttl_ms);
     let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
     let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
 
--- a/src/transport/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -1,7 +1,8 @@
 //! The actor that owns the connections to one peer and the requests that wait there.
 
+use super::client::{ConnectionMessage, MAX_QUEUED};
 use super::frames::{Frame, FrameReader, encode, frame_reader, read_frame, write_frames};
-use super::{MAX_QUEUED, PeerRequest, PeerResponse, ToPeer};
+use super::messages::{PeerRequest, PeerResponse};
 use crate::runtime::task;
 use crate::transport::frame_format::PeerFormat;
 use crate::transport::network::Net;
@@ -19,8 +20,8 @@
     pub(super) addr: SocketAddr,
     /// How long an attempt to connect may take.
     pub(super) limit: Duration,
-    /// Where connections tell what happens on them.
-    pub(super) events: mpsc::Sender<ToPeer>,
+    /// Where connections report what happens on them.
+    pub(super) events: mpsc::Sender<ConnectionMessage>,
 }
 
 /// A connection, or the attempt to open one.
@@ -72,13 +73,13 @@
     }
 
     /// Handles messages until nobody can send any more.
-    pub(super) async fn run(mut self, mut messages: mpsc::Receiver<ToPeer>) {
+    pub(super) async fn run(mut self, mut messages: mpsc::Receiver<ConnectionMessage>) {
         while let Some(message) = messages.recv().await {
             match message {
-                ToPeer::Request(request, reply) => self.send(request, reply),
-                ToPeer::Response { connection, frame } => self.received(connection, frame),
-                ToPeer::Broken { connection } => self.broken(connection),
-                ToPeer::Abandoned => self.drop_abandoned(),
+                ConnectionMessage::Request(request, reply) => self.send(request, reply),
+                ConnectionMessage::Response { connection, frame } => self.received(connection, frame),
+                ConnectionMessage::ConnectionClosed { connection } => self.connection_closed(connection),
+                ConnectionMessage::RequestCancelled => self.drop_cancelled(),
             }
             self.close_unused();
         }
@@ -112,28 +113,28 @@
         let Some(connection) = self.connections.iter_mut().find(|c| c.number == connection) else { return };
         connection.responses += 1;
         if let Some(waiting) = self.waiting.remove(&frame.number) {
-            // What can't be read is no answer to work with.
+            // What can't be read is no usable answer. An asker that waits no longer needs none.
             let _ = waiting.reply.send(frame.message.unwrap_or(PeerResponse::Rejected));
         }
     }
 
-    fn broken(&mut self, connection: u64) {
+    fn connection_closed(&mut self, connection: u64) {
         self.connections.retain(|c| c.number != connection);
         self.waiting.retain(|_, w| w.connection != connection);
     }
 
-    /// Drops the requests that were given up. A connection on which nothing has come
-    /// since one of them was sent takes no more: a cut may hold what is on it.
-    fn drop_abandoned(&mut self) {
+    /// Drops the requests that were cancelled. A connection on which nothing has come since one of
+    /// them was sent takes no more: a network partition may hold what is sent on it.
+    fn drop_cancelled(&mut self) {
         let connections = &mut self.connections;
         self.waiting.retain(|_, waiting| {
             if !waiting.reply.is_closed() {
                 return true;
             }
-            if let Some(c) = connections.iter_mut().find(|c| c.number == waiting.connection)
-                && c.responses == waiting.responses_before
+            if let Some(connection) = connections.iter_mut().find(|connection| connection.number == waiting.connection)
+                && connection.responses == waiting.responses_before
             {
-                c.frames = None;
+                connection.frames = None;
             }
             false
         });
@@ -158,7 +159,8 @@
                     tokio::join!(write_frames(write, frames), read_responses(frame_reader(read), number, events));
                 }
                 _ => {
-                    let _ = events.send(ToPeer::Broken { connection: number }).await;
+                    // The actor ends only with the node.
+                    let _ = events.send(ConnectionMessage::ConnectionClosed { connection: number }).await;
                 }
             }
         });
@@ -166,12 +168,13 @@
     }
 }
 
-/// Tells the responses that come on a connection, and its end.
-async fn read_responses(mut read: FrameReader, connection: u64, events: mpsc::Sender<ToPeer>) {
+/// Reports the responses that come on a connection, and its end.
+async fn read_responses(mut read: FrameReader, connection: u64, events: mpsc::Sender<ConnectionMessage>) {
     while let Some(frame) = read_frame(&mut read).await {
-        if events.send(ToPeer::Response { connection, frame }).await.is_err() {
+        if events.send(ConnectionMessage::Response { connection, frame }).await.is_err() {
             return;
         }
     }
-    let _ = events.send(ToPeer::Broken { connection }).await;
+    // The actor ends only with the node.
+    let _ = events.send(ConnectionMessage::ConnectionClosed { connection }).await;
 }
--- a/src/transport/peer/frames.rs
+++ b/src/transport/peer/frames.rs
@@ -8,11 +8,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::sync::mpsc;
 
-/// Most that a frame may hold: a request's body with what is around it. What names machines is
-/// kept shorter by its sender.
+/// Longest body of a frame in bytes: a user's request with what is around it. Messages that name
+/// machines are kept shorter by their sender.
 pub(crate) const MAX_FRAME: usize = 2 * MAX_BODY;
 
-/// Frames are joined to one write until it is so long.
+/// Bytes of the length before each frame.
+const LENGTH_BYTES: usize = 4;
+/// Frames are joined to one write until it has so many bytes.
 const JOINED_WRITE: usize = 16 * 1024;
 /// Bytes that are read ahead on a connection: most frames are taken with one read.
 const READ_AHEAD: usize = 2 * 1024;
@@ -25,17 +27,21 @@
     BufReader::with_capacity(READ_AHEAD, read)
 }
 
-/// A message with the number of its request, and the format that its sender speaks.
+/// A frame on the wire: a message with the number of its request, and the format that its sender
+/// speaks. The names and the order of the fields are fixed.
 #[derive(Serialize, Deserialize)]
-struct Numbered<T> {
-    n: u64,
-    body: T,
+struct WireFrame<T> {
+    /// Number of the request.
+    #[serde(rename = "n")]
+    number: u64,
+    #[serde(rename = "body")]
+    message: T,
     /// Left out by the version before, which ignores it.
     #[serde(default)]
     format: FrameFormat,
 }
 
-/// A frame that has come.
+/// A frame that was received.
 #[derive(Debug, PartialEq)]
 pub(super) struct Frame<T> {
     /// Number of the request.
@@ -47,21 +53,21 @@
 }
 
 /// A frame with a numbered message, unless it is too long.
-pub(super) fn encode<T: Serialize>(n: u64, body: T) -> Option<Vec<u8>> {
-    let mut out = vec![0; 4];
-    ciborium::into_writer(&Numbered { n, body, format: FrameFormat::CURRENT }, &mut out).ok()?;
-    let len = out.len() - 4;
+pub(super) fn encode<T: Serialize>(number: u64, message: T) -> Option<Vec<u8>> {
+    let mut bytes = vec![0; LENGTH_BYTES];
+    ciborium::into_writer(&WireFrame { number, message, format: FrameFormat::CURRENT }, &mut bytes).ok()?;
+    let len = bytes.len() - LENGTH_BYTES;
     if len > MAX_FRAME {
         tracing::error!(bytes = len, most = MAX_FRAME, "message is too long for a frame");
         return None;
     }
-    out[..4].copy_from_slice(&(len as u32).to_be_bytes());
-    Some(out)
+    bytes[..LENGTH_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
+    Some(bytes)
 }
 
-/// The next frame; none once the connection is of no more use.
+/// The next frame; `None` once the connection has ended, or can't be read any further.
 pub(super) async fn read_frame<T: for<'a> Deserialize<'a>>(stream: &mut FrameReader) -> Option<Frame<T>> {
-    let mut len = [0; 4];
+    let mut len = [0; LENGTH_BYTES];
     stream.read_exact(&mut len).await.ok()?;
     let len = u32::from_be_bytes(len) as usize;
     if len > MAX_FRAME {
@@ -74,11 +80,11 @@
 
 /// The frame in these bytes; `None` if there is none.
 fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<Frame<T>> {
-    if let Ok(Numbered { n, body, format }) = ciborium::from_reader::<Numbered<T>, _>(bytes) {
-        return Some(Frame { number: n, format, message: Some(body) });
+    if let Ok(WireFrame { number, message, format }) = ciborium::from_reader::<WireFrame<T>, _>(bytes) {
+        return Some(Frame { number, format, message: Some(message) });
     }
-    let Numbered { n, format, .. } = ciborium::from_reader::<Numbered<IgnoredAny>, _>(bytes).ok()?;
-    Some(Frame { number: n, format, message: None })
+    let WireFrame { number, format, .. } = ciborium::from_reader::<WireFrame<IgnoredAny>, _>(bytes).ok()?;
+    Some(Frame { number, format, message: None })
 }
 
 /// Writes frames until nobody can send any more, or the connection takes no more. Those that
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -4,18 +4,22 @@
 
 use super::*;
 use crate::model::FencingToken;
-use crate::transport::network::{BoxFuture, Network, ReadHalf, Stream, WriteHalf};
+use crate::transport::frame_format::FrameFormat;
+use crate::transport::network::{BoxFuture, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
 use std::io;
+use std::net::SocketAddr;
 use std::pin::Pin;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::task::{Context, Poll};
+use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf, duplex};
 use tokio::net::TcpListener;
-use tokio::sync::Mutex;
+use tokio::sync::{Mutex, mpsc};
 use tokio::time::{Instant, sleep};
 
 #[tokio::test]
-async fn peers_ask_and_answer_and_survive_a_silent_one() {
+async fn peers_answer_requests_and_outlive_one_without_a_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, |request, _| async move {
@@ -25,7 +29,7 @@
             _ => PeerResponse::Rejected,
         }
     }));
-    let p = Peer::start("b".into(), addr, PeerLimits::for_leader_lease(2000));
+    let peer = Peer::start("b".into(), addr, PeerTimeouts::for_leader_lease(2000));
     let request = |fencing_token| PeerRequest::Pledge {
         partition: 0,
         leader: "a".into(),
@@ -34,12 +38,13 @@
         state_ok: true,
     };
     let limit = Duration::from_millis(500);
-    assert_eq!(p.request(request(3), limit).await, Some(PeerResponse::Accepted));
+    assert_eq!(peer.request(request(3), limit).await, Some(PeerResponse::Accepted));
     assert_eq!(
-        p.request(PeerRequest::TransferHost { partition: 0, host: "x".into(), to: 1 }, Duration::from_millis(30)).await,
+        peer.request(PeerRequest::TransferHost { partition: 0, host: "x".into(), to: 1 }, Duration::from_millis(30))
+            .await,
         None
     );
-    assert_eq!(p.request(request(4), limit).await, Some(PeerResponse::Rejected));
+    assert_eq!(peer.request(request(4), limit).await, Some(PeerResponse::Rejected));
 }
 
 /// A connection in memory.
@@ -129,7 +134,7 @@
     let (accepted, rx) = mpsc::unbounded_channel();
     let net = Net::new(ScriptedNetwork { connect_after, accepted });
     let addr = "127.0.0.1:1".parse().unwrap();
-    let peer = Peer::start_on(net, "b".into(), addr, PeerLimits::for_leader_lease(LEASE_TTL_MS));
+    let peer = Peer::start_on(net, "b".into(), addr, PeerTimeouts::for_leader_lease(LEASE_TTL_MS));
     (peer, Accepted(Mutex::new(rx)))
 }
 
@@ -163,7 +168,7 @@
     for request in requests {
         assert_eq!(request.await.unwrap(), None);
     }
-    let connect_limit = PeerLimits::for_leader_lease(LEASE_TTL_MS).connect;
+    let connect_limit = PeerTimeouts::for_leader_lease(LEASE_TTL_MS).connect;
     assert!(begin.elapsed() < connect_limit + Duration::from_millis(50), "{:?}", begin.elapsed());
 }
 
@@ -177,9 +182,9 @@
     }
 }
 
-// A pledge was lost whenever a submission on the same connection was given up.
+// A pledge was lost whenever a submission on the same connection was cancelled.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_is_given_up_takes_no_other_with_it() {
+async fn a_cancelled_request_does_not_cancel_others() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
     let slow = start(&peer, release(200), Duration::from_millis(500));
@@ -187,7 +192,7 @@
     assert_eq!(slow.await.unwrap(), Some(PeerResponse::Accepted));
 }
 
-// A cut may hold what is sent on a connection, also after it has ended elsewhere.
+// A network partition may hold what is sent on a connection, also after it has ended.
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_a_response_since_a_request_takes_no_more() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
@@ -209,12 +214,12 @@
         }
     });
     tokio::spawn(serve(Accepted(Mutex::new(forwarded)), answer_after_milliseconds_of_token));
-    let given_up = start(&peer, release(5000), Duration::from_millis(100));
+    let cancelled = start(&peer, release(5000), Duration::from_millis(100));
     sleep(Duration::from_millis(10)).await;
     for _ in 0..3 {
         assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     }
-    assert_eq!(given_up.await.unwrap(), None);
+    assert_eq!(cancelled.await.unwrap(), None);
     assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     assert_eq!(opened.load(Ordering::Relaxed), 1);
 }
@@ -235,11 +240,11 @@
     assert_eq!(begin.elapsed(), Duration::ZERO);
     let connections = accepted.count();
     assert_eq!(peer.request(release(0), limit).await, None);
-    assert_eq!(accepted.count(), connections + 1, "releases and promises are sent all the same");
+    assert_eq!(accepted.count(), connections + 1, "releases and pledges are sent all the same");
 
     // It goes on: the next probe is answered, and all requests after it.
     tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
-    sleep(Duration::from_millis(PeerLimits::for_leader_lease(LEASE_TTL_MS).health.probe_interval_ms)).await;
+    sleep(Duration::from_millis(PeerTimeouts::for_leader_lease(LEASE_TTL_MS).health.probe_interval_ms)).await;
     assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
     assert!(!peer.health.is_unresponsive());
     assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -9,7 +9,7 @@
 use badgerdrift::runtime::{clock, task};
 use badgerdrift::settings::{Operator, Settings};
 use badgerdrift::transport::http::{self, Request, Response};
-use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift_fleet_config::{
     Amount, Amounts, Change, ChangeId, ChangeOutcome, ConfigState, Document, DocumentName, ReadVersion, Share,
     TeamDocument,
@@ -149,7 +149,7 @@
         let fabric = SimulatedNetwork::new(seed);
         let stores: Vec<Arc<Mutex<Store>>> = (0..REGIONS).map(|_| Arc::default()).collect();
         let operator_net = fabric.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
-        let limits = PeerLimits::for_leader_lease(5000);
+        let limits = PeerTimeouts::for_leader_lease(5000);
         let way = |region, n| Peer::start_on(operator_net.clone(), "operator".into(), internal(region, n), limits);
         let mut fleet = Fleet {
             operators: (0..REGIONS).map(|region| (0..CONTROLLERS).map(|n| way(region, n)).collect()).collect(),
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -3,7 +3,7 @@
 use badgerdrift::control::node::{self, Subsystems};
 use badgerdrift::settings::{Operator, Settings};
 use badgerdrift::transport::http::{self, Client, Request, Response};
-use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest};
+use badgerdrift::transport::peer::{Peer, PeerRequest, PeerTimeouts};
 use badgerdrift_stand_ins::net::SimulatedNetwork;
 use badgerdrift_stand_ins::store::{Store, query};
 use serde_json::json;
@@ -100,7 +100,7 @@
     let south = start_region(&fabric, 2);
     sleep(Duration::from_secs(30)).await;
     let net = fabric.process([10, 9, 0, 1].into()).0;
-    let limits = PeerLimits::for_leader_lease(GRANT_MS);
+    let limits = PeerTimeouts::for_leader_lease(GRANT_MS);
     let peer = Peer::start_on(net.clone(), "north".into(), address(1, 81), limits);
     for version in [0, 77] {
         peer.request(change(version), ANSWER_LIMIT).await.expect("an answer");
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -4,7 +4,7 @@
 use badgerdrift::model::FencingToken;
 use badgerdrift::transport::frame_format::FrameFormat;
 use badgerdrift::transport::peer::{
-    CapacityReport, Machines, Peer, PeerLimits, PeerRequest, PeerResponse, UserCall, serve,
+    CapacityReport, Machines, Peer, PeerRequest, PeerResponse, PeerTimeouts, UserCall, serve,
 };
 use badgerdrift_stand_ins::production_format as production;
 use serde::de::DeserializeOwned;
@@ -110,7 +110,7 @@
 async fn asking(answers: Vec<Vec<u8>>) -> (Peer, Vec<Option<PeerResponse>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
-    let peer = Peer::start("worker-1".into(), addr, PeerLimits::for_leader_lease(4000));
+    let peer = Peer::start("worker-1".into(), addr, PeerTimeouts::for_leader_lease(4000));
     let script = answers.clone();
     tokio::spawn(async move {
         let mut stream = listener.accept().await.unwrap().0;
@@ -161,7 +161,7 @@
 #[tokio::test]
 async fn the_version_in_production_reads_the_requests_of_this_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerLimits::for_leader_lease(4000));
+    let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerTimeouts::for_leader_lease(4000));
     assert!(!peer.format.is_old(), "a peer that is silent is not known to be old");
     let asked = peer.clone();
     tokio::spawn(async move {
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -5,7 +5,7 @@
 //! of a reason that is spelled differently is found, however it is called in Rust.
 
 use badgerdrift::model::FencingToken;
-use badgerdrift::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse, serve};
+use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts, serve};
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -88,7 +88,7 @@
 async fn listened_peer() -> (Peer, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    (Peer::start("worker-1".into(), addr, PeerLimits::for_leader_lease(LIMIT.as_millis() as u64)), listener)
+    (Peer::start("worker-1".into(), addr, PeerTimeouts::for_leader_lease(LIMIT.as_millis() as u64)), listener)
 }
 
 /// The frames in which a controller of this version asks these requests, one after the other.
