--- a/src/commands/controller_client.rs
+++ b/src/commands/controller_client.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::errors::{CommandError, NotDone};
 use crate::transport::network::Net;
-use crate::transport::peer::{Peer, PeerLimits, PeerRequest, PeerResponse};
+use crate::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// A connection to the controller at this internal address.
 pub fn connect(controller: SocketAddr) -> Peer {
-    let limits = PeerLimits::for_leader_lease(CONNECTION_LEASE_MS);
+    let limits = PeerTimeouts::for_leader_lease(CONNECTION_LEASE_MS);
     Peer::start_on(Net::default(), controller.to_string(), controller, limits)
 }
 
