--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -1,4 +1,4 @@
-//! Puts a controller together and runs it.
+//! Assembles a controller and runs it.
 
 use crate::api::ended_jobs::EndedJobs;
 use crate::api::{Api, RouteHints};
@@ -6,8 +6,10 @@
 use crate::clients::request_budget::RequestBudget;
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::configuration::{self, FleetSettings};
-use crate::control::membership::{ElectionActor, FailoverOrder, LeaderLease, LeaderStatus, PledgeStatus};
-use crate::control::partition_leader::PartitionLeader;
+use crate::control::membership::{
+    self, ElectionActor, FailoverOrder, LeaderLease, LeaderStatus, LeadershipChange, PledgeStatus,
+};
+use crate::control::partition_leader::{self, PartitionLeader};
 use crate::control::router::{PartitionHandle, Router};
 use crate::runtime::metrics::SharedMetrics;
 use crate::runtime::{clock, task};
@@ -15,7 +17,7 @@
 use crate::settings::bounds::{Bounds, QUEUED_FOR_LEADER};
 use crate::settings::{Operator, Seed, Settings};
 use crate::transport::http;
-use crate::transport::network::Net;
+use crate::transport::network::{Listener, Net};
 use crate::transport::peer::{self, Peer, PeerTimeouts};
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
@@ -24,6 +26,11 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
+/// Changes of leadership that wait for a partition's actor, at the most.
+const QUEUED_LEADERSHIP_CHANGES: usize = 8;
+/// Messages that wait for an election actor, at the most.
+const QUEUED_FOR_ELECTION: usize = 256;
+
 /// Parts of a controller that operators switch on with a file each.
 #[derive(Debug, Clone, Default)]
 pub struct Subsystems {
@@ -40,131 +47,199 @@
     run_on(Net::default(), settings, operator, subsystems).await
 }
 
-/// The same over a given network.
+/// Like [`run`], over a given network.
 pub async fn run_on(net: Net, settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
+    // The steady clock counts from here.
     clock::now_ms();
     let users = net.bind(settings.serve_on).await?;
     let internal = net.bind(settings.internal_addr).await?;
     tracing::info!(node = settings.node, serve_on = %settings.serve_on, "serving");
 
-    let leader_lease_ttl_ms = settings.leader_lease_ttl_ms();
-    let state = StateStore::on(&net, &settings);
-    let cloud = Cloud::on(&net, &settings);
-    let bounds = Bounds::new(&settings);
-    let limits = PeerTimeouts::for_leader_lease(leader_lease_ttl_ms);
-    let start = |s: &Seed| Peer::start_on(net.clone(), s.node.clone(), s.endpoint, limits);
-    let peers: Vec<Peer> = settings.seeds.iter().map(start).collect();
-
-    let led_partitions = Arc::new(AtomicUsize::new(0));
-    let metrics = SharedMetrics::default();
-    let failover_order = FailoverOrder::new(&settings.node, settings.seeds.iter().map(|s| s.node.as_str()));
-    let mut nodes: Vec<&str> = settings.seeds.iter().map(|s| s.node.as_str()).collect();
-    nodes.push(&settings.node);
-    nodes.sort_unstable();
-    let own = nodes.iter().position(|n| *n == settings.node).unwrap_or(0);
-
-    let mut handles = Vec::new();
-    let mut members = Vec::new();
-    let mut leaders = Vec::new();
-    for partition in 0..operator.partitions {
+    let node = Node::new(net, settings, operator);
+    let (handles, actors): (Vec<_>, Vec<_>) =
+        (0..node.operator.partitions).map(|partition| node.assemble_partition(partition)).unzip();
+    let router = node.router(handles, subsystems.fleet, subsystems.warm_pools.is_some());
+    let pools = subsystems.warm_pools.map(Arc::new);
+    let borrowing = subsystems.borrowing.map(Arc::new);
+    node.start_actors(actors, &router, pools, borrowing);
+    start_peer_tasks(internal, &router);
+
+    let patience = Duration::from_millis(node.settings.lease_ms() / 2);
+    let connections = Bounds::new(&node.settings).server_connections;
+    let api = node.api(router);
+    http::serve(users, connections, patience, move |request| api.clone().handle(request)).await;
+    Ok(())
+}
+
+/// What the parts of a controller share.
+struct Node {
+    net: Net,
+    settings: Settings,
+    operator: Operator,
+    state: StateStore,
+    cloud: Cloud,
+    peers: Vec<Peer>,
+    failover_order: FailoverOrder,
+    metrics: SharedMetrics,
+    led_partitions: Arc<AtomicUsize>,
+}
+
+/// The actors of a partition before they are started, with the receivers of their messages.
+struct PartitionActors {
+    election: ElectionActor,
+    election_messages: mpsc::Receiver<membership::Message>,
+    leadership_changes: mpsc::Receiver<LeadershipChange>,
+    leader_messages: mpsc::Receiver<partition_leader::Message>,
+}
+
+impl Node {
+    /// Starts the clients of the other controllers.
+    fn new(net: Net, settings: Settings, operator: Operator) -> Node {
+        let timeouts = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
+        let start = |seed: &Seed| Peer::start_on(net.clone(), seed.node.clone(), seed.endpoint, timeouts);
+        let failover_order = FailoverOrder::new(&settings.node, settings.seeds.iter().map(|seed| seed.node.as_str()));
+        Node {
+            state: StateStore::on(&net, &settings),
+            cloud: Cloud::on(&net, &settings),
+            peers: settings.seeds.iter().map(start).collect(),
+            failover_order,
+            metrics: SharedMetrics::default(),
+            led_partitions: Arc::new(AtomicUsize::new(0)),
+            net,
+            settings,
+            operator,
+        }
+    }
+
+    /// Number of controllers, with this one.
+    fn controller_count(&self) -> usize {
+        self.settings.seeds.len() + 1
+    }
+
+    /// Whether the partition is preferably led by this node: the partitions go round the nodes in
+    /// the order of their names.
+    fn is_preferred_leader(&self, partition: u32) -> bool {
+        let own_index = self.settings.seeds.iter().filter(|seed| seed.node < self.settings.node).count();
+        partition as usize % self.controller_count() == own_index
+    }
+
+    /// The handle and the actors of a partition.
+    fn assemble_partition(&self, partition: u32) -> (PartitionHandle, PartitionActors) {
+        let leader_lease_ttl_ms = self.settings.leader_lease_ttl_ms();
         let (leader_lease, pledge_status) = (LeaderLease::default(), PledgeStatus::default());
-        let (leader_status_tx, leader_status) = watch::channel(LeaderStatus::default());
-        let (leadership_changes_tx, leadership_changes) = mpsc::channel(8);
-        let (members_tx, members_rx) = mpsc::channel(256);
-        let (leader_tx, leader_rx) = mpsc::channel(QUEUED_FOR_LEADER);
-        let ours = partition as usize % nodes.len() == own;
+        let (leader_status_sender, leader_status) = watch::channel(LeaderStatus::default());
+        let (leadership_changes_sender, leadership_changes) = mpsc::channel(QUEUED_LEADERSHIP_CHANGES);
+        let (election_sender, election_messages) = mpsc::channel(QUEUED_FOR_ELECTION);
+        let (leader_sender, leader_messages) = mpsc::channel(QUEUED_FOR_LEADER);
+        let leave_to_others = self.operator.partitions > 1 && !self.is_preferred_leader(partition);
         let election = ElectionActor {
             partition,
-            node: settings.node.clone(),
+            node: self.settings.node.clone(),
             leader_lease_ttl_ms,
-            lease_ms: settings.lease_ms(),
-            state: state.clone(),
-            peers: peers.clone(),
-            failover_order: failover_order.clone(),
+            lease_ms: self.settings.lease_ms(),
+            state: self.state.clone(),
+            peers: self.peers.clone(),
+            failover_order: self.failover_order.clone(),
             leader_lease: leader_lease.clone(),
             pledge_status: pledge_status.clone(),
-            leader_status: leader_status_tx,
-            leadership_changes: leadership_changes_tx,
-            led_partitions: led_partitions.clone(),
-            metrics: metrics.clone(),
-            first_campaign_delay_ms: if operator.partitions > 1 && !ours { leader_lease_ttl_ms / 5 } else { 0 },
+            leader_status: leader_status_sender,
+            leadership_changes: leadership_changes_sender,
+            led_partitions: self.led_partitions.clone(),
+            metrics: self.metrics.clone(),
+            first_campaign_delay_ms: if leave_to_others { leader_lease_ttl_ms / 5 } else { 0 },
         };
-        members.push((election, members_tx.clone(), members_rx));
-        leaders.push((leadership_changes, leader_rx));
-        handles.push(PartitionHandle {
+        let handle = PartitionHandle {
             leader_status,
             leader_lease,
             pledge_status,
-            leader: leader_tx,
-            election: members_tx,
+            leader: leader_sender,
+            election: election_sender,
+        };
+        (handle, PartitionActors { election, election_messages, leadership_changes, leader_messages })
+    }
+
+    /// The router to these partitions; starts the actor of the shared configuration, if there is one.
+    fn router(&self, handles: Vec<PartitionHandle>, fleet: Option<FleetSettings>, has_pools: bool) -> Router {
+        let last_pledge_request_ms = Arc::new(handles.iter().map(|_| AtomicU64::new(0)).collect());
+        let (settings, operator) = (&self.settings, &self.operator);
+        let configuration = fleet.map(|fleet| {
+            let (state, metrics) = (self.state.clone(), self.metrics.clone());
+            configuration::start(&self.net, settings, operator, fleet, state, &self.peers, metrics)
         });
+        Router {
+            partitions: Arc::new(handles),
+            peers: Arc::new(self.peers.clone()),
+            leader_lease_ttl_ms: settings.leader_lease_ttl_ms(),
+            configuration,
+            bills: has_pools.then(|| self.state.clone()),
+            last_pledge_request_ms,
+        }
     }
-    let last_pledge_request_ms = Arc::new((0..operator.partitions).map(|_| AtomicU64::new(0)).collect());
-    let pools = subsystems.warm_pools.map(Arc::new);
-    let borrowing = subsystems.borrowing.map(Arc::new);
-    let bills = pools.is_some().then(|| state.clone());
-    let configuration = subsystems
-        .fleet
-        .map(|fleet| configuration::start(&net, &settings, &operator, fleet, state.clone(), &peers, metrics.clone()));
-    let router = Router {
-        partitions: Arc::new(handles),
-        peers: Arc::new(peers),
-        leader_lease_ttl_ms,
-        configuration,
-        bills,
-        last_pledge_request_ms,
-    };
-    for (election, tx, rx) in members {
-        task::spawn(election.run(tx, rx));
+
+    /// Starts the actors of all partitions: first those of the elections, then those of the leaders.
+    fn start_actors(
+        &self,
+        actors: Vec<PartitionActors>,
+        router: &Router,
+        pools: Option<Arc<PoolSettings>>,
+        borrowing: Option<Arc<BorrowingSettings>>,
+    ) {
+        let mut leaders = Vec::new();
+        for (actors, handle) in actors.into_iter().zip(router.partitions.iter()) {
+            task::spawn(actors.election.run(handle.election.clone(), actors.election_messages));
+            leaders.push((actors.leadership_changes, actors.leader_messages, handle));
+        }
+        for (id, (leadership_changes, messages, handle)) in (0..).zip(leaders) {
+            let leader = PartitionLeader {
+                id,
+                settings: self.settings.clone(),
+                operator: self.operator.clone(),
+                pools: pools.clone(),
+                borrowing: borrowing.clone(),
+                state: self.state.clone(),
+                cloud: self.cloud.clone(),
+                worker: Worker::on(&self.net, &self.settings),
+                leader_lease: handle.leader_lease.clone(),
+                pledge_status: handle.pledge_status.clone(),
+                election: handle.election.clone(),
+                router: router.clone(),
+                own_messages: handle.leader.clone(),
+                current_epoch: Arc::new(AtomicU64::new(0)),
+            };
+            task::spawn(leader.run(leadership_changes, messages));
+        }
     }
-    for (id, (leadership_changes, rx)) in (0..).zip(leaders) {
-        let handle = &router.partitions[id as usize];
-        let leader = PartitionLeader {
-            id,
-            settings: settings.clone(),
-            operator: operator.clone(),
-            pools: pools.clone(),
-            borrowing: borrowing.clone(),
-            state: state.clone(),
-            cloud: cloud.clone(),
-            worker: Worker::on(&net, &settings),
-            leader_lease: handle.leader_lease.clone(),
-            pledge_status: handle.pledge_status.clone(),
-            election: handle.election.clone(),
-            router: router.clone(),
-            tx: handle.leader.clone(),
-            current_epoch: Arc::new(AtomicU64::new(0)),
-        };
-        task::spawn(leader.run(leadership_changes, rx));
+
+    /// The HTTP interface of users and workers.
+    fn api(self, router: Router) -> Api {
+        let bounds = Bounds::new(&self.settings);
+        let requests_per_s = self.settings.params.state.least_rps();
+        let request_budget = RequestBudget::new(requests_per_s, self.controller_count());
+        let leader_lease_ttl_ms = self.settings.leader_lease_ttl_ms();
+        Api {
+            job_reads: JobReads::new(self.state.clone(), request_budget.clone(), leader_lease_ttl_ms),
+            request_budget,
+            ended_jobs: EndedJobs::new(bounds.ended_jobs),
+            metrics: Default::default(),
+            node_metrics: self.metrics,
+            router,
+            teams: Arc::new(self.settings.partitions_of_teams(self.operator.partitions)),
+            policy: Arc::new(Policy::new(&self.settings, &self.operator, 0)),
+            limits: self.settings.write_limits(),
+            route_hints: Arc::new(Mutex::new(RouteHints::new(bounds.route_hints))),
+            state: self.state,
+        }
     }
+}
 
-    let for_peers = router.clone();
+/// Starts the server of the other controllers, and the tasks that learn their formats.
+fn start_peer_tasks(internal: Box<dyn Listener>, router: &Router) {
+    let answering = router.clone();
     task::spawn(peer::serve(internal, move |request, format| {
-        let router = for_peers.clone();
+        let router = answering.clone();
         async move { router.answer(request, format).await }
     }));
     for peer in router.peers.iter() {
         task::spawn(router.clone().watch_format(peer.clone()));
     }
-    let teams = Arc::new(settings.partitions_of_teams(operator.partitions));
-    let policy = Arc::new(Policy::new(&settings, &operator, 0));
-    let limits = settings.write_limits();
-    let request_budget = RequestBudget::new(settings.params.state.least_rps(), nodes.len());
-    let job_reads = JobReads::new(state.clone(), request_budget.clone(), leader_lease_ttl_ms);
-    let api = Api {
-        state,
-        job_reads,
-        request_budget,
-        ended_jobs: EndedJobs::new(bounds.ended_jobs),
-        metrics: Default::default(),
-        node_metrics: metrics,
-        router,
-        teams,
-        policy,
-        limits,
-        route_hints: Arc::new(Mutex::new(RouteHints::new(bounds.route_hints))),
-    };
-    let patience = Duration::from_millis(settings.lease_ms() / 2);
-    http::serve(users, bounds.server_connections, patience, move |req| api.clone().handle(req)).await;
-    Ok(())
 }
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -50,7 +50,7 @@
     /// Routes requests to the other partitions.
     pub router: Router,
     /// Mailbox of this actor, for its background tasks.
-    pub tx: mpsc::Sender<Message>,
+    pub own_messages: mpsc::Sender<Message>,
     /// Number of the leadership under way; 0 if none.
     pub current_epoch: Arc<AtomicU64>,
 }
@@ -58,7 +58,11 @@
 impl PartitionLeader {
     /// The sender for background tasks of a leadership.
     pub(super) fn sender(&self, leadership_epoch: u64) -> BackgroundSender {
-        BackgroundSender { leadership_epoch, tx: self.tx.clone(), current_epoch: self.current_epoch.clone() }
+        BackgroundSender {
+            leadership_epoch,
+            actor: self.own_messages.clone(),
+            current_epoch: self.current_epoch.clone(),
+        }
     }
 
     /// For how many milliseconds a report of one partition to another counts.
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -151,14 +151,14 @@
 #[derive(Clone)]
 pub(super) struct BackgroundSender {
     pub(super) leadership_epoch: u64,
-    pub(super) tx: mpsc::Sender<Message>,
+    pub(super) actor: mpsc::Sender<Message>,
     pub(super) current_epoch: Arc<AtomicU64>,
 }
 
 impl BackgroundSender {
     /// Reports to the actor; false if it has ended.
     pub(super) async fn send(&self, event: BackgroundEvent) -> bool {
-        self.tx.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
+        self.actor.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
     /// True while the leadership is under way. A task that repeats requests ends once it is not.
