--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -1,8 +1,8 @@
-//! Fresh reads of job records, shared by the questions that came before them.
+//! Fresh reads of job records, shared by the requests that came before them.
 //!
-//! A read may answer every question that arrived before it was sent, and none that
-//! arrived later: another node may have told something newer meanwhile. So a storm of
-//! questions about one job costs one read at a time.
+//! A read may answer every request that arrived before it was sent, and none that arrived later:
+//! another node may have answered something newer meanwhile. So a storm of requests about one job
+//! costs one read at a time.
 
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
@@ -19,65 +19,65 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest that one read may take. A poll may wait for two of them, the one under way
-/// and the next.
+/// Timeout of a read. A poll may wait for two of them, the one under way and the next.
 pub const READ_LIMIT: Duration = Duration::from_millis(500);
 
-/// What a job's record says.
+/// The status of a job by its own record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedJob {
     /// There is no record.
     Missing,
-    /// Its own record tells no end.
+    /// The job has not ended by its own record.
     Live(LiveJob),
     /// The job has ended.
     Ended {
         /// How it ended.
         ended: EndedJob,
-        /// True for a service, which no job may wait for.
+        /// True for a service, which no job may depend on.
         is_service: bool,
     },
 }
 
-/// A job whose own record tells no end. It is cancelled all the same if one that it needs is.
+/// A job that has not ended by its own record. It is cancelled all the same if one of its
+/// dependencies is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveJob {
-    /// Tasks that are recorded as done.
+    /// Number of tasks that are recorded as done.
     pub done: u32,
-    /// True for a service, which no job may wait for.
+    /// True for a service, which no job may depend on.
     pub is_service: bool,
-    /// The jobs that it waits for.
+    /// The jobs that it depends on.
     pub dependencies: Arc<Dependencies>,
 }
 
 impl RecordedJob {
     fn of(record: &JobRecord) -> RecordedJob {
-        let recorded = record.done.iter().map(|range| range.1 - range.0).sum();
+        let done_tasks = record.done.iter().map(|range| range.1 - range.0).sum();
         let is_service = record.spec.shape == Shape::Service;
         let ended = |end, done| RecordedJob::Ended { ended: EndedJob { end, done }, is_service };
         match record.end {
             Some(JobEnd::Done) => ended(JobEnd::Done, record.spec.tasks),
-            Some(end) => ended(end, recorded),
+            Some(end) => ended(end, done_tasks),
             None => {
                 let dependencies = Arc::new(record.spec.dependencies.clone());
-                RecordedJob::Live(LiveJob { done: recorded, is_service, dependencies })
+                RecordedJob::Live(LiveJob { done: done_tasks, is_service, dependencies })
             }
         }
     }
 }
 
-/// The result of a read, as all its questions get it.
+/// The result of a read, as all its requests get it.
 pub type ReadResult = Result<RecordedJob, RefusalReason>;
 
-/// Questions by key that wait for a read which is not sent yet. A key is listed for as
-/// long as it is being read.
+/// Requests by key that wait for a read which is not sent yet. A key is listed for as long as it
+/// is being read.
 type Waiting<T> = Arc<Mutex<HashMap<String, Vec<oneshot::Sender<T>>>>>;
 
 /// At most one read of a key at a time.
 #[derive(Clone)]
 pub struct SharedReads<T> {
     waiting: Waiting<T>,
-    /// Questions that needed no read of their own.
+    /// Number of requests that needed no read of their own.
     shared: Arc<AtomicU64>,
 }
 
@@ -88,8 +88,8 @@
 }
 
 impl<T: Clone + Send + 'static> SharedReads<T> {
-    /// Enters a question for the next read of the key. `admit` is asked only where the
-    /// question needs a read that no other has asked for; none if it refuses.
+    /// Enters a request for the next read of the key. `admit` is called only if the request needs a
+    /// read that no other has asked for; `None` if it refuses.
     pub fn enter<F, R>(&self, key: &str, admit: impl FnOnce() -> bool, read: F) -> Option<oneshot::Receiver<T>>
     where
         F: Fn() -> R + Send + 'static,
@@ -115,26 +115,27 @@
     }
 }
 
-/// Reads a key for as long as questions wait for it.
+/// Reads a key for as long as requests wait for it.
 async fn read_in_turn<T, F, R>(waiting: Waiting<T>, key: String, read: F)
 where
     T: Clone,
     F: Fn() -> R,
     R: Future<Output = T>,
 {
-    while let Some(questions) = take_questions(&waiting, &key) {
+    while let Some(requests) = take_requests(&waiting, &key) {
         let result = read().await;
-        for question in questions {
-            let _ = question.send(result.clone());
+        for request in requests {
+            // An asker that waits no longer needs no result.
+            let _ = request.send(result.clone());
         }
     }
 }
 
-/// The questions of the next read; none, and the key is forgotten, if there are none.
-fn take_questions<T>(waiting: &Waiting<T>, key: &str) -> Option<Vec<oneshot::Sender<T>>> {
+/// The requests of the next read; `None`, and the key is removed, if there are none.
+fn take_requests<T>(waiting: &Waiting<T>, key: &str) -> Option<Vec<oneshot::Sender<T>>> {
     let mut waiting = waiting.lock().ok()?;
     let next = waiting.get_mut(key)?;
-    next.retain(|question| !question.is_closed());
+    next.retain(|request| !request.is_closed());
     if next.is_empty() {
         waiting.remove(key);
         return None;
@@ -152,20 +153,20 @@
 }
 
 impl JobReads {
-    /// Reads of this state service, as many as the budget admits. It counts as silent without an
+    /// Reads of this state store, as many as the budget admits. It counts as unresponsive without an
     /// answer for half of `leader_lease_ttl_ms`, in milliseconds.
     pub fn new(state: StateStore, budget: RequestBudget, leader_lease_ttl_ms: u64) -> JobReads {
         JobReads { state, budget, leader_lease_ttl_ms, shared: SharedReads::default() }
     }
 
-    /// Questions so far that shared a read which another had asked for.
+    /// Number of requests so far that shared a read which another had asked for.
     pub fn shared_count(&self) -> u64 {
         self.shared.shared.load(Ordering::Relaxed)
     }
 
-    /// What the job's record says in a read that is sent after this call.
+    /// The job by its record, in a read that is sent after this call.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
-        // Known to be silent: refused at once, not after a time-out.
+        // An unresponsive store: refused at once, not after a timeout.
         if !self.state.is_responsive(self.leader_lease_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
         }
--- a/src/clients/job_reads/tests.rs
+++ b/src/clients/job_reads/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_question_is_answered_only_by_a_read_that_was_sent_after_it() {
+async fn a_request_is_answered_only_by_a_read_that_was_sent_after_it() {
     let (shared, reads) = (SharedReads::<u32>::default(), Reads::default());
     let first = shared.enter("a", || true, reads.reader()).unwrap();
     let with_first = shared.enter("a", || true, reads.reader()).unwrap();
@@ -61,12 +61,12 @@
         answer.await.unwrap();
     }
     assert_eq!(reads.most_under_way.load(Ordering::SeqCst), 1);
-    assert!(reads.sent() <= 12, "{} reads for 200 questions in a second", reads.sent());
-    assert!(shared.waiting.lock().unwrap().is_empty(), "nothing is kept of an id that nobody asks for");
+    assert!(reads.sent() <= 12, "{} reads for 200 requests in a second", reads.sent());
+    assert!(shared.waiting.lock().unwrap().is_empty(), "nothing is kept of an id without requests");
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_a_question_that_needs_a_new_read_is_counted_against_the_budget() {
+async fn only_a_request_that_needs_a_new_read_is_counted_against_the_budget() {
     let (shared, reads) = (SharedReads::<u32>::default(), Reads::default());
     let refused = || false;
     assert!(shared.enter("a", refused, reads.reader()).is_none());
--- a/src/clients/request_budget.rs
+++ b/src/clients/request_budget.rs
@@ -1,6 +1,6 @@
-//! How many requests this node may make to the state service on behalf of users.
+//! How many requests this node may make to the state store on behalf of users.
 //!
-//! The service's rate is shared by all controllers, whose renewals, heartbeats and commits
+//! The store's rate is shared by all controllers, whose renewals, heartbeats and commits
 //! draw on it too. What users may cause is therefore a share of it for all controllers
 //! together, and submissions and cancellations don't wait behind a storm of polls.
 
@@ -8,11 +8,11 @@
 use crate::runtime::clock;
 use std::sync::{Arc, Mutex};
 
-/// Share of the service's rate that the polls at all controllers may take.
+/// Share of the store's rate that the polls at all controllers may take.
 const POLL_SHARE: f64 = 0.3;
-/// Share of the service's rate that submissions and cancellations at all controllers may take.
+/// Share of the store's rate that submissions and cancellations at all controllers may take.
 const CHANGE_SHARE: f64 = 0.4;
-/// Seconds' worth of requests that may be made at once.
+/// Requests of so many seconds may be made at once.
 const BURST_S: f64 = 1.0;
 /// Requests that may be made at once in any case: a submission that is accepted without
 /// the leader takes so many.
@@ -21,7 +21,7 @@
 /// What a user's request is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// To learn how a job is.
+    /// To read the status of a job.
     Poll,
     /// To submit a job or to cancel it.
     Change,
@@ -35,7 +35,7 @@
 }
 
 impl RequestBudget {
-    /// The budget of one of so many controllers at a state service of this rate.
+    /// The budget of one of so many controllers that share a state store of this rate.
     pub fn new(requests_per_s: f64, controllers: usize) -> RequestBudget {
         let own_rate = requests_per_s / controllers.max(1) as f64;
         let bucket = |share: f64| {
--- a/src/clients/token_bucket.rs
+++ b/src/clients/token_bucket.rs
@@ -1,40 +1,44 @@
-//! Rates with bursts.
+//! Rate limits with bursts.
 
-/// A token bucket on the steady clock.
+/// A token bucket. Times are milliseconds of the steady clock.
 #[derive(Debug)]
 pub struct TokenBucket {
+    /// Tokens a second.
     rate: f64,
-    most: f64,
+    capacity: f64,
+    /// Below 0 after more were spent than were available.
     tokens: f64,
-    at_ms: u64,
+    /// When `tokens` was right.
+    updated_ms: u64,
 }
 
 impl TokenBucket {
-    /// `rate` tokens a second; bursts of `burst_s` seconds' worth.
-    pub fn new(rate: f64, burst_s: f64, now: u64) -> TokenBucket {
-        let most = (rate * burst_s).max(1.0);
-        TokenBucket { rate, most, tokens: most, at_ms: now }
+    /// A full bucket with `rate` tokens a second; bursts may take those of `burst_s` seconds, and
+    /// one token in any case.
+    pub fn new(rate: f64, burst_s: f64, now_ms: u64) -> TokenBucket {
+        let capacity = (rate * burst_s).max(1.0);
+        TokenBucket { rate, capacity, tokens: capacity, updated_ms: now_ms }
     }
 
-    /// Whole tokens at hand.
-    pub fn available_tokens(&mut self, now: u64) -> usize {
-        let passed = now.saturating_sub(self.at_ms) as f64 / 1000.0;
-        self.at_ms = now;
-        self.tokens = (self.tokens + passed * self.rate).min(self.most);
+    /// Whole tokens that are available.
+    pub fn available_tokens(&mut self, now_ms: u64) -> usize {
+        let passed_s = now_ms.saturating_sub(self.updated_ms) as f64 / 1000.0;
+        self.updated_ms = now_ms;
+        self.tokens = (self.tokens + passed_s * self.rate).min(self.capacity);
         self.tokens.max(0.0) as usize
     }
 
-    /// Takes `n` tokens, also if fewer are at hand: the bucket then fills up from below 0.
-    pub fn spend(&mut self, n: usize) {
-        self.tokens -= n as f64;
+    /// Takes so many tokens, also if fewer are available: the bucket then fills from below 0.
+    pub fn spend(&mut self, tokens: usize) {
+        self.tokens -= tokens as f64;
     }
 
-    /// Takes one token if there is one; false if there is none.
-    pub fn take(&mut self, now: u64) -> bool {
-        let ok = self.available_tokens(now) >= 1;
-        if ok {
+    /// Takes one token if one is available; false otherwise.
+    pub fn try_take(&mut self, now_ms: u64) -> bool {
+        let available = self.available_tokens(now_ms) >= 1;
+        if available {
             self.spend(1);
         }
-        ok
+        available
     }
 }
--- a/src/clients/write_limits/tests.rs
+++ b/src/clients/write_limits/tests.rs
@@ -32,20 +32,20 @@
 }
 
 #[test]
-fn at_the_smaller_limit_a_job_may_name_at_least_32_others_with_the_longest_ids() {
+fn at_the_smaller_limit_a_job_may_have_at_least_32_dependencies_with_the_longest_ids() {
     let limits = WriteLimits::new(&limits(Some(NEXT)));
     let named = |count: u64| {
-        let ids = (0..count).map(|n| format!("run-{n:020}"));
+        let ids = (0..count).map(|number| format!("run-{number:020}"));
         limits.refuses(&Spec { dependencies: Dependencies::new(ids), ..spec() })
     };
     assert_eq!(named(32), None);
-    assert!(named(2000).is_some_and(|why| why.starts_with("waits_on: ")));
+    assert!(named(2000).is_some_and(|refusal| refusal.starts_with("waits_on: ")));
     let long = Spec { image: "i".repeat(4000), ..spec() };
-    assert!(limits.refuses(&long).is_some_and(|why| why.starts_with("bundle: ")));
+    assert!(limits.refuses(&long).is_some_and(|refusal| refusal.starts_with("bundle: ")));
 }
 
 #[test]
-fn a_value_that_is_taken_fits_with_room_to_spare_for_other_spellings_of_numbers() {
+fn a_value_at_the_limit_leaves_spare_bytes_for_other_spellings_of_numbers() {
     let settings = settings();
     let present = (settings.params.state.value_kb * 1024.0) as usize;
     assert!(settings.write_limits().value_bytes < present);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn the_state_client_pages_and_tells_refusals_apart() {
+async fn the_state_store_client_reads_pages_and_distinguishes_refusals() {
     let addr = scripted(state_script).await;
     let state = StateStore::new(&settings(addr, addr));
     let keys: Vec<String> = state.list("a/").await.unwrap().into_iter().map(|i| i.key).collect();
@@ -63,7 +63,7 @@
     let (none, revision) = state.get("none").await.unwrap();
     assert!(none.is_none() && revision == 9);
     assert_eq!(state.get("babble").await.err(), Some(RequestError::Refused), "what can't be read is no answer");
-    assert_eq!(state.get("busy").await.err(), Some(RequestError::Throttled), "429 is told apart from an outage");
+    assert_eq!(state.get("busy").await.err(), Some(RequestError::Throttled), "429 is distinguished from an outage");
     assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::NotFound), "the keys must be read again");
     assert_eq!(state.renew_lease(4, 2500).await, Err(RequestError::NotFound));
     assert_eq!(state.create_lease(2500).await, Err(RequestError::Refused));
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn the_cloud_client_asks_again_only_where_the_outcome_is_open() {
+async fn the_cloud_client_retries_only_if_the_outcome_is_indeterminate() {
     let addr = scripted(cloud_script).await;
     let cloud = Cloud::new(&settings(addr, addr));
     assert_eq!(cloud.rent("r-1-1", "g8", "a", false, 3).await, RentResult::Rented(vec!["host-000001".into()]));
