--- a/tests/fault_combinations/answers.rs
+++ b/tests/fault_combinations/answers.rs
@@ -1,4 +1,4 @@
-//! What users are told, while answers are lost and reports come late.
+//! The answers that users get, while answers are lost and heartbeats come late.
 
 use crate::scenario::{days, s};
 use crate::simulation::{seeds, simulate};
--- a/tests/fault_combinations/borrowing/faults.rs
+++ b/tests/fault_combinations/borrowing/faults.rs
@@ -37,7 +37,7 @@
 
 // The machines' reports come, and neither answers nor orders reach them for a while.
 #[test]
-fn machines_are_deaf_as_their_tasks_are_to_be_stopped() {
+fn machines_are_unreachable_as_their_tasks_are_to_be_stopped() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
@@ -114,7 +114,7 @@
 
 // The leader ends at the same time: its successor knows from the records what is owed.
 #[test]
-fn half_of_the_machines_die_and_the_owner_with_them() {
+fn half_of_the_machines_die_and_the_leader_with_them() {
     days(async |sim| {
         full(sim).await;
         no_new_machines(sim);
--- a/tests/fault_combinations/borrowing/owners.rs
+++ b/tests/fault_combinations/borrowing/leaders.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_owner_ends_after_the_record_and_before_or_while_the_stops_are_ordered() {
+fn the_leader_ends_after_the_record_and_before_or_while_the_stops_are_ordered() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_owner_ends_after_the_stops_and_before_the_starts() {
+fn the_leader_ends_after_the_stops_and_before_the_starts() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_owner_ends_during_the_return() {
+fn the_leader_ends_during_the_return() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
@@ -84,7 +84,7 @@
         until_recorded(sim, "open").await;
         let first = kill_leader(sim);
         let held = |sim: &Sim| sim.leader().is_some_and(|leader| leader != first);
-        until_at_floor(sim, "another controller is owner", FAILOVER, held).await;
+        until_at_floor(sim, "another controller leads", FAILOVER, held).await;
         run_at_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
         let second = kill_leader(sim);
         run_at_floor(sim, s(2)).await;
@@ -110,7 +110,7 @@
 // The paused leader has stops in hand; its successor ends the loan, and the lender's work runs
 // again. None of the old orders may take effect on that.
 #[test]
-fn an_owner_that_held_still_stops_nothing_that_began_after_its_successor_ended_the_loan() {
+fn a_leader_that_was_paused_stops_nothing_that_began_after_its_successor_ended_the_loan() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
@@ -166,14 +166,14 @@
 }
 
 #[test]
-fn the_owner_is_cut_from_the_state_service_in_each_step() {
+fn the_leader_is_cut_from_the_state_store_in_each_step() {
     for step in ["stops", "starts", "return"] {
         days(async |sim| cut_at(sim, step, from_state, Cut::Hold, s(6)).await);
     }
 }
 
 #[test]
-fn the_owner_is_cut_from_the_other_controllers_in_each_step() {
+fn the_leader_is_cut_from_the_other_controllers_in_each_step() {
     for step in ["stops", "starts", "return"] {
         days(async |sim| cut_at(sim, step, from_peers, Cut::Refuse, s(6)).await);
     }
@@ -181,7 +181,7 @@
 
 // For so short that the machines are not released as silent ones.
 #[test]
-fn the_owner_is_cut_from_the_machines_of_a_zone_in_each_step() {
+fn the_leader_is_cut_from_the_machines_of_a_zone_in_each_step() {
     for step in ["stops", "starts", "return"] {
         days(async |sim| cut_at(sim, step, from_machines_of_a_zone, Cut::Hold, s(1)).await);
     }
@@ -189,7 +189,7 @@
 
 // Nothing is lent that can't be recorded.
 #[test]
-fn without_the_state_service_nothing_is_stopped_for_another_team() {
+fn without_the_state_store_nothing_is_stopped_for_another_team() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
--- a/tests/fault_combinations/borrowing/mod.rs
+++ b/tests/fault_combinations/borrowing/mod.rs
@@ -3,7 +3,7 @@
 
 mod deployment;
 mod faults;
-mod owners;
+mod leaders;
 mod returns;
 mod shares;
 mod teams;
--- a/tests/fault_combinations/borrowing/returns.rs
+++ b/tests/fault_combinations/borrowing/returns.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_burst_gains_room_within_a_minute_and_gives_it_back() {
+fn a_burst_gains_capacity_within_a_minute_and_returns_it() {
     days(async |sim| {
         full(sim).await;
         let desk = burst(sim, 4);
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -60,9 +60,9 @@
 }
 
 // Cancelled in the very seconds in which the work changes hands, while some machines can't
-// be told anything.
+// be reached.
 #[test]
-fn jobs_are_cancelled_while_work_changes_hands() {
+fn jobs_are_cancelled_during_a_failover() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
             let ids = long_jobs(&mut sim, 300.0).await;
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -36,7 +36,7 @@
 // The reads of a failover fail, and are tried again until the outage is over: each try
 // must not ask for two more, and the partition must not begin twice.
 #[test]
-fn an_outage_begins_between_taking_the_partition_and_reading_its_records() {
+fn an_outage_begins_between_acquiring_the_partition_and_reading_its_records() {
     days(async |sim| {
         long_jobs(sim, 60.0).await;
         let leader = sim.leader().expect("there is a leader");
@@ -111,7 +111,7 @@
 
 // Workers reach no controller while direct commands reach them, and the reverse.
 #[test]
-fn machines_are_mute_or_deaf_while_the_leader_ends() {
+fn machines_are_mute_or_unreachable_while_the_leader_ends() {
     days(async |sim| {
         let ids = long_jobs(sim, 40.0).await;
         let until = tokio::time::Instant::now() + s(16);
@@ -148,11 +148,11 @@
     });
 }
 
-// Found on a day of our own: the old leader, cut off, is followed by another, which calls
-// jobs done and cancelled; in an outage that one ends, the cut ends, and all others would
-// promise to the old leader again, whose memory is from before.
+// The former leader, cut off, is succeeded by another, which reports jobs as done and cancelled;
+// during an outage that one ends, the cut ends, and all others would give pledges to the former
+// leader again, whose state is out of date.
 #[test]
-fn an_old_leader_is_not_entitled_again_after_the_next_one_ended_in_an_outage() {
+fn a_former_leader_has_no_lease_again_after_its_successor_ended_in_an_outage() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
             let mut ids = long_jobs(&mut sim, 300.0).await;
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -15,7 +15,7 @@
 
 // The jobs that it held are cancelled, done and begun under its successor meanwhile.
 #[test]
-fn a_paused_leader_does_nothing_on_its_old_entitlement() {
+fn a_paused_leader_does_nothing_on_its_expired_lease() {
     const PAUSES_S: [u64; 6] = [5, 8, 13, 27, 50, 90];
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
@@ -92,9 +92,9 @@
     });
 }
 
-// Those that could follow the leader are silent; their promises count as not given.
+// Those that could follow the leader are silent; their pledges count as not given.
 #[test]
-fn the_other_controllers_are_paused_as_the_state_service_is_out() {
+fn the_other_controllers_are_paused_during_an_outage_of_the_state_store() {
     days(async |sim| {
         let mut ids = long_jobs(sim, LONG_S).await;
         let leader = sim.leader().expect("there is a leader");
--- a/tests/fault_combinations/pipelines.rs
+++ b/tests/fault_combinations/pipelines.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_cancellation_is_told_of_all_dependents_at_all_nodes_at_once() {
+fn all_nodes_report_a_cancellation_of_all_dependents_at_once() {
     days(async |sim| {
         let ids = chain(sim, LONG_S).await;
         sim.run(s(6)).await;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_state_service_is_out_for_longer_than_cancel_s_right_after_a_cancellation() {
+fn the_state_store_is_out_for_longer_than_cancel_s_right_after_a_cancellation() {
     days(async |sim| {
         let ids = chain(sim, LONG_S).await;
         sim.run(s(6)).await;
@@ -116,7 +116,7 @@
 
 // It goes on to be asked by users who do not reach the next one.
 #[test]
-fn a_leader_that_is_cut_off_calls_no_dependent_pending_after_the_next_one_has_cancelled() {
+fn a_leader_that_is_cut_off_reports_no_dependent_as_pending_after_its_successor_has_cancelled() {
     days(async |sim| {
         let ids = chain(sim, LONG_S).await;
         sim.run(s(6)).await;
@@ -152,7 +152,7 @@
 
 // A new dependent comes at another node just as the first job is cancelled.
 #[test]
-fn dependents_are_submitted_as_the_job_that_they_need_is_cancelled() {
+fn dependents_are_submitted_as_their_dependency_is_cancelled() {
     days(async |sim| {
         let ids = chain(sim, LONG_S).await;
         sim.until("the first runs", s(30), |w| w.jobs[&ids[0]].starts > 0).await;
@@ -166,7 +166,7 @@
 
 // No leader answers the submission: the accepting node checks what it names by reads.
 #[test]
-fn a_job_is_accepted_that_waits_for_others_while_nobody_owns_them() {
+fn a_job_with_dependencies_is_accepted_while_no_node_leads_their_partition() {
     days(async |sim| {
         let ids = chain(sim, LONG_S).await;
         let leader = sim.leader().expect("there is a leader");
@@ -183,7 +183,7 @@
 
 // The tasks of the first job are done, and the leader ends before that is recorded.
 #[test]
-fn the_owner_ends_before_the_end_of_a_needed_job_is_recorded() {
+fn the_leader_ends_before_the_end_of_a_dependency_is_recorded() {
     days(async |sim| {
         for _ in 0..3 {
             let ids = chain(sim, 3.0).await;
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_poll_storm_about_ended_unknown_and_cancelled_jobs_as_the_owner_is_paused() {
+fn a_poll_storm_about_ended_unknown_and_cancelled_jobs_as_the_leader_is_paused() {
     days(async |sim| {
         let mut ids = long_jobs(sim, LONG_S).await;
         ids.extend(short_jobs(sim));
@@ -30,14 +30,14 @@
         sim.run(s(12)).await;
         sim.poll_rate(STORM);
         sim.ask_about_unknown_jobs();
-        let owner = sim.leader().expect("there is a leader");
-        sim.pause(owner, true);
+        let leader = sim.leader().expect("there is a leader");
+        sim.pause(leader, true);
         ask_closely(sim, &ids, s(4)).await;
-        sim.cancel(&ids[1], &others(owner));
+        sim.cancel(&ids[1], &others(leader));
         ids.extend(short_jobs(sim));
         ask_closely(sim, &ids, s(8 + 9 * sim.g.seed)).await;
         assert_answered_within(sim, s(6));
-        sim.pause(owner, false);
+        sim.pause(leader, false);
         ask_closely(sim, &ids, s(10)).await;
         assert_answered_within(sim, s(6));
         sim.poll_rate(1.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_poll_storm_as_one_owner_after_the_other_is_paused_for_a_while() {
+fn a_poll_storm_as_one_leader_after_the_other_is_paused_for_a_while() {
     days(async |sim| {
         sim.run(s(5)).await;
         sim.poll_rate(STORM);
@@ -57,11 +57,11 @@
             service.cards = 0.5;
             ids.push(sim.submit(service));
             sim.run(s(3)).await;
-            let owner = sim.leader().unwrap_or(0);
-            sim.pause(owner, true);
-            sim.cancel(&ids[3 * n + 2], &others(owner));
+            let leader = sim.leader().unwrap_or(0);
+            sim.pause(leader, true);
+            sim.cancel(&ids[3 * n + 2], &others(leader));
             ask_closely(sim, &ids, Duration::from_millis(2000 + 800 * (n as u64 + sim.g.seed))).await;
-            sim.pause(owner, false);
+            sim.pause(leader, false);
             ask_closely(sim, &ids, s(6)).await;
             assert_answered_within(sim, s(6));
         }
--- a/tests/fault_combinations/rollouts.rs
+++ b/tests/fault_combinations/rollouts.rs
@@ -78,7 +78,7 @@
 
 // The partition goes back and forth between the versions.
 #[test]
-fn versions_take_the_partition_from_each_other() {
+fn the_partition_fails_over_between_versions() {
     rollouts(async |sim| {
         let ids = long_jobs(sim, 40.0).await;
         upgrade(sim, 0).await;
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_owner_that_ends_in_a_burst_leaves_every_job_one_replica() {
+fn a_leader_that_ends_in_a_burst_leaves_every_job_one_replica() {
     for seed in seeds(1..=3) {
         simulate_with(setup(), seed, async |mut sim| {
             until_ready(&mut sim, 2).await;
--- a/tests/fault_combinations/writes.rs
+++ b/tests/fault_combinations/writes.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn one_task_jobs_at_four_a_second_through_takeovers() {
+fn one_task_jobs_at_four_a_second_through_failovers() {
     simulate(1, async |mut sim| {
         sim.run(s(5)).await;
         for n in 0..240 {
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -227,7 +227,7 @@
 }
 
 #[tokio::test]
-async fn running_work_outlives_an_outage_of_the_state_service() {
+async fn running_work_outlives_an_outage_of_the_state_store() {
     let f = Fleet::start(3, 1).await;
     f.submit(0, "run-000001", "service", 2).await;
     f.phase(1, "run-000001", "running").await;
@@ -274,7 +274,7 @@
 }
 
 #[tokio::test]
-async fn three_partitions_are_held_and_taken_over() {
+async fn three_partitions_are_led_and_fail_over() {
     let mut f = Fleet::start(3, 3).await;
     f.until(0, "GET", "/ready", "", |s, _| s == 200).await;
     f.submit(0, "run-000001", "service", 2).await;
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -120,13 +120,13 @@
         }
         std::future::pending::<()>().await;
     });
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     for _ in answers {
-        heard.push(
+        received.push(
             peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(1) }, LIMIT).await,
         );
     }
-    (peer, heard)
+    (peer, received)
 }
 
 /// A response of the version in production to the request of this number.
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn requests_of_the_version_in_production_are_read_and_tell_its_format() {
+async fn requests_of_the_version_in_production_are_read_and_show_its_format() {
     let (mut stream, mut asked) = serving(vec![PeerResponse::Accepted; requests().len()]).await;
     for (frame, request) in recorded(include_str!("../data/production/requests.hex")).iter().zip(requests()) {
         stream.write_all(frame).await.unwrap();
@@ -150,11 +150,11 @@
 }
 
 #[tokio::test]
-async fn responses_of_the_version_in_production_are_read_and_tell_its_format() {
+async fn responses_of_the_version_in_production_are_read_and_show_its_format() {
     let frames = recorded(include_str!("../data/production/responses.hex"));
     let answers = frames.iter().zip(1..).map(|(frame, number)| renumbered(frame, number)).collect();
-    let (peer, heard) = asking(answers).await;
-    assert_eq!(heard, responses().into_iter().map(Some).collect::<Vec<_>>());
+    let (peer, received) = asking(answers).await;
+    assert_eq!(received, responses().into_iter().map(Some).collect::<Vec<_>>());
     assert!(peer.format.is_old() && !peer.format.is_current());
 }
 
@@ -190,7 +190,7 @@
 
 // The version in production closes a connection on which a reason comes that it does not know.
 #[tokio::test]
-async fn a_new_reason_is_told_to_those_alone_who_know_it() {
+async fn a_new_reason_is_sent_only_to_peers_that_know_it() {
     let new =
         [RefusalReason::ControllerOutdated, RefusalReason::DependencyElsewhere, RefusalReason::DependencyIndeterminate];
     let (mut stream, _asked) = serving(new.into_iter().chain(new).map(refused).collect()).await;
@@ -229,8 +229,8 @@
     let answer = |number: u64, body: Value| encoded(&json!({"n": number, "format": 2, "body": body}));
     let user = json!({"User": {"status": 503, "body": b"{}", "retry_after_s": 1, "refusal": "too_many_moons"}});
     let answers = vec![answer(1, user), answer(2, json!("Maybe"))];
-    let (peer, heard) = asking(answers).await;
+    let (peer, received) = asking(answers).await;
     let expected = PeerResponse::User { status: 503, body: b"{}".to_vec(), retry_after_s: Some(1), refusal: None };
-    assert_eq!(heard, [Some(expected), Some(PeerResponse::Rejected)]);
+    assert_eq!(received, [Some(expected), Some(PeerResponse::Rejected)]);
     assert!(peer.format.is_current(), "a later version knows all that this one says");
 }
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn recorded_frames_have_the_length_that_they_tell_and_distinct_names() {
+fn recorded_frames_have_the_length_in_their_header_and_distinct_names() {
     for text in [REQUESTS, RESPONSES, RESPONSES_TO_UNNAMED] {
         let frames = recorded(text);
         let names: BTreeSet<&String> = frames.iter().map(|(name, _)| name).collect();
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn records_of_warm_pools_are_told_apart_by_their_form() {
+fn records_of_warm_pools_are_distinguished_by_their_form() {
     let stored = |key: &str| serde_json::from_str::<StoredRecord>(text_of(key)).unwrap();
     assert!(matches!(stored("pool/slot/7"), StoredRecord::Slot(_)));
     assert!(matches!(stored("pool/slot/8"), StoredRecord::Slot(_)));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_a_regions_owner_obeys_is_written_as_in_0_2_0() {
+fn the_configuration_that_a_regions_leader_applies_is_written_as_in_0_2_0() {
     let text = text_of("config/obeyed");
     let change = applied_configuration_change(&serde_json::from_str(text).unwrap());
     assert_eq!(change.to_string(), format!("{{\"data\":{text},\"put\":\"config/obeyed\"}}"));
