--- a/src/commands/errors.rs
+++ b/src/commands/errors.rs
@@ -1,6 +1,6 @@
 //! Why a command of the program fails.
 
-use crate::configuration::Unavailable;
+use crate::configuration::UnavailableReason;
 use crate::settings::HclError;
 use badgerdrift_fleet_config::{DocumentError, DocumentName};
 use std::io;
@@ -108,7 +108,7 @@
     },
     /// The shared configuration can't be read or changed now.
     #[error("{}", unavailable(*.0))]
-    Unavailable(Unavailable),
+    Unavailable(UnavailableReason),
     /// There is no document of this name.
     #[error("{0}: there is no such document")]
     NoSuchDocument(String),
@@ -139,15 +139,15 @@
     },
 }
 
-fn unavailable(why: Unavailable) -> &'static str {
-    match why {
-        Unavailable::NotStarted => "the region has not begun to take part, or waits for the others to begin",
-        Unavailable::SettingsDiffer => "the regions' settings differ",
-        Unavailable::StateService => "the state service does not answer",
-        Unavailable::Indeterminate => {
+fn unavailable(reason: UnavailableReason) -> &'static str {
+    match reason {
+        UnavailableReason::NotStarted => "the region has not begun to take part, or waits for the others to begin",
+        UnavailableReason::SettingsDiffer => "the regions' settings differ",
+        UnavailableReason::StateService => "the state service does not answer",
+        UnavailableReason::Indeterminate => {
             "unclear: the change may still be taken; ask for its outcome, or apply it again with --id"
         }
-        Unavailable::TooLarge => "the change does not fit into one version: divide it",
-        Unavailable::Busy => "the controller can't do more now",
+        UnavailableReason::TooLarge => "the change does not fit into one version: divide it",
+        UnavailableReason::Busy => "the controller can't do more now",
     }
 }
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -2,7 +2,7 @@
 
 use super::exchange;
 use super::handle::{ConfigurationHandle, Message, Published};
-use super::messages::{ConfigurationRequest, ConfigurationResponse, Digest, Unavailable};
+use super::messages::{ConfigurationRequest, ConfigurationResponse, RegionDigest, UnavailableReason};
 use super::proposals::{Proposals, Proposed};
 use super::records::{self, AppliedConfiguration, StoredRecord};
 use super::region_policy::settings_documents;
@@ -29,7 +29,7 @@
 
 /// The last answer of another region.
 pub(super) struct LastContact {
-    pub(super) digest: Digest,
+    pub(super) digest: RegionDigest,
     /// When it arrived, on the steady clock.
     pub(super) at_ms: u64,
 }
@@ -154,12 +154,12 @@
             ConfigurationRequest::Capable => ConfigurationResponse::Capable { genesis: self.genesis },
             ConfigurationRequest::Digest => ConfigurationResponse::Digest(self.digest()),
             ConfigurationRequest::Agreement { genesis, .. } if genesis != self.genesis => {
-                ConfigurationResponse::Unavailable(Unavailable::SettingsDiffer)
+                ConfigurationResponse::Unavailable(UnavailableReason::SettingsDiffer)
             }
             ConfigurationRequest::Agreement { request, .. } => self.agree(&request).await,
             ConfigurationRequest::Log(version) => match records::log_entry(&self.state, version).await {
                 Ok(entry) => ConfigurationResponse::Log(entry),
-                Err(_) => ConfigurationResponse::Unavailable(Unavailable::StateService),
+                Err(_) => ConfigurationResponse::Unavailable(UnavailableReason::StateService),
             },
             ConfigurationRequest::Apply(change) => {
                 self.submit_entry(Proposed { entry: Entry::Change(change), reply: Some(reply) });
--- a/src/configuration/entries.rs
+++ b/src/configuration/entries.rs
@@ -1,7 +1,7 @@
 //! Entries for the log: where they are proposed, and what this region confirms.
 
 use super::actor::ConfigurationActor;
-use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
+use super::messages::{ConfigurationRequest, ConfigurationResponse, UnavailableReason};
 use super::proposals::Proposed;
 use super::records::{AppliedConfiguration, StoredRecord};
 use crate::runtime::sync::reply;
@@ -40,7 +40,7 @@
         if self.may_propose() {
             propose(&self.proposals, proposed);
         } else {
-            respond(proposed.reply, ConfigurationResponse::Unavailable(Unavailable::NotStarted));
+            respond(proposed.reply, ConfigurationResponse::Unavailable(UnavailableReason::NotStarted));
         }
     }
 
@@ -85,6 +85,6 @@
 
 fn propose(proposals: &mpsc::Sender<Proposed>, proposed: Proposed) {
     if let Err(TrySendError::Full(proposed) | TrySendError::Closed(proposed)) = proposals.try_send(proposed) {
-        respond(proposed.reply, ConfigurationResponse::Unavailable(Unavailable::Busy));
+        respond(proposed.reply, ConfigurationResponse::Unavailable(UnavailableReason::Busy));
     }
 }
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -1,6 +1,6 @@
 //! The handle of this node's configuration actor, for all that follow the configuration.
 
-use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
+use super::messages::{ConfigurationRequest, ConfigurationResponse, UnavailableReason};
 use super::records::AppliedConfiguration;
 use super::region_policy::policy_of;
 use crate::runtime::metrics::gauge_line;
@@ -16,7 +16,7 @@
     /// The region's record may have changed.
     Changed(oneshot::Sender<bool>),
     /// Another region has answered which version it has applied.
-    RegionDigest(super::messages::Digest),
+    RegionDigest(super::messages::RegionDigest),
     /// All controllers of the region know the shared configuration.
     AllCapable,
     /// This node's leader has recorded that it has applied a version.
@@ -64,9 +64,9 @@
     pub async fn answer(&self, request: ConfigurationRequest) -> ConfigurationResponse {
         let (reply, response) = oneshot::channel();
         if self.tx.try_send(Message::Request(request, reply)).is_err() {
-            return ConfigurationResponse::Unavailable(Unavailable::Busy);
+            return ConfigurationResponse::Unavailable(UnavailableReason::Busy);
         }
-        response.await.unwrap_or(ConfigurationResponse::Unavailable(Unavailable::Busy))
+        response.await.unwrap_or(ConfigurationResponse::Unavailable(UnavailableReason::Busy))
     }
 
     /// Reads the region's record afresh; false if that failed.
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -47,7 +47,7 @@
         genesis: u64,
     },
     /// The versions that the region and its leader have applied.
-    Digest(Digest),
+    Digest(RegionDigest),
     /// The acceptor's answer.
     Agreement(Reply),
     /// A version of the log; `None` if it is not stored any more.
@@ -63,12 +63,12 @@
     /// The regions.
     Status(Vec<RegionStatus>),
     /// Nothing was done.
-    Unavailable(Unavailable),
+    Unavailable(UnavailableReason),
 }
 
 /// Why nothing was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unavailable {
+pub enum UnavailableReason {
     /// The region has not begun to take part.
     NotStarted,
     /// The regions' settings differ: their first versions are not the same.
@@ -86,7 +86,7 @@
 
 /// The versions that a region and its leader have applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct RegionDigest {
     /// The region.
     pub region: RegionName,
     /// What its version 0 is made of.
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -24,7 +24,9 @@
 
 pub use actor::{ConfigurationActor, start};
 pub use handle::{ConfigurationHandle, Published};
-pub use messages::{ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable};
+pub use messages::{
+    ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionDigest, RegionStatus, UnavailableReason,
+};
 pub use records::{AppliedConfiguration, LogEntry, applied_configuration_change};
 pub use region_policy::{policy_of, settings_documents};
 pub use settings::{FleetSettings, RegionAddresses, load_fleet};
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -1,7 +1,7 @@
 //! The task that proposes: it brings entries into the log, one version after the other.
 
 use super::handle::ConfigurationHandle;
-use super::messages::{ConfigurationRequest, ConfigurationResponse, Unavailable};
+use super::messages::{ConfigurationRequest, ConfigurationResponse, UnavailableReason};
 use super::regions::Regions;
 use crate::clients::write_limits::{WriteLimits, json_bytes};
 use crate::runtime::metrics::SharedMetrics;
@@ -93,7 +93,7 @@
             if self.fits(taken.iter().map(|proposed| &proposed.entry)) {
                 self.propose(taken).await;
             } else {
-                self.refuse(taken, Unavailable::TooLarge);
+                self.refuse(taken, UnavailableReason::TooLarge);
             }
         }
     }
@@ -124,7 +124,7 @@
                 }
             }
         }
-        self.refuse(taken, Unavailable::Indeterminate);
+        self.refuse(taken, UnavailableReason::Indeterminate);
     }
 
     /// One attempt at the next version.
@@ -222,7 +222,9 @@
                 continue;
             };
             let response = match self.handle.answer(ConfigurationRequest::Outcome(change.id)).await {
-                ConfigurationResponse::Outcome(None) => ConfigurationResponse::Unavailable(Unavailable::Indeterminate),
+                ConfigurationResponse::Outcome(None) => {
+                    ConfigurationResponse::Unavailable(UnavailableReason::Indeterminate)
+                }
                 other => other,
             };
             self.count(&response);
@@ -230,9 +232,9 @@
         }
     }
 
-    fn refuse(&self, taken: Vec<Proposed>, why: Unavailable) {
+    fn refuse(&self, taken: Vec<Proposed>, reason: UnavailableReason) {
         for reply in taken.into_iter().filter_map(|proposed| proposed.reply) {
-            let response = ConfigurationResponse::Unavailable(why);
+            let response = ConfigurationResponse::Unavailable(reason);
             self.count(&response);
             sync::reply(reply, response);
         }
@@ -242,7 +244,7 @@
     fn count(&self, response: &ConfigurationResponse) {
         let label = match response {
             ConfigurationResponse::Outcome(Some(ChangeOutcome::Taken { .. })) => "taken",
-            ConfigurationResponse::Unavailable(Unavailable::Indeterminate) => "unclear",
+            ConfigurationResponse::Unavailable(UnavailableReason::Indeterminate) => "unclear",
             _ => "refused",
         };
         self.metrics.count("configuration_changes", label);
--- a/src/configuration/status.rs
+++ b/src/configuration/status.rs
@@ -3,7 +3,7 @@
 use super::actor::{ConfigurationActor, LastContact};
 use super::handle::Published;
 use super::messages::{
-    ConfigurationRequest, ConfigurationResponse, Digest, RegionCondition, RegionStatus, Unavailable,
+    ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionDigest, RegionStatus, UnavailableReason,
 };
 use super::records::StoredRecord;
 use crate::runtime::clock;
@@ -13,7 +13,7 @@
     /// Answers a request that changes nothing.
     pub(super) fn answer_query(&self, request: &ConfigurationRequest) -> ConfigurationResponse {
         let Some(StoredRecord { record, .. }) = &self.stored else {
-            return ConfigurationResponse::Unavailable(Unavailable::NotStarted);
+            return ConfigurationResponse::Unavailable(UnavailableReason::NotStarted);
         };
         let state = &record.state;
         match request {
@@ -29,9 +29,9 @@
     }
 
     /// The version and the effect of this region, for the other ones.
-    pub(super) fn digest(&self) -> Digest {
+    pub(super) fn digest(&self) -> RegionDigest {
         let record = self.stored.as_ref().map(|stored| &stored.record);
-        Digest {
+        RegionDigest {
             region: self.fleet.region.clone(),
             genesis: self.genesis,
             version: record.map(|record| record.acceptor.applied),
@@ -73,7 +73,7 @@
     }
 
     /// Another region has answered which version it has applied.
-    pub(super) async fn record_contact(&mut self, digest: Digest) {
+    pub(super) async fn record_contact(&mut self, digest: RegionDigest) {
         if digest.genesis != self.genesis {
             tracing::error!(region = digest.region, "the region begins with other teams or figures than this one");
             return;
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -1,7 +1,7 @@
 //! The region's record in the actor: every change is stored before it is answered.
 
 use super::actor::ConfigurationActor;
-use super::messages::{ConfigurationResponse, Unavailable};
+use super::messages::{ConfigurationResponse, UnavailableReason};
 use super::records::{self, LoadError, REGION_KEY, StoredRecord};
 use crate::control::partition::CommitOutcome;
 use crate::runtime::clock;
@@ -16,7 +16,7 @@
     pub(super) async fn agree(&mut self, request: &Request) -> ConfigurationResponse {
         for _ in 0..STORE_ATTEMPTS {
             let Some(stored) = &self.stored else {
-                return ConfigurationResponse::Unavailable(Unavailable::NotStarted);
+                return ConfigurationResponse::Unavailable(UnavailableReason::NotStarted);
             };
             let (next, reply) = stored.record.handle(request);
             let Some(next) = next else { return ConfigurationResponse::Agreement(reply) };
@@ -39,7 +39,7 @@
                 }
             }
         }
-        ConfigurationResponse::Unavailable(Unavailable::StateService)
+        ConfigurationResponse::Unavailable(UnavailableReason::StateService)
     }
 
     /// Stores a record; false if the stored one is another meanwhile.
--- a/tests/fleet_configuration/faults.rs
+++ b/tests/fleet_configuration/faults.rs
@@ -1,7 +1,7 @@
 //! Regions that are cut off, controllers that end or hold still, state services that are out.
 
 use crate::fleet::{CONTROLLERS, FIRST_SHARE, IN_FORCE_S, REGIONS, day};
-use badgerdrift::configuration::{ConfigurationResponse, RegionCondition, Unavailable};
+use badgerdrift::configuration::{ConfigurationResponse, RegionCondition, UnavailableReason};
 use badgerdrift_fleet_config::ChangeOutcome;
 use badgerdrift_stand_ins::net::Cut;
 
@@ -36,7 +36,7 @@
         fleet.run(5.0).await;
         let change = fleet.team_change(0, "red", [1.0, 1.0, 1.0]);
         let answer = fleet.apply(0, 0, &change).await;
-        assert_eq!(answer, Some(ConfigurationResponse::Unavailable(Unavailable::Indeterminate)));
+        assert_eq!(answer, Some(ConfigurationResponse::Unavailable(UnavailableReason::Indeterminate)));
         fleet.mend();
         fleet.run(5.0).await;
         let again = fleet.apply(1, 0, &change).await;
