--- a/src/model/borrowing.rs
+++ b/src/model/borrowing.rs
@@ -1,11 +1,11 @@
-//! What the scheduler is told of loans between teams.
+//! Loans between teams, as a scheduling cycle sees them.
 
 use super::{Demand, JobIndex};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, Priority, Refusal};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// What a scheduling cycle is told of loans between teams. Without borrowing there is none of it.
+/// Loans between teams, as a scheduling cycle sees them; absent without borrowing.
 #[derive(Debug, Clone)]
 pub struct BorrowingState {
     /// Who lends to whom.
@@ -18,11 +18,12 @@
     pub lent: BTreeMap<String, Amounts>,
     /// What is owed, by lender and borrower.
     pub owed: BTreeMap<(String, String), Amounts>,
-    /// Jobs that gave way lately: they are passed over while others can give.
+    /// Jobs that were preempted for a loan lately: others are preempted before them.
     pub quiet: HashSet<JobIndex>,
-    /// Room is held for whole teams, so that one job may have room where a like one has none.
+    /// Capacity is reserved for whole teams, so that one job may fit where a like one of another team
+    /// does not.
     pub reserves_for_teams: bool,
-    /// How many tasks of a job are placed first, as their room is being returned.
+    /// How many tasks of a job are placed first, as their capacity is being returned.
     pub returning: HashMap<JobIndex, u32>,
 }
 
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -3,7 +3,7 @@
 use super::{BorrowingState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Reservation, WarmReservation};
 use std::collections::HashMap;
 
-/// Room that a class is expected to need.
+/// Capacity that a class is expected to need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reserve {
     /// Name of the job class.
@@ -17,21 +17,22 @@
 }
 
 impl Reserve {
-    /// It can do without none of its machine types, having one alone.
+    /// Can it run on one instance type alone?
     pub fn single_instance_type(&self) -> bool {
-        self.instance_types.iter().filter(|f| **f).count() == 1
+        self.instance_types.iter().filter(|allowed| **allowed).count() == 1
     }
     /// May it run on this type? One that became known later counts from the next plan on.
     pub fn allows(&self, instance_type: usize) -> bool {
-        self.instance_types.get(instance_type).is_some_and(|f| *f)
+        self.instance_types.get(instance_type).is_some_and(|allowed| *allowed)
     }
-    /// Is its room lost when that of a machine of this type shrinks so?
+    /// Does it lose a place when the free capacity of a machine of this type shrinks so?
     pub fn loses(&self, instance_type: usize, before: &Demand, after: &Demand) -> bool {
-        self.allows(instance_type) && before.slots(&self.demand) > after.slots(&self.demand)
+        self.allows(instance_type) && before.tasks_that_fit(&self.demand) > after.tasks_that_fit(&self.demand)
     }
 }
 
-/// What is known of machines that are not reconciled, one value for all that are alike.
+/// What is known of unreconciled machines, one value for all that are alike. Unlike an
+/// [`InstanceOffering`](super::InstanceOffering) its type may be unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceKind {
     /// The machine type, if it is known.
@@ -42,7 +43,10 @@
     pub spot: bool,
 }
 
-/// Everything that one partition knows.
+/// The state of one partition, as its leader knows it.
+///
+/// Invariants: indices of jobs and machines are never used again; `live` and the two indices by id agree
+/// with `jobs` and `hosts`.
 #[derive(Debug, Default)]
 pub struct ClusterState {
     /// All jobs, by [`JobIndex`]; none is removed.
@@ -57,19 +61,19 @@
     pub instance_types: Vec<InstanceType>,
     /// Jobs that are not over and wait for no others.
     pub live: Vec<JobIndex>,
-    /// Room that is held for warm pools; none without them.
+    /// Reservations of warm pools; none without them.
     pub warm_reservations: Vec<WarmReservation>,
     /// Loans between teams; none without borrowing.
     pub borrowing: Option<BorrowingState>,
-    /// Room that classes are expected to need.
+    /// Capacity that classes are expected to need.
     pub reserves: Vec<Reserve>,
     /// Machine types of which the cloud has none left.
     pub exhausted: Vec<usize>,
-    /// Work with accelerators found no room in the last cycle, and may not wait long.
+    /// In the last cycle no capacity was found for work with accelerators that may not wait long.
     pub accelerators_short: bool,
     /// Steady time of the last scheduling cycle that left a job pending.
     pub last_pending_ms: u64,
-    /// What machines that are not reconciled may hold.
+    /// What fits on unreconciled machines altogether.
     pub unreconciled: Demand,
     /// Their kinds, each one once.
     pub unreconciled_kinds: Vec<InstanceKind>,
@@ -116,16 +120,17 @@
 
     /// All machines, with their indices.
     pub fn each_host(&self) -> impl Iterator<Item = (HostIndex, &Host)> {
-        self.hosts.iter().enumerate().filter_map(|(i, h)| Some((i, h.as_ref()?)))
+        self.hosts.iter().enumerate().filter_map(|(index, host)| Some((index, host.as_ref()?)))
     }
 
-    /// Is the room held for this job?
-    pub fn may_use(&self, claim: &Reservation, job: JobIndex) -> bool {
-        claim.job == job || (claim.for_team && self.jobs[claim.job].spec.team == self.jobs[job].spec.team)
+    /// Is the reservation for this job, or for its whole team?
+    pub fn may_use(&self, reservation: &Reservation, job: JobIndex) -> bool {
+        let same_team = || self.jobs[reservation.job].spec.team == self.jobs[job].spec.team;
+        reservation.job == job || (reservation.for_team && same_team())
     }
 
     /// The index of a machine type.
     pub fn instance_type(&self, name: &str) -> Option<usize> {
-        self.instance_types.iter().position(|f| f.name == name)
+        self.instance_types.iter().position(|instance_type| instance_type.name == name)
     }
 }
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,10 +1,10 @@
-//! Machines: their leases, the attempts of tasks on them and their image caches.
+//! Machines: their leases, the attempts of tasks on them and the capacity that is reserved there.
 
-use super::{Demand, JobIndex, TaskAttempt, TaskKey};
+use super::{CachedImage, Demand, JobIndex, TaskAttempt, TaskKey};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// So many direct commands in a row without an answer are no chance.
+/// A machine is unreachable after so many direct commands in a row without an answer: that is no chance.
 pub const UNREACHABLE_AFTER_MISSES: u32 = 2;
 
 /// A machine on which so many jobs failed is faulty.
@@ -13,50 +13,41 @@
 /// Index of a machine in [`ClusterState::hosts`](super::ClusterState::hosts).
 pub type HostIndex = usize;
 
-/// Room on a machine that is held for one job until a set time.
+/// Capacity on a machine that is reserved for a job, or for its team, until a set time.
+///
+/// A scheduling cycle makes one where it preempts for a job, and `control::partition` where capacity is
+/// returned to a team. It does not reduce what is free: others may not use it. Unlike a
+/// [`WarmReservation`](super::WarmReservation) it expires, and it is not recorded.
 #[derive(Debug, Clone, Copy)]
 pub struct Reservation {
-    /// The job that the room is held for.
+    /// The job that it is for.
     pub job: JobIndex,
-    /// How much room is held.
+    /// How much is reserved.
     pub demand: Demand,
-    /// Steady time at which the claim ends.
+    /// Steady time at which it expires.
     pub until_ms: u64,
-    /// It is held for all jobs of the job's team.
+    /// It is for all jobs of the job's team.
     pub for_team: bool,
 }
 
 impl Reservation {
-    /// Room that is held for this job alone.
+    /// A reservation for this job alone.
     pub fn of_job(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
         Reservation { job, demand, until_ms, for_team: false }
     }
 
-    /// Room that is held for all jobs of the team of this job, which may be over.
+    /// A reservation for all jobs of the team of this job, which may be over.
     pub fn of_team(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
         Reservation { job, demand, until_ms, for_team: true }
     }
 }
 
-/// An image in the cache of a machine.
-#[derive(Debug, Clone)]
-pub struct CachedImage {
-    /// Name of the image.
-    pub name: String,
-    /// Size in gigabytes.
-    pub gb: f64,
-    /// Steady time at which a task last needed it.
-    pub used_ms: u64,
-    /// False while it is fetched.
-    pub ready: bool,
-}
-
 /// A machine, with all that is known of it.
 #[derive(Debug, Clone)]
 pub struct Host {
     /// The cloud's id of the machine.
     pub id: String,
-    /// Where its worker takes direct commands; `None` until a report or record tells it.
+    /// Where its worker takes direct commands; `None` until a heartbeat or record has it.
     pub addr: Option<SocketAddr>,
     /// Index of its type in `ClusterState::instance_types`; `None` if the type is not known.
     pub instance_type: Option<usize>,
@@ -70,8 +61,8 @@
     pub sequence: u64,
     /// Highest fencing token that the worker is known to have seen; 0 if none.
     pub seen_token: u64,
-    /// What the worker says counts once it has seen this token, the first one of this
-    /// leader: a report with a lower one may be a late copy, from a machine that is gone.
+    /// The first fencing token of this leader: heartbeats count once the agent has seen it. One with a
+    /// lower token may be a late copy, of a machine that is gone.
     pub required_token: u64,
     /// The partition that it is being given to.
     pub transferring_to: Option<u32>,
@@ -97,9 +88,9 @@
     pub draining: bool,
     /// Direct commands in a row that had no answer.
     pub unanswered_probes: u32,
-    /// A direct command to it is under way.
+    /// A direct command to it is in flight.
     pub do_in_flight: bool,
-    /// Steady time before which no further direct command is sent; 0 if there is no wait.
+    /// Steady time before which no further direct command is sent (retry after); 0 if there is no wait.
     pub do_after_ms: u64,
     /// Steady time before which nothing is placed on it, as it refused a task; 0 if it did not.
     pub blocked_until_ms: u64,
@@ -113,7 +104,7 @@
     pub up_ms: u64,
     /// Attempts of tasks that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
-    /// Room that is held for jobs.
+    /// Reservations for jobs and teams.
     pub reservations: Vec<Reservation>,
     /// Images in its cache or being fetched, as far as this leader knows.
     pub images: Vec<CachedImage>,
@@ -165,61 +156,27 @@
     /// Where this attempt stands in the list of the machine's attempts. The search begins at
     /// `start`, so that a list in about the same order is looked through once altogether.
     pub fn attempt_position(&self, key: TaskKey, attempt: u64, start: usize) -> Option<usize> {
-        let is_wanted = |c: &TaskAttempt| c.key == key && c.attempt == attempt;
+        let is_wanted = |own: &TaskAttempt| own.key == key && own.attempt == attempt;
         let start = start.min(self.attempts.len());
         let (before, after) = self.attempts.split_at(start);
-        after.iter().position(is_wanted).map(|i| start + i).or_else(|| before.iter().position(is_wanted))
+        after.iter().position(is_wanted).map(|position| start + position).or_else(|| before.iter().position(is_wanted))
     }
 
     /// The attempt of this number, if it is on the machine.
     pub fn attempt_mut(&mut self, key: TaskKey, attempt: u64) -> Option<&mut TaskAttempt> {
-        self.attempts.iter_mut().find(|c| c.key == key && c.attempt == attempt)
+        self.attempts.iter_mut().find(|own| own.key == key && own.attempt == attempt)
     }
 
-    /// Has its worker seen a token of this leader? Then no order of an earlier one can
-    /// reach it any more.
+    /// Has its agent seen a fencing token of this leader?
+    ///
+    /// Invariant: a direct command without an answer may still be carried out until its machine reports a
+    /// higher token. After that no order of an earlier leader can be.
     pub fn token_confirmed(&self) -> bool {
         self.reconciled && self.seen_token >= self.required_token
     }
 
-    /// More than a report that may be a late copy says that it exists.
+    /// Is it certain that the machine exists, beyond a heartbeat that may be a late copy?
     pub fn confirmed(&self) -> bool {
         self.registered || self.reconciled
     }
-
-    /// Seconds until `image` would be on the machine.
-    pub fn fetch_s(&self, image: &str, gb: f64, rate: f64) -> f64 {
-        let rate = rate.max(1e-3);
-        let under_way: f64 = self.images.iter().filter(|i| !i.ready).map(|i| i.gb).sum();
-        match self.images.iter().find(|i| i.name == image) {
-            Some(i) if i.ready => 0.0,
-            Some(_) => under_way / rate * 0.5,
-            None => (under_way + gb) / rate,
-        }
-    }
-
-    /// Notes that a task here needs `image`; the oldest ones leave a full cache.
-    pub fn use_image(&mut self, image: &str, gb: f64, cache_gb: f64, now: u64) {
-        match self.images.iter_mut().find(|i| i.name == image) {
-            Some(i) => i.used_ms = now,
-            None => self.images.push(CachedImage { name: image.into(), gb, used_ms: now, ready: false }),
-        }
-        let mut total: f64 = self.images.iter().map(|i| i.gb).sum();
-        while total > cache_gb && self.images.len() > 1 {
-            let Some(oldest) = (0..self.images.len())
-                .filter(|i| self.images[*i].name != image)
-                .min_by_key(|i| self.images[*i].used_ms)
-            else {
-                return;
-            };
-            total -= self.images.remove(oldest).gb;
-        }
-    }
-
-    /// Notes that an image was fetched.
-    pub fn image_ready(&mut self, image: &str) {
-        if let Some(i) = self.images.iter_mut().find(|i| i.name == image) {
-            i.ready = true;
-        }
-    }
 }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -7,7 +7,7 @@
 /// Index of a job in [`ClusterState::jobs`](super::ClusterState::jobs).
 pub type JobIndex = usize;
 
-/// The phase of a job that its user is told.
+/// The phase of a job, as it is answered to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobPhase {
     /// Accepted; no task runs.
@@ -20,12 +20,12 @@
     Cancelled,
 }
 
-/// What the record of a job still has to be told.
+/// What is not yet written to the record of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnsavedChange {
     /// The record is up to date.
     Nothing,
-    /// More tasks are done than it tells.
+    /// More tasks are done than it has.
     Progress,
     /// The job has ended.
     End(JobEnd),
@@ -43,7 +43,7 @@
 }
 
 impl JobEnd {
-    /// How users are told of it.
+    /// The phase that users are answered.
     pub fn phase(self) -> JobPhase {
         match self {
             JobEnd::Done => JobPhase::Done,
@@ -74,36 +74,39 @@
     pub needed_by_ms: Option<u64>,
     /// Version of its record; 0 while it is not created.
     pub version: u64,
-    /// The end that its record holds.
+    /// The end that its record has.
+    ///
+    /// Invariant: it is set only after the commit of the record, and never changes then.
     pub end: Option<JobEnd>,
     /// The change that is to be written next.
     pub unsaved: UnsavedChange,
     /// Steady time at which unsaved progress began.
     pub unsaved_since_ms: u64,
-    /// Its record is in a commit under way.
+    /// Its record is in a commit in flight.
     pub saving: bool,
     /// Steady time before which its record is not written, as it was not taken; 0 if it was.
     pub write_after_ms: u64,
-    /// A write of its end was sent and may be carried out or not, now or later. Until
-    /// that is settled another node may read the end, and tell it.
+    /// A write of its end is indeterminate: it may be carried out or not, now or later. Until that is
+    /// settled another node may read the end and answer with it.
     pub end_open: bool,
     /// The state of each task, by its number.
     pub tasks: Vec<Task>,
     /// Tasks that are done, whether recorded or not.
     pub done: u32,
-    /// Done tasks that its record tells, as ranges in order, first and one past the last.
+    /// Done tasks that its record has, as ranges in order, first and one past the last.
     pub recorded_done: Vec<(u32, u32)>,
     /// The attempt of a gang that is starting or running.
     pub gang_attempt: u64,
-    /// Steady time until which room is held for the gang; 0 if none is.
+    /// Steady time until which capacity is reserved for the gang; 0 if none is.
     pub gang_reserved_until_ms: u64,
-    /// Steady time before which no room is held again after a hold in vain; 0 if there was none.
+    /// Steady time before which none is reserved again after a reservation that expired unused; 0 if there
+    /// was none.
     pub gang_backoff_until_ms: u64,
-    /// Until when it waits for room next to its image; 0 if it does not yet.
+    /// Steady time until which it waits for capacity on a machine that has its image; 0 if it does not yet.
     pub image_wait_until_ms: u64,
     /// Accepted in this fencing token: no earlier leader can have started its tasks.
     pub fresh: bool,
-    /// Its user has asked for its cancellation, which is said once all its tasks are gone.
+    /// Its user has asked for its cancellation, which is answered once none of its tasks can run.
     pub cancelling: bool,
     /// Machines on which its tasks failed, and until when it keeps away from them.
     pub failed_on: HashSet<HostIndex>,
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Does its record tell that the task is done? Then its attempts may be forgotten, also
+    /// Is the task done by its record? Then its attempts may be forgotten, also
     /// while further tasks end all the time and more is to be recorded.
     pub fn recorded_as_done(&self, task: u32) -> bool {
         let next = self.recorded_done.partition_point(|range| range.0 <= task);
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,10 +1,14 @@
-//! What a partition knows: jobs with their tasks, machines with the attempts of
-//! tasks on them. Plain data; decisions are in `sched`, protocol in `partition`.
+//! The state of a partition: jobs with their tasks, machines with the attempts of tasks on them. Plain
+//! data; decisions are in `scheduling`, the protocol with machines and users in `control::partition`.
+//!
+//! Fields in `_ms` are milliseconds, of the steady clock or of the wall clock as their comments state:
+//! the two never mix.
 
 mod borrowing;
 mod cluster;
 mod dependencies;
 mod host;
+mod image_cache;
 mod instance_type;
 mod job;
 mod records;
@@ -16,7 +20,8 @@
 pub use borrowing::BorrowingState;
 pub use cluster::{ClusterState, InstanceKind, Reserve};
 pub use dependencies::Dependencies;
-pub use host::{CachedImage, Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
+pub use host::{Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
+pub use image_cache::CachedImage;
 pub use instance_type::{InstanceOffering, InstanceType};
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
 pub use records::{HostRecord, JobRecord, ranges};
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A job as its record in the state service tells it.
+/// The record of a job in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// What its user asked for.
@@ -32,19 +32,20 @@
             }
             return Some(record);
         }
-        let room = most.checked_sub(json_bytes(&record))?;
-        record.done = widest(ranges(job), (room / RANGE_BYTES).min((most / 2 / RANGE_BYTES).max(1)));
+        let left = most.checked_sub(json_bytes(&record))?;
+        record.done = widest(ranges(job), (left / RANGE_BYTES).min((most / 2 / RANGE_BYTES).max(1)));
         Some(record)
     }
 
-    /// The job that the record tells, with no task placed.
+    /// The job of the record, with no task placed. `version` is that of the record; `now` is steady time
+    /// in milliseconds.
     pub fn into_job(self, version: u64, now: u64) -> Job {
         let mut job = Job::new(self.spec, self.accepted_ms, now);
         job.version = version;
         job.end = self.end;
-        for (a, b) in &self.done {
-            for t in *a..(*b).min(job.spec.tasks) {
-                job.tasks[t as usize].place = Place::Done;
+        for (first, end) in &self.done {
+            for task in *first..(*end).min(job.spec.tasks) {
+                job.tasks[task as usize].place = Place::Done;
                 job.done += 1;
             }
         }
@@ -56,7 +57,7 @@
     }
 }
 
-/// A machine that may hold tasks, as the registry tells it.
+/// The record of a machine in the registry: it may hold tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
     /// Where its worker takes direct commands; `None` if not known.
@@ -86,12 +87,11 @@
 /// Numbers of done tasks as ranges, first and one past the last.
 pub fn ranges(job: &Job) -> Vec<(u32, u32)> {
     let mut out: Vec<(u32, u32)> = Vec::new();
-    for (i, t) in job.tasks.iter().enumerate() {
-        if t.place == Place::Done {
-            let i = i as u32;
+    for (number, task) in (0u32..).zip(&job.tasks) {
+        if task.place == Place::Done {
             match out.last_mut() {
-                Some(last) if last.1 == i => last.1 = i + 1,
-                _ => out.push((i, i + 1)),
+                Some(last) if last.1 == number => last.1 = number + 1,
+                _ => out.push((number, number + 1)),
             }
         }
     }
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -23,31 +23,31 @@
             && self.gpus <= free.gpus + ROUNDING_TOLERANCE
             && self.mem <= free.mem + ROUNDING_TOLERANCE
     }
-    /// Adds `d`.
-    pub fn add(&mut self, d: &Demand) {
-        self.cpus += d.cpus;
-        self.gpus += d.gpus;
-        self.mem += d.mem;
+    /// Adds `other`.
+    pub fn add(&mut self, other: &Demand) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.mem += other.mem;
     }
-    /// Subtracts `d`.
-    pub fn sub(&mut self, d: &Demand) {
-        self.cpus -= d.cpus;
-        self.gpus -= d.gpus;
-        self.mem -= d.mem;
+    /// Subtracts `other`; amounts may become negative.
+    pub fn sub(&mut self, other: &Demand) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.mem -= other.mem;
     }
-    /// The amounts of `n` tasks.
-    pub fn times(&self, n: f64) -> Demand {
-        Demand { cpus: self.cpus * n, gpus: self.gpus * n, mem: self.mem * n }
+    /// The amounts of so many tasks.
+    pub fn times(&self, tasks: f64) -> Demand {
+        Demand { cpus: self.cpus * tasks, gpus: self.gpus * tasks, mem: self.mem * tasks }
     }
     /// The shares of `cap` that are left in `self`, for resources `cap` has.
     pub fn shares<'a>(&'a self, cap: &'a Demand) -> impl Iterator<Item = f64> + 'a {
         [(self.cpus, cap.cpus), (self.gpus, cap.gpus), (self.mem, cap.mem)]
             .into_iter()
-            .filter(|(_, c)| *c > 0.0)
-            .map(|(f, c)| f / c)
+            .filter(|(_, cap)| *cap > 0.0)
+            .map(|(free, cap)| free / cap)
     }
-    /// How many tasks like `d` fit in.
-    pub fn slots(&self, d: &Demand) -> f64 {
-        self.shares(d).fold(f64::INFINITY, f64::min).max(0.0).floor()
+    /// How many tasks of this demand fit in, as a whole number; infinite for one that takes nothing.
+    pub fn tasks_that_fit(&self, demand: &Demand) -> f64 {
+        self.shares(demand).fold(f64::INFINITY, f64::min).max(0.0).floor()
     }
 }
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -98,12 +98,12 @@
     }
     /// May its tasks run on this machine type, and do they fit?
     pub fn allows_instance_type(&self, instance_type: &InstanceType) -> bool {
-        self.instance_types.as_ref().is_none_or(|f| f.contains(&instance_type.name))
+        self.instance_types.as_ref().is_none_or(|names| names.contains(&instance_type.name))
             && self.demand.fits(&instance_type.cap)
     }
     /// May its tasks run in this zone?
     pub fn allows_zone(&self, zone: &str) -> bool {
-        self.zone.as_deref().is_none_or(|z| z == zone)
+        self.zone.as_deref().is_none_or(|only| only == zone)
     }
     /// Most tasks in one zone.
     pub fn zone_limit(&self) -> u32 {
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -11,7 +11,7 @@
     pub task: u32,
 }
 
-/// Where a task stands in its job.
+/// Where a task is placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Place {
     /// Not placed on any machine.
@@ -27,8 +27,7 @@
 pub struct Task {
     /// Where it is placed.
     pub place: Place,
-    /// Seen alive, or started, by this leader: it is on no machine that is not
-    /// reconciled.
+    /// Seen running, or started, by this leader: it is on no unreconciled machine.
     pub located: bool,
     /// Failures so far, up to the largest value.
     pub fails: u16,
@@ -41,7 +40,7 @@
 pub enum ExitReason {
     /// It completed.
     Done,
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopped {
         /// True if its state was saved.
         saved: bool,
@@ -52,7 +51,7 @@
     Incomplete,
     /// It failed.
     Error,
-    /// The worker had no room for it.
+    /// The worker had no capacity for it.
     NoRoom,
     /// Another attempt of the task was still on the machine.
     InUse,
@@ -71,7 +70,7 @@
     Gathering,
     /// Runs.
     Running,
-    /// Told to stop, and saves its state.
+    /// Ordered to stop, and saves its state.
     Saving,
     /// Ended, and still listed by its worker.
     Ended(ExitReason),
@@ -90,18 +89,17 @@
     pub phase: TaskPhase,
     /// Steady time at which it was ordered, or first seen by this leader.
     pub since_ms: u64,
-    /// Told to stop, with this grace.
+    /// Ordered to stop, with this grace in seconds.
     pub stop: Option<f64>,
     /// Highest fencing token of a direct command with its `run` that had no answer.
     pub risk: Option<u64>,
-    /// Its `run` is in a direct command under way.
+    /// Its `run` is in a direct command in flight.
     pub in_flight: bool,
-    /// Serial of the last report of its machine that listed it; 0 if none did.
+    /// Sequence of the last heartbeat of its machine that listed it; 0 if none did.
     pub listed_sequence: u64,
-    /// The claim of a warm pool's slot that it begins with is not recorded yet: it must not be
-    /// ordered.
+    /// It claims a warm reservation, and the claim is not recorded yet: it must not be ordered.
     pub awaits_record: bool,
-    /// The slot whose loaded model it takes over, if it takes one over.
+    /// Number of the pool slot whose loaded model it takes over, if it takes one over.
     pub slot: Option<u64>,
     /// It is to be stopped for a loan that is not recorded yet: the stop must not be ordered.
     pub stop_awaits_record: bool,
--- a/src/provisioning/provisioner/booting.rs
+++ b/src/provisioning/provisioner/booting.rs
@@ -265,7 +265,7 @@
 /// What an entry of a list shows of a boot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BootState {
-    /// The machine is up or being returned, or nothing can be told of it.
+    /// The machine is up or being returned, or its type is not known.
     Settled,
     Booting,
     /// It failed or never comes up: it is to be returned.
--- a/src/provisioning/provisioner/frame_sizes.rs
+++ b/src/provisioning/provisioner/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! What partitions tell each other of machines, kept short enough for a frame.
+//! Lists of machines in messages between partitions, kept short enough for a frame.
 
 use crate::transport::peer::{MAX_FRAME, Machines};
 
@@ -9,7 +9,7 @@
 /// Bytes of an entry about machines besides its names: those of its fields, and its numbers.
 const MACHINES_ENTRY_BYTES: usize = 48;
 
-/// The first of the names that a frame has room for. The others are told in a later round, once
+/// The first of the names that fit into a frame. The others are sent in a later round, once
 /// these are in use or gone.
 pub(super) fn names_for_frame(names: Vec<String>) -> Vec<String> {
     let mut left = MAX_FRAME / LIST_PART;
@@ -22,7 +22,7 @@
     names.into_iter().take_while(fits).collect()
 }
 
-/// The machines, one an entry where a frame has room for that: the version before counts each
+/// The machines, one an entry where that fits into a frame: the version before counts each
 /// entry as one machine. Else those of a kind are one entry.
 pub(super) fn machines_for_frame(machines: Vec<Machines>) -> Vec<Machines> {
     let bytes = |entry: &Machines| entry.instance_type.len() + entry.zone.len() + MACHINES_ENTRY_BYTES;
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -305,7 +305,7 @@
         taken.add(&self.reserved_by_team(&spec.team));
         let mut left = team.limit;
         left.sub(&taken);
-        let fits = left.slots(&Demand { mem: 0.0, ..spec.demand });
+        let fits = left.tasks_that_fit(&Demand { mem: 0.0, ..spec.demand });
         if fits.is_finite() { most.min(fits as usize) } else { most }
     }
 }
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -176,7 +176,7 @@
 fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
     let task_capacity = |reserve: &Reserve| -> f64 {
         let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
-        hosts.map(|host| host.free.slots(&reserve.demand)).sum()
+        hosts.map(|host| host.free.tasks_that_fit(&reserve.demand)).sum()
     };
     let scarce = cluster.reserves.iter().filter(|reserve| task_capacity(reserve) <= SCARCITY_RATIO * reserve.tasks);
     scarce.map(|reserve| reserve.class.clone()).collect()
--- a/src/scheduling/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -129,7 +129,7 @@
     /// Boot time of the instance type on which the work costs least, in milliseconds.
     fn boot_ms(&self, spec: &Spec) -> u64 {
         let allowed = self.cluster.instance_types.iter().filter(|of_type| spec.allows_instance_type(of_type));
-        let cost = |of_type: &InstanceType| of_type.price / of_type.cap.slots(&spec.demand).max(1.0);
+        let cost = |of_type: &InstanceType| of_type.price / of_type.cap.tasks_that_fit(&spec.demand).max(1.0);
         let cheapest = allowed.min_by(|a, b| cost(a).total_cmp(&cost(b)));
         cheapest.map_or(0, |instance_type| instance_type.boot_ms())
     }
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -110,15 +110,15 @@
             return None;
         }
         let mut free = self.index.free_for(self.cluster, host, request.job_index);
-        let before = if demand.fits(&free) { free.slots(demand) } else { 0.0 };
+        let before = if demand.fits(&free) { free.tasks_that_fit(demand) } else { 0.0 };
         let mut slots = Vec::new();
         // Cold ones first, and no more than one task needs.
         reservations.sort_by_key(|reservation| (reservation.warm, reservation.slot));
         for reservation in reservations {
             free.add(&reservation.demand);
             slots.push(reservation.slot);
-            if demand.fits(&free) && free.slots(demand) > before {
-                let tasks = (free.slots(demand) - before) as usize;
+            if demand.fits(&free) && free.tasks_that_fit(demand) > before {
+                let tasks = (free.tasks_that_fit(demand) - before) as usize;
                 return Some(YieldableReservations { slots, tasks });
             }
         }
@@ -134,7 +134,7 @@
             .filter(|(_, host_info)| request.requirements.accepts(host_info, &no_tasks))
             .map(|(host, _)| self.index.free_for(self.cluster, host, request.job_index))
             .filter(|free| demand.fits(free))
-            .map(|free| free.slots(demand) as usize)
+            .map(|free| free.tasks_that_fit(demand) as usize)
             .sum()
     }
 
--- a/src/scheduling/plan/bin_packing.rs
+++ b/src/scheduling/plan/bin_packing.rs
@@ -167,7 +167,7 @@
         }
         let Availability::Available { cost_factor } = (self.availability)(offering) else { return None };
         let instance_type = &self.cluster.instance_types[offering.instance_type];
-        let tasks_per_machine = instance_type.cap.slots(&spec.demand).max(1.0);
+        let tasks_per_machine = instance_type.cap.tasks_that_fit(&spec.demand).max(1.0);
         let price = instance_type.price(offering.spot) * cost_factor / tasks_per_machine;
         let bin = Bin {
             free: instance_type.cap,
--- a/src/scheduling/plan/drain.rs
+++ b/src/scheduling/plan/drain.rs
@@ -170,7 +170,8 @@
 
 /// Least cost of a task on machines that are full of its like.
 fn least_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
-    let per_task = |instance_type: &InstanceType| instance_type.price / instance_type.cap.slots(&spec.demand).max(1.0);
+    let per_task =
+        |instance_type: &InstanceType| instance_type.price / instance_type.cap.tasks_that_fit(&spec.demand).max(1.0);
     let allowed = cluster.instance_types.iter().filter(|one| spec.allows_instance_type(one));
     allowed.map(per_task).fold(f64::INFINITY, f64::min)
 }
