--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -16,7 +16,7 @@
     /// as the budget has, and the partition puts the urgent ones first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
         let TokenRaise::Idle { not_before_ms } = leadership.token_raise else { return };
-        if leadership.partition.committing() || now < leadership.next_commit_ms {
+        if leadership.partition.is_committing() || now < leadership.next_commit_ms {
             return;
         }
         if leadership.token_check_due && now >= not_before_ms {
@@ -81,11 +81,11 @@
 
     /// The state store has refused the rate of writes: the lower one that was announced applies now.
     fn slow_down(&self, leadership: &mut Leadership, now: u64) {
-        leadership.partition.metrics.count("limits_met", "write_rate");
+        leadership.partition.metrics_mut().count("limits_met", "write_rate");
         let limits = self.settings.write_limits();
-        if leadership.partition.policy.writes_per_s > limits.lower_changes_per_s {
+        if leadership.partition.policy().writes_per_s > limits.lower_changes_per_s {
             tracing::info!(per_s = limits.lower_changes_per_s, "the state store accepts fewer writes");
-            leadership.partition.policy.writes_per_s = limits.lower_changes_per_s;
+            leadership.partition.policy_mut().writes_per_s = limits.lower_changes_per_s;
             leadership.write_budget = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
             let burst = leadership.write_budget.available_tokens(now);
             leadership.write_budget.spend(burst);
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -62,7 +62,7 @@
         refused: &[Machines],
         now: u64,
     ) {
-        let cluster = &leadership.partition.cluster;
+        let cluster = leadership.partition.cluster();
         let pending = pending_machines.into_iter().filter_map(|machines| {
             let instance_type = cluster.instance_type(&machines.instance_type)?;
             let machine = InstanceOffering { instance_type, zone: machines.zone, spot: machines.spot };
--- a/src/provisioning/provisioner/booting.rs
+++ b/src/provisioning/provisioner/booting.rs
@@ -149,8 +149,8 @@
     /// Judges no machine for a while after rounds were missed.
     fn note_round(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
         self.note_begin(partition, now);
-        self.react_ms = partition.policy.react_ms;
-        if now > self.last_round_ms + STALL_RATIO * partition.policy.react_ms {
+        self.react_ms = partition.policy().react_ms;
+        if now > self.last_round_ms + STALL_RATIO * partition.policy().react_ms {
             self.judges_from_ms = now + report_ttl_ms;
         }
         self.last_round_ms = now;
@@ -206,7 +206,7 @@
             self.boot_failed(&entry.id, partition, now);
             return BootState::Failed;
         }
-        let Some(instance_type) = partition.cluster.instance_type(&entry.instance_type) else {
+        let Some(instance_type) = partition.cluster().instance_type(&entry.instance_type) else {
             return BootState::Settled;
         };
         let offering = InstanceOffering { instance_type, zone: entry.zone.clone(), spot: entry.spot };
@@ -230,7 +230,7 @@
     /// How long a machine is expected to take until it is up, whatever its offering: by the boots that
     /// were seen lately, or by the nominal time.
     pub fn expected_boot_ms(&self, partition: &Partition, now: u64) -> u64 {
-        let instance_types = partition.cluster.instance_types.iter().enumerate();
+        let instance_types = partition.cluster().instance_types.iter().enumerate();
         let offerings = instance_types.flat_map(|(index, instance_type)| offerings(index, instance_type));
         let expected_ms = |offering: InstanceOffering| {
             self.boot_times.expected_ms(&offering, nominal_boot_ms(partition, &offering), now)
@@ -254,7 +254,7 @@
         match host.running_ms {
             Some(running_ms) => {
                 let expected_ms = self.boot_times.expected_ms(&host.offering, nominal_ms, now);
-                now.saturating_sub(running_ms) > expected_ms.max(partition.policy.lease_ms)
+                now.saturating_sub(running_ms) > expected_ms.max(partition.policy().lease_ms)
             }
             None => self.boot_times.is_lost(&host.offering, nominal_ms, host.age_ms(now), now),
         }
@@ -280,12 +280,12 @@
 }
 
 fn nominal_boot_ms(partition: &Partition, offering: &InstanceOffering) -> u64 {
-    partition.cluster.instance_types[offering.instance_type].boot_ms()
+    partition.cluster().instance_types[offering.instance_type].boot_ms()
 }
 
 /// The label of counters for machines of one type in one zone.
 fn offering_label(partition: &Partition, offering: &InstanceOffering) -> String {
-    format!("{}/{}", partition.cluster.instance_types[offering.instance_type].name, offering.zone)
+    format!("{}/{}", partition.cluster().instance_types[offering.instance_type].name, offering.zone)
 }
 
 /// Has the machine reported, to any partition?
