--- a/src/borrowing/settings.rs
+++ b/src/borrowing/settings.rs
@@ -9,6 +9,10 @@
 const NAMED_BLOCKS: [&str; 2] = ["lender", "borrower"];
 
 /// Reads and checks the file; the error is one line naming file, field and reason.
+///
+/// # Errors
+///
+/// The file cannot be read, is not valid HCL, or a field is not valid: names file, field and reason in one line.
 pub fn load_borrowing(path: &Path, settings: &Settings) -> Result<BorrowingSettings, SettingsError> {
     load(path, |text| parse_borrowing(text, settings))
 }
--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -165,6 +165,10 @@
     }
 
     /// The job by its record, in a read that is sent after this call.
+    ///
+    /// # Errors
+    ///
+    /// Why the user has to ask again: the budget for reads is used up, or the state store gave no answer.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
         // An unresponsive store: refused at once, not after a timeout.
         if !self.state.is_responsive(self.leader_lease_ttl_ms) {
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -80,11 +80,19 @@
     }
 
     /// A key, if it exists, and the revision up to which that is known.
+    ///
+    /// # Errors
+    ///
+    /// The store refused the request, or gave no answer in time.
     pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
         self.get_with_timeout(key, self.timeout).await
     }
 
     /// Like [`StateStore::get`], with the caller's timeout.
+    ///
+    /// # Errors
+    ///
+    /// As for [`StateStore::get`].
     pub async fn get_with_timeout(&self, key: &str, timeout: Duration) -> Result<(Option<Item>, u64), RequestError> {
         let (status, body) = self.call("GET", &store::key(key), None, timeout).await?;
         match status {
@@ -102,6 +110,10 @@
     }
 
     /// All keys with the prefix, read page by page.
+    ///
+    /// # Errors
+    ///
+    /// As for [`StateStore::get`]; nothing is returned of the pages that were read.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, RequestError> {
         let mut items: Vec<Item> = Vec::new();
         loop {
@@ -142,6 +154,10 @@
     }
 
     /// Creates a lease that lives for so many milliseconds; returns its id.
+    ///
+    /// # Errors
+    ///
+    /// The store refused the request. After [`RequestError::Indeterminate`] there may be a lease that nobody knows.
     pub async fn create_lease(&self, ttl_ms: u64) -> Result<u64, RequestError> {
         let (status, body) = self.call("POST", store::GRANTS, Some(&wire::grant_body(ttl_ms)), self.timeout).await?;
         if status != 200 {
@@ -153,6 +169,10 @@
 
     /// Renews a lease for so many milliseconds from when the store takes the request;
     /// `NotFound` if the lease has ended.
+    ///
+    /// # Errors
+    ///
+    /// [`RequestError::NotFound`] if the lease has ended; otherwise the renewal may or may not have been made.
     pub async fn renew_lease(&self, id: u64, ttl_ms: u64) -> Result<(), RequestError> {
         let timeout = Duration::from_millis(ttl_ms / 3);
         match self.call("POST", &store::extend(id), Some(&wire::grant_body(ttl_ms)), timeout).await?.0 {
@@ -163,12 +183,20 @@
     }
 
     /// Revokes a lease; the keys that are attached to it are deleted with it.
+    ///
+    /// # Errors
+    ///
+    /// The lease may or may not have ended; without a renewal it ends by itself.
     pub async fn revoke_lease(&self, id: u64) -> Result<(), RequestError> {
         self.call("DELETE", &store::grant(id), None, self.timeout).await.map(|_| ())
     }
 
     /// Changes under the prefix after a revision; waits up to `wait_ms` for the first one.
     /// `NotFound` if the store no longer has the changes since that revision.
+    ///
+    /// # Errors
+    ///
+    /// [`RequestError::NotFound`] if the store no longer has the changes since that revision: read the keys again.
     pub async fn changes(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes, RequestError> {
         let timeout = self.timeout + Duration::from_millis(wait_ms);
         let (status, body) = self.call("GET", &store::changes(prefix, after, wait_ms), None, timeout).await?;
--- a/src/commands/borrowing.rs
+++ b/src/commands/borrowing.rs
@@ -22,6 +22,10 @@
 
 /// Carries a command out through the controller at this internal address; returns what is to be
 /// printed.
+///
+/// # Errors
+///
+/// Invalid input, or the controller gave no usable answer.
 pub async fn run(controller: SocketAddr, command: &BorrowingCommand) -> Result<String, CommandError> {
     let BorrowingCommand::Status { json } = command;
     let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(BorrowingRequest::Status)).await? else {
--- a/src/commands/configuration.rs
+++ b/src/commands/configuration.rs
@@ -54,6 +54,10 @@
 
 /// Carries a command out through the controller at this internal address; returns what is to be
 /// printed.
+///
+/// # Errors
+///
+/// Invalid input, or the command was not carried out.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
     let connection = Connection { peer: connect(controller) };
     match command {
--- a/src/commands/controller_client.rs
+++ b/src/commands/controller_client.rs
@@ -19,6 +19,10 @@
 }
 
 /// Sends a request to the controller at this internal address.
+///
+/// # Errors
+///
+/// The controller does not answer.
 pub async fn ask(controller: SocketAddr, request: PeerRequest) -> Result<PeerResponse, CommandError> {
     let answer = connect(controller).request(request, ANSWER_LIMIT).await;
     answer.ok_or(CommandError::NotDone(NotDone::NoAnswer))
@@ -30,6 +34,10 @@
 }
 
 /// A value as JSON for people.
+///
+/// # Errors
+///
+/// The value cannot be written as JSON.
 pub fn json_text(value: &impl Serialize) -> Result<String, CommandError> {
     let text = serde_json::to_string_pretty(value).map_err(NotDone::Json)?;
     Ok(text + "\n")
--- a/src/commands/warm_pools.rs
+++ b/src/commands/warm_pools.rs
@@ -42,6 +42,10 @@
 
 /// Carries a command out through the controller at this internal address; returns what is to be
 /// printed.
+///
+/// # Errors
+///
+/// Invalid input, or the controller gave no usable answer.
 pub async fn run(controller: SocketAddr, command: &WarmPoolsCommand) -> Result<String, CommandError> {
     let request = request(command)?;
     let PeerResponse::Pools(response) = ask(controller, PeerRequest::Pools(request)).await? else {
--- a/src/configuration/settings.rs
+++ b/src/configuration/settings.rs
@@ -44,6 +44,10 @@
 }
 
 /// Reads and checks the file; the error is one line naming file and field.
+///
+/// # Errors
+///
+/// The file cannot be read, is not valid HCL, or a field is not valid: names file and field in one line.
 pub fn load_fleet(path: &Path) -> Result<FleetSettings, SettingsError> {
     load(path, |text| {
         let fleet: FleetSettings = hcl_text::parse(text, &[])?;
--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -178,10 +178,10 @@
             Message::StartupRead(earlier_pledges) => self.startup_read(election, now_ms, earlier_pledges),
             Message::RecordObserved(record) => self.record_observed(election, now_ms, record),
             Message::LeaseRenewalEnded { lease_id, sent_ms, result: Ok(()) } => {
-                election.lease_renewed(lease_id, sent_ms, now_ms)
+                election.lease_renewed(lease_id, sent_ms, now_ms);
             }
             Message::LeaseRenewalEnded { lease_id, result: Err(error), .. } => {
-                self.lease_not_renewed(election, lease_id, error).await
+                self.lease_not_renewed(election, lease_id, error).await;
             }
             Message::PledgeReceived { peer, sent_ms } => election.pledge_received(peer, sent_ms, now_ms),
             Message::PledgeMissing => {}
@@ -193,7 +193,7 @@
                 }
             }
             Message::CampaignEnded { sent_ms, acquired: Some(acquired) } => {
-                self.leadership_acquired(election, acquired, sent_ms).await
+                self.leadership_acquired(election, acquired, sent_ms).await;
             }
             Message::CampaignEnded { acquired: None, .. } => {
                 election.role = Role::Follower;
--- a/src/control/membership/campaign.rs
+++ b/src/control/membership/campaign.rs
@@ -146,6 +146,10 @@
 
 /// Acquires a fresh fencing token for a partition that this node leads: all workers will refuse
 /// lower ones.
+///
+/// # Errors
+///
+/// The outcome of the commit that was not made, or is indeterminate.
 pub async fn raise_fencing_token(
     state: &StateStore,
     update: &PartitionKeyUpdate<'_>,
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -43,11 +43,19 @@
 }
 
 /// Serves for ever; an error means that a port can't be opened.
+///
+/// # Errors
+///
+/// A port cannot be opened.
 pub async fn run(settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
     run_on(Net::default(), settings, operator, subsystems).await
 }
 
 /// Like [`run`], over a given network.
+///
+/// # Errors
+///
+/// A port cannot be opened.
 pub async fn run_on(net: Net, settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
     // The steady clock counts from here.
     clock::now_ms();
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -127,7 +127,7 @@
         match pending {
             PendingWrite::Job(write) => self.job_not_written(&write, failure),
             PendingWrite::Host(host_index) | PendingWrite::TransferredHost { host: host_index, .. } => {
-                self.host_not_written(host_index, failure)
+                self.host_not_written(host_index, failure);
             }
             PendingWrite::Pools => self.pools_not_written(failure),
             PendingWrite::Loans => self.loans_not_written(failure),
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -77,7 +77,7 @@
             match self.cluster.host_index.get(&host).and_then(|index| self.cluster.host(*index)) {
                 None => warm_pools.pools.host_lost(&host, EndCause::MachineLost, moment),
                 Some(host) if host.preemption_notice || host.terminating || host.draining || host.faulty() => {
-                    warm_pools.pools.drain(id, EndCause::MachineLost, moment)
+                    warm_pools.pools.drain(id, EndCause::MachineLost, moment);
                 }
                 Some(_) => {}
             }
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -173,7 +173,7 @@
             }
             // A report of an earlier leadership must not be taken for one of this.
             Message::Background { leadership_epoch, event } if leadership_epoch == leadership.epoch => {
-                self.handle_event(leadership, event, now)
+                self.handle_event(leadership, event, now);
             }
             Message::Background { .. } => {}
         }
@@ -191,21 +191,21 @@
     fn handle_event(&self, leadership: &mut Leadership, event: BackgroundEvent, now: u64) {
         match event {
             BackgroundEvent::PendingMachines { pending_machines, refused } => {
-                self.pending_machines(leadership, pending_machines, &refused, now)
+                self.pending_machines(leadership, pending_machines, &refused, now);
             }
             BackgroundEvent::HostRecordRead { host, record } => {
-                leadership.partition.host_record_read(&host, record, now)
+                leadership.partition.host_record_read(&host, record, now);
             }
             BackgroundEvent::RecordsLoaded(records) => self.records_loaded(leadership, records, now),
             BackgroundEvent::DirectCommandEnded { command, result } => {
-                leadership.partition.direct_command_done(&command, result, now)
+                leadership.partition.direct_command_done(&command, result, now);
             }
             BackgroundEvent::CommitEnded(result) => self.commit_ended(leadership, result, now),
             BackgroundEvent::RecordsReread(items) => {
-                items.into_iter().for_each(|item| leadership.partition.reread(item))
+                items.into_iter().for_each(|item| leadership.partition.reread(item));
             }
             BackgroundEvent::InboxRead(items) => {
-                items.into_iter().for_each(|item| leadership.partition.add_job_of_other_node(item, now))
+                items.into_iter().for_each(|item| leadership.partition.add_job_of_other_node(item, now));
             }
             BackgroundEvent::DependenciesRead { submission, found } => {
                 leadership.partition.dependencies_read(submission, found, now, clock::wall_ms());
@@ -214,7 +214,7 @@
             BackgroundEvent::IndeterminateRecordsRead(found) => self.indeterminate_read(leadership, found),
             BackgroundEvent::TokenRaiseEnded(raised) => self.token_raise_ended(leadership, raised, now),
             BackgroundEvent::ConfigurationRecorded(applied_configuration) => {
-                self.configuration_recorded(leadership, applied_configuration)
+                self.configuration_recorded(leadership, applied_configuration);
             }
             BackgroundEvent::LeadershipLost => self.leadership_lost(leadership),
             BackgroundEvent::RentEnded { name, result } => self.rent_ended(leadership, &name, result, now),
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -118,7 +118,7 @@
     } else if leadership.partition.is_urgent_cycle_due() && now >= leadership.timers.next_urgent_cycle_ms {
         // Urgent work need not wait for the next cycle of all work.
         let took_ms = timed(leadership, "pass_ms", "urgent", |leadership| {
-            leadership.partition.schedule_urgent(now, clock::wall_ms())
+            leadership.partition.schedule_urgent(now, clock::wall_ms());
         });
         leadership.timers.next_urgent_cycle_ms = now + 2 + 5 * took_ms;
     }
--- a/src/model/fencing_token.rs
+++ b/src/model/fencing_token.rs
@@ -20,6 +20,7 @@
     pub const FIRST: FencingToken = FencingToken(1);
 
     /// The token after this one.
+    #[must_use]
     pub fn successor(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -44,6 +44,10 @@
 }
 
 /// A machine, with all that is known of it.
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "a lifecycle type is planned (ROADMAP.md); the flags are independent facts of a machine"
+)]
 #[derive(Debug, Clone)]
 pub struct Host {
     /// The cloud's id of the machine.
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -56,6 +56,7 @@
 const MAX_AVOIDED_HOSTS: usize = 3;
 
 /// A job, with the state of its tasks and of its record.
+#[allow(clippy::struct_excessive_bools, reason = "independent facts of a job and of its record")]
 #[derive(Debug, Clone)]
 pub struct Job {
     /// What its user asked for.
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -36,6 +36,7 @@
         self.mem -= other.mem;
     }
     /// The amounts of so many tasks.
+    #[must_use]
     pub fn times(&self, tasks: f64) -> Demand {
         Demand { cpus: self.cpus * tasks, gpus: self.gpus * tasks, mem: self.mem * tasks }
     }
--- a/src/model/spec.rs
+++ b/src/model/spec.rs
@@ -85,6 +85,7 @@
 impl Spec {
     /// What is still of use of a job that is over: who it was for and how large it was. Its
     /// free texts are cut to a few characters, as the record has to fit into a value.
+    #[must_use]
     pub fn abridged(&self) -> Spec {
         let short = |text: &str| text.chars().take(ABRIDGED_CHARS).collect::<String>();
         Spec {
--- a/src/runtime/metrics.rs
+++ b/src/runtime/metrics.rs
@@ -18,6 +18,7 @@
 
 impl Metrics {
     /// Records a duration in milliseconds in a histogram; durations over an hour count as one.
+    #[allow(clippy::expect_used, reason = "the bounds are constants that hdrhistogram accepts")]
     pub fn observe(&mut self, name: &'static str, label: &str, ms: u64) {
         let histogram = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit keeps a histogram at a few kilobytes.
--- a/src/scheduling/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -20,6 +20,7 @@
 }
 
 /// What a scheduling cycle needs to know of the job that it places, computed once a queue entry.
+#[allow(clippy::struct_excessive_bools, reason = "independent facts of one job, computed once")]
 pub(super) struct PlacementRequest {
     pub(super) job_index: JobIndex,
     /// Which of its tasks are placed.
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -10,6 +10,10 @@
 const LEAST_TXN_OPS: usize = 2;
 
 /// Checks the platform's settings.
+///
+/// # Errors
+///
+/// The first field that is not valid, with the reason.
 pub fn check_settings(settings: &Settings) -> Result<(), FieldError> {
     let params = &settings.params;
     check_names(settings)?;
@@ -24,6 +28,10 @@
 }
 
 /// Checks the operators' settings.
+///
+/// # Errors
+///
+/// The first field that is not valid, with the reason.
 pub fn check_operator(operator: &Operator) -> Result<(), FieldError> {
     positive("bin_width_s", operator.bin_width_s)?;
     positive("default_deadline_s", operator.default_deadline_s)?;
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -8,6 +8,10 @@
 use std::path::Path;
 
 /// Reads and checks the platform's file (TOML).
+///
+/// # Errors
+///
+/// The file cannot be read, is not valid TOML, or a field is not valid.
 pub fn load_settings(path: &Path) -> Result<Settings, SettingsError> {
     load(path, |text| {
         let settings: Settings = toml::from_str(text).map_err(|source| ContentError::Toml {
@@ -20,6 +24,10 @@
 }
 
 /// Reads and checks the operators' file (HCL).
+///
+/// # Errors
+///
+/// The file cannot be read, is not valid HCL, or a field is not valid.
 pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
     load(path, |text| {
         let operator: Operator = hcl_text::parse(text, &[])?;
--- a/src/settings/hcl_text.rs
+++ b/src/settings/hcl_text.rs
@@ -5,6 +5,10 @@
 use std::collections::BTreeSet;
 
 /// Reads a text; blocks of these kinds must differ in their names.
+///
+/// # Errors
+///
+/// The text is not valid HCL, two blocks have the same name, or a field is missing, unknown or of the wrong type.
 pub fn parse<T: DeserializeOwned>(text: &str, named_blocks: &[&str]) -> Result<T, HclError> {
     let body = hcl::parse(text)?;
     check_names(&body, named_blocks)?;
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -49,6 +49,10 @@
     }
 
     /// Sends a request and returns the status and the body of the reply.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::NotSent`] if the server cannot have received the request; otherwise it may have been carried out.
     pub async fn call(
         &self,
         addr: SocketAddr,
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -48,11 +48,19 @@
     }
 
     /// Opens a connection to an address.
+    ///
+    /// # Errors
+    ///
+    /// The connection is refused or cannot be opened.
     pub async fn connect(&self, addr: SocketAddr) -> io::Result<Box<dyn Stream>> {
         self.0.connect(addr).await
     }
 
     /// Binds an address, to accept connections at it.
+    ///
+    /// # Errors
+    ///
+    /// The address cannot be bound.
     pub async fn bind(&self, addr: SocketAddr) -> io::Result<Box<dyn Listener>> {
         self.0.bind(addr).await
     }
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -17,6 +17,10 @@
 /// A type that was known once does not keep a controller from starting: the cloud may have
 /// dropped it since. Neither does a cloud or a state service that gives no answer: the leader
 /// checks the types again once they are known.
+///
+/// # Errors
+///
+/// The first field that names an unknown machine type.
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
     let limit = Duration::from_millis(settings.react_ms());
     let (cloud, state) = (Cloud::on(net, settings), StateStore::on(net, settings));
--- a/src/warm_pools/settings.rs
+++ b/src/warm_pools/settings.rs
@@ -20,6 +20,10 @@
 }
 
 /// Reads and checks the file; the error is one line naming file, field and reason.
+///
+/// # Errors
+///
+/// The file cannot be read, is not valid HCL, or a field is not valid: names file, field and reason in one line.
 pub fn load_pools(path: &Path, settings: &Settings) -> Result<PoolSettings, SettingsError> {
     load(path, |text| parse_pools(text, settings))
 }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -114,6 +114,10 @@
 }
 
 /// Reads a submission.
+///
+/// # Errors
+///
+/// What is malformed, with the id of the job if that could be read.
 pub fn parse_submission(body: &[u8]) -> Result<Spec, Malformed> {
     let without_id = |reason| Malformed { id: None, reason };
     let value: Value = serde_json::from_slice(body).map_err(|error| without_id(SubmissionError::NotJson(error)))?;
