--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -61,7 +61,7 @@
         last_answer_ms > 0 && clock::now_ms().saturating_sub(last_answer_ms) < leader_lease_ttl_ms / 2
     }
 
-    /// Status and body of the answer; an error also for a status that says the store did nothing.
+    /// Status and body of the answer; an error also for a status by which the store did nothing.
     async fn call(
         &self,
         method: &str,
--- a/src/control/membership/election.rs
+++ b/src/control/membership/election.rs
@@ -100,7 +100,7 @@
 
     /// Answers a leader that asks this node not to campaign for a while; true if the pledge is
     /// given. Refused while this node itself campaigns or leads, if it knows a later leader, or
-    /// if only the asker has lost the state store: `store_responsive` says whether the store
+    /// if only the asker has lost the state store: `store_responsive` is whether the store
     /// answers this node.
     ///
     /// A pledge binds for longer than the asker counts on it, by the drift of both clocks.
--- a/src/control/membership/leader_state.rs
+++ b/src/control/membership/leader_state.rs
@@ -42,7 +42,7 @@
     /// The last known instant at which a peer may have been without a pledge.
     last_gap_ms: u64,
     /// There was a time in which neither the lease nor the pledges held. Another node may have
-    /// led the partition since, and ended: only the state store can tell.
+    /// led the partition since, and ended: only the state store can show.
     lapsed: bool,
 }
 
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -36,7 +36,7 @@
     pub store_responsive: bool,
 }
 
-/// What the records read after a start say of pledges that were given before a restart.
+/// What the records read after a start show of pledges that were given before a restart.
 #[derive(Debug)]
 pub enum EarlierPledges {
     /// No such pledge binds this node, and no node leads the partition.
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -35,7 +35,7 @@
     pub pools: Option<Arc<PoolSettings>>,
     /// Which teams lend to which; nothing is lent if absent.
     pub borrowing: Option<Arc<BorrowingSettings>>,
-    /// The state service.
+    /// The state store.
     pub state: StateStore,
     /// The cloud.
     pub cloud: Cloud,
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -70,7 +70,7 @@
         /// Kinds of machines that cannot be had now.
         refused: Vec<Machines>,
     },
-    /// The record of a machine as the state service has it now.
+    /// The record of a machine as the state store has it now.
     HostRecordRead {
         /// Id of the machine.
         host: String,
@@ -139,7 +139,9 @@
         /// What the worker has to do.
         orders: Vec<Order>,
     },
-    /// This node may not act for the machine now: it does not lead the partition, or not surely.
+    /// This node may not act for the machine now: it does not lead the partition, or not surely. The
+    /// worker is referred to the leader or asked to retry, and never gets an answer that it would
+    /// have to discard.
     NotLeader,
     /// The machine belongs to that partition.
     Elsewhere(u32),
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Refuses a message while this node does not lead the partition.
+/// Refuses a message while this node does not lead the partition: askers go to the leader, or retry.
 pub(super) fn handle_while_follower(message: Message) {
     match message {
         Message::Heartbeat { reply, .. } => {
--- a/src/transport/peer/client.rs
+++ b/src/transport/peer/client.rs
@@ -80,7 +80,7 @@
     /// The response to a request, if it comes within the timeout. A user's request to an unresponsive
     /// peer fails at once, unless it is the one that probes it; all others are always sent.
     ///
-    /// `None` says nothing of whether the peer handles the request.
+    /// With `None` the outcome is indeterminate: the peer may handle the request all the same.
     pub async fn request(&self, request: PeerRequest, timeout: Duration) -> Option<PeerResponse> {
         self.request_until(request, sleep(timeout)).await
     }
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -151,7 +151,7 @@
     tokio::spawn(async move { peer.request(request, limit).await })
 }
 
-/// Answers releases after as many milliseconds as their fencing token says.
+/// Answers releases after as many milliseconds as their fencing token has.
 async fn answer_after_milliseconds_of_token(request: PeerRequest, _: FrameFormat) -> PeerResponse {
     if let PeerRequest::ReleasePledge { fencing_token, .. } = request {
         sleep(Duration::from_millis(fencing_token.0)).await;
