--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -92,7 +92,7 @@
         for RefusedLoan { job, reason } in refused {
             if borrowing.refused.insert(*job, *reason) != Some(*reason) {
                 let spec = &self.cluster.jobs[*job].spec;
-                tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "no loan");
+                tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "loan refused");
                 self.metrics.count("loans_refused", reason.label());
             }
         }
@@ -120,7 +120,7 @@
                 tasks = loan.tasks,
                 gpus = loan.amounts().gpus,
                 cpus = loan.amounts().cpus,
-                "loan changes"
+                "loan changed state"
             );
             self.metrics.count("loans", if cause.is_empty() { loan.state.label() } else { cause });
         }
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -229,7 +229,7 @@
         if job.end.is_some() {
             return;
         }
-        tracing::info!(job = job.spec.id, "cancelled with a job that it needs");
+        tracing::info!(job = job.spec.id, "job cancelled with a dependency");
         job.end = Some(JobEnd::Cancelled);
         job.unsaved = UnsavedChange::End(JobEnd::Cancelled);
         self.commit_queue.mark_job(job_index);
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -85,7 +85,7 @@
             attempt = start.attempt,
             host = host.id,
             fencing_token = %self.epoch.fencing_token(),
-            waited = waited_ms,
+            waited_ms,
             cached,
             fetch_s,
             spot = host.spot,
--- a/src/control/partition/warm_pools/mod.rs
+++ b/src/control/partition/warm_pools/mod.rs
@@ -48,7 +48,7 @@
                 SlotState::Draining(cause) | SlotState::Ended(cause) => cause.label(),
                 _ => "",
             };
-            tracing::info!(slot = transition.slot, pool = transition.pool, from, to, cause, "warm slot changes");
+            tracing::info!(slot = transition.slot, pool = transition.pool, from, to, cause, "warm slot changed state");
             self.metrics.count("warm_slots", if cause.is_empty() { to } else { cause });
         }
     }
