--- a/src/main.rs
+++ b/src/main.rs
@@ -25,7 +25,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller. `LOG_LEVEL` sets how much it logs: error, info or debug.
+    /// Runs a controller. LOG_LEVEL sets how much it logs: error, info or debug.
     Serve(Files),
     /// Checks the settings and says what is wrong with them.
     Check(Files),
