--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Heartbeats of workers: forwarded to the leader of their machine's partition.
 //!
 //! Without a valid leader lease a heartbeat is answered with 421 and the leader's node, or with
-//! 503; never with a 200, which would carry orders that the worker must drop.
+//! 503; never with a 200, which would carry orders that the worker must drop. The one exception is
+//! `Api::renews_without_leader`: a 200 without orders, under the worker's own token.
 
 use super::Api;
 use crate::api::refusal::RefusalReason;
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -129,8 +129,8 @@
         Leadership::new(new, now)
     }
 
-    /// Handles a message. Every answer is given only while the lease is valid: an answer of a
-    /// former leader may be out of date.
+    /// Handles a message. Every answer but the metrics is given only while the lease is valid: an
+    /// answer of a former leader may be out of date.
     fn handle(&self, active: Option<&mut Leadership>, message: Message) {
         let Some(leadership) = active else {
             handle_while_follower(message);
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -41,6 +41,9 @@
     }
 
     /// Sends a machine its orders, or a probe; false if there is nothing to send now.
+    ///
+    /// The lease was checked in `run_due_work`. A command that leaves later is refused by the worker
+    /// once it has seen the token of the next leader.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
         let Some(command) = leadership.partition.next_direct_command(host_index, now, probe) else { return false };
         let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
