--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -1,5 +1,5 @@
-//! Loans between teams: which work of another team may be stopped, and what that costs. The one
-//! place that decides it; without borrowing every stop is an ordinary preemption.
+//! Lending between teams: decides which work of another team may be stopped and at what cost. No other
+//! module decides this; without borrowing, every stop is an ordinary preemption.
 
 use super::SchedulingCycle;
 use super::planned_stops::{PlannedStops, stopped_together};
@@ -9,30 +9,32 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// The cost of stopping a job that was preempted for a loan lately: any other is stopped before it.
+/// Cost of stopping a job that was recently preempted for a loan. It exceeds the other costs, so that any
+/// other job is stopped first.
 const GAVE_WAY_LATELY_COST: f64 = 1000.0;
 
-/// Why an attempt is stopped.
+/// Reason for stopping an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopCause {
-    /// For more urgent work, or for a guarantee, without a loan.
+    /// Preemption for more urgent work or for a guarantee, without a loan.
     Preemption,
-    /// It moves to another machine.
+    /// Migration to another machine.
     Move,
-    /// Its team lends the capacity; the loan is recorded before the stop is ordered.
+    /// A loan by the team of the attempt. The loan is recorded before the stop is ordered.
     Loan(LoanKind),
-    /// It runs in borrowed capacity that the lender needs for its floor.
+    /// Return of borrowed capacity that the lender needs to reach its floor.
     Reclaim,
 }
 
-/// Which work of each team may be stopped for a job, by urgency; looked up once.
+/// Cached answers of the settings for one job: which work of each team may be stopped for it, by urgency.
 #[derive(Debug, Default)]
 struct Permits {
     job: Option<JobIndex>,
     by_team: Vec<[Option<Result<(), Refusal>>; Urgency::COUNT]>,
 }
 
-/// Whether the next start of a job is within its team's guarantee, as long as nothing changes.
+/// Cached result of whether the next start of a job is within the guarantee of its team. It is valid while
+/// `change_count` stays the same.
 #[derive(Debug, Clone, Copy)]
 struct GuaranteeCheck {
     job: JobIndex,
@@ -40,17 +42,17 @@
     within: bool,
 }
 
-/// What a scheduling cycle looks up and has decided about loans.
+/// Team sums, caches and decisions that concern lending in one scheduling cycle.
 #[derive(Debug, Default)]
 pub(super) struct BorrowingDecisions {
     pub(super) teams: TeamTable,
     permits: RefCell<Permits>,
     guarantee: Cell<Option<GuaranteeCheck>>,
-    /// Changes of use and of reservations so far.
+    /// Number of changes of usage and reservations in this cycle.
     changes: Cell<u64>,
-    /// Why work of others was not stopped for the job that was looked at last.
+    /// Reason why work of other teams was not stopped for the job examined last.
     refused: Cell<Option<(JobIndex, Refusal)>>,
-    /// The same for all jobs before it: the last reason.
+    /// The last refusal of each job examined before.
     refusals: BTreeMap<JobIndex, Refusal>,
 }
 
@@ -59,24 +61,25 @@
         BorrowingDecisions { teams, ..BorrowingDecisions::default() }
     }
 
-    /// Why work of others was not stopped for this job, if it was not.
+    /// Returns the reason why work of other teams was not stopped for this job, or `None` if there was no
+    /// refusal.
     pub(super) fn refusal(&self, job_index: JobIndex) -> Option<Refusal> {
         self.refusals.get(&job_index).copied()
     }
 
-    /// Keeps the reason found for the job that was looked at.
+    /// Stores the pending refusal under its job.
     pub(super) fn keep_refusal(&mut self) {
         if let Some((job, refusal)) = self.refused.take() {
             self.refusals.insert(job, refusal);
         }
     }
 
-    /// Use or reservations have changed.
+    /// Records that usage or reservations have changed, which invalidates the cached guarantee check.
     pub(super) fn note_change(&self) {
         self.changes.set(self.changes.get() + 1);
     }
 
-    /// A task was placed.
+    /// Adds the demand of a started task to the usage of its team.
     pub(super) fn started(&mut self, job: JobIndex, demand: Demand) {
         self.note_change();
         if let Some(team) = self.teams.of_mut(job) {
@@ -84,7 +87,8 @@
         }
     }
 
-    /// So many tasks of a job are stopped.
+    /// Subtracts stopped tasks of a job from the usage of its team, and updates the amounts lent or
+    /// borrowed. `each` is the demand of one task.
     pub(super) fn stopped(&mut self, job: JobIndex, each: Demand, tasks: u32, cause: StopCause) {
         self.note_change();
         let amounts = Amounts::from(each).times(f64::from(tasks));
@@ -99,8 +103,12 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Why this attempt may be stopped for the job, beside the stops that are planned for the same
-    /// start; or why not, where it is another team's.
+    /// Returns the cause for which this attempt may be stopped for the job, given the stops that are
+    /// planned for the same start.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal if the attempt belongs to another team and may not be stopped.
     pub(super) fn stop_cause(
         &self,
         job_index: JobIndex,
@@ -121,21 +129,21 @@
         }
     }
 
-    /// May the attempt migrate for a job of another team? It counts for its team no more until it
-    /// runs again.
+    /// Returns whether the attempt may migrate for a job of another team. During the migration it does not
+    /// count as usage of its own team, so that team must stay at or above its floor.
     pub(super) fn may_migrate(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
         self.cluster.borrowing.is_none()
             || self.same_team(job_index, attempt.key.job)
             || self.keeps_floor(attempt.key.job, planned)
     }
 
-    /// Are both jobs of one team? Asked only with loans between teams.
+    /// Returns whether both jobs belong to one team. Valid only with borrowing enabled.
     fn same_team(&self, job: JobIndex, other: JobIndex) -> bool {
         self.borrowing.teams.team_of(job) == self.borrowing.teams.team_of(other)
     }
 
-    /// What the team of a job will have less once a task of it is stopped too, beside all that is
-    /// planned.
+    /// Returns the amounts that the team of `victim` loses if a task of it is stopped in addition to the
+    /// planned stops.
     fn taken_with(&self, victim: JobIndex, planned: &PlannedStops) -> Amounts {
         let team = self.borrowing.teams.of(victim);
         let mut taken = planned.taken_from(self.cluster, &team.name);
@@ -145,14 +153,19 @@
         Amounts::from(taken)
     }
 
-    /// Is the job's team at or above its floor once a task of the job is stopped, with the rest of
-    /// its gang, and all that is planned?
+    /// Returns whether the team of `victim` stays at or above its floor if a task of it, or the whole gang,
+    /// is stopped in addition to the planned stops.
     fn keeps_floor(&self, victim: JobIndex, planned: &PlannedStops) -> bool {
         planned.stops_whole(self.cluster, victim)
             || self.borrowing.teams.of(victim).share.keeps_floor_without(self.taken_with(victim, planned))
     }
 
-    /// What kind of loan a stop would be.
+    /// Returns the kind of loan that a stop of `victim` for the job would be.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal if no loan is possible now, if the lender would fall below its floor, if the
+    /// settings forbid the loan, or if it exceeds the amount that the lender may lend.
     fn loan_kind(
         &self,
         borrowing: &BorrowingState,
@@ -176,7 +189,12 @@
         if within_most { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
     }
 
-    /// Do the settings let the one job's work be stopped for the other's?
+    /// Checks whether the settings allow work of `victim` to be stopped for the job. Answers are cached by
+    /// team and urgency.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal of the settings.
     fn permitted(&self, borrowing: &BorrowingState, job_index: JobIndex, victim: JobIndex) -> Result<(), Refusal> {
         let mut permits = self.borrowing.permits.borrow_mut();
         if permits.job != Some(job_index) {
@@ -192,8 +210,8 @@
         })
     }
 
-    /// Is the next start of the job, or all of a gang, within its team's guarantee, beside what runs
-    /// and what is reserved?
+    /// Returns whether the next start of the job, or of the whole gang, is within the guarantee of its
+    /// team, given current usage and reservations.
     fn starts_within_guarantee(&self, job_index: JobIndex) -> bool {
         let changes = self.borrowing.changes.get();
         let known = self.borrowing.guarantee.get().filter(|known| known.job == job_index && known.changes == changes);
@@ -207,9 +225,10 @@
         within
     }
 
-    /// Does the attempt's team owe capacity to the job's team, and does that one lack capacity to its floor?
-    /// Then what it has borrowed, from whomever, may be stopped whatever the urgencies, while it
-    /// stays beyond its guarantee, and one replica of a service at a time.
+    /// Returns whether stopping the attempt returns borrowed capacity to the job's team. This requires that
+    /// the attempt's team owes it capacity, that the job's team is below its floor and that the job starts
+    /// within its guarantee. Anything that the debtor has borrowed, from any team, may then be stopped
+    /// regardless of urgency while the debtor keeps its floor; of a service, one replica at a time.
     fn reclaims(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
         let teams = &self.borrowing.teams;
         let lender = teams.of(job_index);
@@ -227,7 +246,8 @@
             && (!is_service || self.service_stays_up(victim, planned))
     }
 
-    /// Could work of other teams be stopped for the job whatever the urgencies, as they owe it capacity?
+    /// Returns whether work of other teams could be stopped for the job regardless of urgency, because they
+    /// owe capacity to its team.
     pub(super) fn may_reclaim(&self, job_index: JobIndex) -> bool {
         if self.cluster.borrowing.is_none() {
             return false;
@@ -236,7 +256,7 @@
         !lender.debtors.is_empty() && lacks(lender, &self.cluster.jobs[job_index].spec)
     }
 
-    /// Does nothing stop another replica of the service?
+    /// Returns whether no other replica of the service is being stopped or planned to be.
     fn service_stays_up(&self, service: JobIndex, planned: &PlannedStops) -> bool {
         let stops = |host: HostIndex| {
             let attempts = self.cluster.host(host).map_or(&[][..], |host| &host.attempts);
@@ -245,8 +265,9 @@
         !planned.includes(service) && !self.index.hosts_of(service).any(stops)
     }
 
-    /// How much a team lacks to its floor, in whole accelerators, or CPUs where it lacks none of
-    /// those: of several lenders the one that lacks most comes first.
+    /// Returns by how much the job's team is below its floor, in whole accelerators, or in CPUs if it lacks
+    /// no accelerators. It is 0 if the team lends nothing. Of several lenders, the one with the largest
+    /// shortfall is placed first.
     pub(super) fn shortfall_rank(&self, job_index: JobIndex) -> u64 {
         if self.cluster.borrowing.is_none() {
             return 0;
@@ -260,18 +281,18 @@
         lacking.ceil() as u64
     }
 
-    /// How many tasks of the job are placed first, as their capacity is being returned.
+    /// Returns how many tasks of the job are placed first because their lent capacity is being returned.
     pub(super) fn returning_tasks(&self, job_index: JobIndex) -> u32 {
         let borrowing = self.cluster.borrowing.as_ref();
         borrowing.and_then(|borrowing| borrowing.returning.get(&job_index)).copied().unwrap_or(0)
     }
 
-    /// Was the job preempted for a loan lately?
+    /// Returns whether the job was recently preempted for a loan.
     pub(super) fn gave_way_lately(&self, job_index: JobIndex) -> bool {
         self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
     }
 
-    /// Seconds of work that are lost if the attempt is stopped.
+    /// Returns the seconds of work that are lost if the attempt is stopped.
     pub(super) fn lost_s(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
         let instance_type = &self.cluster.instance_types[self.index.hosts[host_index].instance_type];
@@ -286,15 +307,16 @@
         .lost_s()
     }
 
-    /// What the work costs that is lost if another team's attempt is stopped: as much work as a worker's lease is long costs
-    /// as much as a stopped task.
+    /// Returns the cost of the work that is lost if an attempt of another team is stopped. Work of the
+    /// duration of one worker lease costs as much as one stopped task.
     pub(super) fn loan_cost(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let lease_s = self.policy.lease_ms as f64 / 1000.0;
         let gave_way_lately = if self.gave_way_lately(attempt.key.job) { GAVE_WAY_LATELY_COST } else { 0.0 };
         gave_way_lately + self.lost_s(attempt, host_index) / lease_s
     }
 
-    /// How many more tasks of this kind its team's limit allows, beside what is reserved.
+    /// Returns how many more tasks of this kind the limit of the team allows in addition to usage and
+    /// reservations, at most `max_tasks`.
     pub(super) fn tasks_within_limit(&self, spec: &Spec, most: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
         if team.limit.cpus == f64::INFINITY && team.limit.gpus == f64::INFINITY {
@@ -310,7 +332,7 @@
     }
 }
 
-/// Does the team lack, to its floor, anything that the job takes?
+/// Returns whether the team is below its floor in any resource that the job uses.
 fn lacks(team: &TeamEntry, job: &Spec) -> bool {
     let shortfall = team.share.shortfall();
     let lacks = |lacking: f64, taken: f64| lacking > 0.0 && taken > 0.0;
--- a/src/scheduling/cycle/candidates.rs
+++ b/src/scheduling/cycle/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that have capacity for a task, and the best of them.
+//! Selection of machines with capacity for a task.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -7,7 +7,7 @@
 use crate::scheduling::plan::strands_accelerators;
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// A machine with capacity for a task, and the cost of placing it there.
+/// A machine with capacity for a task, and the cost of placing the task there.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) cost: f64,
@@ -15,7 +15,7 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// The machines that have capacity for a task of the job, with their costs.
+    /// Returns the machines that have capacity for a task of the job, with their costs.
     pub(super) fn candidates(&mut self, request: &PlacementRequest) -> Vec<Candidate> {
         let is_exhausted = || self.exhausted_requirements.iter().any(|known| known.like(&request.requirements));
         if !request.has_reservation && is_exhausted() {
@@ -26,7 +26,7 @@
         let found: Vec<_> = hosts.map(|host| Candidate { cost: self.cost(request, host), host }).collect();
         let reserves_for_teams = self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.reserves_for_teams);
         if reserves_for_teams {
-            // That one job finds no capacity tells nothing of a like one of a team with reservations.
+            // With reservations for whole teams, a similar job of another team may still find capacity.
             return found;
         }
         if found.is_empty()
@@ -49,12 +49,13 @@
                 || request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index)))
     }
 
-    /// Would a task there strand capacity that work with accelerators needs?
+    /// Returns whether a task on this machine would strand accelerators that other work needs.
     fn strands_accelerators(&self, request: &PlacementRequest, host: &HostInfo) -> bool {
         strands_accelerators(self.cluster, &self.cluster.jobs[request.job_index].spec, host.instance_type, &host.free)
     }
 
-    /// The candidate with the least cost among those that the zones allow.
+    /// Returns the machine with the lowest cost among the candidates whose zone is allowed, or `None` if
+    /// there is none.
     pub(super) fn best_candidate(
         &self,
         request: &PlacementRequest,
@@ -71,7 +72,8 @@
         best.map(|best| best.host)
     }
 
-    /// Updates the cost of a candidate that took a task, or removes it if it is full.
+    /// Updates the cost of a candidate after a task was placed on it, or removes the candidate if it is
+    /// full.
     pub(super) fn refresh_candidate(
         &self,
         request: &PlacementRequest,
--- a/src/scheduling/cycle/expected_releases.rs
+++ b/src/scheduling/cycle/expected_releases.rs
@@ -1,5 +1,5 @@
-//! Expected releases: capacity that is freed soon as tasks end by themselves, and so needs no
-//! preemption.
+//! Expected releases: capacity that becomes free soon as tasks end by themselves, so that no preemption is
+//! needed for it.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -9,14 +9,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ExpectedReleases {
     demand: Demand,
-    /// Expected number, less those whose capacity was counted for pending work in this cycle.
+    /// Expected number of tasks, less those whose capacity this cycle has already counted for pending work.
     count: f64,
 }
 
 impl SchedulingCycle<'_> {
-    /// How many of `tasks` tasks will find capacity where others end by themselves, at least as soon
-    /// as stops would free it. That capacity counts once in a scheduling cycle, and only while at least
-    /// half of the guarantee's time is left: more urgent work may take it first.
+    /// Returns how many of `tasks` tasks will find capacity of ending tasks at least as soon as stops would
+    /// free it. Each release counts once in a scheduling cycle, and only while at least half of the
+    /// guarantee's time is left (with borrowing and outside a guarantee, twice the time an order takes to
+    /// show its effect), because more urgent work may take the capacity first.
     pub(super) fn tasks_covered_by_releases(&mut self, request: &PlacementRequest, tasks: usize) -> usize {
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let enough_time = match (request.guarantee_left_s, self.policy.guarantee_s) {
@@ -40,7 +41,8 @@
         covered
     }
 
-    /// The array tasks expected to end within the time that an order takes to show its effect, by size.
+    /// Returns the array tasks, grouped by size, that are expected to end within the time an order takes to
+    /// show its effect.
     fn expected_releases_by_size(&self) -> Vec<ExpectedReleases> {
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let mut releases: Vec<ExpectedReleases> = Vec::new();
--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Freeing capacity by preemption: for pending work that fits nowhere, where that costs least.
+//! Preemption for pending work that fits nowhere, on the machines where it costs least.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -11,25 +11,26 @@
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
 use crate::scheduling::task_requirements::{TaskRequirements, ZoneCounts};
 
-/// The weight of the cost of a placement next to that of the preemption.
+/// Weight of the placement cost relative to the preemption cost.
 const PLACEMENT_WEIGHT: f64 = 0.2;
-/// The same for a replica: for it, it pays to stop work where its image is.
+/// Weight of the placement cost for a replica. It is higher, so that work is preferably stopped on machines
+/// that have the replica's image.
 const SERVICE_PLACEMENT_WEIGHT: f64 = 1.0;
 
-/// A kind of task that would fit no machine even if all that it may preempt were stopped.
+/// Requirements of a task that would fit on no machine even if everything it may preempt were stopped.
 pub(super) struct BlockedRequirements {
     pub(super) requirements: TaskRequirements,
     pub(super) urgency: Urgency,
     pub(super) team: String,
     pub(super) scope: PreemptionScope,
-    /// The image that this holds for; `None` for any.
+    /// Image for which this is known; `None` for any image.
     pub(super) image: Option<String>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Preempts lesser work for a job that fits nowhere, on the machines where that costs least, and
-    /// reserves the capacity for it. Equal work is stopped for as many tasks as the guarantee covers,
-    /// and no more.
+    /// Preempts work of lower priority for a job that fits nowhere, on the machines where that costs least,
+    /// and reserves the capacity. Work of equal urgency is stopped only for as many tasks as the guarantee
+    /// covers.
     pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
         if self.known_blocked(request, scope) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The same for so many tasks, where equal work may be stopped as far as `scope` allows.
+    /// Preempts for `tasks` tasks; work of equal urgency may be stopped as far as `scope` allows.
     fn preempt_within(
         &mut self,
         request: &PlacementRequest,
@@ -71,12 +72,13 @@
         if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
             self.note_blocked(request, scope);
         }
-        // The least cost last.
+        // Ordered by descending cost, so that the cheapest candidate is popped first.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
         self.preempt_cheapest(request, scope, costs, counts, tasks);
     }
 
-    /// Was preemption of no use for a job like this one? Then it is not tried again in this cycle.
+    /// Returns whether preemption was already found useless for a similar job in this cycle; it is then not
+    /// tried again.
     pub(super) fn known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
         let job = &self.cluster.jobs[request.job_index];
         self.blocked.iter().any(|blocked| {
@@ -88,11 +90,11 @@
         })
     }
 
-    /// Notes that preemption is of no use for jobs like this one.
+    /// Records that preemption is useless for jobs similar to this one.
     pub(super) fn note_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
         let job = &self.cluster.jobs[request.job_index];
         let (urgency, team) = (job.urgency, job.spec.team.clone());
-        // How far a job may go for its guarantee depends on its image, too.
+        // With this scope, the machines on which a job may preempt also depend on its image.
         let image = (scope == PreemptionScope::RecentlyStarted).then(|| request.image.clone());
         self.blocked.push(BlockedRequirements {
             requirements: request.requirements.clone(),
@@ -103,7 +105,7 @@
         });
     }
 
-    /// How many tasks of the job could be placed now if there were capacity.
+    /// Returns how many tasks of the job could be placed now if there were capacity.
     pub(super) fn pending_tasks(&self, request: &PlacementRequest) -> usize {
         let job = &self.cluster.jobs[request.job_index];
         let placeable = self.cluster.placeable_tasks(job);
@@ -111,7 +113,7 @@
         job.tasks.iter().filter(pending).count()
     }
 
-    /// The cost of capacity for a task on each machine where it is or can be freed.
+    /// Returns the machines on which capacity for one task is free or can be freed, each with its cost.
     pub(super) fn preemption_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
         let no_tasks = ZoneCounts::default();
         let mut costs = Vec::new();
@@ -128,8 +130,8 @@
         costs
     }
 
-    /// Preempts for so many tasks. Each machine was looked at once, and is again when its turn comes:
-    /// what was done for the tasks before may have made it dearer.
+    /// Preempts for `remaining` tasks on the machines with the lowest costs. The plan of a machine is
+    /// computed again when its turn comes, because preemption for earlier tasks may have raised its cost.
     fn preempt_cheapest(
         &mut self,
         request: &PlacementRequest,
@@ -160,7 +162,8 @@
         }
     }
 
-    /// What has to be evicted for one more task on a machine, with the cost of that and of the placement.
+    /// Plans the evictions for one more task on a machine. The cost includes that of the placement. Returns
+    /// `None` if the task can't fit.
     fn plan_for_task(
         &self,
         request: &PlacementRequest,
@@ -170,7 +173,8 @@
         self.plan_for_tasks(request, scope, host_index, 1, &PlannedStops::default())
     }
 
-    /// The same for several tasks together, beside stops that are planned for the same start.
+    /// Plans the evictions for several tasks together on a machine, given stops that are planned for the
+    /// same start. The cost includes that of the placement. Returns `None` if the tasks can't fit.
     pub(super) fn plan_for_tasks(
         &self,
         request: &PlacementRequest,
@@ -180,7 +184,8 @@
         planned: &PlannedStops,
     ) -> Option<PreemptionPlan> {
         let host_info = &self.index.hosts[host_index];
-        // What is reserved for a gang is left to it; beside others' reservations there may be more.
+        // Capacity reserved for another gang is not used. Other reservations are added to the demand, as
+        // more capacity may be freed besides them.
         let for_other_gang = |reservation: &Reservation| {
             reservation.job != request.job_index && self.cluster.jobs[reservation.job].spec.shape == Shape::Gang
         };
@@ -199,7 +204,7 @@
     }
 }
 
-/// Inserts into a list with the least cost last.
+/// Inserts a candidate into a list that is ordered by descending cost.
 pub(super) fn insert_by_cost(costs: &mut Vec<Candidate>, candidate: Candidate) {
     let at = costs.partition_point(|other| other.cost > candidate.cost);
     costs.insert(at, candidate);
--- a/src/scheduling/cycle/gang.rs
+++ b/src/scheduling/cycle/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of gangs: whole or not at all.
+//! Placement of gangs, whose tasks all start together or not at all.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -7,11 +7,11 @@
 use crate::scheduling::task_requirements::ZoneCounts;
 
 impl SchedulingCycle<'_> {
-    /// Starts a gang whole or not at all; false if capacity lacked.
+    /// Starts all tasks of a gang or none. Returns `false` if there was not enough capacity.
     pub(super) fn place_gang(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
         let job = &self.cluster.jobs[job_index];
-        // The next attempt waits until every task of the last one is gone.
+        // The next attempt waits until every task of the previous one has ended.
         let placeable = self.cluster.placeable_tasks(job);
         let must_wait = job.tasks.iter().any(|task| task.retry_ms > self.now || !placeable.includes(task));
         if must_wait || self.index.hosts_of(job_index).next().is_some() {
@@ -31,18 +31,20 @@
         false
     }
 
-    /// The zones in each of which the whole gang may be; `None` stands for all of them together.
+    /// Returns the zones to try one after the other for the whole gang; a single `None` stands for all
+    /// zones together.
     pub(super) fn zones_to_try(&self, request: &PlacementRequest) -> Vec<Option<usize>> {
         let one_zone = self.cluster.jobs[request.job_index].spec.one_zone;
         if one_zone { self.index.zones().map(Some).collect() } else { vec![None] }
     }
 
-    /// Is the candidate in the zone; `None` stands for any?
+    /// Returns whether the candidate is in the zone; `None` stands for any zone.
     pub(super) fn is_in_zone(&self, candidate: &Candidate, zone: Option<usize>) -> bool {
         zone.is_none_or(|zone| zone == self.index.hosts[candidate.host].zone)
     }
 
-    /// A machine for each task of a gang, in one zone if it must be.
+    /// Selects a machine for each task of a gang, within `zone` if one is given. Returns `None` unless all
+    /// tasks fit.
     fn gang_hosts(
         &mut self,
         request: &PlacementRequest,
--- a/src/scheduling/cycle/gang_preemption.rs
+++ b/src/scheduling/cycle/gang_preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption for gangs: all of a gang fits once it is carried out, or nothing is stopped.
+//! Preemption for gangs: work is stopped only if the whole gang then fits.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -12,7 +12,7 @@
 use crate::model::{Demand, HostIndex, Reservation};
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// Capacity on a machine for some tasks of a gang, with what has to be evicted for it.
+/// Capacity on a machine for some tasks of a gang, with the evictions that free it.
 pub(super) struct PlannedCapacity {
     host: HostIndex,
     tasks: u32,
@@ -21,9 +21,9 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Preempts lesser work for a gang that does not lead, if all of it fits then, and reserves the
-    /// capacity. With less than that the gang could not start, and what was stopped for it would only
-    /// begin anew, over and over.
+    /// Preempts work of lower priority for a gang that is not the leading one, if the whole gang then fits,
+    /// and reserves the capacity. With less capacity the gang could not start, and the stopped work would
+    /// restart and be stopped again and again.
     pub(super) fn free_capacity_for_gang(&mut self, request: &PlacementRequest) {
         let scope = self.scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks as usize;
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Where all tasks of a gang would fit at the least cost, if they do, and what has to be evicted
-    /// there. `costs` has the cost of capacity for one task on each machine.
+    /// Plans the evictions with the lowest cost that make all tasks of a gang fit. `costs` holds the cost
+    /// of capacity for one task on each machine. Returns `None` if not all tasks fit.
     fn plan_cheapest_preemptions(
         &self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         mut costs: Vec<Candidate>,
     ) -> Option<Vec<PlannedCapacity>> {
-        // The least cost last.
+        // Ordered by descending cost, so that the cheapest candidate is popped first.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
         let mut left = self.cluster.jobs[request.job_index].spec.tasks;
         let mut counts = ZoneCounts::default();
@@ -71,7 +71,7 @@
             let Some(capacity) = self.plan_one_more_task(request, scope, &planned, host) else { continue };
             let before = planned.iter().find(|other| other.host == host).map_or(0.0, |other| other.preemption.cost);
             let further_cost = capacity.preemption.cost - before;
-            // What is planned elsewhere may have made it dearer.
+            // Evictions planned on other machines may have raised the cost.
             if further_cost > cost && costs.last().is_some_and(|next| next.cost < further_cost) {
                 insert_by_cost(&mut costs, Candidate { host, cost: further_cost });
                 continue;
@@ -85,7 +85,8 @@
         Some(planned)
     }
 
-    /// Capacity for one task more than is planned on the machine, beside what is planned on the others.
+    /// Plans capacity on the machine for one task more than is planned there, given the plans for the other
+    /// machines. Returns `None` if it can't fit.
     fn plan_one_more_task(
         &self,
         request: &PlacementRequest,
@@ -104,7 +105,8 @@
         Some(PlannedCapacity { host, tasks, demand, preemption })
     }
 
-    /// What has to be evicted from each of these machines for all tasks of a gang to fit, if they can.
+    /// Plans the evictions on these machines that make all tasks of a gang fit, or returns `None` if they
+    /// can't fit.
     pub(super) fn plan_gang_preemptions(
         &self,
         request: &PlacementRequest,
@@ -133,14 +135,14 @@
         None
     }
 
-    /// Carries out what was planned for a gang, and reserves the capacity.
+    /// Executes the planned evictions for a gang and reserves the capacity until `until_ms`.
     pub(super) fn preempt_for_gang(
         &mut self,
         request: &PlacementRequest,
         planned: Vec<PlannedCapacity>,
         until_ms: u64,
     ) {
-        // Reservations count for the guarantee: the stops are judged without them.
+        // Reservations count towards the guarantee, so all stops are checked before any is made.
         for capacity in &planned {
             self.execute_preemption(request, capacity.host, &capacity.preemption.evictions);
         }
--- a/src/scheduling/cycle/gang_reservations.rs
+++ b/src/scheduling/cycle/gang_reservations.rs
@@ -1,5 +1,5 @@
-//! Reservations for the leading gang, the first in the queue that does not fit: capacity is reserved
-//! for it on the machines that are nearest to having it.
+//! Reservations for the leading gang, which is the first one in the queue that does not fit. Capacity is
+//! reserved on the machines that can provide it at the lowest cost.
 
 use super::SchedulingCycle;
 use super::preemption_eligibility::PreemptionScope;
@@ -8,19 +8,20 @@
 use crate::scheduling::index::HostInfo;
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// The cost of reserving capacity for a task that is freed only when other work ends by itself.
+/// Cost of reserving capacity for a task if it becomes free only when other work ends by itself.
 const UNCERTAIN_CAPACITY_COST: f64 = 10.0;
 
-/// How many tasks of a gang a machine could take if all lesser work left it.
+/// Number of tasks of a gang that a machine could take if all work of lower priority left it.
 pub(super) struct GangCapacity {
-    /// Cost of a task there.
+    /// Average cost per task on this machine.
     cost: f64,
     pub(super) tasks: u32,
     pub(super) host: HostIndex,
 }
 
 impl SchedulingCycle<'_> {
-    /// Reserves capacity for the leading gang for a bounded time; then others may take it for as long.
+    /// Reserves capacity for the leading gang for a limited time. Afterwards other work may use the
+    /// capacity for the same duration.
     pub(super) fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let Some(until_ms) = self.reservation_end(request) else { return };
         let scope = self.scope(request);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Until when capacity is reserved for a gang; `None` while others may take it.
+    /// Returns the time until which capacity is reserved for a gang, or `None` while other work may use it.
     fn reservation_end(&mut self, request: &PlacementRequest) -> Option<u64> {
         let (now, hold_ms) = (self.now, self.policy.hold_ms);
         let job = &mut self.cluster.jobs[request.job_index];
@@ -51,7 +52,8 @@
         Some(job.gang_reserved_until_ms)
     }
 
-    /// Where a gang could be: by zone if it must be in one, else all machines together.
+    /// Returns the capacity of the machines for a gang: grouped by zone if the gang must run in one zone,
+    /// else in a single group.
     fn gang_capacities(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Vec<GangCapacity>> {
         let one_zone = self.cluster.jobs[request.job_index].spec.one_zone;
         let no_tasks = ZoneCounts::default();
@@ -73,7 +75,7 @@
         by_zone
     }
 
-    /// How many tasks of a gang one machine could take, if any.
+    /// Returns how many tasks of a gang one machine could take, or `None` if it could take none.
     fn gang_capacity(
         &self,
         request: &PlacementRequest,
@@ -101,8 +103,8 @@
         (tasks > 0).then(|| GangCapacity { cost: cost / f64::from(tasks), tasks, host: host_index })
     }
 
-    /// What a machine will have some time: work that may not be stopped ends by itself, unless it is a
-    /// replica, and what it frees is reserved as well.
+    /// Returns the capacity that a machine will have eventually. Work that may not be stopped ends by
+    /// itself, except replicas, and the capacity it frees can be reserved as well.
     fn eventual_capacity(&self, host: &Host, host_info: &HostInfo) -> Demand {
         let mut capacity = self.cluster.instance_types[host_info.instance_type].cap;
         for attempt in host.attempts.iter().filter(|attempt| !attempt.ended()) {
@@ -113,17 +115,17 @@
         capacity
     }
 
-    /// Is capacity reserved for a while before anything is preempted for the gang? Where no quick start
-    /// is wanted, most of it frees by itself: stopping a thousand short tasks for one large gang is a
-    /// loss without a gain.
+    /// Returns whether the gang keeps its reservation for a while before anything is preempted for it.
+    /// Without an objective for a quick start this avoids needless stops: most of the capacity becomes free
+    /// by itself, and stopping a thousand short tasks for one large gang loses work without a gain.
     fn reserves_before_preempting(&self, request: &PlacementRequest, until_ms: u64) -> bool {
         let wants_quick_start =
             self.policy.start_objectives.contains_key(&self.cluster.jobs[request.job_index].spec.class);
         !wants_quick_start && self.now + self.policy.hold_ms / 4 < until_ms
     }
 
-    /// Reserves capacity for all tasks of a gang on the cheapest of these machines, and preempts for it
-    /// if all of it can be freed so.
+    /// Reserves capacity for all tasks of a gang on the cheapest of these machines. Preempts for it if all
+    /// of the capacity can be freed that way.
     fn reserve_cheapest(
         &mut self,
         request: &PlacementRequest,
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -1,33 +1,35 @@
-//! The limits and guarantees of teams.
+//! Checks of the limits and guarantees of teams.
 
 use super::SchedulingCycle;
 use super::planned_stops::{PlannedStops, stopped_together};
 use crate::model::{Demand, Job, JobIndex, Shape, Spec, Urgency};
 
-/// Sums of decimal amounts may be off by rounding.
+/// Tolerance for rounding errors in sums of decimal amounts.
 const ROUNDING: f64 = 1e-6;
 
 impl SchedulingCycle<'_> {
-    /// Would the job's team be within its limit with `tasks` more of these tasks?
+    /// Returns whether the job's team stays within its limit with `tasks` more of these tasks; `false` for
+    /// an unknown team.
     pub(super) fn within_limit(&self, spec: &Spec, tasks: f64) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
         let mut total = self.index.usage.get(&spec.team).copied().unwrap_or_default();
         total.add(&spec.demand.times(tasks));
-        // Unreconciled machines may hold what was not located of the team's tasks.
+        // Unreconciled machines may run tasks of the team that have not been located.
         if let Some(unlocated) = self.unlocated_demand.get(&spec.team) {
             total.add(unlocated);
         }
         total.fits(&team.limit)
     }
 
-    /// Do the attempts on all machines leave no more to this work? An array of thousands of
-    /// short tasks would use up the leader's processor time and memory with its reports.
+    /// Returns whether the number of attempts on all machines leaves no more room for this work. The
+    /// reports about an array of thousands of short tasks would use up the leader's CPU time and memory.
     pub(super) fn too_many_attempts(&self, job: &Job) -> bool {
         let attempts = self.attempts_before + self.decisions.starts.len();
         job.urgency == Urgency::Low && job.spec.shape == Shape::Batch && attempts >= self.policy.max_attempts
     }
 
-    /// Would the job's team be within its guarantee with so many more tasks?
+    /// Returns whether the job's team stays within its guarantee with `tasks` more of these tasks; `false`
+    /// for an unknown team.
     pub(super) fn within_guarantee(&self, spec: &Spec, tasks: u32) -> bool {
         let Some(team) = self.policy.teams.get(&spec.team) else { return false };
         if !team.guarantees(&spec.demand) {
@@ -39,9 +41,9 @@
             && (team.guarantee.cpus <= 0.0 || total.cpus <= team.guarantee.cpus + ROUNDING)
     }
 
-    /// How many more tasks the guarantee of the job's team covers, beside what runs and what is
-    /// reserved already. Without this bound an array of hundreds of tasks, one of
-    /// which is within its guarantee, would stop hundreds of tasks.
+    /// Returns how many more tasks, at most `max_tasks`, the guarantee of the job's team covers in addition
+    /// to usage and reservations. Without this bound, an array of hundreds of tasks of which one is within
+    /// its guarantee would stop hundreds of tasks.
     pub(super) fn tasks_within_guarantee(&self, spec: &Spec, most: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
         if !team.guarantees(&spec.demand) {
@@ -65,7 +67,7 @@
         most.min(by_gpus).min(by_cpus)
     }
 
-    /// What is reserved for jobs of a team.
+    /// Returns the demand that is reserved for jobs of a team.
     pub(super) fn reserved_by_team(&self, team: &str) -> Demand {
         let mut reserved = Demand::default();
         for (host_index, host) in self.cluster.each_host() {
@@ -79,10 +81,10 @@
         reserved
     }
 
-    /// Would the victim's team be at or beyond its guarantee even without it? Else it could
-    /// start the same work within its guarantee again, and two teams would go on taking the
-    /// same capacity from each other. So each amount counts that [`Self::within_guarantee`] counts,
-    /// and a gang counts whole, as it stops whole.
+    /// Returns whether the victim's team stays at or above its guarantee without the victim. Otherwise the
+    /// team could start the same work within its guarantee again, and two teams would take the same
+    /// capacity from each other repeatedly. For this reason the check covers each amount that
+    /// [`Self::within_guarantee`] covers, and counts a whole gang, as a gang stops as a whole.
     pub(super) fn beyond_guarantee(&self, victim_job: JobIndex, planned: &PlannedStops) -> bool {
         if planned.stops_whole(self.cluster, victim_job) {
             return true;
--- a/src/scheduling/cycle/migration.rs
+++ b/src/scheduling/cycle/migration.rs
@@ -1,5 +1,5 @@
-//! Migration of replicas: a running replica that takes needed capacity goes to a machine
-//! that has its image.
+//! Migration of replicas: a running replica that occupies needed capacity moves to a machine that has its
+//! image.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -7,8 +7,8 @@
 use crate::model::{Host, HostIndex, Shape, TaskAttempt};
 
 impl SchedulingCycle<'_> {
-    /// A machine with free capacity and the image for a running replica, beside what is `planned`.
-    /// There it is down for a moment only.
+    /// Returns a machine that has the image and free capacity for a running replica, given the `planned`
+    /// stops, or `None` if there is none. There the replica is unavailable only briefly.
     pub(super) fn migration_target(
         &self,
         from: HostIndex,
@@ -34,7 +34,7 @@
         counts.sub(self.index.hosts[from].zone);
         let mut best: Option<Candidate> = None;
         for host_index in targets {
-            // The image may have left the cache since the index was counted.
+            // The image may have been evicted from the cache since the index was built.
             let ready = |host: &Host| host.images.iter().any(|image| image.ready && image.name == spec.image);
             if !request.requirements.accepts(&self.index.hosts[host_index], &counts)
                 || !self.cluster.host(host_index).is_some_and(ready)
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -1,8 +1,10 @@
-//! The scheduling cycle: one run over the queue of waiting jobs. Each job is placed where that costs
-//! least; for one that fits nowhere, `free_capacity` and `gang` preempt lesser work.
+//! The scheduling cycle: one pass over the queue of pending jobs. Each job is placed on the machines where
+//! its placement costs least. For a job that fits nowhere, `free_capacity` and `gang_preemption` stop work
+//! of lower priority.
 //!
-//! All times without a suffix of their own are milliseconds: `now` and fields of machines, attempts and
-//! tasks on the steady clock, `wall` and fields of jobs' acceptance and deadlines on the wall clock.
+//! All times without a unit suffix are in milliseconds. `now` and the fields of machines, attempts and
+//! tasks refer to the steady clock; `wall` and the acceptance and deadline fields of jobs refer to the wall
+//! clock.
 
 mod borrowing;
 mod candidates;
@@ -40,65 +42,65 @@
 use std::collections::{HashMap, HashSet};
 use team_table::TeamTable;
 
-/// Capacity for a class is scarce while its one instance type fits no more than this multiple of
-/// the tasks that are expected.
+/// Capacity for a class is scarce while its only instance type has room for no more than this multiple of
+/// the number of tasks expected.
 const SCARCITY_RATIO: f64 = 2.0;
 
-/// Start this attempt on that machine.
+/// An order to start an attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Assignment {
-    /// The task.
+    /// Task to start.
     pub key: TaskKey,
-    /// The machine.
+    /// Machine on which the attempt starts.
     pub host: HostIndex,
     /// Number of the new attempt.
     pub attempt: u64,
 }
 
-/// Stop this attempt, to free capacity for other work.
+/// An order to stop an attempt so that its capacity becomes available to other work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Preemption {
-    /// The machine that it is on.
+    /// Machine that runs the attempt.
     pub host: HostIndex,
-    /// The task.
+    /// Task of the attempt.
     pub key: TaskKey,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Seconds that it has for saving its state; 0 if it saves none.
+    /// Seconds that the attempt has to save its state; 0 if it saves none.
     pub grace_s: f64,
-    /// The job that gets the capacity.
+    /// Job that receives the capacity.
     pub by: JobIndex,
-    /// Why it is stopped.
+    /// Reason for the stop.
     pub cause: StopCause,
-    /// Seconds of its work that are lost, as far as is known.
+    /// Seconds of work that the stop discards, as far as known.
     pub lost_s: f64,
 }
 
-/// A pending job for which no work of another team may be stopped.
+/// A pending job that may not take capacity from another team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusedLoan {
-    /// The job.
+    /// Job that was refused.
     pub job: JobIndex,
-    /// Why, as found last.
+    /// Reason of the most recent refusal.
     pub reason: Refusal,
 }
 
-/// What a scheduling cycle decided.
+/// Decisions of one scheduling cycle.
 #[derive(Debug, Default)]
 pub struct CycleDecisions {
-    /// Attempts to be started.
+    /// Attempts to start.
     pub starts: Vec<Assignment>,
-    /// Attempts to be stopped.
+    /// Attempts to stop.
     pub stops: Vec<Preemption>,
-    /// Starts that take over a warm reservation; they are among `starts`.
+    /// Starts that use a warm reservation; each of them is also in `starts`.
     pub warm_claims: Vec<WarmReservationClaim>,
-    /// Pool slots whose warm reservations are given up for other work.
+    /// Pool slots whose warm reservations are released for other work.
     pub warm_reservations_given_up: Vec<u64>,
     /// Jobs with tasks for which no capacity was found.
     pub pending_jobs: Vec<JobIndex>,
-    /// Jobs among these for which no work of another team may be stopped; none without borrowing.
+    /// Jobs of `pending_jobs` that may not take capacity from another team; empty without borrowing.
     pub refused_loans: Vec<RefusedLoan>,
-    /// Machines examined, summed over all decisions.
+    /// Number of machine examinations, summed over all decisions.
     pub hosts_examined: u64,
 }
 
@@ -106,33 +108,34 @@
 struct SchedulingCycle<'a> {
     cluster: &'a mut ClusterState,
     policy: &'a Policy,
-    /// Steady clock, milliseconds.
+    /// Time of the steady clock, in milliseconds.
     now: u64,
-    /// Wall clock, milliseconds.
+    /// Time of the wall clock, in milliseconds.
     wall: u64,
-    /// Attempts on all machines when the scheduling cycle began, ended ones included.
+    /// Number of attempts on all machines at the beginning of the cycle, ended ones included.
     attempts_before: usize,
     index: Index,
-    /// Classes whose one instance type has hardly more capacity than they are expected to need.
+    /// Classes that can use one instance type only and for which it has hardly more capacity than expected
+    /// to be needed.
     scarce_classes: HashSet<String>,
-    /// Kinds of tasks that fit no machine any more.
+    /// Requirements of tasks that no longer fit on any machine.
     exhausted_requirements: Vec<TaskRequirements>,
-    /// Kinds of tasks that would fit no machine even if all that may be preempted for them were.
+    /// Requirements of tasks that would fit on no machine even if everything they may preempt were stopped.
     blocked: Vec<BlockedRequirements>,
-    /// By team, what unreconciled machines may hold of its tasks.
+    /// Upper bound, by team, of the demand of tasks that unreconciled machines may run.
     unlocated_demand: HashMap<String, Demand>,
-    /// Array tasks that are expected to end by themselves soon; counted when first needed.
+    /// Capacity expected to become free soon as array tasks end; `None` until first needed.
     expected_releases: Option<Vec<ExpectedReleases>>,
     hosts_examined: Cell<u64>,
-    /// Loans between teams.
+    /// State of lending between teams.
     borrowing: BorrowingDecisions,
     decisions: CycleDecisions,
 }
 
 /// Runs one scheduling cycle at the steady time `now` and the wall time `wall`, both in milliseconds.
-/// `attempt` yields numbers of attempts, which never repeat.
+/// `next_attempt` returns a new attempt number, which never repeats.
 ///
-/// Only work of `least` urgency or more is placed, so that cycles for urgent work stay short.
+/// Only work of urgency `min_urgency` or higher is placed, so that cycles for urgent work stay short.
 pub fn schedule(
     cluster: &mut ClusterState,
     policy: &Policy,
@@ -143,21 +146,21 @@
 ) -> CycleDecisions {
     expire_reservations(cluster, now);
     if !queue::any_pending(cluster, now, least) {
-        // The index and the teams' sums need not be counted for an empty queue.
+        // With an empty queue, neither the index nor the sums by team are needed.
         cluster.accelerators_short = false;
         return CycleDecisions::default();
     }
     schedule_with_index(cluster, policy, now, wall, least, attempt).0
 }
 
-/// Drops the reservations that have expired.
+/// Removes the reservations that have expired.
 fn expire_reservations(cluster: &mut ClusterState, now: u64) {
     for host in cluster.hosts.iter_mut().flatten() {
         host.reservations.retain(|reservation| reservation.until_ms > now);
     }
 }
 
-/// The scheduling cycle, with the index as it left it.
+/// Runs the scheduling cycle and returns the decisions together with the index in its final state.
 pub(super) fn schedule_with_index(
     cluster: &mut ClusterState,
     policy: &Policy,
@@ -172,7 +175,8 @@
     cycle.finish()
 }
 
-/// Classes that can run on one instance type alone and for which hardly any capacity is left there.
+/// Returns the classes that can run on one instance type only and for which that type has hardly any
+/// capacity left.
 fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
     let task_capacity = |reserve: &Reserve| -> f64 {
         let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Sums up the cycle for the next one and for the caller.
+    /// Completes the decisions and records in the cluster state what the next cycle needs.
     fn finish(mut self) -> (CycleDecisions, Index) {
         self.borrowing.keep_refusal();
         if !self.decisions.pending_jobs.is_empty() {
@@ -220,7 +224,7 @@
         (self.decisions, self.index)
     }
 
-    /// Places what is pending, and frees capacity for what fits nowhere.
+    /// Places the pending jobs in queue order, and frees capacity for those that fit nowhere.
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
         for QueuedJob { job_index, tier } in self.queue(least) {
@@ -238,7 +242,7 @@
             }
             let gang = self.cluster.jobs[job_index].spec.shape == Shape::Gang;
             if tier == QueueTier::Returned && !gang {
-                // The job is queued once more, in a later tier.
+                // The job is in the queue again, in a later tier.
                 continue;
             }
             if gang && !gang_leads {
@@ -252,7 +256,7 @@
         }
     }
 
-    /// Places the pending tasks of a job; false if capacity for one of them lacked.
+    /// Places the pending tasks of a job. Returns `false` if there was no capacity for one of them.
     fn place(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         match self.cluster.jobs[request.job_index].spec.shape {
             Shape::Gang => self.place_gang(request, attempt),
--- a/src/scheduling/cycle/planned_stops.rs
+++ b/src/scheduling/cycle/planned_stops.rs
@@ -1,26 +1,26 @@
-//! Stops that are planned together and not ordered yet: what they take from each team, and the
-//! capacity that is earmarked meanwhile.
+//! Stops that are planned together and not ordered yet: what they take from each team, and the capacity
+//! that is earmarked in the meantime.
 
 use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Shape};
 
-/// Stops that are planned for one start, whether on one machine or on several.
+/// Stops that are planned for one start, on one machine or on several.
 ///
-/// Each of them alone may leave its team what it is guaranteed while all together do not. So a
-/// further stop is judged by what the team keeps after those that are planned already.
+/// Each single stop may leave its team its guarantee while all of them together do not. A further stop is
+/// therefore checked against what the team keeps after the planned ones.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PlannedStops {
     stopped: Vec<PlannedStop>,
     earmarked: Vec<EarmarkedCapacity>,
 }
 
-/// Capacity that is planned for the start, or for a replica that migrates for it.
+/// Capacity that is planned for the start, or for a replica that migrates because of it.
 #[derive(Debug, Clone, Copy)]
 struct EarmarkedCapacity {
     host: HostIndex,
     demand: Demand,
 }
 
-/// What one stop takes from the team of its job.
+/// Demand that one stop takes from the team of its job.
 #[derive(Debug, Clone, Copy)]
 struct PlannedStop {
     job: JobIndex,
@@ -28,7 +28,7 @@
 }
 
 impl PlannedStops {
-    /// Plans to stop a task of the job; a gang stops whole, with its first task.
+    /// Plans to stop a task of the job. A gang stops as a whole, so only its first task counts.
     pub(super) fn add(&mut self, cluster: &ClusterState, job: JobIndex) {
         if self.stops_whole(cluster, job) {
             return;
@@ -42,24 +42,24 @@
         self.earmarked.push(EarmarkedCapacity { host, demand });
     }
 
-    /// What is left of the `free` capacity of a machine beside what is earmarked there.
+    /// Returns the `free` capacity of a machine less what is earmarked there.
     pub(super) fn left_of(&self, mut free: Demand, host: HostIndex) -> Demand {
         let there = self.earmarked.iter().filter(|earmarked| earmarked.host == host);
         there.for_each(|earmarked| free.sub(&earmarked.demand));
         free
     }
 
-    /// Is the job a gang that is to be stopped already?
+    /// Returns whether the job is a gang that is already planned to be stopped.
     pub(super) fn stops_whole(&self, cluster: &ClusterState, job: JobIndex) -> bool {
         cluster.jobs[job].spec.shape == Shape::Gang && self.includes(job)
     }
 
-    /// Is a task of the job to be stopped?
+    /// Returns whether a task of the job is planned to be stopped.
     pub(super) fn includes(&self, job: JobIndex) -> bool {
         self.stopped.iter().any(|stop| stop.job == job)
     }
 
-    /// What the planned stops take from a team.
+    /// Returns the demand that the planned stops take from a team.
     pub(super) fn taken_from(&self, cluster: &ClusterState, team: &str) -> Demand {
         let mut taken = Demand::default();
         let of_team = self.stopped.iter().filter(|stop| cluster.jobs[stop.job].spec.team == team);
@@ -68,7 +68,8 @@
     }
 }
 
-/// What a job's team has less once a task of it is stopped.
+/// Returns the demand that a job's team loses when a task of the job is stopped: that of one task, or of
+/// the whole gang.
 pub(super) fn stopped_together(cluster: &ClusterState, job: JobIndex) -> Demand {
     let spec = &cluster.jobs[job].spec;
     let tasks = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
--- a/src/scheduling/cycle/preemption_eligibility.rs
+++ b/src/scheduling/cycle/preemption_eligibility.rs
@@ -1,4 +1,4 @@
-//! Preemption eligibility: which work may be stopped for other work.
+//! Preemption eligibility: decides which work may be stopped for other work.
 
 use super::SchedulingCycle;
 use super::borrowing::StopCause;
@@ -7,16 +7,17 @@
 use super::request::PlacementRequest;
 use crate::model::{HostIndex, JobIndex, Shape, TaskAttempt, Urgency};
 
-/// A replica has settled after this multiple of the time within which an order shows its effect.
+/// A replica counts as settled after this multiple of `Policy::react_ms`, the time within which an order
+/// shows its effect.
 const SETTLED_AFTER_REACTIONS: u64 = 30;
 
-/// Work that has run for less than this share of its estimate was started recently.
+/// Work that has run for less than this fraction of its expected duration counts as recently started.
 const EARLY_SHARE_OF_EXPECTED: f64 = 0.25;
 
-/// A start is in time for a guarantee if it is late with less than this probability.
+/// A start counts as in time for a guarantee if its probability of being late is below this value.
 const LIKELY_LATE: f64 = 0.5;
 
-/// Which work of its own urgency a job may stop for its team's guarantee; the wider, the larger.
+/// Work of equal urgency that a job may stop for the guarantee of its team. Wider scopes compare as larger.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum PreemptionScope {
     None,
@@ -25,13 +26,13 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Which work that is no less urgent a job may stop for its team's guarantee: while the start can
-    /// be in time, work that was started recently; once it has waited as long as capacity is reserved
-    /// for a gang, any. Without bounds two teams' arrays stop each other over and over, and none is in
-    /// time.
+    /// Returns which work of equal urgency the job may stop for the guarantee of its team. While the start
+    /// can be in time, this is recently started work; once the job has waited as long as capacity is
+    /// reserved for a gang, any work. Without such bounds, the arrays of two teams stop each other
+    /// repeatedly and neither is in time.
     pub(super) fn scope(&self, request: &PlacementRequest) -> PreemptionScope {
         let job = &self.cluster.jobs[request.job_index];
-        // A gang starts whole, and so all of it has to be within the guarantee.
+        // All tasks of a gang start together, so all of them must be within the guarantee.
         let started_together = if job.spec.shape == Shape::Gang { job.spec.tasks } else { 1 };
         if !self.within_guarantee(&job.spec, started_together) {
             PreemptionScope::None
@@ -44,8 +45,8 @@
         }
     }
 
-    /// The same on one machine: nothing is stopped where the start would be late for the guarantee
-    /// all the same.
+    /// Returns the scope that applies on one machine. It is `None` where the start would miss the
+    /// guarantee's objective in any case.
     pub(super) fn scope_on_host(
         &self,
         scope: PreemptionScope,
@@ -59,26 +60,27 @@
         if scope == PreemptionScope::RecentlyStarted && !in_time() { PreemptionScope::None } else { scope }
     }
 
-    /// Has it run for only a small share of its estimate?
+    /// Returns whether the attempt has run for only a small fraction of its expected duration.
     pub(super) fn started_recently(&self, attempt: &TaskAttempt) -> bool {
         let expected_s = self.cluster.jobs[attempt.key.job].spec.expected_s;
         self.now.saturating_sub(attempt.since_ms) as f64 <= expected_s * 1000.0 * EARLY_SHARE_OF_EXPECTED
     }
 
-    /// Has it been there for long? What is stopped sooner was started in vain.
+    /// Returns whether the attempt has run for long enough to be migrated. Stopping it earlier would waste
+    /// its start.
     pub(super) fn settled(&self, attempt: &TaskAttempt) -> bool {
         self.now.saturating_sub(attempt.since_ms) >= SETTLED_AFTER_REACTIONS * self.policy.react_ms
     }
 
-    /// Could the attempt's job still be in time if it began anew?
+    /// Returns whether the attempt's job could still meet its deadline if it restarted now.
     pub(super) fn restart_in_time(&self, attempt: &TaskAttempt) -> bool {
         let job = &self.cluster.jobs[attempt.key.job];
         let expected_ms = (job.spec.expected_s * 1000.0) as u64;
         job.due_ms().is_none() || self.wall + expected_ms < self.policy.soft_deadline_ms(job)
     }
 
-    /// May this attempt be stopped for a task of the job, beside the stops that are planned for the
-    /// same start?
+    /// Returns whether this attempt may be stopped for a task of the job, given the stops that are planned
+    /// for the same start.
     pub(super) fn may_evict(
         &self,
         job_index: JobIndex,
--- a/src/scheduling/cycle/preemption_orders.rs
+++ b/src/scheduling/cycle/preemption_orders.rs
@@ -1,5 +1,5 @@
-//! Carrying out what was planned: the orders to stop attempts, and the reservations where replicas
-//! migrate to.
+//! Execution of preemption plans: orders to stop attempts, and reservations at the destinations of
+//! migrating replicas.
 
 use super::borrowing::StopCause;
 use super::planned_stops::PlannedStops;
@@ -9,16 +9,16 @@
 use super::{Preemption, SchedulingCycle};
 use crate::model::{HostIndex, JobIndex, Reservation, Shape, Spec, TaskAttempt};
 
-/// What the stops of one eviction have in common.
+/// Properties shared by all stops of one eviction.
 struct StopOrder {
-    /// The job that gets the capacity.
+    /// Job that receives the capacity.
     by: JobIndex,
     grace_s: f64,
     cause: StopCause,
 }
 
 impl SchedulingCycle<'_> {
-    /// Carries out what `plan_preemption` found for a machine.
+    /// Executes the evictions that `plan_preemption` found for a machine.
     pub(super) fn execute_preemption(
         &mut self,
         request: &PlacementRequest,
@@ -34,7 +34,7 @@
                 Some(_) => Ok(StopCause::Move),
                 None => self.stop_cause(request.job_index, attempt, &PlannedStops::default()),
             };
-            // What was planned together was judged together; what may not be stopped any more is kept.
+            // The plan was checked as a whole. An attempt that may no longer be stopped keeps running.
             let Ok(cause) = cause else { continue };
             let grace_s = match cause {
                 StopCause::Loan(_) | StopCause::Reclaim => self.cluster.jobs[attempt.key.job].spec.grace_s(),
@@ -44,9 +44,10 @@
         }
     }
 
-    /// Seconds that a stopped task has to save its state. An array task has none where a start that
-    /// could be in time would be late for its class's objective by then: it goes on from its last
-    /// checkpoint. A gang would lose as much with each of its tasks, and keeps its time.
+    /// Returns the seconds that a stopped task has to save its state. It is 0 for an array task if saving
+    /// would make a start miss its class's objective that could otherwise be met; the task then resumes
+    /// from its last checkpoint. A gang keeps its time, because each of its tasks would lose that much
+    /// work.
     fn stop_grace_s(&self, request: &PlacementRequest, host_index: HostIndex, victim: &Spec) -> f64 {
         let grace_s = victim.grace_s();
         let fetch_s = self.fetch_s(request, host_index);
@@ -55,7 +56,7 @@
         if late_by_saving && victim.shape == Shape::Batch { 0.0 } else { grace_s }
     }
 
-    /// Orders the stop of an attempt; a gang is stopped whole, on all its machines.
+    /// Orders the stop of an attempt. A gang is stopped as a whole, on all its machines.
     fn stop(&mut self, host_index: HostIndex, attempt: &TaskAttempt, order: &StopOrder) {
         let job_index = attempt.key.job;
         let spec = &self.cluster.jobs[job_index].spec;
@@ -78,8 +79,8 @@
         self.borrowing.stopped(job_index, each, stopped, order.cause);
     }
 
-    /// Orders the stops of these attempts on a machine; returns how many they are. Each loses
-    /// `lost_s` seconds of work.
+    /// Orders the stops of the matching attempts on a machine and returns their number. Each loses `lost_s`
+    /// seconds of work.
     fn stop_on_host(
         &mut self,
         host_index: HostIndex,
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -1,19 +1,20 @@
-//! The queue of a scheduling cycle: in which order it looks at jobs.
+//! Queue of a scheduling cycle: the order in which jobs are examined.
 
 use super::SchedulingCycle;
 use crate::model::{ClusterState, Job, JobIndex, Shape, Urgency};
 use std::cmp::Reverse;
 
-/// Which tasks of a job are placed; a job is queued once a tier that applies to it.
+/// Part of a job's tasks that is placed. A job has one queue entry for each tier that applies to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueTier {
-    /// Those whose capacity was lent to another team and is being returned: before all else, and on
-    /// capacity that is free.
+    /// Tasks whose capacity was lent to another team and is being returned. They come first and use free
+    /// capacity only.
     Returned,
-    /// Those within the guarantee of its team, which may stop equal work beyond others' guarantees.
-    /// They come first: what is placed before them they would stop next.
+    /// Tasks within the guarantee of the team, which may stop work of equal urgency that exceeds the
+    /// guarantee of its team. They precede ordinary ones, which they would otherwise stop right after their
+    /// placement.
     Guaranteed,
-    /// All that are pending.
+    /// All pending tasks.
     Ordinary,
 }
 
@@ -24,38 +25,38 @@
     pub(super) tier: QueueTier,
 }
 
-/// Where a job is in the queue; the lowest is first.
+/// Position of a job in the queue; the lowest rank comes first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     returned: Reverse<bool>,
     urgency: Reverse<Urgency>,
     tier: QueueTier,
-    /// What its team lacks to its floor while it lends to others.
+    /// Shortfall of the team to its floor while it lends to others.
     shortfall: Reverse<u64>,
     bin: u64,
     ready_ms: u64,
     job: JobIndex,
 }
 
-/// Has any job tasks to place, of this urgency at least?
+/// Returns whether any job of at least this urgency has tasks to place.
 pub(super) fn any_pending(cluster: &ClusterState, now: u64, least: Urgency) -> bool {
     cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, least))
 }
 
-/// Has the job tasks to place, and this urgency at least?
+/// Returns whether the job has at least this urgency and tasks to place.
 fn has_pending_tasks(cluster: &ClusterState, job: &Job, now: u64, least: Urgency) -> bool {
     if job.urgency < least || !job.active() {
         return false;
     }
-    // A task that an unreconciled machine may hold is not placed; what was located since is certainly
-    // nowhere else.
+    // A task that an unreconciled machine may run is not placed. A task located since then is certain to
+    // run on no other machine.
     let placeable = cluster.placeable_tasks(job);
     job.tasks.iter().any(|task| task.retry_ms <= now && placeable.includes(task))
 }
 
 impl SchedulingCycle<'_> {
-    /// Jobs with tasks to place: the more urgent first, as preemption would turn any other order
-    /// round; then what is within guarantees, then the lowest bin, then the older.
+    /// Returns the jobs with tasks to place. Higher urgency comes first, since preemption would reverse any
+    /// other order; then work within guarantees, then the lowest deadline bin, then the oldest job.
     pub(super) fn queue(&self, least: Urgency) -> Vec<QueuedJob> {
         let live = self.cluster.live.iter().copied();
         let pending =
@@ -65,7 +66,7 @@
         queue.into_iter().map(|rank| QueuedJob { job_index: rank.job, tier: rank.tier }).collect()
     }
 
-    /// One rank for each tier that applies to the job.
+    /// Returns one rank for each tier that applies to the job.
     fn queue_ranks(&self, job_index: JobIndex) -> impl Iterator<Item = QueueRank> {
         let job = &self.cluster.jobs[job_index];
         let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
@@ -84,7 +85,7 @@
         returned.into_iter().chain(guaranteed).chain([rank(QueueTier::Ordinary)])
     }
 
-    /// May it stop equal work for its team's guarantee?
+    /// Returns whether the job may stop work of equal urgency for the guarantee of its team.
     fn in_guaranteed_tier(&self, job: &Job) -> bool {
         let waited_ms = self.wall.saturating_sub(job.ready_ms);
         let in_time = self.policy.guarantee_s.is_some_and(|within_s| (waited_ms as f64) < within_s * 1000.0);
--- a/src/scheduling/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle needs to know of a job that it places.
+//! Properties of a job that a scheduling cycle needs for its placement.
 
 use super::SchedulingCycle;
 use super::queue::QueueTier;
@@ -6,58 +6,58 @@
 use crate::scheduling::task_requirements::TaskRequirements;
 use std::collections::HashSet;
 
-/// A class's start objective counts as no shorter than this, in seconds.
+/// Lower bound of a class's start objective, in seconds.
 const LEAST_WITHIN_S: f64 = 0.1;
-/// The cost of a placement that takes capacity for which another class has no other instance type.
+/// Cost of a placement that takes capacity of an instance type that another class depends on.
 const RESERVE_PENALTY: f64 = 1.0;
-/// The same while that capacity is scarce.
+/// Cost of such a placement while that capacity is scarce.
 const SCARCE_RESERVE_PENALTY: f64 = 5.0;
 
-/// The cost of taking capacity that a class is expected to need.
+/// Cost of taking capacity that a class is expected to need.
 pub(super) struct ReservePenalty {
     pub(super) reserve: Reserve,
     pub(super) cost: f64,
 }
 
-/// What a scheduling cycle needs to know of the job that it places, computed once a queue entry.
+/// Properties of the job to be placed, computed once for each queue entry.
 #[allow(clippy::struct_excessive_bools, reason = "independent facts of one job, computed once")]
 pub(super) struct PlacementRequest {
     pub(super) job_index: JobIndex,
-    /// Which of its tasks are placed.
+    /// Tier that selects the tasks to place.
     pub(super) tier: QueueTier,
     pub(super) requirements: TaskRequirements,
     pub(super) image: String,
     pub(super) image_gb: f64,
     pub(super) is_service: bool,
-    /// Seconds until the job can't be in time any more.
+    /// Seconds until the job can no longer meet its deadline.
     pub(super) slack_s: f64,
-    /// Within how many seconds its tasks are to start.
+    /// Seconds within which the tasks should start.
     pub(super) within_s: f64,
-    /// A further loss of its work would make it miss its deadline.
+    /// Whether losing its work once more would make the job miss its deadline.
     pub(super) no_time_to_restart: bool,
     /// Seconds left to start within the class's objective; `None` if the job has a deadline instead.
     pub(super) objective_left_s: Option<f64>,
-    /// Seconds left to start within the guarantee's objective; `None` if the team is beyond its guarantee
-    /// or the time is over.
+    /// Seconds left to start within the guarantee's objective; `None` if the team exceeds its guarantee or
+    /// the time has passed.
     pub(super) guarantee_left_s: Option<f64>,
-    /// What taking capacity costs that other classes are expected to need.
+    /// Costs of taking capacity that other classes are expected to need.
     pub(super) reserve_penalties: Vec<ReservePenalty>,
-    /// There are reservations of the job's own.
+    /// Whether capacity is reserved for this job.
     pub(super) has_reservation: bool,
-    /// Machines on which it failed.
+    /// Machines on which the job failed.
     pub(super) avoided_hosts: HashSet<HostIndex>,
-    /// It needs no accelerators and is not to strand any: they are short, and machines without them may
-    /// still come.
+    /// Whether the job, which needs no accelerators, must not strand any: accelerators are short, and
+    /// machines without them may still become available.
     pub(super) without_accelerators: bool,
 }
 
 impl SchedulingCycle<'_> {
-    /// Computes what the scheduling cycle needs to know of a job.
+    /// Computes the placement properties of a job.
     pub(super) fn request(&self, job_index: JobIndex) -> PlacementRequest {
         let job = &self.cluster.jobs[job_index];
         let spec = &job.spec;
         let left_ms = self.policy.soft_deadline_ms(job) as f64 - self.wall as f64;
-        // A replica that was lost is down until it is replaced: each second counts.
+        // A lost replica is unavailable until it is replaced, so each second counts.
         let lost_replica_s = self.policy.react_ms as f64 / 1000.0;
         let within_s = self
             .policy
@@ -87,14 +87,16 @@
         }
     }
 
-    /// Seconds left to start within the guarantee's objective, if the team is within its guarantee.
+    /// Returns the seconds left to start within the guarantee's objective, or `None` if the team exceeds
+    /// its guarantee or the time has passed.
     fn guarantee_left_s(&self, job: &Job) -> Option<f64> {
         let waited_s = self.wall.saturating_sub(job.ready_ms) as f64 / 1000.0;
         let left_s = self.policy.guarantee_s? - waited_s;
         (left_s > 0.0 && self.within_guarantee(&job.spec, 1)).then_some(left_s)
     }
 
-    /// The classes whose expected capacity its tasks could take, with the cost of that.
+    /// Returns the classes whose expected capacity the job's tasks could take, each with the cost of taking
+    /// it.
     fn reserve_penalties(&self, spec: &Spec) -> Vec<ReservePenalty> {
         let without_gpus = spec.demand.gpus <= 0.0;
         let concerns = |reserve: &&Reserve| {
@@ -108,7 +110,7 @@
         reserves.map(|reserve| ReservePenalty { reserve: reserve.clone(), cost: cost(reserve) }).collect()
     }
 
-    /// Must it leave machines with accelerators to work that needs them?
+    /// Returns whether the job must leave machines with accelerators to work that needs them.
     fn without_accelerators(&self, job: &Job) -> bool {
         let spec = &job.spec;
         spec.demand.gpus <= 0.0
@@ -117,7 +119,7 @@
             && self.cpu_host_may_come(spec)
     }
 
-    /// May the cloud still have machines without accelerators for it?
+    /// Returns whether the cloud may still provide machines without accelerators for the job.
     fn cpu_host_may_come(&self, spec: &Spec) -> bool {
         let available = |(index, instance_type): (usize, &InstanceType)| {
             instance_type.cap.gpus <= 0.0
@@ -127,7 +129,7 @@
         self.cluster.instance_types.iter().enumerate().any(available)
     }
 
-    /// Boot time of the instance type on which the work costs least, in milliseconds.
+    /// Returns the boot time, in milliseconds, of the instance type on which the work is cheapest.
     fn boot_ms(&self, spec: &Spec) -> u64 {
         let allowed = self.cluster.instance_types.iter().filter(|of_type| spec.allows_instance_type(of_type));
         let cost = |of_type: &InstanceType| of_type.price / of_type.cap.tasks_that_fit(&spec.demand).max(1.0);
--- a/src/scheduling/cycle/reservations.rs
+++ b/src/scheduling/cycle/reservations.rs
@@ -1,12 +1,12 @@
-//! Reservations of capacity for jobs, on the machines and in the index alike.
+//! Reservations of capacity for jobs, kept consistent between the machines and the index.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::model::{Host, HostIndex, JobIndex, Reservation};
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// Capacity that is freed for a task stays reserved for this multiple of the time within which an
-/// order shows its effect: what is stopped may have to save its state.
+/// Capacity freed for a task stays reserved for this multiple of `Policy::react_ms`, the time within which
+/// an order shows its effect, because stopped work may have to save its state.
 pub(super) const RESERVATION_REACTIONS: u64 = 10;
 
 fn reserved_for(host: &Host, job_index: JobIndex) -> bool {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Gives up all reservations of a job.
+    /// Releases all reservations of a job.
     pub(super) fn release_reservations(&mut self, job_index: JobIndex) {
         if self.index.reservations_of(job_index) == 0 {
             return;
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Keeps the job's reservations where zones still allow its tasks, counts these, and gives up the
-    /// others; returns how many are kept. A reservation in a zone that the job's other tasks filled
-    /// meanwhile would keep the last task pending until it expires.
+    /// Keeps the job's reservations in zones that still allow its tasks, counts them in `counts` and
+    /// releases the others. Returns the number kept. Without this, a reservation in a zone filled by other
+    /// tasks of the job since then would keep the last task pending until the reservation expires.
     pub(super) fn keep_usable_reservations(&mut self, request: &PlacementRequest, counts: &mut ZoneCounts) -> usize {
         if self.index.reservations_of(request.job_index) == 0 {
             return 0;
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -8,20 +8,20 @@
 use crate::model::{HostIndex, Place, Reservation, TaskAttempt, TaskKey};
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// What the placement of one task of a job leaves for the next one.
+/// State carried from the placement of one task of a job to the next.
 #[derive(Debug)]
 struct PlacementState {
-    /// The job's tasks by zone, those that capacity is reserved for included.
+    /// Number of the job's tasks by zone, including those with reserved capacity.
     counts: ZoneCounts,
-    /// Machines with capacity for a task; `None` if they have to be found again.
+    /// Machines with capacity for a task; `None` if they must be determined again.
     candidates: Option<Vec<Candidate>>,
 }
 
-/// What came of one task.
+/// Result of placing one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskOutcome {
     Placed,
-    /// Capacity next to the image is freed and reserved for it.
+    /// The task waits for capacity that is being freed on a machine where its image is available sooner.
     AwaitsBetterHost,
     NoCapacity,
 }
@@ -55,14 +55,16 @@
         self.decisions.starts.push(Assignment { key, host: host_index, attempt });
     }
 
-    /// Position of the reservation that a start on the machine uses up: the job's own, else its team's.
+    /// Returns the position of the reservation that a start on the machine consumes: one of the job itself,
+    /// else one of its team.
     fn usable_reservation(&self, key: TaskKey, host_index: HostIndex) -> Option<usize> {
         let reservations = &self.cluster.host(host_index)?.reservations;
         let own = reservations.iter().position(|reservation| reservation.job == key.job);
         own.or_else(|| reservations.iter().position(|reservation| self.cluster.may_use(reservation, key.job)))
     }
 
-    /// Places the idle tasks of an array or service; false if capacity for one of them lacked.
+    /// Places the idle tasks of an array or service. Returns `false` if there was no capacity for one of
+    /// them.
     pub(super) fn place_tasks(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
         let mut state = PlacementState { counts: self.index.counts(job_index), candidates: None };
@@ -86,8 +88,9 @@
         true
     }
 
-    /// Must the rest of the job's tasks wait, whatever capacity there is: for its own team, for a later
-    /// tier, or for other work to end? `tried` of its tasks were looked at before.
+    /// Returns whether the remaining tasks of the job must wait even if there is capacity: because of the
+    /// team's limit, a later queue tier, or the number of attempts. `tasks_examined` of its tasks were
+    /// examined before.
     fn is_bounded(&self, request: &PlacementRequest, tried: u32) -> bool {
         let job = &self.cluster.jobs[request.job_index];
         !self.within_limit(&job.spec, 1.0)
@@ -96,7 +99,7 @@
             || self.too_many_attempts(job)
     }
 
-    /// Places one task where that costs least: on a warm reservation if there is one for it.
+    /// Places one task where that costs least, preferably on a warm reservation.
     fn place_task(
         &mut self,
         request: &PlacementRequest,
@@ -114,7 +117,7 @@
         let Some(host) = self.best_candidate(request, &candidates, &state.counts) else {
             return TaskOutcome::NoCapacity;
         };
-        // Capacity that was freed for this job is not given up for a better one.
+        // Capacity freed for this job is not abandoned for a better machine.
         let reserved_here = |position: HostIndex| {
             let host = self.cluster.host(position);
             host.is_some_and(|host| host.reservations.iter().any(|reservation| reservation.job == key.job))
@@ -132,8 +135,8 @@
         TaskOutcome::Placed
     }
 
-    /// Frees capacity where the image is ready, or sooner there, if only a little lesser work has to be
-    /// stopped for at most the cost `most`; the task then waits for that capacity.
+    /// Frees capacity on a machine where the image is ready, or ready sooner, if stopping work there costs
+    /// at most `max_cost`. Returns whether the task waits for that capacity.
     fn wait_for_better_host(&mut self, request: &PlacementRequest, counts: &ZoneCounts, most: f64) -> bool {
         if !self.may_wait_for_image(request) {
             return false;
@@ -148,8 +151,8 @@
         true
     }
 
-    /// May it wait for capacity next to its image, or has it waited long enough? Bounded: what is
-    /// reserved may be gone, and then any machine will do.
+    /// Returns whether the job may still wait for capacity on a machine with its image. The wait is
+    /// bounded, because the reserved capacity may disappear; after that any machine is used.
     fn may_wait_for_image(&mut self, request: &PlacementRequest) -> bool {
         let (now, wait) = (self.now, 2 * self.policy.react_ms);
         let job = &mut self.cluster.jobs[request.job_index];
@@ -160,7 +163,8 @@
         now < job.image_wait_until_ms
     }
 
-    /// Where preemption costs least among machines that have the image sooner.
+    /// Returns the machine with the cheapest preemption, at most `max_cost`, among those that have the
+    /// image sooner.
     fn cheapest_with_image(
         &self,
         request: &PlacementRequest,
@@ -179,7 +183,7 @@
             let demand = &request.requirements.demand;
             let Some(plan) = self.plan_preemption(request, scope, host_index, demand) else { continue };
             if self.stops_other_teams(request.job_index, &plan) {
-                // There is capacity elsewhere: that the image comes later is no need to borrow.
+                // Capacity exists elsewhere, and a later image does not justify a loan.
                 continue;
             }
             if plan.cost <= most && best.as_ref().is_none_or(|(_, best)| plan.cost < best.cost) {
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -1,5 +1,5 @@
-//! What a scheduling cycle looks up of teams for each attempt that might be stopped: indices in place
-//! of names, counted once and kept up to date.
+//! Team data that a scheduling cycle looks up for each attempt that might be stopped. Teams are addressed
+//! by index instead of by name; sums are computed once and kept up to date.
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::scheduling::Policy;
@@ -7,25 +7,25 @@
 use badgerdrift_borrowing::{Amounts, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
-/// Number of a team in a [`TeamTable`].
+/// Index of a team in a [`TeamTable`].
 pub(super) type TeamIndex = usize;
 
-/// A team as loans see it.
+/// Lending state of a team.
 #[derive(Debug, Clone)]
 pub(super) struct TeamEntry {
     pub(super) name: String,
     pub(super) share: TeamShare,
-    /// What it lends, what this cycle has decided included.
+    /// Amounts that the team lends, including loans decided in this cycle.
     pub(super) lent: Amounts,
-    /// Most accelerators that it lends.
+    /// Maximum number of accelerators that the team lends.
     pub(super) most_gpus: f64,
-    /// What it has borrowed, less what this cycle takes back.
+    /// Amounts that the team has borrowed, less those taken back in this cycle.
     pub(super) borrowed: Amounts,
-    /// The teams that owe it capacity.
+    /// Teams that owe capacity to this team.
     pub(super) debtors: Vec<TeamIndex>,
 }
 
-/// All teams that have jobs or lend or borrow.
+/// All teams that have jobs.
 #[derive(Debug, Default)]
 pub(super) struct TeamTable {
     teams: Vec<TeamEntry>,
@@ -33,7 +33,7 @@
 }
 
 impl TeamTable {
-    /// Counts what teams use and owe; empty without loans between teams.
+    /// Computes what teams use and owe. The table is empty without borrowing.
     pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
         let mut numbers: HashMap<&str, TeamIndex> = HashMap::new();
@@ -59,23 +59,23 @@
         TeamTable { teams, of_job }
     }
 
-    /// The number of a job's team.
+    /// Returns the index of a job's team.
     pub(super) fn team_of(&self, job: JobIndex) -> TeamIndex {
         self.of_job[job]
     }
 
-    /// The team of a job.
+    /// Returns the team of a job.
     pub(super) fn of(&self, job: JobIndex) -> &TeamEntry {
         &self.teams[self.of_job[job]]
     }
 
-    /// The team of a job, to be changed; none without loans between teams.
+    /// Returns the team of a job for modification, or `None` without borrowing.
     pub(super) fn of_mut(&mut self, job: JobIndex) -> Option<&mut TeamEntry> {
         let team = *self.of_job.get(job)?;
         self.teams.get_mut(team)
     }
 
-    /// How many teams there are.
+    /// Returns the number of teams.
     pub(super) fn len(&self) -> usize {
         self.teams.len()
     }
--- a/src/scheduling/cycle/victims.rs
+++ b/src/scheduling/cycle/victims.rs
@@ -1,5 +1,5 @@
-//! Preemption on one machine: which attempts are migrated or stopped so that a task fits, and what
-//! that costs.
+//! Preemption on one machine: selects the attempts to migrate or stop so that a task fits, and computes the
+//! cost.
 
 use super::SchedulingCycle;
 use super::cost::MIGRATION_COST;
@@ -9,31 +9,32 @@
 use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Shape, TaskAttempt};
 use std::cmp::Reverse;
 
-/// The cost of stopping a gang: its capacity is lost whole, and is hard to find elsewhere.
+/// Cost of stopping a gang. It loses all of its capacity at once, which is hard to find elsewhere.
 const STOPPED_GANG_COST: f64 = 2.0;
-/// The cost of each task of a stopped gang, added to that of the gang.
+/// Cost of each task of a stopped gang, added to that of the gang.
 const STOPPED_GANG_TASK_COST: f64 = 2.0;
-/// The cost of stopping a replica: its users are without it until its image is somewhere else.
+/// Cost of stopping a replica. Its users are without it until its image is on another machine.
 const STOPPED_REPLICA_COST: f64 = 8.0;
-/// The cost of stopping a task of an array.
+/// Cost of stopping a task of an array.
 const STOPPED_TASK_COST: f64 = 1.0;
-/// The same for one that has run for only a small share of its estimate.
+/// Cost of stopping a task of an array that was recently started.
 const STOPPED_EARLY_COST: f64 = 0.5;
-/// The further cost if the job can't be in time any more.
+/// Additional cost if the job can no longer meet its deadline.
 const STOPPED_LATE_COST: f64 = 1.0;
 
 /// An attempt that is to leave its machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Eviction {
     pub(super) attempt: TaskAttempt,
-    /// The machine that it migrates to; `None` if it is stopped.
+    /// Machine to which the attempt migrates; `None` if it is stopped.
     pub(super) destination: Option<HostIndex>,
 }
 
-/// What is evicted from a machine for a start.
+/// Evictions from a machine that make room for a start.
 #[derive(Debug)]
 pub(super) struct PreemptionPlan {
-    /// A measure of what the evictions cost.
+    /// Cost of the evictions, or of evictions and placement together, relative to 1 for stopping an array
+    /// task.
     pub(super) cost: f64,
     pub(super) evictions: Vec<Eviction>,
 }
@@ -41,23 +42,23 @@
 /// An attempt that may leave its machine.
 struct Victim<'a> {
     attempt: &'a TaskAttempt,
-    /// It may be stopped, and not only migrated.
+    /// Whether the attempt may be stopped, rather than only migrated.
     may_be_stopped: bool,
 }
 
-/// The start for which attempts would be evicted, and the stops beside which they are.
+/// The start for which attempts are to be evicted, and the stops already planned for it.
 struct PreemptionTarget<'a> {
     request: &'a PlacementRequest,
     scope: PreemptionScope,
     host: HostIndex,
-    /// What must fit on the machine.
+    /// Capacity that must become free on the machine.
     demand: &'a Demand,
     /// Stops on other machines that are planned for the same start.
     planned: &'a PlannedStops,
 }
 
 impl PreemptionPlan {
-    /// Adds the evictions to what is planned.
+    /// Adds the evictions to the planned stops.
     pub(super) fn add_evictions_to(&self, cluster: &ClusterState, planned: &mut PlannedStops) {
         for Eviction { attempt, destination } in &self.evictions {
             match destination {
@@ -69,7 +70,7 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Would work of another team be stopped for the job, while there are loans between teams?
+    /// Returns whether the plan stops work of another team while borrowing is enabled.
     pub(super) fn stops_other_teams(&self, job_index: JobIndex, plan: &PreemptionPlan) -> bool {
         let team = |job: JobIndex| &self.cluster.jobs[job].spec.team;
         let stops_others =
@@ -77,7 +78,7 @@
         self.cluster.borrowing.is_some() && plan.evictions.iter().any(stops_others)
     }
 
-    /// What would have to be evicted from the machine so that `demand` fits; `None` if it can't fit.
+    /// Plans the evictions that make `demand` fit on the machine; `None` if it can't fit.
     pub(super) fn plan_preemption(
         &self,
         request: &PlacementRequest,
@@ -88,7 +89,8 @@
         self.plan_preemption_beside(request, scope, host_index, demand, &PlannedStops::default())
     }
 
-    /// The same beside stops on other machines that are planned for the same start.
+    /// Plans the evictions that make `demand` fit on the machine, given the stops planned for the same
+    /// start on other machines; `None` if it can't fit.
     pub(super) fn plan_preemption_beside(
         &self,
         request: &PlacementRequest,
@@ -109,7 +111,7 @@
         let scope = self.scope_on_host(scope, request, host_index);
         let target = PreemptionTarget { request, scope, host: host_index, demand, planned };
         let victims = self.potential_victims(&target, host);
-        // Most machines are ruled out by what could be evicted at best.
+        // Most machines are excluded because evicting all potential victims would not suffice.
         let mut most = free;
         victims.iter().for_each(|victim| most.add(&victim.attempt.demand));
         if !demand.fits(&most) {
@@ -118,7 +120,7 @@
         self.choose_victims(&target, victims, free)
     }
 
-    /// The attempts that may leave a machine, in the order of its list.
+    /// Returns the attempts that may leave a machine, in the order of its list.
     fn potential_victims<'a>(&self, target: &PreemptionTarget, host: &'a Host) -> Vec<Victim<'a>> {
         let PreemptionTarget { request, scope, planned, .. } = *target;
         let mut victims: Vec<Victim> = Vec::new();
@@ -136,8 +138,8 @@
         victims
     }
 
-    /// Chooses victims until the demand fits into `free` with what they leave: the least urgent
-    /// first; of those, the ones that lose least.
+    /// Chooses victims until the demand fits into `free` plus what they release: the least urgent first
+    /// and, among those, the ones that lose least. Returns `None` if the demand does not fit.
     fn choose_victims(
         &self,
         target: &PreemptionTarget,
@@ -156,7 +158,8 @@
             if demand.fits(&free) {
                 break;
             }
-            // The victims before it count: together they may be too much for its team.
+            // Checked again with the victims chosen so far: together they may take too much from their
+            // team.
             let may_be_stopped = may_be_stopped && self.may_evict(request.job_index, scope, attempt, &planned);
             let may_migrate = self.may_migrate(request.job_index, attempt, &planned);
             let destination = may_migrate.then(|| self.migration_target(host_index, attempt, &planned)).flatten();
@@ -178,7 +181,8 @@
         demand.fits(&free).then_some(PreemptionPlan { cost, evictions })
     }
 
-    /// The least urgent first, then what can still be in time, then the youngest.
+    /// Sorts the victims: the least urgent first, then those that can still meet their deadline, then the
+    /// youngest.
     fn sort_by_urgency(&self, victims: &mut [Victim]) {
         victims.sort_by_key(|victim| {
             let attempt = victim.attempt;
@@ -187,7 +191,7 @@
         });
     }
 
-    /// What was preempted lately comes last, and before that what loses most.
+    /// Sorts the victims by the work they lose, the smallest loss first; recently preempted ones come last.
     fn sort_by_loss(&self, victims: &mut Vec<Victim>, host_index: HostIndex) {
         let loss =
             |victim: &Victim| (self.gave_way_lately(victim.attempt.key.job), self.lost_s(victim.attempt, host_index));
@@ -196,7 +200,7 @@
         victims.extend(losses.into_iter().map(|(_, victim)| victim));
     }
 
-    /// `cost` with that of stopping an attempt for a job.
+    /// Returns `cost` plus the cost of stopping an attempt for a job.
     fn add_stop_cost(&self, job: JobIndex, cost: f64, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let other_team = self.cluster.jobs[attempt.key.job].spec.team != self.cluster.jobs[job].spec.team;
         if self.cluster.borrowing.is_some() && other_team {
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -1,5 +1,5 @@
-//! Warm reservations: replicas of a pool's models are placed on them first, and idle ones are given
-//! up for other work.
+//! Warm reservations: replicas of a pool's models are placed on them first, and idle ones are released for
+//! other work.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -7,17 +7,17 @@
 use crate::scheduling::task_requirements::ZoneCounts;
 use std::collections::{BTreeMap, HashSet};
 
-/// Warm reservations on a machine that may be given up together.
+/// Warm reservations on one machine that may be released together.
 struct YieldableReservations {
-    /// Their pool slots.
+    /// Pool slots of the reservations.
     slots: Vec<u64>,
-    /// So many more tasks fit then.
+    /// Number of additional tasks that fit after the release.
     tasks: usize,
 }
 
 impl SchedulingCycle<'_> {
-    /// Position of a reservation that is offered to replicas like those of this job: a warm one if there
-    /// is any.
+    /// Returns the position of a reservation that is offered to replicas like those of this job, preferably
+    /// a warm one.
     pub(super) fn reservation_for_replica(&self, request: &PlacementRequest, counts: &ZoneCounts) -> Option<usize> {
         if !request.is_service || self.cluster.warm_reservations.is_empty() {
             return None;
@@ -36,7 +36,7 @@
             .map(|(position, _)| position)
     }
 
-    /// Starts a task on the reservation at this position; returns its machine.
+    /// Starts a task on the reservation at this position and returns its machine.
     pub(super) fn claim_warm_reservation(&mut self, position: usize, key: TaskKey, attempt: u64) -> HostIndex {
         let WarmReservation { slot, host, .. } = self.remove_warm_reservation(position);
         self.start(key, host, attempt);
@@ -44,16 +44,16 @@
         host
     }
 
-    /// Removes a reservation, whose capacity is free then.
+    /// Removes a reservation, which makes its capacity free.
     fn remove_warm_reservation(&mut self, position: usize) -> WarmReservation {
         let reservation = self.cluster.warm_reservations.swap_remove(position);
         self.index.hosts[reservation.host].free.add(&reservation.demand);
         reservation
     }
 
-    /// Gives up idle reservations for a job that fits nowhere else, if it is more urgent than ordinary
-    /// work or within its team's guarantee. Those within their payer's guarantee are kept. True if there
-    /// is more free capacity now.
+    /// Releases idle reservations for a job that fits nowhere else, if it is more urgent than normal work
+    /// or within the guarantee of its team. Reservations within the guarantee of their payer are kept.
+    /// Returns whether capacity was released.
     pub(super) fn yield_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
         if !self.cluster.warm_reservations.iter().any(|reservation| reservation.may_yield) {
             return false;
@@ -66,7 +66,7 @@
         let pending = self.pending_tasks(request);
         let yieldable = self.yieldable_reservations(request);
         let all: usize = yieldable.iter().map(|on_host| on_host.tasks).sum();
-        // A gang that does not fit even then gains nothing.
+        // A gang that does not fit even after the release gains nothing.
         if spec.shape == Shape::Gang && all + self.tasks_in_free_capacity(request) < pending {
             return false;
         }
@@ -82,7 +82,8 @@
         self.give_up_reservations(&given_up)
     }
 
-    /// By machine, the reservations that may be given up for the job, and how many tasks that lets in.
+    /// Returns, for each machine where more tasks would then fit, the reservations that may be released for
+    /// the job.
     fn yieldable_reservations(&self, request: &PlacementRequest) -> Vec<YieldableReservations> {
         let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
@@ -96,7 +97,8 @@
             .collect()
     }
 
-    /// The reservations on one machine to give up for one or more tasks, if that lets any in.
+    /// Returns the reservations on one machine whose release makes one or more tasks fit, or `None` if none
+    /// would fit.
     fn yieldable_on_host(
         &self,
         request: &PlacementRequest,
@@ -112,7 +114,7 @@
         let mut free = self.index.free_for(self.cluster, host, request.job_index);
         let before = if demand.fits(&free) { free.tasks_that_fit(demand) } else { 0.0 };
         let mut slots = Vec::new();
-        // Cold ones first, and no more than one task needs.
+        // Cold reservations are released first, and no more of them than one task needs.
         reservations.sort_by_key(|reservation| (reservation.warm, reservation.slot));
         for reservation in reservations {
             free.add(&reservation.demand);
@@ -125,7 +127,7 @@
         None
     }
 
-    /// Tasks of the job that fit into capacity that is free as it is.
+    /// Returns how many tasks of the job fit into capacity that is already free.
     fn tasks_in_free_capacity(&self, request: &PlacementRequest) -> usize {
         let demand = &request.requirements.demand;
         let no_tasks = ZoneCounts::default();
@@ -138,8 +140,8 @@
             .sum()
     }
 
-    /// Pool slots whose reservations are within their payers' guarantees, beside what the payers' tasks
-    /// take.
+    /// Returns the pool slots of the reservations that are within the guarantee of their payer, given the
+    /// payer's running tasks.
     fn reservations_within_guarantees(&self) -> HashSet<u64> {
         let mut taken: BTreeMap<&str, Demand> = BTreeMap::new();
         let mut kept = HashSet::new();
@@ -163,7 +165,7 @@
         kept
     }
 
-    /// Gives up the reservations of these pool slots; false if there are none.
+    /// Releases the reservations of these pool slots. Returns `false` if there are none.
     fn give_up_reservations(&mut self, slots: &HashSet<u64>) -> bool {
         let next = |cycle: &Self| cycle.cluster.warm_reservations.iter().position(|one| slots.contains(&one.slot));
         while let Some(position) = next(self) {
@@ -171,7 +173,7 @@
             self.decisions.warm_reservations_given_up.push(reservation.slot);
         }
         if !slots.is_empty() {
-            // What fitted nowhere before may fit now.
+            // Tasks that fitted nowhere before may fit now.
             self.exhausted_requirements.clear();
             self.blocked.clear();
         }
