--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -2,7 +2,7 @@
 //! module decides this; without borrowing, every stop is an ordinary preemption.
 
 use super::SchedulingCycle;
-use super::planned_stops::{PlannedStops, stopped_together};
+use super::planned_stops::{PlannedStops, demand_lost_by_stop};
 use super::team_table::{TeamEntry, TeamTable};
 use crate::model::{BorrowingState, Demand, HostIndex, JobIndex, Shape, Spec, TaskAttempt, Urgency};
 use badgerdrift_borrowing::{Amounts, LoanKind, Refusal, StoppedWork};
@@ -11,7 +11,7 @@
 
 /// Cost of stopping a job that was recently preempted for a loan. It exceeds the other costs, so that any
 /// other job is stopped first.
-const GAVE_WAY_LATELY_COST: f64 = 1000.0;
+const RECENTLY_PREEMPTED_COST: f64 = 1000.0;
 
 /// Reason for stopping an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// Cached answers of the settings for one job: which work of each team may be stopped for it, by urgency.
 #[derive(Debug, Default)]
-struct Permits {
+struct PermissionCache {
     job: Option<JobIndex>,
     by_team: Vec<[Option<Result<(), Refusal>>; Urgency::COUNT]>,
 }
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy)]
 struct GuaranteeCheck {
     job: JobIndex,
-    changes: u64,
+    change_count: u64,
     within: bool,
 }
 
@@ -46,12 +46,12 @@
 #[derive(Debug, Default)]
 pub(super) struct BorrowingDecisions {
     pub(super) teams: TeamTable,
-    permits: RefCell<Permits>,
-    guarantee: Cell<Option<GuaranteeCheck>>,
+    permissions: RefCell<PermissionCache>,
+    guarantee_check: Cell<Option<GuaranteeCheck>>,
     /// Number of changes of usage and reservations in this cycle.
-    changes: Cell<u64>,
+    change_count: Cell<u64>,
     /// Reason why work of other teams was not stopped for the job examined last.
-    refused: Cell<Option<(JobIndex, Refusal)>>,
+    pending_refusal: Cell<Option<(JobIndex, Refusal)>>,
     /// The last refusal of each job examined before.
     refusals: BTreeMap<JobIndex, Refusal>,
 }
@@ -68,31 +68,31 @@
     }
 
     /// Stores the pending refusal under its job.
-    pub(super) fn keep_refusal(&mut self) {
-        if let Some((job, refusal)) = self.refused.take() {
+    pub(super) fn store_refusal(&mut self) {
+        if let Some((job, refusal)) = self.pending_refusal.take() {
             self.refusals.insert(job, refusal);
         }
     }
 
     /// Records that usage or reservations have changed, which invalidates the cached guarantee check.
-    pub(super) fn note_change(&self) {
-        self.changes.set(self.changes.get() + 1);
+    pub(super) fn record_change(&self) {
+        self.change_count.set(self.change_count.get() + 1);
     }
 
     /// Adds the demand of a started task to the usage of its team.
-    pub(super) fn started(&mut self, job: JobIndex, demand: Demand) {
-        self.note_change();
-        if let Some(team) = self.teams.of_mut(job) {
+    pub(super) fn record_start(&mut self, job: JobIndex, demand: Demand) {
+        self.record_change();
+        if let Some(team) = self.teams.team_mut(job) {
             team.share.in_use = team.share.in_use.plus(Amounts::from(demand));
         }
     }
 
     /// Subtracts stopped tasks of a job from the usage of its team, and updates the amounts lent or
-    /// borrowed. `each` is the demand of one task.
-    pub(super) fn stopped(&mut self, job: JobIndex, each: Demand, tasks: u32, cause: StopCause) {
-        self.note_change();
-        let amounts = Amounts::from(each).times(f64::from(tasks));
-        let Some(team) = self.teams.of_mut(job) else { return };
+    /// borrowed. `demand_per_task` is the demand of one task.
+    pub(super) fn record_stop(&mut self, job: JobIndex, demand_per_task: Demand, tasks: u32, cause: StopCause) {
+        self.record_change();
+        let amounts = Amounts::from(demand_per_task).times(f64::from(tasks));
+        let Some(team) = self.teams.team_mut(job) else { return };
         team.share.in_use = team.share.in_use.minus(amounts);
         match cause {
             StopCause::Loan(LoanKind::Borrowed) => team.lent = team.lent.plus(amounts),
@@ -118,12 +118,12 @@
         let Some(borrowing) = &self.cluster.borrowing else { return Ok(StopCause::Preemption) };
         if self.same_team(job_index, attempt.key.job) {
             Ok(StopCause::Preemption)
-        } else if self.reclaims(job_index, attempt, planned) {
+        } else if self.is_reclaim(job_index, attempt, planned) {
             Ok(StopCause::Reclaim)
         } else {
             let kind = self.loan_kind(borrowing, job_index, attempt.key.job, planned);
             if let Err(refusal) = kind {
-                self.borrowing.refused.set(Some((job_index, refusal)));
+                self.borrowing.pending_refusal.set(Some((job_index, refusal)));
             }
             kind.map(StopCause::Loan)
         }
@@ -139,16 +139,16 @@
 
     /// Returns whether both jobs belong to one team. Valid only with borrowing enabled.
     fn same_team(&self, job: JobIndex, other: JobIndex) -> bool {
-        self.borrowing.teams.team_of(job) == self.borrowing.teams.team_of(other)
+        self.borrowing.teams.team_index(job) == self.borrowing.teams.team_index(other)
     }
 
     /// Returns the amounts that the team of `victim` loses if a task of it is stopped in addition to the
     /// planned stops.
-    fn taken_with(&self, victim: JobIndex, planned: &PlannedStops) -> Amounts {
-        let team = self.borrowing.teams.of(victim);
+    fn taken_if_stopped(&self, victim: JobIndex, planned: &PlannedStops) -> Amounts {
+        let team = self.borrowing.teams.team(victim);
         let mut taken = planned.taken_from(self.cluster, &team.name);
-        if !planned.stops_whole(self.cluster, victim) {
-            taken.add(&stopped_together(self.cluster, victim));
+        if !planned.includes_whole_gang(self.cluster, victim) {
+            taken.add(&demand_lost_by_stop(self.cluster, victim));
         }
         Amounts::from(taken)
     }
@@ -156,8 +156,8 @@
     /// Returns whether the team of `victim` stays at or above its floor if a task of it, or the whole gang,
     /// is stopped in addition to the planned stops.
     fn keeps_floor(&self, victim: JobIndex, planned: &PlannedStops) -> bool {
-        planned.stops_whole(self.cluster, victim)
-            || self.borrowing.teams.of(victim).share.keeps_floor_without(self.taken_with(victim, planned))
+        planned.includes_whole_gang(self.cluster, victim)
+            || self.borrowing.teams.team(victim).share.keeps_floor_without(self.taken_if_stopped(victim, planned))
     }
 
     /// Returns the kind of loan that a stop of `victim` for the job would be.
@@ -182,11 +182,11 @@
         if self.starts_within_guarantee(job_index) {
             return Ok(LoanKind::Guaranteed);
         }
-        self.permitted(borrowing, job_index, victim)?;
-        let lender = self.borrowing.teams.of(victim);
-        let lent = lender.lent.plus(self.taken_with(victim, planned));
-        let within_most = Amounts::new(f64::INFINITY, lender.most_gpus).covers(lent);
-        if within_most { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
+        self.check_permission(borrowing, job_index, victim)?;
+        let lender = self.borrowing.teams.team(victim);
+        let lent = lender.lent.plus(self.taken_if_stopped(victim, planned));
+        let within_max = Amounts::new(f64::INFINITY, lender.max_lent_gpus).covers(lent);
+        if within_max { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
     }
 
     /// Checks whether the settings allow work of `victim` to be stopped for the job. Answers are cached by
@@ -195,33 +195,42 @@
     /// # Errors
     ///
     /// Returns the refusal of the settings.
-    fn permitted(&self, borrowing: &BorrowingState, job_index: JobIndex, victim: JobIndex) -> Result<(), Refusal> {
-        let mut permits = self.borrowing.permits.borrow_mut();
-        if permits.job != Some(job_index) {
-            permits.job = Some(job_index);
-            permits.by_team.clear();
-            permits.by_team.resize(self.borrowing.teams.len(), [None; Urgency::COUNT]);
+    fn check_permission(
+        &self,
+        borrowing: &BorrowingState,
+        job_index: JobIndex,
+        victim: JobIndex,
+    ) -> Result<(), Refusal> {
+        let mut permissions = self.borrowing.permissions.borrow_mut();
+        if permissions.job != Some(job_index) {
+            permissions.job = Some(job_index);
+            permissions.by_team.clear();
+            permissions.by_team.resize(self.borrowing.teams.len(), [None; Urgency::COUNT]);
         }
-        let (job, gives) = (&self.cluster.jobs[job_index], self.cluster.jobs[victim].urgency);
-        let known = &mut permits.by_team[self.borrowing.teams.team_of(victim)][gives as usize];
-        *known.get_or_insert_with(|| {
-            let lender = &self.borrowing.teams.of(victim).name;
-            borrowing.settings.permits(lender, gives.into(), &job.spec.team, job.urgency.into())
+        let (job, victim_urgency) = (&self.cluster.jobs[job_index], self.cluster.jobs[victim].urgency);
+        let permission = &mut permissions.by_team[self.borrowing.teams.team_index(victim)][victim_urgency as usize];
+        *permission.get_or_insert_with(|| {
+            let lender = &self.borrowing.teams.team(victim).name;
+            borrowing.settings.permits(lender, victim_urgency.into(), &job.spec.team, job.urgency.into())
         })
     }
 
     /// Returns whether the next start of the job, or of the whole gang, is within the guarantee of its
     /// team, given current usage and reservations.
     fn starts_within_guarantee(&self, job_index: JobIndex) -> bool {
-        let changes = self.borrowing.changes.get();
-        let known = self.borrowing.guarantee.get().filter(|known| known.job == job_index && known.changes == changes);
-        if let Some(known) = known {
-            return known.within;
+        let change_count = self.borrowing.change_count.get();
+        let cached = self
+            .borrowing
+            .guarantee_check
+            .get()
+            .filter(|cached| cached.job == job_index && cached.change_count == change_count);
+        if let Some(cached) = cached {
+            return cached.within;
         }
         let spec = &self.cluster.jobs[job_index].spec;
-        let together = if spec.shape == Shape::Gang { spec.tasks as usize } else { 1 };
-        let within = self.tasks_within_guarantee(spec, together) == together;
-        self.borrowing.guarantee.set(Some(GuaranteeCheck { job: job_index, changes, within }));
+        let started_together = if spec.shape == Shape::Gang { spec.tasks as usize } else { 1 };
+        let within = self.tasks_within_guarantee(spec, started_together) == started_together;
+        self.borrowing.guarantee_check.set(Some(GuaranteeCheck { job: job_index, change_count, within }));
         within
     }
 
@@ -229,21 +238,23 @@
     /// the attempt's team owes it capacity, that the job's team is below its floor and that the job starts
     /// within its guarantee. Anything that the debtor has borrowed, from any team, may then be stopped
     /// regardless of urgency while the debtor keeps its floor; of a service, one replica at a time.
-    fn reclaims(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
+    fn is_reclaim(&self, job_index: JobIndex, attempt: &TaskAttempt, planned: &PlannedStops) -> bool {
         let teams = &self.borrowing.teams;
-        let lender = teams.of(job_index);
+        let lender = teams.team(job_index);
         let victim = attempt.key.job;
-        if !lender.debtors.contains(&teams.team_of(victim)) || !lacks(lender, &self.cluster.jobs[job_index].spec) {
+        if !lender.debtors.contains(&teams.team_index(victim))
+            || !is_below_floor_for(lender, &self.cluster.jobs[job_index].spec)
+        {
             return false;
         }
-        let borrower = teams.of(victim);
-        let back = Amounts::from(planned.taken_from(self.cluster, &borrower.name));
-        let owes_more = !borrower.borrowed.beyond(back).is_nothing();
+        let borrower = teams.team(victim);
+        let returned = Amounts::from(planned.taken_from(self.cluster, &borrower.name));
+        let still_owes = !borrower.borrowed.beyond(returned).is_nothing();
         let is_service = self.cluster.jobs[victim].spec.shape == Shape::Service;
-        owes_more
+        still_owes
             && self.starts_within_guarantee(job_index)
             && self.keeps_floor(victim, planned)
-            && (!is_service || self.service_stays_up(victim, planned))
+            && (!is_service || self.no_other_replica_stops(victim, planned))
     }
 
     /// Returns whether work of other teams could be stopped for the job regardless of urgency, because they
@@ -252,33 +263,33 @@
         if self.cluster.borrowing.is_none() {
             return false;
         }
-        let lender = self.borrowing.teams.of(job_index);
-        !lender.debtors.is_empty() && lacks(lender, &self.cluster.jobs[job_index].spec)
+        let lender = self.borrowing.teams.team(job_index);
+        !lender.debtors.is_empty() && is_below_floor_for(lender, &self.cluster.jobs[job_index].spec)
     }
 
     /// Returns whether no other replica of the service is being stopped or planned to be.
-    fn service_stays_up(&self, service: JobIndex, planned: &PlannedStops) -> bool {
+    fn no_other_replica_stops(&self, service: JobIndex, planned: &PlannedStops) -> bool {
         let stops = |host: HostIndex| {
             let attempts = self.cluster.host(host).map_or(&[][..], |host| &host.attempts);
             attempts.iter().any(|own| own.key.job == service && !own.ended() && own.stop.is_some())
         };
-        !planned.includes(service) && !self.index.hosts_of(service).any(stops)
+        !planned.includes_job(service) && !self.index.hosts_of(service).any(stops)
     }
 
     /// Returns by how much the job's team is below its floor, in whole accelerators, or in CPUs if it lacks
     /// no accelerators. It is 0 if the team lends nothing. Of several lenders, the one with the largest
     /// shortfall is placed first.
-    pub(super) fn shortfall_rank(&self, job_index: JobIndex) -> u64 {
+    pub(super) fn floor_shortfall(&self, job_index: JobIndex) -> u64 {
         if self.cluster.borrowing.is_none() {
             return 0;
         }
-        let team = self.borrowing.teams.of(job_index);
+        let team = self.borrowing.teams.team(job_index);
         if team.lent.is_nothing() {
             return 0;
         }
         let shortfall = team.share.shortfall();
-        let lacking = if shortfall.gpus > 0.0 { shortfall.gpus } else { shortfall.cpus };
-        lacking.ceil() as u64
+        let missing = if shortfall.gpus > 0.0 { shortfall.gpus } else { shortfall.cpus };
+        missing.ceil() as u64
     }
 
     /// Returns how many tasks of the job are placed first because their lent capacity is being returned.
@@ -288,7 +299,7 @@
     }
 
     /// Returns whether the job was recently preempted for a loan.
-    pub(super) fn gave_way_lately(&self, job_index: JobIndex) -> bool {
+    pub(super) fn recently_preempted_for_loan(&self, job_index: JobIndex) -> bool {
         self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
     }
 
@@ -311,16 +322,17 @@
     /// duration of one worker lease costs as much as one stopped task.
     pub(super) fn loan_cost(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let lease_s = self.policy.lease_ms as f64 / 1000.0;
-        let gave_way_lately = if self.gave_way_lately(attempt.key.job) { GAVE_WAY_LATELY_COST } else { 0.0 };
-        gave_way_lately + self.lost_s(attempt, host_index) / lease_s
+        let recent_preemption_cost =
+            if self.recently_preempted_for_loan(attempt.key.job) { RECENTLY_PREEMPTED_COST } else { 0.0 };
+        recent_preemption_cost + self.lost_s(attempt, host_index) / lease_s
     }
 
     /// Returns how many more tasks of this kind the limit of the team allows in addition to usage and
     /// reservations, at most `max_tasks`.
-    pub(super) fn tasks_within_limit(&self, spec: &Spec, most: usize) -> usize {
+    pub(super) fn tasks_within_limit(&self, spec: &Spec, max_tasks: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
         if team.limit.cpus == f64::INFINITY && team.limit.gpus == f64::INFINITY {
-            return most;
+            return max_tasks;
         }
         let mut taken = self.index.usage.get(&spec.team).copied().unwrap_or_default();
         taken.add(&self.unlocated_demand.get(&spec.team).copied().unwrap_or_default());
@@ -328,13 +340,13 @@
         let mut left = team.limit;
         left.sub(&taken);
         let fits = left.tasks_that_fit(&Demand { mem: 0.0, ..spec.demand });
-        if fits.is_finite() { most.min(fits as usize) } else { most }
+        if fits.is_finite() { max_tasks.min(fits as usize) } else { max_tasks }
     }
 }
 
 /// Returns whether the team is below its floor in any resource that the job uses.
-fn lacks(team: &TeamEntry, job: &Spec) -> bool {
+fn is_below_floor_for(team: &TeamEntry, job: &Spec) -> bool {
     let shortfall = team.share.shortfall();
-    let lacks = |lacking: f64, taken: f64| lacking > 0.0 && taken > 0.0;
-    lacks(shortfall.gpus, job.demand.gpus) || lacks(shortfall.cpus, job.demand.cpus)
+    let is_short = |missing: f64, needed: f64| missing > 0.0 && needed > 0.0;
+    is_short(shortfall.gpus, job.demand.gpus) || is_short(shortfall.cpus, job.demand.cpus)
 }
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -1,7 +1,7 @@
 //! Checks of the limits and guarantees of teams.
 
 use super::SchedulingCycle;
-use super::planned_stops::{PlannedStops, stopped_together};
+use super::planned_stops::{PlannedStops, demand_lost_by_stop};
 use crate::model::{Demand, Job, JobIndex, Shape, Spec, Urgency};
 
 /// Tolerance for rounding errors in sums of decimal amounts.
@@ -86,14 +86,14 @@
     /// capacity from each other repeatedly. For this reason the check covers each amount that
     /// [`Self::within_guarantee`] covers, and counts a whole gang, as a gang stops as a whole.
     pub(super) fn beyond_guarantee(&self, victim_job: JobIndex, planned: &PlannedStops) -> bool {
-        if planned.stops_whole(self.cluster, victim_job) {
+        if planned.includes_whole_gang(self.cluster, victim_job) {
             return true;
         }
         let victim = &self.cluster.jobs[victim_job].spec;
         let Some(team) = self.policy.teams.get(&victim.team) else { return false };
         let mut kept = self.index.staying.get(&victim.team).copied().unwrap_or_default();
         kept.sub(&planned.taken_from(self.cluster, &victim.team));
-        kept.sub(&stopped_together(self.cluster, victim_job));
+        kept.sub(&demand_lost_by_stop(self.cluster, victim_job));
         let guarantee = &team.guarantee;
         let covers_cpus = guarantee.cpus > 0.0;
         let counts_gpus = victim.demand.gpus > 0.0 || !covers_cpus;
--- a/src/scheduling/cycle/migration.rs
+++ b/src/scheduling/cycle/migration.rs
@@ -24,7 +24,7 @@
             let host = &self.index.hosts[host_index];
             let mut free = host.free;
             free.sub(&host.reserved);
-            host.usable && host_index != from && spec.demand.fits(&planned.left_of(free, host_index))
+            host.usable && host_index != from && spec.demand.fits(&planned.free_after_earmarks(free, host_index))
         };
         let warm = self.index.warm(self.cluster, &spec.image);
         let mut targets = warm.iter().copied().filter(|host_index| has_capacity(*host_index)).peekable();
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -209,7 +209,7 @@
 
     /// Completes the decisions and records in the cluster state what the next cycle needs.
     fn finish(mut self) -> (CycleDecisions, Index) {
-        self.borrowing.keep_refusal();
+        self.borrowing.store_refusal();
         if !self.decisions.pending_jobs.is_empty() {
             self.cluster.last_pending_ms = self.now;
         }
@@ -228,10 +228,10 @@
     fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
         let mut gang_leads = false;
         for QueuedJob { job_index, tier } in self.queue(least) {
-            self.borrowing.keep_refusal();
+            self.borrowing.store_refusal();
             let request = PlacementRequest { tier, ..self.request(job_index) };
             if self.place(&request, attempt)
-                || (self.yield_warm_reservations(&request) && self.place(&request, attempt))
+                || (self.release_warm_reservations(&request) && self.place(&request, attempt))
             {
                 continue;
             }
--- a/src/scheduling/cycle/planned_stops.rs
+++ b/src/scheduling/cycle/planned_stops.rs
@@ -30,10 +30,10 @@
 impl PlannedStops {
     /// Plans to stop a task of the job. A gang stops as a whole, so only its first task counts.
     pub(super) fn add(&mut self, cluster: &ClusterState, job: JobIndex) {
-        if self.stops_whole(cluster, job) {
+        if self.includes_whole_gang(cluster, job) {
             return;
         }
-        let taken = stopped_together(cluster, job);
+        let taken = demand_lost_by_stop(cluster, job);
         self.stopped.push(PlannedStop { job, taken });
     }
 
@@ -43,19 +43,19 @@
     }
 
     /// Returns the `free` capacity of a machine less what is earmarked there.
-    pub(super) fn left_of(&self, mut free: Demand, host: HostIndex) -> Demand {
+    pub(super) fn free_after_earmarks(&self, mut free: Demand, host: HostIndex) -> Demand {
         let there = self.earmarked.iter().filter(|earmarked| earmarked.host == host);
         there.for_each(|earmarked| free.sub(&earmarked.demand));
         free
     }
 
     /// Returns whether the job is a gang that is already planned to be stopped.
-    pub(super) fn stops_whole(&self, cluster: &ClusterState, job: JobIndex) -> bool {
-        cluster.jobs[job].spec.shape == Shape::Gang && self.includes(job)
+    pub(super) fn includes_whole_gang(&self, cluster: &ClusterState, job: JobIndex) -> bool {
+        cluster.jobs[job].spec.shape == Shape::Gang && self.includes_job(job)
     }
 
     /// Returns whether a task of the job is planned to be stopped.
-    pub(super) fn includes(&self, job: JobIndex) -> bool {
+    pub(super) fn includes_job(&self, job: JobIndex) -> bool {
         self.stopped.iter().any(|stop| stop.job == job)
     }
 
@@ -70,7 +70,7 @@
 
 /// Returns the demand that a job's team loses when a task of the job is stopped: that of one task, or of
 /// the whole gang.
-pub(super) fn stopped_together(cluster: &ClusterState, job: JobIndex) -> Demand {
+pub(super) fn demand_lost_by_stop(cluster: &ClusterState, job: JobIndex) -> Demand {
     let spec = &cluster.jobs[job].spec;
     let tasks = if spec.shape == Shape::Gang { spec.tasks } else { 1 };
     spec.demand.times(f64::from(tasks))
--- a/src/scheduling/cycle/preemption_orders.rs
+++ b/src/scheduling/cycle/preemption_orders.rs
@@ -27,8 +27,8 @@
     ) {
         let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
         for Eviction { attempt, destination } in evictions {
-            if let Some(to) = destination {
-                self.reserve(*to, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
+            if let Some(destination_host) = destination {
+                self.reserve(*destination_host, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
             }
             let cause = match destination {
                 Some(_) => Ok(StopCause::Move),
@@ -60,23 +60,23 @@
     fn stop(&mut self, host_index: HostIndex, attempt: &TaskAttempt, order: &StopOrder) {
         let job_index = attempt.key.job;
         let spec = &self.cluster.jobs[job_index].spec;
-        let each = spec.demand;
+        let demand_per_task = spec.demand;
         let whole_gang = spec.shape == Shape::Gang;
-        let tasks_together = if whole_gang { spec.tasks } else { 1 };
+        let tasks_stopped_together = if whole_gang { spec.tasks } else { 1 };
         let mut hosts: Vec<HostIndex> =
             if whole_gang { self.index.hosts_of(job_index).collect() } else { vec![host_index] };
         hosts.sort_unstable();
         hosts.dedup();
-        let lost_s = self.lost_s(attempt, host_index) / f64::from(tasks_together);
+        let lost_s = self.lost_s(attempt, host_index) / f64::from(tasks_stopped_together);
         let mut stopped = 0;
         for host in hosts {
-            let same = |other: &TaskAttempt| {
+            let is_this_attempt = |other: &TaskAttempt| {
                 host == host_index && other.key == attempt.key && other.attempt == attempt.attempt
             };
-            let is_stopped = |other: &TaskAttempt| same(other) || (whole_gang && other.key.job == job_index);
+            let is_stopped = |other: &TaskAttempt| is_this_attempt(other) || (whole_gang && other.key.job == job_index);
             stopped += self.stop_on_host(host, is_stopped, order, lost_s);
         }
-        self.borrowing.stopped(job_index, each, stopped, order.cause);
+        self.borrowing.record_stop(job_index, demand_per_task, stopped, order.cause);
     }
 
     /// Orders the stops of the matching attempts on a machine and returns their number. Each loses `lost_s`
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -70,7 +70,7 @@
     fn queue_ranks(&self, job_index: JobIndex) -> impl Iterator<Item = QueueRank> {
         let job = &self.cluster.jobs[job_index];
         let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
-        let shortfall = self.shortfall_rank(job_index);
+        let shortfall = self.floor_shortfall(job_index);
         let rank = move |tier: QueueTier| QueueRank {
             returned: Reverse(tier == QueueTier::Returned),
             urgency: Reverse(job.urgency),
--- a/src/scheduling/cycle/reservations.rs
+++ b/src/scheduling/cycle/reservations.rs
@@ -16,7 +16,7 @@
 impl SchedulingCycle<'_> {
     /// Reserves capacity on a machine.
     pub(super) fn reserve(&mut self, host_index: HostIndex, reservation: Reservation) {
-        self.borrowing.note_change();
+        self.borrowing.record_change();
         if let Some(host) = self.cluster.host_mut(host_index) {
             let before = host.reservations.clone();
             host.reservations.push(reservation);
@@ -29,7 +29,7 @@
         if self.index.reservations_of(job_index) == 0 {
             return;
         }
-        self.borrowing.note_change();
+        self.borrowing.record_change();
         for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
             let Some(host) = host.as_mut().filter(|host| reserved_for(host, job_index)) else { continue };
             let before = host.reservations.clone();
@@ -45,7 +45,7 @@
         if self.index.reservations_of(request.job_index) == 0 {
             return 0;
         }
-        self.borrowing.note_change();
+        self.borrowing.record_change();
         let mut kept = 0;
         for host_index in 0..self.index.hosts.len() {
             if self.index.hosts[host_index].reservations == 0 {
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -35,7 +35,7 @@
         task.located = true;
         job.image_wait_until_ms = 0;
         self.index.start(&job.spec, key.job, host_index);
-        self.borrowing.started(key.job, job.spec.demand);
+        self.borrowing.record_start(key.job, job.spec.demand);
         let (image, image_gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
         let reservation = self.usable_reservation(key, host_index);
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -18,7 +18,7 @@
     /// Amounts that the team lends, including loans decided in this cycle.
     pub(super) lent: Amounts,
     /// Maximum number of accelerators that the team lends.
-    pub(super) most_gpus: f64,
+    pub(super) max_lent_gpus: f64,
     /// Amounts that the team has borrowed, less those taken back in this cycle.
     pub(super) borrowed: Amounts,
     /// Teams that owe capacity to this team.
@@ -29,26 +29,28 @@
 #[derive(Debug, Default)]
 pub(super) struct TeamTable {
     teams: Vec<TeamEntry>,
-    of_job: Vec<TeamIndex>,
+    team_of_job: Vec<TeamIndex>,
 }
 
 impl TeamTable {
     /// Computes what teams use and owe. The table is empty without borrowing.
     pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
-        let mut numbers: HashMap<&str, TeamIndex> = HashMap::new();
+        let mut team_indices: HashMap<&str, TeamIndex> = HashMap::new();
         let mut teams = Vec::new();
         let names = cluster.jobs.iter().map(|job| job.spec.team.as_str());
-        let of_job = names
+        let team_of_job = names
             .map(|name| {
-                *numbers.entry(name).or_insert_with(|| {
-                    teams.push(entry(name, borrowing, policy, index));
+                *team_indices.entry(name).or_insert_with(|| {
+                    teams.push(team_entry(name, borrowing, policy, index));
                     teams.len() - 1
                 })
             })
             .collect();
         for ((lender, borrower), owed) in &borrowing.owed {
-            let (Some(lender), Some(borrower)) = (numbers.get(lender.as_str()), numbers.get(borrower.as_str())) else {
+            let (Some(lender), Some(borrower)) =
+                (team_indices.get(lender.as_str()), team_indices.get(borrower.as_str()))
+            else {
                 continue;
             };
             if !owed.is_nothing() {
@@ -56,22 +58,22 @@
                 teams[*borrower].borrowed = teams[*borrower].borrowed.plus(*owed);
             }
         }
-        TeamTable { teams, of_job }
+        TeamTable { teams, team_of_job }
     }
 
     /// Returns the index of a job's team.
-    pub(super) fn team_of(&self, job: JobIndex) -> TeamIndex {
-        self.of_job[job]
+    pub(super) fn team_index(&self, job: JobIndex) -> TeamIndex {
+        self.team_of_job[job]
     }
 
     /// Returns the team of a job.
-    pub(super) fn of(&self, job: JobIndex) -> &TeamEntry {
-        &self.teams[self.of_job[job]]
+    pub(super) fn team(&self, job: JobIndex) -> &TeamEntry {
+        &self.teams[self.team_of_job[job]]
     }
 
     /// Returns the team of a job for modification, or `None` without borrowing.
-    pub(super) fn of_mut(&mut self, job: JobIndex) -> Option<&mut TeamEntry> {
-        let team = *self.of_job.get(job)?;
+    pub(super) fn team_mut(&mut self, job: JobIndex) -> Option<&mut TeamEntry> {
+        let team = *self.team_of_job.get(job)?;
         self.teams.get_mut(team)
     }
 
@@ -81,15 +83,15 @@
     }
 }
 
-fn entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
-    let of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
+fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
+    let amounts_of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
     let guarantee = policy.teams.get(name).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default();
     let in_use = index.staying.get(name).copied().map(Amounts::from).unwrap_or_default();
     TeamEntry {
         name: name.to_string(),
-        share: TeamShare { guarantee, runnable: of(&borrowing.runnable), in_use },
-        lent: of(&borrowing.lent),
-        most_gpus: borrowing.settings.most_gpus(name, guarantee),
+        share: TeamShare { guarantee, runnable: amounts_of(&borrowing.runnable), in_use },
+        lent: amounts_of(&borrowing.lent),
+        max_lent_gpus: borrowing.settings.most_gpus(name, guarantee),
         borrowed: Amounts::default(),
         debtors: Vec::new(),
     }
--- a/src/scheduling/cycle/victims.rs
+++ b/src/scheduling/cycle/victims.rs
@@ -101,7 +101,7 @@
     ) -> Option<PreemptionPlan> {
         self.hosts_examined.set(self.hosts_examined.get() + 1);
         let host = self.cluster.host(host_index)?;
-        let mut free = planned.left_of(self.index.hosts[host_index].free, host_index);
+        let mut free = planned.free_after_earmarks(self.index.hosts[host_index].free, host_index);
         for attempt in host.attempts.iter().filter(|attempt| !attempt.ended() && attempt.stop.is_some()) {
             free.add(&attempt.demand);
         }
@@ -193,8 +193,9 @@
 
     /// Sorts the victims by the work they lose, the smallest loss first; recently preempted ones come last.
     fn sort_by_loss(&self, victims: &mut Vec<Victim>, host_index: HostIndex) {
-        let loss =
-            |victim: &Victim| (self.gave_way_lately(victim.attempt.key.job), self.lost_s(victim.attempt, host_index));
+        let loss = |victim: &Victim| {
+            (self.recently_preempted_for_loan(victim.attempt.key.job), self.lost_s(victim.attempt, host_index))
+        };
         let mut losses: Vec<((bool, f64), Victim)> = victims.drain(..).map(|victim| (loss(&victim), victim)).collect();
         losses.sort_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         victims.extend(losses.into_iter().map(|(_, victim)| victim));
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 /// Warm reservations on one machine that may be released together.
-struct YieldableReservations {
+struct ReleasableReservations {
     /// Pool slots of the reservations.
     slots: Vec<u64>,
     /// Number of additional tasks that fit after the release.
@@ -54,7 +54,7 @@
     /// Releases idle reservations for a job that fits nowhere else, if it is more urgent than normal work
     /// or within the guarantee of its team. Reservations within the guarantee of their payer are kept.
     /// Returns whether capacity was released.
-    pub(super) fn yield_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
+    pub(super) fn release_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
         if !self.cluster.warm_reservations.iter().any(|reservation| reservation.may_yield) {
             return false;
         }
@@ -64,47 +64,48 @@
             return false;
         }
         let pending = self.pending_tasks(request);
-        let yieldable = self.yieldable_reservations(request);
-        let all: usize = yieldable.iter().map(|on_host| on_host.tasks).sum();
+        let releasable = self.releasable_reservations(request);
+        let releasable_tasks: usize = releasable.iter().map(|on_host| on_host.tasks).sum();
         // A gang that does not fit even after the release gains nothing.
-        if spec.shape == Shape::Gang && all + self.tasks_in_free_capacity(request) < pending {
+        if spec.shape == Shape::Gang && releasable_tasks + self.tasks_in_free_capacity(request) < pending {
             return false;
         }
-        let mut left = pending;
-        let mut given_up = HashSet::new();
-        for on_host in yieldable {
-            if left == 0 {
+        let mut remaining = pending;
+        let mut slots_to_release = HashSet::new();
+        for on_host in releasable {
+            if remaining == 0 {
                 break;
             }
-            left = left.saturating_sub(on_host.tasks);
-            given_up.extend(on_host.slots);
+            remaining = remaining.saturating_sub(on_host.tasks);
+            slots_to_release.extend(on_host.slots);
         }
-        self.give_up_reservations(&given_up)
+        self.release_slots(&slots_to_release)
     }
 
     /// Returns, for each machine where more tasks would then fit, the reservations that may be released for
     /// the job.
-    fn yieldable_reservations(&self, request: &PlacementRequest) -> Vec<YieldableReservations> {
+    fn releasable_reservations(&self, request: &PlacementRequest) -> Vec<ReleasableReservations> {
         let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
         let reservations = self.cluster.warm_reservations.iter();
-        for reservation in reservations.filter(|one| one.may_yield && !kept.contains(&one.slot)) {
+        for reservation in reservations.filter(|reservation| reservation.may_yield && !kept.contains(&reservation.slot))
+        {
             by_host.entry(reservation.host).or_default().push(reservation);
         }
         by_host
             .into_iter()
-            .filter_map(|(host, reservations)| self.yieldable_on_host(request, host, reservations))
+            .filter_map(|(host, reservations)| self.releasable_on_host(request, host, reservations))
             .collect()
     }
 
     /// Returns the reservations on one machine whose release makes one or more tasks fit, or `None` if none
     /// would fit.
-    fn yieldable_on_host(
+    fn releasable_on_host(
         &self,
         request: &PlacementRequest,
         host: HostIndex,
         mut reservations: Vec<&WarmReservation>,
-    ) -> Option<YieldableReservations> {
+    ) -> Option<ReleasableReservations> {
         let demand = &request.requirements.demand;
         if !request.requirements.accepts(&self.index.hosts[host], &ZoneCounts::default())
             || request.avoided_hosts.contains(&host)
@@ -121,7 +122,7 @@
             slots.push(reservation.slot);
             if demand.fits(&free) && free.tasks_that_fit(demand) > before {
                 let tasks = (free.tasks_that_fit(demand) - before) as usize;
-                return Some(YieldableReservations { slots, tasks });
+                return Some(ReleasableReservations { slots, tasks });
             }
         }
         None
@@ -166,8 +167,10 @@
     }
 
     /// Releases the reservations of these pool slots. Returns `false` if there are none.
-    fn give_up_reservations(&mut self, slots: &HashSet<u64>) -> bool {
-        let next = |cycle: &Self| cycle.cluster.warm_reservations.iter().position(|one| slots.contains(&one.slot));
+    fn release_slots(&mut self, slots: &HashSet<u64>) -> bool {
+        let next = |cycle: &Self| {
+            cycle.cluster.warm_reservations.iter().position(|reservation| slots.contains(&reservation.slot))
+        };
         while let Some(position) = next(self) {
             let reservation = self.remove_warm_reservation(position);
             self.decisions.warm_reservations_given_up.push(reservation.slot);
