--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -337,9 +337,9 @@
         let mut taken = self.index.usage.get(&spec.team).copied().unwrap_or_default();
         taken.add(&self.unlocated_demand.get(&spec.team).copied().unwrap_or_default());
         taken.add(&self.reserved_by_team(&spec.team));
-        let mut left = team.limit;
-        left.sub(&taken);
-        let fits = left.tasks_that_fit(&Demand { mem: 0.0, ..spec.demand });
+        let mut remaining = team.limit;
+        remaining.sub(&taken);
+        let fits = remaining.tasks_that_fit(&Demand { mem: 0.0, ..spec.demand });
         if fits.is_finite() { max_tasks.min(fits as usize) } else { max_tasks }
     }
 }
--- a/src/scheduling/cycle/candidates.rs
+++ b/src/scheduling/cycle/candidates.rs
@@ -31,7 +31,7 @@
         }
         if found.is_empty()
             && !request.has_reservation
-            && !request.without_accelerators
+            && !request.must_avoid_accelerators
             && request.avoided_hosts.is_empty()
         {
             self.exhausted_requirements.push(request.requirements.clone());
@@ -44,7 +44,7 @@
         request.requirements.demand.fits(&host.free)
             && request.requirements.accepts(host, &ZoneCounts::default())
             && !request.avoided_hosts.contains(&host_index)
-            && !(request.without_accelerators && self.strands_accelerators(request, host))
+            && !(request.must_avoid_accelerators && self.strands_accelerators(request, host))
             && (host.reservations == 0
                 || request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index)))
     }
@@ -82,9 +82,9 @@
     ) {
         let Some(position) = candidates.iter().position(|candidate| candidate.host == host_index) else { return };
         let fits = request.requirements.demand.fits(&self.index.free_for(self.cluster, host_index, request.job_index));
-        let stranding =
-            || request.without_accelerators && self.strands_accelerators(request, &self.index.hosts[host_index]);
-        if fits && !stranding() {
+        let strands =
+            || request.must_avoid_accelerators && self.strands_accelerators(request, &self.index.hosts[host_index]);
+        if fits && !strands() {
             candidates[position].cost = self.cost(request, host_index);
         } else {
             candidates.remove(position);
--- a/src/scheduling/cycle/cost.rs
+++ b/src/scheduling/cycle/cost.rs
@@ -31,9 +31,9 @@
 
 /// Returns the difference between the largest and the smallest free share of the resources in `cap`.
 fn imbalance(free: &Demand, cap: &Demand) -> f64 {
-    let (least, most) =
-        free.shares(cap).fold((1.0f64, 0.0f64), |(least, most), share| (least.min(share), most.max(share)));
-    most - least
+    let (smallest, largest) =
+        free.shares(cap).fold((1.0f64, 0.0f64), |(smallest, largest), share| (smallest.min(share), largest.max(share)));
+    largest - smallest
 }
 
 impl SchedulingCycle<'_> {
@@ -77,7 +77,7 @@
     fn delay_cost(&self, request: &PlacementRequest, host_index: HostIndex) -> f64 {
         let fetch_s = self.fetch_s(request, host_index);
         let left_s = request.objective_left_s.unwrap_or(request.slack_s.max(0.0));
-        let mut cost = fetch_s / request.within_s;
+        let mut cost = fetch_s / request.start_within_s;
         cost += LATE_START_COST * late_probability(fetch_s, left_s);
         cost + request.guarantee_left_s.map_or(0.0, |left_s| LATE_START_COST * late_probability(fetch_s, left_s))
     }
--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -32,45 +32,45 @@
     /// and reserves the capacity. Work of equal urgency is stopped only for as many tasks as the guarantee
     /// covers.
     pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
-        let scope = self.scope(request);
-        if self.known_blocked(request, scope) {
+        let scope = self.preemption_scope(request);
+        if self.is_known_blocked(request, scope) {
             return;
         }
         let mut counts = self.index.counts(request.job_index);
         let pending = self.pending_tasks(request);
-        let mut left = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
+        let mut remaining = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
         if self.cluster.borrowing.is_some() {
-            left = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, left);
-            left -= self.tasks_covered_by_releases(request, left);
+            remaining = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, remaining);
+            remaining -= self.tasks_covered_by_releases(request, remaining);
         }
         let guaranteed = match scope {
             PreemptionScope::None => 0,
-            _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, left),
+            _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, remaining),
         };
         let tasks_to_preempt_for = match scope {
             PreemptionScope::RecentlyStarted => guaranteed - self.tasks_covered_by_releases(request, guaranteed),
             _ => guaranteed,
         };
-        self.preempt_within(request, scope, &mut counts, tasks_to_preempt_for);
+        self.preempt_in_scope(request, scope, &mut counts, tasks_to_preempt_for);
         if request.tier == QueueTier::Ordinary {
-            self.preempt_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
+            self.preempt_in_scope(request, PreemptionScope::None, &mut counts, remaining - guaranteed);
         }
     }
 
     /// Preempts for `tasks` tasks; work of equal urgency may be stopped as far as `scope` allows.
-    fn preempt_within(
+    fn preempt_in_scope(
         &mut self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         counts: &mut ZoneCounts,
         tasks: usize,
     ) {
-        if tasks == 0 || self.known_blocked(request, scope) {
+        if tasks == 0 || self.is_known_blocked(request, scope) {
             return;
         }
         let mut costs = self.preemption_costs(request, scope);
-        if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
-            self.note_blocked(request, scope);
+        if costs.is_empty() && !request.must_avoid_accelerators && request.avoided_hosts.is_empty() {
+            self.record_blocked(request, scope);
         }
         // Ordered by descending cost, so that the cheapest candidate is popped first.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
@@ -79,9 +79,9 @@
 
     /// Returns whether preemption was already found useless for a similar job in this cycle; it is then not
     /// tried again.
-    pub(super) fn known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
+    pub(super) fn is_known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
         let job = &self.cluster.jobs[request.job_index];
-        self.blocked.iter().any(|blocked| {
+        self.blocked_requirements.iter().any(|blocked| {
             blocked.urgency >= job.urgency
                 && blocked.team == job.spec.team
                 && blocked.scope >= scope
@@ -91,12 +91,12 @@
     }
 
     /// Records that preemption is useless for jobs similar to this one.
-    pub(super) fn note_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
+    pub(super) fn record_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
         let job = &self.cluster.jobs[request.job_index];
         let (urgency, team) = (job.urgency, job.spec.team.clone());
         // With this scope, the machines on which a job may preempt also depend on its image.
         let image = (scope == PreemptionScope::RecentlyStarted).then(|| request.image.clone());
-        self.blocked.push(BlockedRequirements {
+        self.blocked_requirements.push(BlockedRequirements {
             requirements: request.requirements.clone(),
             urgency,
             team,
@@ -119,7 +119,7 @@
         let mut costs = Vec::new();
         for (host, host_info) in self.index.hosts.iter().enumerate() {
             let left_to_others =
-                request.without_accelerators && self.cluster.instance_types[host_info.instance_type].cap.gpus > 0.0;
+                request.must_avoid_accelerators && self.cluster.instance_types[host_info.instance_type].cap.gpus > 0.0;
             if !request.requirements.accepts(host_info, &no_tasks) || left_to_others {
                 continue;
             }
@@ -138,9 +138,9 @@
         scope: PreemptionScope,
         mut costs: Vec<Candidate>,
         counts: &mut ZoneCounts,
-        mut left: usize,
+        mut remaining: usize,
     ) {
-        while left > 0
+        while remaining > 0
             && let Some(Candidate { host, .. }) = costs.pop()
         {
             if !request.requirements.accepts(&self.index.hosts[host], counts) {
@@ -151,7 +151,7 @@
                 insert_by_cost(&mut costs, Candidate { cost: plan.cost, host });
                 continue;
             }
-            left -= 1;
+            remaining -= 1;
             counts.add(self.index.hosts[host].zone);
             self.execute_preemption(request, host, &plan.evictions);
             let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
@@ -206,6 +206,6 @@
 
 /// Inserts a candidate into a list that is ordered by descending cost.
 pub(super) fn insert_by_cost(costs: &mut Vec<Candidate>, candidate: Candidate) {
-    let at = costs.partition_point(|other| other.cost > candidate.cost);
-    costs.insert(at, candidate);
+    let position = costs.partition_point(|other| other.cost > candidate.cost);
+    costs.insert(position, candidate);
 }
--- a/src/scheduling/cycle/gang.rs
+++ b/src/scheduling/cycle/gang.rs
@@ -8,7 +8,7 @@
 
 impl SchedulingCycle<'_> {
     /// Starts all tasks of a gang or none. Returns `false` if there was not enough capacity.
-    pub(super) fn place_gang(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
+    pub(super) fn place_gang(&mut self, request: &PlacementRequest, next_attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
         let job = &self.cluster.jobs[job_index];
         // The next attempt waits until every task of the previous one has ended.
@@ -24,7 +24,7 @@
         let candidates = self.candidates(request);
         for zone in zones {
             if let Some(hosts) = self.gang_hosts(request, &candidates, zone) {
-                self.start_gang(request, hosts, attempt());
+                self.start_gang(request, hosts, next_attempt());
                 return true;
             }
         }
@@ -52,7 +52,7 @@
         zone: Option<usize>,
     ) -> Option<Vec<HostIndex>> {
         let tasks = self.cluster.jobs[request.job_index].spec.tasks as usize;
-        let saved = self.index.hosts.clone();
+        let saved_hosts = self.index.hosts.clone();
         let in_zone = |candidate: &Candidate| self.is_in_zone(candidate, zone);
         let mut candidates: Vec<_> = candidates.iter().copied().filter(in_zone).collect();
         let mut counts = ZoneCounts::default();
@@ -64,7 +64,7 @@
             self.refresh_candidate(request, &mut candidates, host);
             hosts.push(host);
         }
-        self.index.hosts = saved;
+        self.index.hosts = saved_hosts;
         (hosts.len() == tasks).then_some(hosts)
     }
 
--- a/src/scheduling/cycle/gang_preemption.rs
+++ b/src/scheduling/cycle/gang_preemption.rs
@@ -25,19 +25,19 @@
     /// and reserves the capacity. With less capacity the gang could not start, and the stopped work would
     /// restart and be stopped again and again.
     pub(super) fn free_capacity_for_gang(&mut self, request: &PlacementRequest) {
-        let scope = self.scope(request);
+        let scope = self.preemption_scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks as usize;
         let all_pending = self.pending_tasks(request) == tasks;
         let has_reservations = self.index.reservations_of(request.job_index) > 0;
-        if !all_pending || has_reservations || self.known_blocked(request, scope) {
+        if !all_pending || has_reservations || self.is_known_blocked(request, scope) {
             return;
         }
         if scope == PreemptionScope::RecentlyStarted && self.tasks_covered_by_releases(request, tasks) == tasks {
             return;
         }
         let costs = self.preemption_costs(request, scope);
-        if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
-            self.note_blocked(request, scope);
+        if costs.is_empty() && !request.must_avoid_accelerators && request.avoided_hosts.is_empty() {
+            self.record_blocked(request, scope);
         }
         for zone in self.zones_to_try(request) {
             let in_zone = |candidate: &&Candidate| self.is_in_zone(candidate, zone);
@@ -60,23 +60,24 @@
     ) -> Option<Vec<PlannedCapacity>> {
         // Ordered by descending cost, so that the cheapest candidate is popped first.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        let mut left = self.cluster.jobs[request.job_index].spec.tasks;
+        let mut remaining = self.cluster.jobs[request.job_index].spec.tasks;
         let mut counts = ZoneCounts::default();
         let mut planned: Vec<PlannedCapacity> = Vec::new();
-        while left > 0 {
+        while remaining > 0 {
             let Candidate { host, cost } = costs.pop()?;
             if !request.requirements.accepts(&self.index.hosts[host], &counts) {
                 continue;
             }
             let Some(capacity) = self.plan_one_more_task(request, scope, &planned, host) else { continue };
-            let before = planned.iter().find(|other| other.host == host).map_or(0.0, |other| other.preemption.cost);
-            let further_cost = capacity.preemption.cost - before;
+            let current_cost =
+                planned.iter().find(|other| other.host == host).map_or(0.0, |other| other.preemption.cost);
+            let further_cost = capacity.preemption.cost - current_cost;
             // Evictions planned on other machines may have raised the cost.
             if further_cost > cost && costs.last().is_some_and(|next| next.cost < further_cost) {
                 insert_by_cost(&mut costs, Candidate { host, cost: further_cost });
                 continue;
             }
-            left -= 1;
+            remaining -= 1;
             counts.add(self.index.hosts[host].zone);
             planned.retain(|other| other.host != host);
             planned.push(capacity);
@@ -113,22 +114,22 @@
         scope: PreemptionScope,
         hosts: &[GangCapacity],
     ) -> Option<Vec<PlannedCapacity>> {
-        let mut left = self.cluster.jobs[request.job_index].spec.tasks;
+        let mut remaining = self.cluster.jobs[request.job_index].spec.tasks;
         let mut stops = PlannedStops::default();
         let mut planned = Vec::new();
         for capacity in hosts {
-            let most = capacity.tasks.min(left);
+            let max_tasks = capacity.tasks.min(remaining);
             let plan = |tasks: u32| {
                 let demand = request.requirements.demand.times(f64::from(tasks));
                 let preemption = self.plan_preemption_beside(request, scope, capacity.host, &demand, &stops)?;
                 Some(PlannedCapacity { host: capacity.host, tasks, demand, preemption })
             };
-            let Some(found) = (1..=most).rev().find_map(plan) else { continue };
-            left -= found.tasks;
+            let Some(found) = (1..=max_tasks).rev().find_map(plan) else { continue };
+            remaining -= found.tasks;
             found.preemption.add_evictions_to(self.cluster, &mut stops);
             stops.earmark(found.host, found.demand);
             planned.push(found);
-            if left == 0 {
+            if remaining == 0 {
                 return Some(planned);
             }
         }
--- a/src/scheduling/cycle/gang_reservations.rs
+++ b/src/scheduling/cycle/gang_reservations.rs
@@ -24,7 +24,7 @@
     /// capacity for the same duration.
     pub(super) fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let Some(until_ms) = self.reservation_end(request) else { return };
-        let scope = self.scope(request);
+        let scope = self.preemption_scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks;
         for hosts in self.gang_capacities(request, scope) {
             if hosts.iter().map(|host| host.tasks).sum::<u32>() >= tasks {
@@ -84,22 +84,22 @@
         host: &Host,
         host_info: &HostInfo,
     ) -> Option<GangCapacity> {
-        let most = self.cluster.jobs[request.job_index].spec.tasks;
+        let max_tasks = self.cluster.jobs[request.job_index].spec.tasks;
         let demand = request.requirements.demand;
         let mut tasks = 0;
         let mut cost = 0.0;
-        while tasks < most {
+        while tasks < max_tasks {
             let one_more = demand.times(f64::from(tasks + 1));
             let Some(plan) = self.plan_preemption(request, scope, host_index, &one_more) else { break };
             cost = plan.cost;
             tasks += 1;
         }
-        let certain = tasks;
+        let certain_tasks = tasks;
         let eventual = self.eventual_capacity(host, host_info);
-        while tasks < most && demand.times(f64::from(tasks + 1)).fits(&eventual) {
+        while tasks < max_tasks && demand.times(f64::from(tasks + 1)).fits(&eventual) {
             tasks += 1;
         }
-        cost += UNCERTAIN_CAPACITY_COST * f64::from(tasks - certain);
+        cost += UNCERTAIN_CAPACITY_COST * f64::from(tasks - certain_tasks);
         (tasks > 0).then(|| GangCapacity { cost: cost / f64::from(tasks), tasks, host: host_index })
     }
 
@@ -135,21 +135,21 @@
     ) {
         let tasks = self.cluster.jobs[request.job_index].spec.tasks;
         hosts.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let certain = hosts.iter().filter(|host| host.cost < UNCERTAIN_CAPACITY_COST / f64::from(tasks));
-        let is_certain =
-            certain.map(|host| host.tasks).sum::<u32>() >= tasks && !self.reserves_before_preempting(request, until_ms);
+        let certain_hosts = hosts.iter().filter(|host| host.cost < UNCERTAIN_CAPACITY_COST / f64::from(tasks));
+        let is_certain = certain_hosts.map(|host| host.tasks).sum::<u32>() >= tasks
+            && !self.reserves_before_preempting(request, until_ms);
         self.release_reservations(request.job_index);
         if is_certain && let Some(planned) = self.plan_gang_preemptions(request, scope, &hosts) {
             self.preempt_for_gang(request, planned, until_ms);
             return;
         }
-        let mut left = tasks;
+        let mut remaining = tasks;
         for GangCapacity { tasks, host, .. } in hosts {
-            let tasks_here = tasks.min(left);
-            left -= tasks_here;
+            let tasks_here = tasks.min(remaining);
+            remaining -= tasks_here;
             let demand = request.requirements.demand.times(f64::from(tasks_here));
             self.reserve(host, Reservation::of_job(request.job_index, demand, until_ms));
-            if left == 0 {
+            if remaining == 0 {
                 return;
             }
         }
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -21,7 +21,7 @@
         total.fits(&team.limit)
     }
 
-    /// Returns whether the number of attempts on all machines leaves no more room for this work. The
+    /// Returns whether there are too many attempts on all machines for another one of this work. The
     /// reports about an array of thousands of short tasks would use up the leader's CPU time and memory.
     pub(super) fn too_many_attempts(&self, job: &Job) -> bool {
         let attempts = self.attempts_before + self.decisions.starts.len();
@@ -44,7 +44,7 @@
     /// Returns how many more tasks, at most `max_tasks`, the guarantee of the job's team covers in addition
     /// to usage and reservations. Without this bound, an array of hundreds of tasks of which one is within
     /// its guarantee would stop hundreds of tasks.
-    pub(super) fn tasks_within_guarantee(&self, spec: &Spec, most: usize) -> usize {
+    pub(super) fn tasks_within_guarantee(&self, spec: &Spec, max_tasks: usize) -> usize {
         let Some(team) = self.policy.teams.get(&spec.team) else { return 0 };
         if !team.guarantees(&spec.demand) {
             return 0;
@@ -52,19 +52,22 @@
         let mut taken = self.index.staying.get(&spec.team).copied().unwrap_or_default();
         taken.add(&self.reserved_by_team(&spec.team));
         let tasks = |guaranteed: f64, taken: f64, each: f64| {
-            let left = guaranteed + ROUNDING - taken;
-            if left < 0.0 {
+            let remaining = guaranteed + ROUNDING - taken;
+            if remaining < 0.0 {
                 0
             } else if each <= 0.0 {
-                most
+                max_tasks
             } else {
-                (left / each) as usize
+                (remaining / each) as usize
             }
         };
         let by_gpus = tasks(team.guarantee.gpus, taken.gpus, spec.demand.gpus);
-        let by_cpus =
-            if team.guarantee.cpus > 0.0 { tasks(team.guarantee.cpus, taken.cpus, spec.demand.cpus) } else { most };
-        most.min(by_gpus).min(by_cpus)
+        let by_cpus = if team.guarantee.cpus > 0.0 {
+            tasks(team.guarantee.cpus, taken.cpus, spec.demand.cpus)
+        } else {
+            max_tasks
+        };
+        max_tasks.min(by_gpus).min(by_cpus)
     }
 
     /// Returns the demand that is reserved for jobs of a team.
--- a/src/scheduling/cycle/migration.rs
+++ b/src/scheduling/cycle/migration.rs
@@ -17,7 +17,7 @@
     ) -> Option<HostIndex> {
         let job_index = attempt.key.job;
         let spec = &self.cluster.jobs[job_index].spec;
-        if spec.shape != Shape::Service || !attempt.running() || attempt.stop.is_some() || !self.settled(attempt) {
+        if spec.shape != Shape::Service || !attempt.running() || attempt.stop.is_some() || !self.is_settled(attempt) {
             return None;
         }
         let has_capacity = |host_index: HostIndex| {
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -42,8 +42,8 @@
 use std::collections::{HashMap, HashSet};
 use team_table::TeamTable;
 
-/// Capacity for a class is scarce while its only instance type has room for no more than this multiple of
-/// the number of tasks expected.
+/// Capacity for a class is scarce while no more tasks fit on its only instance type than this multiple of
+/// the number expected.
 const SCARCITY_RATIO: f64 = 2.0;
 
 /// An order to start an attempt on a machine.
@@ -121,7 +121,7 @@
     /// Requirements of tasks that no longer fit on any machine.
     exhausted_requirements: Vec<TaskRequirements>,
     /// Requirements of tasks that would fit on no machine even if everything they may preempt were stopped.
-    blocked: Vec<BlockedRequirements>,
+    blocked_requirements: Vec<BlockedRequirements>,
     /// Upper bound, by team, of the demand of tasks that unreconciled machines may run.
     unlocated_demand: HashMap<String, Demand>,
     /// Capacity expected to become free soon as array tasks end; `None` until first needed.
@@ -141,16 +141,16 @@
     policy: &Policy,
     now: u64,
     wall: u64,
-    least: Urgency,
-    attempt: impl FnMut() -> u64,
+    min_urgency: Urgency,
+    next_attempt: impl FnMut() -> u64,
 ) -> CycleDecisions {
     expire_reservations(cluster, now);
-    if !queue::any_pending(cluster, now, least) {
+    if !queue::any_pending(cluster, now, min_urgency) {
         // With an empty queue, neither the index nor the sums by team are needed.
         cluster.accelerators_short = false;
         return CycleDecisions::default();
     }
-    schedule_with_index(cluster, policy, now, wall, least, attempt).0
+    schedule_with_index(cluster, policy, now, wall, min_urgency, next_attempt).0
 }
 
 /// Removes the reservations that have expired.
@@ -166,12 +166,12 @@
     policy: &Policy,
     now: u64,
     wall: u64,
-    least: Urgency,
-    mut attempt: impl FnMut() -> u64,
+    min_urgency: Urgency,
+    mut next_attempt: impl FnMut() -> u64,
 ) -> (CycleDecisions, Index) {
     expire_reservations(cluster, now);
     let mut cycle = SchedulingCycle::new(cluster, policy, now, wall);
-    cycle.place_all(least, &mut attempt);
+    cycle.place_all(min_urgency, &mut next_attempt);
     cycle.finish()
 }
 
@@ -195,7 +195,7 @@
             attempts_before: cluster.each_host().map(|(_, host)| host.attempts.len()).sum(),
             scarce_classes: scarce_classes(cluster, &index),
             exhausted_requirements: Vec::new(),
-            blocked: Vec::new(),
+            blocked_requirements: Vec::new(),
             unlocated_demand: cluster.unlocated_demand(),
             expected_releases: None,
             hosts_examined: Cell::new(0),
@@ -219,19 +219,19 @@
         };
         self.cluster.accelerators_short = self.decisions.pending_jobs.iter().any(lacks_accelerators);
         self.decisions.hosts_examined = self.hosts_examined.get();
-        let refused = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: self.borrowing.refusal(*job)? });
-        self.decisions.refused_loans = self.decisions.pending_jobs.iter().filter_map(refused).collect();
+        let refused_loan = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: self.borrowing.refusal(*job)? });
+        self.decisions.refused_loans = self.decisions.pending_jobs.iter().filter_map(refused_loan).collect();
         (self.decisions, self.index)
     }
 
     /// Places the pending jobs in queue order, and frees capacity for those that fit nowhere.
-    fn place_all(&mut self, least: Urgency, attempt: &mut impl FnMut() -> u64) {
-        let mut gang_leads = false;
-        for QueuedJob { job_index, tier } in self.queue(least) {
+    fn place_all(&mut self, min_urgency: Urgency, next_attempt: &mut impl FnMut() -> u64) {
+        let mut leading_gang_found = false;
+        for QueuedJob { job_index, tier } in self.queue(min_urgency) {
             self.borrowing.store_refusal();
             let request = PlacementRequest { tier, ..self.request(job_index) };
-            if self.place(&request, attempt)
-                || (self.release_warm_reservations(&request) && self.place(&request, attempt))
+            if self.place(&request, next_attempt)
+                || (self.release_warm_reservations(&request) && self.place(&request, next_attempt))
             {
                 continue;
             }
@@ -245,8 +245,8 @@
                 // The job is in the queue again, in a later tier.
                 continue;
             }
-            if gang && !gang_leads {
-                gang_leads = true;
+            if gang && !leading_gang_found {
+                leading_gang_found = true;
                 self.reserve_for_gang(&request);
             } else if gang {
                 self.free_capacity_for_gang(&request);
@@ -257,10 +257,10 @@
     }
 
     /// Places the pending tasks of a job. Returns `false` if there was no capacity for one of them.
-    fn place(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
+    fn place(&mut self, request: &PlacementRequest, next_attempt: &mut impl FnMut() -> u64) -> bool {
         match self.cluster.jobs[request.job_index].spec.shape {
-            Shape::Gang => self.place_gang(request, attempt),
-            _ => self.place_tasks(request, attempt),
+            Shape::Gang => self.place_gang(request, next_attempt),
+            _ => self.place_tasks(request, next_attempt),
         }
     }
 }
--- a/src/scheduling/cycle/preemption_eligibility.rs
+++ b/src/scheduling/cycle/preemption_eligibility.rs
@@ -12,10 +12,10 @@
 const SETTLED_AFTER_REACTIONS: u64 = 30;
 
 /// Work that has run for less than this fraction of its expected duration counts as recently started.
-const EARLY_SHARE_OF_EXPECTED: f64 = 0.25;
+const RECENT_START_FRACTION: f64 = 0.25;
 
 /// A start counts as in time for a guarantee if its probability of being late is below this value.
-const LIKELY_LATE: f64 = 0.5;
+const MAX_LATE_PROBABILITY: f64 = 0.5;
 
 /// Work of equal urgency that a job may stop for the guarantee of its team. Wider scopes compare as larger.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -30,7 +30,7 @@
     /// can be in time, this is recently started work; once the job has waited as long as capacity is
     /// reserved for a gang, any work. Without such bounds, the arrays of two teams stop each other
     /// repeatedly and neither is in time.
-    pub(super) fn scope(&self, request: &PlacementRequest) -> PreemptionScope {
+    pub(super) fn preemption_scope(&self, request: &PlacementRequest) -> PreemptionScope {
         let job = &self.cluster.jobs[request.job_index];
         // All tasks of a gang start together, so all of them must be within the guarantee.
         let started_together = if job.spec.shape == Shape::Gang { job.spec.tasks } else { 1 };
@@ -47,7 +47,7 @@
 
     /// Returns the scope that applies on one machine. It is `None` where the start would miss the
     /// guarantee's objective in any case.
-    pub(super) fn scope_on_host(
+    pub(super) fn preemption_scope_on_host(
         &self,
         scope: PreemptionScope,
         request: &PlacementRequest,
@@ -55,7 +55,7 @@
     ) -> PreemptionScope {
         let in_time = || {
             let late = |left_s| late_probability(self.fetch_s(request, host_index), left_s);
-            request.guarantee_left_s.is_some_and(|left_s| late(left_s) < LIKELY_LATE)
+            request.guarantee_left_s.is_some_and(|left_s| late(left_s) < MAX_LATE_PROBABILITY)
         };
         if scope == PreemptionScope::RecentlyStarted && !in_time() { PreemptionScope::None } else { scope }
     }
@@ -63,17 +63,17 @@
     /// Returns whether the attempt has run for only a small fraction of its expected duration.
     pub(super) fn started_recently(&self, attempt: &TaskAttempt) -> bool {
         let expected_s = self.cluster.jobs[attempt.key.job].spec.expected_s;
-        self.now.saturating_sub(attempt.since_ms) as f64 <= expected_s * 1000.0 * EARLY_SHARE_OF_EXPECTED
+        self.now.saturating_sub(attempt.since_ms) as f64 <= expected_s * 1000.0 * RECENT_START_FRACTION
     }
 
     /// Returns whether the attempt has run for long enough to be migrated. Stopping it earlier would waste
     /// its start.
-    pub(super) fn settled(&self, attempt: &TaskAttempt) -> bool {
+    pub(super) fn is_settled(&self, attempt: &TaskAttempt) -> bool {
         self.now.saturating_sub(attempt.since_ms) >= SETTLED_AFTER_REACTIONS * self.policy.react_ms
     }
 
     /// Returns whether the attempt's job could still meet its deadline if it restarted now.
-    pub(super) fn restart_in_time(&self, attempt: &TaskAttempt) -> bool {
+    pub(super) fn restart_meets_deadline(&self, attempt: &TaskAttempt) -> bool {
         let job = &self.cluster.jobs[attempt.key.job];
         let expected_ms = (job.spec.expected_s * 1000.0) as u64;
         job.due_ms().is_none() || self.wall + expected_ms < self.policy.soft_deadline_ms(job)
@@ -81,7 +81,7 @@
 
     /// Returns whether this attempt may be stopped for a task of the job, given the stops that are planned
     /// for the same start.
-    pub(super) fn may_evict(
+    pub(super) fn may_stop(
         &self,
         job_index: JobIndex,
         scope: PreemptionScope,
@@ -106,7 +106,7 @@
             PreemptionScope::Any => true,
         };
         in_scope
-            && (scope == PreemptionScope::Any || self.restart_in_time(attempt))
+            && (scope == PreemptionScope::Any || self.restart_meets_deadline(attempt))
             && victim.team != job.spec.team
             && victim.shape != Shape::Service
             && victim_job.urgency <= job.urgency.max(Urgency::Normal)
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -33,19 +33,19 @@
     tier: QueueTier,
     /// Shortfall of the team to its floor while it lends to others.
     shortfall: Reverse<u64>,
-    bin: u64,
+    deadline_bin: u64,
     ready_ms: u64,
     job: JobIndex,
 }
 
 /// Returns whether any job of at least this urgency has tasks to place.
-pub(super) fn any_pending(cluster: &ClusterState, now: u64, least: Urgency) -> bool {
-    cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, least))
+pub(super) fn any_pending(cluster: &ClusterState, now: u64, min_urgency: Urgency) -> bool {
+    cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, min_urgency))
 }
 
 /// Returns whether the job has at least this urgency and tasks to place.
-fn has_pending_tasks(cluster: &ClusterState, job: &Job, now: u64, least: Urgency) -> bool {
-    if job.urgency < least || !job.active() {
+fn has_pending_tasks(cluster: &ClusterState, job: &Job, now: u64, min_urgency: Urgency) -> bool {
+    if job.urgency < min_urgency || !job.active() {
         return false;
     }
     // A task that an unreconciled machine may run is not placed. A task located since then is certain to
@@ -57,10 +57,10 @@
 impl SchedulingCycle<'_> {
     /// Returns the jobs with tasks to place. Higher urgency comes first, since preemption would reverse any
     /// other order; then work within guarantees, then the lowest deadline bin, then the oldest job.
-    pub(super) fn queue(&self, least: Urgency) -> Vec<QueuedJob> {
+    pub(super) fn queue(&self, min_urgency: Urgency) -> Vec<QueuedJob> {
         let live = self.cluster.live.iter().copied();
-        let pending =
-            live.filter(|job_index| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, least));
+        let pending = live
+            .filter(|job_index| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, min_urgency));
         let mut queue: Vec<QueueRank> = pending.flat_map(|job_index| self.queue_ranks(job_index)).collect();
         queue.sort_unstable();
         queue.into_iter().map(|rank| QueuedJob { job_index: rank.job, tier: rank.tier }).collect()
@@ -69,14 +69,14 @@
     /// Returns one rank for each tier that applies to the job.
     fn queue_ranks(&self, job_index: JobIndex) -> impl Iterator<Item = QueueRank> {
         let job = &self.cluster.jobs[job_index];
-        let bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
+        let deadline_bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
         let shortfall = self.floor_shortfall(job_index);
         let rank = move |tier: QueueTier| QueueRank {
             returned: Reverse(tier == QueueTier::Returned),
             urgency: Reverse(job.urgency),
             tier,
             shortfall: Reverse(shortfall),
-            bin,
+            deadline_bin,
             ready_ms: job.ready_ms,
             job: job_index,
         };
--- a/src/scheduling/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 
 /// Lower bound of a class's start objective, in seconds.
-const LEAST_WITHIN_S: f64 = 0.1;
+const MIN_START_OBJECTIVE_S: f64 = 0.1;
 /// Cost of a placement that takes capacity of an instance type that another class depends on.
 const RESERVE_PENALTY: f64 = 1.0;
 /// Cost of such a placement while that capacity is scarce.
@@ -32,7 +32,7 @@
     /// Seconds until the job can no longer meet its deadline.
     pub(super) slack_s: f64,
     /// Seconds within which the tasks should start.
-    pub(super) within_s: f64,
+    pub(super) start_within_s: f64,
     /// Whether losing its work once more would make the job miss its deadline.
     pub(super) no_time_to_restart: bool,
     /// Seconds left to start within the class's objective; `None` if the job has a deadline instead.
@@ -48,7 +48,7 @@
     pub(super) avoided_hosts: HashSet<HostIndex>,
     /// Whether the job, which needs no accelerators, must not strand any: accelerators are short, and
     /// machines without them may still become available.
-    pub(super) without_accelerators: bool,
+    pub(super) must_avoid_accelerators: bool,
 }
 
 impl SchedulingCycle<'_> {
@@ -59,7 +59,7 @@
         let left_ms = self.policy.soft_deadline_ms(job) as f64 - self.wall as f64;
         // A lost replica is unavailable until it is replaced, so each second counts.
         let lost_replica_s = self.policy.react_ms as f64 / 1000.0;
-        let within_s = self
+        let start_within_s = self
             .policy
             .start_objectives
             .get(&spec.class)
@@ -73,7 +73,7 @@
             image_gb: spec.image_gb,
             is_service: spec.shape == Shape::Service,
             slack_s: left_ms.max(0.0) / 1000.0 - spec.expected_s,
-            within_s: within_s.unwrap_or(self.policy.default_deadline_s).max(LEAST_WITHIN_S),
+            start_within_s: start_within_s.unwrap_or(self.policy.default_deadline_s).max(MIN_START_OBJECTIVE_S),
             no_time_to_restart: job.due_ms().is_some() && left_ms / 1000.0 < 2.0 * spec.expected_s,
             objective_left_s: spec
                 .due_s
@@ -83,7 +83,7 @@
             reserve_penalties: self.reserve_penalties(spec),
             has_reservation: self.index.reservations_of(job_index) > 0,
             avoided_hosts: job.avoided_hosts(self.cluster, self.now).clone(),
-            without_accelerators: self.without_accelerators(job),
+            must_avoid_accelerators: self.must_avoid_accelerators(job),
         }
     }
 
@@ -99,28 +99,28 @@
     /// it.
     fn reserve_penalties(&self, spec: &Spec) -> Vec<ReservePenalty> {
         let without_gpus = spec.demand.gpus <= 0.0;
-        let concerns = |reserve: &&Reserve| {
+        let affects = |reserve: &&Reserve| {
             reserve.class != spec.class
                 && (reserve.single_instance_type() || (without_gpus && reserve.demand.gpus > 0.0))
         };
         let cost = |reserve: &Reserve| {
             if self.scarce_classes.contains(&reserve.class) { SCARCE_RESERVE_PENALTY } else { RESERVE_PENALTY }
         };
-        let reserves = self.cluster.reserves.iter().filter(concerns);
+        let reserves = self.cluster.reserves.iter().filter(affects);
         reserves.map(|reserve| ReservePenalty { reserve: reserve.clone(), cost: cost(reserve) }).collect()
     }
 
     /// Returns whether the job must leave machines with accelerators to work that needs them.
-    fn without_accelerators(&self, job: &Job) -> bool {
+    fn must_avoid_accelerators(&self, job: &Job) -> bool {
         let spec = &job.spec;
         spec.demand.gpus <= 0.0
             && self.cluster.accelerators_short
             && self.wall < job.ready_ms + self.boot_ms(spec)
-            && self.cpu_host_may_come(spec)
+            && self.cpu_host_may_become_available(spec)
     }
 
     /// Returns whether the cloud may still provide machines without accelerators for the job.
-    fn cpu_host_may_come(&self, spec: &Spec) -> bool {
+    fn cpu_host_may_become_available(&self, spec: &Spec) -> bool {
         let available = |(index, instance_type): (usize, &InstanceType)| {
             instance_type.cap.gpus <= 0.0
                 && spec.allows_instance_type(instance_type)
@@ -131,8 +131,11 @@
 
     /// Returns the boot time, in milliseconds, of the instance type on which the work is cheapest.
     fn boot_ms(&self, spec: &Spec) -> u64 {
-        let allowed = self.cluster.instance_types.iter().filter(|of_type| spec.allows_instance_type(of_type));
-        let cost = |of_type: &InstanceType| of_type.price / of_type.cap.tasks_that_fit(&spec.demand).max(1.0);
+        let allowed =
+            self.cluster.instance_types.iter().filter(|instance_type| spec.allows_instance_type(instance_type));
+        let cost = |instance_type: &InstanceType| {
+            instance_type.price / instance_type.cap.tasks_that_fit(&spec.demand).max(1.0)
+        };
         let cheapest = allowed.min_by(|a, b| cost(a).total_cmp(&cost(b)));
         cheapest.map_or(0, |instance_type| instance_type.boot_ms())
     }
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -65,23 +65,23 @@
 
     /// Places the idle tasks of an array or service. Returns `false` if there was no capacity for one of
     /// them.
-    pub(super) fn place_tasks(&mut self, request: &PlacementRequest, attempt: &mut impl FnMut() -> u64) -> bool {
+    pub(super) fn place_tasks(&mut self, request: &PlacementRequest, next_attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
         let mut state = PlacementState { counts: self.index.counts(job_index), candidates: None };
         let placeable = self.cluster.placeable_tasks(&self.cluster.jobs[job_index]);
-        let lingering = self.cluster.tasks_with_stray_attempts(job_index, self.index.hosts_of(job_index));
-        let mut tried = 0;
+        let stray_tasks = self.cluster.tasks_with_stray_attempts(job_index, self.index.hosts_of(job_index));
+        let mut tasks_examined = 0;
         for task_number in 0..self.cluster.jobs[job_index].tasks.len() as u32 {
             let task = self.cluster.jobs[job_index].tasks[task_number as usize];
-            if task.retry_ms > self.now || !placeable.includes(&task) || lingering.contains(&task_number) {
+            if task.retry_ms > self.now || !placeable.includes(&task) || stray_tasks.contains(&task_number) {
                 continue;
             }
-            if self.is_bounded(request, tried) {
+            if self.must_wait(request, tasks_examined) {
                 return true;
             }
-            tried += 1;
+            tasks_examined += 1;
             let key = TaskKey { job: job_index, task: task_number };
-            if self.place_task(request, key, &mut state, attempt) == TaskOutcome::NoCapacity {
+            if self.place_task(request, key, &mut state, next_attempt) == TaskOutcome::NoCapacity {
                 return false;
             }
         }
@@ -91,10 +91,10 @@
     /// Returns whether the remaining tasks of the job must wait even if there is capacity: because of the
     /// team's limit, a later queue tier, or the number of attempts. `tasks_examined` of its tasks were
     /// examined before.
-    fn is_bounded(&self, request: &PlacementRequest, tried: u32) -> bool {
+    fn must_wait(&self, request: &PlacementRequest, tasks_examined: u32) -> bool {
         let job = &self.cluster.jobs[request.job_index];
         !self.within_limit(&job.spec, 1.0)
-            || (request.tier == QueueTier::Returned && tried >= self.returning_tasks(request.job_index))
+            || (request.tier == QueueTier::Returned && tasks_examined >= self.returning_tasks(request.job_index))
             || (request.tier == QueueTier::Guaranteed && !self.within_guarantee(&job.spec, 1))
             || self.too_many_attempts(job)
     }
@@ -105,10 +105,10 @@
         request: &PlacementRequest,
         key: TaskKey,
         state: &mut PlacementState,
-        attempt: &mut impl FnMut() -> u64,
+        next_attempt: &mut impl FnMut() -> u64,
     ) -> TaskOutcome {
         if let Some(position) = self.reservation_for_replica(request, &state.counts) {
-            let host = self.claim_warm_reservation(position, key, attempt());
+            let host = self.claim_warm_reservation(position, key, next_attempt());
             state.counts.add(self.index.hosts[host].zone);
             state.candidates = None;
             return TaskOutcome::Placed;
@@ -118,18 +118,18 @@
             return TaskOutcome::NoCapacity;
         };
         // Capacity freed for this job is not abandoned for a better machine.
-        let reserved_here = |position: HostIndex| {
-            let host = self.cluster.host(position);
+        let reserved_here = |host_index: HostIndex| {
+            let host = self.cluster.host(host_index);
             host.is_some_and(|host| host.reservations.iter().any(|reservation| reservation.job == key.job))
         };
         if !reserved_here(host)
-            && let Some(most) = self.earlier_image_gain(request, host)
-            && self.wait_for_better_host(request, &state.counts, most)
+            && let Some(max_cost) = self.earlier_image_gain(request, host)
+            && self.wait_for_better_host(request, &state.counts, max_cost)
         {
             return TaskOutcome::AwaitsBetterHost;
         }
         state.counts.add(self.index.hosts[host].zone);
-        self.start(key, host, attempt());
+        self.start(key, host, next_attempt());
         self.refresh_candidate(request, &mut candidates, host);
         state.candidates = Some(candidates);
         TaskOutcome::Placed
@@ -137,14 +137,14 @@
 
     /// Frees capacity on a machine where the image is ready, or ready sooner, if stopping work there costs
     /// at most `max_cost`. Returns whether the task waits for that capacity.
-    fn wait_for_better_host(&mut self, request: &PlacementRequest, counts: &ZoneCounts, most: f64) -> bool {
+    fn wait_for_better_host(&mut self, request: &PlacementRequest, counts: &ZoneCounts, max_cost: f64) -> bool {
         if !self.may_wait_for_image(request) {
             return false;
         }
         if self.index.reservations_of(request.job_index) > 0 {
             return true;
         }
-        let Some((host_index, plan)) = self.cheapest_with_image(request, counts, most) else { return false };
+        let Some((host_index, plan)) = self.cheapest_with_image(request, counts, max_cost) else { return false };
         self.execute_preemption(request, host_index, &plan.evictions);
         let until_ms = self.now + self.policy.react_ms;
         self.reserve(host_index, Reservation::of_job(request.job_index, request.requirements.demand, until_ms));
@@ -154,10 +154,10 @@
     /// Returns whether the job may still wait for capacity on a machine with its image. The wait is
     /// bounded, because the reserved capacity may disappear; after that any machine is used.
     fn may_wait_for_image(&mut self, request: &PlacementRequest) -> bool {
-        let (now, wait) = (self.now, 2 * self.policy.react_ms);
+        let (now, max_wait_ms) = (self.now, 2 * self.policy.react_ms);
         let job = &mut self.cluster.jobs[request.job_index];
         if job.image_wait_until_ms == 0 {
-            job.image_wait_until_ms = now + wait;
+            job.image_wait_until_ms = now + max_wait_ms;
             return true;
         }
         now < job.image_wait_until_ms
@@ -169,15 +169,15 @@
         &self,
         request: &PlacementRequest,
         counts: &ZoneCounts,
-        most: f64,
+        max_cost: f64,
     ) -> Option<(HostIndex, PreemptionPlan)> {
-        let scope = self.scope(request);
+        let scope = self.preemption_scope(request);
         let mut best: Option<(HostIndex, PreemptionPlan)> = None;
         for (host_index, host) in self.index.hosts.iter().enumerate() {
             let allowed = host.reservations == 0
                 && request.requirements.accepts(host, counts)
                 && !request.avoided_hosts.contains(&host_index);
-            if !allowed || self.earlier_image_gain(request, host_index).is_some_and(|gain| gain > most / 2.0) {
+            if !allowed || self.earlier_image_gain(request, host_index).is_some_and(|gain| gain > max_cost / 2.0) {
                 continue;
             }
             let demand = &request.requirements.demand;
@@ -186,7 +186,7 @@
                 // Capacity exists elsewhere, and a later image does not justify a loan.
                 continue;
             }
-            if plan.cost <= most && best.as_ref().is_none_or(|(_, best)| plan.cost < best.cost) {
+            if plan.cost <= max_cost && best.as_ref().is_none_or(|(_, best)| plan.cost < best.cost) {
                 best = Some((host_index, plan));
             }
         }
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -21,7 +21,7 @@
     pub(super) max_lent_gpus: f64,
     /// Amounts that the team has borrowed, less those taken back in this cycle.
     pub(super) borrowed: Amounts,
-    /// Teams that owe capacity to this team.
+    /// Teams that have borrowed from this team and have not returned all of it.
     pub(super) debtors: Vec<TeamIndex>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl TeamTable {
-    /// Computes what teams use and owe. The table is empty without borrowing.
+    /// Computes what teams use, lend and borrow. The table is empty without borrowing.
     pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
         let mut team_indices: HashMap<&str, TeamIndex> = HashMap::new();
--- a/src/scheduling/cycle/victims.rs
+++ b/src/scheduling/cycle/victims.rs
@@ -18,9 +18,9 @@
 /// Cost of stopping a task of an array.
 const STOPPED_TASK_COST: f64 = 1.0;
 /// Cost of stopping a task of an array that was recently started.
-const STOPPED_EARLY_COST: f64 = 0.5;
+const STOPPED_RECENT_START_COST: f64 = 0.5;
 /// Additional cost if the job can no longer meet its deadline.
-const STOPPED_LATE_COST: f64 = 1.0;
+const MISSED_DEADLINE_COST: f64 = 1.0;
 
 /// An attempt that is to leave its machine.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     pub(super) destination: Option<HostIndex>,
 }
 
-/// Evictions from a machine that make room for a start.
+/// Evictions from a machine that free capacity for a start.
 #[derive(Debug)]
 pub(super) struct PreemptionPlan {
     /// Cost of the evictions, or of evictions and placement together, relative to 1 for stopping an array
@@ -108,13 +108,13 @@
         if demand.fits(&free) {
             return Some(PreemptionPlan { cost: 0.0, evictions: Vec::new() });
         }
-        let scope = self.scope_on_host(scope, request, host_index);
+        let scope = self.preemption_scope_on_host(scope, request, host_index);
         let target = PreemptionTarget { request, scope, host: host_index, demand, planned };
         let victims = self.potential_victims(&target, host);
         // Most machines are excluded because evicting all potential victims would not suffice.
-        let mut most = free;
-        victims.iter().for_each(|victim| most.add(&victim.attempt.demand));
-        if !demand.fits(&most) {
+        let mut max_free = free;
+        victims.iter().for_each(|victim| max_free.add(&victim.attempt.demand));
+        if !demand.fits(&max_free) {
             return None;
         }
         self.choose_victims(&target, victims, free)
@@ -125,10 +125,10 @@
         let PreemptionTarget { request, scope, planned, .. } = *target;
         let mut victims: Vec<Victim> = Vec::new();
         for attempt in host.attempts.iter().filter(|attempt| !attempt.ended() && attempt.stop.is_none()) {
-            let may_be_stopped = self.may_evict(request.job_index, scope, attempt, planned);
+            let may_be_stopped = self.may_stop(request.job_index, scope, attempt, planned);
             let is_service = self.cluster.jobs[attempt.key.job].spec.shape == Shape::Service;
             let may_migrate = attempt.running()
-                && self.settled(attempt)
+                && self.is_settled(attempt)
                 && is_service
                 && self.may_migrate(request.job_index, attempt, planned);
             if may_be_stopped || may_migrate {
@@ -158,9 +158,9 @@
             if demand.fits(&free) {
                 break;
             }
-            // Checked again with the victims chosen so far: together they may take too much from their
+            // The victims chosen before this one count as well: together they may take too much from their
             // team.
-            let may_be_stopped = may_be_stopped && self.may_evict(request.job_index, scope, attempt, &planned);
+            let may_be_stopped = may_be_stopped && self.may_stop(request.job_index, scope, attempt, &planned);
             let may_migrate = self.may_migrate(request.job_index, attempt, &planned);
             let destination = may_migrate.then(|| self.migration_target(host_index, attempt, &planned)).flatten();
             if let Some(host) = destination {
@@ -187,7 +187,7 @@
         victims.sort_by_key(|victim| {
             let attempt = victim.attempt;
             let urgency = self.cluster.jobs[attempt.key.job].urgency;
-            (urgency, !self.restart_in_time(attempt), Reverse(attempt.since_ms))
+            (urgency, !self.restart_meets_deadline(attempt), Reverse(attempt.since_ms))
         });
     }
 
@@ -208,13 +208,13 @@
             return cost + STOPPED_TASK_COST + self.loan_cost(attempt, host_index);
         }
         let victim = &self.cluster.jobs[attempt.key.job].spec;
-        let stopped = match victim.shape {
+        let stop_cost = match victim.shape {
             Shape::Gang => STOPPED_GANG_COST + STOPPED_GANG_TASK_COST * f64::from(victim.tasks),
             Shape::Service => STOPPED_REPLICA_COST,
-            Shape::Batch if self.started_recently(attempt) => STOPPED_EARLY_COST,
+            Shape::Batch if self.started_recently(attempt) => STOPPED_RECENT_START_COST,
             Shape::Batch => STOPPED_TASK_COST,
         };
-        let late = if self.restart_in_time(attempt) { 0.0 } else { STOPPED_LATE_COST };
-        cost + stopped + late
+        let late_cost = if self.restart_meets_deadline(attempt) { 0.0 } else { MISSED_DEADLINE_COST };
+        cost + stop_cost + late_cost
     }
 }
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -178,7 +178,7 @@
         if !slots.is_empty() {
             // Tasks that fitted nowhere before may fit now.
             self.exhausted_requirements.clear();
-            self.blocked.clear();
+            self.blocked_requirements.clear();
         }
         !slots.is_empty()
     }
