--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Freeing capacity by preemption: for pending work that fits nowhere, where that costs least.
+//! Preemption for pending work that fits nowhere, on the machines where it costs least.
 
 use super::SchedulingCycle;
 use super::candidates::Candidate;
@@ -11,75 +11,77 @@
 use crate::model::{HostIndex, Reservation, Shape, Task, Urgency};
 use crate::scheduling::task_requirements::{TaskRequirements, ZoneCounts};
 
-/// The weight of the cost of a placement next to that of the preemption.
+/// Weight of the placement cost relative to the preemption cost.
 const PLACEMENT_WEIGHT: f64 = 0.2;
-/// The same for a replica: for it, it pays to stop work where its image is.
+/// Weight of the placement cost for a replica. It is higher, so that work is preferably stopped on machines
+/// that have the replica's image.
 const SERVICE_PLACEMENT_WEIGHT: f64 = 1.0;
 
-/// A kind of task that would fit no machine even if all that it may preempt were stopped.
+/// Requirements of a task that would fit on no machine even if everything it may preempt were stopped.
 pub(super) struct BlockedRequirements {
     pub(super) requirements: TaskRequirements,
     pub(super) urgency: Urgency,
     pub(super) team: String,
     pub(super) scope: PreemptionScope,
-    /// The image that this holds for; `None` for any.
+    /// Image for which this is known; `None` for any image.
     pub(super) image: Option<String>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Preempts lesser work for a job that fits nowhere, on the machines where that costs least, and
-    /// reserves the capacity for it. Equal work is stopped for as many tasks as the guarantee covers,
-    /// and no more.
+    /// Preempts work of lower priority for a job that fits nowhere, on the machines where that costs least,
+    /// and reserves the capacity. Work of equal urgency is stopped only for as many tasks as the guarantee
+    /// covers.
     pub(super) fn free_capacity(&mut self, request: &PlacementRequest) {
-        let scope = self.scope(request);
-        if self.known_blocked(request, scope) {
+        let scope = self.preemption_scope(request);
+        if self.is_known_blocked(request, scope) {
             return;
         }
         let mut counts = self.index.counts(request.job_index);
         let pending = self.pending_tasks(request);
-        let mut left = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
+        let mut remaining = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
         if self.cluster.borrowing.is_some() {
-            left = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, left);
-            left -= self.tasks_covered_by_releases(request, left);
+            remaining = self.tasks_within_limit(&self.cluster.jobs[request.job_index].spec, remaining);
+            remaining -= self.tasks_covered_by_releases(request, remaining);
         }
         let guaranteed = match scope {
             PreemptionScope::None => 0,
-            _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, left),
+            _ => self.tasks_within_guarantee(&self.cluster.jobs[request.job_index].spec, remaining),
         };
         let tasks_to_preempt_for = match scope {
             PreemptionScope::RecentlyStarted => guaranteed - self.tasks_covered_by_releases(request, guaranteed),
             _ => guaranteed,
         };
-        self.preempt_within(request, scope, &mut counts, tasks_to_preempt_for);
+        self.preempt_in_scope(request, scope, &mut counts, tasks_to_preempt_for);
         if request.tier == QueueTier::Ordinary {
-            self.preempt_within(request, PreemptionScope::None, &mut counts, left - guaranteed);
+            self.preempt_in_scope(request, PreemptionScope::None, &mut counts, remaining - guaranteed);
         }
     }
 
-    /// The same for so many tasks, where equal work may be stopped as far as `scope` allows.
-    fn preempt_within(
+    /// Preempts for `tasks` tasks; work of equal urgency may be stopped as far as `scope` allows.
+    fn preempt_in_scope(
         &mut self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         counts: &mut ZoneCounts,
         tasks: usize,
     ) {
-        if tasks == 0 || self.known_blocked(request, scope) {
+        if tasks == 0 || self.is_known_blocked(request, scope) {
             return;
         }
         let mut costs = self.preemption_costs(request, scope);
-        if costs.is_empty() && !request.without_accelerators && request.avoided_hosts.is_empty() {
-            self.note_blocked(request, scope);
+        if costs.is_empty() && !request.must_avoid_accelerators && request.avoided_hosts.is_empty() {
+            self.record_blocked(request, scope);
         }
-        // The least cost last.
+        // Ordered by descending cost, so that the cheapest candidate is popped first.
         costs.sort_by(|a, b| b.cost.total_cmp(&a.cost));
         self.preempt_cheapest(request, scope, costs, counts, tasks);
     }
 
-    /// Was preemption of no use for a job like this one? Then it is not tried again in this cycle.
-    pub(super) fn known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
+    /// Returns whether preemption was already found useless for a similar job in this cycle; it is then not
+    /// tried again.
+    pub(super) fn is_known_blocked(&self, request: &PlacementRequest, scope: PreemptionScope) -> bool {
         let job = &self.cluster.jobs[request.job_index];
-        self.blocked.iter().any(|blocked| {
+        self.blocked_requirements.iter().any(|blocked| {
             blocked.urgency >= job.urgency
                 && blocked.team == job.spec.team
                 && blocked.scope >= scope
@@ -88,13 +90,13 @@
         })
     }
 
-    /// Notes that preemption is of no use for jobs like this one.
-    pub(super) fn note_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
+    /// Records that preemption is useless for jobs similar to this one.
+    pub(super) fn record_blocked(&mut self, request: &PlacementRequest, scope: PreemptionScope) {
         let job = &self.cluster.jobs[request.job_index];
         let (urgency, team) = (job.urgency, job.spec.team.clone());
-        // How far a job may go for its guarantee depends on its image, too.
+        // With this scope, the machines on which a job may preempt also depend on its image.
         let image = (scope == PreemptionScope::RecentlyStarted).then(|| request.image.clone());
-        self.blocked.push(BlockedRequirements {
+        self.blocked_requirements.push(BlockedRequirements {
             requirements: request.requirements.clone(),
             urgency,
             team,
@@ -103,7 +105,7 @@
         });
     }
 
-    /// How many tasks of the job could be placed now if there were capacity.
+    /// Returns how many tasks of the job could be placed now if there were capacity.
     pub(super) fn pending_tasks(&self, request: &PlacementRequest) -> usize {
         let job = &self.cluster.jobs[request.job_index];
         let placeable = self.cluster.placeable_tasks(job);
@@ -111,13 +113,13 @@
         job.tasks.iter().filter(pending).count()
     }
 
-    /// The cost of capacity for a task on each machine where it is or can be freed.
+    /// Returns the machines on which capacity for one task is free or can be freed, each with its cost.
     pub(super) fn preemption_costs(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Candidate> {
         let no_tasks = ZoneCounts::default();
         let mut costs = Vec::new();
         for (host, host_info) in self.index.hosts.iter().enumerate() {
             let left_to_others =
-                request.without_accelerators && self.cluster.instance_types[host_info.instance_type].cap.gpus > 0.0;
+                request.must_avoid_accelerators && self.cluster.instance_types[host_info.instance_type].cap.gpus > 0.0;
             if !request.requirements.accepts(host_info, &no_tasks) || left_to_others {
                 continue;
             }
@@ -128,17 +130,17 @@
         costs
     }
 
-    /// Preempts for so many tasks. Each machine was looked at once, and is again when its turn comes:
-    /// what was done for the tasks before may have made it dearer.
+    /// Preempts for `remaining` tasks on the machines with the lowest costs. The plan of a machine is
+    /// computed again when its turn comes, because preemption for earlier tasks may have raised its cost.
     fn preempt_cheapest(
         &mut self,
         request: &PlacementRequest,
         scope: PreemptionScope,
         mut costs: Vec<Candidate>,
         counts: &mut ZoneCounts,
-        mut left: usize,
+        mut remaining: usize,
     ) {
-        while left > 0
+        while remaining > 0
             && let Some(Candidate { host, .. }) = costs.pop()
         {
             if !request.requirements.accepts(&self.index.hosts[host], counts) {
@@ -149,7 +151,7 @@
                 insert_by_cost(&mut costs, Candidate { cost: plan.cost, host });
                 continue;
             }
-            left -= 1;
+            remaining -= 1;
             counts.add(self.index.hosts[host].zone);
             self.execute_preemption(request, host, &plan.evictions);
             let until_ms = self.now + RESERVATION_REACTIONS * self.policy.react_ms;
@@ -160,7 +162,8 @@
         }
     }
 
-    /// What has to be evicted for one more task on a machine, with the cost of that and of the placement.
+    /// Plans the evictions for one more task on a machine. The cost includes that of the placement. Returns
+    /// `None` if the task can't fit.
     fn plan_for_task(
         &self,
         request: &PlacementRequest,
@@ -170,7 +173,8 @@
         self.plan_for_tasks(request, scope, host_index, 1, &PlannedStops::default())
     }
 
-    /// The same for several tasks together, beside stops that are planned for the same start.
+    /// Plans the evictions for several tasks together on a machine, given stops that are planned for the
+    /// same start. The cost includes that of the placement. Returns `None` if the tasks can't fit.
     pub(super) fn plan_for_tasks(
         &self,
         request: &PlacementRequest,
@@ -180,7 +184,8 @@
         planned: &PlannedStops,
     ) -> Option<PreemptionPlan> {
         let host_info = &self.index.hosts[host_index];
-        // What is reserved for a gang is left to it; beside others' reservations there may be more.
+        // Capacity reserved for another gang is not used. Other reservations are added to the demand, as
+        // more capacity may be freed besides them.
         let for_other_gang = |reservation: &Reservation| {
             reservation.job != request.job_index && self.cluster.jobs[reservation.job].spec.shape == Shape::Gang
         };
@@ -199,8 +204,8 @@
     }
 }
 
-/// Inserts into a list with the least cost last.
+/// Inserts a candidate into a list that is ordered by descending cost.
 pub(super) fn insert_by_cost(costs: &mut Vec<Candidate>, candidate: Candidate) {
-    let at = costs.partition_point(|other| other.cost > candidate.cost);
-    costs.insert(at, candidate);
+    let position = costs.partition_point(|other| other.cost > candidate.cost);
+    costs.insert(position, candidate);
 }
--- a/src/scheduling/cycle/gang_reservations.rs
+++ b/src/scheduling/cycle/gang_reservations.rs
@@ -1,5 +1,5 @@
-//! Reservations for the leading gang, the first in the queue that does not fit: capacity is reserved
-//! for it on the machines that are nearest to having it.
+//! Reservations for the leading gang, which is the first one in the queue that does not fit. Capacity is
+//! reserved on the machines that can provide it at the lowest cost.
 
 use super::SchedulingCycle;
 use super::preemption_eligibility::PreemptionScope;
@@ -8,22 +8,23 @@
 use crate::scheduling::index::HostInfo;
 use crate::scheduling::task_requirements::ZoneCounts;
 
-/// The cost of reserving capacity for a task that is freed only when other work ends by itself.
+/// Cost of reserving capacity for a task if it becomes free only when other work ends by itself.
 const UNCERTAIN_CAPACITY_COST: f64 = 10.0;
 
-/// How many tasks of a gang a machine could take if all lesser work left it.
+/// Number of tasks of a gang that a machine could take if all work of lower priority left it.
 pub(super) struct GangCapacity {
-    /// Cost of a task there.
+    /// Average cost per task on this machine.
     cost: f64,
     pub(super) tasks: u32,
     pub(super) host: HostIndex,
 }
 
 impl SchedulingCycle<'_> {
-    /// Reserves capacity for the leading gang for a bounded time; then others may take it for as long.
+    /// Reserves capacity for the leading gang for a limited time. Afterwards other work may use the
+    /// capacity for the same duration.
     pub(super) fn reserve_for_gang(&mut self, request: &PlacementRequest) {
         let Some(until_ms) = self.reservation_end(request) else { return };
-        let scope = self.scope(request);
+        let scope = self.preemption_scope(request);
         let tasks = self.cluster.jobs[request.job_index].spec.tasks;
         for hosts in self.gang_capacities(request, scope) {
             if hosts.iter().map(|host| host.tasks).sum::<u32>() >= tasks {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Until when capacity is reserved for a gang; `None` while others may take it.
+    /// Returns the time until which capacity is reserved for a gang, or `None` while other work may use it.
     fn reservation_end(&mut self, request: &PlacementRequest) -> Option<u64> {
         let (now, hold_ms) = (self.now, self.policy.hold_ms);
         let job = &mut self.cluster.jobs[request.job_index];
@@ -51,7 +52,8 @@
         Some(job.gang_reserved_until_ms)
     }
 
-    /// Where a gang could be: by zone if it must be in one, else all machines together.
+    /// Returns the capacity of the machines for a gang: grouped by zone if the gang must run in one zone,
+    /// else in a single group.
     fn gang_capacities(&self, request: &PlacementRequest, scope: PreemptionScope) -> Vec<Vec<GangCapacity>> {
         let one_zone = self.cluster.jobs[request.job_index].spec.one_zone;
         let no_tasks = ZoneCounts::default();
@@ -73,7 +75,7 @@
         by_zone
     }
 
-    /// How many tasks of a gang one machine could take, if any.
+    /// Returns how many tasks of a gang one machine could take, or `None` if it could take none.
     fn gang_capacity(
         &self,
         request: &PlacementRequest,
@@ -82,27 +84,27 @@
         host: &Host,
         host_info: &HostInfo,
     ) -> Option<GangCapacity> {
-        let most = self.cluster.jobs[request.job_index].spec.tasks;
+        let max_tasks = self.cluster.jobs[request.job_index].spec.tasks;
         let demand = request.requirements.demand;
         let mut tasks = 0;
         let mut cost = 0.0;
-        while tasks < most {
+        while tasks < max_tasks {
             let one_more = demand.times(f64::from(tasks + 1));
             let Some(plan) = self.plan_preemption(request, scope, host_index, &one_more) else { break };
             cost = plan.cost;
             tasks += 1;
         }
-        let certain = tasks;
+        let certain_tasks = tasks;
         let eventual = self.eventual_capacity(host, host_info);
-        while tasks < most && demand.times(f64::from(tasks + 1)).fits(&eventual) {
+        while tasks < max_tasks && demand.times(f64::from(tasks + 1)).fits(&eventual) {
             tasks += 1;
         }
-        cost += UNCERTAIN_CAPACITY_COST * f64::from(tasks - certain);
+        cost += UNCERTAIN_CAPACITY_COST * f64::from(tasks - certain_tasks);
         (tasks > 0).then(|| GangCapacity { cost: cost / f64::from(tasks), tasks, host: host_index })
     }
 
-    /// What a machine will have some time: work that may not be stopped ends by itself, unless it is a
-    /// replica, and what it frees is reserved as well.
+    /// Returns the capacity that a machine will have eventually. Work that may not be stopped ends by
+    /// itself, except replicas, and the capacity it frees can be reserved as well.
     fn eventual_capacity(&self, host: &Host, host_info: &HostInfo) -> Demand {
         let mut capacity = self.cluster.instance_types[host_info.instance_type].cap;
         for attempt in host.attempts.iter().filter(|attempt| !attempt.ended()) {
@@ -113,17 +115,17 @@
         capacity
     }
 
-    /// Is capacity reserved for a while before anything is preempted for the gang? Where no quick start
-    /// is wanted, most of it frees by itself: stopping a thousand short tasks for one large gang is a
-    /// loss without a gain.
+    /// Returns whether the gang keeps its reservation for a while before anything is preempted for it.
+    /// Without an objective for a quick start this avoids needless stops: most of the capacity becomes free
+    /// by itself, and stopping a thousand short tasks for one large gang loses work without a gain.
     fn reserves_before_preempting(&self, request: &PlacementRequest, until_ms: u64) -> bool {
         let wants_quick_start =
             self.policy.start_objectives.contains_key(&self.cluster.jobs[request.job_index].spec.class);
         !wants_quick_start && self.now + self.policy.hold_ms / 4 < until_ms
     }
 
-    /// Reserves capacity for all tasks of a gang on the cheapest of these machines, and preempts for it
-    /// if all of it can be freed so.
+    /// Reserves capacity for all tasks of a gang on the cheapest of these machines. Preempts for it if all
+    /// of the capacity can be freed that way.
     fn reserve_cheapest(
         &mut self,
         request: &PlacementRequest,
@@ -133,21 +135,21 @@
     ) {
         let tasks = self.cluster.jobs[request.job_index].spec.tasks;
         hosts.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let certain = hosts.iter().filter(|host| host.cost < UNCERTAIN_CAPACITY_COST / f64::from(tasks));
-        let is_certain =
-            certain.map(|host| host.tasks).sum::<u32>() >= tasks && !self.reserves_before_preempting(request, until_ms);
+        let certain_hosts = hosts.iter().filter(|host| host.cost < UNCERTAIN_CAPACITY_COST / f64::from(tasks));
+        let is_certain = certain_hosts.map(|host| host.tasks).sum::<u32>() >= tasks
+            && !self.reserves_before_preempting(request, until_ms);
         self.release_reservations(request.job_index);
         if is_certain && let Some(planned) = self.plan_gang_preemptions(request, scope, &hosts) {
             self.preempt_for_gang(request, planned, until_ms);
             return;
         }
-        let mut left = tasks;
+        let mut remaining = tasks;
         for GangCapacity { tasks, host, .. } in hosts {
-            let tasks_here = tasks.min(left);
-            left -= tasks_here;
+            let tasks_here = tasks.min(remaining);
+            remaining -= tasks_here;
             let demand = request.requirements.demand.times(f64::from(tasks_here));
             self.reserve(host, Reservation::of_job(request.job_index, demand, until_ms));
-            if left == 0 {
+            if remaining == 0 {
                 return;
             }
         }
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -1,5 +1,5 @@
-//! What a scheduling cycle looks up of teams for each attempt that might be stopped: indices in place
-//! of names, counted once and kept up to date.
+//! Team data that a scheduling cycle looks up for each attempt that might be stopped. Teams are addressed
+//! by index instead of by name; sums are computed once and kept up to date.
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::scheduling::Policy;
@@ -7,48 +7,50 @@
 use badgerdrift_borrowing::{Amounts, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
-/// Number of a team in a [`TeamTable`].
+/// Index of a team in a [`TeamTable`].
 pub(super) type TeamIndex = usize;
 
-/// A team as loans see it.
+/// Lending state of a team.
 #[derive(Debug, Clone)]
 pub(super) struct TeamEntry {
     pub(super) name: String,
     pub(super) share: TeamShare,
-    /// What it lends, what this cycle has decided included.
+    /// Amounts that the team lends, including loans decided in this cycle.
     pub(super) lent: Amounts,
-    /// Most accelerators that it lends.
-    pub(super) most_gpus: f64,
-    /// What it has borrowed, less what this cycle takes back.
+    /// Maximum number of accelerators that the team lends.
+    pub(super) max_lent_gpus: f64,
+    /// Amounts that the team has borrowed, less those taken back in this cycle.
     pub(super) borrowed: Amounts,
-    /// The teams that owe it capacity.
+    /// Teams that have borrowed from this team and have not returned all of it.
     pub(super) debtors: Vec<TeamIndex>,
 }
 
-/// All teams that have jobs or lend or borrow.
+/// All teams that have jobs.
 #[derive(Debug, Default)]
 pub(super) struct TeamTable {
     teams: Vec<TeamEntry>,
-    of_job: Vec<TeamIndex>,
+    team_of_job: Vec<TeamIndex>,
 }
 
 impl TeamTable {
-    /// Counts what teams use and owe; empty without loans between teams.
+    /// Computes what teams use, lend and borrow. The table is empty without borrowing.
     pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
-        let mut numbers: HashMap<&str, TeamIndex> = HashMap::new();
+        let mut team_indices: HashMap<&str, TeamIndex> = HashMap::new();
         let mut teams = Vec::new();
         let names = cluster.jobs.iter().map(|job| job.spec.team.as_str());
-        let of_job = names
+        let team_of_job = names
             .map(|name| {
-                *numbers.entry(name).or_insert_with(|| {
-                    teams.push(entry(name, borrowing, policy, index));
+                *team_indices.entry(name).or_insert_with(|| {
+                    teams.push(team_entry(name, borrowing, policy, index));
                     teams.len() - 1
                 })
             })
             .collect();
         for ((lender, borrower), owed) in &borrowing.owed {
-            let (Some(lender), Some(borrower)) = (numbers.get(lender.as_str()), numbers.get(borrower.as_str())) else {
+            let (Some(lender), Some(borrower)) =
+                (team_indices.get(lender.as_str()), team_indices.get(borrower.as_str()))
+            else {
                 continue;
             };
             if !owed.is_nothing() {
@@ -56,40 +58,40 @@
                 teams[*borrower].borrowed = teams[*borrower].borrowed.plus(*owed);
             }
         }
-        TeamTable { teams, of_job }
+        TeamTable { teams, team_of_job }
     }
 
-    /// The number of a job's team.
-    pub(super) fn team_of(&self, job: JobIndex) -> TeamIndex {
-        self.of_job[job]
+    /// Returns the index of a job's team.
+    pub(super) fn team_index(&self, job: JobIndex) -> TeamIndex {
+        self.team_of_job[job]
     }
 
-    /// The team of a job.
-    pub(super) fn of(&self, job: JobIndex) -> &TeamEntry {
-        &self.teams[self.of_job[job]]
+    /// Returns the team of a job.
+    pub(super) fn team(&self, job: JobIndex) -> &TeamEntry {
+        &self.teams[self.team_of_job[job]]
     }
 
-    /// The team of a job, to be changed; none without loans between teams.
-    pub(super) fn of_mut(&mut self, job: JobIndex) -> Option<&mut TeamEntry> {
-        let team = *self.of_job.get(job)?;
+    /// Returns the team of a job for modification, or `None` without borrowing.
+    pub(super) fn team_mut(&mut self, job: JobIndex) -> Option<&mut TeamEntry> {
+        let team = *self.team_of_job.get(job)?;
         self.teams.get_mut(team)
     }
 
-    /// How many teams there are.
+    /// Returns the number of teams.
     pub(super) fn len(&self) -> usize {
         self.teams.len()
     }
 }
 
-fn entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
-    let of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
+fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
+    let amounts_of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
     let guarantee = policy.teams.get(name).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default();
     let in_use = index.staying.get(name).copied().map(Amounts::from).unwrap_or_default();
     TeamEntry {
         name: name.to_string(),
-        share: TeamShare { guarantee, runnable: of(&borrowing.runnable), in_use },
-        lent: of(&borrowing.lent),
-        most_gpus: borrowing.settings.most_gpus(name, guarantee),
+        share: TeamShare { guarantee, runnable: amounts_of(&borrowing.runnable), in_use },
+        lent: amounts_of(&borrowing.lent),
+        max_lent_gpus: borrowing.settings.most_gpus(name, guarantee),
         borrowed: Amounts::default(),
         debtors: Vec::new(),
     }
