--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -1,7 +1,7 @@
-//! The election actor of a partition: sends the requests that the election calls for, and
-//! publishes its state.
+//! Election actor of a partition: performs the I/O of the [`Election`] state machine, and publishes
+//! its state.
 
-use super::campaign::{Candidacy, campaign, read_previous_leader};
+use super::campaign::{CampaignParameters, campaign, read_previous_leader};
 use super::election::{Election, Role};
 use super::failover_order::FailoverOrder;
 use super::leader_lease::{LeaderLease, PledgeStatus};
@@ -20,10 +20,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// The lease and the pledges are renewed so many times in the duration of a lease.
+/// Number of renewals of the lease and of the pledges within the duration of a lease.
 const RENEWALS_PER_LEASE: u64 = 5;
 
-/// The election actor of a partition, and what it needs.
+/// Election actor of a partition, with its settings, clients and channels.
 pub struct ElectionActor {
     /// Number of the partition.
     pub partition: u32,
@@ -33,32 +33,33 @@
     pub leader_lease_ttl_ms: u64,
     /// Duration of the leases of workers in milliseconds.
     pub lease_ms: u64,
-    /// The state store.
+    /// Client of the state store.
     pub state: StateStore,
-    /// The other controllers.
+    /// Clients of the other controllers.
     pub peers: Vec<Peer>,
-    /// Which of the controllers takes over from which.
+    /// Order in which the controllers take over from a failed leader.
     pub failover_order: FailoverOrder,
-    /// Published: until when this node may act.
+    /// Published instant until which this node may act.
     pub leader_lease: LeaderLease,
-    /// Published: the pledges given and received.
+    /// Published state of the pledges given and received.
     pub pledge_status: PledgeStatus,
-    /// Published: who leads the partition.
+    /// Published leader of the partition.
     pub leader_status: watch::Sender<LeaderStatus>,
-    /// Notifies the partition's actor.
+    /// Sends changes of leadership to the partition's actor.
     pub leadership_changes: mpsc::Sender<LeadershipChange>,
-    /// Number of partitions that this node leads: a node that leads fewer campaigns earlier, so
-    /// that partitions spread over the nodes.
+    /// Number of partitions that this node leads. A node that leads fewer partitions campaigns
+    /// earlier, so that the partitions spread over the nodes.
     pub led_partitions: Arc<AtomicUsize>,
-    /// Counts of leaderships acquired and lost.
+    /// Metrics; they count the leaderships acquired and lost.
     pub metrics: SharedMetrics,
-    /// Delay of the first campaign after a start in milliseconds, for a partition that is
-    /// preferably led by another node.
+    /// Delay of the first campaign after a start, in milliseconds. It is above 0 for a partition
+    /// that another node should preferably lead.
     pub first_campaign_delay_ms: u64,
 }
 
 impl ElectionActor {
-    /// Runs until nobody can send messages any more. `own_messages` is the sender to `messages`.
+    /// Runs the actor until all senders of `messages` are dropped. `own_messages` is a sender to
+    /// `messages`, for background tasks.
     pub async fn run(self, own_messages: mpsc::Sender<Message>, mut messages: mpsc::Receiver<Message>) {
         let mut election = Election::new(&self.node, self.leader_lease_ttl_ms, self.peers.len(), clock::now_ms());
         election.startup_read_done = false;
@@ -79,10 +80,11 @@
         }
     }
 
-    /// Starts to read and to watch the partition's record. Pledges are given meanwhile: in an
-    /// outage of the state store the first read takes as long as that.
+    /// Starts the tasks that read and watch the partition's record. The actor gives pledges without
+    /// waiting for them: during an outage of the state store the first read takes as long as the
+    /// outage.
     fn start_reads(&self, own_messages: &mpsc::Sender<Message>) {
-        task::spawn(read_previous_leader(self.state.clone(), self.candidacy(), own_messages.clone()));
+        task::spawn(read_previous_leader(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
         task::spawn(watch_partition(
             self.state.clone(),
             self.partition,
@@ -91,21 +93,27 @@
         ));
     }
 
-    fn candidacy(&self) -> Candidacy {
-        Candidacy { partition: self.partition, node: self.node.clone(), leader_lease_ttl_ms: self.leader_lease_ttl_ms }
+    /// Returns the parameters of the campaigns of this node.
+    fn campaign_parameters(&self) -> CampaignParameters {
+        CampaignParameters {
+            partition: self.partition,
+            node: self.node.clone(),
+            leader_lease_ttl_ms: self.leader_lease_ttl_ms,
+        }
     }
 
+    /// Starts a campaign if this node may campaign now.
     fn campaign_if_due(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
         if election.may_campaign(clock::now_ms()) {
             election.role = Role::Candidate;
-            task::spawn(campaign(self.state.clone(), self.candidacy(), own_messages.clone()));
+            task::spawn(campaign(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
         }
     }
 
     /// Publishes the state of the election to the rest of the node.
     fn publish(&self, election: &mut Election) {
         self.leader_lease.set_valid_until(election.lease_valid_until());
-        election.note_token();
+        election.update_latest_token();
         self.pledge_status.publish(election);
         let is_self = election.is_leader();
         let leader = if is_self {
@@ -117,29 +125,30 @@
         self.leader_status.send_if_modified(|last| std::mem::replace(last, leader_status.clone()) != leader_status);
     }
 
-    /// As the leader, renews the lease and the pledges.
+    /// Renews the lease and the pledges if this node leads.
     fn renew(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
         let sent_ms = clock::now_ms();
-        election.note_lapse(sent_ms);
+        election.record_lapse(sent_ms);
         let Some(leader) = election.leader() else { return };
         self.renew_lease(leader.lease_id, sent_ms, own_messages);
-        // Pledges would only keep the peers from keeping workers' leases alive.
+        // A leader without a valid lease gains nothing from pledges; they would only keep the peers
+        // from prolonging the leases of workers.
         if !leader.has_lapsed() {
             self.request_pledges(leader.fencing_token, sent_ms, own_messages);
         }
     }
 
-    /// Renews the lease. What is granted counts from `sent_ms`, taken before the request is sent.
+    /// Renews the lease. Its duration counts from `sent_ms`, an instant before the request is sent.
     fn renew_lease(&self, lease_id: u64, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
         let (state, ttl_ms, own_messages) = (self.state.clone(), self.leader_lease_ttl_ms, own_messages.clone());
         task::spawn(async move {
             let result = state.renew_lease(lease_id, ttl_ms).await;
-            // The actor ends only with the node.
+            // Sending fails only while the node stops.
             let _ = own_messages.send(Message::LeaseRenewalEnded { lease_id, sent_ms, result }).await;
         });
     }
 
-    /// Asks all peers for pledges, which count from `sent_ms` like the lease.
+    /// Requests pledges from all peers. Their duration counts from `sent_ms`, like that of the lease.
     fn request_pledges(&self, fencing_token: FencingToken, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
         let request = PeerRequest::Pledge {
             partition: self.partition,
@@ -154,25 +163,27 @@
             task::spawn(async move {
                 let answer = match peer.request(request, timeout).await {
                     Some(PeerResponse::Accepted) => Message::PledgeReceived { peer: index, sent_ms },
-                    _ => Message::PledgeMissing,
+                    _ => Message::PledgeNotReceived,
                 };
-                // The actor ends only with the node.
+                // Sending fails only while the node stops.
                 let _ = own_messages.send(answer).await;
             });
         }
     }
 
-    /// How long a peer's answer about a pledge is waited for.
+    /// Returns the timeout of a request for a pledge or for its release.
     fn pledge_timeout(&self) -> Duration {
         Duration::from_millis(self.leader_lease_ttl_ms / 2)
     }
 
+    /// Handles a message.
     async fn handle(&self, election: &mut Election, message: Message) {
         let now_ms = clock::now_ms();
         match message {
             Message::Pledge { request, reply } => {
                 let given = self.pledge(election, now_ms, request).await;
-                // An asker that waits no longer counts on no pledge; it binds all the same.
+                // If the requester no longer waits, it does not rely on the pledge. The pledge still
+                // binds this node.
                 let _ = reply.send(given);
             }
             Message::StartupRead(earlier_pledges) => self.startup_read(election, now_ms, earlier_pledges),
@@ -184,7 +195,7 @@
                 self.lease_not_renewed(election, lease_id, error).await;
             }
             Message::PledgeReceived { peer, sent_ms } => election.pledge_received(peer, sent_ms, now_ms),
-            Message::PledgeMissing => {}
+            Message::PledgeNotReceived => {}
             Message::ReleasePledge { fencing_token } => election.release_pledge(now_ms, fencing_token),
             Message::YieldLeadership => self.yield_leadership(election, now_ms).await,
             Message::LeadershipLost => {
@@ -202,14 +213,15 @@
         }
     }
 
-    /// Answers a leader that asks for a pledge; true if it is given.
+    /// Handles a request for a pledge; returns whether the pledge is given.
     async fn pledge(&self, election: &mut Election, now_ms: u64, request: PledgeRequest) -> bool {
-        if election.is_deposed_by(now_ms, request.fencing_token) {
+        if election.is_superseded_by(now_ms, request.fencing_token) {
             self.step_down(election, "another holds it").await;
         }
         let store_responsive = self.state.is_responsive(self.leader_lease_ttl_ms);
         let given = election.pledge(now_ms, &request, store_responsive);
-        // Without the state store, only such requests show who leads the partition.
+        // During an outage of the state store, these requests are the only source for who leads the
+        // partition.
         if given && !store_responsive {
             let PledgeRequest { leader, fencing_token, .. } = request;
             election.record = Some(PartitionRecord { leader, fencing_token, lease_id: 0 });
@@ -217,6 +229,7 @@
         given
     }
 
+    /// Handles the first read of the records after the start.
     fn startup_read(&self, election: &mut Election, now_ms: u64, earlier_pledges: EarlierPledges) {
         election.startup_read_done = true;
         election.record = match earlier_pledges {
@@ -229,8 +242,9 @@
         election.next_campaign_ms = now_ms + self.first_campaign_delay_ms;
     }
 
+    /// Handles a read of the partition's record.
     fn record_observed(&self, election: &mut Election, now_ms: u64, record: Option<PartitionRecord>) {
-        // A leader knows its own record, and what is read of it may be out of date.
+        // A leader knows its own record, and a read may be out of date.
         if election.is_leader() {
             return;
         }
@@ -241,15 +255,17 @@
         election.record = record;
     }
 
-    /// For how many milliseconds this node leaves the partition of a lost leader to others: nodes
-    /// that lead fewer partitions go first, then those that the workers try next.
+    /// Returns the delay, in milliseconds, before this node campaigns for the partition of a failed
+    /// leader. Nodes that lead fewer partitions campaign first, and among them those that the
+    /// workers try next.
     fn failover_delay_ms(&self, lost_leader: &str) -> u64 {
         let led_partitions = self.led_partitions.load(Ordering::Relaxed) as u64;
         let nodes_before = self.failover_order.nodes_before(lost_leader) as u64;
         led_partitions * self.leader_lease_ttl_ms / 10 + nodes_before * self.leader_lease_ttl_ms / 5
     }
 
-    /// Steps down if the lease has ended. After any other failure it may live on until it expires.
+    /// Handles a failed renewal: steps down if the lease no longer exists. After any other failure the
+    /// lease may be valid until it expires.
     async fn lease_not_renewed(&self, election: &mut Election, lease_id: u64, error: RequestError) {
         let is_current = election.leader().is_some_and(|leader| leader.lease_id == lease_id);
         if error == RequestError::NotFound && is_current {
@@ -257,7 +273,7 @@
         }
     }
 
-    /// Leaves the partition to the other nodes, and releases their pledges at once.
+    /// Steps down in favour of the other nodes, and releases their pledges at once.
     async fn yield_leadership(&self, election: &mut Election, now_ms: u64) {
         let pause_ms = 2 * self.lease_ms;
         let Some(fencing_token) = election.leader().map(|leader| leader.fencing_token) else { return };
@@ -270,11 +286,12 @@
         for peer in &self.peers {
             let (peer, request) =
                 (peer.clone(), PeerRequest::ReleasePledge { partition: self.partition, fencing_token });
-            // A peer that gets no release keeps to its pledge until that ends.
+            // A peer that does not receive the release is bound by its pledge until that expires.
             task::spawn(async move { peer.request(request, timeout).await });
         }
     }
 
+    /// Begins the leadership that a campaign has acquired.
     async fn leadership_acquired(&self, election: &mut Election, acquired: AcquiredLeadership, sent_ms: u64) {
         let AcquiredLeadership { lease_id, fencing_token, .. } = acquired;
         tracing::info!(partition = self.partition, %fencing_token, "leadership acquired");
@@ -282,27 +299,27 @@
         self.led_partitions.fetch_add(1, Ordering::Relaxed);
         election.begin_leadership(&acquired, sent_ms);
         election.record = Some(PartitionRecord { leader: election.node.clone(), fencing_token, lease_id });
-        // The partition's actor ends only with the node.
+        // Sending fails only while the node stops.
         let _ = self.leadership_changes.send(LeadershipChange::Begin(acquired)).await;
     }
 
-    /// Stops to lead: the lease is no longer valid here before the partition's actor is notified,
-    /// and revoked in the state store, so that another node may lead at once. `reason` is a label
-    /// of the metrics.
+    /// Ends the leadership of this node. The local lease is invalidated before the partition's actor
+    /// is notified, and the lease in the state store is revoked, so that another node may lead at
+    /// once. `reason` is a label of the metrics.
     async fn step_down(&self, election: &mut Election, reason: &str) {
         tracing::warn!(partition = self.partition, reason, "leadership lost");
         self.metrics.count("partitions_lost", reason);
         self.led_partitions.fetch_sub(1, Ordering::Relaxed);
         if let Some(leader) = election.leader() {
             let (state, lease_id) = (self.state.clone(), leader.lease_id);
-            // A lease that can't be revoked expires.
+            // A lease that cannot be revoked expires.
             task::spawn(async move { state.revoke_lease(lease_id).await });
         }
         election.role = Role::Follower;
         election.record = None;
         election.next_campaign_ms = clock::now_ms() + self.leader_lease_ttl_ms / 5;
         self.leader_lease.set_valid_until(0);
-        // The partition's actor ends only with the node.
+        // Sending fails only while the node stops.
         let _ = self.leadership_changes.send(LeadershipChange::End).await;
     }
 }
--- a/src/control/membership/campaign.rs
+++ b/src/control/membership/campaign.rs
@@ -14,9 +14,10 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The partition of an election and this node, as campaigns need them.
+/// Parameters of the campaigns of this node for a partition.
 #[derive(Debug, Clone)]
-pub(super) struct Candidacy {
+pub(super) struct CampaignParameters {
+    /// Number of the partition.
     pub(super) partition: u32,
     /// Name of this node.
     pub(super) node: String,
@@ -24,63 +25,71 @@
     pub(super) leader_lease_ttl_ms: u64,
 }
 
-/// The fencing token that a leader was raised to, and the version of the partition's key since.
+/// Fencing token that a leader has raised its leadership to, and the resulting version of the
+/// partition's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RaisedToken {
-    /// The fencing token.
+    /// New fencing token.
     pub fencing_token: FencingToken,
-    /// The version of the partition's key.
+    /// Version of the partition's key.
     pub version: u64,
 }
 
-/// The partition's key as a commit finds it and is to leave it.
+/// Update of a partition's key: the version that is expected, and the leader to be recorded.
 pub struct PartitionKeyUpdate<'a> {
     /// Number of the partition.
     pub partition: u32,
-    /// Name of the node that is to lead it.
+    /// Name of the node to be recorded as the leader.
     pub node: &'a str,
-    /// The version that the key must have; 0 if it must not exist.
+    /// Version that the key must have; 0 if the key must not exist.
     pub version: u64,
-    /// The lease that the key is to be attached to.
+    /// Id of the lease that the key is to be attached to.
     pub lease_id: u64,
 }
 
-/// Why the next fencing token was not acquired.
+/// Error of an attempt to acquire the next fencing token.
 #[derive(Debug, Error)]
 pub enum AcquireError {
     /// The counter of fencing tokens could not be read.
-    #[error("reading the counter of fencing tokens: {0}")]
+    #[error("failed to read the fencing token counter (key {FENCING_TOKEN_KEY:?}): {0}")]
     ReadCounter(#[source] RequestError),
     /// The counter does not exist, though the partition has a leader.
-    #[error("the counter of fencing tokens does not exist")]
+    #[error(
+        "the fencing token counter (key {FENCING_TOKEN_KEY:?}) does not exist, although the partition has a leader"
+    )]
     NoCounter,
-    /// The counter has a value that this version can't read.
-    #[error("the counter of fencing tokens is unreadable: {0}")]
+    /// The counter has a value that this version cannot parse.
+    #[error("failed to parse the fencing token counter (key {FENCING_TOKEN_KEY:?}): {0}")]
     UnreadableCounter(#[source] serde_json::Error),
     /// The lease could not be created.
-    #[error("creating the lease: {0}")]
+    #[error("failed to create the leader lease: {0}")]
     CreateLease(#[source] RequestError),
-    /// A record could not be written as JSON.
-    #[error("writing a record as JSON: {0}")]
+    /// A record could not be serialized as JSON.
+    #[error("failed to serialize a partition or counter record as JSON: {0}")]
     Encode(#[source] serde_json::Error),
-    /// The commit has failed, or is indeterminate.
-    #[error("committing the next fencing token: {0:?}")]
+    /// The commit has failed, or its outcome is unknown.
+    #[error("the commit of the next fencing token was not confirmed: {0:?}")]
     Commit(CommitOutcome),
 }
 
-/// The counter of fencing tokens as it was read.
+/// Counter of fencing tokens as read from the state store, with the version of its key.
 struct TokenCounter {
     record: FencingTokenRecord,
     version: u64,
 }
 
-/// After a start: reports whether this node may be bound by pledges from before a restart.
-pub(super) async fn read_previous_leader(state: StateStore, candidacy: Candidacy, election: mpsc::Sender<Message>) {
-    let Candidacy { partition, node, leader_lease_ttl_ms } = candidacy;
+/// Reads the records of the previous leader after a start, and reports whether pledges from before
+/// the restart may still bind this node.
+pub(super) async fn read_previous_leader(
+    state: StateStore,
+    parameters: CampaignParameters,
+    election: mpsc::Sender<Message>,
+) {
+    let CampaignParameters { partition, node, leader_lease_ttl_ms } = parameters;
     let retry_delay = Duration::from_millis(leader_lease_ttl_ms / 5);
     let (record, counter) = read_partition_and_counter(&state, partition, retry_delay).await;
     let none_binding = match (&record, counter) {
-        // This node led before its restart: it has stopped acting, and nobody relied on its pledges.
+        // This node led before its restart: it has stopped acting, and no leader relied on its pledges.
         (Some(record), _) if record.leader == node => {
             tracing::info!(fencing_token = %record.fencing_token, "revoking the lease from before the restart");
             state.revoke_lease(record.lease_id).await.is_ok()
@@ -90,12 +99,12 @@
         (Some(_), _) => false,
     };
     let earlier_pledges = if none_binding { EarlierPledges::NoneBinding } else { EarlierPledges::MayBind { record } };
-    // The actor ends only with the node.
+    // Sending fails only while the node stops.
     let _ = election.send(Message::StartupRead(earlier_pledges)).await;
 }
 
-/// Reads the partition's record and the counter of fencing tokens, until that succeeds. What
-/// can't be parsed counts as absent.
+/// Reads the partition's record and the counter of fencing tokens, and retries until both reads
+/// succeed. A value that cannot be parsed is returned as `None`.
 async fn read_partition_and_counter(
     state: &StateStore,
     partition: u32,
@@ -113,18 +122,22 @@
     (record, counter)
 }
 
-/// Tries to acquire a partition that has no leader, and reports the outcome.
-pub(super) async fn campaign(state: StateStore, candidacy: Candidacy, election: mpsc::Sender<Message>) {
+/// Tries to acquire the leadership of a partition that has no leader, and reports the outcome.
+pub(super) async fn campaign(state: StateStore, parameters: CampaignParameters, election: mpsc::Sender<Message>) {
     let sent_ms = clock::now_ms();
-    let acquired = acquire_leadership(&state, &candidacy)
+    let acquired = acquire_leadership(&state, &parameters)
         .await
-        .inspect_err(|error| tracing::debug!(partition = candidacy.partition, %error, "campaign failed"))
+        .inspect_err(|error| tracing::debug!(partition = parameters.partition, %error, "campaign failed"))
         .ok();
-    // The actor ends only with the node.
+    // Sending fails only while the node stops.
     let _ = election.send(Message::CampaignEnded { sent_ms, acquired }).await;
 }
 
-async fn acquire_leadership(state: &StateStore, candidacy: &Candidacy) -> Result<AcquiredLeadership, AcquireError> {
+/// Creates a lease and commits the next fencing token and this node as the leader.
+async fn acquire_leadership(
+    state: &StateStore,
+    parameters: &CampaignParameters,
+) -> Result<AcquiredLeadership, AcquireError> {
     let counter = read_counter(state).await?.unwrap_or_else(|| TokenCounter {
         record: FencingTokenRecord {
             last_token: FencingToken::NONE,
@@ -133,23 +146,24 @@
         },
         version: 0,
     });
-    let lease_id = state.create_lease(candidacy.leader_lease_ttl_ms).await.map_err(AcquireError::CreateLease)?;
-    let update = PartitionKeyUpdate { partition: candidacy.partition, node: &candidacy.node, version: 0, lease_id };
+    let lease_id = state.create_lease(parameters.leader_lease_ttl_ms).await.map_err(AcquireError::CreateLease)?;
+    let update = PartitionKeyUpdate { partition: parameters.partition, node: &parameters.node, version: 0, lease_id };
     let acquired = commit_next_token(state, &update, counter).await;
     if acquired.is_err() {
-        // Also where the commit is indeterminate: applied late, it fails with its lease. One that
-        // can't be revoked ends by itself.
+        // Also if the outcome of the commit is unknown: if it is applied later, it fails because its
+        // lease no longer exists. A lease that cannot be revoked expires.
         let _ = state.revoke_lease(lease_id).await;
     }
     acquired
 }
 
-/// Acquires a fresh fencing token for a partition that this node leads: all workers will refuse
-/// lower ones.
+/// Acquires a new fencing token for a partition that this node leads. Workers refuse lower tokens
+/// once they have seen it.
 ///
 /// # Errors
 ///
-/// The outcome of the commit that was not made, or is indeterminate.
+/// Returns an error if the counter cannot be read or does not exist, or if the commit fails or its
+/// outcome is unknown.
 pub async fn raise_fencing_token(
     state: &StateStore,
     update: &PartitionKeyUpdate<'_>,
@@ -159,7 +173,7 @@
     Ok(RaisedToken { fencing_token: acquired.fencing_token, version: acquired.version })
 }
 
-/// The counter of fencing tokens; `None` if it does not exist yet.
+/// Reads the counter of fencing tokens; `None` if it does not exist yet.
 async fn read_counter(state: &StateStore) -> Result<Option<TokenCounter>, AcquireError> {
     let (item, _) = state.get(FENCING_TOKEN_KEY).await.map_err(AcquireError::ReadCounter)?;
     let Some(item) = item else { return Ok(None) };
@@ -167,8 +181,9 @@
     Ok(Some(TokenCounter { record, version: item.version }))
 }
 
-/// Commits the next fencing token and puts the partition under it: both keys change or none, on
-/// the condition that neither was changed since it was read. So no token is given out twice.
+/// Commits the next fencing token and records the leader of the partition with it. Both keys change
+/// in one commit, on the condition that neither has changed since it was read, so that no token is
+/// issued twice.
 async fn commit_next_token(
     state: &StateStore,
     update: &PartitionKeyUpdate<'_>,
@@ -179,14 +194,14 @@
     let record = PartitionRecord { leader: update.node.to_string(), fencing_token, lease_id };
     let mut leaders = counter.record.leaders;
     leaders.insert(update.partition, update.node.to_string());
-    let next = FencingTokenRecord { last_token: fencing_token, start_ms, leaders };
-    let (record, next) = (to_json(&record)?, to_json(&next)?);
+    let next_counter = FencingTokenRecord { last_token: fencing_token, start_ms, leaders };
+    let (record, next_counter) = (to_json(&record)?, to_json(&next_counter)?);
     let key = partition_key(update.partition);
     let conditions = [wire::condition(&key, update.version), wire::condition(FENCING_TOKEN_KEY, counter.version)];
-    let writes = [wire::put(&key, &record, Some(lease_id)), wire::put(FENCING_TOKEN_KEY, &next, None)];
+    let writes = [wire::put(&key, &record, Some(lease_id)), wire::put(FENCING_TOKEN_KEY, &next_counter, None)];
     let version = match state.commit(&conditions, &writes).await {
         CommitOutcome::Done { revision } => revision,
-        // It may have been applied: the partition's key shows whether it was.
+        // The commit may have been applied: the partition's key shows whether it was.
         CommitOutcome::Indeterminate => match state.get(&key).await {
             Ok((Some(item), _)) if item.value == record => item.version,
             _ => return Err(AcquireError::Commit(CommitOutcome::Indeterminate)),
--- a/src/control/membership/election.rs
+++ b/src/control/membership/election.rs
@@ -1,49 +1,49 @@
-//! The election of a partition's leader as a state machine, without I/O.
+//! State machine of the leader election of a partition, without I/O.
 
 use super::leader_state::{LeaderState, PeerPledges, lengthened_by_drift};
 use super::messages::{AcquiredLeadership, PledgeRequest};
 use super::records::PartitionRecord;
 use crate::model::FencingToken;
 
-/// The role of this node in the election.
+/// Role of this node in the election.
 #[derive(Debug)]
 pub(super) enum Role {
-    /// Does not lead, and may give pledges.
+    /// The node does not lead and may give pledges.
     Follower,
-    /// Tries to acquire the partition.
+    /// The node campaigns for the leadership.
     Candidate,
-    /// Leads the partition for as long as its lease is valid.
+    /// The node leads the partition, and may act while its lease is valid.
     Leader(LeaderState),
 }
 
-/// The election as this node sees it. Times are milliseconds of the steady clock.
+/// State of the election on this node. Times are milliseconds of the steady clock.
 #[derive(Debug)]
 pub struct Election {
     pub(super) node: String,
     leader_lease_ttl_ms: u64,
     peer_count: usize,
     pub(super) role: Role,
-    /// The pledges that this node has given end then.
+    /// Instant at which the pledges that this node has given expire.
     pledged_until_ms: u64,
-    /// The highest fencing token that they were for.
+    /// Highest fencing token that this node has given a pledge for.
     pledged_token: FencingToken,
-    /// Leadership is not yielded again before then: if no node receives heartbeats, another
-    /// leader would not help.
+    /// Earliest instant at which leadership may be yielded again: if no node receives heartbeats,
+    /// another change of leader does not help.
     next_yield_ms: u64,
-    /// A restarted node keeps to pledges that it may have given before the restart until then.
+    /// Instant until which pledges that this node may have given before a restart bind it.
     earlier_pledges_until_ms: u64,
-    /// False until the records of the previous leader have been read after the start.
+    /// Whether the records of the previous leader have been read after the start.
     pub(super) startup_read_done: bool,
-    /// The highest fencing token that this node knows of.
+    /// Highest fencing token of the partition that this node knows.
     pub(super) latest_token: FencingToken,
-    /// The record of the partition's leader, if one is known.
+    /// Record of the partition's leader, if one is known.
     pub(super) record: Option<PartitionRecord>,
-    /// No campaign begins before then.
+    /// Earliest instant of the next campaign.
     pub(super) next_campaign_ms: u64,
 }
 
 impl Election {
-    /// The election at the start of a node that may have given pledges before a restart.
+    /// Creates the election at the start of a node that may have given pledges before a restart.
     pub fn new(node: &str, leader_lease_ttl_ms: u64, peer_count: usize, now_ms: u64) -> Election {
         Election {
             node: node.into(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The state of the leader, if that is this node.
+    /// Returns the state of the leadership if this node leads.
     pub(super) fn leader(&self) -> Option<&LeaderState> {
         match &self.role {
             Role::Leader(leader) => Some(leader),
@@ -69,6 +69,7 @@
         }
     }
 
+    /// Like [`Election::leader`], but mutable.
     fn leader_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.role {
             Role::Leader(leader) => Some(leader),
@@ -76,19 +77,19 @@
         }
     }
 
-    /// True if this node is the partition's leader.
+    /// Returns whether this node leads the partition.
     pub(super) fn is_leader(&self) -> bool {
         self.leader().is_some()
     }
 
-    /// No pledge from before a restart binds: the system is new, or this node itself was the
-    /// last leader, so that nobody relied on its pledges.
+    /// Releases this node from pledges from before a restart: the deployment is new, or this node was
+    /// the last leader, so that no leader relied on its pledges.
     pub fn clear_earlier_pledges(&mut self) {
         self.earlier_pledges_until_ms = 0;
     }
 
-    /// Whether this node may campaign now. It may not while it is bound by a pledge: the leader
-    /// may rely on that alone while the state store is unavailable.
+    /// Returns whether this node may campaign now. It may not while a pledge binds it: during an
+    /// outage of the state store, the leader relies on the pledges alone.
     pub fn may_campaign(&self, now_ms: u64) -> bool {
         matches!(self.role, Role::Follower)
             && self.startup_read_done
@@ -98,12 +99,12 @@
             && now_ms >= self.next_campaign_ms
     }
 
-    /// Answers a leader that asks this node not to campaign for a while; true if the pledge is
-    /// given. Refused while this node itself campaigns or leads, if it knows a later leader, or
-    /// if only the asker has lost the state store: `store_responsive` is whether the store
-    /// answers this node.
+    /// Handles a request for a pledge; returns whether the pledge is given.
     ///
-    /// A pledge binds for longer than the asker counts on it, by the drift of both clocks.
+    /// The pledge is refused while this node campaigns or leads, if it knows a later leader, or if
+    /// only the requester has lost the state store. `store_responsive` is whether the state store
+    /// answers this node. A pledge binds this node for longer than the requester relies on it, by
+    /// the drift of both clocks.
     pub fn pledge(&mut self, now_ms: u64, request: &PledgeRequest, store_responsive: bool) -> bool {
         let is_later =
             |record: &PartitionRecord| record.leader != request.leader && record.fencing_token > request.fencing_token;
@@ -118,16 +119,16 @@
         given
     }
 
-    /// Releases the pledge for a fencing token. Only the latest pledge can be released: a late
-    /// copy of an earlier release must not undo a pledge to another leader.
+    /// Releases the pledge for a fencing token. Only the latest pledge can be released: a delayed
+    /// release of an earlier pledge must not cancel a pledge to another leader.
     pub fn release_pledge(&mut self, now_ms: u64, fencing_token: FencingToken) {
         if self.pledged_token == fencing_token {
             self.pledged_until_ms = self.pledged_until_ms.min(now_ms);
         }
     }
 
-    /// Whether a leader that receives no heartbeats may leave the partition to another node; if
-    /// so, it may not again for twice `pause_ms`.
+    /// Returns whether a leader that receives no heartbeats may yield its leadership. If so, it may not
+    /// yield again for twice `pause_ms` milliseconds.
     pub fn may_yield_leadership(&mut self, now_ms: u64, pause_ms: u64) -> bool {
         let may_yield = self.peer_count > 0 && self.is_leader() && now_ms >= self.next_yield_ms;
         if may_yield {
@@ -136,20 +137,20 @@
         may_yield
     }
 
-    /// Until when this node may act for the partition; 0 if it does not lead it.
+    /// Returns the instant until which this node may act for the partition; 0 if it does not lead it.
     pub fn lease_valid_until(&self) -> u64 {
         self.leader().map_or(0, LeaderState::lease_valid_until)
     }
 
-    /// Notes the highest fencing token that is known.
-    pub(super) fn note_token(&mut self) {
-        let led_under = self.leader().map_or(FencingToken::NONE, |leader| leader.fencing_token);
+    /// Updates the highest known fencing token.
+    pub(super) fn update_latest_token(&mut self) {
+        let own_token = self.leader().map_or(FencingToken::NONE, |leader| leader.fencing_token);
         let recorded = self.record.as_ref().map_or(FencingToken::NONE, |record| record.fencing_token);
-        self.latest_token = self.latest_token.max(recorded).max(led_under).max(self.pledged_token);
+        self.latest_token = self.latest_token.max(recorded).max(own_token).max(self.pledged_token);
     }
 
-    /// Until when this node must not keep workers' leases alive by itself, as a leader counts on
-    /// their expiry.
+    /// Returns the instant until which this node must not prolong workers' leases on its own, because
+    /// a leader relies on their expiry; `u64::MAX` during a campaign.
     pub(super) fn pledged_until_ms(&self) -> u64 {
         match &self.role {
             Role::Follower => self.pledged_until_ms.max(self.earlier_pledges_until_ms),
@@ -158,19 +159,19 @@
         }
     }
 
-    /// The pledges of all peers to this node; none if it does not lead.
+    /// Returns the summary of the peers' pledges to this node; all zero if it does not lead.
     pub(super) fn peer_pledges(&self) -> PeerPledges {
         self.leader().map_or_else(PeerPledges::default, LeaderState::peer_pledges)
     }
 
-    /// Whether this node, as the leader, is deposed by another that asks for a pledge: its token
-    /// is higher, and the lease here is no longer valid. So the other leads the partition now,
-    /// even if the state store can't be asked.
-    pub(super) fn is_deposed_by(&self, now_ms: u64, other_token: FencingToken) -> bool {
+    /// Returns whether this node leads but is superseded by a node that requests a pledge for
+    /// `other_token`: that token is higher, and the lease here is no longer valid. The other node
+    /// then leads the partition. This is true even while the state store is unavailable.
+    pub(super) fn is_superseded_by(&self, now_ms: u64, other_token: FencingToken) -> bool {
         self.leader().is_some_and(|leader| leader.fencing_token < other_token && now_ms >= leader.lease_valid_until())
     }
 
-    /// This node leads from now on, by requests of which the first was sent at `sent_ms`.
+    /// Begins the leadership of this node, whose first request was sent at `sent_ms`.
     pub(super) fn begin_leadership(&mut self, acquired: &AcquiredLeadership, sent_ms: u64) {
         self.role = Role::Leader(LeaderState::new(acquired, sent_ms, self.leader_lease_ttl_ms, self.peer_count));
     }
@@ -182,10 +183,10 @@
         }
     }
 
-    /// See [`LeaderState::note_lapse`].
-    pub(super) fn note_lapse(&mut self, now_ms: u64) {
+    /// See [`LeaderState::record_lapse`].
+    pub(super) fn record_lapse(&mut self, now_ms: u64) {
         if let Some(leader) = self.leader_mut() {
-            leader.note_lapse(now_ms);
+            leader.record_lapse(now_ms);
         }
     }
 
--- a/src/control/membership/failover_order.rs
+++ b/src/control/membership/failover_order.rs
@@ -1,11 +1,11 @@
-//! Which controller takes over from a leader that is lost.
+//! Order in which controllers take over from a failed leader.
 //!
 //! A worker whose controller does not answer tries the next one after a timeout, in an order
-//! that all workers share, and its lease outlives one such timeout but hardly two. So the
-//! controller that workers try next campaigns first: they reach the new leader with their first
-//! retry.
+//! that all workers share. Its lease outlasts one such timeout but hardly two. The controller that
+//! the workers try next therefore campaigns first, so that they reach the new leader with their
+//! first retry.
 
-/// The controllers of the deployment in the order in which workers try them.
+/// Controllers of the deployment in the order in which workers try them.
 #[derive(Debug, Clone)]
 pub struct FailoverOrder {
     nodes: Vec<String>,
@@ -13,7 +13,7 @@
 }
 
 impl FailoverOrder {
-    /// The order of these nodes as seen from `own`.
+    /// Creates the order for node `own`, given the names of all other controllers.
     pub fn new<'a>(own: &str, others: impl IntoIterator<Item = &'a str>) -> FailoverOrder {
         let mut nodes: Vec<String> = others.into_iter().map(String::from).collect();
         nodes.push(own.into());
@@ -22,8 +22,8 @@
         FailoverOrder { nodes, own_index }
     }
 
-    /// How many controllers come between a lost leader and this node; 0 if this node is its
-    /// direct successor, or if the leader is none of the controllers.
+    /// Returns the number of controllers between a failed leader and this node in the order: 0 if
+    /// this node is the direct successor, or if `lost_leader` is not one of the controllers.
     pub fn nodes_before(&self, lost_leader: &str) -> usize {
         let Some(lost) = self.nodes.iter().position(|node| node == lost_leader) else { return 0 };
         let steps = (self.own_index + self.nodes.len() - lost) % self.nodes.len();
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -5,108 +5,109 @@
 use crate::model::FencingToken;
 use tokio::sync::oneshot;
 
-/// What the rest of the node knows of the partition's leader.
+/// Leader of the partition, as published to the rest of the node.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LeaderStatus {
     /// Name of the node that leads the partition, if known.
     pub leader: Option<String>,
-    /// True if that is this node.
+    /// Whether this node is the leader.
     pub is_self: bool,
 }
 
-/// Notifies the partition's actor that leadership has changed.
+/// Notification to the partition's actor that this node has become or ceased to be the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipChange {
-    /// This node leads the partition from now on.
+    /// This node has acquired the leadership.
     Begin(AcquiredLeadership),
-    /// It no longer leads it.
+    /// This node no longer leads the partition.
     End,
 }
 
-/// A leader's request for a pledge: that the receiver does not campaign for a while.
+/// Request of a leader that the receiver pledges not to campaign for a limited time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PledgeRequest {
-    /// Name of the node that asks.
+    /// Name of the requesting node.
     pub leader: String,
-    /// The fencing token under which it leads.
+    /// Fencing token of its leadership.
     pub fencing_token: FencingToken,
     /// Duration of the pledge in milliseconds.
     pub for_ms: u64,
-    /// True if the state store has answered the asker lately.
+    /// Whether the state store has recently answered the requesting node.
     pub store_responsive: bool,
 }
 
-/// What the records read after a start show of pledges that were given before a restart.
+/// Whether pledges from before a restart may still bind this node, as the records read after the
+/// start show.
 #[derive(Debug)]
 pub enum EarlierPledges {
     /// No such pledge binds this node, and no node leads the partition.
     NoneBinding,
-    /// They may bind it until they expire.
+    /// Such pledges may bind this node until they expire.
     MayBind {
-        /// The partition's record; `None` if no node leads the partition.
+        /// Record of the partition; `None` if no node leads it.
         record: Option<PartitionRecord>,
     },
 }
 
-/// Messages to the election actor. Times are milliseconds of the steady clock.
+/// Message to the election actor. Times are milliseconds of the steady clock.
 #[derive(Debug)]
 pub enum Message {
-    /// A leader asks for a pledge.
+    /// A leader requests a pledge.
     Pledge {
-        /// The request.
+        /// Request for the pledge.
         request: PledgeRequest,
-        /// Takes true if the pledge is given.
+        /// Receives whether the pledge is given.
         reply: oneshot::Sender<bool>,
     },
-    /// A leader that asked for a pledge has stopped acting.
+    /// A leader that requested a pledge has stopped acting, which releases the pledge.
     ReleasePledge {
-        /// The fencing token that the pledge was for.
+        /// Fencing token that the pledge was given for.
         fencing_token: FencingToken,
     },
-    /// The partition's actor found that the partition's key is no longer this node's.
+    /// The partition's actor has found that the partition's key no longer belongs to this node.
     LeadershipLost,
-    /// The partition's actor receives no heartbeats, and another node may.
+    /// The partition's actor receives no heartbeats. Another node may still receive them.
     YieldLeadership,
-    /// The records were read for the first time after the start.
+    /// The records of the previous leader have been read after the start.
     StartupRead(EarlierPledges),
-    /// The partition's record as the state store has it now; `None` if no node leads.
+    /// The partition's record was read from the state store; `None` if no node leads the partition.
     RecordObserved(Option<PartitionRecord>),
-    /// A renewal of the lease has ended.
+    /// A request to renew the lease has ended.
     LeaseRenewalEnded {
-        /// Id of the lease.
+        /// Id of the renewed lease.
         lease_id: u64,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         sent_ms: u64,
-        /// How it ended.
+        /// Outcome of the request.
         result: Result<(), RequestError>,
     },
     /// A peer has given a pledge.
     PledgeReceived {
-        /// Index of the peer.
+        /// Index of the peer in the actor's list of peers.
         peer: usize,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         sent_ms: u64,
     },
-    /// A peer has refused a pledge, or did not answer.
-    PledgeMissing,
+    /// A peer has refused a pledge or has not answered in time.
+    PledgeNotReceived,
     /// A campaign has ended.
     CampaignEnded {
-        /// When its first request was sent.
+        /// Time at which the first request of the campaign was sent.
         sent_ms: u64,
-        /// What was acquired; `None` if the campaign failed.
+        /// Acquired leadership; `None` if the campaign failed.
         acquired: Option<AcquiredLeadership>,
     },
 }
 
-/// Leadership of a partition that was acquired by a commit.
+/// Leadership of a partition that was acquired by a commit to the state store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcquiredLeadership {
-    /// The lease that the partition's key is attached to.
+    /// Id of the lease that the partition's key is attached to.
     pub lease_id: u64,
-    /// The fencing token of this leadership.
+    /// Fencing token of this leadership.
     pub fencing_token: FencingToken,
-    /// The version of the partition's key.
+    /// Version of the partition's key after the commit.
     pub version: u64,
-    /// Time of day at which the system began, in milliseconds.
+    /// Wall-clock time of the first start of the deployment, in milliseconds.
     pub start_ms: u64,
 }
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -1,10 +1,12 @@
-//! Who leads a partition: leases of the state store, fencing tokens, pledges between
-//! controllers, failover. One actor for each partition.
+//! Leader election of a partition: leases in the state store, fencing tokens, pledges between
+//! controllers, and failover. Each partition has its own election actor.
 //!
 //! The leader of a partition has written the key `part/N`, which is attached to a lease. It may
-//! act until that lease could end, counted from the sending of its last renewal, or until the
-//! pledges of all other controllers end, whichever is later. Every leadership has a fencing
-//! token of its own from one counter, and commits are conditional on the version of the key.
+//! act until the earliest instant at which that lease could expire, counted from the sending of
+//! its last renewal, or until the earliest expiry of the pledges of all other controllers,
+//! whichever is later. A pledge is the promise of a controller not to campaign for a limited time.
+//! Every leadership has a fencing token of its own from one counter, and commits are conditional on
+//! the version of the key.
 
 mod actor;
 mod campaign;
--- a/src/control/membership/partition_watch.rs
+++ b/src/control/membership/partition_watch.rs
@@ -1,6 +1,6 @@
 //! Watches a partition's key in the state store.
 //!
-//! Both tasks live as long as the node: they end once the election actor has.
+//! Both tasks run until the election actor has ended, and thus as long as the node.
 
 use super::messages::Message;
 use super::records::{PartitionRecord, partition_key};
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Reports the partition's record to the election actor whenever it changes. Also probes the
-/// state store, so that it is known whether the store is responsive.
+/// Reports the partition's record to the election actor whenever it changes. Also starts periodic
+/// reads of the key, which show whether the state store is responsive.
 pub(super) async fn watch_partition(
     state: StateStore,
     partition: u32,
@@ -26,7 +26,7 @@
         let from = match known_revision {
             Some(revision) => revision,
             None => {
-                let Some(revision) = read_now(&state, &key, &election).await else {
+                let Some(revision) = report_current_record(&state, &key, &election).await else {
                     tokio::time::sleep(retry_delay).await;
                     continue;
                 };
@@ -35,9 +35,9 @@
         };
         match state.changes(&key, from, leader_lease_ttl_ms * 4).await {
             Ok(changes) => {
-                // The watch is by prefix: "part/1" is one of "part/10" too.
+                // The watch is by prefix: a watch of "part/1" also reports changes of "part/10".
                 for change in changes.events.into_iter().filter(|change| change.key() == key) {
-                    if election.send(Message::RecordObserved(changed_record(change))).await.is_err() {
+                    if election.send(Message::RecordObserved(record_after_change(change))).await.is_err() {
                         return;
                     }
                 }
@@ -51,30 +51,32 @@
     }
 }
 
-/// Reads the key periodically, also while the watch waits for a change.
+/// Reads the key periodically, also while the watch waits for a change, and reports the record.
 async fn probe(state: StateStore, key: String, period: Duration, election: mpsc::Sender<Message>) {
     loop {
         tokio::time::sleep(period).await;
         if let Ok((item, _)) = state.get(&key).await
-            && election.send(Message::RecordObserved(record_of(item))).await.is_err()
+            && election.send(Message::RecordObserved(parse_record(item))).await.is_err()
         {
             return;
         }
     }
 }
 
-/// Reports the record as it is now; returns the revision up to which that is known.
-async fn read_now(state: &StateStore, key: &str, election: &mpsc::Sender<Message>) -> Option<u64> {
+/// Reads the key, reports the record, and returns the revision of the read; `None` if the read failed.
+async fn report_current_record(state: &StateStore, key: &str, election: &mpsc::Sender<Message>) -> Option<u64> {
     let (item, revision) = state.get(key).await.ok()?;
     // If the actor has ended, the next report ends this task.
-    let _ = election.send(Message::RecordObserved(record_of(item))).await;
+    let _ = election.send(Message::RecordObserved(parse_record(item))).await;
     Some(revision)
 }
 
-fn changed_record(change: Change) -> Option<PartitionRecord> {
+/// Returns the record after a change; `None` if it was deleted or cannot be parsed.
+fn record_after_change(change: Change) -> Option<PartitionRecord> {
     if change.deleted() { None } else { change.value.and_then(|value| serde_json::from_value(value).ok()) }
 }
 
-fn record_of(item: Option<Item>) -> Option<PartitionRecord> {
+/// Parses the record of an item; `None` if there is no item or it cannot be parsed.
+fn parse_record(item: Option<Item>) -> Option<PartitionRecord> {
     item.and_then(|item| serde_json::from_value(item.value).ok())
 }
--- a/src/control/membership/tests.rs
+++ b/src/control/membership/tests.rs
@@ -10,118 +10,125 @@
 
 const LEASE_TTL_MS: u64 = 2500;
 
-/// Node `a`, which leads with so many peers by requests that were sent at 1000 ms.
-fn leading(peers: usize) -> Election {
+/// The election on node `a`, which leads and has this many peers; its campaign began at 1000 ms.
+fn election_led_by_a(peers: usize) -> Election {
     let mut election = Election::new("a", LEASE_TTL_MS, peers, 0);
     let acquired = AcquiredLeadership { lease_id: 1, fencing_token: FencingToken(7), version: 3, start_ms: 0 };
     election.begin_leadership(&acquired, 1000);
     election
 }
 
-/// A request for a pledge for the whole duration of a lease.
+/// Request for a pledge of the whole duration of a lease.
 fn pledge_request(leader: &str, token: u64, store_responsive: bool) -> PledgeRequest {
     let fencing_token = FencingToken(token);
     PledgeRequest { leader: leader.into(), fencing_token, for_ms: LEASE_TTL_MS, store_responsive }
 }
 
 #[test]
-fn a_lease_counts_from_when_its_renewal_was_sent() {
-    let mut election = leading(2);
+fn leader_lease_counts_from_the_sending_of_its_last_renewal() {
+    let mut election = election_led_by_a(2);
     let first = election.lease_valid_until();
-    assert!(first < 1000 + LEASE_TTL_MS && first > 1000 + LEASE_TTL_MS - 10, "less drift");
+    assert!(first < 1000 + LEASE_TTL_MS && first > 1000 + LEASE_TTL_MS - 10, "the lease is shortened by clock drift");
     election.lease_renewed(1, 2000, 2001);
     assert_eq!(election.lease_valid_until(), first + 1000);
     election.lease_renewed(1, 1500, 2002);
-    assert_eq!(election.lease_valid_until(), first + 1000, "a late answer takes nothing back");
+    assert_eq!(election.lease_valid_until(), first + 1000, "a late answer does not shorten the lease");
     election.lease_renewed(2, 9000, 9001);
     assert_eq!(election.lease_valid_until(), first + 1000, "the renewal of another lease does not count");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_expires_by_itself_on_the_steady_clock() {
+async fn leader_lease_expires_on_the_steady_clock_without_a_message() {
     let (lease, now) = (LeaderLease::default(), clock::now_ms());
-    assert!(!lease.holds(now), "not before it is acquired");
+    assert!(!lease.holds(now), "the lease is not valid before it is acquired");
     lease.set_valid_until(now + LEASE_TTL_MS);
     tokio::time::advance(Duration::from_millis(LEASE_TTL_MS - 10)).await;
     assert!(lease.holds(clock::now_ms()));
     tokio::time::advance(Duration::from_millis(20)).await;
-    assert!(!lease.holds(clock::now_ms()), "no message is needed for it to end");
+    assert!(!lease.holds(clock::now_ms()), "the lease expires without a message");
 }
 
 #[test]
-fn pledges_count_only_if_all_peers_gave_them() {
-    let mut election = leading(2);
+fn pledges_prolong_the_leader_lease_only_if_all_peers_gave_them() {
+    let mut election = election_led_by_a(2);
     let first = election.lease_valid_until();
     election.pledge_received(0, 3000, 3001);
     assert_eq!(election.lease_valid_until(), first);
     election.pledge_received(1, 2000, 2001);
     assert!(
         election.lease_valid_until() > 2000 && election.lease_valid_until() < 2000 + LEASE_TTL_MS,
-        "the earliest one counts"
+        "the pledge that expires first counts"
     );
     assert!(election.lease_valid_until() > first);
 }
 
-// A controller without a pledge may keep workers' leases alive: the leader must know of every
-// moment in which one may have had none.
+// A controller without a pledge may prolong workers' leases. A leader that misses a gap between
+// pledges would rely on the expiry of a lease that was prolonged.
 #[test]
-fn a_gap_between_pledges_is_known_to_the_leader_and_frees_the_peer() {
-    let mut election = leading(1);
+fn gap_between_pledges_is_recorded_and_restarted_node_counts_as_pledged() {
+    let mut election = election_led_by_a(1);
     election.pledge_received(0, 2000, 2010);
-    assert_eq!(election.peer_pledges().last_gap_ms, 2010, "without a pledge until the first answer");
+    assert_eq!(election.peer_pledges().last_gap_ms, 2010, "the peer had no pledge until the first answer");
     election.pledge_received(0, 3000, 3010);
-    assert_eq!(election.peer_pledges().last_gap_ms, 2010, "without a gap since");
+    assert_eq!(election.peer_pledges().last_gap_ms, 2010, "there was no gap since");
     let until = election.peer_pledges().valid_until_ms;
     assert!(until > 3000 && until < 3000 + LEASE_TTL_MS);
     election.pledge_received(0, until - 100, until + 1);
-    assert_eq!(election.peer_pledges().last_gap_ms, until + 1, "asked in time, but maybe received too late");
+    assert_eq!(
+        election.peer_pledges().last_gap_ms,
+        until + 1,
+        "requested in time, but the answer may have come too late"
+    );
 
     let mut restarted = Election::new("b", LEASE_TTL_MS, 1, 1000);
-    assert!(restarted.pledged_until_ms() > 1000 + LEASE_TTL_MS, "a restarted node does not know what it pledged");
+    assert!(restarted.pledged_until_ms() > 1000 + LEASE_TTL_MS, "a restarted node does not know its earlier pledges");
     assert!(restarted.pledge(9000, &pledge_request("a", 7, true), true));
-    assert!(restarted.pledged_until_ms() > 9000 + LEASE_TTL_MS, "longer than the leader counts on it");
+    assert!(restarted.pledged_until_ms() > 9000 + LEASE_TTL_MS, "the pledge lasts longer than the leader relies on it");
 }
 
 #[test]
-fn a_leader_without_the_state_store_is_deposed_by_the_request_of_its_successor() {
-    let election = leading(1);
+fn expired_leader_is_superseded_by_a_request_with_a_higher_token() {
+    let election = election_led_by_a(1);
     let end = election.lease_valid_until();
-    assert!(!election.is_deposed_by(end - 1, FencingToken(8)), "its lease is valid");
-    assert!(!election.is_deposed_by(end, FencingToken(7)) && election.is_deposed_by(end, FencingToken(8)));
+    assert!(!election.is_superseded_by(end - 1, FencingToken(8)), "its lease is valid");
+    assert!(!election.is_superseded_by(end, FencingToken(7)) && election.is_superseded_by(end, FencingToken(8)));
 }
 
 #[test]
-fn a_pledge_binds_longer_than_the_leader_counts_on_it() {
+fn pledge_outlasts_the_lease_that_the_leader_derives_from_it() {
     let mut election = Election::new("b", LEASE_TTL_MS, 2, 0);
     election.clear_earlier_pledges();
     assert!(election.may_campaign(10));
     assert!(election.pledge(1000, &pledge_request("a", 7, true), true));
-    let mut asker = leading(1);
+    let mut asker = election_led_by_a(1);
     asker.pledge_received(0, 1000, 1001);
     assert!(!election.may_campaign(asker.lease_valid_until()));
     assert!(election.may_campaign(1000 + LEASE_TTL_MS + 10));
 }
 
 #[test]
-fn a_leader_that_alone_has_lost_the_state_store_gets_no_pledge() {
+fn pledge_is_refused_if_only_the_leader_has_lost_the_state_store() {
     let mut election = Election::new("b", LEASE_TTL_MS, 2, 0);
-    assert!(!election.pledge(1000, &pledge_request("a", 7, false), true), "only the asker has lost it");
-    assert!(election.pledge(1000, &pledge_request("a", 7, false), false), "an outage");
-    assert!(!leading(2).pledge(1000, &pledge_request("a", 7, true), true), "a leader gives no pledge");
+    assert!(
+        !election.pledge(1000, &pledge_request("a", 7, false), true),
+        "only the requester has lost the state store"
+    );
+    assert!(election.pledge(1000, &pledge_request("a", 7, false), false), "the state store is down for both");
+    assert!(!election_led_by_a(2).pledge(1000, &pledge_request("a", 7, true), true), "a leader gives no pledge");
 }
 
 #[test]
-fn a_restarted_node_waits_until_pledges_from_before_the_restart_have_ended() {
+fn restarted_node_does_not_campaign_until_earlier_pledges_have_expired() {
     let mut election = Election::new("b", LEASE_TTL_MS, 2, 10_000);
     assert!(!election.may_campaign(10_000 + LEASE_TTL_MS));
     assert!(election.may_campaign(10_000 + LEASE_TTL_MS + 10));
     election = Election::new("b", LEASE_TTL_MS, 2, 10_000);
     election.clear_earlier_pledges();
-    assert!(election.may_campaign(10_000), "nobody relied on them");
+    assert!(election.may_campaign(10_000), "no leader relied on the earlier pledges");
 }
 
 #[test]
-fn a_late_release_does_not_undo_a_later_pledge() {
+fn late_release_of_an_earlier_pledge_keeps_the_later_one() {
     let mut election = Election::new("b", LEASE_TTL_MS, 2, 0);
     election.clear_earlier_pledges();
     assert!(election.pledge(1000, &pledge_request("a", 7, true), true));
@@ -133,56 +140,56 @@
 }
 
 #[test]
-fn a_leader_does_not_yield_leadership_again_and_again() {
-    let mut election = leading(2);
+fn leadership_is_not_yielded_again_within_twice_the_pause() {
+    let mut election = election_led_by_a(2);
     assert!(election.may_yield_leadership(1000, 20_000));
     assert!(!election.may_yield_leadership(30_000, 20_000));
     assert!(election.may_yield_leadership(50_000, 20_000));
-    assert!(!leading(0).may_yield_leadership(1000, 20_000), "there is nobody else");
+    assert!(!election_led_by_a(0).may_yield_leadership(1000, 20_000), "there is no other node");
 }
 
-// A leader that was cut off had been succeeded by another, which reported a job as done and ended
-// during the outage. The others then gave pledges to the first one again, and it answered from
-// its outdated state.
+// Guards against answers from outdated state. A leader was partitioned off; its successor reported a
+// job as done and failed during an outage of the state store. The other controllers then gave
+// pledges to the first leader again.
 #[test]
-fn pledges_do_not_restore_a_lease_that_has_lapsed() {
-    let mut election = leading(2);
+fn pledges_do_not_restore_a_lapsed_leader_lease() {
+    let mut election = election_led_by_a(2);
     let end = election.lease_valid_until();
-    let both = |election: &mut Election, sent: u64| {
+    let receive_both_pledges = |election: &mut Election, sent: u64| {
         election.pledge_received(0, sent, sent + 1);
         election.pledge_received(1, sent, sent + 1);
     };
-    both(&mut election, end - 100);
-    assert!(election.lease_valid_until() > end, "they prolong one that holds");
+    receive_both_pledges(&mut election, end - 100);
+    assert!(election.lease_valid_until() > end, "pledges prolong a valid lease");
     let end = election.lease_valid_until();
-    both(&mut election, end + 5);
-    both(&mut election, end + 500);
-    assert!(election.lease_valid_until() <= end, "another may have led the partition, and ended");
-    // An answer of the state store that comes too late shows nothing of the present.
+    receive_both_pledges(&mut election, end + 5);
+    receive_both_pledges(&mut election, end + 500);
+    assert!(election.lease_valid_until() <= end, "another node may have led the partition since and ended");
+    // A renewal whose answer comes after its expiry does not show that the lease still exists.
     election.lease_renewed(1, end + 500, end + 500 + LEASE_TTL_MS);
-    both(&mut election, end + 600 + LEASE_TTL_MS);
+    receive_both_pledges(&mut election, end + 600 + LEASE_TTL_MS);
     assert!(election.lease_valid_until() < end + 600 + LEASE_TTL_MS);
     election.lease_renewed(1, end + 4 * LEASE_TTL_MS, end + 4 * LEASE_TTL_MS + 5);
-    both(&mut election, end + 5 * LEASE_TTL_MS - 10);
-    assert!(election.lease_valid_until() > end + 5 * LEASE_TTL_MS, "the lease lives, so no other node has led since");
+    receive_both_pledges(&mut election, end + 5 * LEASE_TTL_MS - 10);
+    assert!(
+        election.lease_valid_until() > end + 5 * LEASE_TTL_MS,
+        "the lease still exists, so no other node has led since"
+    );
 }
 
 #[test]
-fn a_leader_with_a_successor_gets_no_pledge() {
+fn pledge_is_refused_to_a_leader_that_has_a_successor() {
     let mut election = Election::new("c", LEASE_TTL_MS, 2, 0);
     election.record = Some(PartitionRecord { leader: "b".into(), fencing_token: FencingToken(8), lease_id: 2 });
     assert!(!election.pledge(1000, &pledge_request("a", 7, false), false));
-    assert!(
-        election.pledge(1000, &pledge_request("b", 7, false), false),
-        "the same leader, which has raised its token since"
-    );
+    assert!(election.pledge(1000, &pledge_request("b", 7, false), false), "the same leader has raised its token since");
     assert!(election.pledge(1000, &pledge_request("a", 9, false), false));
 }
 
-// What is stored keeps its spelling whatever the fields are called here: controllers of
-// an earlier build read and write the same records.
+// Controllers of an earlier version read and write the same records, so keys and field names in the
+// state store must not follow a rename in the code.
 #[test]
-fn stored_records_keep_their_spelling() {
+fn stored_records_keep_their_key_and_field_names() {
     let partition = PartitionRecord { leader: "a".into(), fencing_token: FencingToken(7), lease_id: 1 };
     assert_eq!(serde_json::to_value(partition).unwrap(), json!({ "holder": "a", "term": 7, "grant": 1 }));
     let fencing_token = FencingTokenRecord {
@@ -198,10 +205,10 @@
     assert_eq!(partition_key(3), "part/3");
 }
 
-// Two controllers that were unreachable in turn cost a fleet all its leases: the workers tried the
-// one that had been lost before, and then their leases had expired.
+// Guards against the expiry of all worker leases when two controllers fail in turn: the workers first
+// tried the controller that had failed before, and their leases expired meanwhile.
 #[test]
-fn the_controller_that_workers_try_next_campaigns_first() {
+fn controller_that_workers_try_next_takes_over_first() {
     let order_of = |own: &str| FailoverOrder::new(own, ["a", "b", "c"].into_iter().filter(|node| *node != own));
     for (lost, first, second) in [("a", "b", "c"), ("b", "c", "a"), ("c", "a", "b")] {
         assert_eq!(order_of(first).nodes_before(lost), 0, "{first} after {lost}");
