--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control plane: who leads each partition, its state, and the way of requests to it.
+//! Control plane: leader election for each partition, the state of a partition, and the routing of
+//! requests to its leader.
 
 pub mod membership;
 pub mod node;
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -1,4 +1,4 @@
-//! Assembles a controller and runs it.
+//! Assembly and start of a controller node.
 
 use crate::api::ended_jobs::EndedJobs;
 use crate::api::{Api, RouteHints};
@@ -26,41 +26,41 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Changes of leadership that wait for a partition's actor, at the most.
-const QUEUED_LEADERSHIP_CHANGES: usize = 8;
-/// Messages that wait for an election actor, at the most.
-const QUEUED_FOR_ELECTION: usize = 256;
+/// Largest number of changes of leadership that are queued for a partition's actor.
+const LEADERSHIP_CHANGE_QUEUE_CAPACITY: usize = 8;
+/// Largest number of messages that are queued for an election actor.
+const ELECTION_QUEUE_CAPACITY: usize = 256;
 
-/// Parts of a controller that operators switch on with a file each.
+/// Optional subsystems of a controller; each is enabled by a file of its own.
 #[derive(Debug, Clone, Default)]
 pub struct Subsystems {
-    /// The configuration that the regions of a fleet share.
+    /// Settings of the configuration that the regions of a fleet share; `None` outside a fleet.
     pub fleet: Option<FleetSettings>,
-    /// Pools of warm replicas.
+    /// Settings of the warm pools; `None` without pools.
     pub warm_pools: Option<PoolSettings>,
-    /// Loans between teams.
+    /// Settings of the loans between teams; `None` without borrowing.
     pub borrowing: Option<BorrowingSettings>,
 }
 
-/// Serves for ever; an error means that a port can't be opened.
+/// Runs a controller over the network of the operating system. Returns only on an error.
 ///
 /// # Errors
 ///
-/// A port cannot be opened.
+/// Returns an error if a port cannot be opened.
 pub async fn run(settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
     run_on(Net::default(), settings, operator, subsystems).await
 }
 
-/// Like [`run`], over a given network.
+/// Runs a controller over the given network. Returns only on an error.
 ///
 /// # Errors
 ///
-/// A port cannot be opened.
+/// Returns an error if a port cannot be opened.
 pub async fn run_on(net: Net, settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
-    // The steady clock counts from here.
+    // The steady clock starts at its first use.
     clock::now_ms();
-    let users = net.bind(settings.serve_on).await?;
-    let internal = net.bind(settings.internal_addr).await?;
+    let public_listener = net.bind(settings.serve_on).await?;
+    let internal_listener = net.bind(settings.internal_addr).await?;
     tracing::info!(node = settings.node, serve_on = %settings.serve_on, "serving");
 
     let node = Node::new(net, settings, operator);
@@ -70,16 +70,16 @@
     let pools = subsystems.warm_pools.map(Arc::new);
     let borrowing = subsystems.borrowing.map(Arc::new);
     node.start_actors(actors, &router, pools, borrowing);
-    start_peer_tasks(internal, &router);
+    start_peer_tasks(internal_listener, &router);
 
-    let patience = Duration::from_millis(node.settings.lease_ms() / 2);
-    let connections = Bounds::new(&node.settings).server_connections;
+    let request_timeout = Duration::from_millis(node.settings.lease_ms() / 2);
+    let max_connections = Bounds::new(&node.settings).server_connections;
     let api = node.api(router);
-    http::serve(users, connections, patience, move |request| api.clone().handle(request)).await;
+    http::serve(public_listener, max_connections, request_timeout, move |request| api.clone().handle(request)).await;
     Ok(())
 }
 
-/// What the parts of a controller share.
+/// Settings and clients that the parts of a controller share.
 struct Node {
     net: Net,
     settings: Settings,
@@ -92,7 +92,7 @@
     led_partitions: Arc<AtomicUsize>,
 }
 
-/// The actors of a partition before they are started, with the receivers of their messages.
+/// Actors of a partition before they are started, with the receivers of their messages.
 struct PartitionActors {
     election: ElectionActor,
     election_messages: mpsc::Receiver<membership::Message>,
@@ -101,7 +101,7 @@
 }
 
 impl Node {
-    /// Starts the clients of the other controllers.
+    /// Creates the clients of the state store and the cloud, and starts those of the other controllers.
     fn new(net: Net, settings: Settings, operator: Operator) -> Node {
         let timeouts = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
         let start = |seed: &Seed| Peer::start_on(net.clone(), seed.node.clone(), seed.endpoint, timeouts);
@@ -119,27 +119,27 @@
         }
     }
 
-    /// Number of controllers, with this one.
+    /// Returns the number of controllers, including this one.
     fn controller_count(&self) -> usize {
         self.settings.seeds.len() + 1
     }
 
-    /// Whether the partition is preferably led by this node: the partitions go round the nodes in
-    /// the order of their names.
+    /// Returns whether this node is the preferred leader of the partition. The partitions are assigned
+    /// to the nodes round robin, in the order of the nodes' names.
     fn is_preferred_leader(&self, partition: u32) -> bool {
         let own_index = self.settings.seeds.iter().filter(|seed| seed.node < self.settings.node).count();
         partition as usize % self.controller_count() == own_index
     }
 
-    /// The handle and the actors of a partition.
+    /// Creates the handle and the actors of a partition.
     fn assemble_partition(&self, partition: u32) -> (PartitionHandle, PartitionActors) {
         let leader_lease_ttl_ms = self.settings.leader_lease_ttl_ms();
         let (leader_lease, pledge_status) = (LeaderLease::default(), PledgeStatus::default());
         let (leader_status_sender, leader_status) = watch::channel(LeaderStatus::default());
-        let (leadership_changes_sender, leadership_changes) = mpsc::channel(QUEUED_LEADERSHIP_CHANGES);
-        let (election_sender, election_messages) = mpsc::channel(QUEUED_FOR_ELECTION);
+        let (leadership_changes_sender, leadership_changes) = mpsc::channel(LEADERSHIP_CHANGE_QUEUE_CAPACITY);
+        let (election_sender, election_messages) = mpsc::channel(ELECTION_QUEUE_CAPACITY);
         let (leader_sender, leader_messages) = mpsc::channel(QUEUED_FOR_LEADER);
-        let leave_to_others = self.operator.partitions > 1 && !self.is_preferred_leader(partition);
+        let has_other_preferred_leader = self.operator.partitions > 1 && !self.is_preferred_leader(partition);
         let election = ElectionActor {
             partition,
             node: self.settings.node.clone(),
@@ -154,7 +154,7 @@
             leadership_changes: leadership_changes_sender,
             led_partitions: self.led_partitions.clone(),
             metrics: self.metrics.clone(),
-            first_campaign_delay_ms: if leave_to_others { leader_lease_ttl_ms / 5 } else { 0 },
+            first_campaign_delay_ms: if has_other_preferred_leader { leader_lease_ttl_ms / 5 } else { 0 },
         };
         let handle = PartitionHandle {
             leader_status,
@@ -166,7 +166,8 @@
         (handle, PartitionActors { election, election_messages, leadership_changes, leader_messages })
     }
 
-    /// The router to these partitions; starts the actor of the shared configuration, if there is one.
+    /// Creates the router to these partitions, and starts the actor of the shared configuration if there
+    /// is one.
     fn router(&self, handles: Vec<PartitionHandle>, fleet: Option<FleetSettings>, has_pools: bool) -> Router {
         let last_pledge_request_ms = Arc::new(handles.iter().map(|_| AtomicU64::new(0)).collect());
         let (settings, operator) = (&self.settings, &self.operator);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Starts the actors of all partitions: first those of the elections, then those of the leaders.
+    /// Starts the actors of all partitions: first the election actors, then the partition actors.
     fn start_actors(
         &self,
         actors: Vec<PartitionActors>,
@@ -218,7 +219,7 @@
         }
     }
 
-    /// The HTTP interface of users and workers.
+    /// Creates the HTTP interface for users and workers.
     fn api(self, router: Router) -> Api {
         let bounds = Bounds::new(&self.settings);
         let requests_per_s = self.settings.params.state.least_rps();
@@ -240,11 +241,12 @@
     }
 }
 
-/// Starts the server of the other controllers, and the tasks that learn their formats.
-fn start_peer_tasks(internal: Box<dyn Listener>, router: &Router) {
-    let answering = router.clone();
-    task::spawn(peer::serve(internal, move |request, format| {
-        let router = answering.clone();
+/// Starts the server for the other controllers, and the tasks that detect which frame formats they
+/// speak.
+fn start_peer_tasks(internal_listener: Box<dyn Listener>, router: &Router) {
+    let server_router = router.clone();
+    task::spawn(peer::serve(internal_listener, move |request, format| {
+        let router = server_router.clone();
         async move { router.answer(request, format).await }
     }));
     for peer in router.peers.iter() {
--- a/src/control/router/answers.rs
+++ b/src/control/router/answers.rs
@@ -1,7 +1,6 @@
-//! Answers requests of the other controllers, or of this one, by the actors on this node.
+//! Answers to requests of the other controllers, or of this one, by the actors on this node.
 //!
-//! Each request to an actor is answered at once if its mailbox is full: a request that can't be
-//! served is refused, and not held back.
+//! If the mailbox of an actor is full, a request to it is refused at once and not queued elsewhere.
 
 use super::{MAX_COMMIT_WAIT, MAX_POLL_WAIT, PartitionHandle, Router};
 use crate::api::refusal::RefusalReason;
@@ -20,18 +19,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// The partition whose leader keeps warm pools and loans: with them there is only one.
+/// Partition whose leader keeps warm pools and loans. With either there is only one partition.
 const ONLY_PARTITION: u32 = 0;
-/// The partition whose leader is the provisioner of all.
+/// Partition whose leader is the provisioner for all partitions.
 const PROVISIONER_PARTITION: u32 = 0;
-/// The answer about loans while the leader can't be asked.
+/// Answer to a request about loans while the leader cannot be reached.
 const LOANS_RETRY_LATER: BorrowingResponse = BorrowingResponse::RetryLater(1);
-/// The answer about pools while their leader can't be asked.
+/// Answer to a request about warm pools while the leader cannot be reached.
 const POOLS_RETRY_LATER: WarmPoolsResponse = WarmPoolsResponse::RetryLater(1);
 
 impl Router {
-    /// Answers another controller, or this one, by the actors on this node. `format` is the one
-    /// that the asker speaks.
+    /// Answers a request of another controller, or of this one, by the actors on this node. `format` is
+    /// the frame format that the requester speaks.
     pub async fn answer(&self, request: PeerRequest, format: FrameFormat) -> PeerResponse {
         match request {
             PeerRequest::Pledge { partition, leader, fencing_token, for_ms, state_ok } => {
@@ -40,7 +39,7 @@
             }
             PeerRequest::ReleasePledge { partition, fencing_token } => {
                 if let Some(handle) = self.handle(partition) {
-                    // A pledge that is not released ends by itself.
+                    // A pledge that is not released expires.
                     let _ = handle.election.try_send(membership::Message::ReleasePledge { fencing_token });
                 }
                 PeerResponse::Accepted
@@ -71,12 +70,13 @@
         }
     }
 
+    /// Returns the handle of a partition; `None` if the partition does not exist.
     fn handle(&self, partition: u32) -> Option<&PartitionHandle> {
         self.partitions.get(partition as usize)
     }
 
-    /// Answers a leader that asks for a pledge. The request also shows that the leader is active,
-    /// and which format its node speaks.
+    /// Answers a request for a pledge. The request also shows that the leader is active, and which frame
+    /// format its node speaks.
     async fn answer_pledge(&self, partition: u32, request: PledgeRequest, format: FrameFormat) -> PeerResponse {
         if let Some(peer) = self.peers.iter().find(|peer| peer.name == request.leader) {
             peer.health.received();
@@ -91,8 +91,8 @@
         if queued && given.await == Ok(true) { PeerResponse::Accepted } else { PeerResponse::Rejected }
     }
 
-    /// Answers a request about warm pools: bills by their records, the status by the leader, on
-    /// whichever node it is.
+    /// Answers a request about warm pools: bills from their records in the state store, the status from
+    /// the leader, on this node or another.
     async fn pools(&self, request: WarmPoolsRequest) -> WarmPoolsResponse {
         let Some(state) = &self.bills else { return WarmPoolsResponse::NoPools };
         match request {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Answers a request about loans by the leader, on whichever node it is.
+    /// Answers a request about loans from the leader, on this node or another.
     async fn loans(&self, request: BorrowingRequest) -> BorrowingResponse {
         if self.is_self(ONLY_PARTITION) {
             let answer = self.ask_actor(ONLY_PARTITION, partition_leader::Message::LoanStatus).await;
@@ -121,16 +121,17 @@
         }
     }
 
-    /// Asks the leader of the only partition, which is another node.
+    /// Sends a request to the leader of the only partition, which is another node. Returns `None` if the
+    /// leader is unknown or does not answer in time.
     async fn ask_remote_leader(&self, request: PeerRequest) -> Option<PeerResponse> {
         let name = self.leader(ONLY_PARTITION)?;
         let peer = self.peers.iter().find(|peer| peer.name == name)?;
-        let limit = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
-        peer.request(request, limit).await
+        let request_timeout = Duration::from_millis(self.leader_lease_ttl_ms * 2 / 5).min(MAX_POLL_WAIT);
+        peer.request(request, request_timeout).await
     }
 
-    /// The answer of a partition's actor on this node; `None` if its mailbox is full, or if it
-    /// dropped the request.
+    /// Returns the answer of a partition's actor on this node; `None` if the partition does not exist,
+    /// the actor's mailbox is full, or the actor dropped the request.
     async fn ask_actor<T>(
         &self,
         partition: u32,
@@ -142,19 +143,19 @@
         answer.await.ok()
     }
 
-    /// Answers a user by the partition's actor on this node.
+    /// Answers a user's request by the partition's actor on this node.
     async fn answer_user(&self, partition: u32, call: UserCall) -> Response {
         let Some(handle) = self.handle(partition) else {
             return RefusalReason::NoSuchPartition.response();
         };
         let (reply, answer) = oneshot::channel();
         let is_submission = matches!(call, UserCall::Submit(_));
-        let longest = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
+        let max_wait = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
         if handle.leader.try_send(partition_leader::Message::User { call, reply }).is_err() {
             return RefusalReason::TooManyRequests.response();
         }
-        // A commit that takes longer is answered when the user retries.
-        match timeout(Duration::from_millis(self.leader_lease_ttl_ms).min(longest), answer).await {
+        // A commit that takes longer continues; the user gets its outcome on a retry.
+        match timeout(Duration::from_millis(self.leader_lease_ttl_ms).min(max_wait), answer).await {
             Ok(Ok(answer)) => to_response(answer),
             _ if is_submission => RefusalReason::SubmissionSlow.response(),
             _ => RefusalReason::NoDecisionInTime.response(),
@@ -162,6 +163,7 @@
     }
 }
 
+/// Converts the answer of a partition's actor to an HTTP response.
 fn to_response(answer: UserAnswer) -> Response {
     match answer {
         UserAnswer::Accepted { created, id, phase } => {
