--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -1,4 +1,4 @@
-//! The loop of the actor, and the dispatch of its messages.
+//! Main loop of the actor, and the handling of its messages.
 
 use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PROVISIONER_PARTITION, PartitionLeader, WRITE_BURST_S};
 use super::leadership::{Leadership, NewLeadership};
@@ -20,15 +20,15 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Messages that are handled in a batch beside the first one, at the most.
-const MORE_PER_BATCH: usize = 64;
+/// Largest number of messages that are handled in a batch after the first one.
+const MAX_FURTHER_MESSAGES_PER_BATCH: usize = 64;
 
-/// Probes of machines may come in bursts of so many seconds.
+/// Largest burst of probes of machines, in seconds of their rate.
 const PROBE_BURST_S: f64 = 1.0;
 
 impl PartitionLeader {
-    /// Runs until nobody can send messages any more. Changes of leadership go first: nothing is
-    /// done for a leadership that is known to have ended.
+    /// Runs the actor until all senders of one of the channels are dropped. Changes of leadership are
+    /// handled first, so that nothing is done for a leadership that is known to have ended.
     pub async fn run(
         self,
         mut leadership_changes: mpsc::Receiver<LeadershipChange>,
@@ -36,10 +36,10 @@
     ) {
         let mut active: Option<Leadership> = None;
         let mut last_epoch = 0;
-        // They are counted on over all leaderships.
+        // The metrics are counted across all leaderships of this node.
         let mut metrics = Metrics::default();
         loop {
-            let wake = self.next_wake(active.as_ref());
+            let sleep_duration = self.time_to_next_work(active.as_ref());
             tokio::select! {
                 biased;
                 change = leadership_changes.recv() => match change {
@@ -50,7 +50,7 @@
                         active = Some(leadership);
                     }
                     Some(LeadershipChange::End) => {
-                        // Its background tasks end.
+                        // Ends the background tasks of the leadership.
                         self.current_epoch.store(0, Ordering::Relaxed);
                         if let Some(mut leadership) = active.take() {
                             metrics = std::mem::take(leadership.partition.metrics_mut());
@@ -62,7 +62,7 @@
                     Some(message) => self.handle_batch(active.as_mut(), message, &mut messages),
                     None => return,
                 },
-                () = sleep(wake) => {}
+                () = sleep(sleep_duration) => {}
             }
             if let Some(leadership) = active.as_mut().filter(|leadership| leadership.loaded) {
                 self.run_due_work(leadership);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Handles a message and those that have come meanwhile, before the work that is then due.
+    /// Handles a message and further queued ones, before the work that is due.
     fn handle_batch(
         &self,
         mut active: Option<&mut Leadership>,
@@ -78,17 +78,17 @@
         messages: &mut mpsc::Receiver<Message>,
     ) {
         self.handle(active.as_deref_mut(), first);
-        for _ in 0..MORE_PER_BATCH {
+        for _ in 0..MAX_FURTHER_MESSAGES_PER_BATCH {
             let Ok(message) = messages.try_recv() else { break };
             self.handle(active.as_deref_mut(), message);
         }
     }
 
-    /// How long the actor may sleep if no message comes.
-    fn next_wake(&self, active: Option<&Leadership>) -> Duration {
-        let longest_ms = self.settings.react_ms() / 2;
+    /// Returns how long the actor may sleep if no message comes.
+    fn time_to_next_work(&self, active: Option<&Leadership>) -> Duration {
+        let max_sleep_ms = self.settings.react_ms() / 2;
         let Some(leadership) = active.filter(|leadership| leadership.loaded) else {
-            return Duration::from_millis(longest_ms);
+            return Duration::from_millis(max_sleep_ms);
         };
         let now = clock::now_ms();
         let mut due_ms = leadership.timers.next_failure_detection_ms;
@@ -98,10 +98,10 @@
         if leadership.partition.is_urgent_cycle_due() {
             due_ms = due_ms.min(leadership.timers.next_urgent_cycle_ms);
         }
-        Duration::from_millis(due_ms.saturating_sub(now).clamp(1, longest_ms))
+        Duration::from_millis(due_ms.saturating_sub(now).clamp(1, max_sleep_ms))
     }
 
-    /// Begins a leadership, and starts to read the partition's records.
+    /// Creates the state of a new leadership, and starts reading the partition's records.
     fn begin_leadership(&self, epoch: u64, acquired: AcquiredLeadership) -> Leadership {
         self.current_epoch.store(epoch, Ordering::Relaxed);
         let now = clock::now_ms();
@@ -118,7 +118,7 @@
         }
         self.load(epoch);
         let probes_per_s = Bounds::new(&self.settings).probes_per_s;
-        let new = NewLeadership {
+        let new_leadership = NewLeadership {
             partition,
             provisioner: Provisioner::new(self.settings.params.cloud.list_lag_s),
             epoch,
@@ -126,11 +126,11 @@
             write_budget: TokenBucket::new(limits.changes_per_s, WRITE_BURST_S, now),
             probe_budget: probes_per_s.map(|rate| TokenBucket::new(rate, PROBE_BURST_S, now)),
         };
-        Leadership::new(new, now)
+        Leadership::new(new_leadership, now)
     }
 
-    /// Handles a message. Every answer but the metrics is given only while the lease is valid: an
-    /// answer of a former leader may be out of date.
+    /// Handles a message. All answers except the metrics are given only while the lease is valid,
+    /// because an answer of a former leader may be out of date.
     fn handle(&self, active: Option<&mut Leadership>, message: Message) {
         let Some(leadership) = active else {
             handle_while_follower(message);
@@ -139,7 +139,7 @@
         let now = clock::now_ms();
         let lease_valid = self.leader_lease.holds(now);
         let serving = lease_valid && leadership.loaded;
-        // An asker that waits no longer needs no answer.
+        // Failures to send a reply are ignored: the requester no longer waits for it.
         match message {
             Message::Heartbeat { heartbeat, reply } => {
                 let answer =
@@ -171,7 +171,7 @@
             Message::Metrics(reply) => {
                 let _ = reply.send(self.metrics_text(leadership, now));
             }
-            // A report of an earlier leadership must not be taken for one of this.
+            // Reports of an earlier leadership are dropped.
             Message::Background { leadership_epoch, event } if leadership_epoch == leadership.epoch => {
                 self.handle_event(leadership, event, now);
             }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The metrics of the partition in the text format of Prometheus.
+    /// Returns the metrics of the partition in the text format of Prometheus.
     fn metrics_text(&self, leadership: &Leadership, now: u64) -> String {
         let label = self.id.to_string();
         let waiting = leadership.partition.waiting_jobs();
@@ -188,6 +188,7 @@
         leadership.partition.metrics().text() + &gauge + &loans
     }
 
+    /// Handles the report of a background task of the current leadership.
     fn handle_event(&self, leadership: &mut Leadership, event: BackgroundEvent, now: u64) {
         match event {
             BackgroundEvent::PendingMachines { pending_machines, refused } => {
@@ -217,8 +218,10 @@
                 self.configuration_recorded(leadership, applied_configuration);
             }
             BackgroundEvent::LeadershipLost => self.leadership_lost(leadership),
-            BackgroundEvent::RentEnded { name, result } => self.rent_ended(leadership, &name, result, now),
-            BackgroundEvent::ReleaseEnded { hosts, confirmed } => self.release_ended(leadership, hosts, confirmed),
+            BackgroundEvent::ScaleOutEnded { name, result } => self.scale_out_ended(leadership, &name, result, now),
+            BackgroundEvent::TerminationEnded { hosts, confirmed } => {
+                self.termination_ended(leadership, hosts, confirmed);
+            }
             BackgroundEvent::InstancesListed(list) => {
                 for request in leadership.provisioner.process_list(&list, &leadership.partition, now) {
                     self.send_cloud_request(leadership, request);
@@ -231,8 +234,8 @@
         }
     }
 
-    /// Begins the work of the leadership on the records that were read. Only once: begun again, the
-    /// partition would forget what it has ordered since.
+    /// Begins the work of the leadership on the records that were read. Later calls have no effect: a
+    /// second start would discard the orders that the partition has given since.
     fn records_loaded(&self, leadership: &mut Leadership, records: StoredRecords, now: u64) {
         if leadership.loaded {
             return;
@@ -246,7 +249,7 @@
             %fencing_token,
             jobs = leadership.partition.cluster().live.len(),
             hosts = leadership.partition.cluster().host_index.len(),
-            "partition loaded"
+            "partition records loaded"
         );
         self.watch_cloud(leadership.epoch, leadership.partition.cluster().instance_types.clone());
         self.watch_inbox(leadership.epoch);
--- a/src/control/partition_leader/borrowing.rs
+++ b/src/control/partition_leader/borrowing.rs
@@ -1,4 +1,4 @@
-//! Loans between teams: their maintenance, and their status.
+//! Maintenance and status of the loans between teams.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
@@ -6,14 +6,14 @@
 use crate::runtime::clock;
 
 impl PartitionLeader {
-    /// Maintains the loans, if there is borrowing.
+    /// Maintains the loans, if borrowing is configured.
     pub(super) fn maintain_loans(&self, leadership: &mut Leadership, now: u64) {
         if self.borrowing.is_some() {
             leadership.partition.maintain_loans(now, clock::wall_ms());
         }
     }
 
-    /// The status of the loans.
+    /// Returns the status of the loans.
     pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> BorrowingResponse {
         leadership.partition.loans_status(now).map_or(BorrowingResponse::NoBorrowing, BorrowingResponse::Status)
     }
--- a/src/control/partition_leader/cloud.rs
+++ b/src/control/partition_leader/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud, and the watch of its machine types and of its list of machines.
+//! Requests to the cloud, and periodic reads of its machine types and of its list of machines.
 
 use super::leader::{PROVISIONER_PARTITION, PartitionLeader};
 use super::leadership::Leadership;
@@ -13,64 +13,69 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The machine types are read once in so many reads of the list.
+/// Number of reads of the list of machines per read of the machine types.
 const LISTS_PER_INSTANCE_TYPE_READ: u32 = 8;
 
 impl PartitionLeader {
-    /// Starts a request.
+    /// Starts a request to the cloud, or to the partition that is to transfer a machine.
     pub(super) fn send_cloud_request(&self, leadership: &mut Leadership, request: CloudRequest) {
         match request {
-            CloudRequest::ScaleOut { name, scale_out, pause_ms } => self.rent(leadership, name, scale_out, pause_ms),
+            CloudRequest::ScaleOut { name, scale_out, pause_ms } => {
+                self.request_scale_out(leadership, name, scale_out, pause_ms);
+            }
             CloudRequest::TransferHost { from, host, to } => {
                 let router = self.router.clone();
                 task::spawn(async move {
                     router.request(from, PeerRequest::TransferHost { partition: from, host, to }).await
                 });
             }
-            CloudRequest::Terminate(hosts) => self.release(leadership, hosts),
+            CloudRequest::Terminate(hosts) => self.request_termination(leadership, hosts),
         }
     }
 
-    fn rent(&self, leadership: &Leadership, name: String, scale_out: ScaleOut, pause_ms: u64) {
+    /// Requests machines from the cloud after `pause_ms` milliseconds.
+    fn request_scale_out(&self, leadership: &Leadership, name: String, scale_out: ScaleOut, pause_ms: u64) {
         let (cloud, sender) = (self.cloud.clone(), self.sender(leadership.epoch));
         let ScaleOut { offering, count } = scale_out;
         let instance_type = leadership.partition.cluster().instance_types[offering.instance_type].name.clone();
         task::spawn(async move {
             sleep(Duration::from_millis(pause_ms)).await;
             let result = cloud.rent(&name, &instance_type, &offering.zone, offering.spot, count).await;
-            sender.send(BackgroundEvent::RentEnded { name, result }).await;
+            sender.send(BackgroundEvent::ScaleOutEnded { name, result }).await;
         });
     }
 
-    fn release(&self, leadership: &mut Leadership, hosts: Vec<String>) {
-        let (cloud, sender, pause) = (self.cloud.clone(), self.sender(leadership.epoch), self.cloud_pause());
+    /// Requests the termination of machines by the cloud.
+    fn request_termination(&self, leadership: &mut Leadership, hosts: Vec<String>) {
+        let (cloud, sender, retry_delay) =
+            (self.cloud.clone(), self.sender(leadership.epoch), self.cloud_retry_delay());
         for id in &hosts {
             leadership.partition.mark_terminating(id);
         }
         task::spawn(async move {
             let confirmed = cloud.release(&hosts).await;
             if !confirmed {
-                sleep(pause).await;
+                sleep(retry_delay).await;
             }
-            sender.send(BackgroundEvent::ReleaseEnded { hosts, confirmed }).await;
+            sender.send(BackgroundEvent::TerminationEnded { hosts, confirmed }).await;
         });
     }
 
-    /// Pause before a request that failed is repeated.
-    fn cloud_pause(&self) -> Duration {
+    /// Returns the delay before a failed request is repeated.
+    fn cloud_retry_delay(&self) -> Duration {
         Duration::from_millis(self.settings.react_ms())
     }
 
-    /// Handles the outcome of a rental request.
-    pub(super) fn rent_ended(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
+    /// Handles the outcome of a scale-out request.
+    pub(super) fn scale_out_ended(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
         if let Some(request) = leadership.provisioner.scale_out_answered(name, result, now) {
             self.send_cloud_request(leadership, request);
         }
     }
 
-    /// Handles the outcome of a request to terminate machines. It is repeated until the cloud
-    /// confirms it: only then are their tasks free to run elsewhere.
-    pub(super) fn release_ended(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
+    /// Handles the outcome of a request to terminate machines. The request is repeated until the cloud
+    /// confirms it: only then may their tasks run on other machines.
+    pub(super) fn termination_ended(&self, leadership: &mut Leadership, hosts: Vec<String>, confirmed: bool) {
         if !confirmed {
             self.send_cloud_request(leadership, CloudRequest::Terminate(hosts));
             return;
@@ -90,10 +95,11 @@
         }
     }
 
-    /// Reads the machine types, and as the provisioner the list of machines, until leadership ends.
+    /// Starts periodic reads of the machine types and, on the provisioner, of the list of machines, until
+    /// leadership ends.
     pub(super) fn watch_cloud(&self, leadership_epoch: u64, known: Vec<InstanceType>) {
         let (cloud, state, sender) = (self.cloud.clone(), self.state.clone(), self.sender(leadership_epoch));
-        let pause = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
+        let list_interval = Duration::from_secs_f64((self.settings.params.cloud.list_lag_s / 2.0).max(1.0));
         let value_bytes = self.settings.write_limits().value_bytes;
         let is_provisioner = self.id == PROVISIONER_PARTITION;
         task::spawn(async move {
@@ -112,8 +118,8 @@
                     return;
                 }
                 reads += 1;
-                sleep(if known.is_empty() { pause / 4 } else { pause }).await;
-                // A later leadership starts its own watch.
+                sleep(if known.is_empty() { list_interval / 4 } else { list_interval }).await;
+                // A later leadership starts reads of its own.
                 if !sender.is_current() {
                     return;
                 }
@@ -122,7 +128,7 @@
     }
 }
 
-/// Reads the machine types and keeps them for a restart; false if the actor has ended.
+/// Reads the machine types and stores them for a restart. Returns false if the actor has ended.
 async fn read_instance_types(
     cloud: &Cloud,
     state: &StateStore,
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of the partition's records, and raises of its fencing token.
+//! Commits of the partition's records, and raising of its fencing token.
 
 use super::leader::{PartitionLeader, WRITE_BURST_S};
 use super::leadership::{Leadership, TokenRaise};
@@ -10,10 +10,10 @@
 use tokio::time::sleep;
 
 impl PartitionLeader {
-    /// Commits what has changed, or raises the fencing token if that must come first.
+    /// Commits the changed records, or first raises the fencing token if that is needed.
     ///
-    /// Writes to the state store are scarce: at most one commit is under way, with as many writes
-    /// as the budget has, and the partition puts the urgent ones first.
+    /// The rate of writes to the state store is limited. At most one commit is under way, with as
+    /// many writes as the budget allows, and the partition puts the urgent ones first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
         let TokenRaise::Idle { not_before_ms } = leadership.token_raise else { return };
         if leadership.partition.is_committing() || now < leadership.next_commit_ms {
@@ -26,11 +26,11 @@
                 return;
             }
         }
-        let most_writes = leadership.write_budget.available_tokens(now);
-        if most_writes == 0 {
+        let max_writes = leadership.write_budget.available_tokens(now);
+        if max_writes == 0 {
             return;
         }
-        if let Some(commit) = leadership.partition.next_commit(now, most_writes) {
+        if let Some(commit) = leadership.partition.next_commit(now, max_writes) {
             leadership.write_budget.spend(commit.writes.len());
             let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
             task::spawn(async move {
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Starts a raise of the fencing token.
     fn raise_fencing_token(&self, leadership: &mut Leadership) {
         leadership.token_raise = TokenRaise::UnderWay;
         let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
@@ -64,12 +65,12 @@
             leadership.next_commit_ms = now + self.settings.react_ms() / 5;
         }
         if matches!(result, CommitOutcome::Throttled) {
-            self.slow_down(leadership, now);
+            self.apply_lower_write_rate(leadership, now);
         }
         match leadership.partition.committed(result) {
             Ok(keys) if !keys.is_empty() => self.reread(leadership.epoch, keys),
             Ok(_) => {}
-            // It may be this leadership's own raise of the fencing token that was applied late.
+            // The cause may be a raise of the fencing token by this leadership that was applied late.
             Err(Superseded) => {
                 leadership.token_raise = TokenRaise::UnderWay;
                 let (state, sender, id, lease_id) =
@@ -79,12 +80,16 @@
         }
     }
 
-    /// The state store has refused the rate of writes: the lower one that was announced applies now.
-    fn slow_down(&self, leadership: &mut Leadership, now: u64) {
+    /// Applies the lower write rate from the announced limits, after the state store has refused the
+    /// present rate.
+    fn apply_lower_write_rate(&self, leadership: &mut Leadership, now: u64) {
         leadership.partition.metrics_mut().count("limits_met", "write_rate");
         let limits = self.settings.write_limits();
         if leadership.partition.policy().writes_per_s > limits.lower_changes_per_s {
-            tracing::info!(per_s = limits.lower_changes_per_s, "the state store accepts fewer writes");
+            tracing::info!(
+                per_s = limits.lower_changes_per_s,
+                "state store refused the write rate, lower rate applied"
+            );
             leadership.partition.policy_mut().writes_per_s = limits.lower_changes_per_s;
             leadership.write_budget = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
             let burst = leadership.write_budget.available_tokens(now);
@@ -96,29 +101,30 @@
     pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
         leadership.token_raise = TokenRaise::Idle { not_before_ms: now + self.settings.react_ms() };
         if let Some(RaisedToken { fencing_token, version }) = raised {
-            tracing::info!(%fencing_token, "raised the fencing token");
+            tracing::info!(%fencing_token, "fencing token raised");
             leadership.partition.set_fencing_token(fencing_token, version);
             leadership.key_version = version;
         }
     }
 
-    /// Another node leads the partition, or none: nothing more may be done for it here.
+    /// Stops all work for the partition, because another node leads it or none does.
     pub(super) fn leadership_lost(&self, leadership: &mut Leadership) {
         leadership.loaded = false;
         self.leader_lease.set_valid_until(0);
-        // If its queue is full, the election actor steps down once a renewal finds that the lease has ended.
+        // If its mailbox is full, the election actor steps down once a renewal shows that the lease has
+        // ended.
         let _ = self.election.try_send(membership::Message::LeadershipLost);
     }
 }
 
-/// Reads the partition's key, which was found changed. A raise of the fencing token that had no
-/// answer may have been applied late: then the key is still attached to this leadership's lease,
-/// and the leadership goes on under the higher token. Otherwise it is lost.
+/// Reads the partition's key after a commit has found it changed. A raise of the fencing token without
+/// an answer may have been applied late. The key is then still attached to the lease of this
+/// leadership, which continues under the higher token. Otherwise the leadership is lost.
 async fn read_partition_record(state: &StateStore, partition: u32, lease_id: u64) -> BackgroundEvent {
     let found = loop {
         match state.get(&membership::partition_key(partition)).await {
             Ok((item, _)) => break item,
-            // While this has no answer nothing can be committed either.
+            // Retries until there is an answer: nothing can be committed before then either.
             Err(_) => sleep(state.retry_delay()).await,
         }
     };
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -1,4 +1,4 @@
-//! Applies the configuration that the regions of a fleet share.
+//! Application of the configuration that the regions of a fleet share.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
@@ -11,8 +11,8 @@
 use crate::wire;
 
 impl PartitionLeader {
-    /// Applies the last version, and records that it is applied.
-    pub(super) fn follow_configuration(&self, leadership: &mut Leadership, now: u64) {
+    /// Applies the latest published version of the configuration, and records it as applied.
+    pub(super) fn sync_configuration(&self, leadership: &mut Leadership, now: u64) {
         let Some(configuration) = &self.router.configuration else { return };
         let Some(published) = configuration.published() else { return };
         let suspended = !published.may_start_tasks;
@@ -25,6 +25,8 @@
         self.record_applied_version(leadership, published.state.version, now);
     }
 
+    /// Applies a version of the configuration to the partition's policy. While the region may start no
+    /// tasks, all limits of teams are zero.
     fn apply_configuration(&self, leadership: &mut Leadership, published: &Published, region: &str) {
         let mut policy = policy_of(leadership.partition.policy(), &published.state, region);
         let suspended = !published.may_start_tasks;
@@ -35,18 +37,18 @@
         leadership.partition.request_cycle();
         leadership.configuration.version = Some(published.state.version);
         leadership.configuration.suspended = suspended;
-        tracing::debug!(version = published.state.version, suspended, "configuration in force");
+        tracing::debug!(version = published.state.version, suspended, "configuration applied");
     }
 
-    /// Records the version that this leader applies, and the one whose limits all teams keep to. The
-    /// write is conditional on the key of this leadership: a later leader reads this version or a
+    /// Records the version that this leader applies, and the version whose limits all teams observe.
+    /// The write is conditional on the partition's key, so a later leader reads this version or a
     /// later one.
     fn record_applied_version(&self, leadership: &mut Leadership, version: u64, now: u64) {
         let recorded = leadership.configuration.recorded;
-        let settled = recorded.version == version
+        let already_recorded = recorded.version == version
             && recorded.kept == version
             && recorded.fencing_token == leadership.partition.fencing_token();
-        if settled || leadership.configuration.recording || now < leadership.configuration.next_record_ms {
+        if already_recorded || leadership.configuration.recording || now < leadership.configuration.next_record_ms {
             return;
         }
         let pause_ms =
@@ -75,7 +77,7 @@
         });
     }
 
-    /// The record was written; `None` if that failed.
+    /// Handles the end of a write of the applied version; `None` if the write failed.
     pub(super) fn configuration_recorded(
         &self,
         leadership: &mut Leadership,
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -1,5 +1,5 @@
-//! Reads the records of dependencies: of those that a submission names and the partition does not
-//! know, and of external dependencies, which belong to other partitions.
+//! Reads of the records of dependencies: those that a submission names and the partition does not
+//! know, and external dependencies, which belong to other partitions.
 
 use super::leader::PartitionLeader;
 use super::leadership::{ExternalDependencies, KnownExternalDependencies, Leadership};
@@ -12,20 +12,20 @@
 use std::collections::HashSet;
 
 impl PartitionLeader {
-    /// Starts the lookups that submissions wait for.
+    /// Starts the lookups of dependencies that submissions wait for.
     pub(super) fn look_up_dependencies(&self, leadership: &mut Leadership) {
         for lookup in leadership.partition.take_lookups() {
             let (state, sender) = (self.state.clone(), self.sender(leadership.epoch));
             task::spawn(async move {
                 let submission = lookup.submission;
-                let found = read_all(&state, lookup).await;
+                let found = read_lookup_records(&state, lookup).await;
                 sender.send(BackgroundEvent::DependenciesRead { submission, found }).await;
             });
         }
     }
 
-    /// Reads the jobs of other partitions that jobs here depend on: with one request for the
-    /// changes of all of them together, once each was read.
+    /// Reads the jobs of other partitions that jobs of this one depend on. Once each has been read, one
+    /// request reads the changes of all of them.
     pub(super) fn read_external_dependencies(&self, leadership: &mut Leadership, now: u64) {
         let ExternalDependencies::Idle { known, next_read_ms } = &mut leadership.external_dependencies else { return };
         if now < *next_read_ms {
@@ -46,7 +46,7 @@
         });
     }
 
-    /// Handles what was read of jobs of other partitions.
+    /// Handles the records of jobs of other partitions.
     pub(super) fn external_dependencies_read(
         &self,
         leadership: &mut Leadership,
@@ -63,8 +63,8 @@
     }
 }
 
-/// The records that a lookup asks for; `None` if one could not be read.
-async fn read_all(state: &StateStore, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
+/// Reads the records of the jobs of a lookup; returns `None` if one could not be read.
+async fn read_lookup_records(state: &StateStore, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
     let mut found = Vec::new();
     for id in lookup.ids {
         let (item, _) = state.get(&job_key(&id)).await.ok()?;
@@ -73,8 +73,9 @@
     Some(found)
 }
 
-/// Reads the jobs that were not read before, and the changes of all of them since. A change
-/// that came before the read of a job may be reported after it: ends never change.
+/// Reads the jobs that were not read before, and the changes of the others since the last read. A
+/// change from before the read of a job may be reported after it. This is harmless, because the end of
+/// a job never changes.
 async fn read_changes(
     state: &StateStore,
     ids: Vec<String>,
@@ -83,7 +84,7 @@
 ) -> Result<KnownExternalDependencies, RequestError> {
     let mut known = match known {
         Some(known) => known,
-        // No key has the prefix alone as its name: the answer has the present revision.
+        // No key equals the prefix: the request only returns the present revision.
         None => KnownExternalDependencies { revision: state.get(JOB_PREFIX).await?.1, ids: HashSet::new() },
     };
     known.ids.retain(|id| ids.contains(id));
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers.
+//! Sending of direct commands to workers.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
@@ -10,15 +10,15 @@
 impl PartitionLeader {
     /// Probes machines whose heartbeats are missing.
     pub(super) fn probe(&self, leadership: &mut Leadership, hosts: impl IntoIterator<Item = HostIndex>, now: u64) {
-        // Not more than may be under way: a machine whose probe waits here would look
-        // unreachable.
+        // No more probes are started than may be under way: a machine whose probe is queued here would
+        // look unreachable.
         let capacity = self.worker.capacity();
         let capacity = capacity.free.saturating_sub(capacity.reserved_for_orders);
-        let most =
+        let max_probes =
             leadership.probe_budget.as_mut().map_or(capacity, |budget| capacity.min(budget.available_tokens(now)));
         let mut sent = 0;
         for host_index in hosts {
-            if sent == most {
+            if sent == max_probes {
                 break;
             }
             sent += usize::from(self.send_direct(leadership, host_index, now, true));
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sends new orders to their machines.
+    /// Sends new orders to their machines, as far as the number of open requests allows.
     pub(super) fn send_orders(&self, leadership: &mut Leadership, now: u64) {
         let mut free = self.worker.capacity().free;
         for host_index in leadership.partition.take_dispatch_queue() {
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Sends a machine its orders, or a probe; false if there is nothing to send now.
+    /// Sends a machine its orders, or a probe. Returns false if there is nothing to send now.
     ///
-    /// The lease was checked in `run_due_work`. A command that leaves later is refused by the worker
-    /// once it has seen the token of the next leader.
+    /// `run_due_work` has checked the lease. If the command is sent after the lease has expired, the
+    /// worker refuses it once it has seen the token of the next leader.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
         let Some(command) = leadership.partition.next_direct_command(host_index, now, probe) else { return false };
         let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -1,4 +1,4 @@
-//! The actor's settings, clients and channels.
+//! Settings, clients and channels of the actor.
 
 use super::messages::{BackgroundSender, Message};
 use crate::borrowing::BorrowingResponse;
@@ -13,50 +13,50 @@
 use std::sync::atomic::AtomicU64;
 use tokio::sync::mpsc;
 
-/// The partition whose leader is the provisioner of all.
+/// Partition whose leader is the provisioner for all partitions.
 pub(super) const PROVISIONER_PARTITION: u32 = 0;
-/// The answer about pools of a leader that has not read its records.
+/// Answer to a request about warm pools while the leader has not read its records.
 pub(super) const POOLS_RETRY_LATER: WarmPoolsResponse = WarmPoolsResponse::RetryLater(1);
-/// Writes may come in bursts of so many seconds.
+/// Largest burst of writes, in seconds of their rate.
 pub(super) const WRITE_BURST_S: f64 = 0.8;
-/// The answer about loans of a leader that has not read its records.
+/// Answer to a request about loans while the leader has not read its records.
 pub(super) const LOANS_RETRY_LATER: BorrowingResponse = BorrowingResponse::RetryLater(1);
 
-/// The actor of a partition: its settings, clients and channels. What it keeps while this node
-/// leads is a `Leadership`.
+/// Actor of a partition: its settings, clients and channels. A `Leadership` has the state that it
+/// keeps while this node leads.
 pub struct PartitionLeader {
     /// Number of the partition.
     pub id: u32,
-    /// The settings of the platform.
+    /// Settings of the platform.
     pub settings: Settings,
-    /// The settings of the operator.
+    /// Settings of the operator.
     pub operator: Operator,
-    /// Pools of warm replicas; none are kept if absent.
+    /// Settings of the warm pools; `None` without pools.
     pub pools: Option<Arc<PoolSettings>>,
-    /// Which teams lend to which; nothing is lent if absent.
+    /// Settings of the loans between teams; `None` without borrowing.
     pub borrowing: Option<Arc<BorrowingSettings>>,
-    /// The state store.
+    /// Client of the state store.
     pub state: StateStore,
-    /// The cloud.
+    /// Client of the cloud.
     pub cloud: Cloud,
-    /// Sends direct commands to workers.
+    /// Client for direct commands to workers.
     pub worker: Worker,
-    /// Until when this node may act for the partition.
+    /// Lease that decides whether this node may act for the partition now.
     pub leader_lease: LeaderLease,
-    /// The pledges between the controllers.
+    /// Pledges for the partition that this node has given and received.
     pub pledge_status: PledgeStatus,
     /// Mailbox of the partition's election actor.
     pub election: mpsc::Sender<membership::Message>,
-    /// Routes requests to the other partitions.
+    /// Router for requests to the other partitions.
     pub router: Router,
-    /// Mailbox of this actor, for its background tasks.
+    /// Mailbox of this actor, for the reports of its background tasks.
     pub own_messages: mpsc::Sender<Message>,
-    /// Number of the leadership under way; 0 if none.
+    /// Epoch of the current leadership; 0 if there is none.
     pub current_epoch: Arc<AtomicU64>,
 }
 
 impl PartitionLeader {
-    /// The sender for background tasks of a leadership.
+    /// Returns the sender for background tasks of a leadership.
     pub(super) fn sender(&self, leadership_epoch: u64) -> BackgroundSender {
         BackgroundSender {
             leadership_epoch,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// For how many milliseconds a report of one partition to another counts.
+    /// Returns for how many milliseconds a report of one partition to another is valid.
     pub(super) fn report_validity_ms(&self) -> u64 {
         3 * self.settings.report_ms()
     }
--- a/src/control/partition_leader/leadership.rs
+++ b/src/control/partition_leader/leadership.rs
@@ -1,7 +1,7 @@
-//! What the actor keeps while this node leads the partition.
+//! State that the actor keeps while this node leads the partition.
 //!
-//! All of it is dropped when leadership ends: nothing that an earlier leadership assumed may
-//! count in a later one. Times are milliseconds of the steady clock.
+//! All of it is dropped when leadership ends, so that a later leadership relies on nothing that an
+//! earlier one assumed. Times are milliseconds of the steady clock.
 
 use crate::clients::TokenBucket;
 use crate::configuration::AppliedConfiguration;
@@ -11,38 +11,39 @@
 use crate::provisioning::provisioner::Provisioner;
 use std::collections::HashSet;
 
-/// One leadership of the partition.
+/// State of one leadership of the partition.
 pub(super) struct Leadership {
     pub(super) partition: Partition,
     pub(super) provisioner: Provisioner,
-    /// Number of the leadership on this node: reports of background tasks of an earlier one are
+    /// Number of the leadership on this node. Reports of background tasks of an earlier one are
     /// dropped.
     pub(super) epoch: u64,
-    /// The lease that the partition's key is attached to.
+    /// Id of the lease that the partition's key is attached to.
     pub(super) lease_id: u64,
-    /// The version of the partition's key, which is a condition of every commit.
+    /// Version of the partition's key, which is a condition of every commit.
     pub(super) key_version: u64,
-    /// True once the partition's records have been read, until leadership is found to be lost.
+    /// Whether the partition's records have been read and leadership has not been found lost since.
     pub(super) loaded: bool,
-    /// Bounds the writes to the state store.
+    /// Limit of the rate of writes to the state store.
     pub(super) write_budget: TokenBucket,
-    /// After a commit without success: the next one is not before then.
+    /// Earliest instant of the next commit after a failed one.
     pub(super) next_commit_ms: u64,
     pub(super) token_raise: TokenRaise,
-    /// Whether the fencing token must be raised is to be checked: that costs a look at all attempts.
+    /// Whether to check if the fencing token must be raised. The check iterates over all attempts, so
+    /// it is made only if this is set.
     pub(super) token_check_due: bool,
     pub(super) timers: Timers,
-    /// Bounds the probes of machines; none if they are not bounded.
+    /// Limit of the rate of probes of machines; `None` if they are not limited.
     pub(super) probe_budget: Option<TokenBucket>,
     pub(super) external_dependencies: ExternalDependencies,
     pub(super) configuration: EffectiveConfiguration,
-    /// Indeterminate records of warm pools and loans are being read.
+    /// Whether a read of indeterminate records of warm pools and loans is under way.
     pub(super) reading_indeterminate: bool,
-    /// What the provisioner reports as on its way to this partition.
+    /// Machines on their way to this partition, as the provisioner has reported.
     pub(super) pending_machines: Vec<InstanceOffering>,
 }
 
-/// A partition as a new leadership begins, and the bounds of its requests.
+/// Inputs of [`Leadership::new`]: the new partition state and the rate limits of its requests.
 pub(super) struct NewLeadership {
     pub(super) partition: Partition,
     pub(super) provisioner: Provisioner,
@@ -53,21 +54,21 @@
 }
 
 impl Leadership {
-    /// A leadership that begins now and has not read its records.
-    pub(super) fn new(new: NewLeadership, now: u64) -> Leadership {
+    /// Creates a leadership that begins now and has not read its records.
+    pub(super) fn new(inputs: NewLeadership, now: u64) -> Leadership {
         Leadership {
-            partition: new.partition,
-            provisioner: new.provisioner,
-            epoch: new.epoch,
-            lease_id: new.acquired.lease_id,
-            key_version: new.acquired.version,
+            partition: inputs.partition,
+            provisioner: inputs.provisioner,
+            epoch: inputs.epoch,
+            lease_id: inputs.acquired.lease_id,
+            key_version: inputs.acquired.version,
             loaded: false,
-            write_budget: new.write_budget,
+            write_budget: inputs.write_budget,
             next_commit_ms: 0,
             token_raise: TokenRaise::Idle { not_before_ms: 0 },
             token_check_due: true,
             timers: Timers { last_failure_detection_ms: now, ..Timers::default() },
-            probe_budget: new.probe_budget,
+            probe_budget: inputs.probe_budget,
             external_dependencies: ExternalDependencies::Idle { known: None, next_read_ms: 0 },
             configuration: EffectiveConfiguration::default(),
             reading_indeterminate: false,
@@ -76,7 +77,7 @@
     }
 }
 
-/// When periodic work is due.
+/// Instants at which periodic work is due, and the last run of failure detection.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     pub(super) next_cycle_ms: u64,
@@ -86,44 +87,46 @@
     pub(super) next_plan_ms: u64,
 }
 
-/// The raise of the fencing token. Nothing is committed while it is under way.
+/// State of raising the fencing token. Nothing is committed while a raise is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TokenRaise {
-    /// The next raise is not before then.
+    /// No raise is under way; the next one begins at `not_before_ms` at the earliest.
     Idle { not_before_ms: u64 },
-    /// Its commit has no answer yet, or the partition's key is read to learn its outcome.
+    /// The commit of a raise has no answer yet, or the partition's key is read to learn its outcome.
     UnderWay,
 }
 
-/// Reads of jobs of other partitions that jobs of this one depend on.
+/// State of the reads of jobs of other partitions that jobs of this one depend on.
 pub(super) enum ExternalDependencies {
-    /// The next read is not before then.
+    /// No read is under way; the next one begins at `next_read_ms` at the earliest.
     Idle {
-        /// What the last read has found; `None` if the next one has to begin anew.
+        /// Jobs that were read and the revision of the last read; `None` if the next read has to start
+        /// over.
         known: Option<KnownExternalDependencies>,
         next_read_ms: u64,
     },
-    /// A read is under way, and has what is known.
+    /// A read is under way, and owns the known jobs and their revision.
     Reading,
 }
 
-/// Jobs of other partitions whose changes are known up to a revision.
+/// Ids of jobs of other partitions whose changes have been read up to `revision`.
 #[derive(Default, Clone)]
 pub(super) struct KnownExternalDependencies {
     pub(super) revision: u64,
     pub(super) ids: HashSet<String>,
 }
 
-/// The shared configuration of a fleet as a leader applies it.
+/// Shared configuration of a fleet as this leader applies it.
 #[derive(Debug, Default)]
 pub(super) struct EffectiveConfiguration {
-    /// The version that decisions are made by; `None` before there is one.
+    /// Version that is applied; `None` before the first one.
     pub(super) version: Option<u64>,
-    /// Decisions were made by it while the region may start no tasks.
+    /// Whether the version was applied while the region may start no tasks.
     pub(super) suspended: bool,
-    /// What is recorded of it.
+    /// Record of the applied version that was last written to the state store.
     pub(super) recorded: AppliedConfiguration,
-    /// The record is being written.
+    /// Whether a write of that record is under way.
     pub(super) recording: bool,
+    /// Earliest instant of the next write of that record.
     pub(super) next_record_ms: u64,
 }
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -1,9 +1,9 @@
-//! Reads the partition's records from the state store.
+//! Reads of the partition's records from the state store.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use super::stored_records::{FurtherRecords, StoredRecords, read_keys};
+use super::stored_records::{OptionalRecords, StoredRecords, read_keys};
 use crate::clients::StateStore;
 use crate::control::partition;
 use crate::runtime::task;
@@ -12,14 +12,14 @@
 use tokio::time::sleep;
 
 impl PartitionLeader {
-    /// Reads the stored records, until that succeeds or leadership ends.
+    /// Starts a read of the stored records, which is retried until it succeeds or leadership ends.
     pub(super) fn load(&self, leadership_epoch: u64) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let configuration = self.router.configuration.clone();
-        let further = FurtherRecords { pools: self.pools.is_some(), loans: self.borrowing.is_some() };
+        let optional = OptionalRecords { pools: self.pools.is_some(), loans: self.borrowing.is_some() };
         task::spawn(async move {
             while sender.is_current() {
-                if let Some(records) = StoredRecords::read(&state, configuration.as_ref(), further).await {
+                if let Some(records) = StoredRecords::read(&state, configuration.as_ref(), optional).await {
                     sender.send(BackgroundEvent::RecordsLoaded(records)).await;
                     return;
                 }
@@ -28,7 +28,7 @@
         });
     }
 
-    /// Reads records again that a commit found changed.
+    /// Reads the records again that a commit has found changed.
     pub(super) fn reread(&self, leadership_epoch: u64, keys: Vec<String>) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
@@ -42,7 +42,8 @@
         });
     }
 
-    /// Reads the records of pools and loans that are indeterminate, until all are read.
+    /// Starts a read of the indeterminate records of pools and loans, which is retried until it
+    /// succeeds or leadership ends.
     pub(super) fn read_indeterminate_records(&self, leadership: &mut Leadership) {
         let keys = leadership.partition.indeterminate_keys();
         if leadership.reading_indeterminate || keys.is_empty() {
@@ -61,13 +62,13 @@
         });
     }
 
-    /// Handles records that were indeterminate, as they were read.
+    /// Handles the indeterminate records that were read.
     pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
         leadership.reading_indeterminate = false;
         leadership.partition.indeterminate_keys_read(found);
     }
 
-    /// Reads the record of a machine that may belong to another partition now.
+    /// Reads the record of a machine that may now belong to another partition.
     pub(super) fn read_host_record(&self, leadership_epoch: u64, host: String) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
@@ -78,32 +79,34 @@
         });
     }
 
-    /// Reads the jobs that other nodes accept for this partition, until leadership ends.
+    /// Starts periodic reads of the jobs that other nodes accept for this partition, until leadership
+    /// ends.
     pub(super) fn watch_inbox(&self, leadership_epoch: u64) {
         let (state, sender) = (self.state.clone(), self.sender(leadership_epoch));
         let prefix = partition::inbox_key(self.id, "");
-        let (wait_ms, pause) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
+        let (wait_ms, retry_delay) = (self.settings.lease_ms(), Duration::from_millis(self.settings.react_ms()));
         task::spawn(async move {
             while sender.is_current() {
                 let read = async {
                     let (_, revision) = state.get(&prefix).await.ok()?;
                     let items = accepted_jobs(&state, &prefix).await?;
-                    let any = !items.is_empty();
+                    let has_entries = !items.is_empty();
                     if !sender.send(BackgroundEvent::InboxRead(items)).await {
                         return None;
                     }
-                    // An entry stays listed until it is deleted.
-                    if any { None } else { state.changes(&prefix, revision, wait_ms).await.ok() }
+                    // While there are entries the list is read again after a delay: an entry stays listed
+                    // until it is deleted.
+                    if has_entries { None } else { state.changes(&prefix, revision, wait_ms).await.ok() }
                 };
                 if read.await.is_none() {
-                    sleep(pause).await;
+                    sleep(retry_delay).await;
                 }
             }
         });
     }
 }
 
-/// The records of the jobs that are listed under the prefix.
+/// Reads the records of the jobs that are listed under the prefix; returns `None` if a read failed.
 async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<Item>> {
     let mut items = Vec::new();
     for entry in state.list(prefix).await.ok()? {
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to the actor of a partition, and its answers.
+//! Messages to the actor of a partition, and its replies.
 
 use super::stored_records::{ExternalDependencyRecords, StoredRecords};
 use crate::borrowing::BorrowingResponse;
@@ -14,142 +14,144 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages to the actor of a partition.
+/// Message to the actor of a partition.
 pub enum Message {
-    /// A heartbeat of a worker.
+    /// A worker sends a heartbeat.
     Heartbeat {
-        /// The heartbeat.
+        /// Heartbeat of the worker.
         heartbeat: Arc<Heartbeat>,
-        /// Takes the reply to it.
+        /// Receives the reply to the heartbeat.
         reply: oneshot::Sender<HeartbeatReply>,
     },
-    /// A request of a user.
+    /// A user sends a request.
     User {
-        /// The request.
+        /// Request of the user.
         call: UserCall,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: Waiter,
     },
     /// Another partition reports to the provisioner which machines it needs.
     CapacityReport {
-        /// The report.
+        /// Report of the needed machines.
         capacity_report: CapacityReport,
-        /// Takes the provisioner's answer.
+        /// Receives the provisioner's answer.
         reply: oneshot::Sender<PeerResponse>,
     },
-    /// The provisioner asks that a machine be given to another partition.
+    /// The provisioner requests the transfer of a machine to another partition.
     TransferHost {
         /// Id of the machine.
         host: String,
-        /// The partition that is to get it.
+        /// Number of the partition that is to get the machine.
         to: u32,
-        /// Takes the confirmation.
+        /// Receives the confirmation.
         reply: oneshot::Sender<PeerResponse>,
     },
-    /// An operator asks for the status of the warm pools.
+    /// An operator requests the status of the warm pools.
     PoolStatus(oneshot::Sender<WarmPoolsResponse>),
-    /// An operator asks for the status of the loans.
+    /// An operator requests the status of the loans.
     LoanStatus(oneshot::Sender<BorrowingResponse>),
-    /// The metrics of the partition are collected.
+    /// The node collects the metrics of the partition.
     Metrics(oneshot::Sender<String>),
-    /// A background task reports; dropped unless its leadership is under way.
+    /// A background task reports. The message is dropped unless its leadership is current.
     Background {
-        /// Number of the leadership that the task belongs to.
+        /// Epoch of the leadership that the task belongs to.
         leadership_epoch: u64,
-        /// The report.
+        /// Content of the report.
         event: BackgroundEvent,
     },
 }
 
-/// What background tasks of a leadership report.
+/// Report of a background task of a leadership.
 pub enum BackgroundEvent {
-    /// The provisioner's answer to a capacity report.
+    /// The provisioner has answered a capacity report.
     PendingMachines {
         /// Machines on their way to this partition.
         pending_machines: Vec<Machines>,
-        /// Kinds of machines that cannot be had now.
+        /// Kinds of machines that the cloud refuses to provide at present.
         refused: Vec<Machines>,
     },
-    /// The record of a machine as the state store has it now.
+    /// The record of a machine has been read from the state store.
     HostRecordRead {
         /// Id of the machine.
         host: String,
-        /// Its record; `None` if there is none.
+        /// Record of the machine; `None` if there is none.
         record: Option<HostRecord>,
     },
     /// The partition's records have been read.
     RecordsLoaded(StoredRecords),
     /// A direct command has ended.
     DirectCommandEnded {
-        /// The command.
+        /// Command that has ended.
         command: DirectCommand,
-        /// How it ended.
+        /// Outcome of the request.
         result: DirectCommandOutcome,
     },
     /// A commit has ended.
     CommitEnded(CommitOutcome),
-    /// Records that were read again after a conflict.
+    /// Records have been read again after a conflict of a commit.
     RecordsReread(Vec<Item>),
-    /// Jobs that other nodes accepted.
+    /// Jobs that other nodes accepted for this partition have been read.
     InboxRead(Vec<Item>),
-    /// The records of jobs that a submission names, by id; `None` if they could not be read.
+    /// The records of the jobs that a submission depends on have been read.
     DependenciesRead {
         /// Number of the submission.
         submission: u64,
-        /// The records; `None` where there is none.
+        /// Records by id of the job, each `None` if there is none; `None` if they could not be read.
         found: Option<Vec<(String, Option<Item>)>>,
     },
-    /// Records of jobs of other partitions that are waited for.
+    /// Records of jobs of other partitions that jobs of this one depend on have been read.
     ExternalDependenciesRead(ExternalDependencyRecords),
-    /// Records of warm pools and loans that were indeterminate, by key; `None` where there is none.
+    /// Indeterminate records of warm pools and loans have been read, by key; `None` where there is
+    /// none.
     IndeterminateRecordsRead(Vec<(String, Option<Item>)>),
     /// A raise of the fencing token has ended; `None` if it failed.
     TokenRaiseEnded(Option<RaisedToken>),
-    /// The version of the configuration that this leader applies was recorded; `None` if that failed.
+    /// A write of the applied configuration version has ended; `None` if it failed.
     ConfigurationRecorded(Option<AppliedConfiguration>),
-    /// The partition has another leader, or none: its key is not the one of this leadership.
+    /// The partition's key no longer belongs to this leadership: another node leads the partition, or
+    /// none does.
     LeadershipLost,
-    /// A rental request has ended.
-    RentEnded {
+    /// A scale-out request to the cloud has ended.
+    ScaleOutEnded {
         /// Name of the request.
         name: String,
-        /// How it ended.
+        /// Outcome of the request.
         result: RentResult,
     },
-    /// A request to release machines has ended.
-    ReleaseEnded {
+    /// A request to terminate machines has ended.
+    TerminationEnded {
         /// Ids of the machines.
         hosts: Vec<String>,
-        /// True if the cloud has confirmed that they are gone.
+        /// Whether the cloud has confirmed their termination.
         confirmed: bool,
     },
-    /// The cloud's list of machines.
+    /// The cloud's list of machines has been read.
     InstancesListed(Vec<ListedInstance>),
-    /// The cloud's machine types.
+    /// The cloud's machine types have been read.
     InstanceTypesRead(Vec<InstanceType>),
 }
 
-/// The reply to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatReply {
-    /// The host is of this partition; with its orders.
+    /// The machine belongs to this partition and receives its orders.
     Orders {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         fencing_token: FencingToken,
-        /// What the worker has to do.
+        /// Orders that the worker has to carry out.
         orders: Vec<Order>,
     },
-    /// This node may not act for the machine now: it does not lead the partition, or not surely. The
-    /// worker is referred to the leader or asked to retry, and never gets an answer that it would
-    /// have to discard.
+    /// This node may not act for the machine now, because it does not lead the partition or may have
+    /// lost the leadership. The worker is referred to the leader or asked to retry. It never gets an
+    /// answer that it would have to discard.
     NotLeader,
-    /// The machine belongs to that partition.
+    /// The machine belongs to the partition of this number.
     Elsewhere(u32),
-    /// The machine is not this partition's.
+    /// The machine does not belong to this partition, and no other partition of it is known.
     Unknown,
 }
 
-/// Sends the reports of the background tasks of one leadership to the actor.
+/// Sender for the reports of background tasks of one leadership to the actor.
 #[derive(Clone)]
 pub(super) struct BackgroundSender {
     pub(super) leadership_epoch: u64,
@@ -158,12 +160,12 @@
 }
 
 impl BackgroundSender {
-    /// Reports to the actor; false if it has ended.
+    /// Sends a report to the actor; returns false if the actor has ended.
     pub(super) async fn send(&self, event: BackgroundEvent) -> bool {
         self.actor.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
-    /// True while the leadership is under way. A task that repeats requests ends once it is not.
+    /// Returns whether the leadership is current. A task that repeats requests ends once it is not.
     pub(super) fn is_current(&self) -> bool {
         self.current_epoch.load(Ordering::Relaxed) == self.leadership_epoch
     }
--- a/src/control/partition_leader/mod.rs
+++ b/src/control/partition_leader/mod.rs
@@ -1,9 +1,10 @@
-//! The actor of a partition: owns its state while this node leads it, receives messages, and
-//! carries out what `partition` and `provisioner` decide.
+//! Actor of a partition: owns the partition's state while this node leads it, receives messages, and
+//! performs the I/O that `partition` and `provisioner` decide on.
 //!
-//! All I/O is done by background tasks, which report back with the number of their leadership.
-//! They end with it: watches check whether it is still under way between requests, the others
-//! end with their one request, and a report of an earlier leadership is dropped.
+//! All I/O is done by background tasks, which report to the actor with the epoch of their leadership.
+//! Tasks that repeat requests check between them whether that leadership is still current, and end if
+//! it is not. The other tasks end with their one request. The actor drops reports of an earlier
+//! leadership.
 
 mod actor;
 mod borrowing;
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -1,4 +1,4 @@
-//! Periodic work of a leader: failure detection, scheduling cycles, plans of machines.
+//! Periodic work of a leader: failure detection, scheduling cycles and capacity planning.
 
 use super::leader::{PROVISIONER_PARTITION, PartitionLeader};
 use super::leadership::Leadership;
@@ -10,8 +10,8 @@
 use crate::transport::peer::{CapacityReport, PeerRequest, PeerResponse};
 
 impl PartitionLeader {
-    /// Does the work that is due, if the lease is valid. The order matters: what a step decides is
-    /// sent or committed by those after it.
+    /// Does the work that is due, if the lease is valid. The order matters: later steps send or commit
+    /// the decisions of earlier ones.
     pub(super) fn run_due_work(&self, leadership: &mut Leadership) {
         let now = clock::now_ms();
         if !self.leader_lease.holds(now) {
@@ -21,7 +21,7 @@
             self.detect_failures(leadership, now);
         }
         leadership.partition.refresh_unreconciled();
-        self.follow_configuration(leadership, now);
+        self.sync_configuration(leadership, now);
         self.look_up_dependencies(leadership);
         self.read_external_dependencies(leadership, now);
         self.read_indeterminate_records(leadership);
@@ -30,13 +30,14 @@
         self.commit(leadership, now);
         if now >= leadership.timers.next_plan_ms {
             leadership.timers.next_plan_ms = now + self.settings.react_ms();
-            // A waiting task's back-off may have ended, or a hold.
+            // The back-off or the hold of a waiting task may have ended, so that it can be placed.
             leadership.partition.request_cycle();
-            timed(leadership, "plan_ms", "all", |leadership| self.plan(leadership, now));
+            run_timed(leadership, "plan_ms", "all", |leadership| self.plan(leadership, now));
         }
     }
 
-    /// Detects failed machines: terminates those that are lost or not needed, probes suspects.
+    /// Detects failed machines: terminates those that are lost or no longer needed, and probes those
+    /// that are suspected.
     fn detect_failures(&self, leadership: &mut Leadership, now: u64) {
         let react_ms = self.settings.react_ms();
         leadership.timers.next_failure_detection_ms = now + react_ms / 3;
@@ -44,18 +45,18 @@
         let stalled = now > leadership.timers.last_failure_detection_ms + 2 * react_ms;
         leadership.timers.last_failure_detection_ms = now;
         if !stalled && leadership.partition.is_isolated(now) {
-            // If the queue is full, the next failure detection asks again.
+            // If the mailbox is full, the next failure detection tries again.
             let _ = self.election.try_send(membership::Message::YieldLeadership);
         }
-        let DetectedFailures { to_terminate: release, to_probe: probe } =
+        let DetectedFailures { to_terminate, to_probe } =
             leadership.partition.detect_failures(now, self.pledge_status.last_gap_ms(now));
-        for request in leadership.provisioner.terminate(release) {
+        for request in leadership.provisioner.terminate(to_terminate) {
             self.send_cloud_request(leadership, request);
         }
-        self.probe(leadership, probe, now);
+        self.probe(leadership, to_probe, now);
     }
 
-    /// Plans machines; what is needed goes to the provisioner.
+    /// Plans which machines the partition needs, and reports the result to the provisioner.
     fn plan(&self, leadership: &mut Leadership, now: u64) {
         let wall_ms = clock::wall_ms();
         leadership.partition.set_reservations_recordable(self.state.is_responsive(self.settings.leader_lease_ttl_ms()));
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Reports to the provisioner what this partition needs.
+    /// Sends the capacity report of this partition to the provisioner.
     fn report_capacity(&self, leadership_epoch: u64, capacity_report: CapacityReport) {
         let (router, sender) = (self.router.clone(), self.sender(leadership_epoch));
         task::spawn(async move {
@@ -110,31 +111,31 @@
 /// Runs a scheduling cycle if one is due.
 fn run_scheduling_cycle(leadership: &mut Leadership, now: u64) {
     if leadership.partition.is_cycle_due() && now >= leadership.timers.next_cycle_ms {
-        let took_ms =
-            timed(leadership, "pass_ms", "all", |leadership| leadership.partition.schedule(now, clock::wall_ms()));
-        // The costlier a cycle, the rarer: at most a fifth of the time goes into cycles.
-        leadership.timers.next_cycle_ms = now + 2 + 5 * took_ms;
-        leadership.timers.next_urgent_cycle_ms = leadership.timers.next_urgent_cycle_ms.max(now + took_ms);
+        let elapsed_ms =
+            run_timed(leadership, "pass_ms", "all", |leadership| leadership.partition.schedule(now, clock::wall_ms()));
+        // The pause grows with the duration of a cycle: cycles take at most a fifth of the time.
+        leadership.timers.next_cycle_ms = now + 2 + 5 * elapsed_ms;
+        leadership.timers.next_urgent_cycle_ms = leadership.timers.next_urgent_cycle_ms.max(now + elapsed_ms);
     } else if leadership.partition.is_urgent_cycle_due() && now >= leadership.timers.next_urgent_cycle_ms {
-        // Urgent work need not wait for the next cycle of all work.
-        let took_ms = timed(leadership, "pass_ms", "urgent", |leadership| {
+        // Urgent work does not wait for the next cycle of all work.
+        let elapsed_ms = run_timed(leadership, "pass_ms", "urgent", |leadership| {
             leadership.partition.schedule_urgent(now, clock::wall_ms());
         });
-        leadership.timers.next_urgent_cycle_ms = now + 2 + 5 * took_ms;
+        leadership.timers.next_urgent_cycle_ms = now + 2 + 5 * elapsed_ms;
     }
 }
 
-/// Does a piece of work, and returns and records how many milliseconds it took.
-fn timed(
+/// Runs `work`, records its duration in the metrics, and returns the duration in milliseconds.
+fn run_timed(
     leadership: &mut Leadership,
     name: &'static str,
     label: &'static str,
     work: impl FnOnce(&mut Leadership),
 ) -> u64 {
-    let began = tokio::time::Instant::now();
+    let start = tokio::time::Instant::now();
     work(leadership);
-    let took_ms = began.elapsed().as_millis() as u64;
-    leadership.partition.metrics_mut().observe(name, label, took_ms);
-    tracing::debug!(name, label, took = took_ms, "done");
-    took_ms
+    let elapsed_ms = start.elapsed().as_millis() as u64;
+    leadership.partition.metrics_mut().observe(name, label, elapsed_ms);
+    tracing::debug!(name, label, took = elapsed_ms, "periodic work finished");
+    elapsed_ms
 }
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -1,4 +1,4 @@
-//! Handles requests of workers, users and other partitions.
+//! Handling of requests of workers, users and other partitions.
 
 use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PartitionLeader};
 use super::leadership::Leadership;
@@ -11,12 +11,12 @@
 use crate::wire::Heartbeat;
 
 impl PartitionLeader {
-    /// Answers the heartbeat of a worker.
+    /// Handles the heartbeat of a worker.
     pub(super) fn heartbeat(&self, leadership: &mut Leadership, heartbeat: &Heartbeat, now: u64) -> HeartbeatReply {
         let fencing_token = leadership.partition.fencing_token();
         if !leadership.loaded {
-            // Workers' leases live on while the records are read; but which machines belong to
-            // which partition is only known if there is one.
+            // Replies without orders prolong the leases of workers while the records are read. Which
+            // partition a machine belongs to is known then only if there is a single partition.
             let is_known = self.operator.partitions == 1 && heartbeat.seen_token <= fencing_token;
             return if is_known {
                 HeartbeatReply::Orders { fencing_token, orders: Vec::new() }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// As the provisioner, answers a partition that reports which machines it needs.
+    /// Answers, as the provisioner, a partition that reports which machines it needs.
     pub(super) fn capacity_report(
         &self,
         leadership: &mut Leadership,
@@ -54,7 +54,7 @@
         PeerResponse::PendingMachines { pending_machines, refused }
     }
 
-    /// Handles the answer of the provisioner.
+    /// Handles the provisioner's answer to a capacity report.
     pub(super) fn pending_machines(
         &self,
         leadership: &mut Leadership,
@@ -72,7 +72,7 @@
         leadership.provisioner.set_refused(refused, &leadership.partition, now + self.report_validity_ms());
     }
 
-    /// Answers a user. A submission that can't be recorded now is refused at once.
+    /// Handles a user's request. A submission that cannot be recorded now is refused at once.
     pub(super) fn user(&self, leadership: &mut Leadership, call: UserCall, reply: Waiter, now: u64) {
         let store_responsive = self.state.is_responsive(self.settings.leader_lease_ttl_ms());
         match call {
@@ -91,7 +91,8 @@
     }
 }
 
-/// Refuses a message while this node does not lead the partition: askers go to the leader, or retry.
+/// Refuses a message while this node does not lead the partition. Requesters go to the leader or
+/// retry.
 pub(super) fn handle_while_follower(message: Message) {
     match message {
         Message::Heartbeat { reply, .. } => {
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -1,4 +1,4 @@
-//! What a leader reads from the state store.
+//! Records that a leader reads from the state store, and the storage of machine types.
 
 use super::leadership::KnownExternalDependencies;
 use crate::clients::StateStore;
@@ -11,11 +11,11 @@
 use badgerdrift_warm_pools::RecordKey;
 use serde_json::json;
 
-/// Key under which the machine types are kept for a restart in a cloud outage.
+/// Key under which the machine types are stored, for a restart during an outage of the cloud.
 pub const INSTANCE_TYPES_KEY: &str = "flavors";
 
-/// The writes that store the machine types, in as many values as they need. An earlier version
-/// kept all of them under the key of the first one.
+/// Returns the writes that store the machine types, split into values of at most `value_bytes` bytes
+/// where possible. An earlier version stored all machine types under the key of the first value.
 pub(super) fn instance_type_writes(instance_types: &[InstanceType], value_bytes: usize) -> Vec<wire::Write> {
     let mut values: Vec<Vec<&InstanceType>> = vec![Vec::new()];
     for instance_type in instance_types {
@@ -35,7 +35,7 @@
     values.iter().enumerate().map(write).collect()
 }
 
-/// The stored machine types; one that is stored twice counts once. `None` if they could not be read.
+/// Reads the stored machine types, without duplicates. Returns `None` if they could not be read.
 pub async fn stored_instance_types(state: &StateStore) -> Option<Vec<InstanceType>> {
     let mut instance_types: Vec<InstanceType> = Vec::new();
     for item in state.list(INSTANCE_TYPES_KEY).await.ok()? {
@@ -49,33 +49,33 @@
     Some(instance_types)
 }
 
-/// The stored records at the start of a leadership.
+/// Stored records at the start of a leadership.
 pub struct StoredRecords {
     pub(super) jobs: Vec<Item>,
     pub(super) hosts: Vec<Item>,
     pub(super) instance_types: Vec<InstanceType>,
-    /// Records of warm pools; none are read without pools.
+    /// Records of warm pools; empty without pools.
     pub(super) pool_records: Vec<Item>,
-    /// Records of loans; none are read without borrowing.
+    /// Records of loans; empty without borrowing.
     pub(super) loan_records: Vec<Item>,
 }
 
-/// Which records are read beside those of jobs and machines.
+/// Selection of the records that are read in addition to those of jobs and machines.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct FurtherRecords {
-    /// Those of warm pools.
+pub(super) struct OptionalRecords {
+    /// Whether to read the records of warm pools.
     pub(super) pools: bool,
-    /// Those of loans.
+    /// Whether to read the records of loans.
     pub(super) loans: bool,
 }
 
 impl StoredRecords {
-    /// Reads the records, and the configuration that the last leader applied or a later one;
-    /// `None` if a read failed.
+    /// Reads the records, and refreshes the configuration to the version that the last leader applied
+    /// or a later one. Returns `None` if a read failed.
     pub(super) async fn read(
         state: &StateStore,
         configuration: Option<&ConfigurationHandle>,
-        further: FurtherRecords,
+        optional: OptionalRecords,
     ) -> Option<StoredRecords> {
         if let Some(configuration) = configuration
             && !configuration.refresh().await
@@ -85,22 +85,23 @@
         let jobs = state.list("job/").await.ok()?;
         let hosts = state.list("host/").await.ok()?;
         let instance_types = stored_instance_types(state).await?;
-        let pool_records = if further.pools { read_pool_records(state, clock::wall_ms()).await? } else { Vec::new() };
-        let loan_records = if further.loans { state.list(LOAN_PREFIX).await.ok()? } else { Vec::new() };
+        let pool_records = if optional.pools { read_pool_records(state, clock::wall_ms()).await? } else { Vec::new() };
+        let loan_records = if optional.loans { state.list(LOAN_PREFIX).await.ok()? } else { Vec::new() };
         Some(StoredRecords { jobs, hosts, instance_types, pool_records, loan_records })
     }
 }
 
-/// What was read of jobs that belong to other partitions.
+/// Result of a read of jobs that belong to other partitions.
 pub struct ExternalDependencyRecords {
-    /// Their records, each as it was at some moment since the last read.
+    /// Records of the jobs, each as of some instant since the last read.
     pub(super) records: Vec<Item>,
-    /// Which of the jobs were read, and up to which revision their changes are known; `None`
-    /// if the read failed and has to begin anew.
+    /// Jobs that were read and the revision up to which their changes are known; `None` if the read
+    /// failed and has to start over.
     pub(super) known: Option<KnownExternalDependencies>,
 }
 
-/// All records of slots, and the bills of the days around now.
+/// Reads all records of slots, and the bills of the days around `wall_ms`, a wall-clock time in
+/// milliseconds. Returns `None` if a read failed.
 async fn read_pool_records(state: &StateStore, wall_ms: u64) -> Option<Vec<Item>> {
     let mut items = state.list(RecordKey::SLOT_PREFIX).await.ok()?;
     for day in badgerdrift_warm_pools::days_around(wall_ms) {
@@ -109,7 +110,7 @@
     Some(items)
 }
 
-/// These keys as they are now; `None` if one could not be read.
+/// Reads the items of these keys; returns `None` if one could not be read.
 pub(super) async fn read_keys(state: &StateStore, keys: &[String]) -> Option<Vec<(String, Option<Item>)>> {
     let mut found = Vec::new();
     for key in keys {
