--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -1,35 +1,36 @@
-//! Admission: submissions that can never run.
+//! Admission control: detects submissions that can never run.
 
 use super::Policy;
 use crate::model::{InstanceType, Shape, Spec};
 use std::fmt;
 
-/// Why a submission can never run.
+/// Reason why a submission can never run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Unschedulable {
-    /// There is no such team, or it takes no new jobs.
+    /// The named team does not exist or takes no new jobs.
     UnknownTeam(String),
-    /// A task fits no instance type that the job allows.
+    /// A task of the job fits no instance type that the job allows, or none in an allowed zone.
     FitsNoInstanceType,
-    /// The job needs more at a time than its team may use.
+    /// The job needs more capacity at a time than the limit of its team.
     BeyondLimit {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// False if the limit is about to grow.
+        /// False if the limit may still grow: see `TeamRule::settled`.
         settled: bool,
     },
 }
 
 impl Unschedulable {
-    /// Could a newer configuration allow the submission?
+    /// Returns whether a newer configuration could admit the submission.
     pub fn depends_on_configuration(&self) -> bool {
         !matches!(self, Unschedulable::FitsNoInstanceType)
     }
 
-    /// Is the refusal a temporary one, where the configuration is or is not known to be up to date?
+    /// Returns whether the refusal is temporary. `up_to_date` says whether the configuration is known to be
+    /// the latest one.
     pub fn is_temporary(&self, up_to_date: bool) -> bool {
-        let unsettled = matches!(self, Unschedulable::BeyondLimit { settled: false, .. });
-        unsettled || (self.depends_on_configuration() && !up_to_date)
+        let limit_may_grow = matches!(self, Unschedulable::BeyondLimit { settled: false, .. });
+        limit_may_grow || (self.depends_on_configuration() && !up_to_date)
     }
 }
 
@@ -47,7 +48,7 @@
 
 impl std::error::Error for Unschedulable {}
 
-/// Why a submission can never run; `None` if it can.
+/// Returns the reason why a submission can never run, or `None` if it can run.
 pub fn unschedulable_reason(spec: &Spec, policy: &Policy, instance_types: &[InstanceType]) -> Option<Unschedulable> {
     let Some(team) = policy.teams.get(&spec.team).filter(|team| !team.removed) else {
         return Some(Unschedulable::UnknownTeam(spec.team.clone()));
@@ -58,8 +59,8 @@
     if !fits {
         return Some(Unschedulable::FitsNoInstanceType);
     }
-    let together = if spec.shape == Shape::Batch { 1.0 } else { f64::from(spec.tasks) };
-    if !spec.demand.times(together).fits(&team.limit) {
+    let tasks_at_once = if spec.shape == Shape::Batch { 1.0 } else { f64::from(spec.tasks) };
+    if !spec.demand.times(tasks_at_once).fits(&team.limit) {
         return Some(Unschedulable::BeyondLimit { team: spec.team.clone(), settled: team.settled });
     }
     None
--- a/src/scheduling/dependency_graph.rs
+++ b/src/scheduling/dependency_graph.rs
@@ -1,13 +1,13 @@
-//! The dependency graph: which jobs wait for which others.
+//! The dependency graph: the jobs that wait for other jobs.
 //!
-//! It holds open dependencies only, those on dependencies that are not known to be done. What a
-//! change costs is in proportion to the jobs that it touches.
+//! The graph holds open dependencies only: dependencies on jobs that are not known to be done. The cost
+//! of a change is proportional to the number of jobs that it affects.
 
 use crate::model::JobIndex;
 use std::collections::{BTreeSet, HashMap};
 
-/// Waiting jobs and their open dependencies. Dependencies are known by their ids, as they may
-/// belong to another partition.
+/// Waiting jobs and their open dependencies. Dependencies are identified by job id, as they may belong to
+/// another partition.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     dependencies: HashMap<JobIndex, BTreeSet<String>>,
@@ -15,7 +15,7 @@
 }
 
 impl DependencyGraph {
-    /// Adds a job that waits for these others.
+    /// Adds a job that waits for `dependencies`.
     pub fn add(&mut self, job: JobIndex, dependencies: impl IntoIterator<Item = String>) {
         let open = self.dependencies.entry(job).or_default();
         for dependency in dependencies {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A dependency is done: returns the jobs that wait for nothing else, which are removed.
+    /// Marks a dependency as done. Removes and returns the jobs that wait for no other dependency.
     pub fn complete(&mut self, dependency: &str) -> Vec<JobIndex> {
         let mut ready = Vec::new();
         for job in self.dependents.remove(dependency).unwrap_or_default() {
@@ -38,7 +38,7 @@
         ready
     }
 
-    /// Removes a job that waits no longer; returns what it waited for.
+    /// Removes a job that no longer waits and returns its open dependencies.
     pub fn remove(&mut self, job: JobIndex) -> BTreeSet<String> {
         let open = self.dependencies.remove(&job).unwrap_or_default();
         for dependency in &open {
@@ -52,27 +52,27 @@
         open
     }
 
-    /// The jobs that wait for this one.
+    /// Returns the jobs that wait for `dependency`.
     pub fn dependents(&self, dependency: &str) -> impl Iterator<Item = JobIndex> + use<'_> {
         self.dependents.get(dependency).into_iter().flatten().copied()
     }
 
-    /// The open dependencies of a waiting job.
+    /// Returns the open dependencies of a waiting job.
     pub fn dependencies(&self, job: JobIndex) -> impl Iterator<Item = &str> {
         self.dependencies.get(&job).into_iter().flatten().map(String::as_str)
     }
 
-    /// All waiting jobs, in no order.
+    /// Returns all waiting jobs in arbitrary order.
     pub fn waiting(&self) -> impl Iterator<Item = JobIndex> + use<'_> {
         self.dependencies.keys().copied()
     }
 
-    /// Does no job wait for another?
+    /// Returns whether no job waits for another one.
     pub fn is_empty(&self) -> bool {
         self.dependencies.is_empty()
     }
 
-    /// How many jobs wait for others.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.dependencies.len()
     }
--- a/src/scheduling/dependency_graph/tests.rs
+++ b/src/scheduling/dependency_graph/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_job_is_ready_once_its_last_predecessor_is_done() {
+fn completing_the_last_dependency_makes_a_job_ready() {
     let mut graph = DependencyGraph::default();
     graph.add(2, ids(&["a", "b"]));
     graph.add(3, ids(&["a"]));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_removed_job_is_nobody_s_dependent() {
+fn a_removed_job_is_no_longer_a_dependent() {
     let mut graph = DependencyGraph::default();
     graph.add(2, ids(&["a", "b"]));
     assert_eq!(graph.remove(2).into_iter().collect::<Vec<_>>(), ["a", "b"]);
@@ -27,9 +27,10 @@
 }
 
 proptest! {
-    /// Whatever is completed or removed, both directions tell the same dependencies.
+    /// Guards against one of the two maps keeping an edge that the other has dropped, after any sequence of
+    /// additions, completions and removals.
     #[test]
-    fn both_directions_agree(steps in prop::collection::vec((0..3u8, 0..8usize, 0..8usize), 1..60)) {
+    fn both_maps_hold_the_same_dependencies(steps in prop::collection::vec((0..3u8, 0..8usize, 0..8usize), 1..60)) {
         let mut graph = DependencyGraph::default();
         for (step, job, dependency) in steps {
             let dependency = dependency.to_string();
@@ -38,14 +39,14 @@
                 1 => _ = graph.complete(&dependency),
                 _ => _ = graph.remove(job),
             }
-            let pairs = |job: JobIndex| graph.dependencies(job).map(move |p| (job, p.to_string())).collect::<Vec<_>>();
-            let down: BTreeSet<(JobIndex, String)> = graph.waiting().flat_map(pairs).collect();
-            let up: BTreeSet<(JobIndex, String)> = graph
+            let pairs = |job: JobIndex| graph.dependencies(job).map(move |id| (job, id.to_string())).collect::<Vec<_>>();
+            let by_job: BTreeSet<(JobIndex, String)> = graph.waiting().flat_map(pairs).collect();
+            let by_dependency: BTreeSet<(JobIndex, String)> = graph
                 .dependents
                 .iter()
-                .flat_map(|(p, jobs)| jobs.iter().map(move |job| (*job, p.clone())))
+                .flat_map(|(id, jobs)| jobs.iter().map(move |job| (*job, id.clone())))
                 .collect();
-            prop_assert_eq!(down, up);
+            prop_assert_eq!(by_job, by_dependency);
         }
     }
 }
--- a/src/scheduling/host_eligibility.rs
+++ b/src/scheduling/host_eligibility.rs
@@ -1,9 +1,9 @@
-//! Which machines tasks may be placed on, now or soon.
+//! Eligibility of machines for placement, now or once they have joined.
 
 use crate::model::{Host, UNREACHABLE_AFTER_MISSES};
 
-/// Is it a new machine that has reported, and may be used once it is registered and has confirmed the
-/// leader's fencing token? Its capacity need not be requested again.
+/// Returns whether the machine is new and has reported, so that it becomes usable once it is registered and
+/// has confirmed the fencing token of the leader. The capacity plan need not request its capacity again.
 pub fn joining(host: &Host) -> bool {
     !host.registered
         && host.addr.is_some()
@@ -13,11 +13,11 @@
         && host.unanswered_probes < UNREACHABLE_AFTER_MISSES
 }
 
-/// May tasks be placed on the machine now?
+/// Returns whether tasks may be placed on the machine at `now`, in milliseconds of the steady clock.
 ///
-/// Invariant: only on a machine that is registered, so that a successor knows that it may hold tasks,
-/// and whose agent has confirmed this leader's fencing token, so that no delayed order of an earlier
-/// leader is still carried out there.
+/// Invariant: the machine is registered, so that the next leader knows that it may hold tasks, and its
+/// agent has confirmed the fencing token of this leader, so that it no longer carries out delayed orders
+/// of an earlier leader.
 pub fn usable(host: &Host, now: u64) -> bool {
     host.registered
         && !host.has_unknown_tasks
--- a/src/scheduling/index.rs
+++ b/src/scheduling/index.rs
@@ -1,9 +1,11 @@
-//! The index of a scheduling cycle: capacity by machine, where each job's attempts are, which machines
-//! have an image. Counted once for a cycle or capacity plan and kept up to date while it places, so that
-//! a decision costs what it looks at, and not machines times running tasks.
+//! The index of a scheduling cycle: the capacity of each machine, the locations of the attempts of each
+//! job, and the machines that have an image.
 //!
-//! Invariant: after each decision the index equals one that is counted anew (the property tests check
-//! it), except for machines that had an image when they were first asked for.
+//! The index is computed once for a cycle or capacity plan and updated with each placement, so that the
+//! cost of a decision is proportional to the entries that it reads, and not to machines times running tasks.
+//!
+//! Invariant: after each decision the index equals a newly computed one (the property tests check this),
+//! except for the machines with an image, which are computed on first use and not updated.
 
 use super::task_requirements::ZoneCounts;
 use super::usable;
@@ -11,62 +13,63 @@
 use std::cell::OnceCell;
 use std::collections::HashMap;
 
-/// A machine as placement sees it.
+/// Properties and capacity of a machine that placement depends on.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HostInfo {
-    /// Its type is known, and tasks may be placed on it now.
+    /// True if the instance type is known and tasks may be placed on the machine now.
     pub usable: bool,
-    /// Index of its type; 0 if that is not known.
+    /// Index of the instance type; 0 if the type is not known.
     pub instance_type: usize,
-    /// Index of its zone in [`Index`].
+    /// Index of the zone in [`Index`].
     pub zone: usize,
     /// True for a spot machine.
     pub spot: bool,
-    /// Capacity that no attempt takes; reserved capacity counts as free.
+    /// Capacity that no attempt takes. Capacity reserved for jobs counts as free; capacity reserved by warm
+    /// pools does not.
     pub free: Demand,
     /// Capacity that is reserved for jobs.
     pub reserved: Demand,
-    /// Number of reservations on it.
+    /// Number of reservations for jobs on the machine.
     pub reservations: usize,
 }
 
-/// Where an attempt is; ordered by job, then machine.
+/// Location of an attempt; ordered by job, then by machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IndexedAttempt {
     job: JobIndex,
     host: HostIndex,
 }
 
-/// Capacity by machine, and where the attempts of each job are.
+/// Capacity of each machine and locations of the attempts of each job.
 #[derive(Debug, Default)]
 pub struct Index {
-    /// The machines, by [`HostIndex`].
+    /// Machines, by [`HostIndex`].
     pub hosts: Vec<HostInfo>,
     zones: Vec<String>,
-    /// Each attempt that had not ended when the index was counted, sorted.
+    /// Attempts that had not ended when the index was computed, sorted.
     attempts: Vec<IndexedAttempt>,
-    /// The machines of attempts that were placed since.
+    /// Machines of the attempts that were placed since the index was computed.
     placed: HashMap<JobIndex, Vec<HostIndex>>,
     /// Number of reservations of each job.
     reservations: HashMap<JobIndex, usize>,
-    /// What each team's attempts take, fetching ones included.
+    /// Capacity taken by the attempts of each team, including attempts that still fetch their image.
     pub usage: HashMap<String, Demand>,
-    /// The same once all that is being stopped has ended.
+    /// Capacity taken by the attempts of each team, without the attempts that are being stopped.
     pub staying: HashMap<String, Demand>,
-    /// Machines that had each image ready when first asked for.
+    /// Machines that have each image ready, as of the first call of `warm`.
     warm: OnceCell<HashMap<String, Vec<HostIndex>>>,
 }
 
 impl Index {
-    /// Counts what is on all machines.
+    /// Computes the index of the cluster state at `now`, in milliseconds of the steady clock.
     pub fn new(cluster: &ClusterState, now: u64) -> Index {
         let mut index = Index { hosts: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
         for zone in cluster.instance_types.iter().flat_map(|instance_type| &instance_type.zones) {
             index.zone_or_insert(zone);
         }
         for (host_index, host) in cluster.hosts.iter().enumerate() {
-            let count = |host| index.count_host(cluster, host_index, host, now);
-            let host_info = host.as_ref().map_or_else(HostInfo::default, count);
+            let count_host = |host| index.count_host(cluster, host_index, host, now);
+            let host_info = host.as_ref().map_or_else(HostInfo::default, count_host);
             index.hosts.push(host_info);
         }
         for reservation in &cluster.warm_reservations {
@@ -77,6 +80,7 @@
         index
     }
 
+    /// Returns the index of a zone and adds the zone if it is not known.
     fn zone_or_insert(&mut self, name: &str) -> usize {
         self.zone(name).unwrap_or_else(|| {
             self.zones.push(name.to_string());
@@ -84,7 +88,7 @@
         })
     }
 
-    /// Counts what is on one machine.
+    /// Adds the attempts and reservations of a machine to the index and returns its capacity.
     fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, host: &Host, now: u64) -> HostInfo {
         let mut host_info = HostInfo {
             usable: host.instance_type.is_some() && usable(host, now),
@@ -100,7 +104,7 @@
             host_info.free.sub(&attempt.demand);
             self.attempts.push(IndexedAttempt { job, host: host_index });
             if attempt.stop.is_some() {
-                sum(&mut self.staying, &cluster.jobs[job].spec.team, &attempt.demand.times(-1.0));
+                add_to_team(&mut self.staying, &cluster.jobs[job].spec.team, &attempt.demand.times(-1.0));
             }
         }
         for reservation in &host.reservations {
@@ -110,52 +114,52 @@
         host_info
     }
 
-    /// Counts what the attempts of each team's jobs take.
+    /// Adds up the capacity taken by the attempts of each team.
     fn count_teams(&mut self, cluster: &ClusterState) {
-        for attempts in self.attempts.chunk_by(|a, b| a.job == b.job) {
+        for attempts in self.attempts.chunk_by(|left, right| left.job == right.job) {
             let spec = &cluster.jobs[attempts[0].job].spec;
-            let all = spec.demand.times(attempts.len() as f64);
-            sum(&mut self.usage, &spec.team, &all);
-            sum(&mut self.staying, &spec.team, &all);
+            let job_usage = spec.demand.times(attempts.len() as f64);
+            add_to_team(&mut self.usage, &spec.team, &job_usage);
+            add_to_team(&mut self.staying, &spec.team, &job_usage);
         }
     }
 
-    /// The index of a zone.
+    /// Returns the index of a zone; `None` if the zone is not known.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone == name)
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone_name(&self, zone: usize) -> &str {
         &self.zones[zone]
     }
 
-    /// The indices of all zones.
+    /// Returns the indices of all zones.
     pub fn zones(&self) -> std::ops::Range<usize> {
         0..self.zones.len()
     }
 
-    /// The machines of a job's attempts that have not ended, one entry an attempt.
+    /// Returns the machines of the attempts of a job that have not ended, one entry per attempt.
     pub fn hosts_of(&self, job: JobIndex) -> impl Iterator<Item = HostIndex> + '_ {
         let first = self.attempts.partition_point(|attempt| attempt.job < job);
-        let of_job = self.attempts[first..].iter().take_while(move |attempt| attempt.job == job);
-        let before = of_job.map(|attempt| attempt.host);
-        before.chain(self.placed.get(&job).into_iter().flatten().copied())
+        let attempts_of_job = self.attempts[first..].iter().take_while(move |attempt| attempt.job == job);
+        let indexed_hosts = attempts_of_job.map(|attempt| attempt.host);
+        indexed_hosts.chain(self.placed.get(&job).into_iter().flatten().copied())
     }
 
-    /// The job's tasks that are on machines, by zone.
+    /// Returns the number of tasks of the job on machines, by zone.
     pub fn counts(&self, job: JobIndex) -> ZoneCounts {
         let mut counts = ZoneCounts::default();
         self.hosts_of(job).for_each(|host| counts.add(self.hosts[host].zone));
         counts
     }
 
-    /// Number of the job's reservations.
+    /// Returns the number of reservations of the job.
     pub fn reservations_of(&self, job: JobIndex) -> usize {
         self.reservations.get(&job).copied().unwrap_or(0)
     }
 
-    /// What a machine has free for a job, less what is reserved for others.
+    /// Returns the free capacity of a machine that a job may use: all but capacity reserved for others.
     pub fn free_for(&self, cluster: &ClusterState, host_index: HostIndex, job: JobIndex) -> Demand {
         let host_info = &self.hosts[host_index];
         let mut free = host_info.free;
@@ -167,20 +171,20 @@
         free
     }
 
-    /// Notes that a task was placed.
+    /// Records the placement of a task.
     pub fn start(&mut self, spec: &Spec, job: JobIndex, host_index: HostIndex) {
         self.hosts[host_index].free.sub(&spec.demand);
         self.placed.entry(job).or_default().push(host_index);
-        sum(&mut self.usage, &spec.team, &spec.demand);
-        sum(&mut self.staying, &spec.team, &spec.demand);
+        add_to_team(&mut self.usage, &spec.team, &spec.demand);
+        add_to_team(&mut self.staying, &spec.team, &spec.demand);
     }
 
-    /// Notes that the stop of an attempt was ordered.
+    /// Records that the stop of an attempt with this description was ordered.
     pub fn stop(&mut self, spec: &Spec) {
-        sum(&mut self.staying, &spec.team, &spec.demand.times(-1.0));
+        add_to_team(&mut self.staying, &spec.team, &spec.demand.times(-1.0));
     }
 
-    /// Notes that the reservations on a machine changed from `before`.
+    /// Records that the reservations on a machine changed from `before` to `after`.
     pub fn update_reservations(&mut self, before: &[Reservation], after: &[Reservation], host_index: HostIndex) {
         for reservation in before {
             if let Some(count) = self.reservations.get_mut(&reservation.job) {
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Machines that had the image ready when first asked.
+    /// Returns the machines that have the image ready, as of the first call for any image.
     pub fn warm(&self, cluster: &ClusterState, image: &str) -> &[HostIndex] {
         let warm = self.warm.get_or_init(|| {
             let mut warm: HashMap<String, Vec<HostIndex>> = HashMap::new();
@@ -216,12 +220,12 @@
     }
 }
 
-/// Adds to a team's sum.
-fn sum(sums: &mut HashMap<String, Demand>, team: &str, demand: &Demand) {
-    match sums.get_mut(team) {
+/// Adds a demand to the total of a team.
+fn add_to_team(totals: &mut HashMap<String, Demand>, team: &str, demand: &Demand) {
+    match totals.get_mut(team) {
         Some(total) => total.add(demand),
         None => {
-            sums.insert(team.to_string(), *demand);
+            totals.insert(team.to_string(), *demand);
         }
     }
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,11 +1,12 @@
-//! Decisions: the scheduling cycle (placement, gangs, preemption) and the capacity plan (scale out,
-//! scale in, drains). Pure and synchronous: no I/O, no clock.
+//! Scheduling decisions: the scheduling cycle (placement, gangs, preemption) and the capacity plan
+//! (scale-out, scale-in, drains). All functions are synchronous, do no I/O and read no clock.
 //!
-//! Times named `now` or ending in `_ms` are milliseconds: of the steady clock for machines, attempts and
-//! tasks, of the wall clock (`wall`) for jobs' acceptance, readiness and deadlines.
+//! Times named `now` or ending in `_ms` are in milliseconds. They are read from the steady clock for
+//! machines, attempts and tasks, and from the wall clock (`wall`) for the acceptance, readiness and
+//! deadlines of jobs.
 //!
 //! This module depends on `model` and `settings` only. `control` and `provisioning` call it and carry
-//! out what it decides.
+//! out its decisions.
 
 pub mod dependency_graph;
 pub mod task_locations;
--- a/src/scheduling/policy.rs
+++ b/src/scheduling/policy.rs
@@ -1,76 +1,77 @@
-//! The policy: what decisions depend on besides the state of the cluster, and deadlines and bins by it.
+//! The scheduling policy: the parameters of decisions, and the deadlines and deadline bins that follow
+//! from them.
 
 use crate::model::{Demand, Job};
 use crate::settings::bounds::{AttemptBounds, Bounds, MOST_ENTRIES_PER_S};
 use crate::settings::{Operator, Settings};
 use std::collections::HashMap;
 
-/// The share of starts that must meet an objective that names none.
+/// Share of starts that must meet a start objective that sets no share of its own.
 const DEFAULT_SHARE: f64 = 0.9;
 
-/// What decisions depend on besides the state of the cluster.
+/// Parameters of all scheduling decisions. Decisions depend on these and the cluster state only.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// Width of a bin of soft deadlines, in seconds.
+    /// Width of a bin of soft deadlines, in seconds. Jobs are ordered by bin.
     pub bin_width_s: f64,
-    /// Soft deadline in seconds of a job that has neither `due_s` nor an objective.
+    /// Soft deadline, in seconds from readiness, of a job that has neither `due_s` nor a start objective.
     pub default_deadline_s: f64,
-    /// Scales the capacity that is kept for arrivals during a boot; 0 keeps none.
+    /// Factor on the capacity that is kept free for arrivals during a machine boot; 0 keeps none.
     pub headroom: f64,
-    /// Idle machines are kept for this many of their boot times.
+    /// Time for which an idle machine is kept, as a multiple of its boot time.
     pub idle_keep: f64,
-    /// Guarantee and limit of each team, by its name.
+    /// Guarantee and limit of each team, by team name.
     pub teams: HashMap<String, TeamRule>,
-    /// Start objective of each class that has one.
+    /// Start objective of each class that has one, by class name.
     pub start_objectives: HashMap<String, StartObjective>,
-    /// Within how many seconds work within a guarantee is to start; `None` without such an objective.
+    /// Time in seconds within which work within a guarantee is to start; `None` without such an objective.
     pub guarantee_s: Option<f64>,
-    /// How long capacity is reserved for the leading gang, in milliseconds.
+    /// Time for which capacity is reserved for the first gang in the queue, in milliseconds.
     pub hold_ms: u64,
-    /// Life of a worker's lease in milliseconds.
+    /// Lifetime of the lease of a worker, in milliseconds.
     pub lease_ms: u64,
-    /// Interval between two reports of a worker in milliseconds.
+    /// Interval between two reports of a worker, in milliseconds.
     pub report_ms: u64,
-    /// Within how many milliseconds an order that is sent directly shows its effect.
+    /// Time in milliseconds within which an order that is sent directly takes effect.
     pub react_ms: u64,
-    /// Records that can be written in a second.
+    /// Number of records that can be written per second.
     pub writes_per_s: f64,
-    /// How many attempts a leader can follow.
+    /// Bounds on the number of attempts that a leader can track.
     pub attempt_bounds: AttemptBounds,
-    /// Attempts on machines beyond which no work of the lowest urgency is started: what the
-    /// heartbeats list costs the leader processor time and memory.
+    /// Number of attempts on machines from which on no work of the lowest urgency is started. Each attempt
+    /// is listed in heartbeats, which cost the leader processor time and memory.
     pub max_attempts: usize,
-    /// Wall time of the system's start, from the state service.
+    /// Wall time of the start of the system, in milliseconds, as recorded by the state service.
     pub start_ms: u64,
 }
 
-/// Within how long the tasks of a class are to start.
+/// Objective for the time within which the tasks of a class start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartObjective {
-    /// Seconds from when the job is ready.
+    /// Time in seconds from the readiness of the job.
     pub within_s: f64,
-    /// The share of starts that must meet it.
+    /// Share of starts that must meet the objective, from 0 to 1.
     pub share: f64,
 }
 
-/// What a team is guaranteed, and what it may use at most.
+/// Guarantee and limit of a team.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TeamRule {
-    /// Guaranteed amounts; 0 where nothing is guaranteed. Memory is not restricted.
+    /// Guaranteed amounts; 0 where nothing is guaranteed. Memory is unrestricted.
     pub guarantee: Demand,
-    /// Largest amounts in use at a time; infinite where there is no limit.
+    /// Largest amounts that the team may use at a time; infinite where there is no limit.
     pub limit: Demand,
-    /// The limit is all that the region is to have. It may be less for a while where another
-    /// region has not confirmed yet that it gave a part away.
+    /// True if the limit is the full share of this region. It is lower for a while if another region has
+    /// not yet confirmed that it gave up a part of its share.
     pub settled: bool,
-    /// The team takes no new jobs; what it has goes on.
+    /// True if the team takes no new jobs; its present jobs continue.
     pub removed: bool,
 }
 
 impl TeamRule {
-    /// Does the guarantee cover anything that such a task takes? Without this check a team
-    /// that is guaranteed nothing would always be within its guarantee with tasks that take
-    /// no accelerator, and could stop the work of all others.
+    /// Returns whether the guarantee covers any resource that a task with this demand takes. Without this
+    /// check a team without a guarantee would always be within it with tasks that take no accelerator, and
+    /// could preempt the work of all other teams.
     pub fn guarantees(&self, demand: &Demand) -> bool {
         let covers = |guaranteed: f64, taken: f64| guaranteed > 0.0 && taken > 0.0;
         covers(self.guarantee.gpus, demand.gpus) || covers(self.guarantee.cpus, demand.cpus)
@@ -81,14 +82,14 @@
     (seconds * 1000.0) as u64
 }
 
-/// 0 in the settings means no limit.
+/// Returns the limit set by a settings value, where 0 means no limit.
 fn limit(setting: f64) -> f64 {
     if setting > 0.0 { setting } else { f64::INFINITY }
 }
 
 impl Policy {
-    /// The policy by the settings of the service and of the operator. `start_ms` is the wall time of the
-    /// system's start.
+    /// Returns the policy that follows from the settings of the service and of the operator. `start_ms` is
+    /// the wall time of the start of the system, in milliseconds.
     pub fn new(settings: &Settings, operator: &Operator, start_ms: u64) -> Policy {
         let params = &settings.params;
         let teams = params.teams.iter().map(|team| {
@@ -126,8 +127,9 @@
         }
     }
 
-    /// The job's soft deadline, as wall time: the earlier one of its own and of that which the
-    /// jobs that need it leave it. Without a deadline of its own its time begins once it may start.
+    /// Returns the soft deadline of the job, in milliseconds of wall time: the earlier of its own deadline
+    /// and the instant by which its dependents need it. For a job without `due_s` the time counts from
+    /// readiness.
     pub fn soft_deadline_ms(&self, job: &Job) -> u64 {
         let own = match job.spec.due_s {
             Some(due_s) => job.accepted_ms + milliseconds(due_s),
@@ -136,28 +138,28 @@
                 job.ready_ms + milliseconds(objective_s.unwrap_or(self.default_deadline_s))
             }
         };
-        job.needed_by_ms.map_or(own, |needed| needed.min(own))
+        job.needed_by_ms.map_or(own, |needed_by| needed_by.min(own))
     }
 
-    /// The deadline that counts at this wall time. Work that can't meet its deadline any more is put off
-    /// in two steps, so that it doesn't starve what can.
+    /// Returns the deadline by which the job is ordered at wall time `wall`, both in milliseconds. A job that
+    /// can no longer meet its deadline is postponed in two steps, so that it does not starve jobs that can.
     pub fn effective_deadline_ms(&self, job: &Job, wall: u64) -> u64 {
         let soft = self.soft_deadline_ms(job);
         let Some(due) = job.due_ms() else { return soft };
         let remaining_ms = (job.spec.expected_s * 500.0) as u64;
-        let stride = due.saturating_sub(job.accepted_ms) / 2;
+        let postponement = due.saturating_sub(job.accepted_ms) / 2;
         if wall + remaining_ms <= due {
             soft
-        } else if wall + remaining_ms <= due + stride {
-            due + stride
+        } else if wall + remaining_ms <= due + postponement {
+            due + postponement
         } else {
-            due + stride + milliseconds(self.default_deadline_s)
+            due + postponement + milliseconds(self.default_deadline_s)
         }
     }
 
-    /// The bin of a deadline given as wall time.
+    /// Returns the number of the bin that contains a deadline, given in milliseconds of wall time.
     pub fn bin(&self, deadline_ms: u64) -> u64 {
-        let width = (self.bin_width_s * 1000.0).max(1.0) as u64;
-        deadline_ms.saturating_sub(self.start_ms) / width
+        let width_ms = (self.bin_width_s * 1000.0).max(1.0) as u64;
+        deadline_ms.saturating_sub(self.start_ms) / width_ms
     }
 }
--- a/src/scheduling/task_requirements.rs
+++ b/src/scheduling/task_requirements.rs
@@ -1,9 +1,9 @@
-//! Where the tasks of a job may be placed, as far as its description goes.
+//! Placement constraints of the tasks of a job, as given in its description.
 
 use super::index::{HostInfo, Index};
 use crate::model::{ClusterState, Demand, Spec};
 
-/// Tasks of a job by zone.
+/// Number of tasks of a job in each zone.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ZoneCounts {
     by_zone: Vec<u32>,
@@ -11,7 +11,7 @@
 }
 
 impl ZoneCounts {
-    /// Counts one more task in a zone.
+    /// Adds one task in a zone.
     pub fn add(&mut self, zone: usize) {
         if self.by_zone.len() <= zone {
             self.by_zone.resize(zone + 1, 0);
@@ -20,7 +20,7 @@
         self.total += 1;
     }
 
-    /// Counts one task less in a zone.
+    /// Removes one task in a zone; does nothing if the zone has none.
     pub fn sub(&mut self, zone: usize) {
         if let Some(count) = self.by_zone.get_mut(zone).filter(|count| **count > 0) {
             *count -= 1;
@@ -28,18 +28,19 @@
         }
     }
 
-    /// How many tasks are in a zone.
+    /// Returns the number of tasks in a zone.
     pub fn of(&self, zone: usize) -> u32 {
         self.by_zone.get(zone).copied().unwrap_or(0)
     }
 }
 
-/// The zones that a job allows.
+/// Zones that a job allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AllowedZone {
     Any,
+    /// Only the zone with this index is allowed.
     Only(usize),
-    /// The only allowed zone is not known: it has no machines.
+    /// The only allowed zone is not known, so it has no machines.
     Unknown,
 }
 
@@ -53,24 +54,25 @@
     }
 }
 
-/// Where a job's tasks may be placed, with names resolved to indices.
+/// Placement constraints of the tasks of a job, with names resolved to indices.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequirements {
-    /// By machine type; a type that is too small is not allowed.
+    /// Whether each instance type is allowed, by index; a type that is too small for a task is not.
     instance_types: Vec<bool>,
-    /// What one task takes.
+    /// Demand of one task.
     pub demand: Demand,
-    /// Spot machines are allowed.
+    /// True if spot machines are allowed.
     pub spot: bool,
     zone: AllowedZone,
-    /// All tasks must be in one zone.
+    /// True if all tasks must be in the same zone.
     one_zone: bool,
-    /// Most tasks in one zone.
+    /// Maximum number of tasks in a zone.
     zone_limit: u32,
 }
 
 impl TaskRequirements {
-    /// May the tasks be on such a machine, as far as zone counts allow?
+    /// Returns whether one more task may be placed on a machine with these properties, where `counts` holds
+    /// the tasks that are placed already.
     pub fn allows(&self, instance_type: usize, zone: usize, spot: bool, counts: &ZoneCounts) -> bool {
         self.instance_types[instance_type]
             && (self.spot || !spot)
@@ -79,12 +81,14 @@
             && (!self.one_zone || counts.total == 0 || counts.of(zone) > 0)
     }
 
-    /// The same for a machine that is known; false unless it is usable.
+    /// Returns whether one more task may be placed on the machine by the rules of [`TaskRequirements::allows`];
+    /// false if the machine is not usable. Free capacity is not checked.
     pub fn accepts(&self, host: &HostInfo, counts: &ZoneCounts) -> bool {
         host.usable && self.allows(host.instance_type, host.zone, host.spot, counts)
     }
 
-    /// Do both allow the same machines, whatever tasks are there already?
+    /// Returns whether both have the same demand and allow the same machines, apart from the limits that
+    /// depend on tasks placed already.
     pub fn like(&self, other: &TaskRequirements) -> bool {
         self.instance_types == other.instance_types
             && self.demand == other.demand
@@ -94,10 +98,10 @@
 }
 
 impl Index {
-    /// Where the tasks of a job may be.
+    /// Returns the placement constraints of the tasks of a job.
     pub fn requirements(&self, cluster: &ClusterState, spec: &Spec) -> TaskRequirements {
         TaskRequirements {
-            instance_types: cluster.instance_types.iter().map(|one| spec.allows_instance_type(one)).collect(),
+            instance_types: cluster.instance_types.iter().map(|kind| spec.allows_instance_type(kind)).collect(),
             demand: spec.demand,
             spot: spec.spot,
             zone: match spec.zone.as_deref() {
