--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -26,7 +26,7 @@
 pub use host_eligibility::{joining, usable};
 pub use index::Index;
 pub use plan::{
-    Availability, AvailabilityOf, CapacityPlan, ClassFlow, Drain, ExpectedWork, Migration, ScaleOut, plan_capacity,
+    Availability, AvailabilityFn, CapacityPlan, ClassFlow, Drain, ExpectedWork, Migration, ScaleOut, plan_capacity,
     reserves,
 };
 pub use policy::{Policy, StartObjective, TeamRule};
--- a/src/scheduling/plan/bin_packing.rs
+++ b/src/scheduling/plan/bin_packing.rs
@@ -1,56 +1,60 @@
-//! Bin packing: tasks are packed into machines that are there or pending, and into new ones for the
-//! rest.
+//! Bin packing: tasks are packed into existing and pending machines, and the rest into new ones.
 
-use super::{Availability, AvailabilityOf};
+use super::{Availability, AvailabilityFn};
 use crate::model::{ClusterState, Demand, HostIndex, InstanceOffering, Reserve, Spec};
 use crate::scheduling::index::Index;
 use crate::scheduling::task_requirements::{TaskRequirements, ZoneCounts};
 use std::collections::HashSet;
 
-/// A machine that tasks are packed into.
+/// A machine, existing or not, that tasks are packed into.
 #[derive(Debug)]
 pub(super) struct Bin {
+    /// Capacity that is left.
     pub(super) free: Demand,
-    /// Index of its type.
+    /// Index of the instance type.
     pub(super) instance_type: usize,
-    /// Index of its zone.
+    /// Index of the zone.
     pub(super) zone: usize,
+    /// True for a spot machine.
     pub(super) spot: bool,
-    /// `None` for a machine that is pending or would be requested.
+    /// Index of the machine; `None` if it is pending or would be requested.
     pub(super) host: Option<HostIndex>,
-    /// It has attempts or reservations, or tasks were packed into it.
+    /// True if the machine has attempts or reservations, is not up yet, or had tasks packed into it.
     pub(super) used: bool,
 }
 
-/// Machines with the tasks that are packed into them.
+/// Packs tasks into bins and opens new bins where needed.
 pub(super) struct BinPacker<'a> {
     cluster: &'a ClusterState,
     index: &'a Index,
-    availability: &'a AvailabilityOf<'a>,
+    availability: &'a AvailabilityFn<'a>,
     bins: Vec<Bin>,
-    /// The bins before this position are there or pending; the others would be requested.
+    /// Number of bins of existing or pending machines; the bins after them would be requested.
     existing: usize,
 }
 
-/// The packing of tasks of one kind.
+/// State of the packing of tasks with the same description.
 struct Packing<'a> {
     spec: &'a Spec,
     requirements: TaskRequirements,
     avoided_hosts: &'a HashSet<HostIndex>,
     counts: ZoneCounts,
+    /// True if only spot machines are tried.
     only_spot: bool,
     /// Positions of bins in the order in which they are tried.
     order: Vec<usize>,
-    /// Where in `order` the search goes on: what one task does not fit into, none does.
+    /// Position in `order` at which the search continues. Bins before it are skipped: if one of these equal
+    /// tasks does not fit, none does.
     next: usize,
-    /// Accelerators are left to work that needs them.
+    /// True while bins are skipped in which the task would strand accelerators.
     spares_accelerators: bool,
 }
 
-/// A machine that could be requested.
+/// A machine that could be requested, with the values by which it is ranked.
 struct Offer {
-    /// Price of a task on a machine full of its like.
+    /// Price per task on a machine that is filled with such tasks.
     price: f64,
+    /// Number of tasks of the packing in the zone of the machine.
     tasks_in_zone: u32,
     bin: Bin,
 }
@@ -59,22 +63,22 @@
     pub(super) fn new(
         cluster: &'a ClusterState,
         index: &'a Index,
-        availability: &'a AvailabilityOf<'a>,
+        availability: &'a AvailabilityFn<'a>,
         bins: Vec<Bin>,
     ) -> BinPacker<'a> {
         BinPacker { cluster, index, availability, existing: bins.len(), bins }
     }
 
-    /// The machines that are there or pending, and those that would have to be requested.
+    /// Returns the bins of existing or pending machines, and those of machines to be requested.
     pub(super) fn into_bins(mut self) -> (Vec<Bin>, Vec<Bin>) {
         let new = self.bins.split_off(self.existing);
         (self.bins, new)
     }
 
-    /// Packs so many tasks like `spec`; opens new bins where needed. Tasks that can be had nowhere are
-    /// left out.
+    /// Packs `tasks` tasks of `spec` and opens new bins where needed. Tasks for which no machine is available
+    /// are left out.
     pub(super) fn pack(&mut self, spec: &Spec, tasks: usize, avoided_hosts: &HashSet<HostIndex>) {
-        let mut packing = self.begin(spec, avoided_hosts);
+        let mut packing = self.start_packing(spec, avoided_hosts);
         for _ in 0..tasks {
             let Some(position) = self.bin_for_task(&mut packing) else { return };
             let bin = &mut self.bins[position];
@@ -84,7 +88,8 @@
         }
     }
 
-    fn begin<'p>(&self, spec: &'p Spec, avoided_hosts: &'p HashSet<HostIndex>) -> Packing<'p> {
+    /// Returns the initial state for packing tasks of `spec`.
+    fn start_packing<'p>(&self, spec: &'p Spec, avoided_hosts: &'p HashSet<HostIndex>) -> Packing<'p> {
         let counts = ZoneCounts::default();
         // Machines in use first, so that idle ones are not counted as needed.
         let mut order: Vec<usize> = (0..self.bins.len()).filter(|position| self.bins[*position].used).collect();
@@ -93,18 +98,19 @@
             spec,
             requirements: self.index.requirements(self.cluster, spec),
             avoided_hosts,
-            // Work that may run on spot machines leaves the others alone while it would be given spot ones.
+            // If a spot machine is the cheapest new one, work that may use spot machines takes no other ones.
             only_spot: spec.spot && self.cheapest(spec, &counts).is_some_and(|bin| bin.spot),
             counts,
             order,
             next: 0,
-            // Work without accelerators first takes what the work with them leaves over; then machines
-            // of its own; last, what can be had.
+            // Tasks without accelerators first use capacity that tasks with accelerators cannot use, then new
+            // machines, and last any other free capacity.
             spares_accelerators: spec.demand.gpus <= 0.0,
         }
     }
 
-    /// Position of the bin for the next task, which may be a new one; `None` if there is none to be had.
+    /// Returns the position of the bin for the next task and opens a new bin if needed; `None` if no machine
+    /// is available.
     fn bin_for_task(&mut self, packing: &mut Packing) -> Option<usize> {
         loop {
             while let Some(position) = packing.order.get(packing.next) {
@@ -114,7 +120,7 @@
                 packing.next += 1;
             }
             if let Some(bin) = self.cheapest(packing.spec, &packing.counts) {
-                // It is for this work, whatever else it could be used for.
+                // A machine requested for these tasks is used for them, even if they strand its accelerators.
                 self.bins.push(bin);
                 packing.order.push(self.bins.len() - 1);
                 return Some(self.bins.len() - 1);
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Does one more task fit into the bin, and may it be there?
+    /// Returns whether one more task fits into the bin and is allowed there.
     fn accepts(&self, packing: &Packing, bin: &Bin) -> bool {
         let spec = packing.spec;
         packing.requirements.allows(bin.instance_type, bin.zone, bin.spot, &packing.counts)
@@ -136,10 +142,11 @@
             && !(packing.spares_accelerators && strands_accelerators(self.cluster, spec, bin.instance_type, &bin.free))
     }
 
-    /// The machine to request on which a task like `spec` costs least, counting those that must be
-    /// requested to have one in time; of equally cheap ones one in the zone with the fewest tasks.
+    /// Returns the bin of the machine to request on which a task of `spec` is cheapest, with prices multiplied
+    /// by the cost factor of the offering. Of equally cheap machines it takes one in the zone with the fewest
+    /// tasks. `None` if no allowed machine is available.
     fn cheapest(&self, spec: &Spec, counts: &ZoneCounts) -> Option<Bin> {
-        let mut best: Option<Offer> = None;
+        let mut cheapest: Option<Offer> = None;
         for (index, instance_type) in self.cluster.instance_types.iter().enumerate() {
             if !spec.allows_instance_type(instance_type) {
                 continue;
@@ -149,16 +156,17 @@
                     let offering = InstanceOffering { instance_type: index, zone: zone_name.clone(), spot };
                     let Some(offer) = self.offer(spec, counts, &offering) else { continue };
                     let rank = |offer: &Offer| (offer.price, offer.tasks_in_zone);
-                    if best.as_ref().is_none_or(|best| rank(&offer) < rank(best)) {
-                        best = Some(offer);
+                    if cheapest.as_ref().is_none_or(|cheapest| rank(&offer) < rank(cheapest)) {
+                        cheapest = Some(offer);
                     }
                 }
             }
         }
-        best.map(|best| best.bin)
+        cheapest.map(|offer| offer.bin)
     }
 
-    /// What a task like `spec` costs on a machine of this offering; `None` if it can't be there.
+    /// Returns the offer of a machine of this offering for a task of `spec`; `None` if the offering is refused
+    /// or the task is not allowed there.
     fn offer(&self, spec: &Spec, counts: &ZoneCounts, offering: &InstanceOffering) -> Option<Offer> {
         let zone = self.index.zone(&offering.zone)?;
         let tasks_in_zone = counts.of(zone);
@@ -181,7 +189,8 @@
     }
 }
 
-/// Would a task without accelerators take the place of one with them here?
+/// Returns whether a task without accelerators would take capacity here that a reserved task with
+/// accelerators needs.
 pub fn strands_accelerators(cluster: &ClusterState, spec: &Spec, instance_type: usize, free: &Demand) -> bool {
     if spec.demand.gpus > 0.0 || cluster.instance_types[instance_type].cap.gpus <= 0.0 {
         return false;
--- a/src/scheduling/plan/drain.rs
+++ b/src/scheduling/plan/drain.rs
@@ -1,112 +1,113 @@
-//! Machines to drain, as their work costs less elsewhere.
+//! Selection of machines to drain, because their work costs less on other machines.
 
 use super::Bin;
 use crate::model::{ClusterState, Demand, Host, HostIndex, InstanceType, Shape, Spec, TaskAttempt, TaskKey};
 use crate::scheduling::index::Index;
 use std::collections::HashMap;
 
-/// A machine is drained only while its work would cost less than this share of its price elsewhere.
+/// A machine is drained only if its work would cost less than this share of its price on other machines.
 const DRAIN_COST_SHARE: f64 = 0.75;
 
-/// One in so many machines is drained at a time: what migrates is down for a moment.
+/// Number of machines for each one that is drained at a time. A replica is down briefly while it migrates.
 const HOSTS_PER_DRAIN: usize = 64;
 
-/// The least price that a machine counts with.
-const LEAST_PRICE: f64 = 1e-6;
+/// Lower bound on the price of a machine, which keeps its cost share finite.
+const MIN_PRICE: f64 = 1e-6;
 
-/// A machine to be drained: its replicas migrate, the rest runs out.
+/// A machine to be drained: its replicas migrate, its batch tasks run to their end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Drain {
-    /// The machine.
+    /// Machine to be drained.
     pub host: HostIndex,
-    /// Its replicas.
+    /// Migrations of the replicas on the machine.
     pub migrations: Vec<Migration>,
 }
 
 /// A replica that migrates to another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Migration {
-    /// The task.
+    /// Task that migrates.
     pub key: TaskKey,
-    /// Number of its attempt on the machine that is drained.
+    /// Number of the attempt on the machine that is drained.
     pub attempt: u64,
-    /// The machine that it goes to.
+    /// Target machine.
     pub to: HostIndex,
 }
 
-/// How well a machine is used.
+/// Utilization of a machine.
 #[derive(Debug, Clone, Copy)]
 struct Utilization {
     host: HostIndex,
-    /// What its work would cost on machines full of its like, over the price of the machine.
+    /// Cost of the work on machines that are full of such tasks, divided by the price of the machine.
     cost_share: f64,
 }
 
-/// Capacity of a bin that is planned for a migration.
+/// Capacity of a bin that a planned migration takes.
 struct PlannedCapacity {
     /// Position of the bin.
     bin: usize,
     demand: Demand,
 }
 
-/// The least used machines whose replicas all fit, with their images ready, on machines that are used
-/// better. `bins` holds what is free beyond all that is pending or expected.
+/// Returns drains of the least used machines whose replicas all fit on better used machines that have their
+/// images ready. `bins` holds the capacity that is left after all pending and expected work.
 pub(super) fn consolidate(cluster: &ClusterState, index: &Index, bins: &[Bin]) -> Vec<Drain> {
     let under_way = cluster.each_host().filter(|(_, host)| host.draining && !host.attempts.is_empty()).count();
-    let most = cluster.host_index.len().div_ceil(HOSTS_PER_DRAIN).saturating_sub(under_way);
-    if most == 0 {
+    let max_drains = cluster.host_index.len().div_ceil(HOSTS_PER_DRAIN).saturating_sub(under_way);
+    if max_drains == 0 {
         return Vec::new();
     }
     let utilizations = utilizations(cluster, bins);
-    let cost_shares: HashMap<HostIndex, f64> = utilizations.iter().map(|one| (one.host, one.cost_share)).collect();
+    let cost_shares: HashMap<HostIndex, f64> =
+        utilizations.iter().map(|entry| (entry.host, entry.cost_share)).collect();
     let mut drains = Vec::new();
     let mut planner = DrainPlanner { cluster, index, bins, planned: Vec::new() };
-    let wasteful = |one: &&Utilization| one.cost_share > 0.0 && one.cost_share < DRAIN_COST_SHARE;
-    for Utilization { host, cost_share } in utilizations.iter().filter(wasteful) {
-        let better_used = |to: HostIndex| cost_shares.get(&to).is_some_and(|other| other > cost_share);
-        drains.extend(planner.plan(*host, &better_used));
-        if drains.len() == most {
+    let underused = |entry: &&Utilization| entry.cost_share > 0.0 && entry.cost_share < DRAIN_COST_SHARE;
+    for Utilization { host, cost_share } in utilizations.iter().filter(underused) {
+        let is_better_used = |to: HostIndex| cost_shares.get(&to).is_some_and(|other| other > cost_share);
+        drains.extend(planner.plan(*host, &is_better_used));
+        if drains.len() == max_drains {
             break;
         }
     }
     drains
 }
 
-/// How well each machine is used, the worst first.
+/// Returns the utilization of each machine, the lowest first.
 fn utilizations(cluster: &ClusterState, bins: &[Bin]) -> Vec<Utilization> {
-    let mut least_costs: HashMap<&str, f64> = HashMap::new();
+    let mut min_costs: HashMap<&str, f64> = HashMap::new();
     let mut utilizations = Vec::new();
     for bin in bins {
         let Some((host_index, host)) = bin.host.and_then(|index| Some((index, cluster.host(index)?))) else {
             continue;
         };
-        let least_cost_of = |attempt: &TaskAttempt| {
+        let min_cost_of = |attempt: &TaskAttempt| {
             let spec = &cluster.jobs[attempt.key.job].spec;
-            *least_costs.entry(&spec.class).or_insert_with(|| least_cost(cluster, spec))
+            *min_costs.entry(&spec.class).or_insert_with(|| min_cost(cluster, spec))
         };
-        let least_cost: f64 = host.attempts.iter().map(least_cost_of).sum();
-        let price = cluster.instance_types[bin.instance_type].price(host.spot).max(LEAST_PRICE);
-        utilizations.push(Utilization { host: host_index, cost_share: least_cost / price });
+        let total_cost: f64 = host.attempts.iter().map(min_cost_of).sum();
+        let price = cluster.instance_types[bin.instance_type].price(host.spot).max(MIN_PRICE);
+        utilizations.push(Utilization { host: host_index, cost_share: total_cost / price });
     }
-    utilizations.sort_by(|a, b| a.cost_share.total_cmp(&b.cost_share));
+    utilizations.sort_by(|left, right| left.cost_share.total_cmp(&right.cost_share));
     utilizations
 }
 
-/// Plans drains beside each other.
+/// Plans several drains that do not use the same capacity.
 struct DrainPlanner<'a> {
     cluster: &'a ClusterState,
     index: &'a Index,
     bins: &'a [Bin],
-    /// Capacity that is planned for the migrations so far.
+    /// Capacity taken by the migrations planned so far.
     planned: Vec<PlannedCapacity>,
 }
 
 impl DrainPlanner<'_> {
-    /// How a machine could be drained, with its replicas on machines that are `better_used`; `None` if
-    /// it can't be.
-    fn plan(&mut self, host_index: HostIndex, better_used: &dyn Fn(HostIndex) -> bool) -> Option<Drain> {
+    /// Plans the drain of a machine, with its replicas on machines for which `is_better_used` is true; `None`
+    /// if it cannot be drained.
+    fn plan(&mut self, host_index: HostIndex, is_better_used: &dyn Fn(HostIndex) -> bool) -> Option<Drain> {
         let host = self.cluster.host(host_index)?;
-        if self.takes_others_in(host_index, host) {
+        if self.expects_work(host_index, host) {
             return None;
         }
         let planned_before = self.planned.len();
@@ -115,10 +116,10 @@
             let spec = &self.cluster.jobs[attempt.key.job].spec;
             let may_migrate = spec.shape == Shape::Service && attempt.stop.is_none() && attempt.running();
             if attempt.stop.is_none() && attempt.running() && spec.shape == Shape::Batch {
-                // It runs out.
+                // Batch tasks run to their end.
                 continue;
             }
-            let target = may_migrate.then(|| self.target(host_index, attempt, better_used)).flatten();
+            let target = may_migrate.then(|| self.target(host_index, attempt, is_better_used)).flatten();
             let Some((bin, to)) = target else {
                 self.planned.truncate(planned_before);
                 return None;
@@ -129,19 +130,22 @@
         Some(Drain { host: host_index, migrations })
     }
 
-    /// Is work expected to start on the machine? Then it stays, or that would have to migrate again.
-    fn takes_others_in(&self, host_index: HostIndex, host: &Host) -> bool {
-        let has_warm_reservations = self.cluster.warm_reservations.iter().any(|one| one.host == host_index);
+    /// Returns whether work is expected to start on the machine. Such a machine is not drained, as that work
+    /// would have to migrate again.
+    fn expects_work(&self, host_index: HostIndex, host: &Host) -> bool {
+        let has_warm_reservations =
+            self.cluster.warm_reservations.iter().any(|reservation| reservation.host == host_index);
         let planned_here = |planned: &PlannedCapacity| self.bins[planned.bin].host == Some(host_index);
         !host.reservations.is_empty() || has_warm_reservations || self.planned.iter().any(planned_here)
     }
 
-    /// The first machine that a replica can migrate to: position of its bin, and the machine.
+    /// Returns the first machine that a replica can migrate to, as the position of its bin and its index; `None`
+    /// if there is none.
     fn target(
         &self,
         from: HostIndex,
         attempt: &TaskAttempt,
-        better_used: &dyn Fn(HostIndex) -> bool,
+        is_better_used: &dyn Fn(HostIndex) -> bool,
     ) -> Option<(usize, HostIndex)> {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
         let requirements = self.index.requirements(self.cluster, spec);
@@ -150,28 +154,28 @@
         self.bins.iter().enumerate().find_map(|(position, bin)| {
             let to = bin.host?;
             let host = self.cluster.host(to)?;
-            let suits = spec.demand.fits(&bin.free)
+            let is_suitable = spec.demand.fits(&bin.free)
                 && requirements.allows(bin.instance_type, bin.zone, bin.spot, &counts)
                 && host.reservations.is_empty()
-                && better_used(to)
+                && is_better_used(to)
                 && host.images.iter().any(|image| image.ready && image.name == spec.image)
-                && spec.demand.fits(&self.left_in(position));
-            suits.then_some((position, to))
+                && spec.demand.fits(&self.unplanned_capacity(position));
+            is_suitable.then_some((position, to))
         })
     }
 
-    /// What is free in a bin beside what is planned there.
-    fn left_in(&self, bin: usize) -> Demand {
+    /// Returns the free capacity of a bin without the capacity taken by planned migrations.
+    fn unplanned_capacity(&self, bin: usize) -> Demand {
         let mut free = self.bins[bin].free;
         self.planned.iter().filter(|planned| planned.bin == bin).for_each(|planned| free.sub(&planned.demand));
         free
     }
 }
 
-/// Least cost of a task on machines that are full of its like.
-fn least_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
+/// Returns the lowest cost of a task on a machine that is filled with such tasks.
+fn min_cost(cluster: &ClusterState, spec: &Spec) -> f64 {
     let per_task =
         |instance_type: &InstanceType| instance_type.price / instance_type.cap.tasks_that_fit(&spec.demand).max(1.0);
-    let allowed = cluster.instance_types.iter().filter(|one| spec.allows_instance_type(one));
+    let allowed = cluster.instance_types.iter().filter(|kind| spec.allows_instance_type(kind));
     allowed.map(per_task).fold(f64::INFINITY, f64::min)
 }
--- a/src/scheduling/plan/mod.rs
+++ b/src/scheduling/plan/mod.rs
@@ -1,4 +1,5 @@
-//! The capacity plan: which machines to request, which are not needed and which to drain.
+//! The capacity plan: the machines to request, the idle machines that are not needed and the machines to
+//! drain.
 
 mod bin_packing;
 mod drain;
@@ -16,93 +17,95 @@
 use headroom::headroom_tasks;
 use std::collections::HashSet;
 
-/// Whether machines of an offering can be had now.
+/// Availability of machines of an offering.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Availability {
-    /// The cloud has refused it.
+    /// The cloud has refused the offering.
     Refused,
-    /// At its price times this factor, which is above 1 for offerings that come up late or never.
+    /// The offering is available. Its cost factor is above 1 if its machines come up late or never.
     Available {
-        /// What to multiply the price by, at least 1.
+        /// Factor on the price for comparisons, at least 1.
         cost_factor: f64,
     },
 }
 
-/// The availability of an offering.
-pub type AvailabilityOf<'a> = dyn Fn(&InstanceOffering) -> Availability + 'a;
+/// Function that returns the availability of an offering.
+pub type AvailabilityFn<'a> = dyn Fn(&InstanceOffering) -> Availability + 'a;
 
 /// A request for machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOut {
-    /// What is requested.
+    /// Offering that is requested.
     pub offering: InstanceOffering,
     /// Number of machines.
     pub count: usize,
 }
 
-/// Arrivals of a class, as seen so far.
+/// Observed arrivals of a class.
 #[derive(Debug, Clone)]
 pub struct ClassFlow {
-    /// A recent job of the class, with nothing placed.
+    /// Description of a recent job of the class, used for the arrivals to come.
     pub spec: Spec,
-    /// Tasks that arrive in a second.
+    /// Number of tasks that arrive per second.
     pub rate: f64,
-    /// Mean of the squared job sizes over the mean size: how many tasks come at once.
+    /// Burst size: the mean of the squared job sizes divided by the mean job size, in tasks.
     pub burst: f64,
 }
 
-/// Work that capacity is needed for.
+/// Pending and expected work that needs capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct ExpectedWork<'a> {
     /// Jobs with tasks for which no capacity was found.
     pub pending_jobs: &'a [JobIndex],
-    /// Replicas of warm pools that lack a machine, and how many of each kind.
+    /// Replicas of warm pools without a machine, as a description and the number of such replicas.
     pub pool_replicas: &'a [(Spec, usize)],
-    /// Jobs that wait for others and may start before a machine that is requested now is up.
+    /// Jobs that wait for other jobs and may start before a machine requested now is up.
     pub upcoming: &'a [JobIndex],
     /// Arrivals of each class.
     pub flows: &'a [ClassFlow],
 }
 
-/// What is to be done about machines.
+/// Machines to request, to release and to drain.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CapacityPlan {
     /// Machines to request.
     pub scale_out: Vec<ScaleOut>,
-    /// Idle machines that nothing pending or expected needs.
+    /// Idle machines that no pending or expected work needs.
     pub unneeded: Vec<HostIndex>,
-    /// Machines whose work fits elsewhere, so that they can be returned.
+    /// Machines whose work fits on other machines, so that they can be released.
     pub drains: Vec<Drain>,
 }
 
-/// Plans capacity: the pending tasks, then those of jobs that may start before a machine is up, then the
-/// arrivals expected during a boot, then the replicas of warm pools are packed into free capacity,
-/// pending machines, and new ones. `pending_machines` has one entry for each machine that was requested
-/// and is not up; `now` is steady time in milliseconds.
+/// Returns the capacity plan. Work is packed into free capacity, pending machines and new machines in this
+/// order: pending tasks, tasks of jobs that may start before a machine is up, arrivals expected during a
+/// boot, replicas of warm pools.
+///
+/// `pending_machines` has one entry for each machine that was requested and is not up; `now` is in
+/// milliseconds of the steady clock.
 pub fn plan_capacity(
     cluster: &ClusterState,
     policy: &Policy,
     now: u64,
     work: &ExpectedWork,
     pending_machines: &[InstanceOffering],
-    availability: &AvailabilityOf,
+    availability: &AvailabilityFn,
 ) -> CapacityPlan {
     let index = Index::new(cluster, now);
-    let mut bins = existing_machines(cluster, &index);
-    bins.extend(coming_machines(cluster, &index, pending_machines));
+    let mut bins = existing_bins(cluster, &index);
+    bins.extend(pending_bins(cluster, &index, pending_machines));
     let mut packer = BinPacker::new(cluster, &index, availability, bins);
     pack_expected_work(&mut packer, cluster, policy, now, work);
     let (existing, new) = packer.into_bins();
     let unneeded = existing.iter().filter(|bin| !bin.used).filter_map(|bin| bin.host).collect();
-    let drains = if work.pending_jobs.is_empty() && is_lull(cluster, now) {
+    let drains = if work.pending_jobs.is_empty() && no_recent_pending_job(cluster, now) {
         consolidate(cluster, &index, &existing)
     } else {
         Vec::new()
     };
-    CapacityPlan { scale_out: by_offering(&index, &new), unneeded, drains }
+    CapacityPlan { scale_out: requests_by_offering(&index, &new), unneeded, drains }
 }
 
-/// Packs all work that capacity is needed for, the most certain first.
+/// Packs all work that needs capacity, the most certain first.
 fn pack_expected_work(packer: &mut BinPacker, cluster: &ClusterState, policy: &Policy, now: u64, work: &ExpectedWork) {
     for job_index in work.pending_jobs.iter().chain(work.upcoming) {
         let job = &cluster.jobs[*job_index];
@@ -118,8 +121,8 @@
     }
 }
 
-/// The requests for these new machines, one an offering.
-fn by_offering(index: &Index, new: &[Bin]) -> Vec<ScaleOut> {
+/// Returns the requests for new machines, one per offering.
+fn requests_by_offering(index: &Index, new: &[Bin]) -> Vec<ScaleOut> {
     let mut requests: Vec<ScaleOut> = Vec::new();
     for bin in new {
         let zone = index.zone_name(bin.zone).to_string();
@@ -132,15 +135,15 @@
     requests
 }
 
-/// Has no job been pending for two boot times? A machine that is up is of more use than its price while
-/// jobs are pending now and then: machines are drained only after that.
-fn is_lull(cluster: &ClusterState, now: u64) -> bool {
+/// Returns whether no job has been pending for two boot times. Machines are drained only then: while jobs
+/// are pending now and then, a running machine is worth more than its price.
+fn no_recent_pending_job(cluster: &ClusterState, now: u64) -> bool {
     let boot_s = cluster.instance_types.iter().map(|instance_type| instance_type.boot_s).fold(0.0, f64::max);
     now.saturating_sub(cluster.last_pending_ms) as f64 > 2.0 * boot_s * 1000.0
 }
 
-/// The machines that tasks may be placed on.
-fn existing_machines(cluster: &ClusterState, index: &Index) -> Vec<Bin> {
+/// Returns a bin for each machine that tasks may be placed on.
+fn existing_bins(cluster: &ClusterState, index: &Index) -> Vec<Bin> {
     let with_warm_reservations: HashSet<HostIndex> =
         cluster.warm_reservations.iter().map(|reservation| reservation.host).collect();
     let usable = cluster.each_host().filter(|(host_index, _)| index.hosts[*host_index].usable);
@@ -162,8 +165,8 @@
         .collect()
 }
 
-/// The machines that were requested, or are up and may not be used yet.
-fn coming_machines(cluster: &ClusterState, index: &Index, pending_machines: &[InstanceOffering]) -> Vec<Bin> {
+/// Returns a bin for each machine that was requested, or that is up and not yet usable.
+fn pending_bins(cluster: &ClusterState, index: &Index, pending_machines: &[InstanceOffering]) -> Vec<Bin> {
     let joining = cluster.each_host().filter(|(_, host)| joining(host));
     let joining = joining.filter_map(|(_, host)| Some((host.instance_type?, host.zone.as_str(), host.spot)));
     let pending = pending_machines.iter().map(|machine| (machine.instance_type, machine.zone.as_str(), machine.spot));
--- a/src/scheduling/tests/planning.rs
+++ b/src/scheduling/tests/planning.rs
@@ -19,7 +19,7 @@
     let mut cluster = cluster(&[]);
     let job = Spec { spot: true, ..spec("run-000001", Shape::Batch, 16, 1.0) };
     add(&mut cluster, job, 0);
-    let scale_out = |availability: &AvailabilityOf| {
+    let scale_out = |availability: &AvailabilityFn| {
         plan_capacity(&cluster, &policy(), 0, &pending_jobs(&[0]), &[], availability).scale_out
     };
     let count = |requests: &[ScaleOut]| requests.iter().map(|request| request.count).sum::<usize>();
