--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -15,7 +15,7 @@
     BeyondLimit {
         /// Name of the team.
         team: String,
-        /// False if the limit may still grow: see `TeamRule::settled`.
+        /// False if the limit may grow soon, as [`TeamRule::settled`](super::TeamRule::settled) is false.
         settled: bool,
     },
 }
--- a/src/scheduling/policy.rs
+++ b/src/scheduling/policy.rs
@@ -9,7 +9,7 @@
 /// Share of starts that must meet a start objective that sets no share of its own.
 const DEFAULT_SHARE: f64 = 0.9;
 
-/// Parameters of all scheduling decisions. Decisions depend on these and the cluster state only.
+/// Parameters of scheduling decisions that are not part of the cluster state.
 #[derive(Debug, Clone)]
 pub struct Policy {
     /// Width of a bin of soft deadlines, in seconds. Jobs are ordered by bin.
@@ -61,8 +61,8 @@
     pub guarantee: Demand,
     /// Largest amounts that the team may use at a time; infinite where there is no limit.
     pub limit: Demand,
-    /// True if the limit is the full share of this region. It is lower for a while if another region has
-    /// not yet confirmed that it gave up a part of its share.
+    /// True if the limit is the full share of this region. The limit is lower than that while another region
+    /// has not yet confirmed that it gave up a part of its share.
     pub settled: bool,
     /// True if the team takes no new jobs; its present jobs continue.
     pub removed: bool,
--- a/src/scheduling/task_locations.rs
+++ b/src/scheduling/task_locations.rs
@@ -76,7 +76,8 @@
         attempts.filter(is_stray).map(|attempt| attempt.key.task).collect()
     }
 
-    /// Returns the jobs with an attempt that has not ended: one that is on a machine, or that was ordered.
+    /// Returns the jobs with an attempt that has not ended, including attempts that are ordered and not yet
+    /// reported.
     pub fn jobs_on_machines(&self) -> HashSet<JobIndex> {
         let attempts = self.each_host().flat_map(|(_, host)| host.attempts.iter());
         attempts.filter(|attempt| !attempt.ended()).map(|attempt| attempt.key.job).collect()
--- a/src/scheduling/tests/borrowing.rs
+++ b/src/scheduling/tests/borrowing.rs
@@ -65,9 +65,13 @@
     cluster: ClusterState,
     policy: Policy,
     settings: Arc<BorrowingSettings>,
+    /// Amounts lent, by lender.
     lent: BTreeMap<String, Amounts>,
+    /// Amounts owed, by lender and borrower.
     owed: BTreeMap<(String, String), Amounts>,
+    /// Jobs that were preempted for a loan recently.
     quiet: Vec<JobIndex>,
+    /// Jobs whose capacity is being returned, with the number of tasks to place first.
     returning: Vec<(JobIndex, u32)>,
     reserves_for_teams: bool,
     next_attempt: u64,
--- a/src/scheduling/tests/ordering.rs
+++ b/src/scheduling/tests/ordering.rs
@@ -87,7 +87,7 @@
 }
 
 // The cost of decisions was proportional to waiting tasks times machines times running tasks, so that a
-// scheduling cycle took seconds on a large deployment.
+// scheduling cycle took seconds. Found in a run of a large deployment.
 #[test]
 fn a_cycle_examines_each_of_300_full_machines_once_per_kind_of_work() {
     let mut state = cluster(&[("a", false); 300]);
--- a/src/scheduling/tests/replicas.rs
+++ b/src/scheduling/tests/replicas.rs
@@ -33,7 +33,7 @@
 }
 
 // Two of eight replicas were down for 19 s, because the machine with capacity reserved for them had been taken
-// out of use. Found on a large deployment with network partitions.
+// out of use. Found in a run of a large deployment with network partitions.
 #[test]
 fn a_replica_waits_a_limited_time_for_capacity_reserved_on_an_unusable_machine() {
     let mut state = cluster(&[("a", false), ("a", false)]);
@@ -48,7 +48,7 @@
 }
 
 // Replicas waited 3 s although capacity had been freed for them, because the machine did not have their image.
-// Found on a large deployment with faults.
+// Found in a run of a large deployment with faults.
 #[test]
 fn a_replica_starts_at_once_on_capacity_that_was_freed_for_it() {
     let mut state = cluster(&[("a", false)]);
@@ -64,7 +64,7 @@
 }
 
 // Capacity was reserved for both replicas in the zone that the first of them then filled, and the second waited
-// until the reservation expired. Found under load on a large deployment.
+// until the reservation expired. Found in a run of a large deployment under load.
 #[test]
 fn capacity_for_spread_replicas_is_reserved_in_different_zones() {
     let mut state = cluster(&[("a", false), ("a", false), ("b", false)]);
@@ -92,7 +92,7 @@
 }
 
 // Each machine freed capacity for one job at a time, so that lost urgent replicas preempted a hundred other
-// replicas while array tasks continued to run. Found on a large deployment that lost machines.
+// replicas while array tasks continued to run. Found in a run of a large deployment that lost machines.
 #[test]
 fn array_tasks_on_a_machine_are_preempted_for_several_jobs_before_replicas_are() {
     let mut state = cluster(&[("a", false), ("a", false)]);
