--- a/src/control/partition/commit_queue.rs
+++ b/src/control/partition/commit_queue.rs
@@ -1,4 +1,4 @@
-//! Records that are due to be written, and the commit under way.
+//! Records that are due to be written, and the commit in flight.
 
 use super::PendingWrite;
 use crate::clients::write_limits::WriteLimits;
@@ -6,21 +6,22 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Progress waits for so many heartbeats, so that one write tells of many tasks.
+/// Number of heartbeat intervals for which progress is held back, so that one write covers many tasks.
 const PROGRESS_HEARTBEATS: u64 = 3;
 
-/// Which records are written first; lowest first. Writes are scarce: ends, cancellations among
-/// them, and creations go before everything else.
+/// Order in which records are written, lowest value first. The write rate is limited, so ends (including
+/// cancellations) and creations precede everything else.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WritePriority {
     End,
     Creation,
-    /// A cancellation that another job's record tells already.
+    /// A cancellation that already follows from the record of another job.
     FollowedEnd,
     Progress,
 }
 
-/// A job's record that is due to be written: those of more urgent jobs go first.
+/// A job's record that is due to be written. Within one priority, records of more urgent jobs come
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueRecord {
     pub(super) priority: WritePriority,
@@ -28,27 +29,28 @@
     pub(super) job: JobIndex,
 }
 
-/// What is to be written, and what is being written. One commit at a time is under way.
+/// Pending writes and the commit in flight. At most one commit is in flight.
 #[derive(Debug)]
 pub(super) struct CommitQueue {
     dirty_jobs: BTreeSet<JobIndex>,
-    /// Machines that are new, or given to another partition.
+    /// Hosts that are new or being transferred to another partition.
     dirty_hosts: BTreeSet<HostIndex>,
-    /// Keys that are of no more use.
+    /// Keys that are no longer needed and are to be deleted.
     obsolete_keys: BTreeSet<String>,
     in_flight: Option<Vec<PendingWrite>>,
-    /// The version of the partition's key under which a record of a machine was written without
-    /// an answer. Such a write may come late, after the machine has moved to another partition
-    /// or back, and undo that; it can't once the key has changed.
+    /// Version of the partition's key under which a host record was written without an answer. Such a
+    /// write may be carried out late, after the host has moved to another partition or back, and undo
+    /// that move. It can no longer be carried out once the version of the key has changed.
     indeterminate_host_write: Option<u64>,
     limits: WriteLimits,
-    /// Most changes in a commit: fewer for a while after one that was not taken.
+    /// Upper bound of the changes in a commit. Reduced temporarily after the state service rejected a
+    /// commit.
     max_changes: usize,
     last_commit_ms: u64,
 }
 
 impl CommitQueue {
-    /// Nothing is due; commits keep to these limits.
+    /// Returns a queue without pending writes, for commits within these limits.
     pub(super) fn new(limits: WriteLimits) -> CommitQueue {
         CommitQueue {
             dirty_jobs: BTreeSet::new(),
@@ -62,49 +64,49 @@
         }
     }
 
-    /// What the state service takes.
+    /// Returns the size limits of the state service.
     pub(super) fn limits(&self) -> &WriteLimits {
         &self.limits
     }
 
-    // ---- what is due ----
+    // ---- pending writes ----
 
-    /// The job's record is to be written.
+    /// Marks the job's record as to be written.
     pub(super) fn mark_job(&mut self, job: JobIndex) {
         self.dirty_jobs.insert(job);
     }
 
-    /// The job's record is as it should be, or is being written.
+    /// Clears the mark of a job whose record is current or in flight.
     pub(super) fn unmark_job(&mut self, job: JobIndex) {
         self.dirty_jobs.remove(&job);
     }
 
-    /// The machine's record is to be written.
+    /// Marks the host's record as to be written.
     pub(super) fn mark_host(&mut self, host: HostIndex) {
         self.dirty_hosts.insert(host);
     }
 
-    /// The machine's record is being written, or of no use.
+    /// Clears the mark of a host whose record is in flight or no longer needed.
     pub(super) fn unmark_host(&mut self, host: HostIndex) {
         self.dirty_hosts.remove(&host);
     }
 
-    /// Machines whose records are to be written, in the order of their indices.
+    /// Returns the hosts whose records are to be written, ordered by index.
     pub(super) fn dirty_hosts(&self) -> Vec<HostIndex> {
         self.dirty_hosts.iter().copied().collect()
     }
 
-    /// The key is to be deleted.
+    /// Marks the key as to be deleted.
     pub(super) fn mark_obsolete(&mut self, key: String) {
         self.obsolete_keys.insert(key);
     }
 
-    /// The next key to be deleted.
+    /// Removes and returns the next key to be deleted.
     pub(super) fn pop_obsolete_key(&mut self) -> Option<String> {
         self.obsolete_keys.pop_first()
     }
 
-    /// Records of jobs that are due, in the order in which they are written.
+    /// Returns the job records that are due, in the order in which they are written.
     pub(super) fn due_records(&self, jobs: &[Job], heartbeat_interval_ms: u64, now: u64) -> Vec<DueRecord> {
         let progress_after_ms = PROGRESS_HEARTBEATS * heartbeat_interval_ms;
         let priority = |job: &Job| match job.unsaved {
@@ -124,51 +126,53 @@
         due
     }
 
-    /// How many jobs that are as urgent as this, or more, are still to be created.
+    /// Returns the number of jobs of at least this urgency whose creation is not recorded yet.
     pub(super) fn creations_due(&self, jobs: &[Job], urgency: Urgency) -> usize {
         let goes_first = |job: &&Job| job.unsaved == UnsavedChange::Creation && job.spec.urgency >= urgency;
         self.dirty_jobs.iter().map(|job_index| &jobs[*job_index]).filter(goes_first).count()
     }
 
-    // ---- the commit under way ----
+    // ---- commit in flight ----
 
-    /// Is a commit under way?
+    /// Returns whether a commit is in flight.
     pub(super) fn is_committing(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Most changes in the next commit.
+    /// Returns the upper bound of the changes in the next commit.
     pub(super) fn max_changes(&self) -> usize {
         self.max_changes
     }
 
-    /// The next commit is being put together.
+    /// Notes that construction of the next commit starts.
     pub(super) fn begin_commit(&mut self, now: u64) {
         self.last_commit_ms = now;
     }
 
-    /// When the last commit was put together.
+    /// Returns the instant, in milliseconds of the monotonic clock, at which construction of the last
+    /// commit started.
     pub(super) fn last_commit_ms(&self) -> u64 {
         self.last_commit_ms
     }
 
-    /// A commit of these changes is sent.
+    /// Notes that a commit with these writes was sent.
     pub(super) fn commit_sent(&mut self, writes: Vec<PendingWrite>) {
         self.in_flight = Some(writes);
     }
 
-    /// The commit under way has ended somehow; the changes that it held.
+    /// Ends the commit in flight, whatever its outcome, and returns its writes.
     pub(super) fn take_in_flight(&mut self) -> Vec<PendingWrite> {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// A commit was made: the next may be larger again.
+    /// Doubles the bound of the changes per commit, up to the limit, after a commit was carried out.
     pub(super) fn raise_max_changes(&mut self) {
         self.max_changes = (2 * self.max_changes).min(self.limits.commit_changes);
     }
 
-    /// The service takes no commit of so many changes: the next ones are smaller. True if one
-    /// change alone is at fault.
+    /// Reduces the bound of the changes per commit to half the size of a commit that the state service
+    /// rejected. If the rejected commit held a single change, restores the bound to the limit and
+    /// returns `true`.
     pub(super) fn lower_max_changes(&mut self, changes: usize) -> bool {
         if changes > 1 {
             self.max_changes = changes / 2;
@@ -180,13 +184,14 @@
 
     // ---- writes without an answer ----
 
-    /// A machine's record was written without an answer, while the partition's key had this version.
+    /// Notes that a host record was written without an answer while the partition's key had this
+    /// version.
     pub(super) fn set_indeterminate_host_write(&mut self, partition_version: u64) {
         self.indeterminate_host_write = Some(partition_version);
     }
 
-    /// May a write of a machine's record still be carried out late, under this version of the
-    /// partition's key?
+    /// Returns whether a write of a host record may still be carried out late while the partition's key
+    /// has this version.
     pub(super) fn is_host_write_indeterminate(&self, partition_version: u64) -> bool {
         self.indeterminate_host_write == Some(partition_version)
     }
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -1,7 +1,7 @@
-//! What the answer to a commit means, and records that are read again.
+//! Handling of commit outcomes, and of records that are read again.
 //!
-//! A write without an answer may be carried out at once or late, even after newer ones; it can't be
-//! once the version that it is conditional on has changed.
+//! A write without an answer may be carried out immediately or later, even after newer writes. It can no
+//! longer be carried out once the version in its condition has changed.
 
 use super::keys::JOB_PREFIX;
 use super::waiting_clients::reply;
@@ -10,36 +10,37 @@
 use crate::wire::Item;
 use badgerdrift_borrowing::LOAN_PREFIX;
 
-/// Why a change counts as not written.
+/// Reason why a change counts as not written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteFailure {
-    /// It was certainly not carried out, and won't be.
+    /// The change was not carried out and cannot be carried out later.
     NotCarriedOut,
-    /// It may have been carried out, or may still be.
+    /// The change may have been carried out, or may still be.
     Indeterminate,
 }
 
 impl Partition {
-    /// May a late write undo the transfer of a machine between partitions?
+    /// Returns whether a late write may undo the transfer of a host between partitions.
     pub(super) fn is_transfer_indeterminate(&self) -> bool {
         !self.teams.owns_all_teams() && self.commit_queue.is_host_write_indeterminate(self.epoch.partition_version())
     }
 
-    /// Is a commit under way?
+    /// Returns whether a commit is in flight.
     pub fn is_committing(&self) -> bool {
         self.commit_queue.is_committing()
     }
 
-    /// Takes the result of the commit under way; returns the keys of jobs
-    /// whose records must be read again.
+    /// Applies the outcome of the commit in flight and returns the keys of the jobs whose records must
+    /// be read again.
     ///
     /// # Errors
     ///
-    /// [`Superseded`] if the partition's key is not as it was: another may lead it.
+    /// [`Superseded`] if the version of the partition's key has changed, so that another node may lead
+    /// the partition.
     pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
         let pending = self.commit_queue.take_in_flight();
-        // After a conflict the records of pools and loans are read again, as after a commit without
-        // an answer.
+        // After a conflict, the records of pools and loans are read again, as after a commit without an
+        // answer.
         let conflict = matches!(result, CommitOutcome::Conflict { .. });
         let indeterminate = matches!(result, CommitOutcome::Indeterminate);
         let failed = match result {
@@ -67,8 +68,9 @@
         Ok(failed.into_iter().filter(|key| key.starts_with(JOB_PREFIX)).collect())
     }
 
-    /// The service takes no such commit: the next ones are smaller, until one change alone is
-    /// at fault. That one waits for a lease, so that it doesn't keep the others back.
+    /// Reduces the size of the next commits after the state service rejected one. If the rejected commit
+    /// held a single job record, that record is retried after one lease so that it does not block other
+    /// writes.
     fn commit_not_taken(&mut self, pending: &[PendingWrite]) {
         self.metrics.count("limits_met", "commit_size");
         if !self.commit_queue.lower_max_changes(pending.len()) {
@@ -81,14 +83,14 @@
         }
     }
 
-    /// Keys of pools and loans that must be read before their records are written again.
+    /// Returns the keys of pools and loans that must be read before their records are written again.
     pub fn indeterminate_keys(&self) -> Vec<String> {
         let mut keys = self.pool_keys_to_read();
         keys.extend(self.loan_keys_to_read());
         keys
     }
 
-    /// Takes these keys as they are now.
+    /// Applies the current values of these keys of pools and loans.
     pub fn indeterminate_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
         let (loans, pools): (Vec<_>, Vec<_>) = found.into_iter().partition(|(key, _)| key.starts_with(LOAN_PREFIX));
         for (key, item) in &loans {
@@ -97,7 +99,7 @@
         self.pool_keys_read(pools);
     }
 
-    /// A change was carried out.
+    /// Applies a change that was carried out.
     fn written(&mut self, pending: PendingWrite, revision: u64) {
         match pending {
             PendingWrite::Job(write) => {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A change was not carried out, or maybe not.
+    /// Queues a change again that was not, or possibly not, carried out.
     fn not_written(&mut self, pending: PendingWrite, failure: WriteFailure) {
         match pending {
             PendingWrite::Job(write) => self.job_not_written(&write, failure),
@@ -141,13 +143,13 @@
         let job = &mut self.cluster.jobs[write.job];
         let change = write.change;
         job.saving = false;
-        // What was certainly refused is not indeterminate; an earlier write may be.
+        // A write that was certainly refused leaves nothing indeterminate, but an earlier write may.
         job.end_indeterminate &= failure == WriteFailure::Indeterminate || write.end_was_indeterminate;
-        // Found to exist meanwhile: it need not be created any more.
+        // The job was found to exist in the meantime and need not be created.
         if change == UnsavedChange::Creation && job.version > 0 {
             return;
         }
-        // What came meanwhile weighs more, except against a creation or an end.
+        // A newer unsaved change takes precedence, unless this one is a creation or an end.
         if !matches!(job.unsaved, UnsavedChange::End(_)) || matches!(change, UnsavedChange::End(_)) {
             job.unsaved = change;
         }
@@ -161,12 +163,12 @@
         }
     }
 
-    /// A job's record was written.
+    /// Applies a successful write of a job's record.
     pub(super) fn job_recorded(&mut self, job_index: JobIndex, change: UnsavedChange, version: u64) {
         let job = &mut self.cluster.jobs[job_index];
         job.saving = false;
         job.version = version;
-        // Earlier writes are conditional on an older version: they can't be carried out any more.
+        // Earlier writes are conditional on an older version and can no longer be carried out.
         job.end_indeterminate = false;
         match change {
             UnsavedChange::End(end) => self.ended(job_index, end),
@@ -190,12 +192,12 @@
         }
     }
 
-    /// The job's record says that it is over. An end never changes: the first one stays.
+    /// Applies the end of a job as stated by its record. An end never changes: the first one is kept.
     pub(super) fn ended(&mut self, job_index: JobIndex, end: JobEnd) {
         let job = &mut self.cluster.jobs[job_index];
         job.unsaved = UnsavedChange::Nothing;
         self.commit_queue.unmark_job(job_index);
-        // Known already, from the record of a job that it needs.
+        // The end is already known from the record of a dependency of the job.
         if job.end.replace(end).is_some() {
             return;
         }
@@ -204,7 +206,7 @@
         self.dependency_ended(&id, end);
     }
 
-    /// Nothing more is to be done for a job but to stop what is left of it.
+    /// Stops what is left of a job that is over and removes it from all queues.
     pub(super) fn retire_job(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         job.retire();
@@ -219,8 +221,9 @@
         self.scheduling_triggers.request_cycle();
     }
 
-    /// The job's record is there: cancels it if it needs a cancelled one, and answers those who
-    /// wait for it to be accepted; `created` by one of their submissions.
+    /// Handles a confirmed job record: cancels the job if one of its dependencies is cancelled, and
+    /// answers the clients that wait for its acceptance. `created` states whether one of their
+    /// submissions created the job.
     fn creation_confirmed(&mut self, job_index: JobIndex, created: bool) {
         let submitters = self.waiting_clients.take_submitters(job_index);
         self.cancel_if_dependency_cancelled(job_index);
@@ -230,21 +233,21 @@
         }
     }
 
-    /// Answers all who wait for the job with how it ended.
+    /// Answers all clients that wait for the job with its end.
     fn notify_job_end(&mut self, job_index: JobIndex) {
         let answer = self.status_of(job_index);
         self.waiting_clients.answer_all(job_index, &answer);
     }
 
-    /// A record as read again after a conflict: what it holds is true, what it
-    /// lacks stays to be written.
+    /// Applies a job's record that was read again after a conflict. Its contents are authoritative;
+    /// unsaved changes that it lacks remain to be written.
     pub fn reread(&mut self, item: Item) {
         let Some(&job_index) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.cluster.job_index.get(id)) else {
             return;
         };
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         let job = &mut self.cluster.jobs[job_index];
-        // Read before the last write that is known to have been carried out.
+        // This read precedes the last write that is known to have been carried out.
         if item.version < job.version {
             return;
         }
@@ -262,7 +265,8 @@
                 job.unsaved = UnsavedChange::Nothing;
                 self.commit_queue.unmark_job(job_index);
             }
-            // Known already, maybe by a commit of this leader whose answer was lost.
+            // The record existed already, possibly through a commit of this leader whose answer was
+            // lost.
             job.accepted_ms = record.accepted_ms;
             self.scheduling_triggers.request_cycle();
             self.creation_confirmed(job_index, false);
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -1,25 +1,26 @@
-//! One deadline over a pipeline: deadlines and urgency of jobs follow from their dependents.
+//! Critical path of pipelines: deadlines and urgency of jobs, derived from their dependents.
 //!
-//! A job has to be done by the latest start of each job that needs it: that one's own deadline
-//! less what it is expected to take. So the longest path decides, from the last job back. Its
-//! priority is at least that of the jobs that need it. Both are kept up to date as jobs come
-//! and go; a change costs as much as the jobs whose figures it changes, and their dependents.
+//! A job must be done by the latest start of each dependent, which is the dependent's own deadline less
+//! its expected duration. The deadline of a job is therefore set by the longest path to the end of its
+//! pipeline. Its urgency is at least that of its dependents. Both are updated when jobs are added or
+//! end. The cost of an update is proportional to the number of jobs whose values change and their
+//! dependents.
 
 use super::Partition;
 use crate::model::{Job, JobIndex, Spec, Urgency};
 use std::collections::{BTreeSet, HashMap};
 
-/// Estimates are often wrong by half: durations are multiplied by this.
+/// Safety factor for expected durations. Estimates are often wrong by half.
 const ESTIMATE_MARGIN: f64 = 1.5;
-/// Least rate of a fetch that its duration is computed with.
+/// Lower bound of the fetch rate used to compute durations.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// Seconds that it takes to fetch an image.
+/// Returns the seconds that it takes to fetch an image.
 pub(super) fn fetch_s(image_gb: f64, gb_per_s: f64) -> f64 {
     image_gb / gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
-/// What a job's dependents need of it.
+/// Urgency and deadline that a job must meet for its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct DependentNeeds {
     urgency: Urgency,
@@ -31,12 +32,12 @@
         DependentNeeds { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
     }
 
-    /// The needs of a job that has no dependents.
+    /// Returns the requirements for a job without dependents.
     fn to_nobody(job: &Job) -> DependentNeeds {
         DependentNeeds { urgency: job.spec.urgency, needed_by_ms: None }
     }
 
-    /// Both obligations together.
+    /// Combines both requirements: the higher urgency and the earlier deadline.
     fn and(self, other: DependentNeeds) -> DependentNeeds {
         let deadlines = [self.needed_by_ms, other.needed_by_ms];
         DependentNeeds { urgency: self.urgency.max(other.urgency), needed_by_ms: deadlines.into_iter().flatten().min() }
@@ -44,7 +45,8 @@
 }
 
 impl Partition {
-    /// A job has come to wait for its dependencies: its dependencies get its deadline and urgency.
+    /// Propagates the deadline and urgency of a job that waits for dependencies to its dependencies,
+    /// directly and transitively.
     pub(super) fn propagate_needs(&mut self, job_index: JobIndex) {
         let mut changed = vec![job_index];
         while let Some(dependent) = changed.pop() {
@@ -58,7 +60,8 @@
         }
     }
 
-    /// A job that waited for these is over: it needs nothing of them any more.
+    /// Recomputes the requirements of these dependencies, and transitively of theirs, after a job that
+    /// waited for them is over.
     pub(super) fn release_dependencies(&mut self, ids: &BTreeSet<String>) {
         let mut open: Vec<JobIndex> = ids.iter().filter_map(|id| self.cluster.job_index.get(id).copied()).collect();
         while let Some(dependency) = open.pop() {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Computes a job's needs from all its dependents; true if they have changed.
+    /// Recomputes a job's requirements from all its dependents. Returns whether they have changed.
     pub(super) fn recompute_needs(&mut self, job_index: JobIndex) -> bool {
         let job = &self.cluster.jobs[job_index];
         if job.end.is_some() {
@@ -84,7 +87,7 @@
         ids.filter_map(|id| self.cluster.job_index.get(id).copied()).collect()
     }
 
-    /// What a waiting job needs of its dependencies.
+    /// Returns the requirements of a waiting job for its dependencies.
     fn needs_of(&self, dependent: JobIndex) -> DependentNeeds {
         let job = &self.cluster.jobs[dependent];
         let margin_ms = (self.duration_ms(&job.spec) as f64 * ESTIMATE_MARGIN) as u64;
@@ -104,7 +107,8 @@
         true
     }
 
-    /// How long a job is expected to take once it may start: its image, the start and the run.
+    /// Returns the expected time, in milliseconds, from the moment at which a job may start until it is
+    /// done: image fetch, start and run.
     fn duration_ms(&self, spec: &Spec) -> u64 {
         let allowed =
             self.cluster.instance_types.iter().filter(|instance_type| spec.allows_instance_type(instance_type));
@@ -113,7 +117,8 @@
         ((spec.expected_s + fetch_s) * 1000.0) as u64 + self.policy.react_ms
     }
 
-    /// Waiting jobs that may start within this time, for which capacity may be needed by then.
+    /// Returns the waiting jobs that may start within `horizon_ms`, for which capacity may be needed by
+    /// then.
     pub fn upcoming(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
         if self.dependencies.graph().is_empty() {
             return Vec::new();
@@ -130,7 +135,7 @@
         upcoming
     }
 
-    /// When the first of the attempts that are on machines now was ordered, by job.
+    /// Returns, for each job, the instant at which the first of its current attempts was ordered.
     fn began_ms(&self) -> HashMap<JobIndex, u64> {
         let mut began = HashMap::new();
         for attempt in self.cluster.each_host().flat_map(|(_, host)| host.attempts.iter()) {
@@ -141,17 +146,17 @@
     }
 }
 
-/// When jobs are expected to be done.
+/// Forecast of the completion times of jobs.
 struct CompletionForecast<'a> {
     partition: &'a Partition,
     began_ms: HashMap<JobIndex, u64>,
     now: u64,
-    /// Time until each job is done; `None` if that is not known.
+    /// Milliseconds until each job is done; `None` if unknown.
     until_done_ms: HashMap<JobIndex, Option<u64>>,
 }
 
 impl CompletionForecast<'_> {
-    /// Time until the last job that a waiting one needs is done; `None` if that is not known.
+    /// Returns the milliseconds until the last dependency of a waiting job is done; `None` if unknown.
     fn until_start_ms(&mut self, job_index: JobIndex) -> Option<u64> {
         let ids: Vec<&str> = self.partition.dependencies.graph().dependencies(job_index).collect();
         let mut last = 0;
@@ -166,8 +171,8 @@
         if let Some(known) = self.until_done_ms.get(&job_index) {
             return *known;
         }
-        // Users name accepted jobs only, so that no job needs itself; were it otherwise, this
-        // ends the search.
+        // Users can only name accepted jobs as dependencies, so the graph has no cycles. Should it have
+        // one all the same, this entry ends the recursion.
         self.until_done_ms.insert(job_index, None);
         let job = &self.partition.cluster.jobs[job_index];
         let duration_ms = self.partition.duration_ms(&job.spec);
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -1,9 +1,9 @@
-//! Jobs that wait for others: whether these are known, when a waiting job may start, and what
-//! their cancellation means for it.
+//! Jobs that wait for other jobs: whether their dependencies are known, when they may start, and how
+//! cancellations propagate.
 //!
-//! The one truth is the records. A job may start once the record of each of its dependencies
-//! says `done`; it is cancelled if its own record says so, or that of any job that it needs,
-//! directly or through others. Its own record follows when there is time for it.
+//! The job records are authoritative. A job may start once the record of each of its dependencies says
+//! `done`. A job is cancelled if its own record says so, or the record of any direct or transitive
+//! dependency. Its own record is then written later, at low priority.
 
 use super::Partition;
 use super::external_dependencies::ExternalDependencies;
@@ -13,42 +13,42 @@
 use crate::wire::Item;
 use std::collections::{BTreeSet, HashSet};
 
-/// What is known of a dependency.
+/// Known state of a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DependencyState {
-    /// Recorded as done.
+    /// The dependency is recorded as done.
     Done,
-    /// Recorded as cancelled, or needing a job that is.
+    /// The dependency is recorded as cancelled, or one of its own dependencies is.
     Cancelled,
-    /// Neither is known.
+    /// The dependency is not known to have ended.
     Open,
 }
 
-/// Which jobs wait for which others, and what is known of the jobs of other partitions.
+/// The graph of waiting jobs, and the known state of jobs of other partitions.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
     graph: DependencyGraph,
     external: ExternalDependencies,
-    /// Jobs whose last dependency is done, since the last cycle.
+    /// Jobs whose last dependency was completed since the last scheduling cycle.
     ready: Vec<JobIndex>,
 }
 
 impl DependencyTracker {
-    /// Which jobs wait for which others.
+    /// Returns the graph of waiting jobs and their open dependencies.
     pub(super) fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
 
-    /// The job waits no more; the dependencies that it still waited for.
+    /// Removes a job that waits no longer and returns its open dependencies.
     pub(super) fn remove_waiting(&mut self, job: JobIndex) -> BTreeSet<String> {
         self.graph.remove(job)
     }
 }
 
 impl Partition {
-    // ---- what is known of dependencies ----
+    // ---- known state of dependencies ----
 
-    /// Is the job certainly accepted?
+    /// Returns whether the job is known to be accepted.
     pub(super) fn dependency_is_known(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].version > 0,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Is the job known to be a service, which never is done?
+    /// Returns whether the job is known to be a service. A service is never done.
     pub(super) fn is_service(&self, id: &str) -> bool {
         match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].spec.shape == Shape::Service,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What is known of a dependency.
+    /// Returns the known state of a dependency.
     pub(super) fn dependency_state(&self, id: &str) -> DependencyState {
         let end = match self.cluster.job_index.get(id) {
             Some(job) => self.cluster.jobs[*job].end,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Takes in the record of a dependency that this partition did not know: a job of its own
-    /// that another node accepted, or one of another partition.
+    /// Adds the record of a dependency that this partition did not know: one of its own jobs that
+    /// another node accepted, or a job of another partition.
     pub fn add_dependency_record(&mut self, id: &str, item: Item, now: u64) {
         if self.cluster.job_index.contains_key(id) {
             return;
@@ -96,20 +96,20 @@
         }
     }
 
-    /// Dependencies without a known end that this partition does not hold: their records are
-    /// to be watched.
+    /// Returns the dependencies of other partitions without a known end. Their records are to be
+    /// watched.
     pub fn external_dependencies(&self) -> Vec<String> {
         self.dependencies.external.open()
     }
 
     // ---- waiting jobs ----
 
-    /// How many jobs wait for others.
+    /// Returns the number of jobs that wait for other jobs.
     pub fn waiting_jobs(&self) -> usize {
         self.dependencies.graph.len()
     }
 
-    /// A job was added: others may wait for it, and it may wait for others.
+    /// Registers an added job in both roles: as a dependency of other jobs and as a dependent.
     pub(super) fn register_job(&mut self, job_index: JobIndex) {
         let job = &self.cluster.jobs[job_index];
         let (id, end) = (job.spec.id.clone(), job.end);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Enters a job into the dependency graph, or calls it ready if nothing keeps it waiting.
+    /// Adds a job to the dependency graph, or marks it as ready if it has no open dependencies.
     pub(super) fn register_dependencies(&mut self, job_index: JobIndex) {
         let job = &self.cluster.jobs[job_index];
         if job.end.is_some() || !job.waiting {
@@ -148,7 +148,8 @@
         self.cancel_if_dependency_cancelled(job_index);
     }
 
-    /// The last job that it needs is recorded as done: it takes part in scheduling cycles from now on.
+    /// Marks a job as ready once the last of its dependencies is recorded as done. From then on it takes
+    /// part in scheduling cycles.
     fn become_ready(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() || !std::mem::replace(&mut job.waiting, false) {
@@ -160,7 +161,7 @@
         self.scheduling_triggers.request_cycle_for(job.urgency);
     }
 
-    /// The times of jobs that became ready since the last cycle begin.
+    /// Sets the ready time of the jobs that became ready since the last scheduling cycle.
     pub(super) fn set_ready_times(&mut self, wall: u64) {
         for job_index in std::mem::take(&mut self.dependencies.ready) {
             let job = &mut self.cluster.jobs[job_index];
@@ -168,7 +169,8 @@
         }
     }
 
-    /// The record of a job names other dependencies than the submission that was refused for it.
+    /// Replaces the dependencies of a job whose stored record names others than the submission whose
+    /// creation failed.
     pub(super) fn replace_dependencies(&mut self, job_index: JobIndex, recorded: Dependencies) {
         if self.cluster.jobs[job_index].spec.dependencies == recorded {
             return;
@@ -182,7 +184,7 @@
         self.register_dependencies(job_index);
     }
 
-    /// The record of a job says that it is over: what follows for those that wait for it.
+    /// Applies the recorded end of a job to the jobs that wait for it.
     pub(super) fn dependency_ended(&mut self, id: &str, end: JobEnd) {
         match end {
             JobEnd::Done => {
@@ -196,7 +198,7 @@
 
     // ---- cancellation ----
 
-    /// Cancels the job if one that it needs is recorded as cancelled.
+    /// Cancels the job if one of its dependencies is recorded as cancelled.
     pub(super) fn cancel_if_dependency_cancelled(&mut self, job_index: JobIndex) {
         let is_cancelled = |id: &str| self.dependency_state(id) == DependencyState::Cancelled;
         let follows = self.dependencies.graph.dependencies(job_index).any(is_cancelled);
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Cancels all jobs that need this one, directly or through others. Those whose own
-    /// creation is not recorded yet follow when it is.
+    /// Cancels all direct and transitive dependents of a job. Dependents whose creation is not recorded
+    /// yet are cancelled once it is.
     fn cancel_dependents(&mut self, id: &str) {
         let mut cancelled = vec![id.to_string()];
         while let Some(id) = cancelled.pop() {
@@ -222,8 +224,8 @@
         }
     }
 
-    /// The job is cancelled, as a job that it needs is recorded as that; its own record is
-    /// still to be written. None of its tasks was ever started.
+    /// Cancels a job because one of its dependencies is recorded as cancelled. Its own record is still
+    /// to be written. None of its tasks was ever started.
     fn cancel_dependent(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() {
@@ -239,8 +241,9 @@
 
     // ---- answers ----
 
-    /// Why no answer about a waiting job may be given from memory, if so: whether a job that it
-    /// needs is cancelled is being recorded, or stands in the record of another partition.
+    /// Returns why the state of a waiting job cannot be answered from memory, or `None` if it can. It
+    /// cannot while the cancellation of a dependency is being recorded, or if a dependency belongs to
+    /// another partition, whose record may state a cancellation.
     pub(super) fn waiting_indeterminate_reason(&self, job_index: JobIndex) -> Option<RefusalReason> {
         let mut seen = HashSet::from([job_index]);
         let mut jobs = vec![job_index];
--- a/src/control/partition/dependency_lookups.rs
+++ b/src/control/partition/dependency_lookups.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs that wait for others, which are decided once all these are known.
+//! Submissions of jobs with dependencies, which are decided once all dependencies have been looked up.
 
 use super::dependencies::DependencyState;
 use super::waiting_clients::reply;
@@ -8,12 +8,12 @@
 use crate::wire::Item;
 use std::collections::BTreeMap;
 
-/// Records that have to be read before a submission is decided.
+/// Records that must be read before a submission is decided.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DependencyLookup {
     /// Number of the submission.
     pub submission: u64,
-    /// Ids of the jobs.
+    /// Ids of the jobs to look up.
     pub ids: Vec<String>,
 }
 
@@ -23,7 +23,7 @@
     waiter: Waiter,
 }
 
-/// Submissions that wait for lookups, and the lookups that are still to be made.
+/// Submissions that wait for lookups, and the lookups that are due.
 #[derive(Default)]
 pub(super) struct DependencyLookups {
     submissions: BTreeMap<u64, PendingSubmission>,
@@ -32,7 +32,7 @@
 }
 
 impl DependencyLookups {
-    /// The submission waits until the records of these jobs were read.
+    /// Queues a lookup of these jobs and holds the submission until it has completed.
     fn request(&mut self, spec: Spec, waiter: Waiter, ids: Vec<String>) {
         self.last_submission += 1;
         let submission = self.last_submission;
@@ -40,20 +40,21 @@
         self.submissions.insert(submission, PendingSubmission { spec, waiter });
     }
 
-    /// Lookups that are to be made now.
+    /// Removes and returns the lookups that are due.
     fn take_due(&mut self) -> Vec<DependencyLookup> {
         std::mem::take(&mut self.due)
     }
 
-    /// The lookup for this submission has ended.
+    /// Removes and returns the submission whose lookup has completed; `None` if it is unknown.
     fn complete(&mut self, submission: u64) -> Option<PendingSubmission> {
         self.submissions.remove(&submission)
     }
 }
 
 impl Partition {
-    /// A submission of a job that waits for others: names that are not known are looked up in
-    /// reads that are sent from now on, as memory alone can't say that a job was never accepted.
+    /// Handles the submission of a job with dependencies. Dependencies that are not known are looked up
+    /// with reads sent after the submission, because memory alone cannot show that a job was never
+    /// accepted.
     pub(super) fn submit_waiting(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if spec.dependencies.contains(&spec.id) {
             reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {} names itself", spec.id)));
@@ -68,13 +69,13 @@
         self.dependency_lookups.request(spec, waiter, unknown);
     }
 
-    /// Lookups that are to be made now.
+    /// Removes and returns the lookups that are due.
     pub fn take_lookups(&mut self) -> Vec<DependencyLookup> {
         self.dependency_lookups.take_due()
     }
 
-    /// The records that a lookup found, or `None` if it failed; answers the submission or goes
-    /// on with it.
+    /// Applies the records found by a lookup, or `None` if it failed, and then answers the submission or
+    /// continues with it.
     pub fn dependencies_read(
         &mut self,
         submission: u64,
@@ -93,7 +94,8 @@
             match item {
                 Some(item) => self.add_dependency_record(&id, item, now),
                 None if self.dependency_is_known(&id) => {}
-                // Its own creation may have been carried out since, or may still be.
+                // The dependency's own creation may have been carried out since the read, or may still
+                // be.
                 None if self.cluster.job_index.contains_key(&id) => {
                     reply(waiter, UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate));
                     return;
@@ -104,7 +106,7 @@
                 }
             }
         }
-        // The same job may have been submitted again, and accepted, meanwhile.
+        // The same job may have been submitted again and accepted in the meantime.
         if let Some(&job_index) = self.cluster.job_index.get(&spec.id) {
             self.answer_resubmission(job_index, waiter);
         } else {
@@ -112,13 +114,13 @@
         }
     }
 
-    /// Accepts a job all of whose dependencies are known, unless one of them is a service.
+    /// Accepts a job whose dependencies are all known, unless one of them is a service.
     fn accept_waiting(&mut self, mut spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         if let Some(id) = spec.dependencies.iter().find(|id| self.is_service(id)) {
             reply(waiter, UserAnswer::Unschedulable(format!("waits_on: {id} is a service")));
             return;
         }
-        // What is certainly done need not be stored.
+        // Dependencies that are known to be done need not be stored.
         let open = |id: &str| self.dependency_state(id) != DependencyState::Done;
         spec.dependencies.retain(open);
         self.accept(spec, now, wall, waiter);
--- a/src/control/partition/external_conditions.rs
+++ b/src/control/partition/external_conditions.rs
@@ -1,13 +1,16 @@
-//! What the leader knows of its surroundings, as far as the partition's decisions depend on it.
+//! Conditions outside the partition that its decisions depend on.
 
-/// Conditions outside of the partition. The leader sets them before it hands on requests.
+/// Conditions outside the partition, set by the leader before it passes on requests.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ExternalConditions {
-    /// A controller is known to be of a version that would not let jobs wait: none is accepted.
+    /// Whether a controller is known to run a version that does not support dependencies between jobs.
+    /// No job with dependencies is accepted then.
     pub(super) has_old_peer: bool,
-    /// Nothing newer than the policy's teams is known; always so without a shared configuration.
+    /// Whether no configuration newer than the policy's teams is known. Always `true` without a shared
+    /// configuration.
     pub(super) configuration_up_to_date: bool,
-    /// The state service answers, so that reservations of warm replicas and loans can be recorded.
+    /// Whether the state service answers, so that reservations of warm replicas and loans can be
+    /// recorded.
     pub(super) reservations_recordable: bool,
 }
 
--- a/src/control/partition/keys.rs
+++ b/src/control/partition/keys.rs
@@ -1,21 +1,21 @@
 //! Keys in the state service.
 
-/// Prefix of the keys of jobs' records.
+/// Prefix of the keys of job records.
 pub const JOB_PREFIX: &str = "job/";
-/// Prefix of the keys of machines in the registry.
+/// Prefix of the keys of host records.
 pub(super) const HOST_PREFIX: &str = "host/";
 
-/// Key of a job's record.
+/// Returns the key of a job record.
 pub fn job_key(id: &str) -> String {
     format!("{JOB_PREFIX}{id}")
 }
 
-/// Key of a machine in the registry.
+/// Returns the key of a host record.
 pub fn host_key(id: &str) -> String {
     format!("{HOST_PREFIX}{id}")
 }
 
-/// Key that tells the leader of a partition of a job that another node accepted.
+/// Returns the key that announces, to the leader of a partition, a job accepted by another node.
 pub fn inbox_key(partition: u32, id: &str) -> String {
     format!("in/{partition}/{id}")
 }
--- a/src/control/partition/next_commit.rs
+++ b/src/control/partition/next_commit.rs
@@ -1,4 +1,4 @@
-//! The next commit: what of the records that are due goes into it.
+//! Selection of the due records that go into the next commit.
 
 use super::borrowing::PartitionBorrowing;
 use super::commit_builder::CommitBuilder;
@@ -10,8 +10,9 @@
 use crate::wire;
 
 impl Partition {
-    /// The next commit, if one is due: ends and creations first, then machines,
-    /// then progress that has waited for a while. At most `max_changes` changes.
+    /// Returns the next commit, or `None` if none is due. Ends and creations come first, then loans and
+    /// warm pools, then hosts, then progress that was held back. The commit holds at most `max_changes`
+    /// changes.
     pub fn next_commit(&mut self, now: u64, max_changes: usize) -> Option<Commit> {
         if self.commit_queue.is_committing() || self.epoch.partition_version() == 0 {
             return None;
@@ -33,7 +34,7 @@
         Some(commit)
     }
 
-    /// Adds jobs' records while there is capacity for them.
+    /// Adds job records while the commit has capacity for them.
     fn add_job_records(&mut self, due: &[DueRecord], builder: &mut CommitBuilder) {
         for &DueRecord { job: job_index, .. } in due {
             if builder.is_full() || builder.is_over_size() {
@@ -46,7 +47,8 @@
             };
             let key = job_key(&job.spec.id);
             let Some(record) = JobRecord::of(job, end, self.commit_queue.limits().value_bytes) else {
-                // Accepted under a larger limit: its progress does not fit, its end will.
+                // The job was accepted under a larger size limit: its progress no longer fits, but its
+                // end will.
                 job.unsaved = UnsavedChange::Nothing;
                 self.commit_queue.unmark_job(job_index);
                 continue;
@@ -61,18 +63,18 @@
                 end_was_indeterminate: job.end_indeterminate,
                 done: record.done,
             };
-            // The version is 0 for a creation: a job that exists already is never created anew.
+            // The version is 0 for a creation, so a job that already exists is never created again.
             let condition = wire::condition(&key, job.version);
             builder.add_conditional(condition, wire::put(&key, &value, None), PendingWrite::Job(write));
             job.saving = true;
-            // From its sending on another node may read the end.
+            // Once the commit is sent, another node may read the end.
             job.end_indeterminate |= end.is_some();
             job.unsaved = UnsavedChange::Nothing;
             self.commit_queue.unmark_job(job_index);
         }
     }
 
-    /// Adds the records of loans that are due, as far as they fit.
+    /// Adds the due records of loans, as far as they fit.
     fn add_loan_records(&mut self, builder: &mut CommitBuilder) {
         let Some(left) = builder.changes_left_for_reservations() else { return };
         let writes = self.next_loan_writes(left, self.wall_ms);
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Adds the records of warm pools that are due, as far as they fit.
+    /// Adds the due records of warm pools, as far as they fit.
     fn add_pool_records(&mut self, builder: &mut CommitBuilder) {
         let Some(left) = builder.changes_left_for_reservations() else { return };
         if let Some(changes) = self.next_pool_changes(left) {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Adds the records of machines that are new, or given to another partition.
+    /// Adds the records of hosts that are new or being transferred to another partition.
     fn add_host_records(&mut self, builder: &mut CommitBuilder) {
         for host_index in self.commit_queue.dirty_hosts() {
             if builder.is_full() {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Adds deletions of keys that are of no more use.
+    /// Adds deletions of keys that are no longer needed.
     fn add_deletions(&mut self, builder: &mut CommitBuilder) {
         while !builder.is_full() {
             let Some(key) = self.commit_queue.pop_obsolete_key() else { break };
--- a/src/control/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -1,4 +1,4 @@
-//! Messages, answers and commits that a partition takes and gives.
+//! Input and output types of a partition: messages, answers and commits.
 
 use crate::api::refusal::RefusalReason;
 use crate::model::FencingToken;
@@ -6,69 +6,69 @@
 use crate::wire::{Condition, Heartbeat, Order, Write};
 use std::net::SocketAddr;
 
-/// How a worker's status came. Only a heartbeat proves that the replies to the heartbeats before
-/// it are over.
+/// Origin of a worker's status. Only a heartbeat proves that the replies to earlier heartbeats can no
+/// longer arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusSource {
-    /// Sent by the worker on its own, at regular intervals.
+    /// The worker sent the status on its own, at regular intervals.
     Heartbeat,
-    /// The answer to a direct command.
+    /// The status is the answer to a direct command.
     DirectCommandReply,
 }
 
-/// A direct command to be sent.
+/// A direct command that is to be sent to a worker.
 #[derive(Debug)]
 pub struct DirectCommand {
-    /// The machine, in the partition's state.
+    /// Index of the host in the state of the partition.
     pub host: HostIndex,
-    /// Id of the machine.
+    /// Id of the host.
     pub id: String,
-    /// Where its worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub addr: SocketAddr,
-    /// The leader's fencing token when the command was made.
+    /// Fencing token of the leader when the command was created.
     pub fencing_token: FencingToken,
     /// Agent epoch of the worker that the command is meant for; 0 if not known yet.
     pub agent_epoch: u64,
-    /// What the worker is to do; empty for a mere probe.
+    /// Orders for the worker; empty for a probe.
     pub orders: Vec<Order>,
 }
 
-/// How a direct command ended.
+/// Outcome of a direct command.
 #[derive(Debug)]
 pub enum DirectCommandOutcome {
-    /// 200 or 409, with the worker's status.
+    /// The worker answered with 200 or 409 and its status.
     Answered(Box<Heartbeat>),
-    /// The worker cannot have received it.
+    /// The worker cannot have received the command.
     NotSent,
-    /// The worker may have received it, or may still do so.
+    /// The worker may have received the command, or may still receive it.
     Indeterminate,
 }
 
-/// A job's record in a commit under way.
+/// The record of a job in a commit in flight.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobWrite {
-    /// The job.
+    /// Index of the job.
     pub job: JobIndex,
-    /// The change that it records.
+    /// Change that the write records.
     pub change: UnsavedChange,
-    /// Whether an earlier write of the job's end could still be carried out already.
+    /// Whether an earlier write of the job's end was already indeterminate when this write was sent.
     pub end_was_indeterminate: bool,
-    /// The done tasks that it records, as ranges: first, and one past the last.
+    /// Done tasks that the write records, as half-open ranges `(first, end)`.
     pub done: Vec<(u32, u32)>,
 }
 
-/// What a commit under way will have written.
+/// A write in a commit in flight.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PendingWrite {
     /// The record of a job.
     Job(JobWrite),
-    /// The record of a machine.
+    /// The record of a host.
     Host(HostIndex),
-    /// The record of a machine that is transferred to another partition.
+    /// The record of a host that is transferred to another partition.
     TransferredHost {
-        /// The machine.
+        /// Index of the host.
         host: HostIndex,
-        /// The partition.
+        /// Number of the partition that the host is transferred to.
         to: u32,
     },
     /// Records of warm pools.
@@ -79,62 +79,63 @@
     DeletedKey(String),
 }
 
-/// A commit to be sent.
+/// A commit that is to be sent.
 #[derive(Debug)]
 pub struct Commit {
     /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// Changes, which are made all or not at all.
+    /// Changes, which are carried out atomically.
     pub writes: Vec<Write>,
 }
 
-/// How a commit ended.
+/// Outcome of a commit.
 #[derive(Debug)]
 pub enum CommitOutcome {
-    /// The changes were made.
+    /// The changes were carried out.
     Done {
-        /// Revision of the state service that they were made at.
+        /// Revision of the state service at which the changes were carried out.
         revision: u64,
     },
-    /// Nothing was changed, as a condition did not hold.
+    /// Nothing was changed, because a condition did not hold.
     Conflict {
         /// Keys whose conditions did not hold.
         failed: Vec<String>,
     },
-    /// Nothing was changed.
+    /// Nothing was changed, because the state service refused the request.
     Refused,
-    /// Nothing was changed, as there were too many changes lately.
+    /// Nothing was changed, because the rate limit of the state service was exceeded.
     Throttled,
-    /// Nothing was changed: the service takes no such commit, now or later. Its values or the
-    /// whole may be too large.
+    /// Nothing was changed: the state service rejects this commit permanently. One of its values, or the
+    /// commit as a whole, may be too large.
     NotTaken,
-    /// The changes may have been made, or may still be.
+    /// The changes may have been carried out, or may still be.
     Indeterminate,
 }
 
-/// Whether a partition takes a machine's heartbeats.
+/// Result of routing a host's heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRouting {
-    /// The partition takes them.
+    /// This partition handles the heartbeat.
     Local,
-    /// Ours, but only under a fencing token that is still to come.
+    /// The host belongs to this partition, but its heartbeats are handled only under a higher fencing
+    /// token, which the leader does not have yet.
     AwaitsHigherToken,
-    /// The machine belongs to the partition of this number.
+    /// The host belongs to the partition with this number.
     OtherPartition(u32),
-    /// Not this partition's, and it does not know whose.
+    /// The host does not belong to this partition, and its partition is not known.
     Unknown,
 }
 
-/// The partition has another leader, or none: its key is not as it was.
+/// The version of the partition's key has changed: the partition has another leader, or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Superseded;
 
-/// The answer to a user.
+/// Answer to a user request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UserAnswer {
     /// The job is recorded.
     Accepted {
-        /// True if this submission created it; false if it was known already.
+        /// Whether this submission created the job; `false` if it was already known.
         created: bool,
         /// Id of the job.
         id: String,
@@ -147,22 +148,23 @@
         id: String,
         /// Phase of the job.
         phase: JobPhase,
-        /// Tasks that are done.
+        /// Number of tasks that are done.
         done: u32,
-        /// Tasks that run.
+        /// Number of tasks that are running.
         running: u32,
     },
-    /// The submission does not follow the protocol; with the reason.
+    /// The submission violates the protocol, for the given reason.
     InvalidSubmission(String),
-    /// The submission is well-formed but cannot be served; with the reason.
+    /// The submission is well-formed but cannot be served, for the given reason.
     Unschedulable(String),
-    /// There is no such job.
+    /// The job is unknown.
     Unknown,
-    /// Cannot be answered now; with the reason.
+    /// The request cannot be answered at present, for the given reason.
     RetryLater(RefusalReason),
-    /// More is waiting to be recorded than can be soon: again in so many seconds.
+    /// The backlog of records to be written is too long. Holds the number of seconds after which to
+    /// retry.
     Busy(u64),
 }
 
-/// Waits for a commit about a job.
+/// Channel to a client that waits for a commit concerning a job.
 pub type Waiter = tokio::sync::oneshot::Sender<UserAnswer>;
