--- a/src/control/partition/direct_commands.rs
+++ b/src/control/partition/direct_commands.rs
@@ -1,38 +1,39 @@
-//! Commands that are sent straight to a worker.
+//! Direct commands: orders sent to a worker without waiting for its next heartbeat.
 //!
 //! A command without an answer may be carried out minutes later, until the worker has seen a higher
-//! fencing token or begins a new agent epoch, or the machine is terminated. Until then its attempts keep
-//! the token under which they may still start (`indeterminate_order_token`).
+//! fencing token, a new agent epoch has begun, or the host is terminated. Until then the attempts of the
+//! command keep the token under which they may still start (`indeterminate_order_token`).
 
 use super::heartbeats::REPLY_ORDERS;
 use super::{DirectCommand, DirectCommandOutcome, Partition, StatusSource, task_orders};
 use crate::model::{HostIndex, UNREACHABLE_AFTER_MISSES};
 use crate::wire::Order;
 
-/// After a command without an answer: the pause, as a fraction of the reaction time.
+/// Divisor of the reaction time that gives the pause after a command without an answer.
 const RETRY_DIVISOR: u64 = 4;
-/// After an answer that left orders due: the same.
+/// Divisor of the reaction time that gives the pause after an answer that leaves orders due.
 const FOLLOW_UP_DIVISOR: u64 = 20;
 
 impl Partition {
-    /// Must the machine wait before it can be sent its next command?
+    /// Returns whether the host must wait before its next command, because one is in flight or a pause
+    /// has not elapsed.
     pub fn is_command_delayed(&self, host_index: HostIndex, now: u64) -> bool {
         self.cluster.host(host_index).is_some_and(|host| host.do_in_flight || now < host.do_after_ms)
     }
 
-    /// The direct command that is due for a machine, if any; a mere `probe` may have no orders.
+    /// Returns the direct command that is due for a host, or `None`. With `probe`, the command is sent
+    /// even without orders.
     pub fn next_direct_command(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<DirectCommand> {
         let fencing_token = self.epoch.fencing_token();
-        // Before the tasks: one may need the capacity of a slot that is unloaded.
+        // Slot orders come first: a task may need the capacity of a slot that is to be unloaded.
         let slot_orders = self.slot_orders(host_index);
         let host = self.cluster.hosts.get_mut(host_index)?.as_mut()?;
         let addr = host.addr?;
         if host.do_in_flight || now < host.do_after_ms {
             return None;
         }
-        // A machine that has not seen this leader's token is shown it, and its tasks are
-        // read from the answer. Its agent epoch may not be known yet: then the answer
-        // tells it.
+        // A host that has not confirmed this leader's token is sent the token, and its tasks are read
+        // from the answer. The answer also contains its agent epoch, which may not be known yet.
         let probe = probe || !host.token_confirmed();
         let mut orders = slot_orders;
         for attempt in host.attempts.iter_mut().filter(|_| host.reconciled) {
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Takes the result of a direct command.
+    /// Applies the outcome of a direct command.
     pub fn direct_command_done(&mut self, command: &DirectCommand, result: DirectCommandOutcome, now: u64) {
         let retry = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(host) = self.cluster.host_mut(command.host).filter(|host| host.id == command.id) else { return };
@@ -67,7 +68,7 @@
         for attempt in host.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
             attempt.in_flight = false;
             if matches!(result, DirectCommandOutcome::Indeterminate) {
-                // It may be carried out minutes later.
+                // The order may be carried out minutes later.
                 attempt.indeterminate_order_token =
                     Some(attempt.indeterminate_order_token.unwrap_or_default().max(command.fencing_token));
             }
@@ -86,7 +87,8 @@
         }
     }
 
-    /// What came up while a command was under way can't wait for the next heartbeat.
+    /// Queues another command for orders that became due while a command was in flight, because they
+    /// must not wait for the next heartbeat.
     fn queue_follow_up_command(&mut self, host_index: HostIndex, now: u64) {
         let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
         if let Some(host) = self.cluster.host_mut(host_index)
@@ -97,12 +99,12 @@
         }
     }
 
-    /// True if an attempt, or a record of a machine, can only be settled by a higher token.
+    /// Returns whether an attempt or a host record can only be settled under a higher fencing token.
     pub fn needs_higher_token(&self) -> bool {
         self.is_transfer_indeterminate()
             || self.cluster.each_host().any(|(_, host)| host.seen_token > self.epoch.fencing_token())
             || self.cluster.each_host().any(|(_, host)| {
-                // One that answers nothing would not show that it has seen it.
+                // A host that answers nothing would not confirm the higher token either.
                 host.unanswered_probes < UNREACHABLE_AFTER_MISSES
                     && host.attempts.iter().any(|attempt| {
                         attempt.indeterminate_order_token.is_some_and(|token| token >= self.epoch.fencing_token())
--- a/src/control/partition/drain.rs
+++ b/src/control/partition/drain.rs
@@ -1,12 +1,12 @@
-//! Emptying machines that are to be returned.
+//! Draining of hosts that are to be returned to the cloud.
 
 use super::Partition;
 use crate::model::Reservation;
 use crate::scheduling::{Drain, Migration};
 
 impl Partition {
-    /// Begins to empty a machine: each replica is stopped with capacity reserved for it
-    /// where it goes.
+    /// Starts to drain a host: stops each replica and reserves capacity for it on the host it migrates
+    /// to.
     pub fn drain(&mut self, drain: &Drain, now: u64) {
         let until_ms = now + self.policy.lease_ms;
         let Some(host) = self.cluster.host_mut(drain.host) else { return };
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes machines that were being emptied into use again.
+    /// Makes hosts that are being drained, and are not terminating, available for scheduling again.
     pub(super) fn cancel_drain(&mut self) {
         for host in self.cluster.hosts.iter_mut().flatten().filter(|host| host.draining && !host.terminating) {
             host.draining = false;
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -1,4 +1,5 @@
-//! Failover: a new leader begins with the records, and with the machines of the last one.
+//! Failover: initialisation of a new leader from the stored records and the hosts of the previous
+//! leader.
 
 use super::Partition;
 use super::keys::{HOST_PREFIX, inbox_key};
@@ -7,9 +8,9 @@
 use crate::wire::Item;
 
 impl Partition {
-    /// Begins to lead, with this fencing token and what the state service holds. Nothing is known of
-    /// the machines until they report under this fencing token: nothing is placed meanwhile that one of
-    /// them may hold or may still start.
+    /// Starts the leadership with this fencing token and the records of the state service. The state of
+    /// the hosts is unknown until they report under this token. Until then, nothing is placed that an
+    /// unreconciled host may hold or may still start.
     pub fn begin(
         &mut self,
         fencing_token: FencingToken,
@@ -25,7 +26,7 @@
         for item in jobs {
             self.load_job(item, now);
         }
-        // Once all are there that they may wait for.
+        // Dependencies are registered once all jobs are loaded.
         for job_index in 0..self.cluster.jobs.len() {
             self.register_dependencies(job_index);
         }
@@ -35,7 +36,7 @@
         self.count_unreconciled();
     }
 
-    /// Takes a job of this partition from its record.
+    /// Loads a job of this partition from its record.
     fn load_job(&mut self, item: Item, now: u64) {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes a machine from its record: as one of this partition, or as another's.
+    /// Loads a host from its record, as one of this partition or of another.
     fn load_host(&mut self, item: Item, now: u64) {
         let Some(id) = item.key.strip_prefix(HOST_PREFIX) else { return };
         match serde_json::from_value::<HostRecord>(item.value) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Adds a machine that the registry assigns to this partition.
+    /// Adds a host that the registry assigns to this partition.
     pub(super) fn add_registered(&mut self, id: String, record: HostRecord, now: u64) -> HostIndex {
         let instance_type = self.cluster.instance_type(&record.instance_type);
         let mut host = Host::new(id, record.zone, record.spot, instance_type, now);
@@ -71,9 +72,8 @@
         self.cluster.add_host(host)
     }
 
-    /// A job that another node accepted while it could not reach this one. It
-    /// was not there when the records were read, so no earlier leader has
-    /// started any of it.
+    /// Adds a job that another node accepted while it could not reach this one. Its record did not exist
+    /// when this leader read the records, so no earlier leader has started any of its tasks.
     pub fn add_job_of_other_node(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Takes the machine types as the cloud lists them now. Places in the list
-    /// stay, for machines refer to them.
+    /// Updates the instance types from the current list of the cloud. Positions in the list do not
+    /// change, because hosts refer to them by index.
     pub fn set_instance_types(&mut self, instance_types: Vec<InstanceType>) {
         for instance_type in instance_types {
             match self.cluster.instance_types.iter_mut().find(|known| known.name == instance_type.name) {
@@ -99,14 +99,14 @@
         self.scheduling_triggers.request_cycle();
     }
 
-    /// Counts the unreconciled machines again, if one was reconciled since the last count.
+    /// Recounts the unreconciled hosts if one was reconciled since the last count.
     pub fn refresh_unreconciled(&mut self) {
         if self.reconciliation.is_count_due() {
             self.count_unreconciled();
         }
     }
 
-    /// Counts which machines of the last leader are still unreconciled.
+    /// Counts the hosts of the previous leader that are still unreconciled.
     pub(super) fn count_unreconciled(&mut self) {
         if self.reconciliation.count(&mut self.cluster) {
             tracing::info!(fencing_token = %self.epoch.fencing_token(), "all hosts reconciled");
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Suspect and unreachable machines: expiry of their leases, probes, and their termination.
+//! Failure detection: suspect and unreachable hosts, expiry of their leases, probes and termination.
 
 use super::Partition;
 use super::keys::host_key;
@@ -7,39 +7,40 @@
 use crate::scheduling::Policy;
 use std::collections::{HashMap, HashSet};
 
-/// A zone is never taken for partitioned off because of one suspect machine in fewer than these.
+/// Lower bound of the zone size used to decide whether a zone is partitioned, so that one suspect host
+/// in a smaller zone never suffices.
 const MIN_ZONE_HOSTS: usize = 3;
-/// Fewest suspect machines by which this node takes itself for isolated.
+/// Minimum number of hosts with a known state from which this node may conclude that it is isolated.
 const MIN_KNOWN_HOSTS: usize = 3;
 
-/// How long machines may stay without a heartbeat.
+/// Ages of the last heartbeat, in milliseconds, from which a host is suspect or unreachable.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HeartbeatTimeouts {
-    /// A sound machine's heartbeats come a quarter late at the most, and take a moment: one that
-    /// is later than this is suspect.
+    /// Age above which a host is suspect. Heartbeats of a healthy host are late by at most a quarter of
+    /// the interval, plus transmission time.
     pub(super) suspect_after_ms: u64,
-    /// One that is later than this, and did not answer two probes, is unreachable.
+    /// Age above which a host that has also missed two probes is unreachable.
     pub(super) unreachable_after_ms: u64,
 }
 
 impl HeartbeatTimeouts {
-    /// The timeouts that follow from the policy's intervals.
+    /// Returns the timeouts derived from the intervals of the policy.
     pub(super) fn of(policy: &Policy) -> HeartbeatTimeouts {
         let suspect_after_ms = policy.report_ms * 13 / 10;
         HeartbeatTimeouts { suspect_after_ms, unreachable_after_ms: suspect_after_ms + policy.react_ms * 3 / 2 }
     }
 }
 
-/// What is to be done about machines that do not report.
+/// Actions that follow from the hosts that do not report.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DetectedFailures {
-    /// Ids of machines that are to be terminated.
+    /// Ids of the hosts to be terminated.
     pub to_terminate: Vec<String>,
-    /// Machines that are to be asked directly.
+    /// Hosts to be probed with a direct command.
     pub to_probe: Vec<HostIndex>,
 }
 
-/// Machines of a zone that may hold tasks, and those of them that are suspect.
+/// Number of hosts in a zone that may hold tasks, and of the suspect ones among them.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneHealth {
     all: usize,
@@ -47,38 +48,39 @@
 }
 
 impl ZoneHealth {
-    /// Are too many suspect at once for faults of the machines themselves?
+    /// Returns whether more hosts are suspect at once than individual host failures explain.
     fn is_partitioned(self) -> bool {
         self.suspect * 3 > self.all.max(MIN_ZONE_HOSTS)
     }
 }
 
-/// What a look at all machines found.
+/// Result of a survey of all hosts.
 #[derive(Debug, Default)]
 struct HeartbeatSurvey {
-    /// Machines whose lease has surely expired.
+    /// Hosts whose lease has certainly expired.
     expired: Vec<HostIndex>,
-    /// Machines to be terminated, unless their zone is partitioned off.
+    /// Hosts to be terminated, unless their zone is partitioned.
     unreachable: Vec<HostIndex>,
-    /// Machines to be asked directly.
+    /// Hosts to be probed with a direct command.
     to_probe: Vec<HostIndex>,
     partitioned_zones: HashSet<String>,
 }
 
-/// Judges machines by the age of their heartbeats. It judges only while it runs regularly itself.
+/// Failure detector based on the age of heartbeats. Time during which the detector did not run regularly
+/// does not count.
 #[derive(Debug, Default)]
 pub(super) struct FailureDetector {
     last_run_ms: u64,
 }
 
 impl FailureDetector {
-    /// The leader begins.
+    /// Notes the start of the leadership.
     pub(super) fn begin(&mut self, now: u64) {
         self.last_run_ms = now;
     }
 
-    /// If this node stood still the machines were not silent, and what they sent meanwhile is still
-    /// to be read: their heartbeats age only while the detector runs.
+    /// Excludes a pause of this node itself from the age of the heartbeats. During such a pause the
+    /// hosts were not silent: heartbeats that they sent meanwhile are still to be read.
     fn exclude_own_pause(&mut self, cluster: &mut ClusterState, react_ms: u64, now: u64) {
         let gap_ms = now.saturating_sub(self.last_run_ms);
         self.last_run_ms = now;
@@ -92,7 +94,7 @@
     }
 }
 
-/// Sorts out which machines are suspect, and for how long.
+/// Classifies all hosts by the age of their heartbeats, their leases and their unanswered probes.
 fn survey(cluster: &ClusterState, policy: &Policy, now: u64, unbound_ms: u64) -> HeartbeatSurvey {
     let timeouts = HeartbeatTimeouts::of(policy);
     let mut survey = HeartbeatSurvey::default();
@@ -110,37 +112,40 @@
         if is_unreachable(host, policy, now) {
             survey.unreachable.push(host_index);
         }
-        // After a failover all are asked at once: most look for this leader elsewhere first.
+        // After a failover most workers look for this leader at other addresses first, so all hosts that
+        // have not confirmed its token are probed at once.
         let awaits_token = !host.token_confirmed() && !confirms_token_soon(host, policy, now);
         if suspect || host.unanswered_probes > 0 || awaits_token {
             survey.to_probe.push(host_index);
         }
     }
-    // Asked in vain before: the others go first where not all can be asked now.
+    // Hosts with unanswered probes come last, because not all hosts may be probed at once.
     survey.to_probe.sort_by_key(|host_index| cluster.host(*host_index).map_or(0, |host| host.unanswered_probes));
-    // Many machines of a zone that are suspect together: it is rather the zone that is partitioned
-    // off, or this node. The first of them must not be terminated before the rest shows it.
+    // If many hosts of a zone are suspect together, the zone or this node is probably partitioned. The
+    // first of these hosts must not be terminated before the others show this.
     let partitioned = zones.into_iter().filter(|(_, health)| health.is_partitioned());
     survey.partitioned_zones = partitioned.map(|(zone, _)| zone.into()).collect();
     survey
 }
 
-/// Was its worker shown this leader's token just now, so that its next heartbeat will confirm that?
+/// Returns whether the worker was sent this leader's token so recently that its next heartbeat will
+/// confirm it.
 fn confirms_token_soon(host: &Host, policy: &Policy, now: u64) -> bool {
     host.token_shown_ms > 0 && now < host.token_shown_ms + policy.react_ms
 }
 
-/// Has its lease surely expired, with something to be given up?
+/// Returns whether the host's lease has certainly expired while it still holds attempts or is
+/// unreconciled.
 ///
-/// Tasks are freed without the cloud's confirmation only here: after the full lease by the slowest
-/// clock, counted from the last moment at which any controller may have renewed it.
+/// Only here are tasks released without confirmation by the cloud: after the full lease by the slowest
+/// clock, counted from the last instant at which any controller may have renewed it.
 fn is_lease_expired(host: &Host, policy: &Policy, now: u64, unbound_ms: u64) -> bool {
     let expired_after_ms = (policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + policy.react_ms;
     let holds = !host.attempts.is_empty() || !host.reconciled;
     holds && now > host.lease_renewed_ms.max(unbound_ms) + expired_after_ms
 }
 
-/// Is it of no use, as no order reaches it? One that sends heartbeats may be so, too.
+/// Returns whether orders no longer reach the host. This can also hold for a host that sends heartbeats.
 fn is_unreachable(host: &Host, policy: &Policy, now: u64) -> bool {
     let silent_ms = now.saturating_sub(host.last_heartbeat_ms);
     let unanswered_ms = u64::from(host.unanswered_probes) * policy.react_ms;
@@ -151,9 +156,10 @@
 }
 
 impl Partition {
-    /// Looks for machines that do not report: gives up what was on those whose lease has expired.
+    /// Detects hosts that do not report, and releases the attempts on hosts whose lease has expired.
     ///
-    /// `unbound_ms`: another controller may have kept leases alive until then.
+    /// `leases_renewable_until_ms` is the instant until which another controller may have renewed
+    /// leases.
     pub fn detect_failures(&mut self, now: u64, unbound_ms: u64) -> DetectedFailures {
         self.failure_detector.exclude_own_pause(&mut self.cluster, self.policy.react_ms, now);
         self.running_counts.refresh(&self.cluster);
@@ -163,7 +169,7 @@
         DetectedFailures { to_terminate, to_probe: survey.to_probe }
     }
 
-    /// What was on these machines is gone: their leases have expired.
+    /// Releases all attempts on hosts whose leases have expired.
     fn expire_leases(&mut self, expired: Vec<HostIndex>) {
         for host_index in expired {
             self.remove_all_attempts(host_index);
@@ -176,8 +182,7 @@
         self.refresh_unreconciled();
     }
 
-    /// Marks unreachable machines for termination, except in zones that are partitioned off; returns
-    /// their names.
+    /// Marks unreachable hosts for termination, except in partitioned zones. Returns their ids.
     fn terminate_unreachable(&mut self, unreachable: Vec<HostIndex>, partitioned: &HashSet<String>) -> Vec<String> {
         let mut to_terminate = Vec::new();
         for host_index in unreachable {
@@ -190,21 +195,21 @@
         to_terminate
     }
 
-    /// May machines be rented and returned? Those that are up are known, or as many as
-    /// will be for now.
+    /// Returns whether hosts may be rented and returned. This requires that all hosts of the previous
+    /// leader are reconciled, or have had enough time to report.
     pub fn is_inventory_known(&self, now: u64) -> bool {
         let timeout_ms = HeartbeatTimeouts::of(&self.policy).unreachable_after_ms;
         self.cluster.all_reconciled || now > self.epoch.begun_ms() + timeout_ms
     }
 
-    /// True if most machines that reported before, or were asked twice in vain, are silent at once:
-    /// then it is this node that is isolated from them, and another may not be.
+    /// Returns whether most of the hosts that have reported before, or missed two probes, are silent at
+    /// once. In that case this node is isolated from them, while another node may not be.
     pub fn is_isolated(&self, now: u64) -> bool {
         let suspect_after_ms = HeartbeatTimeouts::of(&self.policy).suspect_after_ms;
         let (mut all, mut known, mut silent) = (0, 0, 0);
         for (_, host) in self.cluster.each_host().filter(|(_, host)| !host.terminating && host.confirmed()) {
             all += 1;
-            // After a failover those that were not asked yet may be on their way here.
+            // After a failover, hosts that were not probed yet may still be on the way to this leader.
             let has_reported = host.agent_epoch > 0;
             if has_reported || host.unanswered_probes >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
@@ -216,13 +221,13 @@
         known >= MIN_KNOWN_HOSTS && known * 2 >= all && silent * 3 >= known * 2
     }
 
-    /// Marks a machine for termination; true if it was not marked yet.
+    /// Marks a host for termination. Returns `true` if it was not marked before or is unknown.
     pub fn mark_terminating(&mut self, id: &str) -> bool {
         let Some(&host_index) = self.cluster.host_index.get(id) else { return true };
         self.cluster.host_mut(host_index).is_some_and(|host| !std::mem::replace(&mut host.terminating, true))
     }
 
-    /// The cloud has confirmed: the machine and all on it are gone.
+    /// Removes a host, and all attempts on it, whose termination the cloud has confirmed.
     pub fn host_terminated(&mut self, id: &str) {
         self.host_directory.mark_terminated(id);
         let Some(&host_index) = self.cluster.host_index.get(id) else { return };
--- a/src/control/partition/heartbeat_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -1,12 +1,12 @@
-//! How often attempts are listed in heartbeats: what following them costs the leader.
+//! Rate at which attempts are listed in heartbeats, which determines the cost of tracking them.
 
 use crate::settings::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
 
-/// A rate is measured over so many intervals between heartbeats.
+/// Number of heartbeat intervals over which a rate is measured.
 const MEASURED_HEARTBEATS: u64 = 3;
 const MS_PER_S: f64 = 1000.0;
 
-/// Counts the entries of attempts in heartbeats.
+/// Counter of the entries that heartbeats list for attempts.
 #[derive(Debug)]
 pub(super) struct HeartbeatLoad {
     heartbeat_interval_ms: u64,
@@ -16,7 +16,8 @@
 }
 
 impl HeartbeatLoad {
-    /// Nothing is measured yet; workers send heartbeats every `heartbeat_interval_ms`.
+    /// Returns a counter without measurements for workers that send a heartbeat every
+    /// `heartbeat_interval_ms`.
     pub(super) fn new(heartbeat_interval_ms: u64) -> HeartbeatLoad {
         HeartbeatLoad {
             heartbeat_interval_ms: heartbeat_interval_ms.max(1),
@@ -26,12 +27,13 @@
         }
     }
 
-    /// A heartbeat has listed so many attempts.
+    /// Counts a heartbeat that lists this many attempts.
     pub(super) fn record(&mut self, entries: usize) {
         self.entries += entries as u64;
     }
 
-    /// Most attempts that the leader can follow, of which there are `attempts` now; `now` is in milliseconds.
+    /// Returns the maximum number of attempts that the leader can track. `attempts` is the current
+    /// number, `now` is in milliseconds.
     pub(super) fn most_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
         let measured_ms = now.saturating_sub(self.began_ms);
         if measured_ms >= MEASURED_HEARTBEATS * self.heartbeat_interval_ms {
@@ -42,8 +44,8 @@
         bounds.most(self.entries_per_attempt_s)
     }
 
-    /// Takes the rate since the last time. Attempts are listed at least once in the interval
-    /// between two heartbeats, also if none has come since.
+    /// Updates the rate from the entries of the last window. Each attempt is listed at least once per
+    /// heartbeat interval, so the rate does not fall below that even if no heartbeat came.
     fn measure(&mut self, attempts: usize, measured_ms: u64) {
         let least = MS_PER_S / self.heartbeat_interval_ms as f64;
         let entries_per_s = self.entries as f64 * MS_PER_S / measured_ms as f64;
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -1,17 +1,17 @@
-//! What heartbeats mean, and which orders follow.
+//! Handling of heartbeats, and the orders in reply.
 //!
-//! Heartbeats are ordered by agent epoch and sequence: a late copy of an older one changes nothing.
-//! A worker deletes what it knows of an ended attempt (`reap`) only once its outcome is recorded and no
-//! `run` for it can still arrive.
+//! Heartbeats are ordered by agent epoch and sequence number: a late copy of an older one is ignored. A
+//! worker discards an ended attempt (`reap`) only once its outcome is recorded and no `run` order for it
+//! can still arrive.
 
 use super::{Partition, StatusSource, task_orders};
 use crate::model::{ClusterState, Host, HostIndex, Shape, TaskKey, TaskPhase};
 use crate::wire::{Heartbeat, Order, TaskStatus};
 
-/// Most orders in one reply, so that a line stays under 64 KiB.
+/// Maximum number of orders in one reply, which keeps a line under 64 KiB.
 pub(super) const REPLY_ORDERS: usize = 400;
 
-/// The place of a heartbeat in the order in which its machine sent them.
+/// Position of a heartbeat in the order in which its host sent them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct HeartbeatNumber {
     agent_epoch: u64,
@@ -23,22 +23,22 @@
         HeartbeatNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
     }
 
-    /// That of the latest heartbeat of the machine that was applied.
+    /// Returns the number of the latest heartbeat of the host that was applied.
     fn last_of(host: &Host) -> HeartbeatNumber {
         HeartbeatNumber { agent_epoch: host.agent_epoch, sequence: host.sequence }
     }
 }
 
-/// What a heartbeat says about its machine that is new.
+/// New information about a host from a heartbeat.
 struct HostStatusChange {
-    /// It was sent under a fencing token of this leader.
+    /// Whether the heartbeat was sent under a fencing token of this leader.
     is_current: bool,
-    /// Seconds left until the machine is taken back, if that was not known.
+    /// Seconds until the host is preempted; `None` if there is no notice or it is already known.
     notice_s: Option<f64>,
 }
 
 impl Partition {
-    /// Takes a heartbeat and returns the orders of its reply.
+    /// Applies a heartbeat and returns the orders of its reply.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, source: StatusSource, now: u64) -> Vec<Order> {
         if self.host_directory.is_terminated(&heartbeat.host) {
             return Vec::new();
@@ -49,7 +49,7 @@
             host.lease_renewed_ms = now;
         }
         self.heartbeat_load.record(heartbeat.tasks.len());
-        // Late copies of older heartbeats change nothing.
+        // Late copies of older heartbeats are ignored.
         if HeartbeatNumber::of(heartbeat) <= HeartbeatNumber::last_of(host) {
             return Vec::new();
         }
@@ -79,10 +79,11 @@
         orders
     }
 
-    /// The worker has not seen this leader's token yet. A machine of the last leader learns it from
-    /// the answer to its heartbeat, and sends another for that: a direct command to each of them
-    /// would double the work of a failover. A new machine gets it directly, to be of use at once,
-    /// and so is one to which the answer made no difference.
+    /// Makes sure that a worker that has not seen this leader's token receives it. A host of the
+    /// previous leader reads the token from the reply to its heartbeat and then sends another heartbeat;
+    /// a direct command to each host would double the work of a failover. A new host is sent the token
+    /// by a direct command so that it is usable at once, and so is a host that did not react to the
+    /// reply.
     fn deliver_fencing_token(&mut self, host_index: HostIndex, source: StatusSource, now: u64) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
         if source == StatusSource::Heartbeat && host.registered && host.token_shown_ms == 0 {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The machine that sent the heartbeat, added if it is new.
+    /// Returns the host that sent the heartbeat, adding it if it is new.
     fn host_of_heartbeat(&mut self, heartbeat: &Heartbeat, now: u64) -> HostIndex {
         if let Some(&host_index) = self.cluster.host_index.get(&heartbeat.host) {
             return host_index;
@@ -100,13 +101,14 @@
         let instance_type = self.cluster.instance_type(&heartbeat.instance_type);
         let mut host = Host::new(heartbeat.host.clone(), heartbeat.zone.clone(), heartbeat.spot, instance_type, now);
         host.required_token = self.epoch.first_token();
-        // Rented for another partition: it is given away once it is registered.
+        // The host was rented for another partition and is transferred once it is registered.
         host.transferring_to =
             self.host_directory.take_pending_transfer(&heartbeat.host).filter(|to| *to != self.teams.partition());
         self.cluster.add_host(host)
     }
 
-    /// An agent epoch that is new here: the lease of the one before it has ended, and all attempts with it.
+    /// Handles a new agent epoch: the lease of the previous epoch has ended, and all its attempts are
+    /// gone.
     fn apply_agent_epoch(&mut self, host_index: HostIndex, heartbeat: &Heartbeat, now: u64) {
         let Some(host) = self.cluster.host_mut(host_index).filter(|host| heartbeat.agent_epoch > host.agent_epoch)
         else {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Applies what the heartbeat says of the machine itself.
+    /// Applies the status of the host itself. Returns `None` if the host is unknown.
     fn apply_host_status(
         &mut self,
         host_index: HostIndex,
@@ -130,8 +132,8 @@
     ) -> Option<HostStatusChange> {
         let instance_type = self.cluster.instance_type(&heartbeat.instance_type);
         let host = self.cluster.host_mut(host_index)?;
-        // A late copy of a report from before this leader's time may be the first that
-        // it sees of a machine, which may be gone, and its tasks elsewhere.
+        // The first heartbeat that this leader receives from a host may be a late copy from before its
+        // leadership. The host may be gone since, and its tasks may run elsewhere.
         let is_current = heartbeat.seen_token >= host.required_token;
         host.agent_epoch = heartbeat.agent_epoch;
         host.sequence = heartbeat.sequence;
@@ -157,12 +159,12 @@
         Some(HostStatusChange { is_current, notice_s })
     }
 
-    /// The machine has reported under a token of this leader: what it holds is known, and no order of an
-    /// earlier leader can start anything on it any more.
+    /// Marks a host that has reported under a token of this leader as reconciled: its attempts are
+    /// known, and no order of an earlier leader can start anything on it.
     fn mark_reconciled(&mut self, host_index: HostIndex, heartbeat: &Heartbeat) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
         if !host.confirmed() {
-            // Not in the registry: no leader before us placed anything on it.
+            // The host is not in the registry, so no earlier leader has placed anything on it.
             tracing::info!(
                 host = heartbeat.host,
                 instance_type = heartbeat.instance_type,
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Stops the array tasks that would hardly end before the machine is preempted:
-    /// they begin anew elsewhere now, and not when its loss is certain.
+    /// Stops the array tasks that would probably not end before the preemption of the host, so that they
+    /// restart elsewhere now rather than after its loss.
     pub(super) fn stop_tasks_before_preemption(&mut self, host_index: HostIndex, left_s: f64, now: u64) {
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
         let Some(host) = hosts[host_index].as_mut() else { return };
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Applies the statuses of tasks.
+    /// Applies the statuses of the tasks that a heartbeat lists.
     pub(super) fn apply_task_statuses(
         &mut self,
         host_index: HostIndex,
@@ -228,8 +230,8 @@
         }
     }
 
-    /// Applies the status of one task. `expected` is where its attempt may be in the machine's
-    /// list; where it is, is returned.
+    /// Applies the status of one task and returns the position of its attempt in the host's list.
+    /// `expected` is the position at which the attempt is looked for first.
     fn apply_task_status(
         &mut self,
         host_index: HostIndex,
@@ -248,7 +250,7 @@
         };
         let before = host.attempts[position].phase;
         let seen_before = jobs[key.job].tasks[key.task as usize].located;
-        // Most of what a report lists is as it was.
+        // Most of the listed statuses are unchanged.
         if before != status.phase() || !seen_before {
             self.apply_phase(host_index, key, status.attempt, before, status.phase(), now);
         }
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Removes attempts that are known here and that the heartbeat does not list.
+    /// Removes attempts that are known here but not listed in the heartbeat.
     pub(super) fn missing_tasks(&mut self, host_index: HostIndex, heartbeat: &Heartbeat, source: StatusSource) {
         let Some(host) = self.cluster.host(host_index) else { return };
         let gone: Vec<(TaskKey, u64)> = host
@@ -273,8 +275,8 @@
                     return false;
                 }
                 match attempt.phase {
-                    // Its `run` may still come: from a direct command that had
-                    // no answer, or from a reply that is not over yet.
+                    // The `run` order may still arrive: from a direct command without an answer, or from
+                    // a reply that is still being sent.
                     TaskPhase::Sent => {
                         attempt.stop.is_some()
                             && source == StatusSource::Heartbeat
@@ -291,8 +293,7 @@
         }
     }
 
-    /// The orders of a reply: everything that the worker should have done and,
-    /// by its heartbeat, has not.
+    /// Adds the orders that the worker has not followed yet according to its heartbeat.
     pub(super) fn pending_orders(&mut self, host_index: HostIndex, orders: &mut Vec<Order>) {
         let Some(host) = self.cluster.host(host_index) else { return };
         for attempt in &host.attempts {
@@ -311,7 +312,7 @@
     }
 }
 
-/// The order for a task that no job has: whatever it is must go.
+/// Returns the order that removes a task that belongs to no known job.
 fn removal(status: &TaskStatus) -> Order {
     match status.phase() {
         TaskPhase::Ended(_) => Order::Reap { task: status.task.clone(), attempt: status.attempt },
--- a/src/control/partition/host_routing.rs
+++ b/src/control/partition/host_routing.rs
@@ -1,14 +1,14 @@
-//! Which partition a machine belongs to, and how one is given to another partition.
+//! Assignment of hosts to partitions, and the transfer of hosts between partitions.
 
 use super::{HostRouting, Partition};
 use crate::model::HostRecord;
 use crate::wire::Heartbeat;
 
 impl Partition {
-    /// Does this partition take the machine's heartbeats?
+    /// Returns whether this partition handles the host's heartbeats, and otherwise which one does.
     pub fn route_heartbeat(&mut self, heartbeat: &Heartbeat) -> HostRouting {
         if self.cluster.host_index.contains_key(&heartbeat.host) || self.host_directory.is_terminated(&heartbeat.host) {
-            // A worker drops what carries a lower token than it has seen: a
+            // A worker discards messages with a lower token than it has seen, so this leader needs a
             // higher fencing token first.
             if let Some(host) =
                 self.cluster.host_index.get(&heartbeat.host).copied().and_then(|index| self.cluster.host_mut(index))
@@ -35,15 +35,15 @@
         }
     }
 
-    /// What the registry says now of a machine that reported here.
+    /// Applies the current registry record of a host that reported here; `None` if it has no record.
     pub fn host_record_read(&mut self, id: &str, record: Option<HostRecord>, now: u64) {
         match record {
-            // It is looked up again with its next heartbeat.
+            // The host is looked up again with its next heartbeat.
             Some(record) if record.partition == self.id() && self.is_transfer_indeterminate() => {}
             Some(record) if record.partition == self.id() => {
                 self.host_directory.unassign(id);
                 if !self.cluster.host_index.contains_key(id) {
-                    // The partition that gave it away made sure that nothing is left on it.
+                    // The partition that transferred the host made sure that nothing is left on it.
                     let fencing_token = self.epoch.fencing_token();
                     let host_index = self.add_registered(id.to_string(), record, now);
                     if let Some(host) = self.cluster.host_mut(host_index) {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Gives a free machine to another partition; false if it is not free.
+    /// Transfers an unused host to another partition. Returns `false` if the host is not in a state that
+    /// allows it.
     pub fn transfer_host(&mut self, id: &str, to: u32) -> bool {
         let undone = self.is_transfer_indeterminate();
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
--- a/src/control/partition/leadership_epoch.rs
+++ b/src/control/partition/leadership_epoch.rs
@@ -1,19 +1,19 @@
-//! One leader's time in office over the partition: its fencing tokens, and the numbers it gives out.
+//! Leadership epoch: the fencing tokens of one leader of the partition, and the numbers it assigns.
 
 use crate::model::FencingToken;
 use crate::wire::{self, Condition};
 
-/// Bits of a number below the fencing token under which it was given out.
+/// Number of low-order bits of a number that are below the fencing token it was assigned under.
 const NUMBER_BITS: u32 = 32;
 
-/// The identity under which the leader acts.
+/// Identity under which the leader acts.
 ///
-/// Every commit is conditional on the version of the partition's key, which changes with the
-/// leader and with its fencing token: a write of a leader that was superseded is not carried out.
+/// Every commit is conditional on the version of the partition's key. That version changes with the
+/// leader and with its fencing token, so writes of a superseded leader are not carried out.
 #[derive(Debug)]
 pub(super) struct LeadershipEpoch {
     fencing_token: FencingToken,
-    /// The fencing token that the leader began with: it may have raised it since.
+    /// Fencing token that the leader began with. It may have raised its token since.
     first_token: FencingToken,
     partition_key: String,
     partition_version: u64,
@@ -22,7 +22,7 @@
 }
 
 impl LeadershipEpoch {
-    /// The records were not read yet: the leader has no fencing token.
+    /// Returns the state before the records are read: the leader has no fencing token.
     pub(super) fn new(partition_key: String) -> LeadershipEpoch {
         LeadershipEpoch {
             fencing_token: FencingToken::NONE,
@@ -34,15 +34,15 @@
         }
     }
 
-    /// The leader begins, with this fencing token.
+    /// Starts the leadership with this fencing token.
     pub(super) fn begin(&mut self, fencing_token: FencingToken, partition_version: u64, now: u64) {
         self.set_fencing_token(fencing_token, partition_version);
         self.first_token = fencing_token;
         self.begun_ms = now;
     }
 
-    /// A new fencing token: numbers count on from it. The same one again, with the key's version
-    /// as it is now, begins no count anew.
+    /// Sets the fencing token and the current version of the partition's key. With a higher token,
+    /// numbers continue from that token; with the same token, the counter is unchanged.
     pub(super) fn set_fencing_token(&mut self, fencing_token: FencingToken, partition_version: u64) {
         if fencing_token > self.fencing_token {
             self.last_number = fencing_token.0 << NUMBER_BITS;
@@ -51,43 +51,44 @@
         self.partition_version = partition_version;
     }
 
-    /// The fencing token that goes with every order; `NONE` before the records were read.
+    /// Returns the fencing token that accompanies every order; `NONE` before the records are read.
     pub(super) fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// The fencing token that the leader began with.
+    /// Returns the fencing token that the leader began with.
     pub(super) fn first_token(&self) -> FencingToken {
         self.first_token
     }
 
-    /// When the leader began, by the monotonic clock.
+    /// Returns the instant, in milliseconds of the monotonic clock, at which the leadership started.
     pub(super) fn begun_ms(&self) -> u64 {
         self.begun_ms
     }
 
-    /// Key of the partition in the state service.
+    /// Returns the key of the partition in the state service.
     pub(super) fn partition_key(&self) -> &str {
         &self.partition_key
     }
 
-    /// Version of the partition's key; 0 before the records were read.
+    /// Returns the version of the partition's key; 0 before the records are read.
     pub(super) fn partition_version(&self) -> u64 {
         self.partition_version
     }
 
-    /// The condition of every commit: no other leader, and no other fencing token, since.
+    /// Returns the condition of every commit: the partition's key has not been changed by another leader
+    /// or by a new fencing token.
     pub(super) fn condition(&self) -> Condition {
         wire::condition(&self.partition_key, self.partition_version)
     }
 
-    /// The number that `next_number` gives next.
+    /// Returns the number that the next call of `next_number` will return.
     pub(super) fn upcoming_number(&self) -> u64 {
         self.last_number + 1
     }
 
-    /// A number for an attempt, a warm slot, a loan or a commit. None repeats, under this leader or
-    /// another: each is above all that were given out under lower fencing tokens.
+    /// Returns a number for an attempt, a warm slot, a loan or a commit. Numbers are unique across
+    /// leaders: each is above all numbers assigned under lower fencing tokens.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/src/control/partition/reconciliation.rs
+++ b/src/control/partition/reconciliation.rs
@@ -1,35 +1,35 @@
-//! Reconciliation after a failover: which machines of the last leader have not reported yet, and
+//! Reconciliation after a failover: tracks which hosts of the previous leader have not reported yet and
 //! what they may hold.
 //!
-//! Nothing is placed that an unreconciled machine may hold or may still start: the scheduler
-//! counts what `ClusterState::unreconciled` may hold as taken.
+//! Nothing is placed that an unreconciled host may hold or may still start: the scheduler treats the
+//! capacity of `ClusterState::unreconciled` as used.
 
 use crate::model::{ClusterState, Demand, InstanceKind};
 
-/// What a machine of unknown type may hold.
+/// Demand that a host of unknown instance type may hold.
 const UNBOUNDED: Demand = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
 
-/// Whether unreconciled machines are to be counted again.
+/// Whether the unreconciled hosts are to be counted again.
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation {
     count_due: bool,
 }
 
 impl Reconciliation {
-    /// A machine of the last leader was reconciled. Until the next count it is taken for one that is not,
-    /// which holds back more and never less: after a failover thousands are reconciled within a
-    /// second, and a look at all machines for each of them would take longer than all else.
+    /// Requests a recount after a host of the previous leader was reconciled. Until then the host counts
+    /// as unreconciled, which is conservative. After a failover thousands of hosts are reconciled within
+    /// a second, and iterating over all hosts for each of them would cost more than all other work.
     pub(super) fn request_count(&mut self) {
         self.count_due = true;
     }
 
-    /// Was a machine reconciled since the last count?
+    /// Returns whether a host was reconciled since the last count.
     pub(super) fn is_count_due(&self) -> bool {
         self.count_due
     }
 
-    /// Counts the machines of the last leader that are still unreconciled; true if the last of them
-    /// was reconciled since.
+    /// Counts the hosts of the previous leader that are still unreconciled. Returns `true` if this count
+    /// is the first to find none.
     pub(super) fn count(&mut self, cluster: &mut ClusterState) -> bool {
         self.count_due = false;
         let mut unreconciled = Demand::default();
