--- a/src/control/partition/attempt_phases.rs
+++ b/src/control/partition/attempt_phases.rs
@@ -1,10 +1,11 @@
-//! Attempts as heartbeats show them: those that are seen first, and the phases that they reach.
+//! Applies attempts and their phases, as reported in heartbeats, to the state of the partition.
 
 use super::Partition;
 use crate::model::{ClusterState, HostIndex, Place, Shape, TaskAttempt, TaskKey, TaskPhase};
 
 impl Partition {
-    /// An attempt that this leader did not start: an earlier one did, or a late order.
+    /// Adds an attempt that the worker reports and this leader did not start. An earlier leader started
+    /// it, or an order was carried out late.
     pub(super) fn add_reported_attempt(
         &mut self,
         host_index: HostIndex,
@@ -16,7 +17,8 @@
         let job = &mut self.cluster.jobs[key.job];
         let idle = job.tasks[key.task as usize].place == Place::Idle;
         let ended = matches!(phase, TaskPhase::Ended(_));
-        // What is first seen after its user asked for the cancellation must go, too.
+        // Attempts first reported after the user requested the job's cancellation must be stopped as
+        // well.
         let mut wanted = job.active() && !ended && idle;
         if wanted && job.spec.shape == Shape::Gang {
             if attempt > job.gang_attempt {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Takes the phase of an attempt that was in phase `before`.
+    /// Applies the reported `phase` to an attempt that was in phase `before`.
     pub(super) fn apply_phase(
         &mut self,
         host_index: HostIndex,
@@ -57,7 +59,7 @@
         known.phase = phase;
         let job = &mut jobs[key.job];
         if phase == TaskPhase::Saving && known.stop.is_none() && self.borrowing.is_some() {
-            // An earlier leader has ordered its stop, and its team's use is less by it.
+            // An earlier leader has ordered this stop, and its team's usage is reduced accordingly.
             known.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
         }
         job.tasks[key.task as usize].located |= !known.ended();
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Logs and measures that an attempt has begun to run.
+    /// Logs that an attempt runs and records the delay since its start order in the metrics.
     fn record_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
         let spec = &self.cluster.jobs[key.job].spec;
         tracing::debug!(job = spec.id, class = spec.class, task = key.task, attempt, after_order_ms, "running");
--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -1,15 +1,15 @@
-//! Attempts that end or are lost, and what follows for their tasks and jobs.
+//! Handling of attempts that end or are lost, and the consequences for their tasks and jobs.
 
 use super::Partition;
 use crate::model::{ClusterState, ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange};
 
-/// From so many failures on, a task pauses before it is tried again.
+/// Number of failures from which a task is retried only after a pause.
 const FAILS_BEFORE_PAUSE: u16 = 2;
-/// The pause doubles with each failure up to this one.
+/// Number of failures up to which the pause doubles with each failure.
 const LONGEST_PAUSE_FAILS: u16 = 6;
 
 impl Partition {
-    /// An attempt has ended, for this reason.
+    /// Handles the end of an attempt with the given reason.
     pub(super) fn attempt_ended(
         &mut self,
         host_index: HostIndex,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// A task of an array is done, or a gang: its tasks complete together.
+    /// Marks the task of the attempt as done. For a gang, marks all tasks, because they complete
+    /// together.
     fn attempt_completed(&mut self, host_index: HostIndex, key: TaskKey, now: u64) {
         let spec = &self.cluster.jobs[key.job].spec;
         let done: Vec<u32> = if spec.shape == Shape::Gang { (0..spec.tasks).collect() } else { vec![key.task] };
@@ -52,8 +53,8 @@
         self.record_task_success(host_index, key);
     }
 
-    /// A task is done on a machine: that one is sound, and where the task failed before, the
-    /// machine was at fault.
+    /// Records the success of a task on a host. The host counts as healthy, and failures of the same
+    /// task on other hosts are attributed to those hosts.
     fn record_task_success(&mut self, sound: HostIndex, key: TaskKey) {
         if let Some(host) = self.cluster.host_mut(sound) {
             host.failed_jobs.clear();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The task is idle again, if this attempt was its place; false if it was not.
+    /// Sets the task to idle if this attempt holds its place. Returns `false` if it does not.
     fn vacate_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
@@ -78,7 +79,8 @@
             return false;
         }
         task.place = Place::Idle;
-        // Urgent work may be what ended, or what waits for the capacity.
+        // The ended attempt may belong to an urgent job, or urgent work may wait for the released
+        // capacity.
         let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|host| !host.reservations.is_empty());
         if waited_for {
             self.scheduling_triggers.request_urgent_cycle();
@@ -87,14 +89,14 @@
         true
     }
 
-    /// An attempt has failed: pauses a task that fails wherever it runs, and notes the
-    /// machine.
+    /// Counts a failed attempt. A task that fails repeatedly is paused before its next attempt, and a
+    /// failure with an error is attributed to the host or to the job.
     fn task_failed(&mut self, host_index: HostIndex, key: TaskKey, reason: ExitReason, now: u64) {
         let task = &mut self.cluster.jobs[key.job].tasks[key.task as usize];
         task.fails = task.fails.saturating_add(1);
         if task.fails >= FAILS_BEFORE_PAUSE {
-            // Fails wherever it runs: ever longer pauses, so that it
-            // doesn't retake capacity in each cycle.
+            // The task fails on every host: exponential pauses keep it from taking capacity again in
+            // each cycle.
             task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
         }
         if reason == ExitReason::Error {
@@ -102,10 +104,10 @@
         }
     }
 
-    /// Blames the machine for a failure, or the job once it has failed on several.
+    /// Attributes a failure to the host, or to the job once it has failed on several hosts.
     fn assign_blame(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
         let hosts = self.cluster.hosts.len();
-        // Long enough for another machine to boot.
+        // The period is long enough for another host to boot.
         let boot_s = self.cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
         let job = &mut self.cluster.jobs[job_index];
         job.failed_on.insert(host_index);
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Notes that tasks are done, which is to be recorded.
+    /// Marks tasks as done and schedules the write of the job's record.
     pub(super) fn tasks_done(&mut self, job_index: JobIndex, tasks: &[u32], now: u64) {
         let job = &mut self.cluster.jobs[job_index];
         let mut new = 0;
@@ -137,7 +139,7 @@
         job.done += new;
         let job_is_array = job.spec.shape == Shape::Batch;
         if job.done >= job.spec.tasks {
-            // A cancellation that is to be recorded goes first; else the job is done.
+            // A cancellation whose write is pending takes precedence; otherwise the job is done.
             if !matches!(job.unsaved, UnsavedChange::End(_)) {
                 job.unsaved = UnsavedChange::End(JobEnd::Done);
             }
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Stops further attempts of array tasks that are done: they have nothing left to do.
-    /// Once for a scheduling cycle, as each look at all attempts costs as much as there are.
+    /// Stops the remaining attempts of array tasks that are already done. Runs once per scheduling
+    /// cycle, because it iterates over all attempts.
     pub(super) fn stop_attempts_of_done_tasks(&mut self) {
         if !self.scheduling_triggers.take_array_tasks_done() {
             return;
@@ -167,8 +169,8 @@
         }
     }
 
-    /// Stops all attempts of a job at once: it is over, or a gang that lost a
-    /// task, whose rest must go before the next attempt.
+    /// Stops all attempts of a job without a grace period: the job is over, or it is a gang that lost a
+    /// task and whose other tasks must stop before the next attempt.
     pub(super) fn stop_all(&mut self, job_index: JobIndex) {
         for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
             let Some(host) = host else { continue };
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The attempt is certainly not on the machine any more.
+    /// Removes an attempt that is certainly no longer on the host.
     pub(super) fn remove_attempt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
         let ended = host.attempt_mut(key, attempt).is_some_and(|own| own.ended());
@@ -190,7 +192,7 @@
         self.attempt_lost(host_index, key, attempt, ended);
     }
 
-    /// An attempt was lost: its task is idle again, if that was its place.
+    /// Handles the loss of an attempt: sets its task to idle if the attempt held its place.
     pub(super) fn attempt_lost(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, ended: bool) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
@@ -204,7 +206,7 @@
         }
     }
 
-    /// All attempts are gone: the machine, or its lease, ended.
+    /// Removes all attempts of a host that is gone or whose lease has ended.
     pub(super) fn remove_all_attempts(&mut self, host_index: HostIndex) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
         let attempts = std::mem::take(&mut host.attempts);
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -1,14 +1,13 @@
-//! The protocol of a partition, without I/O and clock: its jobs, its machines, what
-//! heartbeats and answers mean, which orders follow, what must be recorded.
+//! The protocol of a partition, without I/O and clocks: its jobs and hosts, the handling of heartbeats
+//! and answers, the orders that follow, and the records to be written.
 //!
-//! [`Partition`] is made of parts, each with state of its own: what is to be written
-//! (`commit_queue`), who waits for that (`waiting_clients`), the leader's identity
-//! (`leadership_epoch`), machines that are not here (`host_directory`), what a failover leaves to be
-//! reconciled (`reconciliation`), and so on. The protocol itself is in the methods of `Partition`, by
-//! subject: requests of users in `user_requests`, heartbeats of workers in `heartbeats`, answers to commits in
-//! `commit_results`.
+//! [`Partition`] is composed of parts with a state of their own: pending writes (`commit_queue`),
+//! clients waiting for an answer (`waiting_clients`), the leader's identity (`leadership_epoch`), hosts
+//! outside the partition (`host_directory`), reconciliation after a failover (`reconciliation`), and so
+//! on. The protocol itself is in the methods of `Partition`, by subject: user requests in
+//! `user_requests`, worker heartbeats in `heartbeats`, commit outcomes in `commit_results`.
 //!
-//! Times are in milliseconds: `now` by the monotonic clock, `wall` as time of day.
+//! Times are in milliseconds: `now` is read from the monotonic clock, `wall` is the time of day.
 
 mod attempt_phases;
 mod attempts;
@@ -61,13 +60,13 @@
 use crate::scheduling::Policy;
 use std::collections::{BTreeSet, HashMap};
 
-/// The state of one partition, and the protocol over it.
+/// State of one partition, and the protocol that operates on it.
 pub struct Partition {
-    /// Its jobs, machines and machine types.
+    /// Jobs, hosts and instance types of the partition.
     cluster: ClusterState,
     /// Settings that decisions depend on.
     policy: Policy,
-    /// Figures for `GET /metrics`.
+    /// Metrics exported by `GET /metrics`.
     metrics: Metrics,
     teams: team_assignment::TeamAssignment,
     epoch: leadership_epoch::LeadershipEpoch,
@@ -77,7 +76,7 @@
     failure_detector: failure_detector::FailureDetector,
     commit_queue: commit_queue::CommitQueue,
     waiting_clients: waiting_clients::WaitingClients,
-    /// Jobs whose cancellation waits for their tasks to be gone.
+    /// Jobs whose cancellation waits until none of their tasks can run.
     cancelling: BTreeSet<JobIndex>,
     dependencies: dependencies::DependencyTracker,
     dependency_lookups: dependency_lookups::DependencyLookups,
@@ -85,16 +84,16 @@
     scheduling_triggers: scheduling_triggers::SchedulingTriggers,
     running_counts: running_counts::RunningCounts,
     heartbeat_load: heartbeat_load::HeartbeatLoad,
-    /// Pools of warm replicas, if there are any.
+    /// Pools of warm replicas; `None` without warm pools.
     warm_pools: Option<warm_pools::PartitionWarmPools>,
-    /// Loans between teams, if there is borrowing.
+    /// Loans between teams; `None` without borrowing.
     borrowing: Option<borrowing::PartitionBorrowing>,
-    /// The time of day of the last scheduling cycle.
+    /// Time of day of the last scheduling cycle, in milliseconds.
     wall_ms: u64,
 }
 
 impl Partition {
-    /// A partition whose records were not read yet.
+    /// Returns a partition whose records have not been read yet.
     pub fn new(policy: Policy, id: u32, teams: HashMap<String, u32>, limits: WriteLimits) -> Partition {
         let heartbeat_load = heartbeat_load::HeartbeatLoad::new(policy.report_ms);
         let partition_key = crate::control::membership::partition_key(id);
@@ -123,116 +122,119 @@
         }
     }
 
-    /// This partition's number.
+    /// Returns the number of this partition.
     pub fn id(&self) -> u32 {
         self.teams.partition()
     }
 
-    /// The leader's fencing token; `NONE` before the records were read.
+    /// Returns the leader's fencing token; `NONE` before the records are read.
     pub fn fencing_token(&self) -> FencingToken {
         self.epoch.fencing_token()
     }
 
-    /// A new fencing token, or the same one again with the partition key's version as it is now.
+    /// Sets a new fencing token, or the same one with the current version of the partition's key.
     pub fn set_fencing_token(&mut self, fencing_token: FencingToken, partition_version: u64) {
         self.epoch.set_fencing_token(fencing_token, partition_version);
     }
 
-    /// Its jobs, machines and machine types.
+    /// Returns the jobs, hosts and instance types of the partition.
     pub fn cluster(&self) -> &ClusterState {
         &self.cluster
     }
 
-    /// The same, to be filled by trials.
+    /// Returns the jobs, hosts and instance types for modification by tests and benchmarks.
     pub fn cluster_mut(&mut self) -> &mut ClusterState {
         &mut self.cluster
     }
 
-    /// Settings that decisions depend on.
+    /// Returns the settings that decisions depend on.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// The same, to be changed while the leader leads.
+    /// Returns the settings for modification during the leadership.
     pub fn policy_mut(&mut self) -> &mut Policy {
         &mut self.policy
     }
 
-    /// Figures for `GET /metrics`.
+    /// Returns the metrics exported by `GET /metrics`.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The same, to count on in.
+    /// Returns the metrics for updates.
     pub fn metrics_mut(&mut self) -> &mut Metrics {
         &mut self.metrics
     }
 
     // ---- external conditions ----
 
-    /// Whether a controller is known to be of a version that would not let jobs wait: then no job
-    /// with dependencies is accepted.
+    /// Sets whether a controller is known to run a version that does not support dependencies between
+    /// jobs. No job with dependencies is accepted then.
     pub fn set_has_old_peer(&mut self, has_old_peer: bool) {
         self.conditions.has_old_peer = has_old_peer;
     }
 
-    /// Whether nothing newer than the policy's teams is known.
+    /// Sets whether no configuration newer than the policy's teams is known.
     pub fn set_configuration_up_to_date(&mut self, up_to_date: bool) {
         self.conditions.configuration_up_to_date = up_to_date;
     }
 
-    /// Whether the state service answers, so that reservations of warm replicas and loans can be recorded.
+    /// Sets whether the state service answers, so that reservations of warm replicas and loans can be
+    /// recorded.
     pub fn set_reservations_recordable(&mut self, recordable: bool) {
         self.conditions.reservations_recordable = recordable;
     }
 
     // ---- scheduling cycles ----
 
-    /// Something changed that a scheduling cycle may use.
+    /// Requests a scheduling cycle after a change that may allow new placements.
     pub fn request_cycle(&mut self) {
         self.scheduling_triggers.request_cycle();
     }
 
-    /// Is a scheduling cycle due?
+    /// Returns whether a scheduling cycle is due.
     pub fn is_cycle_due(&self) -> bool {
         self.scheduling_triggers.is_cycle_due()
     }
 
-    /// Is a scheduling cycle for urgent work due?
+    /// Returns whether a scheduling cycle for urgent work is due.
     pub fn is_urgent_cycle_due(&self) -> bool {
         self.scheduling_triggers.is_urgent_cycle_due()
     }
 
-    /// Jobs with tasks that found no capacity in the last scheduling cycle.
+    /// Returns the jobs with tasks that found no capacity in the last scheduling cycle.
     pub fn pending_jobs(&self) -> &[JobIndex] {
         self.scheduling_triggers.pending_jobs()
     }
 
-    // ---- machines with orders due ----
+    // ---- hosts with pending orders ----
 
-    /// Empties the queue of machines that have orders to get without waiting for their next heartbeat.
+    /// Removes and returns the queued hosts that are to get orders without waiting for their next
+    /// heartbeat.
     pub fn take_dispatch_queue(&mut self) -> BTreeSet<HostIndex> {
         self.dispatch_queue.take()
     }
 
-    /// Queues a machine that has orders to get.
+    /// Queues a host that has orders to get.
     pub fn queue_dispatch(&mut self, host: HostIndex) {
         self.dispatch_queue.insert(host);
     }
 
-    // ---- machines by name ----
+    // ---- hosts by id ----
 
-    /// Is the machine one of this partition, or known to be one of another?
+    /// Returns whether the host belongs to this partition or is known to belong to another one.
     pub fn knows_host(&self, id: &str) -> bool {
         self.cluster.host_index.contains_key(id) || self.host_directory.other_partition_of(id).is_some()
     }
 
-    /// Machines whose records are to be read again now.
+    /// Removes and returns the ids of the hosts whose records are to be read again.
     pub fn take_records_to_reread(&mut self) -> BTreeSet<String> {
         self.host_directory.take_records_to_reread()
     }
 
-    /// Replaces the partitions that booting machines go to, by name; others stay here.
+    /// Replaces the map, by host id, of partitions that booting hosts are intended for. Hosts without an
+    /// entry stay in this partition.
     pub fn set_pending_transfers(&mut self, pending_transfers: HashMap<String, u32>) {
         self.host_directory.set_pending_transfers(pending_transfers);
     }
--- a/src/control/partition/running_counts.rs
+++ b/src/control/partition/running_counts.rs
@@ -1,14 +1,14 @@
-//! How many tasks of a job run, as users see it.
+//! Number of running tasks of a job, as reported to users.
 //!
-//! Counted at each question for small jobs. For large ones that would cost the leader more than
-//! all else when users ask many times a second about an array of thousands of tasks, so these
-//! are counted together, from one look at all attempts, whenever failures are detected. The
-//! protocol allows the number to lag.
+//! Small jobs are counted on each request. For arrays of thousands of tasks that are polled many times a
+//! second, this would cost the leader more than all other work. Large jobs are therefore counted
+//! together, in one iteration over all attempts, whenever failures are detected. The protocol allows the
+//! number to lag.
 
 use crate::model::{ClusterState, HostIndex, JobIndex, Place, Task, TaskAttempt};
 use std::collections::HashMap;
 
-/// Jobs of at most so many tasks are counted at each question.
+/// Maximum number of tasks of a job that is counted on each request.
 const SMALL_JOB_TASKS: u32 = 64;
 
 /// Running tasks of the large jobs, as of the last count.
@@ -18,7 +18,7 @@
 }
 
 impl RunningCounts {
-    /// How many of the job's tasks run.
+    /// Returns the number of running tasks of the job.
     pub(super) fn of(&self, cluster: &ClusterState, job_index: JobIndex) -> u32 {
         if cluster.jobs[job_index].spec.tasks > SMALL_JOB_TASKS {
             return self.large_jobs.get(&job_index).copied().unwrap_or(0);
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -1,16 +1,16 @@
-//! Scheduling cycles over the pending work, and what is logged of them.
+//! Scheduling cycles over the pending work, and their log output.
 
 use super::{Partition, critical_path};
 use crate::model::{JobIndex, Urgency};
 use crate::scheduling::{self, Assignment, CycleDecisions, Preemption};
 
 impl Partition {
-    /// One scheduling cycle; the machines with new orders are in `dispatch_queue`.
+    /// Runs a scheduling cycle. Hosts with new orders are added to `dispatch_queue`.
     pub fn schedule(&mut self, now: u64, wall: u64) {
         self.run_scheduling_cycle(Urgency::Low, now, wall);
     }
 
-    /// A scheduling cycle for what is urgent alone, while the next one for all is not due.
+    /// Runs a scheduling cycle for urgent work only, between cycles for all work.
     pub fn schedule_urgent(&mut self, now: u64, wall: u64) {
         self.run_scheduling_cycle(Urgency::High, now, wall);
     }
@@ -46,23 +46,23 @@
         self.update_pending_jobs(least, decisions);
     }
 
-    /// Sets aside capacity for work that is expected to arrive at these rates.
+    /// Reserves capacity for work that is expected to arrive at these rates.
     pub fn reserve_for_flows(&mut self, flows: &[scheduling::ClassFlow]) {
         self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, flows);
     }
 
-    /// Replaces the machine types of which no more can be rented now.
+    /// Replaces the list of instance types that cannot be rented at present.
     pub fn set_exhausted(&mut self, exhausted: Vec<usize>) {
         self.cluster.exhausted = exhausted;
     }
 
-    /// Limits the attempts by the measured cost of following those on the machines.
+    /// Limits the number of attempts by the measured cost of tracking the current ones.
     fn bound_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
         self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
     }
 
-    /// Measures and logs a start; its machine has an order to get.
+    /// Records a start in metrics and log, and queues its host for dispatch.
     fn record_start(&mut self, start: &Assignment, wall: u64) {
         let job = &self.cluster.jobs[start.key.job];
         let waited_ms = wall.saturating_sub(job.ready_ms);
@@ -93,7 +93,7 @@
         );
     }
 
-    /// Counts and logs a preemption; its machine has an order to get.
+    /// Records a preemption in metrics and log, and queues its host for dispatch.
     fn record_preemption(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
         let by = &self.cluster.jobs[stop.by].spec;
@@ -107,11 +107,11 @@
             "preempted"
         );
         self.metrics.count("tasks_preempted", &spec.class);
-        // What is lent is stopped once that is recorded.
+        // For lent capacity, the stop order is sent once the loan is recorded.
         self.dispatch_queue.insert(stop.host);
     }
 
-    /// Keeps which work found no capacity. What is less urgent than `least` was not tried.
+    /// Stores the jobs that found no capacity. Jobs below `min_urgency` were not considered.
     fn update_pending_jobs(&mut self, least: Urgency, decisions: CycleDecisions) {
         self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, decisions.pending_jobs, decisions.hosts_examined);
         if !self.scheduling_triggers.pending_jobs().is_empty() {
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Do all teams keep to their limits, whatever machines that are not reconciled may hold?
+    /// Returns whether all teams are within their limits, including everything that unreconciled hosts
+    /// may hold.
     pub fn teams_within_limits(&self, now: u64) -> bool {
         let mut used = scheduling::Index::new(&self.cluster, now).usage;
         for (team, unseen) in self.cluster.unlocated_demand() {
@@ -129,7 +130,7 @@
         used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&none).limit))
     }
 
-    /// The lowest deadline bin of the pending jobs.
+    /// Returns the lowest deadline bin among the pending jobs; `None` if no jobs are pending.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
         let bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
--- a/src/control/partition/task_orders.rs
+++ b/src/control/partition/task_orders.rs
@@ -1,10 +1,11 @@
-//! Which order an attempt needs next.
+//! Selection of the next order for an attempt.
 
 use crate::model::{ExitReason, Job, TaskAttempt, TaskPhase, UnsavedChange};
 use crate::wire::Order;
 
-/// The order to start or stop an attempt that its worker should have and, by its status, has not
-/// followed. None for one that waits for the record of a loan or of a warm reservation.
+/// Returns the start or stop order that the worker should have and, by the status of the attempt, has
+/// not followed. Returns `None` if the order must wait for the record of a loan or of a warm
+/// reservation.
 pub(super) fn start_or_stop(job_id: &str, attempt: &TaskAttempt) -> Option<Order> {
     match (attempt.phase, attempt.stop) {
         (TaskPhase::Ended(_), _) => None,
@@ -17,7 +18,8 @@
     }
 }
 
-/// Is an order to start or stop the attempt still to be sent, now or once its record is written?
+/// Returns whether a start or stop order for the attempt is still to be sent, now or, for a start, once
+/// its record is written.
 pub(super) fn is_start_or_stop_due(attempt: &TaskAttempt) -> bool {
     match (attempt.phase, attempt.stop) {
         (TaskPhase::Ended(_), _) => false,
@@ -27,10 +29,10 @@
     }
 }
 
-/// May the worker forget an attempt that has ended for this reason (`reap`)?
+/// Returns whether the worker may discard (`reap`) an attempt that has ended with this reason.
 ///
-/// Only once its outcome can't be lost any more, as the worker's memory is the only other copy; and only
-/// while no `run` for it can still arrive, which would start it a second time.
+/// It may do so only once the outcome cannot be lost, because the worker holds the only other copy, and
+/// only while no `run` order can still arrive, because that would start the attempt a second time.
 pub(super) fn may_reap(job: &Job, attempt: &TaskAttempt, reason: ExitReason) -> bool {
     let outcome_is_safe = reason != ExitReason::Done
         || job.end.is_some()
--- a/src/control/partition/team_assignment.rs
+++ b/src/control/partition/team_assignment.rs
@@ -1,8 +1,8 @@
-//! Which teams' jobs are this partition's.
+//! Assignment of teams to partitions.
 
 use std::collections::HashMap;
 
-/// The partition's number, and the partitions that teams are assigned to.
+/// Number of this partition, and the partitions of the assigned teams.
 #[derive(Debug, Clone)]
 pub(super) struct TeamAssignment {
     partition: u32,
@@ -10,22 +10,23 @@
 }
 
 impl TeamAssignment {
-    /// The assignment as this partition sees it.
+    /// Returns the assignment as seen by this partition.
     pub(super) fn new(partition: u32, partitions: HashMap<String, u32>) -> TeamAssignment {
         TeamAssignment { partition, partitions }
     }
 
-    /// This partition's number.
+    /// Returns the number of this partition.
     pub(super) fn partition(&self) -> u32 {
         self.partition
     }
 
-    /// Do the jobs of this team belong to this partition? So do those of teams that no assignment names.
+    /// Returns whether the jobs of this team belong to this partition. So do the jobs of teams without
+    /// an assignment.
     pub(super) fn owns_team(&self, team: &str) -> bool {
         self.partitions.get(team).is_none_or(|partition| *partition == self.partition)
     }
 
-    /// Do all teams belong to this partition, so that no other can hold machines?
+    /// Returns whether all teams belong to this partition, so that no other partition can hold hosts.
     pub(super) fn owns_all_teams(&self) -> bool {
         self.partitions.values().all(|partition| *partition == self.partition)
     }
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users to a partition: submissions, polls, cancellations.
+//! User requests to a partition: submissions, status requests and cancellations.
 
 use super::failure_detector::HeartbeatTimeouts;
 use super::waiting_clients::reply;
@@ -7,26 +7,27 @@
 use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_MISSES, UnsavedChange, Urgency};
 use crate::{scheduling, wire};
 
-/// Submissions are refused once those before them take a quarter of a lease to record:
-/// milliseconds of the lease for each second of the backlog.
+/// Milliseconds of the lease that are required per second of backlog. Submissions are refused once
+/// recording the earlier ones takes more than a quarter of a lease.
 const BACKLOG_MS_PER_S: f64 = 4000.0;
 
-/// What may be answered about a job from memory.
+/// State of a job that may be answered from memory.
 struct AnswerablePhase {
     phase: JobPhase,
-    /// Tasks that run.
+    /// Number of running tasks.
     running: u32,
 }
 
 impl Partition {
-    /// A submission. The answer comes at once or, through the waiter, after
-    /// the commit that creates the record: an accepted job is never lost.
+    /// Handles a submission. It is answered immediately or, through the waiter, after the commit that
+    /// creates the record, so that an accepted job is never lost.
     pub fn submit(&mut self, body: &[u8], now: u64, wall: u64, waiter: Waiter) {
         let (id, spec) = match wire::parse_submission(body) {
             Ok(spec) => (Some(spec.id.clone()), Ok(spec)),
             Err(malformed) => (malformed.id, Err(malformed.reason.to_string())),
         };
-        // A known id is answered before the rest is checked: repeating a submission is safe.
+        // A known id is answered before the rest of the submission is checked, which makes it safe to
+        // repeat a submission.
         if let Some(&job_index) = id.as_ref().and_then(|id| self.cluster.job_index.get(id)) {
             self.answer_resubmission(job_index, waiter);
             return;
@@ -40,7 +41,7 @@
         reply(waiter, refusal);
     }
 
-    /// Answers the repeated submission of a job that is known, now or once it is accepted.
+    /// Answers the repeated submission of a known job, immediately or once the job is accepted.
     pub(super) fn answer_resubmission(&mut self, job_index: JobIndex, waiter: Waiter) {
         if self.cluster.jobs[job_index].version == 0 {
             self.waiting_clients.await_acceptance(job_index, waiter);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Accepts a new job once that is recorded, unless it can't be served.
+    /// Accepts a new job once it is recorded, or answers with the reason why it cannot be accepted.
     pub(super) fn accept(&mut self, spec: Spec, now: u64, wall: u64, waiter: Waiter) {
         match self.refusal_of(&spec) {
             Some(refusal) => reply(waiter, refusal),
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Why a new job can't be accepted now or ever, if so.
+    /// Returns the answer that refuses a new job, temporarily or permanently; `None` if it can be
+    /// accepted.
     fn refusal_of(&self, spec: &Spec) -> Option<UserAnswer> {
         if self.cluster.instance_types.is_empty() {
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
@@ -90,16 +92,20 @@
         job_index
     }
 
-    /// Seconds that it takes to record the jobs that were submitted before and are as urgent
-    /// or more: a burst of less urgent jobs doesn't keep urgent ones out.
+    /// Returns the seconds needed to record the earlier submissions of at least this urgency. A burst of
+    /// less urgent jobs does not keep urgent ones out.
     fn backlog_s(&self, urgency: Urgency) -> f64 {
         self.commit_queue.creations_due(&self.cluster.jobs, urgency) as f64 / self.policy.writes_per_s
     }
 
-    /// The one place that decides whether a user may be answered about a job from memory, and
-    /// with what: its phase and how many of its tasks run. The records are the truth: while a write of
-    /// its end may have been carried out, another node may have read the end and answered with it.
-    /// Nothing older may be answered then, and the record must be read again.
+    /// Returns the phase of a job and the number of its running tasks if a user may be told about them
+    /// from memory. This is the only place that decides this. The records are authoritative: while a
+    /// write of the job's end may have been carried out, another node may have read the end and answered
+    /// with it. In that case nothing older may be answered, and the record must be read again.
+    ///
+    /// # Errors
+    ///
+    /// The [`UserAnswer::RetryLater`] that is to be sent instead.
     fn answerable_phase(&self, job_index: JobIndex) -> Result<AnswerablePhase, UserAnswer> {
         let job = &self.cluster.jobs[job_index];
         if job.version == 0 {
@@ -118,7 +124,7 @@
         Ok(AnswerablePhase { phase: job.phase(running), running })
     }
 
-    /// The answer to a user whose job is accepted.
+    /// Returns the answer to the submission of an accepted job.
     pub(super) fn accepted(&self, job_index: JobIndex, created: bool) -> UserAnswer {
         match self.answerable_phase(job_index) {
             Ok(AnswerablePhase { phase, .. }) => {
@@ -128,7 +134,7 @@
         }
     }
 
-    /// The answer to a user who asks for a job.
+    /// Returns the answer to a request for the status of a job.
     pub fn status(&self, id: &str) -> UserAnswer {
         match self.cluster.job_index.get(id) {
             Some(&job_index) => self.status_of(job_index),
@@ -136,10 +142,11 @@
         }
     }
 
-    /// The same for a job that is known.
+    /// Returns the status answer for a known job.
     pub(super) fn status_of(&self, job_index: JobIndex) -> UserAnswer {
         let job = &self.cluster.jobs[job_index];
-        // All tasks may be done before the record says so; the end is answered only after its commit.
+        // All tasks may be done before the record states it. The end itself is answered only after its
+        // commit.
         let done = job.done.min(job.spec.tasks);
         match self.answerable_phase(job_index) {
             Ok(AnswerablePhase { phase, running }) => {
@@ -149,9 +156,9 @@
         }
     }
 
-    /// A cancellation; answered after its commit, or at once where that can't come
-    /// soon (`recordable` is false while the state service does not answer). What can be reached is
-    /// stopped in any case.
+    /// Handles a cancellation. It is answered after its commit, or immediately if a commit is not
+    /// possible soon (`recordable` is `false` while the state service does not answer). Reachable
+    /// attempts are stopped in any case.
     pub fn cancel(&mut self, id: &str, now: u64, recordable: bool, waiter: Waiter) {
         let Some(&job_index) = self.cluster.job_index.get(id) else {
             reply(waiter, UserAnswer::Unknown);
@@ -176,7 +183,7 @@
         }
     }
 
-    /// May one of the job's tasks be on a machine that does not answer?
+    /// Returns whether one of the job's tasks may be on a host that does not answer.
     fn may_be_unreachable(&self, job_index: JobIndex, now: u64) -> bool {
         let timeout_ms = HeartbeatTimeouts::of(&self.policy).unreachable_after_ms;
         let is_unreachable = |host: &Host| {
@@ -188,15 +195,15 @@
         self.cluster.each_host().any(|(_, host)| is_unreachable(host) && has_tasks(host))
     }
 
-    /// Cancellations whose tasks are certainly gone are to be recorded, and answered
-    /// then. Answered before, `cancel_s` would count while a machine that nobody can
-    /// reach goes on with a task, kept alive by another controller.
+    /// Queues the record of cancellations whose tasks can certainly no longer run; they are answered
+    /// after that. If they were answered earlier, `cancel_s` would elapse while an unreachable host,
+    /// whose lease another controller renews, still runs a task.
     pub(super) fn record_completed_cancellations(&mut self) {
         if self.cancelling.is_empty() {
             return;
         }
         let on_machines = self.cluster.jobs_on_machines();
-        // A completion may be in a commit under way: it goes first.
+        // A completion may be in the commit in flight and takes precedence.
         let gone = |job_index: &JobIndex| {
             !self.cluster.jobs[*job_index].saving && self.cluster.no_task_can_run(*job_index, &on_machines)
         };
