--- a/src/control/partition/attempt_phases.rs
+++ b/src/control/partition/attempt_phases.rs
@@ -19,26 +19,26 @@
         let ended = matches!(phase, TaskPhase::Ended(_));
         // Attempts first reported after the user requested the job's cancellation must be stopped as
         // well.
-        let mut wanted = job.active() && !ended && idle;
-        if wanted && job.spec.shape == Shape::Gang {
+        let mut should_run = job.active() && !ended && idle;
+        if should_run && job.spec.shape == Shape::Gang {
             if attempt > job.gang_attempt {
                 job.gang_attempt = attempt;
             }
-            wanted = attempt == job.gang_attempt;
+            should_run = attempt == job.gang_attempt;
         }
-        if wanted {
+        if should_run {
             job.tasks[key.task as usize].place = Place::On(host_index, attempt);
         }
         let spec = &self.cluster.jobs[key.job].spec;
-        let (image, gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
-        let cache = self
+        let (image, image_gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
+        let cache_gb = self
             .cluster
             .host(host_index)
             .and_then(|host| host.instance_type)
-            .map_or(0.0, |f| self.cluster.instance_types[f].cache_gb);
+            .map_or(0.0, |index| self.cluster.instance_types[index].cache_gb);
         if let Some(host) = self.cluster.host_mut(host_index) {
-            host.use_image(&image, gb, cache, now);
-            let stop = (!wanted && !ended).then_some(0.0);
+            host.use_image(&image, image_gb, cache_gb, now);
+            let stop = (!should_run && !ended).then_some(0.0);
             host.attempts.push(TaskAttempt { stop, ..TaskAttempt::sent(key, attempt, demand, now) });
         }
     }
--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -4,9 +4,9 @@
 use crate::model::{ClusterState, ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange};
 
 /// Number of failures from which a task is retried only after a pause.
-const FAILS_BEFORE_PAUSE: u16 = 2;
+const FAILURES_BEFORE_PAUSE: u16 = 2;
 /// Number of failures up to which the pause doubles with each failure.
-const LONGEST_PAUSE_FAILS: u16 = 6;
+const MAX_PAUSE_FAILURES: u16 = 6;
 
 impl Partition {
     /// Handles the end of an attempt with the given reason.
@@ -26,7 +26,7 @@
             self.attempt_completed(host_index, key, now);
             return;
         }
-        if !self.vacate_place(host_index, key, attempt) {
+        if !self.clear_place(host_index, key, attempt) {
             return;
         }
         self.reserve_capacity_of_done(host_index, key.job, now);
@@ -40,7 +40,7 @@
             _ => {}
         }
         if shape == Shape::Gang {
-            self.stop_all(key.job);
+            self.stop_all_attempts(key.job);
         }
     }
 
@@ -55,8 +55,8 @@
 
     /// Records the success of a task on a host. The host counts as healthy, and failures of the same
     /// task on other hosts are attributed to those hosts.
-    fn record_task_success(&mut self, sound: HostIndex, key: TaskKey) {
-        if let Some(host) = self.cluster.host_mut(sound) {
+    fn record_task_success(&mut self, healthy_host: HostIndex, key: TaskKey) {
+        if let Some(host) = self.cluster.host_mut(healthy_host) {
             host.failed_jobs.clear();
             host.succeeded_elsewhere = false;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Sets the task to idle if this attempt holds its place. Returns `false` if it does not.
-    fn vacate_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
+    fn clear_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
         if task.place != Place::On(host_index, attempt) {
@@ -81,8 +81,9 @@
         task.place = Place::Idle;
         // The ended attempt may belong to an urgent job, or urgent work may wait for the released
         // capacity.
-        let waited_for = self.cluster.hosts[host_index].as_ref().is_some_and(|host| !host.reservations.is_empty());
-        if waited_for {
+        let has_reservations =
+            self.cluster.hosts[host_index].as_ref().is_some_and(|host| !host.reservations.is_empty());
+        if has_reservations {
             self.scheduling_triggers.request_urgent_cycle();
         }
         self.scheduling_triggers.request_cycle_for(job.urgency);
@@ -94,26 +95,26 @@
     fn task_failed(&mut self, host_index: HostIndex, key: TaskKey, reason: ExitReason, now: u64) {
         let task = &mut self.cluster.jobs[key.job].tasks[key.task as usize];
         task.fails = task.fails.saturating_add(1);
-        if task.fails >= FAILS_BEFORE_PAUSE {
+        if task.fails >= FAILURES_BEFORE_PAUSE {
             // The task fails on every host: exponential pauses keep it from taking capacity again in
             // each cycle.
-            task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(LONGEST_PAUSE_FAILS));
+            task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(MAX_PAUSE_FAILURES));
         }
         if reason == ExitReason::Error {
-            self.assign_blame(host_index, key.job, now);
+            self.attribute_failure(host_index, key.job, now);
         }
     }
 
     /// Attributes a failure to the host, or to the job once it has failed on several hosts.
-    fn assign_blame(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
-        let hosts = self.cluster.hosts.len();
+    fn attribute_failure(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
+        let host_count = self.cluster.hosts.len();
         // The period is long enough for another host to boot.
-        let boot_s = self.cluster.instance_types.iter().map(|f| f.boot_s).fold(0.0, f64::max);
+        let boot_s = self.cluster.instance_types.iter().map(|instance_type| instance_type.boot_s).fold(0.0, f64::max);
         let job = &mut self.cluster.jobs[job_index];
         job.failed_on.insert(host_index);
         job.avoid_hosts_until_ms = now + 2 * self.policy.lease_ms + (boot_s * 1000.0) as u64;
-        let blames_job = job.failed_on.len() > 1 || hosts == 1;
-        if blames_job {
+        let job_at_fault = job.failed_on.len() > 1 || host_count == 1;
+        if job_at_fault {
             for host in self.cluster.hosts.iter_mut().flatten() {
                 host.failed_jobs.remove(&job_index);
             }
@@ -125,18 +126,18 @@
     /// Marks tasks as done and schedules the write of the job's record.
     pub(super) fn tasks_done(&mut self, job_index: JobIndex, tasks: &[u32], now: u64) {
         let job = &mut self.cluster.jobs[job_index];
-        let mut new = 0;
+        let mut newly_done = 0;
         for task_number in tasks {
             let task = &mut job.tasks[*task_number as usize];
             if task.place != Place::Done {
                 task.place = Place::Done;
-                new += 1;
+                newly_done += 1;
             }
         }
-        if new == 0 || job.end.is_some() {
+        if newly_done == 0 || job.end.is_some() {
             return;
         }
-        job.done += new;
+        job.done += newly_done;
         let job_is_array = job.spec.shape == Shape::Batch;
         if job.done >= job.spec.tasks {
             // A cancellation whose write is pending takes precedence; otherwise the job is done.
@@ -171,11 +172,11 @@
 
     /// Stops all attempts of a job without a grace period: the job is over, or it is a gang that lost a
     /// task and whose other tasks must stop before the next attempt.
-    pub(super) fn stop_all(&mut self, job_index: JobIndex) {
+    pub(super) fn stop_all_attempts(&mut self, job_index: JobIndex) {
         for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
             let Some(host) = host else { continue };
             for attempt in host.attempts.iter_mut().filter(|attempt| attempt.key.job == job_index && !attempt.ended()) {
-                if attempt.stop_due().is_none_or(|g| g > 0.0) {
+                if attempt.stop_due().is_none_or(|grace_s| grace_s > 0.0) {
                     (attempt.stop, attempt.stop_awaits_record) = (Some(0.0), false);
                     self.dispatch_queue.insert(host_index);
                 }
@@ -186,8 +187,8 @@
     /// Removes an attempt that is certainly no longer on the host.
     pub(super) fn remove_attempt(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
-        let ended = host.attempt_mut(key, attempt).is_some_and(|own| own.ended());
-        host.attempts.retain(|own| own.key != key || own.attempt != attempt);
+        let ended = host.attempt_mut(key, attempt).is_some_and(|stored| stored.ended());
+        host.attempts.retain(|stored| stored.key != key || stored.attempt != attempt);
         self.scheduling_triggers.request_cycle();
         self.attempt_lost(host_index, key, attempt, ended);
     }
@@ -201,7 +202,7 @@
             self.scheduling_triggers.request_cycle_for(job.urgency);
             self.metrics.count("tasks_lost", &job.spec.class);
             if !ended && job.spec.shape == Shape::Gang {
-                self.stop_all(key.job);
+                self.stop_all_attempts(key.job);
             }
         }
     }
--- a/src/control/partition/commit_builder.rs
+++ b/src/control/partition/commit_builder.rs
@@ -4,9 +4,9 @@
 use crate::wire::{Condition, Write};
 
 /// Upper bound, in bytes, of the changes of one commit. The protocol allows 64 KiB.
-const COMMIT_BYTES: usize = 48 * 1024;
+const MAX_COMMIT_BYTES: usize = 48 * 1024;
 /// Overhead of a change in a commit, in bytes, without its value and its key, which occurs twice.
-const CHANGE_BYTES: usize = 64;
+const CHANGE_OVERHEAD_BYTES: usize = 64;
 
 /// A write and the condition under which it is carried out.
 pub(super) struct ConditionalWrite {
@@ -37,20 +37,20 @@
 
     /// Returns whether the commit exceeds the maximum size in bytes.
     pub(super) fn is_over_size(&self) -> bool {
-        self.bytes > COMMIT_BYTES
+        self.bytes > MAX_COMMIT_BYTES
     }
 
     /// Returns the number of further changes that the commit may hold, or `None` if job records already
     /// take up half of its size, in which case no records of pools or loans may be added.
     pub(super) fn changes_left_for_reservations(&self) -> Option<usize> {
         let left = self.max_changes.saturating_sub(self.commit.writes.len());
-        (self.bytes <= COMMIT_BYTES / 2).then_some(left)
+        (self.bytes <= MAX_COMMIT_BYTES / 2).then_some(left)
     }
 
     /// Adds the size of a job's record to that of the commit. Returns `false` if the record does not fit
     /// next to the changes already in the commit; a record always fits into an empty commit.
     pub(super) fn reserve_job_record(&mut self, key: &str, value_bytes: usize) -> bool {
-        self.bytes += value_bytes + 2 * key.len() + CHANGE_BYTES;
+        self.bytes += value_bytes + 2 * key.len() + CHANGE_OVERHEAD_BYTES;
         !self.is_over_size() || self.commit.writes.is_empty()
     }
 
@@ -69,7 +69,7 @@
     /// Adds the changes of the pools or of the loans as a group that is written atomically.
     pub(super) fn add_group(&mut self, changes: Vec<ConditionalWrite>, pending: PendingWrite) {
         for ConditionalWrite { condition, write } in changes {
-            self.bytes += write.to_string().len() + CHANGE_BYTES;
+            self.bytes += write.to_string().len() + CHANGE_OVERHEAD_BYTES;
             self.commit.conditions.push(condition);
             self.commit.writes.push(write);
         }
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -46,12 +46,12 @@
         let failed = match result {
             CommitOutcome::Done { revision } => {
                 self.commit_queue.raise_max_changes();
-                pending.into_iter().for_each(|s| self.written(s, revision));
+                pending.into_iter().for_each(|write| self.write_succeeded(write, revision));
                 return Ok(Vec::new());
             }
             CommitOutcome::Conflict { failed } => failed,
             CommitOutcome::NotTaken => {
-                self.commit_not_taken(&pending);
+                self.handle_rejected_commit(&pending);
                 Vec::new()
             }
             CommitOutcome::Refused | CommitOutcome::Throttled | CommitOutcome::Indeterminate => Vec::new(),
@@ -60,7 +60,7 @@
             let reread = conflict && matches!(write, PendingWrite::Pools | PendingWrite::Loans);
             let failure =
                 if indeterminate || reread { WriteFailure::Indeterminate } else { WriteFailure::NotCarriedOut };
-            self.not_written(write, failure);
+            self.write_failed(write, failure);
         }
         if failed.iter().any(|key| key == self.epoch.partition_key()) {
             return Err(Superseded);
@@ -71,7 +71,7 @@
     /// Reduces the size of the next commits after the state service rejected one. If the rejected commit
     /// held a single job record, that record is retried after one lease so that it does not block other
     /// writes.
-    fn commit_not_taken(&mut self, pending: &[PendingWrite]) {
+    fn handle_rejected_commit(&mut self, pending: &[PendingWrite]) {
         self.metrics.count("limits_met", "commit_size");
         if !self.commit_queue.lower_max_changes(pending.len()) {
             return;
@@ -100,7 +100,7 @@
     }
 
     /// Applies a change that was carried out.
-    fn written(&mut self, pending: PendingWrite, revision: u64) {
+    fn write_succeeded(&mut self, pending: PendingWrite, revision: u64) {
         match pending {
             PendingWrite::Job(write) => {
                 self.cluster.jobs[write.job].recorded_done = write.done;
@@ -125,11 +125,11 @@
     }
 
     /// Queues a change again that was not, or possibly not, carried out.
-    fn not_written(&mut self, pending: PendingWrite, failure: WriteFailure) {
+    fn write_failed(&mut self, pending: PendingWrite, failure: WriteFailure) {
         match pending {
-            PendingWrite::Job(write) => self.job_not_written(&write, failure),
+            PendingWrite::Job(write) => self.job_write_failed(&write, failure),
             PendingWrite::Host(host_index) | PendingWrite::TransferredHost { host: host_index, .. } => {
-                self.host_not_written(host_index, failure);
+                self.host_write_failed(host_index, failure);
             }
             PendingWrite::Pools => self.pools_not_written(failure),
             PendingWrite::Loans => self.loans_not_written(failure),
@@ -139,7 +139,7 @@
         }
     }
 
-    fn job_not_written(&mut self, write: &JobWrite, failure: WriteFailure) {
+    fn job_write_failed(&mut self, write: &JobWrite, failure: WriteFailure) {
         let job = &mut self.cluster.jobs[write.job];
         let change = write.change;
         job.saving = false;
@@ -156,7 +156,7 @@
         self.commit_queue.mark_job(write.job);
     }
 
-    fn host_not_written(&mut self, host_index: HostIndex, failure: WriteFailure) {
+    fn host_write_failed(&mut self, host_index: HostIndex, failure: WriteFailure) {
         self.commit_queue.mark_host(host_index);
         if failure == WriteFailure::Indeterminate {
             self.commit_queue.set_indeterminate_host_write(self.epoch.partition_version());
@@ -171,7 +171,7 @@
         // Earlier writes are conditional on an older version and can no longer be carried out.
         job.end_indeterminate = false;
         match change {
-            UnsavedChange::End(end) => self.ended(job_index, end),
+            UnsavedChange::End(end) => self.apply_job_end(job_index, end),
             UnsavedChange::Creation => {
                 self.scheduling_triggers.request_cycle();
                 self.scheduling_triggers.request_cycle_for(job.urgency);
@@ -193,7 +193,7 @@
     }
 
     /// Applies the end of a job as stated by its record. An end never changes: the first one is kept.
-    pub(super) fn ended(&mut self, job_index: JobIndex, end: JobEnd) {
+    pub(super) fn apply_job_end(&mut self, job_index: JobIndex, end: JobEnd) {
         let job = &mut self.cluster.jobs[job_index];
         job.unsaved = UnsavedChange::Nothing;
         self.commit_queue.unmark_job(job_index);
@@ -212,8 +212,8 @@
         job.retire();
         self.cancelling.remove(&job_index);
         if !job.waiting {
-            self.cluster.live.retain(|l| *l != job_index);
-            self.stop_all(job_index);
+            self.cluster.live.retain(|live| *live != job_index);
+            self.stop_all_attempts(job_index);
         }
         let open = self.dependencies.remove_waiting(job_index);
         self.release_dependencies(&open);
@@ -227,7 +227,7 @@
     fn creation_confirmed(&mut self, job_index: JobIndex, created: bool) {
         let submitters = self.waiting_clients.take_submitters(job_index);
         self.cancel_if_dependency_cancelled(job_index);
-        let answer = self.accepted(job_index, created);
+        let answer = self.acceptance_answer(job_index, created);
         for waiter in submitters {
             reply(waiter, answer.clone());
         }
@@ -235,7 +235,7 @@
 
     /// Answers all clients that wait for the job with its end.
     fn notify_job_end(&mut self, job_index: JobIndex) {
-        let answer = self.status_of(job_index);
+        let answer = self.status_answer(job_index);
         self.waiting_clients.answer_all(job_index, &answer);
     }
 
@@ -255,7 +255,7 @@
         job.end_indeterminate &= item.version == job.version;
         job.version = item.version;
         if let Some(end) = record.end {
-            self.ended(job_index, end);
+            self.apply_job_end(job_index, end);
             return;
         }
         if created {
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -22,38 +22,41 @@
 
 /// Urgency and deadline that a job must meet for its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct DependentNeeds {
+struct DependentRequirements {
     urgency: Urgency,
     needed_by_ms: Option<u64>,
 }
 
-impl DependentNeeds {
-    fn of(job: &Job) -> DependentNeeds {
-        DependentNeeds { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
+impl DependentRequirements {
+    fn of(job: &Job) -> DependentRequirements {
+        DependentRequirements { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
     }
 
     /// Returns the requirements for a job without dependents.
-    fn to_nobody(job: &Job) -> DependentNeeds {
-        DependentNeeds { urgency: job.spec.urgency, needed_by_ms: None }
+    fn without_dependents(job: &Job) -> DependentRequirements {
+        DependentRequirements { urgency: job.spec.urgency, needed_by_ms: None }
     }
 
     /// Combines both requirements: the higher urgency and the earlier deadline.
-    fn and(self, other: DependentNeeds) -> DependentNeeds {
+    fn and(self, other: DependentRequirements) -> DependentRequirements {
         let deadlines = [self.needed_by_ms, other.needed_by_ms];
-        DependentNeeds { urgency: self.urgency.max(other.urgency), needed_by_ms: deadlines.into_iter().flatten().min() }
+        DependentRequirements {
+            urgency: self.urgency.max(other.urgency),
+            needed_by_ms: deadlines.into_iter().flatten().min(),
+        }
     }
 }
 
 impl Partition {
     /// Propagates the deadline and urgency of a job that waits for dependencies to its dependencies,
     /// directly and transitively.
-    pub(super) fn propagate_needs(&mut self, job_index: JobIndex) {
+    pub(super) fn propagate_requirements(&mut self, job_index: JobIndex) {
         let mut changed = vec![job_index];
         while let Some(dependent) = changed.pop() {
-            let asked = self.needs_of(dependent);
+            let requirements = self.requirements_for_dependencies(dependent);
             for dependency in self.internal_dependencies(dependent) {
                 let job = &self.cluster.jobs[dependency];
-                if self.set_needs(dependency, DependentNeeds::of(job).and(asked)) {
+                if self.set_requirements(dependency, DependentRequirements::of(job).and(requirements)) {
                     changed.push(dependency);
                 }
             }
@@ -65,21 +68,26 @@
     pub(super) fn release_dependencies(&mut self, ids: &BTreeSet<String>) {
         let mut open: Vec<JobIndex> = ids.iter().filter_map(|id| self.cluster.job_index.get(id).copied()).collect();
         while let Some(dependency) = open.pop() {
-            if self.recompute_needs(dependency) {
+            if self.recompute_requirements(dependency) {
                 open.extend(self.internal_dependencies(dependency));
             }
         }
     }
 
     /// Recomputes a job's requirements from all its dependents. Returns whether they have changed.
-    pub(super) fn recompute_needs(&mut self, job_index: JobIndex) -> bool {
+    pub(super) fn recompute_requirements(&mut self, job_index: JobIndex) -> bool {
         let job = &self.cluster.jobs[job_index];
         if job.end.is_some() {
             return false;
         }
-        let asked = self.dependencies.graph().dependents(&job.spec.id).map(|dependent| self.needs_of(dependent));
-        let needs = asked.fold(DependentNeeds::to_nobody(job), DependentNeeds::and);
-        self.set_needs(job_index, needs)
+        let from_dependents = self
+            .dependencies
+            .graph()
+            .dependents(&job.spec.id)
+            .map(|dependent| self.requirements_for_dependencies(dependent));
+        let requirements =
+            from_dependents.fold(DependentRequirements::without_dependents(job), DependentRequirements::and);
+        self.set_requirements(job_index, requirements)
     }
 
     fn internal_dependencies(&self, job_index: JobIndex) -> Vec<JobIndex> {
@@ -88,18 +96,21 @@
     }
 
     /// Returns the requirements of a waiting job for its dependencies.
-    fn needs_of(&self, dependent: JobIndex) -> DependentNeeds {
+    fn requirements_for_dependencies(&self, dependent: JobIndex) -> DependentRequirements {
         let job = &self.cluster.jobs[dependent];
         let margin_ms = (self.duration_ms(&job.spec) as f64 * ESTIMATE_MARGIN) as u64;
-        DependentNeeds { urgency: job.urgency, needed_by_ms: job.due_ms().map(|due| due.saturating_sub(margin_ms)) }
+        DependentRequirements {
+            urgency: job.urgency,
+            needed_by_ms: job.due_ms().map(|due| due.saturating_sub(margin_ms)),
+        }
     }
 
-    fn set_needs(&mut self, job_index: JobIndex, needs: DependentNeeds) -> bool {
+    fn set_requirements(&mut self, job_index: JobIndex, requirements: DependentRequirements) -> bool {
         let job = &mut self.cluster.jobs[job_index];
-        if job.end.is_some() || DependentNeeds::of(job) == needs {
+        if job.end.is_some() || DependentRequirements::of(job) == requirements {
             return false;
         }
-        (job.urgency, job.needed_by_ms) = (needs.urgency, needs.needed_by_ms);
+        (job.urgency, job.needed_by_ms) = (requirements.urgency, requirements.needed_by_ms);
         self.scheduling_triggers.request_cycle();
         if !job.waiting {
             self.scheduling_triggers.request_cycle_for(job.urgency);
@@ -123,8 +134,12 @@
         if self.dependencies.graph().is_empty() {
             return Vec::new();
         }
-        let mut forecast =
-            CompletionForecast { partition: self, began_ms: self.began_ms(), now, until_done_ms: HashMap::new() };
+        let mut forecast = CompletionForecast {
+            partition: self,
+            first_order_ms: self.first_order_ms(),
+            now,
+            until_done_ms: HashMap::new(),
+        };
         let waiting = self.dependencies.graph().waiting().filter(|job| {
             let job = &self.cluster.jobs[*job];
             job.version > 0 && job.end.is_none() && !job.cancelling
@@ -136,7 +151,7 @@
     }
 
     /// Returns, for each job, the instant at which the first of its current attempts was ordered.
-    fn began_ms(&self) -> HashMap<JobIndex, u64> {
+    fn first_order_ms(&self) -> HashMap<JobIndex, u64> {
         let mut began = HashMap::new();
         for attempt in self.cluster.each_host().flat_map(|(_, host)| host.attempts.iter()) {
             let first = began.entry(attempt.key.job).or_insert(attempt.since_ms);
@@ -149,7 +164,7 @@
 /// Forecast of the completion times of jobs.
 struct CompletionForecast<'a> {
     partition: &'a Partition,
-    began_ms: HashMap<JobIndex, u64>,
+    first_order_ms: HashMap<JobIndex, u64>,
     now: u64,
     /// Milliseconds until each job is done; `None` if unknown.
     until_done_ms: HashMap<JobIndex, Option<u64>>,
@@ -159,15 +174,15 @@
     /// Returns the milliseconds until the last dependency of a waiting job is done; `None` if unknown.
     fn until_start_ms(&mut self, job_index: JobIndex) -> Option<u64> {
         let ids: Vec<&str> = self.partition.dependencies.graph().dependencies(job_index).collect();
-        let mut last = 0;
+        let mut last_ms = 0;
         for id in ids {
             let dependency = *self.partition.cluster.job_index.get(id)?;
-            last = last.max(self.until_done(dependency)?);
+            last_ms = last_ms.max(self.time_until_done_ms(dependency)?);
         }
-        Some(last)
+        Some(last_ms)
     }
 
-    fn until_done(&mut self, job_index: JobIndex) -> Option<u64> {
+    fn time_until_done_ms(&mut self, job_index: JobIndex) -> Option<u64> {
         if let Some(known) = self.until_done_ms.get(&job_index) {
             return *known;
         }
@@ -176,15 +191,15 @@
         self.until_done_ms.insert(job_index, None);
         let job = &self.partition.cluster.jobs[job_index];
         let duration_ms = self.partition.duration_ms(&job.spec);
-        let until_done = if job.cancelling {
+        let time_until_done = if job.cancelling {
             None
         } else if job.waiting {
             self.until_start_ms(job_index).map(|ms| ms + duration_ms)
         } else {
-            let ran_ms = self.began_ms.get(&job_index).map_or(0, |began| self.now.saturating_sub(*began));
+            let ran_ms = self.first_order_ms.get(&job_index).map_or(0, |began| self.now.saturating_sub(*began));
             Some(duration_ms.saturating_sub(ran_ms))
         };
-        self.until_done_ms.insert(job_index, until_done);
-        until_done
+        self.until_done_ms.insert(job_index, time_until_done);
+        time_until_done
     }
 }
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -117,7 +117,7 @@
         match end {
             Some(end) => self.dependency_ended(&id, end),
             None => {
-                self.recompute_needs(job_index);
+                self.recompute_requirements(job_index);
                 self.register_dependencies(job_index);
             }
         }
@@ -130,8 +130,8 @@
             return;
         }
         let mut open = Vec::new();
-        let names: Vec<String> = job.spec.dependencies.iter().map(String::from).collect();
-        for id in names {
+        let ids: Vec<String> = job.spec.dependencies.iter().map(String::from).collect();
+        for id in ids {
             if self.dependency_state(&id) != DependencyState::Done {
                 if !self.cluster.job_index.contains_key(&id) {
                     self.dependencies.external.insert(id.clone());
@@ -144,7 +144,7 @@
             return;
         }
         self.dependencies.graph.add(job_index, open);
-        self.propagate_needs(job_index);
+        self.propagate_requirements(job_index);
         self.cancel_if_dependency_cancelled(job_index);
     }
 
@@ -201,8 +201,8 @@
     /// Cancels the job if one of its dependencies is recorded as cancelled.
     pub(super) fn cancel_if_dependency_cancelled(&mut self, job_index: JobIndex) {
         let is_cancelled = |id: &str| self.dependency_state(id) == DependencyState::Cancelled;
-        let follows = self.dependencies.graph.dependencies(job_index).any(is_cancelled);
-        if follows && self.cluster.jobs[job_index].version > 0 {
+        let has_cancelled_dependency = self.dependencies.graph.dependencies(job_index).any(is_cancelled);
+        if has_cancelled_dependency && self.cluster.jobs[job_index].version > 0 {
             self.cancel_dependent(job_index);
             let id = self.cluster.jobs[job_index].spec.id.clone();
             self.cancel_dependents(&id);
--- a/src/control/partition/direct_commands.rs
+++ b/src/control/partition/direct_commands.rs
@@ -4,7 +4,7 @@
 //! fencing token, a new agent epoch has begun, or the host is terminated. Until then the attempts of the
 //! command keep the token under which they may still start (`indeterminate_order_token`).
 
-use super::heartbeats::REPLY_ORDERS;
+use super::heartbeats::MAX_ORDERS_PER_REPLY;
 use super::{DirectCommand, DirectCommandOutcome, Partition, StatusSource, task_orders};
 use crate::model::{HostIndex, UNREACHABLE_AFTER_MISSES};
 use crate::wire::Order;
@@ -42,7 +42,7 @@
                 attempt.in_flight |= matches!(order, Order::Run { .. });
                 orders.push(order);
             }
-            if orders.len() >= REPLY_ORDERS {
+            if orders.len() >= MAX_ORDERS_PER_REPLY {
                 break;
             }
         }
@@ -62,7 +62,7 @@
 
     /// Applies the outcome of a direct command.
     pub fn direct_command_done(&mut self, command: &DirectCommand, result: DirectCommandOutcome, now: u64) {
-        let retry = now + self.policy.react_ms / RETRY_DIVISOR;
+        let retry_at_ms = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(host) = self.cluster.host_mut(command.host).filter(|host| host.id == command.id) else { return };
         host.do_in_flight = false;
         for attempt in host.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
@@ -81,7 +81,7 @@
                 self.queue_follow_up_command(command.host, now);
             }
             DirectCommandOutcome::NotSent | DirectCommandOutcome::Indeterminate => {
-                host.do_after_ms = retry;
+                host.do_after_ms = retry_at_ms;
                 host.unanswered_probes = host.unanswered_probes.saturating_add(1);
             }
         }
--- a/src/control/partition/drain.rs
+++ b/src/control/partition/drain.rs
@@ -13,8 +13,8 @@
         host.draining = true;
         tracing::info!(host = host.id, moves = drain.migrations.len(), "draining host");
         for Migration { key, attempt, .. } in &drain.migrations {
-            if let Some(own) = host.attempt_mut(*key, *attempt) {
-                (own.stop, own.stop_awaits_record) = (Some(0.0), false);
+            if let Some(stored) = host.attempt_mut(*key, *attempt) {
+                (stored.stop, stored.stop_awaits_record) = (Some(0.0), false);
             }
         }
         self.dispatch_queue.insert(drain.host);
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -54,9 +54,9 @@
     }
 }
 
-/// Result of a survey of all hosts.
+/// Classification of all hosts by their heartbeats.
 #[derive(Debug, Default)]
-struct HeartbeatSurvey {
+struct HostClassification {
     /// Hosts whose lease has certainly expired.
     expired: Vec<HostIndex>,
     /// Hosts to be terminated, unless their zone is partitioned.
@@ -82,50 +82,57 @@
     /// Excludes a pause of this node itself from the age of the heartbeats. During such a pause the
     /// hosts were not silent: heartbeats that they sent meanwhile are still to be read.
     fn exclude_own_pause(&mut self, cluster: &mut ClusterState, react_ms: u64, now: u64) {
-        let gap_ms = now.saturating_sub(self.last_run_ms);
+        let pause_ms = now.saturating_sub(self.last_run_ms);
         self.last_run_ms = now;
-        if gap_ms <= 2 * react_ms {
+        if pause_ms <= 2 * react_ms {
             return;
         }
         for host in cluster.hosts.iter_mut().flatten() {
-            host.last_heartbeat_ms = (host.last_heartbeat_ms + gap_ms).min(now);
+            host.last_heartbeat_ms = (host.last_heartbeat_ms + pause_ms).min(now);
             host.unanswered_probes = 0;
         }
     }
 }
 
 /// Classifies all hosts by the age of their heartbeats, their leases and their unanswered probes.
-fn survey(cluster: &ClusterState, policy: &Policy, now: u64, unbound_ms: u64) -> HeartbeatSurvey {
+fn classify_hosts(
+    cluster: &ClusterState,
+    policy: &Policy,
+    now: u64,
+    leases_renewable_until_ms: u64,
+) -> HostClassification {
     let timeouts = HeartbeatTimeouts::of(policy);
-    let mut survey = HeartbeatSurvey::default();
+    let mut classification = HostClassification::default();
     let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
     for (host_index, host) in cluster.each_host().filter(|(_, host)| !host.terminating) {
         let suspect = now.saturating_sub(host.last_heartbeat_ms) > timeouts.suspect_after_ms;
         if host.confirmed() {
-            if is_lease_expired(host, policy, now, unbound_ms) {
-                survey.expired.push(host_index);
+            if is_lease_expired(host, policy, now, leases_renewable_until_ms) {
+                classification.expired.push(host_index);
             }
             let zone = zones.entry(&host.zone).or_default();
             zone.all += 1;
             zone.suspect += usize::from(suspect || host.unanswered_probes >= UNREACHABLE_AFTER_MISSES);
         }
         if is_unreachable(host, policy, now) {
-            survey.unreachable.push(host_index);
+            classification.unreachable.push(host_index);
         }
         // After a failover most workers look for this leader at other addresses first, so all hosts that
         // have not confirmed its token are probed at once.
         let awaits_token = !host.token_confirmed() && !confirms_token_soon(host, policy, now);
         if suspect || host.unanswered_probes > 0 || awaits_token {
-            survey.to_probe.push(host_index);
+            classification.to_probe.push(host_index);
         }
     }
     // Hosts with unanswered probes come last, because not all hosts may be probed at once.
-    survey.to_probe.sort_by_key(|host_index| cluster.host(*host_index).map_or(0, |host| host.unanswered_probes));
+    classification
+        .to_probe
+        .sort_by_key(|host_index| cluster.host(*host_index).map_or(0, |host| host.unanswered_probes));
     // If many hosts of a zone are suspect together, the zone or this node is probably partitioned. The
     // first of these hosts must not be terminated before the others show this.
     let partitioned = zones.into_iter().filter(|(_, health)| health.is_partitioned());
-    survey.partitioned_zones = partitioned.map(|(zone, _)| zone.into()).collect();
-    survey
+    classification.partitioned_zones = partitioned.map(|(zone, _)| zone.into()).collect();
+    classification
 }
 
 /// Returns whether the worker was sent this leader's token so recently that its next heartbeat will
@@ -139,10 +146,10 @@
 ///
 /// Only here are tasks released without confirmation by the cloud: after the full lease by the slowest
 /// clock, counted from the last instant at which any controller may have renewed it.
-fn is_lease_expired(host: &Host, policy: &Policy, now: u64, unbound_ms: u64) -> bool {
+fn is_lease_expired(host: &Host, policy: &Policy, now: u64, leases_renewable_until_ms: u64) -> bool {
     let expired_after_ms = (policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + policy.react_ms;
-    let holds = !host.attempts.is_empty() || !host.reconciled;
-    holds && now > host.lease_renewed_ms.max(unbound_ms) + expired_after_ms
+    let may_hold_tasks = !host.attempts.is_empty() || !host.reconciled;
+    may_hold_tasks && now > host.lease_renewed_ms.max(leases_renewable_until_ms) + expired_after_ms
 }
 
 /// Returns whether orders no longer reach the host. This can also hold for a host that sends heartbeats.
@@ -160,13 +167,13 @@
     ///
     /// `leases_renewable_until_ms` is the instant until which another controller may have renewed
     /// leases.
-    pub fn detect_failures(&mut self, now: u64, unbound_ms: u64) -> DetectedFailures {
+    pub fn detect_failures(&mut self, now: u64, leases_renewable_until_ms: u64) -> DetectedFailures {
         self.failure_detector.exclude_own_pause(&mut self.cluster, self.policy.react_ms, now);
         self.running_counts.refresh(&self.cluster);
-        let survey = survey(&self.cluster, &self.policy, now, unbound_ms);
-        self.expire_leases(survey.expired);
-        let to_terminate = self.terminate_unreachable(survey.unreachable, &survey.partitioned_zones);
-        DetectedFailures { to_terminate, to_probe: survey.to_probe }
+        let classification = classify_hosts(&self.cluster, &self.policy, now, leases_renewable_until_ms);
+        self.expire_leases(classification.expired);
+        let to_terminate = self.terminate_unreachable(classification.unreachable, &classification.partitioned_zones);
+        DetectedFailures { to_terminate, to_probe: classification.to_probe }
     }
 
     /// Releases all attempts on hosts whose leases have expired.
@@ -186,8 +193,8 @@
     fn terminate_unreachable(&mut self, unreachable: Vec<HostIndex>, partitioned: &HashSet<String>) -> Vec<String> {
         let mut to_terminate = Vec::new();
         for host_index in unreachable {
-            let is_alone = |host: &&mut Host| !host.confirmed() || !partitioned.contains(&host.zone);
-            let Some(host) = self.cluster.host_mut(host_index).filter(is_alone) else { continue };
+            let may_terminate = |host: &&mut Host| !host.confirmed() || !partitioned.contains(&host.zone);
+            let Some(host) = self.cluster.host_mut(host_index).filter(may_terminate) else { continue };
             host.terminating = true;
             tracing::info!(host = host.id, "host unreachable, terminating it");
             to_terminate.push(host.id.clone());
@@ -213,9 +220,9 @@
             let has_reported = host.agent_epoch > 0;
             if has_reported || host.unanswered_probes >= UNREACHABLE_AFTER_MISSES {
                 known += 1;
-                let patience_ms = if has_reported { self.policy.react_ms } else { 0 };
+                let tolerance_ms = if has_reported { self.policy.react_ms } else { 0 };
                 let silent_ms = now.saturating_sub(host.last_heartbeat_ms);
-                silent += usize::from(silent_ms > suspect_after_ms + patience_ms);
+                silent += usize::from(silent_ms > suspect_after_ms + tolerance_ms);
             }
         }
         known >= MIN_KNOWN_HOSTS && known * 2 >= all && silent * 3 >= known * 2
--- a/src/control/partition/heartbeat_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -3,14 +3,14 @@
 use crate::settings::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
 
 /// Number of heartbeat intervals over which a rate is measured.
-const MEASURED_HEARTBEATS: u64 = 3;
+const RATE_WINDOW_HEARTBEATS: u64 = 3;
 const MS_PER_S: f64 = 1000.0;
 
 /// Counter of the entries that heartbeats list for attempts.
 #[derive(Debug)]
 pub(super) struct HeartbeatLoad {
     heartbeat_interval_ms: u64,
-    began_ms: u64,
+    window_start_ms: u64,
     entries: u64,
     entries_per_attempt_s: f64,
 }
@@ -21,7 +21,7 @@
     pub(super) fn new(heartbeat_interval_ms: u64) -> HeartbeatLoad {
         HeartbeatLoad {
             heartbeat_interval_ms: heartbeat_interval_ms.max(1),
-            began_ms: 0,
+            window_start_ms: 0,
             entries: 0,
             entries_per_attempt_s: MOST_ENTRIES_PER_S,
         }
@@ -35,10 +35,10 @@
     /// Returns the maximum number of attempts that the leader can track. `attempts` is the current
     /// number, `now` is in milliseconds.
     pub(super) fn most_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
-        let measured_ms = now.saturating_sub(self.began_ms);
-        if measured_ms >= MEASURED_HEARTBEATS * self.heartbeat_interval_ms {
-            self.measure(attempts, measured_ms);
-            self.began_ms = now;
+        let window_ms = now.saturating_sub(self.window_start_ms);
+        if window_ms >= RATE_WINDOW_HEARTBEATS * self.heartbeat_interval_ms {
+            self.measure(attempts, window_ms);
+            self.window_start_ms = now;
             self.entries = 0;
         }
         bounds.most(self.entries_per_attempt_s)
@@ -46,10 +46,10 @@
 
     /// Updates the rate from the entries of the last window. Each attempt is listed at least once per
     /// heartbeat interval, so the rate does not fall below that even if no heartbeat came.
-    fn measure(&mut self, attempts: usize, measured_ms: u64) {
-        let least = MS_PER_S / self.heartbeat_interval_ms as f64;
-        let entries_per_s = self.entries as f64 * MS_PER_S / measured_ms as f64;
-        let measured = entries_per_s / attempts.max(1) as f64;
-        self.entries_per_attempt_s = measured.max(least).min(MOST_ENTRIES_PER_S);
+    fn measure(&mut self, attempts: usize, window_ms: u64) {
+        let min_rate = MS_PER_S / self.heartbeat_interval_ms as f64;
+        let entries_per_s = self.entries as f64 * MS_PER_S / window_ms as f64;
+        let rate = entries_per_s / attempts.max(1) as f64;
+        self.entries_per_attempt_s = rate.max(min_rate).min(MOST_ENTRIES_PER_S);
     }
 }
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Heartbeat, Order, TaskStatus};
 
 /// Maximum number of orders in one reply, which keeps a line under 64 KiB.
-pub(super) const REPLY_ORDERS: usize = 400;
+pub(super) const MAX_ORDERS_PER_REPLY: usize = 400;
 
 /// Position of a heartbeat in the order in which its host sent them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,8 +66,8 @@
         self.missing_tasks(host_index, heartbeat, source);
         self.apply_slot_statuses(host_index, heartbeat, now);
         self.release_ended_claims(now);
-        if let Some(left_s) = change.notice_s {
-            self.stop_tasks_before_preemption(host_index, left_s, now);
+        if let Some(remaining_s) = change.notice_s {
+            self.stop_tasks_before_preemption(host_index, remaining_s, now);
         }
         if source == StatusSource::Heartbeat {
             orders.extend(self.slot_orders(host_index));
@@ -184,13 +184,13 @@
 
     /// Stops the array tasks that would probably not end before the preemption of the host, so that they
     /// restart elsewhere now rather than after its loss.
-    pub(super) fn stop_tasks_before_preemption(&mut self, host_index: HostIndex, left_s: f64, now: u64) {
+    pub(super) fn stop_tasks_before_preemption(&mut self, host_index: HostIndex, remaining_s: f64, now: u64) {
         let ClusterState { jobs, hosts, .. } = &mut self.cluster;
         let Some(host) = hosts[host_index].as_mut() else { return };
         for attempt in host.attempts.iter_mut().filter(|attempt| !attempt.ended() && attempt.stop.is_none()) {
             let spec = &jobs[attempt.key.job].spec;
             let ran_s = now.saturating_sub(attempt.since_ms) as f64 / 1000.0;
-            if spec.shape == Shape::Batch && spec.expected_s - ran_s > left_s {
+            if spec.shape == Shape::Batch && spec.expected_s - ran_s > remaining_s {
                 attempt.stop = Some(spec.grace_s());
                 self.dispatch_queue.insert(host_index);
             }
@@ -218,7 +218,7 @@
                 }
                 None => {
                     has_unknown_tasks = true;
-                    orders.push(removal(status));
+                    orders.push(order_for_unknown_task(status));
                 }
             }
         }
@@ -267,7 +267,7 @@
     /// Removes attempts that are known here but not listed in the heartbeat.
     pub(super) fn missing_tasks(&mut self, host_index: HostIndex, heartbeat: &Heartbeat, source: StatusSource) {
         let Some(host) = self.cluster.host(host_index) else { return };
-        let gone: Vec<(TaskKey, u64)> = host
+        let unlisted: Vec<(TaskKey, u64)> = host
             .attempts
             .iter()
             .filter(|attempt| {
@@ -288,7 +288,7 @@
             })
             .map(|attempt| (attempt.key, attempt.attempt))
             .collect();
-        for (key, attempt) in gone {
+        for (key, attempt) in unlisted {
             self.remove_attempt(host_index, key, attempt);
         }
     }
@@ -297,7 +297,7 @@
     pub(super) fn pending_orders(&mut self, host_index: HostIndex, orders: &mut Vec<Order>) {
         let Some(host) = self.cluster.host(host_index) else { return };
         for attempt in &host.attempts {
-            if orders.len() >= REPLY_ORDERS {
+            if orders.len() >= MAX_ORDERS_PER_REPLY {
                 break;
             }
             let job = &self.cluster.jobs[attempt.key.job];
@@ -313,7 +313,7 @@
 }
 
 /// Returns the order that removes a task that belongs to no known job.
-fn removal(status: &TaskStatus) -> Order {
+fn order_for_unknown_task(status: &TaskStatus) -> Order {
     match status.phase() {
         TaskPhase::Ended(_) => Order::Reap { task: status.task.clone(), attempt: status.attempt },
         _ => Order::Stop { task: status.task.clone(), attempt: status.attempt, grace_s: 0.0 },
--- a/src/control/partition/host_routing.rs
+++ b/src/control/partition/host_routing.rs
@@ -65,13 +65,13 @@
     /// Transfers an unused host to another partition. Returns `false` if the host is not in a state that
     /// allows it.
     pub fn transfer_host(&mut self, id: &str, to: u32) -> bool {
-        let undone = self.is_transfer_indeterminate();
+        let transfer_indeterminate = self.is_transfer_indeterminate();
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
         let Some(host) = self.cluster.host_mut(host_index) else { return false };
-        let free =
+        let unused =
             host.attempts.is_empty() && host.reservations.is_empty() && !host.do_in_flight && !host.has_unknown_tasks;
-        if !free
-            || undone
+        if !unused
+            || transfer_indeterminate
             || !host.registered
             || !host.reconciled
             || host.terminating
--- a/src/control/partition/leadership_epoch.rs
+++ b/src/control/partition/leadership_epoch.rs
@@ -4,7 +4,7 @@
 use crate::wire::{self, Condition};
 
 /// Number of low-order bits of a number that are below the fencing token it was assigned under.
-const NUMBER_BITS: u32 = 32;
+const SEQUENCE_BITS: u32 = 32;
 
 /// Identity under which the leader acts.
 ///
@@ -45,7 +45,7 @@
     /// numbers continue from that token; with the same token, the counter is unchanged.
     pub(super) fn set_fencing_token(&mut self, fencing_token: FencingToken, partition_version: u64) {
         if fencing_token > self.fencing_token {
-            self.last_number = fencing_token.0 << NUMBER_BITS;
+            self.last_number = fencing_token.0 << SEQUENCE_BITS;
         }
         self.fencing_token = fencing_token;
         self.partition_version = partition_version;
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -15,17 +15,18 @@
         self.run_scheduling_cycle(Urgency::High, now, wall);
     }
 
-    fn run_scheduling_cycle(&mut self, least: Urgency, now: u64, wall: u64) {
-        self.scheduling_triggers.begin_cycle(least);
+    fn run_scheduling_cycle(&mut self, min_urgency: Urgency, now: u64, wall: u64) {
+        self.scheduling_triggers.begin_cycle(min_urgency);
         self.refresh_unreconciled();
         self.set_ready_times(wall);
         self.stop_attempts_of_done_tasks();
-        self.bound_attempts(now);
+        self.limit_attempts(now);
         self.wall_ms = wall;
         self.reserve_warm_capacity();
         self.describe_borrowing(now, wall);
         let epoch = &mut self.epoch;
-        let decisions = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
+        let decisions =
+            scheduling::schedule(&mut self.cluster, &self.policy, now, wall, min_urgency, || epoch.next_number());
         for start in &decisions.starts {
             self.record_start(start, wall);
         }
@@ -36,14 +37,14 @@
         self.apply_loan_decisions(&decisions, now, wall);
         self.report_slot_transitions();
         tracing::debug!(
-            least = ?least,
+            least = ?min_urgency,
             hosts_examined = decisions.hosts_examined,
             starts = decisions.starts.len(),
             stops = decisions.stops.len(),
             pending_jobs = decisions.pending_jobs.len(),
             "scheduling cycle"
         );
-        self.update_pending_jobs(least, decisions);
+        self.update_pending_jobs(min_urgency, decisions);
     }
 
     /// Reserves capacity for work that is expected to arrive at these rates.
@@ -57,7 +58,7 @@
     }
 
     /// Limits the number of attempts by the measured cost of tracking the current ones.
-    fn bound_attempts(&mut self, now: u64) {
+    fn limit_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
         self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
     }
@@ -96,14 +97,14 @@
     /// Records a preemption in metrics and log, and queues its host for dispatch.
     fn record_preemption(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
-        let by = &self.cluster.jobs[stop.by].spec;
+        let preemptor = &self.cluster.jobs[stop.by].spec;
         tracing::debug!(
             job = spec.id,
             class = spec.class,
             task = stop.key.task,
             attempt = stop.attempt,
-            by = by.id,
-            by_class = by.class,
+            by = preemptor.id,
+            by_class = preemptor.class,
             "preempted"
         );
         self.metrics.count("tasks_preempted", &spec.class);
@@ -112,8 +113,13 @@
     }
 
     /// Stores the jobs that found no capacity. Jobs below `min_urgency` were not considered.
-    fn update_pending_jobs(&mut self, least: Urgency, decisions: CycleDecisions) {
-        self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, decisions.pending_jobs, decisions.hosts_examined);
+    fn update_pending_jobs(&mut self, min_urgency: Urgency, decisions: CycleDecisions) {
+        self.scheduling_triggers.end_cycle(
+            &self.cluster.jobs,
+            min_urgency,
+            decisions.pending_jobs,
+            decisions.hosts_examined,
+        );
         if !self.scheduling_triggers.pending_jobs().is_empty() {
             self.cancel_drain();
         }
@@ -123,18 +129,18 @@
     /// may hold.
     pub fn teams_within_limits(&self, now: u64) -> bool {
         let mut used = scheduling::Index::new(&self.cluster, now).usage;
-        for (team, unseen) in self.cluster.unlocated_demand() {
-            used.entry(team).or_default().add(&unseen);
+        for (team, unlocated) in self.cluster.unlocated_demand() {
+            used.entry(team).or_default().add(&unlocated);
         }
-        let none = scheduling::TeamRule::default();
-        used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&none).limit))
+        let unlimited = scheduling::TeamRule::default();
+        used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&unlimited).limit))
     }
 
     /// Returns the lowest deadline bin among the pending jobs; `None` if no jobs are pending.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
-        let bin = |job_index: &JobIndex| {
+        let deadline_bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
-        self.scheduling_triggers.pending_jobs().iter().map(bin).min()
+        self.scheduling_triggers.pending_jobs().iter().map(deadline_bin).min()
     }
 }
--- a/src/control/partition/scheduling_triggers.rs
+++ b/src/control/partition/scheduling_triggers.rs
@@ -51,9 +51,9 @@
     }
 
     /// Notes the start of a cycle for work of at least this urgency.
-    pub(super) fn begin_cycle(&mut self, least_urgency: Urgency) {
+    pub(super) fn begin_cycle(&mut self, min_urgency: Urgency) {
         self.urgent_cycle_due = false;
-        if least_urgency == Urgency::Low {
+        if min_urgency == Urgency::Low {
             self.cycle_due = false;
         }
     }
@@ -73,11 +73,11 @@
     pub(super) fn end_cycle(
         &mut self,
         jobs: &[Job],
-        least_urgency: Urgency,
+        min_urgency: Urgency,
         pending_jobs: Vec<JobIndex>,
         hosts_examined: u64,
     ) {
-        self.pending_jobs.retain(|job_index| jobs[*job_index].urgency < least_urgency && jobs[*job_index].active());
+        self.pending_jobs.retain(|job_index| jobs[*job_index].urgency < min_urgency && jobs[*job_index].active());
         self.pending_jobs.extend(pending_jobs);
         self.hosts_examined += hosts_examined;
     }
--- a/src/control/partition/task_orders.rs
+++ b/src/control/partition/task_orders.rs
@@ -9,9 +9,9 @@
 pub(super) fn start_or_stop(job_id: &str, attempt: &TaskAttempt) -> Option<Order> {
     match (attempt.phase, attempt.stop) {
         (TaskPhase::Ended(_), _) => None,
-        (TaskPhase::Saving, Some(grace)) if grace > 0.0 => None,
+        (TaskPhase::Saving, Some(grace_s)) if grace_s > 0.0 => None,
         (_, Some(_)) if attempt.stop_awaits_record => None,
-        (_, Some(grace)) => Some(Order::stop(job_id, attempt, grace)),
+        (_, Some(grace_s)) => Some(Order::stop(job_id, attempt, grace_s)),
         (TaskPhase::Sent, None) if attempt.awaits_record => None,
         (TaskPhase::Sent, None) => Some(Order::run(job_id, attempt)),
         _ => None,
@@ -23,7 +23,7 @@
 pub(super) fn is_start_or_stop_due(attempt: &TaskAttempt) -> bool {
     match (attempt.phase, attempt.stop) {
         (TaskPhase::Ended(_), _) => false,
-        (TaskPhase::Saving, Some(grace)) => grace <= 0.0,
+        (TaskPhase::Saving, Some(grace_s)) => grace_s <= 0.0,
         (_, Some(_)) if attempt.stop_awaits_record => false,
         (phase, stop) => stop.is_some() || phase == TaskPhase::Sent,
     }
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -46,7 +46,7 @@
         if self.cluster.jobs[job_index].version == 0 {
             self.waiting_clients.await_acceptance(job_index, waiter);
         } else {
-            reply(waiter, self.accepted(job_index, false));
+            reply(waiter, self.acceptance_answer(job_index, false));
         }
     }
 
@@ -67,10 +67,10 @@
         if self.cluster.instance_types.is_empty() {
             return Some(UserAnswer::RetryLater(RefusalReason::MachineTypesUnknown));
         }
-        if let Some(why) = scheduling::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
-            return Some(match why.is_temporary(self.conditions.configuration_up_to_date) {
+        if let Some(reason) = scheduling::unschedulable_reason(spec, &self.policy, &self.cluster.instance_types) {
+            return Some(match reason.is_temporary(self.conditions.configuration_up_to_date) {
                 true => UserAnswer::RetryLater(RefusalReason::ConfigurationBehind),
-                false => UserAnswer::Unschedulable(why.to_string()),
+                false => UserAnswer::Unschedulable(reason.to_string()),
             });
         }
         if let Some(message) = self.commit_queue.limits().refuses(spec) {
@@ -125,25 +125,25 @@
     }
 
     /// Returns the answer to the submission of an accepted job.
-    pub(super) fn accepted(&self, job_index: JobIndex, created: bool) -> UserAnswer {
+    pub(super) fn acceptance_answer(&self, job_index: JobIndex, created: bool) -> UserAnswer {
         match self.answerable_phase(job_index) {
             Ok(AnswerablePhase { phase, .. }) => {
                 UserAnswer::Accepted { created, id: self.cluster.jobs[job_index].spec.id.clone(), phase }
             }
-            Err(later) => later,
+            Err(refusal) => refusal,
         }
     }
 
     /// Returns the answer to a request for the status of a job.
     pub fn status(&self, id: &str) -> UserAnswer {
         match self.cluster.job_index.get(id) {
-            Some(&job_index) => self.status_of(job_index),
+            Some(&job_index) => self.status_answer(job_index),
             None => UserAnswer::Unknown,
         }
     }
 
     /// Returns the status answer for a known job.
-    pub(super) fn status_of(&self, job_index: JobIndex) -> UserAnswer {
+    pub(super) fn status_answer(&self, job_index: JobIndex) -> UserAnswer {
         let job = &self.cluster.jobs[job_index];
         // All tasks may be done before the record states it. The end itself is answered only after its
         // commit.
@@ -152,7 +152,7 @@
             Ok(AnswerablePhase { phase, running }) => {
                 UserAnswer::Status { id: job.spec.id.clone(), phase, done, running }
             }
-            Err(later) => later,
+            Err(refusal) => refusal,
         }
     }
 
@@ -166,12 +166,12 @@
         };
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() || job.version == 0 {
-            reply(waiter, self.status_of(job_index));
+            reply(waiter, self.status_answer(job_index));
             return;
         }
         if !std::mem::replace(&mut job.cancelling, true) {
             self.reserve_capacity_of_cancelled(job_index, now);
-            self.stop_all(job_index);
+            self.stop_all_attempts(job_index);
             self.cancelling.insert(job_index);
         }
         if !recordable {
@@ -204,11 +204,11 @@
         }
         let on_machines = self.cluster.jobs_on_machines();
         // A completion may be in the commit in flight and takes precedence.
-        let gone = |job_index: &JobIndex| {
+        let cannot_run = |job_index: &JobIndex| {
             !self.cluster.jobs[*job_index].saving && self.cluster.no_task_can_run(*job_index, &on_machines)
         };
-        let settled: Vec<JobIndex> = self.cancelling.iter().copied().filter(gone).collect();
-        for job_index in settled {
+        let completed: Vec<JobIndex> = self.cancelling.iter().copied().filter(cannot_run).collect();
+        for job_index in completed {
             self.cancelling.remove(&job_index);
             let job = &mut self.cluster.jobs[job_index];
             if job.end.is_none() && !matches!(job.unsaved, UnsavedChange::End(_)) {
