--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -20,7 +20,7 @@
     ) {
         self.scheduling_triggers.request_cycle();
         let job = &self.cluster.jobs[key.job];
-        tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task ended");
+        tracing::debug!(job = job.spec.id, task = key.task, attempt, reason = ?reason, "task attempt ended");
         let shape = job.spec.shape;
         if reason == ExitReason::Done && shape != Shape::Service {
             self.attempt_completed(host_index, key, now);
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -78,7 +78,7 @@
         }
         if let [PendingWrite::Job(write)] = pending {
             let job = &mut self.cluster.jobs[write.job];
-            tracing::error!(job = job.spec.id, "the state service rejected the job's record");
+            tracing::error!(job = job.spec.id, "job record rejected by the state service, retrying after one lease");
             job.write_after_ms = self.commit_queue.last_commit_ms() + self.policy.lease_ms;
         }
     }
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -84,7 +84,7 @@
             return;
         }
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value.clone()) else {
-            tracing::error!(key = item.key, "unreadable job record");
+            tracing::error!(key = item.key, "failed to decode job record");
             return;
         };
         if self.teams.owns_team(&record.spec.team) {
@@ -231,7 +231,7 @@
         if job.end.is_some() {
             return;
         }
-        tracing::info!(job = job.spec.id, "job cancelled with a dependency");
+        tracing::info!(job = job.spec.id, "job cancelled because a dependency was cancelled");
         job.end = Some(JobEnd::Cancelled);
         job.unsaved = UnsavedChange::End(JobEnd::Cancelled);
         self.commit_queue.mark_job(job_index);
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -44,7 +44,7 @@
                     self.cluster.add_job(record.into_job(item.version, now));
                 }
             }
-            Err(error) => tracing::error!(key = item.key, %error, "unreadable job record"),
+            Err(error) => tracing::error!(key = item.key, %error, "failed to decode job record"),
         }
     }
 
@@ -58,7 +58,7 @@
             Ok(record) => {
                 self.host_directory.assign(id.to_string(), record.partition);
             }
-            Err(error) => tracing::error!(key = item.key, %error, "unreadable host record"),
+            Err(error) => tracing::error!(key = item.key, %error, "failed to decode host record"),
         }
     }
 
@@ -78,7 +78,7 @@
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
         if !self.cluster.job_index.contains_key(&record.spec.id) {
-            tracing::info!(job = record.spec.id, "job accepted by another node");
+            tracing::info!(job = record.spec.id, "added job accepted by another node");
             let mut job = record.into_job(item.version, now);
             job.fresh = true;
             let job_index = self.cluster.add_job(job);
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -181,7 +181,7 @@
         for host_index in expired {
             self.remove_all_attempts(host_index);
             if let Some(host) = self.cluster.host_mut(host_index) {
-                tracing::info!(host = host.id, "worker lease expired");
+                tracing::info!(host = host.id, "worker lease expired, attempts removed");
                 host.reconciled = true;
             }
             self.reconciliation.request_count();
@@ -196,7 +196,7 @@
             let may_terminate = |host: &&mut Host| !host.confirmed() || !partitioned.contains(&host.zone);
             let Some(host) = self.cluster.host_mut(host_index).filter(may_terminate) else { continue };
             host.terminating = true;
-            tracing::info!(host = host.id, "host unreachable, terminating it");
+            tracing::info!(host = host.id, "terminating unreachable host");
             to_terminate.push(host.id.clone());
         }
         to_terminate
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -117,7 +117,11 @@
         // The lease of an agent epoch counts from its beginning, whenever the answer was sent.
         host.lease_renewed_ms = host.lease_renewed_ms.max(now);
         if host.agent_epoch > 0 {
-            tracing::info!(host = host.id, agent_epoch = heartbeat.agent_epoch, "worker lost its lease");
+            tracing::info!(
+                host = host.id,
+                agent_epoch = heartbeat.agent_epoch,
+                "agent epoch changed, attempts of the previous epoch removed"
+            );
             self.remove_all_attempts(host_index);
         }
     }
@@ -148,7 +152,7 @@
         let notice_s = heartbeat.warning_s.filter(|_| !host.preemption_notice);
         if notice_s.is_some() {
             host.preemption_notice = true;
-            tracing::info!(host = host.id, "preemption notice");
+            tracing::info!(host = host.id, "preemption notice received");
         }
         // A worker that has seen a higher token refuses older direct commands.
         for attempt in &mut host.attempts {
@@ -170,7 +174,7 @@
                 instance_type = heartbeat.instance_type,
                 zone = heartbeat.zone,
                 spot = heartbeat.spot,
-                "host is up"
+                "new host reported"
             );
             self.commit_queue.mark_host(host_index);
         }
