--- a/src/control/partition/commit_builder.rs
+++ b/src/control/partition/commit_builder.rs
@@ -20,6 +20,7 @@
     pending: Vec<PendingWrite>,
     /// Size of the records of jobs, pools and loans in the commit, in bytes.
     bytes: usize,
+    /// Upper bound of the changes in the commit.
     max_changes: usize,
 }
 
--- a/src/control/partition/commit_queue.rs
+++ b/src/control/partition/commit_queue.rs
@@ -13,10 +13,13 @@
 /// cancellations) and creations precede everything else.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WritePriority {
+    /// The end of a job, including a cancellation.
     End,
+    /// The creation of a job.
     Creation,
     /// A cancellation that already follows from the record of another job.
     FollowedEnd,
+    /// Tasks that are done.
     Progress,
 }
 
@@ -32,20 +35,24 @@
 /// Pending writes and the commit in flight. At most one commit is in flight.
 #[derive(Debug)]
 pub(super) struct CommitQueue {
+    /// Jobs whose records are to be written.
     dirty_jobs: BTreeSet<JobIndex>,
     /// Hosts that are new or being transferred to another partition.
     dirty_hosts: BTreeSet<HostIndex>,
     /// Keys that are no longer needed and are to be deleted.
     obsolete_keys: BTreeSet<String>,
+    /// Writes of the commit in flight; `None` if there is none.
     in_flight: Option<Vec<PendingWrite>>,
     /// Version of the partition's key under which a host record was written without an answer. Such a
     /// write may be carried out late, after the host has moved to another partition or back, and undo
     /// that move. It can no longer be carried out once the version of the key has changed.
     indeterminate_host_write: Option<u64>,
+    /// Size limits of the state service.
     limits: WriteLimits,
     /// Upper bound of the changes in a commit. Reduced temporarily after the state service rejected a
     /// commit.
     max_changes: usize,
+    /// Instant, in milliseconds of the monotonic clock, at which construction of the last commit started.
     last_commit_ms: u64,
 }
 
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -139,6 +139,7 @@
         }
     }
 
+    /// Queues a job's change again that was not, or possibly not, recorded.
     fn job_write_failed(&mut self, write: &JobWrite, failure: WriteFailure) {
         let job = &mut self.cluster.jobs[write.job];
         let change = write.change;
@@ -156,6 +157,7 @@
         self.commit_queue.mark_job(write.job);
     }
 
+    /// Queues a host record again and notes an indeterminate write.
     fn host_write_failed(&mut self, host_index: HostIndex, failure: WriteFailure) {
         self.commit_queue.mark_host(host_index);
         if failure == WriteFailure::Indeterminate {
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -24,10 +24,12 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct DependentRequirements {
     urgency: Urgency,
+    /// Latest completion, in milliseconds of the time of day; `None` without a deadline.
     needed_by_ms: Option<u64>,
 }
 
 impl DependentRequirements {
+    /// Returns the requirements that the job has at present.
     fn of(job: &Job) -> DependentRequirements {
         DependentRequirements { urgency: job.urgency, needed_by_ms: job.needed_by_ms }
     }
@@ -90,6 +92,7 @@
         self.set_requirements(job_index, requirements)
     }
 
+    /// Returns the open dependencies of a job that belong to this partition.
     fn internal_dependencies(&self, job_index: JobIndex) -> Vec<JobIndex> {
         let ids = self.dependencies.graph().dependencies(job_index);
         ids.filter_map(|id| self.cluster.job_index.get(id).copied()).collect()
@@ -105,6 +108,7 @@
         }
     }
 
+    /// Sets the requirements of a job. Returns whether they have changed.
     fn set_requirements(&mut self, job_index: JobIndex, requirements: DependentRequirements) -> bool {
         let job = &mut self.cluster.jobs[job_index];
         if job.end.is_some() || DependentRequirements::of(job) == requirements {
@@ -182,6 +186,7 @@
         Some(last_ms)
     }
 
+    /// Returns the milliseconds until a job is done; `None` if unknown.
     fn time_until_done_ms(&mut self, job_index: JobIndex) -> Option<u64> {
         if let Some(known) = self.until_done_ms.get(&job_index) {
             return *known;
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -27,7 +27,9 @@
 /// The graph of waiting jobs, and the known state of jobs of other partitions.
 #[derive(Default)]
 pub(super) struct DependencyTracker {
+    /// Waiting jobs and their open dependencies.
     graph: DependencyGraph,
+    /// Known state of the dependencies that belong to other partitions.
     external: ExternalDependencies,
     /// Jobs whose last dependency was completed since the last scheduling cycle.
     ready: Vec<JobIndex>,
--- a/src/control/partition/dependency_lookups.rs
+++ b/src/control/partition/dependency_lookups.rs
@@ -27,7 +27,9 @@
 #[derive(Default)]
 pub(super) struct DependencyLookups {
     submissions: BTreeMap<u64, PendingSubmission>,
+    /// Number of the last submission that needed a lookup.
     last_submission: u64,
+    /// Lookups that are to be sent.
     due: Vec<DependencyLookup>,
 }
 
--- a/src/control/partition/external_dependencies.rs
+++ b/src/control/partition/external_dependencies.rs
@@ -6,7 +6,9 @@
 /// Known state of a job of another partition.
 #[derive(Debug, Clone, Copy, Default)]
 struct ExternalJob {
+    /// Recorded end of the job; `None` if it is not known to have ended.
     end: Option<JobEnd>,
+    /// Whether the job is a service, which is never done.
     is_service: bool,
 }
 
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -43,7 +43,9 @@
 /// Number of hosts in a zone that may hold tasks, and of the suspect ones among them.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneHealth {
+    /// Hosts of the zone that may hold tasks.
     all: usize,
+    /// Suspect hosts among them.
     suspect: usize,
 }
 
@@ -63,6 +65,7 @@
     unreachable: Vec<HostIndex>,
     /// Hosts to be probed with a direct command.
     to_probe: Vec<HostIndex>,
+    /// Zones that are probably partitioned from this node.
     partitioned_zones: HashSet<String>,
 }
 
@@ -70,6 +73,7 @@
 /// does not count.
 #[derive(Debug, Default)]
 pub(super) struct FailureDetector {
+    /// Instant, in milliseconds of the monotonic clock, at which the detector last ran.
     last_run_ms: u64,
 }
 
--- a/src/control/partition/heartbeat_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -9,9 +9,13 @@
 /// Counter of the entries that heartbeats list for attempts.
 #[derive(Debug)]
 pub(super) struct HeartbeatLoad {
+    /// Interval between heartbeats, in milliseconds.
     heartbeat_interval_ms: u64,
+    /// Instant, in milliseconds of the monotonic clock, at which the current window started.
     window_start_ms: u64,
+    /// Entries listed since the start of the window.
     entries: u64,
+    /// Entries per attempt and second in the last window.
     entries_per_attempt_s: f64,
 }
 
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -19,6 +19,7 @@
 }
 
 impl HeartbeatNumber {
+    /// Returns the number of a heartbeat.
     fn of(heartbeat: &Heartbeat) -> HeartbeatNumber {
         HeartbeatNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
     }
@@ -261,6 +262,7 @@
         position
     }
 
+    /// Marks the attempt at this position as listed by the heartbeat with this sequence number.
     fn mark_listed(&mut self, host_index: HostIndex, position: usize, sequence: u64) {
         let host = self.cluster.host_mut(host_index);
         if let Some(attempt) = host.and_then(|host| host.attempts.get_mut(position)) {
--- a/src/control/partition/host_directory.rs
+++ b/src/control/partition/host_directory.rs
@@ -8,6 +8,7 @@
 pub(super) struct HostDirectory {
     /// Partitions of the hosts that other partitions hold, as of the last read of the registry.
     other_partitions: HashMap<String, u32>,
+    /// Ids of the hosts whose records are to be read again.
     records_to_reread: BTreeSet<String>,
     /// Partitions that booting hosts are intended for. Hosts without an entry stay in this partition.
     pending_transfers: HashMap<String, u32>,
--- a/src/control/partition/leadership_epoch.rs
+++ b/src/control/partition/leadership_epoch.rs
@@ -12,12 +12,17 @@
 /// leader and with its fencing token, so writes of a superseded leader are not carried out.
 #[derive(Debug)]
 pub(super) struct LeadershipEpoch {
+    /// Current fencing token; `NONE` before the records are read.
     fencing_token: FencingToken,
     /// Fencing token that the leader began with. It may have raised its token since.
     first_token: FencingToken,
+    /// Key of the partition in the state service.
     partition_key: String,
+    /// Version of the partition's key; 0 before the records are read.
     partition_version: u64,
+    /// Instant, in milliseconds of the monotonic clock, at which the leadership started.
     begun_ms: u64,
+    /// Number that was assigned last.
     last_number: u64,
 }
 
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -68,21 +68,35 @@
     policy: Policy,
     /// Metrics exported by `GET /metrics`.
     metrics: Metrics,
+    /// Assignment of teams to partitions.
     teams: team_assignment::TeamAssignment,
+    /// Fencing tokens and numbers of the leader.
     epoch: leadership_epoch::LeadershipEpoch,
+    /// Conditions outside the partition.
     conditions: external_conditions::ExternalConditions,
+    /// Hosts that the partition does not hold.
     host_directory: host_directory::HostDirectory,
+    /// Progress of reconciliation after a failover.
     reconciliation: reconciliation::Reconciliation,
+    /// Detector of suspect and unreachable hosts.
     failure_detector: failure_detector::FailureDetector,
+    /// Pending writes and the commit in flight.
     commit_queue: commit_queue::CommitQueue,
+    /// Clients that are answered after a commit.
     waiting_clients: waiting_clients::WaitingClients,
     /// Jobs whose cancellation waits until none of their tasks can run.
     cancelling: BTreeSet<JobIndex>,
+    /// Waiting jobs and their dependencies.
     dependencies: dependencies::DependencyTracker,
+    /// Submissions that wait for lookups of their dependencies.
     dependency_lookups: dependency_lookups::DependencyLookups,
+    /// Hosts that are to get orders without waiting for their next heartbeat.
     dispatch_queue: dispatch_queue::DispatchQueue,
+    /// Requests for scheduling cycles and the pending jobs.
     scheduling_triggers: scheduling_triggers::SchedulingTriggers,
+    /// Numbers of running tasks of large jobs.
     running_counts: running_counts::RunningCounts,
+    /// Rate at which attempts are listed in heartbeats.
     heartbeat_load: heartbeat_load::HeartbeatLoad,
     /// Pools of warm replicas; `None` without warm pools.
     warm_pools: Option<warm_pools::PartitionWarmPools>,
--- a/src/control/partition/running_counts.rs
+++ b/src/control/partition/running_counts.rs
@@ -52,6 +52,7 @@
     tasks.filter(|(number, task)| runs(*number, task)).count() as u32
 }
 
+/// Returns whether the attempt runs, holds the place of its task and belongs to a large job.
 fn is_of_large_job(cluster: &ClusterState, host_index: HostIndex, attempt: &TaskAttempt) -> bool {
     let job = &cluster.jobs[attempt.key.job];
     job.spec.tasks > SMALL_JOB_TASKS
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -15,6 +15,7 @@
         self.run_scheduling_cycle(Urgency::High, now, wall);
     }
 
+    /// Runs a scheduling cycle for work of at least this urgency.
     fn run_scheduling_cycle(&mut self, min_urgency: Urgency, now: u64, wall: u64) {
         self.scheduling_triggers.begin_cycle(min_urgency);
         self.refresh_unreconciled();
@@ -72,6 +73,7 @@
         self.dispatch_queue.insert(start.host);
     }
 
+    /// Logs a start with its waiting time and the expected time to fetch the image.
     fn log_start(&self, start: &Assignment, waited_ms: u64) {
         let Some(host) = self.cluster.host(start.host) else { return };
         let spec = &self.cluster.jobs[start.key.job].spec;
--- a/src/control/partition/scheduling_triggers.rs
+++ b/src/control/partition/scheduling_triggers.rs
@@ -5,11 +5,15 @@
 /// Requests for scheduling cycles, and the jobs that found no capacity in them.
 #[derive(Debug)]
 pub(super) struct SchedulingTriggers {
+    /// Whether a cycle for all work is due.
     cycle_due: bool,
+    /// Whether a cycle for urgent work is due.
     urgent_cycle_due: bool,
     /// Whether array tasks were completed since the last cycle.
     array_tasks_done: bool,
+    /// Jobs with tasks that found no capacity in the last cycle.
     pending_jobs: Vec<JobIndex>,
+    /// Number of hosts that cycles have examined so far.
     hosts_examined: u64,
 }
 
--- a/src/control/partition/team_assignment.rs
+++ b/src/control/partition/team_assignment.rs
@@ -5,7 +5,9 @@
 /// Number of this partition, and the partitions of the assigned teams.
 #[derive(Debug, Clone)]
 pub(super) struct TeamAssignment {
+    /// Number of this partition.
     partition: u32,
+    /// Partitions of the assigned teams, by team name.
     partitions: HashMap<String, u32>,
 }
 
--- a/src/control/partition/waiting_clients.rs
+++ b/src/control/partition/waiting_clients.rs
@@ -15,7 +15,9 @@
 /// Acceptance and ends are answered only from here, after the commit that records them.
 #[derive(Debug, Default)]
 pub(super) struct WaitingClients {
+    /// Clients that wait for a job to be accepted.
     submitters: HashMap<JobIndex, Vec<Waiter>>,
+    /// Clients that wait for a job to end after a cancellation.
     cancellers: HashMap<JobIndex, Vec<Waiter>>,
 }
 
