--- a/src/control/partition/attempt_phases.rs
+++ b/src/control/partition/attempt_phases.rs
@@ -1,10 +1,11 @@
-//! Attempts as heartbeats show them: those that are seen first, and the phases that they reach.
+//! Applies attempts and their phases, as reported in heartbeats, to the state of the partition.
 
 use super::Partition;
 use crate::model::{ClusterState, HostIndex, Place, Shape, TaskAttempt, TaskKey, TaskPhase};
 
 impl Partition {
-    /// An attempt that this leader did not start: an earlier one did, or a late order.
+    /// Adds an attempt that the worker reports and this leader did not start. An earlier leader started
+    /// it, or an order was carried out late.
     pub(super) fn add_reported_attempt(
         &mut self,
         host_index: HostIndex,
@@ -16,32 +17,33 @@
         let job = &mut self.cluster.jobs[key.job];
         let idle = job.tasks[key.task as usize].place == Place::Idle;
         let ended = matches!(phase, TaskPhase::Ended(_));
-        // What is first seen after its user asked for the cancellation must go, too.
-        let mut wanted = job.active() && !ended && idle;
-        if wanted && job.spec.shape == Shape::Gang {
+        // Attempts first reported after the user requested the job's cancellation must be stopped as
+        // well.
+        let mut should_run = job.active() && !ended && idle;
+        if should_run && job.spec.shape == Shape::Gang {
             if attempt > job.gang_attempt {
                 job.gang_attempt = attempt;
             }
-            wanted = attempt == job.gang_attempt;
+            should_run = attempt == job.gang_attempt;
         }
-        if wanted {
+        if should_run {
             job.tasks[key.task as usize].place = Place::On(host_index, attempt);
         }
         let spec = &self.cluster.jobs[key.job].spec;
-        let (image, gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
-        let cache = self
+        let (image, image_gb, demand) = (spec.image.clone(), spec.image_gb, spec.demand);
+        let cache_gb = self
             .cluster
             .host(host_index)
             .and_then(|host| host.instance_type)
-            .map_or(0.0, |f| self.cluster.instance_types[f].cache_gb);
+            .map_or(0.0, |index| self.cluster.instance_types[index].cache_gb);
         if let Some(host) = self.cluster.host_mut(host_index) {
-            host.use_image(&image, gb, cache, now);
-            let stop = (!wanted && !ended).then_some(0.0);
+            host.use_image(&image, image_gb, cache_gb, now);
+            let stop = (!should_run && !ended).then_some(0.0);
             host.attempts.push(TaskAttempt { stop, ..TaskAttempt::sent(key, attempt, demand, now) });
         }
     }
 
-    /// Takes the phase of an attempt that was in phase `before`.
+    /// Applies the reported `phase` to an attempt that was in phase `before`.
     pub(super) fn apply_phase(
         &mut self,
         host_index: HostIndex,
@@ -57,7 +59,7 @@
         known.phase = phase;
         let job = &mut jobs[key.job];
         if phase == TaskPhase::Saving && known.stop.is_none() && self.borrowing.is_some() {
-            // An earlier leader has ordered its stop, and its team's use is less by it.
+            // An earlier leader has ordered this stop, and its team's usage is reduced accordingly.
             known.stop = Some(job.spec.grace_s().max(f64::MIN_POSITIVE));
         }
         job.tasks[key.task as usize].located |= !known.ended();
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Logs and measures that an attempt has begun to run.
+    /// Logs that an attempt runs and records the delay since its start order in the metrics.
     fn record_running(&mut self, key: TaskKey, attempt: u64, after_order_ms: u64) {
         let spec = &self.cluster.jobs[key.job].spec;
         tracing::debug!(job = spec.id, class = spec.class, task = key.task, attempt, after_order_ms, "running");
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -1,31 +1,33 @@
-//! Scheduling cycles over the pending work, and what is logged of them.
+//! Scheduling cycles over the pending work, and their log output.
 
 use super::{Partition, critical_path};
 use crate::model::{JobIndex, Urgency};
 use crate::scheduling::{self, Assignment, CycleDecisions, Preemption};
 
 impl Partition {
-    /// One scheduling cycle; the machines with new orders are in `dispatch_queue`.
+    /// Runs a scheduling cycle. Hosts with new orders are added to `dispatch_queue`.
     pub fn schedule(&mut self, now: u64, wall: u64) {
         self.run_scheduling_cycle(Urgency::Low, now, wall);
     }
 
-    /// A scheduling cycle for what is urgent alone, while the next one for all is not due.
+    /// Runs a scheduling cycle for urgent work only, between cycles for all work.
     pub fn schedule_urgent(&mut self, now: u64, wall: u64) {
         self.run_scheduling_cycle(Urgency::High, now, wall);
     }
 
-    fn run_scheduling_cycle(&mut self, least: Urgency, now: u64, wall: u64) {
-        self.scheduling_triggers.begin_cycle(least);
+    /// Runs a scheduling cycle for work of at least this urgency.
+    fn run_scheduling_cycle(&mut self, min_urgency: Urgency, now: u64, wall: u64) {
+        self.scheduling_triggers.begin_cycle(min_urgency);
         self.refresh_unreconciled();
         self.set_ready_times(wall);
         self.stop_attempts_of_done_tasks();
-        self.bound_attempts(now);
+        self.limit_attempts(now);
         self.wall_ms = wall;
         self.reserve_warm_capacity();
         self.describe_borrowing(now, wall);
         let epoch = &mut self.epoch;
-        let decisions = scheduling::schedule(&mut self.cluster, &self.policy, now, wall, least, || epoch.next_number());
+        let decisions =
+            scheduling::schedule(&mut self.cluster, &self.policy, now, wall, min_urgency, || epoch.next_number());
         for start in &decisions.starts {
             self.record_start(start, wall);
         }
@@ -36,33 +38,33 @@
         self.apply_loan_decisions(&decisions, now, wall);
         self.report_slot_transitions();
         tracing::debug!(
-            least = ?least,
+            least = ?min_urgency,
             hosts_examined = decisions.hosts_examined,
             starts = decisions.starts.len(),
             stops = decisions.stops.len(),
             pending_jobs = decisions.pending_jobs.len(),
             "scheduling cycle"
         );
-        self.update_pending_jobs(least, decisions);
+        self.update_pending_jobs(min_urgency, decisions);
     }
 
-    /// Sets aside capacity for work that is expected to arrive at these rates.
+    /// Reserves capacity for work that is expected to arrive at these rates.
     pub fn reserve_for_flows(&mut self, flows: &[scheduling::ClassFlow]) {
         self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, flows);
     }
 
-    /// Replaces the machine types of which no more can be rented now.
+    /// Replaces the list of instance types that cannot be rented at present.
     pub fn set_exhausted(&mut self, exhausted: Vec<usize>) {
         self.cluster.exhausted = exhausted;
     }
 
-    /// Limits the attempts by the measured cost of following those on the machines.
-    fn bound_attempts(&mut self, now: u64) {
+    /// Limits the number of attempts by the measured cost of tracking the current ones.
+    fn limit_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
         self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
     }
 
-    /// Measures and logs a start; its machine has an order to get.
+    /// Records a start in metrics and log, and queues its host for dispatch.
     fn record_start(&mut self, start: &Assignment, wall: u64) {
         let job = &self.cluster.jobs[start.key.job];
         let waited_ms = wall.saturating_sub(job.ready_ms);
@@ -71,6 +73,7 @@
         self.dispatch_queue.insert(start.host);
     }
 
+    /// Logs a start with its waiting time and the expected time to fetch the image.
     fn log_start(&self, start: &Assignment, waited_ms: u64) {
         let Some(host) = self.cluster.host(start.host) else { return };
         let spec = &self.cluster.jobs[start.key.job].spec;
@@ -93,47 +96,53 @@
         );
     }
 
-    /// Counts and logs a preemption; its machine has an order to get.
+    /// Records a preemption in metrics and log, and queues its host for dispatch.
     fn record_preemption(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
-        let by = &self.cluster.jobs[stop.by].spec;
+        let preemptor = &self.cluster.jobs[stop.by].spec;
         tracing::debug!(
             job = spec.id,
             class = spec.class,
             task = stop.key.task,
             attempt = stop.attempt,
-            by = by.id,
-            by_class = by.class,
+            by = preemptor.id,
+            by_class = preemptor.class,
             "preempted"
         );
         self.metrics.count("tasks_preempted", &spec.class);
-        // What is lent is stopped once that is recorded.
+        // For lent capacity, the stop order is sent once the loan is recorded.
         self.dispatch_queue.insert(stop.host);
     }
 
-    /// Keeps which work found no capacity. What is less urgent than `least` was not tried.
-    fn update_pending_jobs(&mut self, least: Urgency, decisions: CycleDecisions) {
-        self.scheduling_triggers.end_cycle(&self.cluster.jobs, least, decisions.pending_jobs, decisions.hosts_examined);
+    /// Stores the jobs that found no capacity. Jobs below `min_urgency` were not considered.
+    fn update_pending_jobs(&mut self, min_urgency: Urgency, decisions: CycleDecisions) {
+        self.scheduling_triggers.end_cycle(
+            &self.cluster.jobs,
+            min_urgency,
+            decisions.pending_jobs,
+            decisions.hosts_examined,
+        );
         if !self.scheduling_triggers.pending_jobs().is_empty() {
             self.cancel_drain();
         }
     }
 
-    /// Do all teams keep to their limits, whatever machines that are not reconciled may hold?
+    /// Returns whether all teams are within their limits, including everything that unreconciled hosts
+    /// may hold.
     pub fn teams_within_limits(&self, now: u64) -> bool {
         let mut used = scheduling::Index::new(&self.cluster, now).usage;
-        for (team, unseen) in self.cluster.unlocated_demand() {
-            used.entry(team).or_default().add(&unseen);
+        for (team, unlocated) in self.cluster.unlocated_demand() {
+            used.entry(team).or_default().add(&unlocated);
         }
-        let none = scheduling::TeamRule::default();
-        used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&none).limit))
+        let unlimited = scheduling::TeamRule::default();
+        used.iter().all(|(team, used)| used.fits(&self.policy.teams.get(team).unwrap_or(&unlimited).limit))
     }
 
-    /// The lowest deadline bin of the pending jobs.
+    /// Returns the lowest deadline bin among the pending jobs; `None` if no jobs are pending.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
-        let bin = |job_index: &JobIndex| {
+        let deadline_bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
-        self.scheduling_triggers.pending_jobs().iter().map(bin).min()
+        self.scheduling_triggers.pending_jobs().iter().map(deadline_bin).min()
     }
 }
