--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -1,4 +1,4 @@
-//! The records of loans: read at a failover, written with the partition's others.
+//! Loan records: restored at a failover, and written in the same commits as the partition's other records.
 
 use super::PartitionBorrowing;
 use crate::control::partition::Partition;
@@ -7,32 +7,34 @@
 use crate::wire::{self, Item};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
 
-/// A record with the id of the job that lends and the version of its key.
+/// Decodes a loan record. Returns the id of the lending job, the record and the version of its key, or
+/// `None`, after logging an error, if the record can't be decoded.
 fn record(item: Item) -> Option<(String, JobLoans, u64)> {
     let job = item.key.strip_prefix(LOAN_PREFIX)?.to_string();
     match serde_json::from_value(item.value) {
         Ok(record) => Some((job, record, item.version)),
         Err(error) => {
-            tracing::error!(key = item.key, %error, "unreadable record of loans");
+            tracing::error!(key = item.key, %error, "loan record can't be decoded");
             None
         }
     }
 }
 
 impl Partition {
-    /// Begins with the records of the last leader's loans.
+    /// Restores the loans from the records of the previous leader.
     pub fn begin_loans(&mut self, items: Vec<Item>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.restore(items.into_iter().filter_map(record));
         }
     }
 
-    /// The records of loans that go into the next commit, at most so many.
+    /// Returns the writes of loan records that go into the next commit, at most `most` of them.
     pub(in crate::control::partition) fn next_loan_writes(&mut self, most: usize, wall: u64) -> Vec<RecordWrite> {
         self.borrowing.as_mut().map(|borrowing| borrowing.loans.next_writes(most, wall)).unwrap_or_default()
     }
 
-    /// The loans' part of a commit was made: what it tells of may be stopped.
+    /// Handles a commit that wrote the pending loan records at `revision`: the stops that wait for these
+    /// records may now be ordered.
     pub(in crate::control::partition) fn loans_written(&mut self, revision: u64) {
         let Some(borrowing) = &mut self.borrowing else { return };
         for LoanEvent::Recorded(id) in borrowing.loans.written(revision) {
@@ -41,7 +43,7 @@
         self.report_loan_transitions();
     }
 
-    /// The loans' part of a commit was not made, or maybe not.
+    /// Handles a commit with loan records that failed or whose result is unknown.
     pub(in crate::control::partition) fn loans_not_written(&mut self, failure: WriteFailure) {
         let Some(borrowing) = &mut self.borrowing else { return };
         match failure {
@@ -50,19 +52,19 @@
         }
     }
 
-    /// Keys of loans that must be read before their records are written again.
+    /// Returns the keys of loan records that must be read before they are written again.
     pub(in crate::control::partition) fn loan_keys_to_read(&self) -> Vec<String> {
         self.borrowing.iter().flat_map(|borrowing| borrowing.loans.keys_to_read()).collect()
     }
 
-    /// Takes a key as it is now.
+    /// Applies a fresh read of a loan record's key. `item` is `None` if the key does not exist.
     pub(in crate::control::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.reread(key, item.map_or(0, |item| item.version));
         }
     }
 
-    /// The record is written: the stops for the loan are due.
+    /// Makes the stops for a loan due. Called once the loan's record is written.
     fn order_waiting_stops(&mut self, id: LoanId) {
         let Some(borrowing) = &mut self.borrowing else { return };
         for stop in borrowing.waiting_stops.remove(&id).unwrap_or_default() {
@@ -76,7 +78,7 @@
 }
 
 impl PartitionBorrowing {
-    /// The write of a record, and its condition.
+    /// Encodes the write of a loan record together with its condition.
     pub(in crate::control::partition) fn encode(record: &RecordWrite) -> ConditionalWrite {
         let write = match &record.value {
             Some(value) => wire::put(&record.key, &serde_json::to_value(value).unwrap_or_default(), None),
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle takes into account of loans, and what it decided about them.
+//! Input about loans for a scheduling cycle, and application of the loan decisions of a cycle.
 
 use super::demand::TeamDemands;
 use super::{PartitionBorrowing, WaitingStop};
@@ -8,7 +8,7 @@
 use badgerdrift_borrowing::{Amounts, LoanKind, Moment, Proposal, Refusal};
 use std::collections::BTreeMap;
 
-/// Stops of one job's tasks for one team, which are one loan.
+/// Parties and kind of a loan. All stops of a scheduling cycle with equal values belong to one loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LoanParties {
     lending_job: JobIndex,
@@ -17,18 +17,18 @@
 }
 
 impl Partition {
-    /// Describes to the scheduler which work of other teams may be stopped.
+    /// Updates the scheduler's view of which tasks may be stopped for other teams.
     pub(in crate::control::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
         let Some(borrowing) = &self.borrowing else { return };
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
         let lending = borrowing.lending_state(self, &demands, wall);
         self.release_team_reservations(&demands);
         let reserves_for_teams =
-            self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|claim| claim.for_team));
+            self.cluster.each_host().any(|(_, host)| host.reservations.iter().any(|reservation| reservation.for_team));
         self.cluster.borrowing = Some(BorrowingState { reserves_for_teams, ..lending });
     }
 
-    /// Takes in what a scheduling cycle decided about loans. Their stops wait for the records.
+    /// Applies the loan decisions of a scheduling cycle. The stops wait until the loans are recorded.
     pub(in crate::control::partition) fn apply_loan_decisions(
         &mut self,
         outcome: &CycleDecisions,
@@ -55,6 +55,7 @@
         self.report_loan_transitions();
     }
 
+    /// Proposes one loan for these stops, which are held back until the loan is recorded.
     fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: Moment) {
         let id = self.epoch.next_number();
         let lending = &self.cluster.jobs[parties.lending_job].spec;
@@ -78,7 +79,7 @@
         borrowing.loans.propose(proposal, now);
     }
 
-    /// Counts the work that is lost by stops for other teams.
+    /// Adds the work lost by stops for other teams, in seconds, to the metrics.
     fn count_lost_work(&mut self, outcome: &CycleDecisions) {
         for stop in outcome.stops.iter().filter(|stop| matches!(stop.cause, StopCause::Loan(_) | StopCause::Reclaim)) {
             let team = &self.cluster.jobs[stop.key.job].spec.team;
@@ -86,21 +87,21 @@
         }
     }
 
-    /// Logs and counts why no work of others is stopped for jobs that wait, once for each reason.
+    /// Logs and counts refused loans, once for each job and change of reason.
     fn report_refused_loans(&mut self, refused: &[RefusedLoan]) {
         let Some(borrowing) = &mut self.borrowing else { return };
         for RefusedLoan { job, reason } in refused {
-            if borrowing.refused.insert(*job, *reason) != Some(*reason) {
+            if borrowing.last_refusals.insert(*job, *reason) != Some(*reason) {
                 let spec = &self.cluster.jobs[*job].spec;
                 tracing::info!(job = spec.id, team = spec.team, reason = reason.label(), "loan refused");
                 self.metrics.count("loans_refused", reason.label());
             }
         }
-        let waits = |job: &JobIndex| refused.iter().any(|refused| refused.job == *job);
-        borrowing.refused.retain(|job, _| waits(job) || self.cluster.jobs[*job].active());
+        let is_refused = |job: &JobIndex| refused.iter().any(|refused| refused.job == *job);
+        borrowing.last_refusals.retain(|job, _| is_refused(job) || self.cluster.jobs[*job].active());
     }
 
-    /// Logs and counts the state changes of loans since the last call.
+    /// Logs and counts the state transitions of loans since the last call.
     pub(in crate::control::partition) fn report_loan_transitions(&mut self) {
         let Some(borrowing) = &mut self.borrowing else { return };
         for transition in borrowing.loans.take_transitions() {
@@ -128,7 +129,7 @@
 }
 
 impl PartitionBorrowing {
-    /// What the scheduler takes into account.
+    /// Returns the lending state that the scheduler uses.
     fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> BorrowingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
@@ -151,7 +152,7 @@
         }
     }
 
-    /// How many tasks of each job are placed first.
+    /// Returns, for each job that gets lent capacity back, the number of tasks that are placed first.
     fn returning(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
         let mut returning = std::collections::HashMap::new();
         for (job, tasks) in self.loans.returning() {
--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -1,29 +1,31 @@
-//! What the jobs of each team use and could use, as floors count it.
+//! Current use and runnable demand of each team's jobs, as the calculation of floors needs them.
 
 use crate::model::{ClusterState, InstanceKind, Job, JobIndex, Place, Shape};
 use crate::scheduling::{self, TeamRule};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, JobDemand, Priority, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
-/// Attempts of a job that have not ended.
+/// Numbers of a job's attempts that have not ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct JobAttempts {
+    /// Number of attempts that are not being stopped.
     running: u32,
-    /// To be stopped: their tasks start again as soon as they are gone.
+    /// Number of attempts that are being stopped. Their tasks start again once the attempts have ended.
     stopping: u32,
 }
 
-/// What each team uses and could use.
+/// Use and demand of each team.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TeamDemands {
-    /// By team.
+    /// Guarantee, use and runnable demand by team.
     pub(super) shares: BTreeMap<String, TeamShare>,
-    /// What each borrower could use beyond its guarantee for work that it may borrow for.
+    /// Amounts that each borrowing team could use beyond its guarantee, counting only jobs whose priority
+    /// allows borrowing.
     pub(super) needs: BTreeMap<String, Amounts>,
 }
 
 impl TeamDemands {
-    /// Counts the jobs of all teams.
+    /// Computes use and demand from the jobs and attempts of all teams.
     pub(super) fn count(
         cluster: &ClusterState,
         rules: &HashMap<String, TeamRule>,
@@ -55,6 +57,8 @@
         demands
     }
 
+    /// Adds a job's amounts to its team's runnable demand and, if its priority allows borrowing, to the
+    /// team's need.
     fn add_runnable(&mut self, job: &Job, amounts: Amounts, settings: &BorrowingSettings) {
         let team = &job.spec.team;
         let share = self.shares.entry(team.clone()).or_default();
@@ -66,22 +70,24 @@
     }
 }
 
-/// Tasks of a job that neither run nor are done, those that are being stopped included.
+/// Returns the number of a job's tasks that are neither running nor done. Tasks that are being stopped are
+/// included.
 pub(super) fn missing_tasks(cluster: &ClusterState, job_index: JobIndex) -> u32 {
     let job = &cluster.jobs[job_index];
     let is_running = |place: Place, task: usize| {
         let Place::On(host, attempt) = place else { return false };
         let attempts = cluster.host(host).map_or(&[][..], |host| &host.attempts);
-        let is_own = |own: &&crate::model::TaskAttempt| {
-            own.attempt == attempt && own.key.job == job_index && own.key.task as usize == task
+        let is_own = |candidate: &&crate::model::TaskAttempt| {
+            candidate.attempt == attempt && candidate.key.job == job_index && candidate.key.task as usize == task
         };
-        attempts.iter().find(is_own).is_some_and(|own| own.stop.is_none())
+        attempts.iter().find(is_own).is_some_and(|candidate| candidate.stop.is_none())
     };
     let tasks = job.tasks.iter().enumerate();
-    let missing = tasks.filter(|(n, task)| task.place != Place::Done && !is_running(task.place, *n));
+    let missing = tasks.filter(|(number, task)| task.place != Place::Done && !is_running(task.place, *number));
     missing.count() as u32
 }
 
+/// Returns the numbers of attempts of each job that has any.
 fn attempts_by_job(cluster: &ClusterState) -> HashMap<JobIndex, JobAttempts> {
     let mut by_job: HashMap<JobIndex, JobAttempts> = HashMap::new();
     for (_, host) in cluster.each_host() {
@@ -97,7 +103,7 @@
     by_job
 }
 
-/// The kinds of machines that are up and may be used, each once.
+/// Returns the kinds of the usable machines, without duplicates.
 fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<InstanceKind> {
     let mut kinds = Vec::new();
     for (_, host) in cluster.each_host().filter(|(_, host)| scheduling::usable(host, now)) {
@@ -109,7 +115,7 @@
     kinds
 }
 
-/// What a job could use now.
+/// Returns the demand that a job could use now.
 fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[InstanceKind], now: u64) -> JobDemand {
     let spec = &job.spec;
     let fits = |kind: &InstanceKind| {
@@ -125,7 +131,7 @@
     JobDemand {
         each: Amounts::from(spec.demand),
         running: attempts.running,
-        // An attempt that is stopped may be of a task that is placed elsewhere already.
+        // The task of an attempt that is being stopped may already be placed on another machine.
         waiting: waiting.min(spec.tasks.saturating_sub(attempts.running)),
         gang_of: (spec.shape == Shape::Gang).then_some(spec.tasks),
     }
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -1,16 +1,18 @@
-//! Periodic maintenance: loans that could not be recorded, what the last leader
-//! left, needs that are gone and work that runs again.
+//! Periodic maintenance of loans: abandons loans that could not be recorded, settles those of the previous
+//! leader, and follows the borrowers' needs and the lenders' restarted tasks.
 
 use super::demand::{TeamDemands, missing_tasks};
 use crate::control::partition::Partition;
 use crate::model::ClusterState;
 use badgerdrift_borrowing::{LendingJob, LoanId, Moment};
 
-/// A loan that is not recorded within this multiple of `react_ms` is given up: nothing is stopped.
+/// Time, as a multiple of `react_ms`, after which a loan that is not recorded yet is abandoned. Nothing is
+/// stopped for it.
 const RECORD_TIMEOUT_REACTIONS: u64 = 2;
 
 impl Partition {
-    /// Maintains the loans, if there is borrowing.
+    /// Maintains the loans; does nothing if borrowing is disabled. `now` is the steady clock and `wall` the time
+    /// of day, both in milliseconds.
     pub fn maintain_loans(&mut self, now: u64, wall: u64) {
         if self.borrowing.is_none() {
             return;
@@ -31,6 +33,7 @@
         self.report_loan_transitions();
     }
 
+    /// Abandons the loans that were not recorded in time.
     fn abandon_unrecorded_loans(&mut self, wall: u64) {
         let Some(borrowing) = &self.borrowing else { return };
         let before_ms = wall.saturating_sub(RECORD_TIMEOUT_REACTIONS * self.policy.react_ms);
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Gives up a loan that could not be recorded: what was to be stopped for it goes on.
+    /// Abandons a loan that could not be recorded. The tasks that were to be stopped for it keep running.
     fn abandon_loan(&mut self, id: LoanId) {
         let Some(borrowing) = &mut self.borrowing else { return };
         let borrowing_job =
@@ -48,8 +51,8 @@
         borrowing.loans.abandon(id);
         for stop in borrowing.waiting_stops.remove(&id).unwrap_or_default() {
             let Some(host) = self.cluster.host_mut(stop.host) else { continue };
-            // The capacity does not become free: other capacity is looked for.
-            host.reservations.retain(|claim| Some(claim.job) != borrowing_job);
+            // This capacity does not become free, so the borrowing job needs other capacity.
+            host.reservations.retain(|reservation| Some(reservation.job) != borrowing_job);
             let attempt = host.attempt_mut(stop.key, stop.attempt);
             if let Some(attempt) = attempt.filter(|attempt| attempt.stop_awaits_record) {
                 (attempt.stop, attempt.stop_awaits_record) = (None, false);
@@ -60,7 +63,7 @@
     }
 }
 
-/// How a job that lends is now; one that is not known is over.
+/// Returns the state of a lending job. An unknown job counts as over.
 fn lending_job(cluster: &ClusterState, id: &str) -> LendingJob {
     let Some(&job_index) = cluster.job_index.get(id) else { return LendingJob { over: true, missing: 0 } };
     let job = &cluster.jobs[job_index];
--- a/src/control/partition/borrowing/mod.rs
+++ b/src/control/partition/borrowing/mod.rs
@@ -1,6 +1,6 @@
-//! Loans between teams in the partition: the thin part around `badgerdrift_borrowing`, which keeps
-//! the loans and their records. Here they meet scheduling cycles, attempts, orders and commits. All of it is
-//! off unless the settings say who lends to whom.
+//! Loans between teams in a partition. `badgerdrift_borrowing` keeps the loans and their records; this module
+//! connects them to scheduling cycles, attempts, orders and commits. Borrowing is disabled unless the settings
+//! name lenders and borrowers.
 
 mod commits;
 mod decisions;
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// An attempt that is stopped once the loan's record is written.
+/// Stop of an attempt that is ordered once the record of its loan is written.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct WaitingStop {
     host: HostIndex,
@@ -25,27 +25,27 @@
     attempt: u64,
 }
 
-/// The loans of a partition.
+/// Loans of a partition with their settings.
 pub(super) struct PartitionBorrowing {
     loans: Loans,
     settings: Arc<BorrowingSettings>,
-    /// What is to be stopped for loans that are not recorded yet.
+    /// Stops for loans that are not recorded yet, by loan.
     waiting_stops: BTreeMap<LoanId, Vec<WaitingStop>>,
-    /// The loans of the last leader are settled: all machines were reconciled since.
+    /// Whether the previous leader's loans are settled, which happens once all machines are reconciled.
     settled: bool,
-    /// Why no loan was made for a job that waits, as last logged.
-    refused: HashMap<JobIndex, Refusal>,
+    /// Reason last logged for refusing a loan, by waiting job.
+    last_refusals: HashMap<JobIndex, Refusal>,
 }
 
 impl Partition {
-    /// Switches borrowing on; the settings were checked.
+    /// Enables borrowing. The settings must have been validated.
     pub fn enable_borrowing(&mut self, settings: Arc<BorrowingSettings>) {
         self.borrowing = Some(PartitionBorrowing {
             loans: Loans::new(settings.as_ref().clone()),
             settings,
             waiting_stops: BTreeMap::new(),
             settled: false,
-            refused: HashMap::new(),
+            last_refusals: HashMap::new(),
         });
     }
 }
--- a/src/control/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -1,4 +1,4 @@
-//! Loans as operators see them.
+//! Status of loans and teams for operators.
 
 use super::demand::TeamDemands;
 use crate::control::partition::Partition;
@@ -7,46 +7,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A loan that is not over.
+/// Loan that is not over, with its lender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoanStatus {
-    /// The team that lends.
+    /// Name of the lending team.
     pub lender: String,
-    /// The job whose tasks were stopped.
+    /// Id of the lending job, whose tasks were stopped.
     pub lending_job: String,
-    /// The loan.
+    /// State and terms of the loan.
     #[serde(flatten)]
     pub loan: Loan,
 }
 
-/// What a team uses, lends and lacks.
+/// Use, floor, shortfall and loans of a team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamStatus {
     /// Name of the team.
     pub team: String,
-    /// What its attempts take that are not being stopped.
+    /// Amounts used by the team's attempts, except those that are being stopped.
     pub in_use: Amounts,
-    /// What other teams must leave it.
+    /// Amounts that other teams must leave to the team.
     pub floor: Amounts,
-    /// What it lacks to that.
+    /// Amounts missing up to the floor.
     pub shortfall: Amounts,
-    /// What it lends.
+    /// Amounts that the team lends to others.
     pub lent: Amounts,
-    /// What it has borrowed.
+    /// Amounts that the team has borrowed.
     pub borrowed: Amounts,
 }
 
-/// The loans of a partition, and its teams.
+/// Status of a partition's loans and teams.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoansStatus {
-    /// Loans that are not over, by the job that lends.
+    /// Loans that are not over, ordered by lending job.
     pub loans: Vec<LoanStatus>,
-    /// All teams, by name.
+    /// All teams, ordered by name.
     pub teams: Vec<TeamStatus>,
 }
 
 impl Partition {
-    /// How the loans are; none if there is no borrowing.
+    /// Returns the status of the loans, or `None` if borrowing is disabled.
     pub fn loans_status(&self, now: u64) -> Option<LoansStatus> {
         let borrowing = self.borrowing.as_ref()?;
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
@@ -72,7 +72,8 @@
         })
     }
 
-    /// Lent and borrowed accelerators and shortfalls by team, in the text format of the figures.
+    /// Returns the number of open loans and each team's lent, borrowed and missing accelerators as metrics in
+    /// text format. Empty if borrowing is disabled.
     pub fn loan_gauges(&self, now: u64) -> String {
         let Some(status) = self.loans_status(now) else { return String::new() };
         let open = status.loans.iter().filter(|loan| loan.loan.state != LoanState::Proposed).count();
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -1,4 +1,4 @@
-//! The records of the pools: read at a failover, written with the partition's others.
+//! Warm-pool records: restored at a failover, and written in the same commits as the partition's other records.
 
 use super::PartitionWarmPools;
 use crate::control::partition::Partition;
@@ -8,20 +8,22 @@
 use crate::wire::{self, Item};
 use badgerdrift_warm_pools::{HoldKind, PoolEvent, RecordChanges, RecordKey, StoredRecord};
 
-/// A record with the version of its key.
+/// Decodes a warm-pool record. Returns its key, the record and the version of the key, or `None` if the key is
+/// not of a warm-pool record or, after logging an error, if the record can't be decoded.
 fn record(item: Item) -> Option<(RecordKey, StoredRecord, u64)> {
     let key = RecordKey::parse(&item.key)?;
     match serde_json::from_value(item.value) {
         Ok(record) => Some((key, record, item.version)),
         Err(error) => {
-            tracing::error!(key = item.key, %error, "unreadable record of a warm pool");
+            tracing::error!(key = item.key, %error, "warm pool record can't be decoded");
             None
         }
     }
 }
 
 impl Partition {
-    /// Begins with the pools' records. What is warm on ordinary machines is known from them alone.
+    /// Restores the pools from the stored records of the previous leader. They are the only source for the images
+    /// that slots hold on workers which do not load models.
     pub fn begin_pools(&mut self, items: Vec<Item>, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
@@ -37,23 +39,24 @@
         }
     }
 
-    /// The changes of the pools' records that go into the next commit, if any fit.
+    /// Returns the changes of warm-pool records that go into the next commit, at most `most` of them, or `None`
+    /// if there are none that fit.
     pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
         let warm_pools = self.warm_pools.as_mut()?;
         let changes = warm_pools.pools.next_changes(self.epoch.upcoming_number(), most)?;
-        // The number is a commit's now, and no attempt's.
+        // Consumes the number, so that no attempt gets the number of this commit.
         self.epoch.next_number();
         Some(changes)
     }
 
-    /// The pools' part of a commit was made.
+    /// Handles a commit that wrote the pending warm-pool records at `revision`.
     pub(in crate::control::partition) fn pools_written(&mut self, revision: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let events = warm_pools.pools.written(revision);
-        self.follow_pool_events(events);
+        self.handle_pool_events(events);
     }
 
-    /// The pools' part of a commit was not made, or maybe not.
+    /// Handles a commit with warm-pool records that failed or whose result is unknown.
     pub(in crate::control::partition) fn pools_not_written(&mut self, failure: WriteFailure) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         match failure {
@@ -62,13 +65,13 @@
         }
     }
 
-    /// Keys of the pools that must be read before their records are written again.
+    /// Returns the keys of warm-pool records that must be read before they are written again.
     pub fn pool_keys_to_read(&self) -> Vec<String> {
         let keys = self.warm_pools.iter().flat_map(|warm_pools| warm_pools.pools.keys_to_read());
         keys.map(|key| key.path()).collect()
     }
 
-    /// Takes these keys as they are now.
+    /// Applies fresh reads of warm-pool records' keys. An item is `None` if its key does not exist.
     pub fn pool_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let found = found.into_iter().filter_map(|(key, item)| {
@@ -76,10 +79,11 @@
             Some((RecordKey::parse(&key)?, item))
         });
         let events = warm_pools.pools.reread(found.collect());
-        self.follow_pool_events(events);
+        self.handle_pool_events(events);
     }
 
-    fn follow_pool_events(&mut self, events: Vec<PoolEvent>) {
+    /// Dispatches orders and requests scheduling cycles for recorded slots, recorded claims and free slots.
+    fn handle_pool_events(&mut self, events: Vec<PoolEvent>) {
         for event in events {
             match event {
                 PoolEvent::SlotRecorded(slot) => self.dispatch_slot(slot),
@@ -92,7 +96,7 @@
         }
     }
 
-    /// The machine of a slot has orders to get.
+    /// Queues the machine of a slot for dispatch, and requests a scheduling cycle.
     fn dispatch_slot(&mut self, slot: u64) {
         let slot = self.warm_pools.as_ref().and_then(|warm_pools| warm_pools.pools.slot(slot));
         if let Some(host) = slot.and_then(|slot| self.cluster.host_index.get(&slot.host)) {
@@ -101,19 +105,19 @@
         self.scheduling_triggers.request_cycle();
     }
 
-    /// The task of this attempt may be ordered.
+    /// Allows the order to run this attempt's task, whose claim is now recorded.
     fn claim_recorded(&mut self, attempt: u64) {
         let attempts = self.cluster.hosts.iter_mut().flatten().flat_map(|host| host.attempts.iter_mut());
-        for own in attempts.filter(|own| own.attempt == attempt) {
-            own.awaits_record = false;
+        for candidate in attempts.filter(|candidate| candidate.attempt == attempt) {
+            candidate.awaits_record = false;
         }
     }
 }
 
 impl PartitionWarmPools {
-    /// The writes of the records, and their conditions.
+    /// Encodes the writes of warm-pool records together with their conditions.
     pub(in crate::control::partition) fn encode(changes: &RecordChanges) -> Vec<ConditionalWrite> {
-        let encode = |record: &badgerdrift_warm_pools::RecordWrite| {
+        let encode_write = |record: &badgerdrift_warm_pools::RecordWrite| {
             let path = record.key.path();
             let write = match &record.value {
                 Some(value) => wire::put(&path, &serde_json::to_value(value).unwrap_or_default(), None),
@@ -121,6 +125,6 @@
             };
             ConditionalWrite { condition: wire::condition(&path, record.version), write }
         };
-        changes.writes.iter().map(encode).collect()
+        changes.writes.iter().map(encode_write).collect()
     }
 }
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -1,17 +1,17 @@
-//! Periodic maintenance: targets, reservations, slots that have lost their machine,
-//! prices, and new slots.
+//! Periodic maintenance of warm pools: sizes, claims, slots on lost machines, prices and new slots.
 
 use super::amounts;
 use crate::control::partition::Partition;
 use crate::model::HostIndex;
 use badgerdrift_warm_pools::{EndCause, SlotId, SlotState, price_of};
 
-/// A claim that is not recorded within this multiple of `react_ms` is given up: its task is placed
-/// as usual.
+/// Time, as a multiple of `react_ms`, after which a claim that is not recorded yet is abandoned. Its task is
+/// then placed as usual.
 const CLAIM_TIMEOUT_REACTIONS: u64 = 2;
 
 impl Partition {
-    /// Maintains the pools. `boot_ms` is how long a machine takes to boot.
+    /// Maintains the pools. `boot_ms` is the time that a machine takes to boot, `now` the steady clock and `wall` the
+    /// time of day, all in milliseconds.
     pub fn maintain_pools(&mut self, boot_ms: u64, now: u64, wall: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         warm_pools.wall_ms = wall;
@@ -27,38 +27,42 @@
         self.report_slot_transitions();
     }
 
-    /// Claims that could not be recorded in time are given up. Their tasks were not ordered.
+    /// Abandons the claims that were not recorded in time. No order was sent for their tasks yet.
     fn abandon_unrecorded_claims(&mut self, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let before_ms = now.saturating_sub(CLAIM_TIMEOUT_REACTIONS * self.policy.react_ms);
-        let late = warm_pools.pools.claims_unrecorded_since(before_ms);
-        for (id, _) in &late {
+        let unrecorded = warm_pools.pools.claims_unrecorded_since(before_ms);
+        for (id, _) in &unrecorded {
             warm_pools.pools.abandon_claim(*id);
         }
-        for (slot, claim) in late {
-            tracing::info!(slot, job = claim.job, "warm reservation not recorded in time, abandoned");
+        for (slot, claim) in unrecorded {
+            tracing::info!(slot, job = claim.job, "warm slot claim not recorded in time, abandoned");
             self.metrics.count("warm_claims_given_up", &claim.team);
             self.remove_unordered_attempt(claim.attempt);
         }
     }
 
-    /// An attempt that was never ordered is nowhere: its task is placed again.
+    /// Removes an attempt that was never ordered, and so is on no machine. Its task is placed again.
     fn remove_unordered_attempt(&mut self, attempt: u64) {
         let found = self.cluster.each_host().find_map(|(host_index, host)| {
-            let own = host.attempts.iter().find(|own| own.attempt == attempt && own.awaits_record)?;
-            Some((host_index, own.key))
+            let candidate =
+                host.attempts.iter().find(|candidate| candidate.attempt == attempt && candidate.awaits_record)?;
+            Some((host_index, candidate.key))
         });
         if let Some((host_index, key)) = found {
             self.remove_attempt(host_index, key, attempt);
         }
     }
 
-    /// Claims whose attempts are gone end; what waits to be recorded has an attempt as well.
+    /// Ends the claims whose attempts are gone. A claim that waits to be recorded has an attempt, too, and so is
+    /// kept.
     pub(in crate::control::partition) fn release_ended_claims(&mut self, now: u64) {
         let Some(warm_pools) = &self.warm_pools else { return };
         let gone = |host: &str, attempt: u64| {
             let host = self.cluster.host_index.get(host).and_then(|index| self.cluster.host(*index));
-            host.is_some_and(|host| !host.attempts.iter().any(|own| own.attempt == attempt && !own.ended()))
+            host.is_some_and(|host| {
+                !host.attempts.iter().any(|candidate| candidate.attempt == attempt && !candidate.ended())
+            })
         };
         let claims = warm_pools.pools.slots().filter(|slot| slot.seen).filter_map(|slot| Some((slot, slot.claim()?)));
         let ended: Vec<SlotId> =
@@ -68,7 +72,8 @@
         ended.into_iter().for_each(|id| warm_pools.pools.claim_ended(id, moment));
     }
 
-    /// Slots on machines that are gone, or are to be returned.
+    /// Ends the slots on machines that are gone, and drains those on machines that are faulty or about to be
+    /// returned or taken back.
     fn end_lost_slots(&mut self, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
@@ -84,11 +89,11 @@
         }
     }
 
-    /// Slots are charged by the present prices of their machines.
+    /// Updates the prices of slots to the current prices of their machines.
     fn update_prices(&mut self, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
-        let flavor_of = |host: &str| {
+        let instance_type_of = |host: &str| {
             let host = self.cluster.host(*self.cluster.host_index.get(host)?)?;
             Some((&self.cluster.instance_types[host.instance_type?], host.spot))
         };
@@ -96,14 +101,14 @@
             .pools
             .slots()
             .filter_map(|slot| {
-                let (instance_type, spot) = flavor_of(&slot.host)?;
+                let (instance_type, spot) = instance_type_of(&slot.host)?;
                 Some((slot.id, price_of(&slot.amounts, &amounts(&instance_type.cap), instance_type.price(spot))))
             })
             .collect();
         prices.into_iter().for_each(|(id, price)| warm_pools.pools.set_price(id, price, moment));
     }
 
-    /// Machines with slots to be unloaded have an order to get.
+    /// Queues the machines with draining slots for dispatch, so that they get the orders to unload them.
     fn dispatch_draining_slots(&mut self) {
         let draining = self.pool_slots().filter(|slot| matches!(slot.state, SlotState::Draining(_)));
         let hosts: Vec<HostIndex> =
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -1,4 +1,4 @@
-//! Where new slots go, and machines for those that find no capacity.
+//! Placement of new slots, and demand for machines for the slots that find no capacity.
 
 use super::reservations::hosts_of;
 use super::{PartitionWarmPools, amounts, demand};
@@ -10,7 +10,8 @@
 use std::collections::HashMap;
 
 impl Partition {
-    /// Begins with the slots that are wanted, where there is capacity that no work waits for.
+    /// Begins the wanted slots on machines with free capacity that is reserved for no job. Does nothing while
+    /// reservations can't be recorded or machines are unreconciled.
     pub(super) fn place_slots(&mut self, now: u64) {
         if !self.conditions.reservations_recordable || !self.cluster.all_reconciled {
             return;
@@ -20,7 +21,7 @@
             warm_pools.pools.settings().pools.iter().map(|(name, pool)| (name.clone(), pool.clone())).collect();
         let mut index = Index::new(&self.cluster, now);
         for (name, pool) in pools {
-            while let Some(host_index) = self.place_for_slot(&index, &name, &pool, now) {
+            while let Some(host_index) = self.find_host_for_slot(&index, &name, &pool, now) {
                 self.begin_slot(host_index, &name, &pool, now);
                 index.hosts[host_index].free.sub(&demand(&pool.amounts()));
             }
@@ -28,13 +29,15 @@
         self.reserve_warm_capacity();
     }
 
+    /// Begins a slot of a pool on a machine.
     fn begin_slot(&mut self, host_index: HostIndex, name: &str, pool: &Pool, now: u64) {
         let (Some(warm_pools), Some(host)) = (&mut self.warm_pools, self.cluster.hosts[host_index].as_ref()) else {
             return;
         };
         let number = self.epoch.next_number();
         let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
-        let price = instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)));
+        let price =
+            instance_type.map_or(0, |found| price_of(&pool.amounts(), &amounts(&found.cap), found.price(host.spot)));
         let image =
             warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.clone()).unwrap_or_default();
         let place = SlotPlace {
@@ -47,16 +50,17 @@
         warm_pools.pools.begin(number, name, place, moment);
     }
 
-    /// The machine for the next slot of a pool, if one is wanted and there is capacity for it.
-    fn place_for_slot(&self, index: &Index, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
+    /// Returns the machine for the next slot of a pool, or `None` if none is wanted or no machine has capacity
+    /// for it.
+    fn find_host_for_slot(&self, index: &Index, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
         let warm_pools = self.warm_pools.as_ref()?;
-        if !self.payer_may_hold(warm_pools, index, pool) {
+        if !self.payer_may_hold_another(warm_pools, index, pool) {
             return None;
         }
-        let there = hosts_of(&self.cluster, warm_pools, name);
+        let pool_hosts = hosts_of(&self.cluster, warm_pools, name);
         let mut by_zone: HashMap<usize, usize> = HashMap::new();
-        there.iter().for_each(|host| *by_zone.entry(index.hosts[*host].zone).or_default() += 1);
-        let most_in_zone = if pool.spread { pool.most_wanted().div_ceil(2) } else { usize::MAX };
+        pool_hosts.iter().for_each(|host| *by_zone.entry(index.hosts[*host].zone).or_default() += 1);
+        let max_in_zone = if pool.spread { pool.most_wanted().div_ceil(2) } else { usize::MAX };
         let image =
             warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
         let moment = warm_pools.moment(now);
@@ -66,8 +70,8 @@
                 && slot.reservations == 0
                 && demand(&pool.amounts()).fits(&slot.free)
                 && self.allows(pool, host)
-                && by_zone.get(&slot.zone).copied().unwrap_or(0) < most_in_zone
-                && warm_pools.pools.may_begin(name, self.price_on(pool, host), moment) > 0
+                && by_zone.get(&slot.zone).copied().unwrap_or(0) < max_in_zone
+                && warm_pools.pools.may_begin(name, self.replica_price(pool, host), moment) > 0
         };
         let rank = |(host_index, host): &(HostIndex, &Host)| {
             let zone = by_zone.get(&index.hosts[*host_index].zone).copied().unwrap_or(0);
@@ -76,36 +80,41 @@
         self.cluster.each_host().filter(suits).min_by_key(rank).map(|(host_index, _)| host_index)
     }
 
-    fn price_on(&self, pool: &Pool, host: &Host) -> u64 {
+    /// Returns the hourly price of one of the pool's replicas on a machine, or zero if the machine's type is
+    /// unknown.
+    fn replica_price(&self, pool: &Pool, host: &Host) -> u64 {
         let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type]);
-        instance_type.map_or(0, |f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(host.spot)))
+        instance_type.map_or(0, |found| price_of(&pool.amounts(), &amounts(&found.cap), found.price(host.spot)))
     }
 
+    /// Returns whether the pool's settings allow a slot on the machine.
     fn allows(&self, pool: &Pool, host: &Host) -> bool {
         let instance_type = host.instance_type.map(|instance_type| &self.cluster.instance_types[instance_type].name);
-        let of = |names: &[String], name: &String| names.is_empty() || names.contains(name);
-        instance_type.is_some_and(|instance_type| of(&pool.machines, instance_type))
-            && of(&pool.zones, &host.zone)
+        let matches = |names: &[String], name: &String| names.is_empty() || names.contains(name);
+        instance_type.is_some_and(|instance_type| matches(&pool.machines, instance_type))
+            && matches(&pool.zones, &host.zone)
             && (pool.spot || !host.spot)
             && (pool.keep == HoldKind::Image || host.loads_models)
     }
 
-    /// Would the payer's tasks and idle replicas keep to its limit with one more? And is no work
-    /// pending that would take the capacity at once: work beyond the payer's guarantee yields.
-    fn payer_may_hold(&self, warm_pools: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
+    /// Returns whether the payer's tasks and idle replicas stay within its limit with one more replica. Beyond the
+    /// payer's guarantee, a replica is allowed only if no jobs are pending, because they would take its capacity
+    /// at once.
+    fn payer_may_hold_another(&self, warm_pools: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
-        let mut total = index.usage.get(&pool.payer).copied().unwrap_or_default();
+        let mut payer_usage = index.usage.get(&pool.payer).copied().unwrap_or_default();
         let held = warm_pools.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
-        held.for_each(|slot| total.add(&demand(&slot.amounts)));
-        total.add(&demand(&pool.amounts()));
+        held.for_each(|slot| payer_usage.add(&demand(&slot.amounts)));
+        payer_usage.add(&demand(&pool.amounts()));
         let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
         let guaranteed = team.guarantees(&demand(&pool.amounts()))
-            && within(total.gpus, team.guarantee.gpus)
-            && within(total.cpus, team.guarantee.cpus);
-        total.fits(&team.limit) && (guaranteed || self.scheduling_triggers.pending_jobs().is_empty())
+            && within(payer_usage.gpus, team.guarantee.gpus)
+            && within(payer_usage.cpus, team.guarantee.cpus);
+        payer_usage.fits(&team.limit) && (guaranteed || self.scheduling_triggers.pending_jobs().is_empty())
     }
 
-    /// Replicas that found no machine with free capacity, as tasks for the plan of what to rent.
+    /// Returns the replicas that found no machine with free capacity, as specs with numbers of tasks for the plan of
+    /// which machines to rent.
     pub fn pool_replicas_without_machine(&self, now: u64) -> Vec<(Spec, usize)> {
         let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
         if !self.conditions.reservations_recordable {
@@ -113,27 +122,36 @@
         }
         let moment = warm_pools.moment(now);
         let pools = warm_pools.pools.settings().pools.iter();
-        let missing = pools.filter(|(_, pool)| self.machines_may_suit(pool)).map(|(name, pool)| {
-            let price = self.least_price(pool);
+        let missing = pools.filter(|(_, pool)| self.may_have_suitable_machines(pool)).map(|(name, pool)| {
+            let price = self.lowest_price(pool);
             (name, pool, warm_pools.pools.may_begin(name, price, moment))
         });
         missing.flat_map(|(name, pool, count)| self.replica_specs(warm_pools, name, pool, count)).collect()
     }
 
-    /// Machines are rented for loaded models only where some worker is known to load them.
-    fn machines_may_suit(&self, pool: &Pool) -> bool {
+    /// Returns whether rented machines may be of use to the pool. For loaded models that requires a worker that is
+    /// known to load models, unless no machine is known yet.
+    fn may_have_suitable_machines(&self, pool: &Pool) -> bool {
         pool.keep == HoldKind::Image
             || self.cluster.host_index.is_empty()
             || self.cluster.each_host().any(|(_, host)| host.loads_models)
     }
 
-    fn least_price(&self, pool: &Pool) -> u64 {
-        let allowed =
-            self.cluster.instance_types.iter().filter(|f| pool.machines.is_empty() || pool.machines.contains(&f.name));
-        allowed.map(|f| price_of(&pool.amounts(), &amounts(&f.cap), f.price(pool.spot))).min().unwrap_or(0)
+    /// Returns the lowest hourly price of one of the pool's replicas on any allowed instance type, or zero if
+    /// there is none.
+    fn lowest_price(&self, pool: &Pool) -> u64 {
+        let allowed = self
+            .cluster
+            .instance_types
+            .iter()
+            .filter(|candidate| pool.machines.is_empty() || pool.machines.contains(&candidate.name));
+        allowed
+            .map(|allowed| price_of(&pool.amounts(), &amounts(&allowed.cap), allowed.price(pool.spot)))
+            .min()
+            .unwrap_or(0)
     }
 
-    /// So many replicas as tasks, divided among the pool's zones.
+    /// Returns `count` replicas as specs with numbers of tasks, divided evenly among the pool's zones.
     fn replica_specs(
         &self,
         warm_pools: &PartitionWarmPools,
@@ -144,7 +162,7 @@
         let Some(model) = warm_pools.pools.settings().models.get(&pool.model) else { return Vec::new() };
         let zones: Vec<Option<String>> =
             if pool.zones.is_empty() { vec![None] } else { pool.zones.iter().cloned().map(Some).collect() };
-        let parts = zones.len();
+        let zone_count = zones.len();
         let spec = |zone: Option<String>| Spec {
             id: format!("pool/{name}"),
             class: String::new(),
@@ -166,11 +184,12 @@
             due_s: None,
             dependencies: Default::default(),
         };
-        let part = |(position, zone)| (spec(zone), (count + parts - 1 - position) / parts);
-        zones.into_iter().enumerate().map(part).filter(|(_, part)| *part > 0).collect()
+        let zone_share = |(position, zone)| (spec(zone), (count + zone_count - 1 - position) / zone_count);
+        zones.into_iter().enumerate().map(zone_share).filter(|(_, tasks)| *tasks > 0).collect()
     }
 }
 
+/// Returns whether the machine's cache holds the image, ready for use.
 fn has_image(host: &Host, image: &str) -> bool {
     host.images.iter().any(|cached| cached.ready && cached.name == image)
 }
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -1,4 +1,4 @@
-//! What the scheduler takes into account of the pools, and what it decided about them.
+//! Input about warm pools for a scheduling cycle, and application of the warm-pool decisions of a cycle.
 
 use super::{PartitionWarmPools, demand};
 use crate::control::partition::Partition;
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 impl Partition {
-    /// Describes to the scheduler which capacity is reserved. Without the state service no claim could be
-    /// recorded: then none is offered, and jobs are placed as usual.
+    /// Updates the scheduler's view of the capacity that warm slots reserve. While the state service is
+    /// unavailable no claim could be recorded, so no slot is offered and jobs are placed as usual.
     pub(in crate::control::partition) fn reserve_warm_capacity(&mut self) {
         let Some(warm_pools) = &self.warm_pools else { return };
         let recordable = self.conditions.reservations_recordable;
@@ -22,7 +22,8 @@
             .collect();
     }
 
-    /// Takes in what a scheduling cycle decided about reserved capacity.
+    /// Applies the decisions of a scheduling cycle about warm slots: claims them for tasks, and drains those that
+    /// yield their capacity.
     pub(in crate::control::partition) fn apply_warm_decisions(&mut self, outcome: &CycleDecisions, now: u64) {
         for claim in &outcome.warm_claims {
             self.claim_reservation(claim, now);
@@ -37,8 +38,8 @@
         }
     }
 
-    /// A task is placed in a warm slot. The reservation is recorded before the task is ordered: an attempt is
-    /// never in a slot that another leader would give away.
+    /// Claims the slot in which a task is placed. The claim is recorded before the task is ordered, so that no
+    /// other leader gives a slot away that holds an attempt.
     fn claim_reservation(&mut self, placed: &WarmReservationClaim, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let spec = &self.cluster.jobs[placed.key.job].spec;
@@ -51,18 +52,19 @@
             job = spec.id,
             team = spec.team,
             taken = claimed.is_ok(),
-            "warm slot reserved"
+            "warm slot claim attempted"
         );
         let loaded = warm_pools.pools.slot(placed.slot).is_some_and(|slot| slot.keep == HoldKind::Loaded);
         let host = self.cluster.host_mut(placed.host);
         let Some(attempt) = host.and_then(|host| host.attempt_mut(placed.key, placed.attempt)) else { return };
-        // What could not be reserved after all is an ordinary start in the capacity that was held.
+        // If the claim failed, the task starts as usual in the capacity that the slot held.
         attempt.awaits_record = claimed.is_ok();
         attempt.slot = (claimed.is_ok() && loaded).then_some(placed.slot);
     }
 }
 
 impl PartitionWarmPools {
+    /// Returns the scheduler's view of a slot. The slot is offered only if claims can be recorded.
     fn warm_reservation(&self, slot: &Slot, host: HostIndex, recordable: bool) -> WarmReservation {
         let offer = (recordable && slot.is_claimable()).then(|| self.offer(slot)).flatten();
         WarmReservation {
@@ -75,13 +77,14 @@
         }
     }
 
-    /// Who may claim a slot: those that ask for what it was loaded with.
+    /// Returns the images and teams that may claim a slot, or `None` if its pool or model is no longer configured
+    /// or the model has another version.
     fn offer(&self, slot: &Slot) -> Option<Arc<WarmReservationOffer>> {
         let settings = self.pools.settings();
         let pool = settings.pools.get(&slot.pool)?;
         let model = settings.models.get(&slot.identity.model)?;
         let names = model.names.iter().chain([&model.image]);
-        // A claim is checked once more as it is made.
+        // The pools check the image again when the slot is claimed.
         let images = names.filter(|name| slot.keep == HoldKind::Loaded || **name == slot.image).cloned().collect();
         (model.version == slot.identity.version).then(|| {
             Arc::new(WarmReservationOffer { images, teams: pool.claimants.clone(), payer: slot.payer.clone() })
@@ -89,7 +92,7 @@
     }
 }
 
-/// The hosts on which a pool's slots hold capacity, one entry a slot.
+/// Returns the machine of each of the pool's slots that are available, one entry per slot.
 pub(super) fn hosts_of<'a>(
     cluster: &'a ClusterState,
     warm_pools: &'a PartitionWarmPools,
