--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -1,4 +1,4 @@
-//! Loans between records, orders, reports and failovers, with scripted commits and one machine.
+//! Tests of loans across records, orders, heartbeats and failovers, with scripted commits and one machine.
 
 use super::*;
 use crate::model::Urgency;
@@ -6,36 +6,41 @@
 use badgerdrift_borrowing::{BorrowingSettings, LOAN_PREFIX};
 use std::sync::Arc;
 
+/// Team that lends.
 const LENDER: &str = "blue";
+/// Team that borrows.
 const BORROWER: &str = "red";
-/// Time between two steps.
+/// Time between two steps, in milliseconds.
 const STEP_MS: u64 = 200;
 
-/// A machine of eight accelerators that a night run fills, and the leader of the partition.
+/// Partition with one machine of eight accelerators, which a job of the lending team fills.
 struct Harness {
     partition: Partition,
     now: u64,
     sequence: u64,
     revision: u64,
-    /// Tasks on the machine, with their attempts.
+    /// Tasks on the machine, with their attempt numbers.
     running: Vec<(String, u64)>,
-    /// Tasks among them that save.
+    /// Tasks among them that are saving their state.
     saving: Vec<String>,
     records: BTreeMap<String, (Value, u64)>,
 }
 
+/// Returns settings that let the borrowing team borrow from the lending team.
 fn borrowing() -> Arc<BorrowingSettings> {
     let text = r#"{"quiet_s": 60, "return_after_s": 2, "lender": {"blue": {"to": ["red"], "up_to": "standard"}},
                    "borrower": {"red": {"from": "urgent"}}}"#;
     Arc::new(serde_json::from_str(text).unwrap())
 }
 
+/// Sets the accelerators that a team is guaranteed.
 fn guarantee(partition: &mut Partition, team: &str, gpus: f64) {
     let rule: &mut TeamRule = partition.policy.teams.get_mut(team).unwrap();
     rule.guarantee = Demand { cpus: 0.0, gpus, mem: f64::INFINITY };
     rule.limit = Demand { cpus: f64::INFINITY, gpus: 100.0, mem: f64::INFINITY };
 }
 
+/// Returns the submission of a job of this team.
 fn submission_of(id: &str, team: &str, shape: &str, urgency: &str, tasks: u32) -> Vec<u8> {
     let mut body: Value = serde_json::from_slice(&body(id, shape, tasks)).unwrap();
     (body["owner"], body["urgency"]) = (team.into(), urgency.into());
@@ -44,7 +49,7 @@
 }
 
 impl Harness {
-    /// The night run has all eight accelerators, two of which its team is guaranteed.
+    /// Returns a harness in which the lending team's job uses all eight accelerators, two of which are guaranteed.
     fn new() -> Harness {
         let mut harness = Harness {
             partition: partition(),
@@ -73,13 +78,13 @@
         self.finish_commit(true);
     }
 
-    /// The replicas that the desk needs now.
+    /// Submits the borrowing team's service with this number of replicas, and runs a scheduling cycle.
     fn burst(&mut self, replicas: u32) {
         self.submit(&submission_of("run-000002", BORROWER, "service", "urgent", replicas));
         self.partition.schedule(self.now, self.now);
     }
 
-    /// The next commit is succeeds, or refused.
+    /// Completes the next commit, or refuses it.
     fn finish_commit(&mut self, succeeds: bool) {
         let Some(commit) = self.partition.next_commit(self.now, 32) else { return };
         if succeeds {
@@ -90,13 +95,13 @@
         }
     }
 
-    /// Carries the changes of a commit out.
+    /// Applies the writes of a commit to the stored records.
     fn apply_commit(&mut self, commit: &Commit) {
         self.revision += 1;
         apply_writes(&mut self.records, &commit.writes, self.revision);
     }
 
-    /// The machine reports and carries the reply out.
+    /// Sends a heartbeat of the machine, which carries the returned orders out.
     fn heartbeat(&mut self) -> Vec<Order> {
         self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
@@ -113,6 +118,7 @@
         orders
     }
 
+    /// Advances the clock by one step: maintenance, a scheduling cycle, a commit and a heartbeat.
     fn step(&mut self, commits: bool) -> Vec<Order> {
         self.now += STEP_MS;
         self.partition.maintain_loans(self.now, self.now);
@@ -125,10 +131,12 @@
         (0..count).for_each(|_| _ = self.step(true));
     }
 
+    /// Returns the number of a job's tasks on the machine.
     fn running_tasks(&self, job: &str) -> usize {
         self.running.iter().filter(|(task, _)| task.starts_with(job)).count()
     }
 
+    /// Returns the states of all recorded loans, as JSON.
     fn loan_states(&self) -> Vec<String> {
         let records = self.records.iter().filter(|(key, _)| key.starts_with(LOAN_PREFIX));
         let loans = records.flat_map(|(_, (record, _))| record["loans"].as_array().unwrap());
@@ -136,6 +144,7 @@
     }
 }
 
+/// Returns the number of orders to stop a task.
 fn count_stops(orders: &[Order]) -> usize {
     orders.iter().filter(|order| matches!(order, Order::Stop { .. })).count()
 }
@@ -144,12 +153,12 @@
 fn a_stop_for_another_team_is_ordered_once_its_record_is_written() {
     let mut harness = Harness::new();
     harness.burst(4);
-    assert_eq!(count_stops(&harness.heartbeat()), 0, "no record yet");
+    assert_eq!(count_stops(&harness.heartbeat()), 0, "the loan is not recorded yet");
     let host = harness.partition.dispatch_queue.hosts().iter().next().copied();
     let direct = host.and_then(|host| harness.partition.next_direct_command(host, harness.now, false));
-    assert_eq!(direct.map_or(0, |direct| count_stops(&direct.orders)), 0, "nor by a direct command");
+    assert_eq!(direct.map_or(0, |direct| count_stops(&direct.orders)), 0, "no direct command either");
     harness.finish_commit(false);
-    assert_eq!(count_stops(&harness.heartbeat()), 0, "refused");
+    assert_eq!(count_stops(&harness.heartbeat()), 0, "the commit was refused");
     harness.finish_commit(true);
     assert!(harness.loan_states().iter().any(|state| state == "\"open\""));
     assert_eq!(count_stops(&harness.heartbeat()), 4);
@@ -166,21 +175,21 @@
         assert_eq!(count_stops(&harness.step(false)), 0);
     }
     assert_eq!(harness.running_tasks("run-000001"), 8);
-    // The service answers again.
+    // The state service answers again.
     harness.steps(8);
     assert_eq!((harness.running_tasks("run-000001"), harness.running_tasks("run-000002")), (4, 4));
 }
 
-// The commit applies late, after its answer was given up and the loan with it: nothing is stopped
-// twice, and the record says in the end what holds.
+// A commit applies after its result became unknown and its loan was abandoned. Nothing must be stopped twice, and the
+// final record must be correct.
 #[test]
 fn an_indeterminate_commit_that_applies_late_does_not_repeat_a_loan() {
     let mut harness = Harness::new();
     harness.burst(4);
     let indeterminate = harness.partition.next_commit(harness.now, 32).unwrap();
     let _ = harness.partition.committed(CommitOutcome::Indeterminate);
-    assert_eq!(count_stops(&harness.heartbeat()), 0, "not known to be recorded");
-    assert!(harness.partition.next_commit(harness.now, 32).is_none(), "to be read first");
+    assert_eq!(count_stops(&harness.heartbeat()), 0, "the loan may not be recorded");
+    assert!(harness.partition.next_commit(harness.now, 32).is_none(), "the keys must be read first");
     harness.apply_commit(&indeterminate);
     let found = harness.partition.indeterminate_keys().into_iter().map(|key| {
         let item = harness.records.get(&key).map(|(value, version)| Item {
@@ -193,7 +202,11 @@
     let found: Vec<(String, Option<Item>)> = found.collect();
     harness.partition.indeterminate_keys_read(found);
     let retry = harness.partition.next_commit(harness.now, 32).unwrap();
-    assert_eq!(retry.conditions.last().unwrap().version, harness.revision, "on the version that was found");
+    assert_eq!(
+        retry.conditions.last().unwrap().version,
+        harness.revision,
+        "the retry is conditional on the version that was read"
+    );
     harness.apply_commit(&retry);
     let _ = harness.partition.committed(CommitOutcome::Done { revision: harness.revision });
     assert_eq!(count_stops(&harness.heartbeat()), 4);
@@ -201,7 +214,7 @@
     assert_eq!((harness.running_tasks("run-000001"), harness.running_tasks("run-000002")), (4, 4));
 }
 
-/// Another leader begins with what is stored. The machine has not reported to it.
+/// Lets a new leader begin with the stored records. The machine has not reported to it yet.
 fn fail_over(harness: &mut Harness) {
     let items = |prefix: &str| -> Vec<Item> {
         let under = harness.records.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -220,7 +233,7 @@
 fn a_new_leader_lends_nothing_before_all_machines_are_reconciled() {
     let mut harness = Harness::new();
     harness.burst(4);
-    // The record is written, and no stop was ordered.
+    // The loan is recorded, but no stop was ordered.
     harness.finish_commit(true);
     fail_over(&mut harness);
     harness.now += STEP_MS;
@@ -229,14 +242,14 @@
     assert!(harness.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
     harness.steps(6);
-    // What had not been stopped is not lent, and the need is met by a loan of the successor's.
+    // Tasks that were not stopped do not count as lent, and a new loan meets the need.
     let status = harness.partition.loans_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
     assert_eq!((harness.running_tasks("run-000001"), harness.running_tasks("run-000002"), lent), (4, 4, 3));
 }
 
-// Tasks that the last leader had stopped still saved as the machine reported to its successor, which
-// took them for running: the lender had fewer left than it believed, and gave way below its floor.
+// Tasks stopped by the previous leader were still saving their state when the machine reported to the new one, which
+// counted them as running. The lender thus had fewer tasks than assumed, and was stopped below its floor.
 #[test]
 fn tasks_that_save_their_state_at_a_failover_count_as_stopped() {
     let mut harness = Harness::new();
@@ -252,11 +265,11 @@
     }
     let status = harness.partition.loans_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
-    assert_eq!(lent, 3, "the loan that was found is open, and the fourth is within the desk's guarantee");
+    assert_eq!(lent, 3, "the restored loan is open, and the fourth task is within the borrower's guarantee");
 }
 
-// A change of the configuration raises the lender's guarantee in mid-loan: it gets room back at
-// once, by one replica after the other, while the borrower keeps its own guarantee.
+// A configuration change raises the lender's guarantee during a loan. The lender must get capacity back at once, one
+// replica at a time, while the borrower keeps its own guarantee.
 #[test]
 fn a_lender_whose_guarantee_is_raised_during_a_loan_gets_capacity_back() {
     let mut harness = Harness::new();
@@ -289,7 +302,7 @@
     let (answer, _receiver) = oneshot::channel();
     harness.partition.cancel("run-000002", harness.now, true, answer);
     harness.steps(4);
-    assert_eq!(harness.running_tasks("run-000001"), 4, "the need may come back");
+    assert_eq!(harness.running_tasks("run-000001"), 4, "capacity stays reserved because the need may come back");
     harness.steps(20);
     assert_eq!(harness.running_tasks("run-000001"), 8);
     assert!(harness.loan_states().iter().all(|state| state.contains("ended")), "{:?}", harness.loan_states());
@@ -330,18 +343,18 @@
     assert!(harness.partition.loans_status(harness.now).unwrap().loans.is_empty());
 }
 
-/// Room that is held for the borrower.
+/// Returns the number of reservations for the borrowing team.
 fn team_reservations(harness: &Harness) -> usize {
     harness
         .partition
         .cluster
         .each_host()
         .flat_map(|(_, host)| &host.reservations)
-        .filter(|claim| claim.for_team)
+        .filter(|reservation| reservation.for_team)
         .count()
 }
 
-// The borrower's need may come back, but the lender has fallen below its floor meanwhile.
+// Capacity stays reserved because the borrower's need may come back, but the lender has fallen below its floor meanwhile.
 #[test]
 fn capacity_that_is_reserved_for_a_borrower_is_released_for_a_lender_below_its_floor() {
     let mut harness = Harness::new();
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -1,4 +1,4 @@
-//! Tests of the deadline and the priority that the jobs of a pipeline share.
+//! Tests of the deadlines and priorities that jobs inherit from their dependents.
 
 use super::dependencies::*;
 use super::*;
@@ -9,7 +9,7 @@
     let mut partition = chain();
     assert_eq!((job(&partition, FIRST).due_ms(), job(&partition, FIRST).urgency), (None, Urgency::Normal));
     accept_waiting(&mut partition, "run-000004", &[THIRD], json!({"due_s": 100.0, "urgency": "urgent"}));
-    // Ten seconds of run, one of fetch, one to react, half as much again, for each job between.
+    // Each job in between takes 10 s to run, 1 s to fetch its image and 1 s to react, with a margin of half as much again.
     let between = 1.5 * 12.0;
     let due: Vec<f64> = [FIRST, SECOND, THIRD].map(|id| job(&partition, id).due_ms().unwrap() as f64 / 1000.0).into();
     assert_eq!(due, [101.0 - 3.0 * between, 101.0 - 2.0 * between, 101.0 - between]);
@@ -52,12 +52,12 @@
     let mut partition = chain();
     let index = |id: &str| partition.cluster.job_index[id];
     let (second, third) = (index(SECOND), index(THIRD));
-    // Each takes twelve seconds in all.
+    // Each job takes 12 s in all.
     assert_eq!(partition.upcoming(11_000, 1000), [] as [usize; 0]);
     assert_eq!(partition.upcoming(12_000, 1000), [second]);
     assert_eq!(partition.upcoming(24_000, 1000), [second, third]);
     partition.schedule(1000, 1000);
     assert_eq!(partition.upcoming(7_000, 6000), [second], "the first has run for five seconds");
     cancel(&mut partition, FIRST);
-    assert_eq!(partition.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for what is cancelled");
+    assert_eq!(partition.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for cancelled jobs");
 }
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -1,5 +1,4 @@
-//! Tests of jobs that wait for others: whether they are accepted, and when they start.
-//! cancelled, which deadline and priority a pipeline has.
+//! Tests of jobs that depend on others: their acceptance, their start and their cancellation.
 
 use super::*;
 use crate::api::refusal::RefusalReason;
@@ -14,7 +13,7 @@
 pub(super) const SECOND: &str = "run-000002";
 pub(super) const THIRD: &str = "run-000003";
 
-/// A submission of an array of two tasks that waits for these, with further fields.
+/// Returns the submission of an array of two tasks with these dependencies and further fields.
 pub(super) fn waiting_body(id: &str, dependencies: &[&str], fields: Value) -> Vec<u8> {
     let mut value: Value = serde_json::from_slice(&body(id, "batch", 2)).unwrap();
     value["waits_on"] = json!(dependencies);
@@ -24,14 +23,14 @@
     value.to_string().into_bytes()
 }
 
-/// The same, accepted.
+/// Submits such an array and completes all due commits. Returns the answer to the submission.
 pub(super) fn accept_waiting(partition: &mut Partition, id: &str, dependencies: &[&str], fields: Value) -> UserAnswer {
     let mut rx = submit(partition, &waiting_body(id, dependencies, fields), 1000);
     commit_all(partition, 1000);
-    rx.try_recv().expect("it is answered")
+    rx.try_recv().expect("the submission must be answered")
 }
 
-/// Takes all commits that are due as made, each at a later revision.
+/// Completes all due commits, each at a later revision.
 pub(super) fn commit_all(partition: &mut Partition, now: u64) {
     let mut revision = partition.cluster.jobs.iter().map(|job| job.version).max().unwrap_or(0).max(100);
     while partition.next_commit(now, 32).is_some() {
@@ -40,7 +39,7 @@
     }
 }
 
-/// A partition with a machine in use, and a chain of three jobs of which none has ended.
+/// Returns a partition with one machine in use and a chain of three jobs, none of which has ended.
 pub(super) fn chain() -> Partition {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
@@ -50,11 +49,12 @@
     partition
 }
 
+/// Returns the job with this id.
 pub(super) fn job<'a>(partition: &'a Partition, id: &str) -> &'a crate::model::Job {
     &partition.cluster.jobs[partition.cluster.job_index[id]]
 }
 
-/// Jobs with an attempt on the machine.
+/// Returns the ids of the jobs with an attempt on the machine.
 pub(super) fn placed(partition: &Partition) -> Vec<String> {
     let attempts = &partition.cluster.host(0).unwrap().attempts;
     let mut ids: Vec<String> =
@@ -63,18 +63,19 @@
     ids
 }
 
-/// The machine reports the two tasks of a job as ended with this reason.
+/// Reports the two tasks of a job as done.
 pub(super) fn report_ended(partition: &mut Partition, id: &str, sequence: u64) {
     let index = partition.cluster.job_index[id];
-    let ended = partition.cluster.host(0).unwrap().attempts.iter().filter(|attempt| attempt.key.job == index);
+    let attempts = partition.cluster.host(0).unwrap().attempts.iter().filter(|attempt| attempt.key.job == index);
     let mut tasks = Vec::new();
-    for attempt in ended {
+    for attempt in attempts {
         tasks.push(reported(&format!("{id}/{}", attempt.key.task), attempt.attempt, "ended", Some("done")));
     }
     assert_eq!(tasks.len(), 2, "both tasks of {id} were started");
     partition.heartbeat(&heartbeat("h1", 1, sequence, 1, tasks), StatusSource::Heartbeat, 2000);
 }
 
+/// Returns the phase in an answer, or the reason for a refusal that allows a retry.
 pub(super) fn phase(answer: UserAnswer) -> Result<JobPhase, RefusalReason> {
     match answer {
         UserAnswer::Status { phase, .. } | UserAnswer::Accepted { phase, .. } => Ok(phase),
@@ -83,11 +84,12 @@
     }
 }
 
+/// Requests the cancellation of a job and drops the answer.
 pub(super) fn cancel(partition: &mut Partition, id: &str) {
     partition.cancel(id, 2000, true, tokio::sync::oneshot::channel().0);
 }
 
-/// The record of a job with this end, as it stands in the state service.
+/// Returns the stored record of a job of two tasks with this end.
 pub(super) fn record(id: &str, shape: &str, team: &str, end: Option<JobEnd>, version: u64) -> Item {
     let mut spec = wire::parse_submission(&body(id, shape, 2)).unwrap();
     spec.team = team.into();
@@ -103,11 +105,11 @@
     let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookups = partition.take_lookups();
     assert_eq!((lookups.len(), lookups[0].ids.as_slice()), (1, &[FIRST.to_string()][..]));
-    assert!(rx.try_recv().is_err(), "nothing is said before the read");
+    assert!(rx.try_recv().is_err(), "no answer before the read");
     partition.dependencies_read(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(reason)) if reason.contains(FIRST)));
     assert!(partition.next_commit(1000, 32).is_none());
-    // A read that failed tells nothing.
+    // A failed read leaves it open whether the job exists.
     let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
     partition.dependencies_read(lookup.submission, None, 1000, 1000);
@@ -146,7 +148,7 @@
     let _rx = submit(&mut partition, &body(FIRST, "service", 1), 1000);
     commit_all(&mut partition, 1000);
     assert!(matches!(accept_waiting(&mut partition, SECOND, &[FIRST], json!({})), UserAnswer::Unschedulable(_)));
-    // The same for a service that is found by a read.
+    // The same applies to a service that is found by a read.
     let mut rx = submit(&mut partition, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
     let found = record(THIRD, "service", "red", None, 50);
@@ -160,7 +162,7 @@
     partition.conditions.has_old_peer = true;
     let mut rx = submit(&mut partition, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::ControllerOutdated)));
-    // A known one is answered, whatever its body says now.
+    // A known job is answered, whatever the repeated submission contains.
     let mut rx = submit(&mut partition, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
 }
@@ -185,16 +187,16 @@
     assert_eq!(placed(&partition), [FIRST]);
     report_ended(&mut partition, FIRST, 2);
     partition.schedule(2000, 2000);
-    assert_eq!(placed(&partition), [FIRST], "a report alone starts nothing");
+    assert_eq!(placed(&partition), [FIRST], "a heartbeat alone starts no dependent");
     partition.next_commit(2000, 32).unwrap();
     partition.schedule(2001, 2001);
     partition.committed(CommitOutcome::Indeterminate).unwrap();
     partition.schedule(2002, 2002);
-    assert_eq!(placed(&partition), [FIRST], "nor does a write that is under way or unclear");
+    assert_eq!(placed(&partition), [FIRST], "a write in flight or with an unknown result starts no dependent either");
     commit_all(&mut partition, 2100);
     partition.schedule(2101, 7101);
     assert_eq!(placed(&partition), [FIRST, SECOND]);
-    assert_eq!(job(&partition, SECOND).ready_ms, 7101, "its times begin now");
+    assert_eq!(job(&partition, SECOND).ready_ms, 7101, "its waiting time starts at its release");
     assert!(job(&partition, THIRD).waiting);
 }
 
@@ -212,18 +214,18 @@
     second.value["spec"]["waits_on"] = json!(FIRST);
     let open = partition_of(2, vec![record(FIRST, "batch", "red", None, 50), second.clone()], vec![]);
     assert!(job(&open, SECOND).waiting && open.cluster.live.len() == 1);
-    // In any order of the records.
+    // The result does not depend on the order of the records.
     let done = record(FIRST, "batch", "red", Some(JobEnd::Done), 50);
     for jobs in [vec![done.clone(), second.clone()], vec![second.clone(), done]] {
         let partition = partition_of(2, jobs, vec![]);
-        assert!(job(&partition, SECOND).active(), "a task of it that runs already must not be stopped");
+        assert!(job(&partition, SECOND).active(), "a task of the job that is already running must not be stopped");
     }
 }
 
 // ---- jobs of other partitions ----
 
-/// A partition that holds one of two teams, with a job that waits for one of the other's.
-fn with_external() -> Partition {
+/// Returns a partition that owns one of two teams, with a job that depends on a job of the other team.
+fn partition_with_external_dependency() -> Partition {
     let settings = settings();
     let policy = Policy::new(&settings, &Operator::default(), 0);
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
@@ -241,8 +243,12 @@
 
 #[test]
 fn a_dependency_in_another_partition_blocks_until_its_end_is_recorded() {
-    let mut partition = with_external();
-    assert_eq!(phase(partition.status(SECOND)), Err(RefusalReason::DependencyElsewhere), "its record alone tells");
+    let mut partition = partition_with_external_dependency();
+    assert_eq!(
+        phase(partition.status(SECOND)),
+        Err(RefusalReason::DependencyElsewhere),
+        "the end must be read from the dependency's record"
+    );
     partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
     assert!(job(&partition, SECOND).waiting);
     partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
@@ -252,7 +258,7 @@
 
 #[test]
 fn a_job_is_cancelled_with_its_dependency_in_another_partition() {
-    let mut partition = with_external();
+    let mut partition = partition_with_external_dependency();
     partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Cancelled), 61), 2000);
     assert_eq!(phase(partition.status(SECOND)), Ok(JobPhase::Cancelled));
     assert_eq!(job(&partition, SECOND).unsaved, UnsavedChange::End(JobEnd::Cancelled));
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Tests of a failover: what is placed before all machines are reconciled.
+//! Tests of task placement during a failover, before all machines are reconciled.
 
 use super::*;
 
@@ -8,13 +8,12 @@
     let attempt = attempt_number(&old, 0);
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_of(5, jobs, hosts);
-    // Another, new machine has room.
+    // A new machine has free capacity.
     partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
     commit(&mut partition, 1100, 101);
     partition.schedule(1100, 1100);
     assert!(partition.dispatch_queue.hosts().is_empty());
-    // The first report is answered, but shows an older token: the old
-    // leader's command may still come.
+    // The heartbeat shows an older token, so a command of the previous leader may still arrive.
     let running = || vec![reported("run-000001/0", attempt, "running", None)];
     partition.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
     partition.take_dispatch_queue();
@@ -22,7 +21,10 @@
     assert!(partition.dispatch_queue.hosts().is_empty() && !partition.cluster.all_reconciled);
     partition.heartbeat(&heartbeat("h1", 1, 8, 5, running()), StatusSource::Heartbeat, 1300);
     partition.schedule(1300, 1300);
-    assert!(partition.dispatch_queue.hosts().is_empty() && partition.cluster.all_reconciled, "the task runs already");
+    assert!(
+        partition.dispatch_queue.hosts().is_empty() && partition.cluster.all_reconciled,
+        "the task is already running"
+    );
     assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(_, placed) if placed == attempt));
 }
 
@@ -33,7 +35,7 @@
         let (jobs, hosts) = stored_records(&mut old);
         let mut partition = partition_of(5, jobs, hosts);
         partition.detect_failures(1000 + LEASE_MS, 0);
-        assert!(!partition.cluster.all_reconciled, "its lease may still live");
+        assert!(!partition.cluster.all_reconciled, "its lease may still be valid");
         if gone {
             partition.host_terminated("h1");
         } else {
@@ -43,8 +45,8 @@
     }
 }
 
-// The next size: some machine is always dead, hung or cut. What was seen alive since
-// the failover is not there, and what its type can't hold is not either.
+// In a large fleet some machine is always dead, hung or unreachable. It must delay only the tasks that it may run: not
+// those located elsewhere since the failover, and not those that do not fit its type.
 #[test]
 fn a_failover_delays_only_tasks_that_an_unreconciled_machine_may_run() {
     let mut old = partition();
@@ -59,20 +61,23 @@
         |phase, sequence| heartbeat("h1", 1, sequence, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
     partition.heartbeat(&first_job("running", 10), StatusSource::Heartbeat, 1100);
     assert!(!partition.cluster.all_reconciled);
-    // The first job's replica ends: it was on h1, and so not on h2.
+    // The first job's replica ends on h1, and so does not run on h2.
     partition.heartbeat(&first_job("ended", 11), StatusSource::Heartbeat, 1200);
     partition.schedule(1300, 1300);
     assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)));
-    assert_eq!(partition.cluster.jobs[1].tasks[0].place, Place::Idle, "this one may be on h2");
+    assert_eq!(partition.cluster.jobs[1].tasks[0].place, Place::Idle, "the second job's replica may run on h2");
     let mut rx = request_cancellation(&mut partition, "run-000001", 1000, true);
-    assert!(partition.next_commit(1300, 32).is_none() && rx.try_recv().is_err(), "nor is its end said");
+    assert!(
+        partition.next_commit(1300, 32).is_none() && rx.try_recv().is_err(),
+        "its end is neither written nor answered"
+    );
     partition.host_terminated("h2");
     complete_all_commits(&mut partition, 1400, 102);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
-// Found on a day of cut zones (wrong_place): orders that the cut had held back started two
-// tasks in the zone in which a located one of their job had just been placed.
+// Orders delayed by a network partition between zones started two tasks in the zone in which another task of their job
+// had just been placed. Found in simulation as a violation of the placement rule (wrong_place).
 #[test]
 fn tasks_with_zone_constraints_wait_until_all_tasks_are_located() {
     for spread in [false, true] {
@@ -88,14 +93,14 @@
         partition.heartbeat(&second_task("ended", 2), StatusSource::Heartbeat, 1200);
         complete_all_commits(&mut partition, 1200, 90);
         partition.schedule(1300, 1300);
-        // The other task may be on h1, or come to be there.
+        // The other task may run on h1, or a delayed order may start it there.
         assert_eq!(partition.cluster.jobs[0].tasks[0].place == Place::Idle, spread);
         assert_eq!(partition.cluster.jobs[0].tasks[1].place, Place::Idle);
     }
 }
 
-// A late copy of a report speaks for a machine that the last leader had released: its
-// task may be on one that is not reconciled.
+// A late copy of a heartbeat comes from a machine that the previous leader terminated. Its task may run on a machine
+// that is not reconciled.
 #[test]
 fn a_late_heartbeat_from_a_terminated_machine_locates_no_task() {
     let mut old = partition_with_running_job("service", 1);
@@ -110,11 +115,11 @@
     partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1200);
     complete_all_commits(&mut partition, 1200, 90);
     partition.schedule(1300, 1300);
-    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle, "it may be on h1");
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle, "the task may run on h1");
 }
 
-// With 3.6% of a core a new leader of 240 machines asked each of them directly, though each had
-// just reported to it, and answered nobody for two seconds.
+// With 3.6% of a core, a new leader of 240 machines probed each of them although all had just sent it a heartbeat, and
+// answered no requests for two seconds.
 #[test]
 fn a_machine_learns_a_new_leaders_token_from_the_answer_to_its_heartbeat() {
     let mut old = partition_with_running_job("service", 1);
@@ -126,10 +131,10 @@
         |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", attempt, "running", None)]);
     partition.heartbeat(&with_old_token(7), StatusSource::Heartbeat, 1100);
     assert!(partition.dispatch_queue.hosts().is_empty());
-    assert!(partition.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next report is on its way");
-    assert_eq!(partition.detect_failures(1100 + react, 0).to_probe, [0], "the answer may not have reached it");
+    assert!(partition.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next heartbeat may be on its way");
+    assert_eq!(partition.detect_failures(1100 + react, 0).to_probe, [0], "the answer may not have reached the machine");
     partition.heartbeat(&with_old_token(8), StatusSource::Heartbeat, 1100 + react);
-    assert!(partition.dispatch_queue.hosts().contains(&0), "the answer made no difference");
+    assert!(partition.dispatch_queue.hosts().contains(&0), "the answer did not reach the machine");
     partition.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
     partition.refresh_unreconciled();
     assert!(partition.cluster.all_reconciled);
@@ -148,7 +153,7 @@
     assert_eq!(partition.detect_failures(1100, 0).to_probe, [1, 2, 0]);
 }
 
-// The next size: a controller in a zone that is cut off keeps the leases there alive.
+// A controller that is isolated in a zone keeps renewing the leases of the machines there.
 #[test]
 fn a_lease_expires_only_while_no_other_controller_could_renew_it() {
     let mut partition = partition_with_running_job("service", 1);
@@ -156,7 +161,10 @@
     for now in (1000..=end).step_by(500) {
         partition.detect_failures(now, now);
     }
-    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)), "another was unbound until now");
+    assert!(
+        matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)),
+        "another controller could renew the lease until now"
+    );
     for now in (end..=end + LEASE_MS + 1500).step_by(500) {
         partition.detect_failures(now, end);
     }
--- a/src/control/partition/tests/failures.rs
+++ b/src/control/partition/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Tests of tasks that fail, and of who is blamed.
+//! Tests of failing tasks and of the detection of faulty machines.
 
 use super::*;
 
@@ -27,7 +27,7 @@
     assert!(partition.cluster.each_host().all(|(_, host)| host.failed_jobs.is_empty()));
 }
 
-/// Two machines and a job of one task, which has failed on the machine that is returned.
+/// Returns a partition with two machines and a job of one task, and the machine on which the task failed.
 fn failed_once() -> (Partition, HostIndex) {
     let mut partition = partition();
     for host in ["h1", "h2"] {
@@ -39,7 +39,7 @@
     (partition, failed)
 }
 
-/// Places the only task, and has it end; the machine on which it did.
+/// Places the only task and reports its end. Returns the machine on which it ran.
 fn end_task(partition: &mut Partition, reason: &str, now: u64) -> HostIndex {
     partition.schedule(now, now);
     let Place::On(host_index, attempt) = partition.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
@@ -52,7 +52,7 @@
 #[test]
 fn a_machine_is_faulty_if_what_failed_there_succeeds_on_another_one() {
     let (mut partition, failed) = failed_once();
-    assert!(!partition.cluster.host(failed).unwrap().faulty(), "the job may be at fault");
+    assert!(!partition.cluster.host(failed).unwrap().faulty(), "the job may be faulty");
     let sound = end_task(&mut partition, "done", 2000);
     assert_ne!(sound, failed);
     assert!(partition.cluster.host(failed).unwrap().faulty());
@@ -66,12 +66,12 @@
     assert_ne!(other, failed);
     partition.cluster.jobs[0].tasks[0].retry_ms = 0;
     end_task(&mut partition, "done", 3000);
-    assert!(partition.cluster.each_host().all(|(_, host)| !host.faulty()), "it failed on both");
+    assert!(partition.cluster.each_host().all(|(_, host)| !host.faulty()), "the job failed on both machines");
 
     let (mut partition, failed) = failed_once();
     partition.cluster.host_mut(failed).unwrap().failed_jobs.clear();
     end_task(&mut partition, "done", 2000);
-    assert!(!partition.cluster.host(failed).unwrap().faulty(), "it has completed a task since");
+    assert!(!partition.cluster.host(failed).unwrap().faulty(), "the machine has completed a task since");
 }
 
 #[test]
@@ -90,7 +90,7 @@
         1100,
     );
     partition.schedule(1100, 1100);
-    assert_eq!(partition.cluster.jobs[0].gang_attempt, attempt, "the old attempt is still there");
+    assert_eq!(partition.cluster.jobs[0].gang_attempt, attempt, "an attempt of the old gang is still running");
     let both = vec![
         reported("run-000001/0", attempt, "ended", Some("mates_gone")),
         reported("run-000001/1", attempt, "ended", Some("mates_gone")),
--- a/src/control/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -1,4 +1,4 @@
-//! Tests of jobs that are cancelled with one that they need.
+//! Tests of jobs that are cancelled together with a job that they depend on.
 
 use super::dependencies::*;
 use super::*;
@@ -9,8 +9,8 @@
 fn one_recorded_cancellation_cancels_all_dependents_at_once() {
     let mut partition = chain();
     cancel(&mut partition, FIRST);
-    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending), "it is not recorded yet");
-    // One change alone is committed: the others' records are still to come.
+    assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending), "the cancellation is not recorded yet");
+    // The commit contains only one change. The dependents' records follow later.
     partition.next_commit(2000, 1).unwrap();
     partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     for id in [FIRST, SECOND, THIRD] {
@@ -38,10 +38,14 @@
     partition.committed(CommitOutcome::Indeterminate).unwrap();
     assert_eq!(phase(partition.status(THIRD)), Err(RefusalReason::EndBeingRecorded));
     assert!(job(&partition, THIRD).waiting && job(&partition, THIRD).end.is_none());
-    // It was refused after all, by the next try.
+    // The retry is refused.
     partition.next_commit(2100, 32).unwrap();
     partition.committed(CommitOutcome::Refused).unwrap();
-    assert_eq!(phase(partition.status(THIRD)), Err(RefusalReason::EndBeingRecorded), "the first may still come");
+    assert_eq!(
+        phase(partition.status(THIRD)),
+        Err(RefusalReason::EndBeingRecorded),
+        "the first write may still be applied"
+    );
     commit_all(&mut partition, 2200);
     assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Cancelled));
 }
@@ -85,7 +89,7 @@
         assert_eq!(phase(partition.status(id)), Ok(JobPhase::Cancelled), "{id}");
     }
     let commit = partition.next_commit(2000, 32).unwrap();
-    assert_eq!(commit.writes.len(), 2, "their own records follow");
+    assert_eq!(commit.writes.len(), 2, "the dependents' own records are still to be written");
 }
 
 #[test]
@@ -95,7 +99,7 @@
     commit_all(&mut partition, 2000);
     let answer = accept_waiting(&mut partition, "run-000004", &[THIRD], json!({}));
     assert!(matches!(answer, UserAnswer::Accepted { created: true, phase: JobPhase::Cancelled, .. }), "{answer:?}");
-    // Repeats, polls and cancellations of it get the usual answers.
+    // Repeated submissions and cancellations of the job get the usual answers.
     let mut rx = submit(&mut partition, &waiting_body("run-000004", &[], json!({})), 2000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { created: false, phase: JobPhase::Cancelled, .. })));
     let (tx, mut rx) = tokio::sync::oneshot::channel();
@@ -108,7 +112,7 @@
     let mut partition = chain();
     let mut rx = submit(&mut partition, &waiting_body("run-000004", &[THIRD], json!({})), 2000);
     cancel(&mut partition, FIRST);
-    // The cancellation is recorded first, by itself.
+    // The cancellation is recorded first, in a commit of its own.
     partition.next_commit(2000, 1).unwrap();
     partition.committed(CommitOutcome::Done { revision: 200 }).unwrap();
     assert_eq!(phase(partition.status("run-000004")), Err(RefusalReason::JobNotAccepted));
@@ -128,8 +132,8 @@
     assert_eq!(commit.writes[0].to_json()["put"], "job/run-000005");
 }
 
-/// A job on which a thousand others wait.
-fn wide_fan() -> (Partition, Vec<String>) {
+/// Returns a partition with a job that a thousand others depend on, and the ids of these.
+fn thousand_dependents() -> (Partition, Vec<String>) {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     accept_waiting(&mut partition, FIRST, &[], json!({}));
@@ -142,24 +146,24 @@
 
 #[test]
 fn one_change_cancels_a_thousand_dependents() {
-    let (mut partition, ids) = wide_fan();
+    let (mut partition, ids) = thousand_dependents();
     cancel(&mut partition, FIRST);
     assert_eq!(partition.next_commit(2000, 1).unwrap().writes.len(), 1);
     partition.committed(CommitOutcome::Done { revision: 5000 }).unwrap();
     assert!(ids.iter().all(|id| phase(partition.status(id)) == Ok(JobPhase::Cancelled)));
-    let mut followed = 0;
+    let mut cancelled = 0;
     let mut revision = 5000;
     while let Some(commit) = partition.next_commit(2000, 4) {
-        followed += commit.writes.iter().filter(|write| write.to_json()["data"]["end"] == "Cancelled").count();
+        cancelled += commit.writes.iter().filter(|write| write.to_json()["data"]["end"] == "Cancelled").count();
         revision += 1;
         partition.committed(CommitOutcome::Done { revision }).unwrap();
     }
-    assert_eq!(followed, 1000);
+    assert_eq!(cancelled, 1000);
 }
 
 #[test]
 fn a_thousand_dependents_become_active_with_one_end() {
-    let (mut partition, ids) = wide_fan();
+    let (mut partition, ids) = thousand_dependents();
     partition.schedule(1001, 1001);
     assert_eq!(partition.cluster.live.len(), 1);
     report_ended(&mut partition, FIRST, 2);
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of the limits of the state service.
+//! Tests of the limits of the state service and of the number of attempts that a leader can follow.
 
 use super::*;
 use crate::model::FencingToken;
@@ -27,14 +27,14 @@
     let mut commits = 0;
     while let Some(commit) = partition.next_commit(1000, 32) {
         commits += 1;
-        assert!(commits < 12, "it repeats for ever");
+        assert!(commits < 12, "the commit is repeated endlessly");
         let at_fault = commit.writes.iter().any(|write| write.to_json()["put"] == "job/run-000001");
         let result = if at_fault { CommitOutcome::NotTaken } else { CommitOutcome::Done { revision: 100 + commits } };
         recorded += if at_fault { 0 } else { commit.writes.len() };
         partition.committed(result).unwrap();
     }
-    assert_eq!(recorded, 3, "the others are recorded");
-    assert!(partition.next_commit(1000 + partition.policy.lease_ms, 32).is_some(), "it is tried again");
+    assert_eq!(recorded, 3, "the other records are written");
+    assert!(partition.next_commit(1000 + partition.policy.lease_ms, 32).is_some(), "the faulty record is retried");
 }
 
 #[test]
@@ -59,8 +59,8 @@
     assert!(end.writes[0].to_json()["data"].to_string().len() <= MAX_RECORD_BYTES);
 }
 
-/// A partition whose leader can follow 48 entries of attempts a second, with an array of 1,000
-/// tasks of the lowest urgency that waits.
+/// Returns a partition whose leader can process 48 attempt entries a second, with a waiting array of 1,000 tasks of the
+/// lowest urgency.
 fn partition_with_a_large_array() -> Partition {
     let mut settings = settings();
     settings.params.limits.core_share = Some(0.0008);
@@ -80,7 +80,7 @@
     partition
 }
 
-/// All machines report at this moment what they were ordered.
+/// Sends a heartbeat of each machine that lists all its attempts as running.
 fn report_all(partition: &mut Partition, sequence: u64, now: u64) {
     for host in 0..40 {
         let tasks = partition.cluster.host_index.get(&format!("h{host}")).map(|&index| {
@@ -95,12 +95,13 @@
     }
 }
 
+/// Returns the number of attempts on all machines.
 fn attempt_total(partition: &Partition) -> usize {
     partition.cluster.each_host().map(|(_, host)| host.attempts.len()).sum()
 }
 
-// A fixed count of attempts left most of 4,000 machines idle: what an attempt costs depends on
-// how often it is listed.
+// A fixed maximum of attempts left most of 4,000 machines idle. The cost of an attempt depends on how often heartbeats
+// list it.
 #[test]
 fn more_long_tasks_than_short_ones_may_run() {
     let mut partition = partition_with_a_large_array();
@@ -108,14 +109,14 @@
     commit(&mut partition, 1000, 101);
     commit(&mut partition, 1000, 102);
     partition.schedule(1001, 1001);
-    assert_eq!(attempt_total(&partition), 48, "nothing is measured yet");
-    // Listed once in 4 s, four times as many are followed.
+    assert_eq!(attempt_total(&partition), 48, "no heartbeat load is measured yet");
+    // With one heartbeat in 4 s, four times as many attempts are allowed.
     for round in 1..=6 {
         report_all(&mut partition, 1 + round, 1000 + 4000 * round);
         partition.schedule(1001 + 4000 * round, 1001 + 4000 * round);
     }
     assert_eq!(attempt_total(&partition), 4 * 48);
-    // Their tasks now end and begin all the time, and reports come every half second: no more.
+    // With heartbeats every half second, as when tasks end and start all the time, the maximum is lower again.
     for round in 1..=40 {
         report_all(&mut partition, 100 + round, 30_000 + 500 * round);
         partition.schedule(30_001 + 500 * round, 30_001 + 500 * round);
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Tests of orders to machines and of what their reports mean.
+//! Tests of orders to machines and of the handling of their heartbeats.
 
 use super::*;
 use crate::model::FencingToken;
@@ -12,7 +12,7 @@
     let command = partition.next_direct_command(0, 1100, false).unwrap();
     assert!(command.orders.iter().all(|order| matches!(order, Order::Stop { .. })) && command.orders.len() == 2);
     partition.schedule(1200, 1200);
-    // While one of them may be there, the user is counts nothing that a clock starts with.
+    // While one of the tasks may still run, the cancellation is not answered, because users measure time from the answer.
     let ended_task =
         |number: usize| reported(&format!("run-000001/{number}"), attempts[number], "ended", Some("halted"));
     let running_task = reported("run-000001/1", attempts[1], "running", None);
@@ -32,7 +32,7 @@
         1300,
     );
     partition.schedule(1300, 1300);
-    assert!(partition.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "nothing is started again");
+    assert!(partition.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "no task is started again");
     commit(&mut partition, 1300, 101);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
@@ -42,13 +42,13 @@
     let mut partition = partition_with_running_job("service", 1);
     let command = partition.next_direct_command(0, 1001, false).unwrap();
     partition.direct_command_done(&command, DirectCommandOutcome::Indeterminate, 2000);
-    // The machine does not list it, and it may still come.
+    // The machine does not list the task, but the order may still arrive.
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
-    assert_eq!(count_runs(&orders), 1, "the same attempt, again");
+    assert_eq!(count_runs(&orders), 1, "the same attempt is ordered again");
     assert!(!partition.needs_higher_token());
     let (tx, _rx) = oneshot::channel();
     partition.cancel("run-000001", 1000, true, tx);
-    assert!(partition.next_commit(2200, 32).is_none(), "not said while it may still come");
+    assert!(partition.next_commit(2200, 32).is_none(), "the end is not written while the order may still arrive");
     assert!(partition.needs_higher_token());
     partition.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 2300);
     assert_eq!(partition.cluster.host(0).unwrap().attempts.len(), 1);
@@ -67,7 +67,7 @@
     assert_eq!(
         count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, ended()), StatusSource::Heartbeat, 1100)),
         0,
-        "a command is under way"
+        "a direct command is in flight"
     );
     partition.direct_command_done(&command, DirectCommandOutcome::Indeterminate, 2000);
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 3, 1, ended()), StatusSource::Heartbeat, 2100)), 0);
@@ -83,7 +83,7 @@
     partition.heartbeat(&heartbeat("h1", 1, 9, 1, running()), StatusSource::Heartbeat, 1100);
     partition.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 1200);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, attempt));
-    // A new session has lost everything, whatever an old report says.
+    // A machine in a new agent epoch has lost all tasks, whatever an older heartbeat says.
     partition.heartbeat(&heartbeat("h1", 2, 10, 1, vec![]), StatusSource::Heartbeat, 1300);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
     partition.heartbeat(&heartbeat("h1", 1, 11, 1, running()), StatusSource::Heartbeat, 1400);
@@ -96,13 +96,13 @@
     let last = partition.cluster.host(0).unwrap().attempts.iter().map(|attempt| attempt.attempt).max().unwrap();
     let next = partition.epoch.upcoming_number();
     partition.set_fencing_token(partition.fencing_token(), 78);
-    assert_eq!(partition.epoch.upcoming_number(), next, "nor does one when the key was looked at and found as it was");
+    assert_eq!(partition.epoch.upcoming_number(), next, "rereading the key with an unchanged token changes no number");
     partition.set_fencing_token(FencingToken(2), 79);
     assert!(partition.epoch.upcoming_number() > last + 1);
 }
 
-// Found on suva grown: a task on a machine with a notice ran into its end, and its
-// loss was certain only 5 s after that.
+// A task kept running on a machine with a preemption notice until the machine was taken, and its loss was certain only
+// 5 s later. Found in simulation with an enlarged suva scenario.
 #[test]
 fn array_tasks_that_can_not_end_before_a_preemption_are_stopped() {
     for (warning, stops) in [(5.0, 2), (15.0, 0)] {
@@ -133,9 +133,9 @@
     assert!(matches!(orders[..], [Order::Reap { .. }]));
 }
 
-// An order that came late may have started a second attempt, which completes first. What is
-// left is looked for once a scheduling cycle: at each completed task it had taken most of the processor
-// time while an array of 25,000 short tasks ran.
+// A late order may have started a second attempt, which completes first. Remaining attempts are searched for once per
+// scheduling cycle: doing so at each completed task took most of the processor time while an array of 25,000 short
+// tasks ran.
 #[test]
 fn the_other_attempt_of_a_done_task_is_stopped_by_the_next_cycle() {
     let mut partition = partition();
@@ -157,7 +157,7 @@
     assert!(orders.iter().any(|order| matches!(order, Order::Stop { .. })), "{orders:?}");
 }
 
-// Each poll about an array had looked at each of its tasks and at all attempts on its machine.
+// Each status request for an array examined all its tasks and, for each, all attempts on its machine.
 #[test]
 fn periodic_maintenance_counts_the_running_tasks_of_a_large_array() {
     const TASKS: u32 = 70;
@@ -173,7 +173,7 @@
         for number in 0..12 {
             let id = format!("h{number}");
             let attempts = partition.cluster.host(partition.cluster.host_index[&id]).unwrap().attempts.clone();
-            // Every other task of a machine goes on.
+            // Every other task of a machine keeps running.
             let phase = |index: usize| if sequence == 3 && index.is_multiple_of(2) { phase } else { "running" };
             let tasks = attempts.iter().enumerate().map(|(index, attempt)| {
                 reported(&format!("run-000001/{}", attempt.key.task), attempt.attempt, phase(index), Some("done"))
--- a/src/control/partition/tests/parts.rs
+++ b/src/control/partition/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of a partition, each on its own.
+//! Unit tests of the components of a partition.
 
 use super::commit_builder::{CommitBuilder, ConditionalWrite};
 use super::commit_queue::{CommitQueue, WritePriority};
@@ -13,11 +13,11 @@
 use super::*;
 use crate::model::{JobEnd, Shape, UnsavedChange, Urgency};
 
-/// Jobs whose records are due for these changes, by urgency.
+/// Returns accepted jobs with these unsaved changes and urgencies.
 fn jobs(changes: &[(UnsavedChange, Urgency)]) -> Vec<Job> {
     let job = |(change, urgency): &(UnsavedChange, Urgency)| {
         let mut job = Job::new(wire::parse_submission(&body("run-000001", "batch", 1)).unwrap(), 0, 0);
-        // Accepted: others are not active.
+        // A version marks the job as accepted; only accepted jobs are active.
         job.version = 1;
         (job.unsaved, job.urgency, job.spec.urgency) = (*change, *urgency, *urgency);
         job
@@ -25,6 +25,7 @@
     changes.iter().map(job).collect()
 }
 
+/// Returns a commit queue in which all jobs are marked.
 fn commit_queue(jobs: &[Job]) -> CommitQueue {
     let mut queue = CommitQueue::new(settings().write_limits());
     (0..jobs.len()).for_each(|job| queue.mark_job(job));
@@ -65,7 +66,7 @@
     assert_eq!(queue.max_changes(), 4);
     queue.raise_max_changes();
     assert_eq!(queue.max_changes(), 8);
-    assert!(queue.lower_max_changes(1), "that change is at fault");
+    assert!(queue.lower_max_changes(1), "a commit of one change identifies the faulty one");
     assert_eq!(queue.max_changes(), most);
     queue.raise_max_changes();
     assert_eq!(queue.max_changes(), most);
@@ -81,13 +82,13 @@
 #[test]
 fn a_commit_takes_one_record_of_any_size_and_no_more_over_the_size_limit() {
     let mut builder = CommitBuilder::new(wire::condition("part/0", 1), 32);
-    assert!(builder.build().is_none(), "nothing to write");
+    assert!(builder.build().is_none(), "an empty commit is not built");
     builder = CommitBuilder::new(wire::condition("part/0", 1), 2);
     assert!(builder.reserve_job_record("job/1", 60 * 1024));
     let write = wire::put("job/1", &json!(1), None);
     builder.add_conditional(wire::condition("job/1", 0), write, PendingWrite::DeletedKey("job/1".into()));
     assert!(builder.is_over_size() && !builder.reserve_job_record("job/2", 1));
-    assert_eq!(builder.changes_left_for_reservations(), None, "jobs' records take more than half of it");
+    assert_eq!(builder.changes_left_for_reservations(), None, "job records take more than half of the commit");
     builder.add_group(
         vec![ConditionalWrite { condition: wire::condition("pool/1", 0), write: wire::delete("pool/1") }],
         PendingWrite::Pools,
@@ -122,7 +123,7 @@
     clients.await_end(1, gone);
     clients.await_end(1, canceller);
     clients.answer_all(2, &UserAnswer::Unknown);
-    assert!(submitted.try_recv().is_err(), "that was another job");
+    assert!(submitted.try_recv().is_err(), "another job has ended");
     clients.answer_all(1, &UserAnswer::Unknown);
     assert_eq!((submitted.try_recv(), cancelled.try_recv()), (Ok(UserAnswer::Unknown), Ok(UserAnswer::Unknown)));
     assert!(clients.take_submitters(1).is_empty());
@@ -153,14 +154,18 @@
     assert!(triggers.is_cycle_due() && !triggers.is_urgent_cycle_due());
     triggers.request_cycle_for(Urgency::High);
     triggers.begin_cycle(Urgency::Low);
-    assert!(!triggers.is_cycle_due() && !triggers.is_urgent_cycle_due(), "it was for urgent work, too");
+    assert!(!triggers.is_cycle_due() && !triggers.is_urgent_cycle_due(), "the cycle for all jobs includes urgent ones");
     triggers.end_cycle(&jobs, Urgency::Low, vec![0, 1], 3);
     triggers.request_cycle();
     triggers.request_urgent_cycle();
     triggers.begin_cycle(Urgency::High);
     assert!(triggers.is_cycle_due() && !triggers.is_urgent_cycle_due());
     triggers.end_cycle(&jobs, Urgency::High, vec![], 2);
-    assert_eq!((triggers.pending_jobs(), triggers.hosts_examined()), (&[0][..], 5), "less urgent work was not tried");
+    assert_eq!(
+        (triggers.pending_jobs(), triggers.hosts_examined()),
+        (&[0][..], 5),
+        "the cycle does not try less urgent jobs"
+    );
 }
 
 #[test]
@@ -182,9 +187,9 @@
     assert_eq!(cluster.unreconciled_kinds.len(), 1);
     cluster.host_mut(index).unwrap().reconciled = true;
     reconciliation.request_count();
-    assert!(reconciliation.is_count_due() && reconciliation.count(&mut cluster), "it was the last one");
+    assert!(reconciliation.is_count_due() && reconciliation.count(&mut cluster), "the last machine is reconciled");
     assert!(cluster.all_reconciled && !reconciliation.is_count_due());
-    assert!(!reconciliation.count(&mut cluster), "nothing has changed");
+    assert!(!reconciliation.count(&mut cluster), "the count is unchanged");
 }
 
 #[test]
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -1,4 +1,4 @@
-//! Tests of what is recorded: ends, ranges of done tasks, machines, keys that change hands.
+//! Tests of recorded ends, ranges of done tasks and machines, and of transfers between partitions.
 
 use super::*;
 
@@ -7,7 +7,11 @@
     let mut partition = partition();
     let _rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
     let commit = partition.next_commit(1000, 32).unwrap();
-    assert_eq!(commit.conditions[0], wire::condition("part/0", 77), "every commit guards on the part's key");
+    assert_eq!(
+        commit.conditions[0],
+        wire::condition("part/0", 77),
+        "every commit is conditional on the partition's key"
+    );
     assert_eq!(partition.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
 }
 
@@ -33,7 +37,7 @@
     commit(&mut partition, 1100, 101);
     assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Done, done: 1, .. }));
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 3, 1, done()), StatusSource::Heartbeat, 1200)), 1);
-    // It is over: a cancellation that comes now changes nothing.
+    // A cancellation after the end changes nothing.
     let (tx, mut rx) = oneshot::channel();
     partition.cancel("run-000001", 1000, true, tx);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Done, .. })));
@@ -52,8 +56,8 @@
     assert!(commit.writes[0].to_string().len() < 32 * 1024);
 }
 
-// Something was to be recorded all the time while an array of 100,000 short tasks ran, and no
-// ended attempt was reaped: the reports grew until controllers went beyond their memory.
+// While an array of 100,000 short tasks ran, some progress was always unrecorded, and no ended attempt was reaped. The
+// heartbeats grew until controllers exceeded their memory.
 #[test]
 fn recorded_tasks_are_reaped_while_others_keep_ending() {
     let mut partition = partition();
@@ -70,24 +74,24 @@
     };
     let reap_count = |orders: &[Order]| orders.iter().filter(|order| matches!(order, Order::Reap { .. })).count();
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, listed(1)), StatusSource::Heartbeat, 2000);
-    assert_eq!(reap_count(&orders), 0, "not recorded yet");
+    assert_eq!(reap_count(&orders), 0, "the end is not recorded yet");
     let progress_due = 2000 + 10 * partition.policy.report_ms;
     commit(&mut partition, progress_due, 101);
     let orders = partition.heartbeat(&heartbeat("h1", 1, 3, 1, listed(2)), StatusSource::Heartbeat, progress_due + 1);
-    assert_eq!(reap_count(&orders), 1, "the first is recorded, the second is not");
+    assert_eq!(reap_count(&orders), 1, "only the first end is recorded");
 }
 
 #[test]
 fn a_machine_moves_between_partitions_only_when_it_is_free() {
     let mut partition = partition_with_running_job("service", 1);
-    assert!(!partition.transfer_host("h1", 1), "a task is on it");
+    assert!(!partition.transfer_host("h1", 1), "a task runs on the machine");
     partition.heartbeat(&heartbeat("h2", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1100);
-    assert!(!partition.transfer_host("h2", 1), "not registered yet");
+    assert!(!partition.transfer_host("h2", 1), "the machine is not registered yet");
     commit(&mut partition, 1100, 101);
     assert!(partition.transfer_host("h2", 1));
     commit(&mut partition, 1200, 102);
     assert_eq!(partition.route_heartbeat(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::OtherPartition(1));
-    // One that comes from a partition with a higher fencing token needs a higher one here.
+    // A machine from a partition with a higher fencing token requires a higher token here.
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     partition.host_record_read("h3", Some(record), 1300);
     assert_eq!(partition.route_heartbeat(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::AwaitsHigherToken);
--- a/src/control/partition/tests/warm_pools/claims.rs
+++ b/src/control/partition/tests/warm_pools/claims.rs
@@ -1,4 +1,4 @@
-//! Who is given a replica, and when its task is ordered.
+//! Tests of claims of slots, and of the orders that follow.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let mut harness = Harness::new(3);
     let job = harness.submit("blue", "notes");
     harness.rounds(1);
-    assert!(harness.attached_slot(&job).is_some(), "it runs with a loaded model at once");
+    assert!(harness.attached_slot(&job).is_some(), "the task starts with a loaded model at once");
     harness.rounds(8);
     assert_eq!((harness.idle_slots(), harness.claimed_slots(), harness.running_attempts(&job)), (POOL_SIZE, 1, 1));
 }
@@ -23,7 +23,7 @@
     assert!(!harness.store.keys().any(|key| key.starts_with("pool/")));
 }
 
-// The claim is recorded before the order: a successor must not give the replica away again.
+// The claim must be recorded before the order, so that a new leader does not give the replica away again.
 #[test]
 fn a_task_is_not_ordered_before_its_claim_is_recorded() {
     let mut harness = Harness::new(2);
@@ -46,7 +46,7 @@
     let first = harness.submit("red", "notes");
     harness.rounds(1);
     assert!(harness.attached_slot(&first).is_some());
-    // One is left, and two want it; the later one is more urgent.
+    // One replica is left for two jobs, the later of which is more urgent.
     let ordinary = harness.submit("red", "notes");
     let urgent = harness.submit("blue", "notes");
     let index = harness.partition.cluster.job_index[&urgent];
@@ -56,11 +56,11 @@
     assert_eq!(
         (harness.running_attempts(&ordinary), harness.attached_slot(&ordinary)),
         (1, None),
-        "placed as usual, at once"
+        "the job is placed as usual at once"
     );
 }
 
-// A team at its limit gets no more by a pool, idle or not.
+// A pool must not let a team exceed its limit.
 #[test]
 fn a_claim_counts_against_the_limit_of_its_team() {
     let mut harness = Harness::new(3);
@@ -83,18 +83,18 @@
             usize::from(commits == CommitBehaviour::CommittedUnanswered && harness.claimed_slots() == 1)
         );
         harness.commits = CommitBehaviour::Committed;
-        // The late one comes before or with the next.
+        // The late commit is applied before the next one.
         for late in std::mem::take(&mut harness.late) {
             harness.apply_commit(&late);
         }
         harness.rounds(10);
         assert_eq!((harness.running_attempts(&job), harness.idle_slots()), (1, POOL_SIZE), "{commits:?}");
         let told: Vec<u64> = harness.workers.values().flat_map(|worker| worker.slots.keys().copied()).collect();
-        assert_eq!(told.len(), POOL_SIZE, "no slot is left behind");
+        assert_eq!(told.len(), POOL_SIZE, "no superfluous slot stays loaded");
     }
 }
 
-// An outage for longer than a lease: what waits is placed as usual, and pools go on after it.
+// In an outage longer than a lease, waiting jobs are placed as usual. The pools are maintained again afterwards.
 #[test]
 fn without_the_state_service_jobs_are_placed_as_usual() {
     let mut harness = Harness::new(3);
@@ -104,7 +104,7 @@
     harness.partition.conditions.reservations_recordable = false;
     let job = harness.submit("red", "notes");
     harness.rounds(1);
-    assert_eq!(harness.running_attempts(&job), 1, "it does not wait for a claim that can't be recorded");
+    assert_eq!(harness.running_attempts(&job), 1, "the job does not wait for a claim that can't be recorded");
     harness.rounds(2 * LEASE_MS as usize / ROUND_MS as usize);
     assert_eq!((harness.running_attempts(&claimed_before), harness.running_attempts(&job)), (1, 1));
     assert_eq!((harness.attached_slot(&claimed_before), harness.attached_slot(&job)), (None, None));
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -1,10 +1,10 @@
-//! Successors, and files that were changed.
+//! Tests of failovers and of changed pool settings.
 
 use super::*;
 
 #[test]
 fn a_new_leader_neither_reassigns_nor_loses_a_claimed_replica() {
-    // The leader ends before its claim is recorded, between the record and the order, or after it.
+    // The leader stops before the claim is recorded, between record and order, or after the order.
     for (recorded, ordered) in [(false, false), (true, false), (true, true)] {
         let mut harness = Harness::new(3);
         let job = harness.submit("blue", "notes");
@@ -31,7 +31,7 @@
     }
 }
 
-// A paused leader wakes and goes on: its token is refused by the workers, its writes by the guard.
+// A paused leader resumes after a failover. Workers refuse its token, and the store refuses its writes.
 #[test]
 fn a_superseded_leader_orders_nothing() {
     let mut harness = Harness::new(3);
@@ -47,7 +47,7 @@
     assert_eq!(harness.running_attempts(&job), 1);
 }
 
-// A name may be given to another model while replicas sit in the pool.
+// A name may be assigned to a new model version while the pool holds replicas of the old one.
 #[test]
 fn a_new_model_version_replaces_slots_without_shrinking_the_pool() {
     let mut harness = Harness::new(4);
@@ -65,7 +65,10 @@
     }
     assert_eq!((harness.idle_slots(), harness.running_attempts(&job)), (POOL_SIZE, 1));
     assert!(harness.partition.pool_slots().all(|slot| slot.identity.version == 4));
-    assert!(harness.attached_slot(&job).is_none_or(|slot| !before.contains(&slot)), "not the weights of version 3");
+    assert!(
+        harness.attached_slot(&job).is_none_or(|slot| !before.contains(&slot)),
+        "the job must not get the weights of version 3"
+    );
 }
 
 #[test]
@@ -80,7 +83,7 @@
     assert!(harness.workers.values().all(|worker| worker.slots.is_empty()));
 }
 
-// The name is given to another model while replicas are loading, claimed or draining.
+// A model name is assigned to another model while slots are loading, claimed or draining.
 #[test]
 fn a_model_name_reassigned_in_any_slot_state_never_yields_the_old_model() {
     for state in ["loading", "claimed", "draining"] {
@@ -93,7 +96,7 @@
         harness.fail_over();
         harness.rounds(1);
         let before: Vec<u64> = harness.partition.pool_slots().map(|slot| slot.id).collect();
-        // What was `notes` is `letters` now, and `notes` is a new model.
+        // The model `notes` is renamed to `letters`, and `notes` becomes a new model.
         let mut letters = harness.pools.models["notes"].clone();
         letters.names = vec!["letters".into()];
         let mut notes = letters.clone();
@@ -106,7 +109,10 @@
         harness.rounds(12);
         assert_eq!(harness.running_attempts(&job), 1, "{state}");
         assert!(harness.attached_slot(&job).is_none_or(|slot| !before.contains(&slot)), "{state}");
-        assert!(claimed.is_none_or(|claimed| harness.running_attempts(&claimed) == 1), "who had it keeps it");
+        assert!(
+            claimed.is_none_or(|claimed| harness.running_attempts(&claimed) == 1),
+            "an earlier claimant keeps running"
+        );
         assert!(
             harness.partition.pool_slots().filter(|slot| slot.is_claimable()).all(|slot| slot.identity.version == 4)
         );
--- a/src/control/partition/tests/warm_pools/machines.rs
+++ b/src/control/partition/tests/warm_pools/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that fail or are taken back, and room that others need.
+//! Tests of slots on machines that fail or are preempted, and of capacity that other jobs need.
 
 use super::*;
 use std::collections::BTreeSet;
@@ -6,7 +6,7 @@
 #[test]
 fn a_pool_recovers_when_all_its_machines_are_lost_at_once() {
     let mut harness = Harness::cold(4, "loaded");
-    // One replica a machine.
+    // Only one replica fits on a machine.
     harness.pools.pools.get_mut("counter").unwrap().cards = 5.0;
     harness.fail_over();
     harness.rounds(8);
@@ -25,7 +25,7 @@
     assert_eq!(on_lost, 0);
 }
 
-// The worker's session starts anew: nothing is warm then, and nobody is given it.
+// A worker that starts a new agent epoch has lost its models, so its slots must not be claimed.
 #[test]
 fn a_worker_that_lost_its_lease_has_no_idle_slots() {
     let mut harness = Harness::new(2);
@@ -49,10 +49,10 @@
     harness.rounds(6);
     assert_eq!(harness.idle_slots(), POOL_SIZE);
     assert!(harness.partition.pool_slots().all(|slot| slot.host != doomed));
-    assert!(harness.workers[&doomed].slots.is_empty(), "it was told to unload");
+    assert!(harness.workers[&doomed].slots.is_empty(), "the worker was ordered to unload");
 }
 
-// What no record knows, a late order to load among it, is unloaded.
+// A slot without a record, for example from a late order to load it, must be unloaded.
 #[test]
 fn a_slot_without_a_record_is_unloaded() {
     let mut harness = Harness::new(2);
@@ -62,7 +62,7 @@
     assert_eq!(harness.idle_slots(), POOL_SIZE);
 }
 
-// Idle room beyond the payer's guarantee gives way to work within another team's.
+// Idle slots beyond the payer's guarantee must yield to jobs within another team's guarantee.
 #[test]
 fn idle_slots_beyond_a_guarantee_yield_to_guaranteed_jobs() {
     for (guaranteed, left) in [(0.0, 0), (8.0, POOL_SIZE)] {
@@ -77,12 +77,12 @@
     }
 }
 
-// An ordinary worker knows nothing of slots: room is held beside its image.
+// On a worker that does not load models, a slot reserves capacity on a machine that has the image.
 #[test]
 fn image_slots_reserve_capacity_on_workers_that_load_no_models() {
     let mut harness = Harness::cold(3, "image");
     harness.rounds(4);
-    // No machine has the image: the room is held all the same, and claimed under the image's name.
+    // Capacity is reserved and claimed under the image's name even though no machine has the image yet.
     let held = harness.partition.cluster.warm_reservations.len();
     assert_eq!((held, harness.loads), (POOL_SIZE, 0));
     let hosts: Vec<String> = harness.partition.pool_slots().map(|slot| slot.host.clone()).collect();
@@ -91,14 +91,14 @@
     assert_eq!((harness.running_attempts(&job), harness.claimed_slots()), (1, 1));
     let claimant = harness.workers.iter().find(|(_, worker)| !worker.tasks.is_empty()).unwrap().0.clone();
     assert!(hosts.contains(&claimant));
-    // Where it runs the image is there, and the next room is beside it.
+    // The claimant's machine now has the image, so the next slot is placed there.
     let index = harness.partition.cluster.host_index[&claimant];
     harness.partition.cluster.host_mut(index).unwrap().image_ready("notes-3");
     harness.rounds(2);
     assert!(harness.partition.pool_slots().any(|slot| slot.state == SlotState::Idle && slot.host == claimant));
 }
 
-// It hangs beyond its lease: its task and its slot are gone, and the claimant runs elsewhere.
+// A machine hangs for longer than its lease. Its task and slot are lost, and the task must run elsewhere.
 #[test]
 fn a_hung_machine_loses_its_claim_and_the_task_runs_elsewhere() {
     let mut harness = Harness::new(3);
@@ -110,13 +110,10 @@
     for _ in 0..2 * LEASE_MS / ROUND_MS {
         harness.round();
         let release = harness.partition.detect_failures(harness.now, 0).to_terminate;
-        assert!(harness.claimed_slots() <= 2, "one at a time, whatever is released: {release:?}");
+        assert!(harness.claimed_slots() <= 2, "at most one more claim, whatever is terminated: {release:?}");
     }
-    let hosts_of_other_partitions = harness.workers.iter().filter(|(id, _)| **id != hung);
-    assert_eq!(
-        hosts_of_other_partitions.filter(|(_, worker)| worker.tasks.contains_key(&format!("{job}/0"))).count(),
-        1
-    );
+    let other_workers = harness.workers.iter().filter(|(id, _)| **id != hung);
+    assert_eq!(other_workers.filter(|(_, worker)| worker.tasks.contains_key(&format!("{job}/0"))).count(), 1);
     assert_eq!(harness.idle_slots(), POOL_SIZE);
     assert!(harness.partition.pool_slots().all(|slot| slot.host != hung || !slot.is_claimable()));
 }
@@ -137,11 +134,11 @@
     assert_eq!(
         (harness.idle_slots(), harness.claimed_slots(), harness.running_attempts(&job)),
         (POOL_SIZE, 1, 1),
-        "it has another replica"
+        "the task has another replica"
     );
 }
 
-// What a worker keeps beyond its session is not known: rooms beside images begin anew, too.
+// Contents of a worker after a change of its agent epoch are unknown, so image slots are replaced, too.
 #[test]
 fn slots_on_a_machine_with_a_new_agent_epoch_are_replaced() {
     let mut harness = Harness::cold(2, "image");
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -1,5 +1,5 @@
-//! Warm pools between claims, commits, orders, reports and failovers, with scripted workers that
-//! load models and a scripted store. Several machines fail at a time.
+//! Tests of warm pools across claims, commits, orders, heartbeats and failovers, with scripted workers that load models
+//! and a scripted store. Several machines fail at a time.
 
 mod claims;
 mod failovers;
@@ -12,35 +12,37 @@
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
 
-/// Time between two rounds.
+/// Time between two rounds, in milliseconds.
 const ROUND_MS: u64 = 500;
-/// A wall time, to begin with.
+/// Time of day at the start of a test, in milliseconds.
 const INITIAL_WALL_MS: u64 = 1_796_169_600_000;
+/// Number of replicas that the pool keeps available.
 const POOL_SIZE: usize = 2;
 
-/// What becomes of commits.
+/// Handling of commits by the scripted store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CommitBehaviour {
+    /// The commit is applied and answered.
     Committed,
-    /// Made, and nobody hears of it.
+    /// The commit is applied, but the answer is lost.
     CommittedUnanswered,
-    /// Not made, and nobody hears of it; they come later.
+    /// The commit is not answered, and applied later.
     Late,
-    /// Refused: an outage.
+    /// The commit is refused, as in an outage.
     Refused,
 }
 
-/// A worker that keeps models loaded.
+/// Scripted worker that keeps models loaded.
 #[derive(Debug, Clone, Default)]
 struct Worker {
     agent_epoch: u64,
     sequence: u64,
     seen_token: u64,
-    /// Loaded models, and whether they are ready.
+    /// Slots with loaded models, and whether they are ready.
     slots: BTreeMap<u64, bool>,
-    /// Running tasks: their attempts, and the slot that each took over.
+    /// Running tasks with their attempt numbers and the slot that each took over.
     tasks: BTreeMap<String, (u64, Option<u64>)>,
-    /// Stopped tasks that are to be reaped.
+    /// Stopped tasks that are not reaped yet, with their attempt numbers.
     ended: BTreeMap<String, u64>,
     silent: bool,
 }
@@ -81,7 +83,7 @@
     }
 }
 
-/// A partition with a pool, its store and workers.
+/// Partition with a pool, its store and its workers.
 struct Harness {
     partition: Partition,
     settings: Settings,
@@ -106,7 +108,7 @@
 }
 
 impl Harness {
-    /// With so many workers that keep models loaded, and a warm pool.
+    /// Returns a harness with `workers` workers that load models, and a filled pool.
     fn new(workers: usize) -> Harness {
         let mut harness = Harness::cold(workers, "loaded");
         harness.rounds(8);
@@ -114,6 +116,7 @@
         harness
     }
 
+    /// Returns a harness with `workers` workers that load models, and an empty pool that keeps `keep`.
     fn cold(workers: usize, keep: &str) -> Harness {
         let mut settings = settings();
         for team in &mut settings.params.teams {
@@ -140,7 +143,7 @@
         harness
     }
 
-    /// Another leader begins with what is stored.
+    /// Lets a new leader begin with the stored records.
     fn fail_over(&mut self) {
         self.fencing_token += 1;
         self.late.clear();
@@ -170,7 +173,7 @@
         (0..count).for_each(|_| self.round());
     }
 
-    /// Reports, a plan, a scheduling cycle, a commit and the orders.
+    /// Runs heartbeats, maintenance, a scheduling cycle, a commit and the direct commands.
     fn round(&mut self) {
         self.now += ROUND_MS;
         let ids: Vec<String> = self.workers.keys().cloned().collect();
@@ -194,7 +197,7 @@
         let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         self.loads += orders.iter().filter(|order| matches!(order, Order::Load { .. })).count();
         let worker = self.workers.get_mut(id).unwrap();
-        // What is loading by now is ready with the next report.
+        // Slots that are loading now are ready in the next heartbeat.
         worker.slots.values_mut().for_each(|ready| *ready = true);
         worker.carry_out(&orders);
     }
@@ -214,7 +217,7 @@
     }
 
     fn commit(&mut self) {
-        // As the leader does: without the state service no claim is offered.
+        // As in the leader, no slot is offered while the state service is unavailable.
         self.partition.conditions.reservations_recordable = self.commits != CommitBehaviour::Refused;
         let Some(commit) = self.partition.next_commit(self.now, 32) else { return };
         let result = match self.commits {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Makes a commit if its conditions hold; the partition's own key always does.
+    /// Applies a commit if its conditions hold. The condition on the partition's own key counts as fulfilled.
     fn apply_commit(&mut self, commit: &Commit) -> CommitOutcome {
         let version = |key: &str| self.store.get(key).map_or(0, |item| item.1);
         let failed: Vec<String> = commit
@@ -267,7 +270,7 @@
         self.partition.pool_keys_read(found);
     }
 
-    /// Submits a service of one replica and records it.
+    /// Submits a service of one replica and completes its commits.
     fn submit(&mut self, team: &str, image: &str) -> String {
         self.jobs += 1;
         let id = format!("run-{:06}", self.jobs);
@@ -284,7 +287,7 @@
         id
     }
 
-    /// A scheduling cycle and nothing else: what it decided is not recorded yet.
+    /// Runs a scheduling cycle only. Its decisions are not recorded yet.
     fn schedule(&mut self) {
         self.partition.schedule(self.now, self.now);
     }
@@ -301,16 +304,17 @@
         self.count(|state| matches!(state, SlotState::Claimed(_)))
     }
 
-    /// The slot that a job's task runs with, on whichever worker; none if it runs without.
+    /// Returns the slot that a job's task took over, or `None` if the task does not run or uses no slot.
     fn attached_slot(&self, job: &str) -> Option<u64> {
         self.workers.values().find_map(|worker| worker.tasks.get(&format!("{job}/0")))?.1
     }
 
+    /// Returns the number of workers that run the job's task.
     fn running_attempts(&self, job: &str) -> usize {
         self.workers.values().filter(|worker| worker.tasks.contains_key(&format!("{job}/0"))).count()
     }
 
-    /// Milliseconds that a team is billed: idle and claimed.
+    /// Returns the idle and the claimed time that a team is billed for, in milliseconds.
     fn billed_ms(&self, team: &str) -> (u64, u64) {
         let bills = self.store.iter().filter_map(|(key, (value, _))| match RecordKey::parse(key) {
             Some(RecordKey::Bill(_, payer)) if payer == team => {
