--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Returns the writes of loan records that go into the next commit, at most `most` of them.
-    pub(in crate::control::partition) fn next_loan_writes(&mut self, most: usize, wall: u64) -> Vec<RecordWrite> {
-        self.borrowing.as_mut().map(|borrowing| borrowing.loans.next_writes(most, wall)).unwrap_or_default()
+    /// Returns the writes of loan records that go into the next commit, at most `max_writes` of them.
+    pub(in crate::control::partition) fn next_loan_writes(&mut self, max_writes: usize, wall: u64) -> Vec<RecordWrite> {
+        self.borrowing.as_mut().map(|borrowing| borrowing.loans.next_writes(max_writes, wall)).unwrap_or_default()
     }
 
     /// Handles a commit that wrote the pending loan records at `revision`: the stops that wait for these
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -56,17 +56,17 @@
 fn submissions_beyond_the_write_rate_are_answered_with_a_retry_time() {
     let mut partition = partition();
     let mut busy = Vec::new();
-    let mut kept = Vec::new();
+    let mut queued = Vec::new();
     for number in 0..1000 {
         let mut rx = submit(&mut partition, &body(&format!("run-{number:06}"), "batch", 1), 1000);
         match rx.try_recv() {
             Ok(UserAnswer::Busy(after_s)) => busy.push(after_s),
             Ok(other) => panic!("{other:?}"),
-            Err(_) => kept.push(rx),
+            Err(_) => queued.push(rx),
         }
     }
     let expected_count = partition.policy.writes_per_s * LEASE_MS as f64 / 4000.0;
-    assert!((kept.len() as f64 - expected_count).abs() <= 2.0, "{} of {expected_count}", kept.len());
+    assert!((queued.len() as f64 - expected_count).abs() <= 2.0, "{} of {expected_count}", queued.len());
     assert!(busy.iter().all(|wait_s| *wait_s >= LEASE_MS / 4000));
     // A repeated submission that is already queued is still not refused.
     assert!(submit(&mut partition, &body("run-000000", "batch", 1), 1000).try_recv().is_err());
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -10,9 +10,9 @@
     assert_eq!((job(&partition, FIRST).due_ms(), job(&partition, FIRST).urgency), (None, Urgency::Normal));
     accept_waiting(&mut partition, "run-000004", &[THIRD], json!({"due_s": 100.0, "urgency": "urgent"}));
     // Each job in between takes 10 s to run, 1 s to fetch its image and 1 s to react, with a margin of half as much again.
-    let between = 1.5 * 12.0;
+    let per_job_s = 1.5 * 12.0;
     let due: Vec<f64> = [FIRST, SECOND, THIRD].map(|id| job(&partition, id).due_ms().unwrap() as f64 / 1000.0).into();
-    assert_eq!(due, [101.0 - 3.0 * between, 101.0 - 2.0 * between, 101.0 - between]);
+    assert_eq!(due, [101.0 - 3.0 * per_job_s, 101.0 - 2.0 * per_job_s, 101.0 - per_job_s]);
     assert!(partition.cluster.jobs.iter().all(|job| job.urgency == Urgency::High));
 }
 
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -77,7 +77,7 @@
 }
 
 // Orders delayed by a network partition between zones started two tasks in the zone in which another task of their job
-// had just been placed. Found in simulation as a violation of the placement rule (wrong_place).
+// had just been placed. Detected as a violation of the placement rule (wrong_place).
 #[test]
 fn tasks_with_zone_constraints_wait_until_all_tasks_are_located() {
     for spread in [false, true] {
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -89,7 +89,7 @@
     writes: usize,
     largest_commit: usize,
     rentals: usize,
-    waiting: Vec<oneshot::Receiver<UserAnswer>>,
+    pending_answers: Vec<oneshot::Receiver<UserAnswer>>,
 }
 
 fn instance_types() -> Vec<InstanceType> {
@@ -147,7 +147,7 @@
             writes: 0,
             largest_commit: 0,
             rentals: 0,
-            waiting: Vec::new(),
+            pending_answers: Vec::new(),
         }
     }
 
@@ -171,10 +171,10 @@
             "due_s": due});
         let (tx, rx) = oneshot::channel();
         self.partition.submit(body.to_string().as_bytes(), self.now, self.now, tx);
-        self.waiting.push(rx);
+        self.pending_answers.push(rx);
     }
 
-    fn arrivals(&mut self, count: usize) {
+    fn submit_random_jobs(&mut self, count: usize) {
         for _ in 0..count {
             match self.rng.random_range(0..10) {
                 0..4 => self.submit("lookup", "service", "production", 6, (4.0, 0.0, 7.0)),
@@ -246,7 +246,7 @@
                 }
             }
         }
-        self.waiting.retain_mut(|rx| rx.try_recv().is_err());
+        self.pending_answers.retain_mut(|rx| rx.try_recv().is_err());
     }
 
     /// Checks that each running task is on one machine only, and that no commit was too large.
@@ -289,7 +289,7 @@
 
 fn check_burst_and_failover(size: usize) {
     let mut fleet = Fleet::new(7, size);
-    fleet.arrivals(size * 2 / 5);
+    fleet.submit_random_jobs(size * 2 / 5);
     let mut max_examined = 0;
     for step in 0..300 {
         if (20..70).contains(&step) {
@@ -318,7 +318,11 @@
     assert!(max_examined <= (150 * scale * size) as u64, "{max_examined} machines examined in a cycle");
     assert!(fleet.writes <= 2 * fleet.jobs as usize + size, "{} writes for {} jobs", fleet.writes, fleet.jobs);
     assert!(fleet.rentals <= 60, "{} rentals", fleet.rentals);
-    assert!(fleet.waiting.len() <= 150 * scale, "{} submissions without an answer", fleet.waiting.len());
+    assert!(
+        fleet.pending_answers.len() <= 150 * scale,
+        "{} submissions without an answer",
+        fleet.pending_answers.len()
+    );
 
     let dead: Vec<String> = fleet.machines.keys().step_by(40).cloned().collect();
     for id in &dead {
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -102,7 +102,7 @@
 }
 
 // A task kept running on a machine with a preemption notice until the machine was taken, and its loss was certain only
-// 5 s later. Found in simulation with an enlarged suva scenario.
+// 5 s later. Found with an enlarged suva scenario.
 #[test]
 fn array_tasks_that_can_not_end_before_a_preemption_are_stopped() {
     for (warning, stops) in [(5.0, 2), (15.0, 0)] {
--- a/src/control/partition/tests/silence.rs
+++ b/src/control/partition/tests/silence.rs
@@ -11,20 +11,23 @@
         StatusSource::Heartbeat,
         2000,
     );
-    let mut released = Vec::new();
-    let mut asked = 0;
+    let mut terminated = Vec::new();
+    let mut probes = 0;
     for now in (2000..=7000).step_by(250) {
-        let DetectedFailures { to_terminate: release, to_probe: probe } = partition.detect_failures(now, 0);
-        released.extend(release);
-        for host_index in probe {
+        let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(now, 0);
+        terminated.extend(to_terminate);
+        for host_index in to_probe {
             if let Some(command) = partition.next_direct_command(host_index, now, true) {
-                asked += 1;
+                probes += 1;
                 partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now + 200);
             }
         }
-        assert!(released.is_empty() || asked >= 2, "two unanswered probes are required, not only missing heartbeats");
+        assert!(
+            terminated.is_empty() || probes >= 2,
+            "two unanswered probes are required, not only missing heartbeats"
+        );
     }
-    assert_eq!(released, ["h1"], "an unreachable machine is terminated");
+    assert_eq!(terminated, ["h1"], "an unreachable machine is terminated");
     assert_eq!(
         partition.cluster.jobs[0].tasks[0].place,
         Place::On(0, attempt),
@@ -63,8 +66,8 @@
     partition.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
     partition.detect_failures(1200, 0);
     assert_eq!(partition.detect_failures(60_000, 0), DetectedFailures { to_terminate: vec![], to_probe: vec![] });
-    let DetectedFailures { to_terminate: release, to_probe: probe } = partition.detect_failures(60_300, 0);
-    assert!(release.is_empty() && probe.is_empty());
+    let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(60_300, 0);
+    assert!(to_terminate.is_empty() && to_probe.is_empty());
 }
 
 // A worker whose heartbeats arrive, but which no answer and no order reaches, would have tasks placed on it for ever
@@ -74,12 +77,12 @@
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     commit(&mut partition, 1000, 99);
-    let mut released = Vec::new();
+    let mut terminated = Vec::new();
     for (round, now) in (1000..40_000).step_by(500).enumerate() {
         partition.heartbeat(&heartbeat("h1", 1, 2 + round as u64, 1, vec![]), StatusSource::Heartbeat, now);
-        let DetectedFailures { to_terminate: release, to_probe: probe } = partition.detect_failures(now, 0);
-        released.extend(release);
-        for host_index in probe.into_iter().chain((round == 0).then_some(0)) {
+        let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(now, 0);
+        terminated.extend(to_terminate);
+        for host_index in to_probe.into_iter().chain((round == 0).then_some(0)) {
             if let Some(command) = partition.next_direct_command(host_index, now, true) {
                 partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now);
             }
@@ -88,7 +91,7 @@
             assert!(!scheduling::usable(partition.cluster.host(0).unwrap(), now));
         }
     }
-    assert_eq!(released, ["h1"]);
+    assert_eq!(terminated, ["h1"]);
 }
 
 #[test]
--- a/src/control/partition/tests/warm_pools/claims.rs
+++ b/src/control/partition/tests/warm_pools/claims.rs
@@ -89,8 +89,8 @@
         }
         harness.rounds(10);
         assert_eq!((harness.running_attempts(&job), harness.idle_slots()), (1, POOL_SIZE), "{commits:?}");
-        let told: Vec<u64> = harness.workers.values().flat_map(|worker| worker.slots.keys().copied()).collect();
-        assert_eq!(told.len(), POOL_SIZE, "no superfluous slot stays loaded");
+        let loaded_slots: Vec<u64> = harness.workers.values().flat_map(|worker| worker.slots.keys().copied()).collect();
+        assert_eq!(loaded_slots.len(), POOL_SIZE, "no superfluous slot stays loaded");
     }
 }
 
--- a/src/control/partition/tests/warm_pools/machines.rs
+++ b/src/control/partition/tests/warm_pools/machines.rs
@@ -43,13 +43,13 @@
 #[test]
 fn slots_are_drained_from_preempted_machines() {
     let mut harness = Harness::new(4);
-    let doomed = harness.partition.pool_slots().next().unwrap().host.clone();
-    let index = harness.partition.cluster.host_index[&doomed];
+    let preempted = harness.partition.pool_slots().next().unwrap().host.clone();
+    let index = harness.partition.cluster.host_index[&preempted];
     harness.partition.cluster.host_mut(index).unwrap().preemption_notice = true;
     harness.rounds(6);
     assert_eq!(harness.idle_slots(), POOL_SIZE);
-    assert!(harness.partition.pool_slots().all(|slot| slot.host != doomed));
-    assert!(harness.workers[&doomed].slots.is_empty(), "the worker was ordered to unload");
+    assert!(harness.partition.pool_slots().all(|slot| slot.host != preempted));
+    assert!(harness.workers[&preempted].slots.is_empty(), "the worker was ordered to unload");
 }
 
 // A slot without a record, for example from a late order to load it, must be unloaded.
@@ -77,7 +77,7 @@
     }
 }
 
-// On a worker that does not load models, a slot reserves capacity on a machine that has the image.
+// On a worker that does not load models, a slot only reserves capacity, preferably where the image is cached.
 #[test]
 fn image_slots_reserve_capacity_on_workers_that_load_no_models() {
     let mut harness = Harness::cold(3, "image");
@@ -109,8 +109,8 @@
     harness.workers.get_mut(&hung).unwrap().silent = true;
     for _ in 0..2 * LEASE_MS / ROUND_MS {
         harness.round();
-        let release = harness.partition.detect_failures(harness.now, 0).to_terminate;
-        assert!(harness.claimed_slots() <= 2, "at most one more claim, whatever is terminated: {release:?}");
+        let to_terminate = harness.partition.detect_failures(harness.now, 0).to_terminate;
+        assert!(harness.claimed_slots() <= 2, "at most one more claim, whatever is terminated: {to_terminate:?}");
     }
     let other_workers = harness.workers.iter().filter(|(id, _)| **id != hung);
     assert_eq!(other_workers.filter(|(_, worker)| worker.tasks.contains_key(&format!("{job}/0"))).count(), 1);
@@ -123,13 +123,13 @@
     let mut harness = Harness::new(3);
     let job = harness.submit("blue", "notes");
     harness.rounds(2);
-    let doomed = harness.partition.pool_slots().find(|slot| slot.claim().is_some()).unwrap().host.clone();
-    let index = harness.partition.cluster.host_index[&doomed];
+    let preempted = harness.partition.pool_slots().find(|slot| slot.claim().is_some()).unwrap().host.clone();
+    let index = harness.partition.cluster.host_index[&preempted];
     harness.partition.cluster.host_mut(index).unwrap().preemption_notice = true;
     harness.rounds(2);
     assert_eq!((harness.claimed_slots(), harness.running_attempts(&job)), (1, 1));
-    harness.workers.remove(&doomed);
-    harness.partition.host_terminated(&doomed);
+    harness.workers.remove(&preempted);
+    harness.partition.host_terminated(&preempted);
     harness.rounds(8);
     assert_eq!(
         (harness.idle_slots(), harness.claimed_slots(), harness.running_attempts(&job)),
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -39,11 +39,11 @@
         }
     }
 
-    /// Returns the changes of warm-pool records that go into the next commit, at most `most` of them, or `None`
+    /// Returns the changes of warm-pool records that go into the next commit, at most `max_changes` of them, or `None`
     /// if there are none that fit.
-    pub(in crate::control::partition) fn next_pool_changes(&mut self, most: usize) -> Option<RecordChanges> {
+    pub(in crate::control::partition) fn next_pool_changes(&mut self, max_changes: usize) -> Option<RecordChanges> {
         let warm_pools = self.warm_pools.as_mut()?;
-        let changes = warm_pools.pools.next_changes(self.epoch.upcoming_number(), most)?;
+        let changes = warm_pools.pools.next_changes(self.epoch.upcoming_number(), max_changes)?;
         // Consumes the number, so that no attempt gets the number of this commit.
         self.epoch.next_number();
         Some(changes)
