--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -1,5 +1,5 @@
-//! Warm pools between claims, commits, orders, reports and failovers, with scripted workers that
-//! load models and a scripted store. Several machines fail at a time.
+//! Tests of warm pools across claims, commits, orders, heartbeats and failovers, with scripted workers that load models
+//! and a scripted store. Several machines fail at a time.
 
 mod claims;
 mod failovers;
@@ -12,35 +12,37 @@
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
 
-/// Time between two rounds.
+/// Time between two rounds, in milliseconds.
 const ROUND_MS: u64 = 500;
-/// A wall time, to begin with.
-const MORNING_MS: u64 = 1_796_169_600_000;
+/// Time of day at the start of a test, in milliseconds.
+const INITIAL_WALL_MS: u64 = 1_796_169_600_000;
+/// Number of replicas that the pool keeps available.
 const POOL_SIZE: usize = 2;
 
-/// What becomes of commits.
+/// Handling of commits by the scripted store.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Commits {
-    Made,
-    /// Made, and nobody hears of it.
-    MadeWithoutAnswer,
-    /// Not made, and nobody hears of it; they come later.
+enum CommitBehaviour {
+    /// The commit is applied and answered.
+    Committed,
+    /// The commit is applied, but the answer is lost.
+    CommittedUnanswered,
+    /// The commit is not answered, and applied later.
     Late,
-    /// Refused: an outage.
+    /// The commit is refused, as in an outage.
     Refused,
 }
 
-/// A worker that keeps models loaded.
+/// Scripted worker that keeps models loaded.
 #[derive(Debug, Clone, Default)]
 struct Worker {
     agent_epoch: u64,
     sequence: u64,
     seen_token: u64,
-    /// Loaded models, and whether they are ready.
+    /// Slots with loaded models, and whether they are ready.
     slots: BTreeMap<u64, bool>,
-    /// Running tasks: their attempts, and the slot that each took over.
+    /// Running tasks with their attempt numbers and the slot that each took over.
     tasks: BTreeMap<String, (u64, Option<u64>)>,
-    /// Stopped tasks that are to be reaped.
+    /// Stopped tasks that are not reaped yet, with their attempt numbers.
     ended: BTreeMap<String, u64>,
     silent: bool,
 }
@@ -73,20 +75,22 @@
         self.sequence += 1;
         let running = self.tasks.iter().map(|(task, (attempt, _))| reported(task, *attempt, "running", None));
         let ended = self.ended.iter().map(|(task, attempt)| reported(task, *attempt, "ended", Some("halted")));
-        let mut r = heartbeat(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
-        r.slots = Some(self.slots.iter().map(|(slot, ready)| SlotStatus { slot: *slot, ready: *ready }).collect());
-        r
+        let mut heartbeat =
+            heartbeat(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
+        heartbeat.slots =
+            Some(self.slots.iter().map(|(slot, ready)| SlotStatus { slot: *slot, ready: *ready }).collect());
+        heartbeat
     }
 }
 
-/// A partition with a pool, its store and workers.
+/// Partition with a pool, its store and its workers.
 struct Harness {
     partition: Partition,
     settings: Settings,
     pools: PoolSettings,
     store: BTreeMap<String, (serde_json::Value, u64)>,
     revision: u64,
-    commits: Commits,
+    commits: CommitBehaviour,
     late: Vec<Commit>,
     workers: BTreeMap<String, Worker>,
     now: u64,
@@ -104,26 +108,27 @@
 }
 
 impl Harness {
-    /// With so many workers that keep models loaded, and a warm pool.
+    /// Returns a harness with `workers` workers that load models, and a filled pool.
     fn new(workers: usize) -> Harness {
         let mut harness = Harness::cold(workers, "loaded");
         harness.rounds(8);
-        assert_eq!(harness.idle(), POOL_SIZE);
+        assert_eq!(harness.idle_slots(), POOL_SIZE);
         harness
     }
 
+    /// Returns a harness with `workers` workers that load models, and an empty pool that keeps `keep`.
     fn cold(workers: usize, keep: &str) -> Harness {
-        let mut s = settings();
-        for team in &mut s.params.teams {
+        let mut settings = settings();
+        for team in &mut settings.params.teams {
             (team.gpus, team.gpus_max) = (8.0, 12.0);
         }
         let mut harness = Harness {
             partition: partition(),
-            settings: s,
+            settings,
             pools: pool_settings(keep),
             store: BTreeMap::new(),
             revision: 100,
-            commits: Commits::Made,
+            commits: CommitBehaviour::Committed,
             late: Vec::new(),
             workers: BTreeMap::new(),
             now: 1000,
@@ -131,14 +136,14 @@
             loads: 0,
             jobs: 0,
         };
-        for n in 0..workers {
-            harness.workers.insert(format!("h{n}"), Worker { agent_epoch: 1, ..Worker::default() });
+        for number in 0..workers {
+            harness.workers.insert(format!("h{number}"), Worker { agent_epoch: 1, ..Worker::default() });
         }
         harness.fail_over();
         harness
     }
 
-    /// Another leader begins with what is stored.
+    /// Lets a new leader begin with the stored records.
     fn fail_over(&mut self) {
         self.fencing_token += 1;
         self.late.clear();
@@ -151,7 +156,7 @@
         let policy = Policy::new(&self.settings, &Operator::default(), 0);
         let teams = self.settings.partitions_of_teams(1);
         let mut partition = Partition::new(policy, 0, teams, self.settings.write_limits());
-        partition.enable_pools(self.pools.clone(), self.now, MORNING_MS + self.now);
+        partition.enable_pools(self.pools.clone(), self.now, INITIAL_WALL_MS + self.now);
         partition.begin(
             FencingToken(self.fencing_token),
             self.fencing_token,
@@ -164,21 +169,21 @@
         self.partition = partition;
     }
 
-    fn rounds(&mut self, n: usize) {
-        (0..n).for_each(|_| self.round());
+    fn rounds(&mut self, count: usize) {
+        (0..count).for_each(|_| self.round());
     }
 
-    /// Reports, a plan, a scheduling cycle, a commit and the orders.
+    /// Runs heartbeats, maintenance, a scheduling cycle, a commit and the direct commands.
     fn round(&mut self) {
         self.now += ROUND_MS;
         let ids: Vec<String> = self.workers.keys().cloned().collect();
         for id in &ids {
             self.heartbeat(id);
         }
-        self.partition.maintain_pools(1000, self.now, MORNING_MS + self.now);
+        self.partition.maintain_pools(1000, self.now, INITIAL_WALL_MS + self.now);
         self.partition.schedule(self.now, self.now);
         self.commit();
-        self.read_unclear();
+        self.read_indeterminate_keys();
         self.dispatch();
     }
 
@@ -188,57 +193,57 @@
             return;
         }
         worker.seen_token = worker.seen_token.max(self.fencing_token);
-        let r = worker.heartbeat(id);
-        let orders = self.partition.heartbeat(&r, StatusSource::Heartbeat, self.now);
+        let heartbeat = worker.heartbeat(id);
+        let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         self.loads += orders.iter().filter(|order| matches!(order, Order::Load { .. })).count();
         let worker = self.workers.get_mut(id).unwrap();
-        // What is loading by now is ready with the next report.
+        // Slots that are loading now are ready in the next heartbeat.
         worker.slots.values_mut().for_each(|ready| *ready = true);
         worker.carry_out(&orders);
     }
 
     fn dispatch(&mut self) {
         for host_index in self.partition.take_dispatch_queue() {
-            let Some(d) = self.partition.next_direct_command(host_index, self.now, false) else { continue };
-            let worker = self.workers.get_mut(&d.id).unwrap();
+            let Some(command) = self.partition.next_direct_command(host_index, self.now, false) else { continue };
+            let worker = self.workers.get_mut(&command.id).unwrap();
             if worker.silent {
-                self.partition.direct_command_done(&d, DirectCommandOutcome::NotSent, self.now);
+                self.partition.direct_command_done(&command, DirectCommandOutcome::NotSent, self.now);
                 continue;
             }
-            worker.carry_out(&d.orders);
-            let r = worker.heartbeat(&d.id);
-            self.partition.direct_command_done(&d, DirectCommandOutcome::Answered(Box::new(r)), self.now);
+            worker.carry_out(&command.orders);
+            let heartbeat = worker.heartbeat(&command.id);
+            self.partition.direct_command_done(&command, DirectCommandOutcome::Answered(Box::new(heartbeat)), self.now);
         }
     }
 
     fn commit(&mut self) {
-        // As the leader does: without the state service no claim is offered.
-        self.partition.conditions.reservations_recordable = self.commits != Commits::Refused;
-        let Some(c) = self.partition.next_commit(self.now, 32) else { return };
+        // As in the leader, no slot is offered while the state service is unavailable.
+        self.partition.conditions.reservations_recordable = self.commits != CommitBehaviour::Refused;
+        let Some(commit) = self.partition.next_commit(self.now, 32) else { return };
         let result = match self.commits {
-            Commits::Made => self.make(&c),
-            Commits::MadeWithoutAnswer => {
-                self.make(&c);
+            CommitBehaviour::Committed => self.apply_commit(&commit),
+            CommitBehaviour::CommittedUnanswered => {
+                self.apply_commit(&commit);
                 CommitOutcome::Indeterminate
             }
-            Commits::Late => {
-                self.late.push(c);
+            CommitBehaviour::Late => {
+                self.late.push(commit);
                 CommitOutcome::Indeterminate
             }
-            Commits::Refused => CommitOutcome::Refused,
+            CommitBehaviour::Refused => CommitOutcome::Refused,
         };
-        let again = self.partition.committed(result).unwrap();
-        for key in again {
+        let keys_to_read = self.partition.committed(result).unwrap();
+        for key in keys_to_read {
             if let Some((value, version)) = self.store.get(&key).cloned() {
                 self.partition.reread(Item { key, value, version });
             }
         }
     }
 
-    /// Makes a commit if its conditions hold; the partition's own key always does.
-    fn make(&mut self, c: &Commit) -> CommitOutcome {
+    /// Applies a commit if its conditions hold. The condition on the partition's own key counts as fulfilled.
+    fn apply_commit(&mut self, commit: &Commit) -> CommitOutcome {
         let version = |key: &str| self.store.get(key).map_or(0, |item| item.1);
-        let failed: Vec<String> = c
+        let failed: Vec<String> = commit
             .conditions
             .iter()
             .filter(|condition| !condition.key.starts_with("part/") && version(&condition.key) != condition.version)
@@ -248,13 +253,13 @@
             return CommitOutcome::Conflict { failed };
         }
         self.revision += 1;
-        apply_writes(&mut self.store, &c.writes, self.revision);
+        apply_writes(&mut self.store, &commit.writes, self.revision);
         CommitOutcome::Done { revision: self.revision }
     }
 
-    fn read_unclear(&mut self) {
+    fn read_indeterminate_keys(&mut self) {
         let keys = self.partition.pool_keys_to_read();
-        if keys.is_empty() || self.commits == Commits::Refused {
+        if keys.is_empty() || self.commits == CommitBehaviour::Refused {
             return;
         }
         let item = |key: &String| {
@@ -265,16 +270,16 @@
         self.partition.pool_keys_read(found);
     }
 
-    /// Submits a service of one replica and records it.
+    /// Submits a service of one replica and completes its commits.
     fn submit(&mut self, team: &str, image: &str) -> String {
         self.jobs += 1;
         let id = format!("run-{:06}", self.jobs);
         let mut submission: serde_json::Value = serde_json::from_slice(&body(&id, "service", 1)).unwrap();
         (submission["owner"], submission["bundle"]) = (json!(team), json!(image));
         let _rx = submit(&mut self.partition, submission.to_string().as_bytes(), self.now);
-        let commits = std::mem::replace(&mut self.commits, Commits::Made);
-        while self.partition.next_commit(self.now, 1).is_some_and(|c| {
-            let result = self.make(&c);
+        let commits = std::mem::replace(&mut self.commits, CommitBehaviour::Committed);
+        while self.partition.next_commit(self.now, 1).is_some_and(|commit| {
+            let result = self.apply_commit(&commit);
             self.partition.committed(result).unwrap();
             true
         }) {}
@@ -282,7 +287,7 @@
         id
     }
 
-    /// A scheduling cycle and nothing else: what it decided is not recorded yet.
+    /// Runs a scheduling cycle only. Its decisions are not recorded yet.
     fn schedule(&mut self) {
         self.partition.schedule(self.now, self.now);
     }
@@ -291,25 +296,26 @@
         self.partition.pool_slots().filter(|slot| holds(&slot.state)).count()
     }
 
-    fn idle(&self) -> usize {
+    fn idle_slots(&self) -> usize {
         self.count(|state| *state == SlotState::Idle)
     }
 
-    fn claimed(&self) -> usize {
+    fn claimed_slots(&self) -> usize {
         self.count(|state| matches!(state, SlotState::Claimed(_)))
     }
 
-    /// The slot that a job's task runs with, on whichever worker; none if it runs without.
-    fn attached(&self, job: &str) -> Option<u64> {
+    /// Returns the slot that a job's task took over, or `None` if the task does not run or uses no slot.
+    fn attached_slot(&self, job: &str) -> Option<u64> {
         self.workers.values().find_map(|worker| worker.tasks.get(&format!("{job}/0")))?.1
     }
 
-    fn runs(&self, job: &str) -> usize {
+    /// Returns the number of workers that run the job's task.
+    fn running_attempts(&self, job: &str) -> usize {
         self.workers.values().filter(|worker| worker.tasks.contains_key(&format!("{job}/0"))).count()
     }
 
-    /// Milliseconds that a team is billed: idle and claimed.
-    fn billed(&self, team: &str) -> (u64, u64) {
+    /// Returns the idle and the claimed time that a team is billed for, in milliseconds.
+    fn billed_ms(&self, team: &str) -> (u64, u64) {
         let bills = self.store.iter().filter_map(|(key, (value, _))| match RecordKey::parse(key) {
             Some(RecordKey::Bill(_, payer)) if payer == team => {
                 Some(serde_json::from_value::<BillRecord>(value.clone()).unwrap())
