--- a/src/model/borrowing.rs
+++ b/src/model/borrowing.rs
@@ -1,40 +1,40 @@
-//! Loans between teams, as a scheduling cycle sees them.
+//! Loans of capacity between teams: the input of a scheduling cycle.
 
 use super::{Demand, JobIndex};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, Priority, Refusal};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Loans between teams, as a scheduling cycle sees them; absent without borrowing.
+/// State of the loans between teams, as a scheduling cycle reads it. It is absent if borrowing is disabled.
 #[derive(Debug, Clone)]
 pub struct BorrowingState {
-    /// Who lends to whom.
+    /// Settings of borrowing, among them which team may lend to which.
     pub settings: Arc<BorrowingSettings>,
-    /// Why no loan is possible at all now, if so.
+    /// Reason why no loan can be made at present; `None` if loans can be made.
     pub closed: Option<Refusal>,
-    /// What each team's jobs could use now.
+    /// Amounts that the runnable jobs of each team could use now, by team.
     pub runnable: BTreeMap<String, Amounts>,
-    /// What each team lends.
+    /// Amounts that each team lends to others, by lender.
     pub lent: BTreeMap<String, Amounts>,
-    /// What is owed, by lender and borrower.
+    /// Amounts of the outstanding loans, by lender and borrower.
     pub owed: BTreeMap<(String, String), Amounts>,
-    /// Jobs that were preempted for a loan lately: others are preempted before them.
+    /// Jobs that were recently preempted for a loan; other jobs are preempted before them.
     pub quiet: HashSet<JobIndex>,
-    /// Capacity is reserved for whole teams, so that one job may fit where a like one of another team
-    /// does not.
+    /// True if capacity is reserved for whole teams. A job may then fit where a job of another team with
+    /// the same requirements does not.
     pub reserves_for_teams: bool,
-    /// How many tasks of a job are placed first, as their capacity is being returned.
+    /// Number of tasks, by job, that are placed first because lent capacity is being returned to them.
     pub returning: HashMap<JobIndex, u32>,
 }
 
-/// The part of a demand that guarantees count.
+/// Converts a demand into the amounts that team guarantees cover: CPU cores and accelerators.
 impl From<Demand> for Amounts {
     fn from(demand: Demand) -> Amounts {
         Amounts::new(demand.cpus, demand.gpus)
     }
 }
 
-/// An urgency as borrowing calls it.
+/// Converts an urgency into the corresponding priority of the borrowing crate.
 impl From<super::Urgency> for Priority {
     fn from(urgency: super::Urgency) -> Priority {
         match urgency {
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -1,41 +1,43 @@
-//! The state of a partition: its jobs, machines and machine types.
+//! State of one partition: its jobs, machines and instance types.
 
 use super::{BorrowingState, Demand, Host, HostIndex, InstanceType, Job, JobIndex, Reservation, WarmReservation};
 use std::collections::HashMap;
 
-/// Capacity that a class is expected to need.
+/// Capacity that future jobs of a class are expected to need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reserve {
     /// Name of the job class.
     pub class: String,
-    /// Where it can run, by machine type.
+    /// Whether the class can run on an instance type, by index in `ClusterState::instance_types`.
     pub instance_types: Vec<bool>,
-    /// What one task of the class takes.
+    /// Resources that one task of the class uses.
     pub demand: Demand,
     /// Expected number of tasks.
     pub tasks: f64,
 }
 
 impl Reserve {
-    /// Can it run on one instance type alone?
+    /// Returns whether the class can run on exactly one instance type.
     pub fn single_instance_type(&self) -> bool {
         self.instance_types.iter().filter(|allowed| **allowed).count() == 1
     }
-    /// May it run on this type? One that became known later counts from the next plan on.
+    /// Returns whether the class may run on this instance type. The result is false for a type that became
+    /// known after this value was computed; the next plan includes it.
     pub fn allows(&self, instance_type: usize) -> bool {
         self.instance_types.get(instance_type).is_some_and(|allowed| *allowed)
     }
-    /// Does it lose a place when the free capacity of a machine of this type shrinks so?
+    /// Returns whether fewer tasks of the class fit on a machine of this type when its free capacity falls
+    /// from `before` to `after`.
     pub fn loses(&self, instance_type: usize, before: &Demand, after: &Demand) -> bool {
         self.allows(instance_type) && before.tasks_that_fit(&self.demand) > after.tasks_that_fit(&self.demand)
     }
 }
 
-/// What is known of unreconciled machines, one value for all that are alike. Unlike an
-/// [`InstanceOffering`](super::InstanceOffering) its type may be unknown.
+/// Instance type, zone and market of unreconciled machines; machines with equal properties share one
+/// value. Unlike in an [`InstanceOffering`](super::InstanceOffering), the type may be unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceKind {
-    /// The machine type, if it is known.
+    /// Index of the type in `ClusterState::instance_types`; `None` if the type is not known.
     pub instance_type: Option<usize>,
     /// Zone of the machines.
     pub zone: String,
@@ -43,46 +45,46 @@
     pub spot: bool,
 }
 
-/// The state of one partition, as its leader knows it.
+/// State of one partition, as its leader knows it.
 ///
-/// Invariants: indices of jobs and machines are never used again; `live` and the two indices by id agree
-/// with `jobs` and `hosts`.
+/// Invariants: indices of jobs and machines are never reused; `live`, `job_index` and `host_index` are
+/// consistent with `jobs` and `hosts`.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// All jobs, by [`JobIndex`]; none is removed.
+    /// All jobs, by [`JobIndex`]; jobs are never removed.
     pub jobs: Vec<Job>,
     /// Index of each job by its id.
     pub job_index: HashMap<String, JobIndex>,
-    /// All machines, by [`HostIndex`]; `None` where one was removed.
+    /// All machines, by [`HostIndex`]; `None` in place of a removed machine.
     pub hosts: Vec<Option<Host>>,
-    /// Index of each machine by its id; removed ones are left out.
+    /// Index of each machine by its id, without removed machines.
     pub host_index: HashMap<String, HostIndex>,
-    /// The machine types of the cloud.
+    /// Instance types that the cloud offers.
     pub instance_types: Vec<InstanceType>,
-    /// Jobs that are not over and wait for no others.
+    /// Jobs that have not ended and do not wait for other jobs.
     pub live: Vec<JobIndex>,
-    /// Reservations of warm pools; none without them.
+    /// Warm reservations of the pools; empty if no pools are configured.
     pub warm_reservations: Vec<WarmReservation>,
-    /// Loans between teams; none without borrowing.
+    /// Loans between teams; `None` if borrowing is disabled.
     pub borrowing: Option<BorrowingState>,
-    /// Capacity that classes are expected to need.
+    /// Capacity that future jobs are expected to need, by class.
     pub reserves: Vec<Reserve>,
-    /// Machine types of which the cloud has none left.
+    /// Indices of the instance types of which the cloud has no machines left.
     pub exhausted: Vec<usize>,
-    /// In the last cycle no capacity was found for work with accelerators that may not wait long.
+    /// True if the last cycle found no capacity for a job that uses accelerators and may not wait long.
     pub accelerators_short: bool,
-    /// Steady time of the last scheduling cycle that left a job pending.
+    /// Steady time, in milliseconds, of the last scheduling cycle that left a job pending.
     pub last_pending_ms: u64,
-    /// What fits on unreconciled machines altogether.
+    /// Total capacity of the unreconciled machines.
     pub unreconciled: Demand,
-    /// Their kinds, each one once.
+    /// Distinct kinds of the unreconciled machines.
     pub unreconciled_kinds: Vec<InstanceKind>,
-    /// False until every machine of the last leader is reconciled.
+    /// True once every machine of the previous leader is reconciled.
     pub all_reconciled: bool,
 }
 
 impl ClusterState {
-    /// Adds a job.
+    /// Adds a job and returns its index.
     pub fn add_job(&mut self, job: Job) -> JobIndex {
         let job_index = self.jobs.len();
         self.job_index.insert(job.spec.id.clone(), job_index);
@@ -93,7 +95,7 @@
         job_index
     }
 
-    /// Adds a machine.
+    /// Adds a machine and returns its index.
     pub fn add_host(&mut self, host: Host) -> HostIndex {
         let index = self.hosts.len();
         self.host_index.insert(host.id.clone(), index);
@@ -101,35 +103,35 @@
         index
     }
 
-    /// Removes a machine; its index is not used again.
+    /// Removes a machine and returns it; `None` if it was removed before. Its index is not reused.
     pub fn remove_host(&mut self, index: HostIndex) -> Option<Host> {
         let host = self.hosts[index].take()?;
         self.host_index.remove(&host.id);
         Some(host)
     }
 
-    /// The machine, unless it was removed.
+    /// Returns the machine with this index; `None` if it was removed.
     pub fn host(&self, index: HostIndex) -> Option<&Host> {
         self.hosts.get(index)?.as_ref()
     }
 
-    /// The machine to be changed, unless it was removed.
+    /// Returns a mutable reference to the machine with this index; `None` if it was removed.
     pub fn host_mut(&mut self, index: HostIndex) -> Option<&mut Host> {
         self.hosts.get_mut(index)?.as_mut()
     }
 
-    /// All machines, with their indices.
+    /// Returns an iterator over all machines that were not removed, with their indices.
     pub fn each_host(&self) -> impl Iterator<Item = (HostIndex, &Host)> {
         self.hosts.iter().enumerate().filter_map(|(index, host)| Some((index, host.as_ref()?)))
     }
 
-    /// Is the reservation for this job, or for its whole team?
+    /// Returns whether the reservation is for this job or for the whole team of this job.
     pub fn may_use(&self, reservation: &Reservation, job: JobIndex) -> bool {
         let same_team = || self.jobs[reservation.job].spec.team == self.jobs[job].spec.team;
         reservation.job == job || (reservation.for_team && same_team())
     }
 
-    /// The index of a machine type.
+    /// Returns the index of the instance type with this name; `None` if there is none.
     pub fn instance_type(&self, name: &str) -> Option<usize> {
         self.instance_types.iter().position(|instance_type| instance_type.name == name)
     }
--- a/src/model/dependencies.rs
+++ b/src/model/dependencies.rs
@@ -1,38 +1,38 @@
-//! The jobs that a job waits for.
+//! Dependencies of a job: the jobs that it waits for.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Separates ids in a record; no id contains it.
+/// Separator of the ids in a record. No id contains it.
 const SEPARATOR: char = ' ';
 
-/// Ids of the jobs that have to be done before a job starts, each one once. A record holds
-/// them as one text, which takes less room than a list.
+/// Distinct ids of the jobs that must be done before a job starts. They are serialised as one string,
+/// which is shorter than a list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Dependencies(Vec<String>);
 
 impl Dependencies {
-    /// These ids; one that is given again counts once.
+    /// Creates dependencies from these ids. Repeated ids are dropped.
     pub fn new(ids: impl IntoIterator<Item = String>) -> Dependencies {
         let mut seen = std::collections::HashSet::new();
         Dependencies(ids.into_iter().filter(|id| seen.insert(id.clone())).collect())
     }
 
-    /// Does the job wait for none?
+    /// Returns whether the job waits for no other job.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The ids, in the order in which they were given.
+    /// Returns an iterator over the ids, in the order in which they were given.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(String::as_str)
     }
 
-    /// Does the job wait for the one with this id?
+    /// Returns whether the job waits for the job with this id.
     pub fn contains(&self, id: &str) -> bool {
-        self.0.iter().any(|own| own == id)
+        self.0.iter().any(|dependency| dependency == id)
     }
 
-    /// Leaves out the ids for which `keep` is false.
+    /// Removes the ids for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.0.retain(|id| keep(id));
     }
--- a/src/model/fencing_token.rs
+++ b/src/model/fencing_token.rs
@@ -1,25 +1,26 @@
-//! Fencing tokens.
+//! Fencing tokens, which order the leaderships of a partition.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 /// Identifies one leadership of one partition. Tokens come from a single counter in the state
-/// store and only ever increase.
+/// store and increase strictly.
 ///
-/// A worker refuses every command that carries a lower token than the highest one that it has
-/// seen, so that a command of a former leader cannot take effect after one of its successor.
+/// A worker refuses every command with a token lower than the highest that it has seen. A command of a
+/// former leader therefore cannot take effect after a command of its successor.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// No token: what a worker has seen before its first command, and a node that knows no leader.
+    /// Value that stands for no token: of a worker before its first command, and of a node that knows no
+    /// leader.
     pub const NONE: FencingToken = FencingToken(0);
 
-    /// The first token that the counter gives out.
+    /// First token that the counter issues.
     pub const FIRST: FencingToken = FencingToken(1);
 
-    /// The token after this one.
+    /// Returns the next higher token.
     #[must_use]
     pub fn successor(self) -> FencingToken {
         FencingToken(self.0 + 1)
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,122 +1,128 @@
-//! Machines: their leases, the attempts of tasks on them and the capacity that is reserved there.
+//! Machines: their leases, the task attempts on them and the capacity reserved on them.
 
 use super::FencingToken;
 use super::{CachedImage, Demand, JobIndex, TaskAttempt, TaskKey};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// A machine is unreachable after so many direct commands in a row without an answer: that is no chance.
+/// Number of consecutive direct commands without an answer after which a machine counts as unreachable.
+/// A single unanswered command may be a chance loss of a message.
 pub const UNREACHABLE_AFTER_MISSES: u32 = 2;
 
-/// A machine on which so many jobs failed is faulty.
+/// Number of jobs with failures on a machine from which on the machine counts as faulty.
 pub const FAULTY_AFTER_JOBS: usize = 3;
 
 /// Index of a machine in [`ClusterState::hosts`](super::ClusterState::hosts).
 pub type HostIndex = usize;
 
-/// Capacity on a machine that is reserved for a job, or for its team, until a set time.
+/// Capacity on a machine that is reserved for a job, or for its team, until a fixed instant.
 ///
-/// A scheduling cycle makes one where it preempts for a job, and `control::partition` where capacity is
-/// returned to a team. It does not reduce what is free: others may not use it. Unlike a
-/// [`WarmReservation`](super::WarmReservation) it expires, and it is not recorded.
+/// A scheduling cycle creates a reservation where it preempts for a job, and `control::partition` where
+/// lent capacity is returned to a team. A reservation does not reduce the free capacity of the machine,
+/// but other jobs may not use it. Unlike a [`WarmReservation`](super::WarmReservation) it expires and is
+/// not stored.
 #[derive(Debug, Clone, Copy)]
 pub struct Reservation {
-    /// The job that it is for.
+    /// Job for which the capacity is reserved.
     pub job: JobIndex,
-    /// How much is reserved.
+    /// Reserved amounts.
     pub demand: Demand,
-    /// Steady time at which it expires.
+    /// Steady time, in milliseconds, at which the reservation expires.
     pub until_ms: u64,
-    /// It is for all jobs of the job's team.
+    /// True if all jobs of the job's team may use the reservation.
     pub for_team: bool,
 }
 
 impl Reservation {
-    /// A reservation for this job alone.
+    /// Creates a reservation for this job only.
     pub fn of_job(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
         Reservation { job, demand, until_ms, for_team: false }
     }
 
-    /// A reservation for all jobs of the team of this job, which may be over.
+    /// Creates a reservation for all jobs of the team of this job. The job itself may have ended.
     pub fn of_team(job: JobIndex, demand: Demand, until_ms: u64) -> Reservation {
         Reservation { job, demand, until_ms, for_team: true }
     }
 }
 
-/// A machine, with all that is known of it.
+/// State of a machine, as the leader knows it.
 #[allow(
     clippy::struct_excessive_bools,
     reason = "a lifecycle type is planned (ROADMAP.md); the flags are independent facts of a machine"
 )]
 #[derive(Debug, Clone)]
 pub struct Host {
-    /// The cloud's id of the machine.
+    /// Id that the cloud gave the machine.
     pub id: String,
-    /// Where its worker takes direct commands; `None` until a heartbeat or record has it.
+    /// Address at which the worker accepts direct commands; `None` until a heartbeat or a record states it.
     pub addr: Option<SocketAddr>,
-    /// Index of its type in `ClusterState::instance_types`; `None` if the type is not known.
+    /// Index of the instance type in `ClusterState::instance_types`; `None` if the type is not known.
     pub instance_type: Option<usize>,
-    /// Zone in which it stands.
+    /// Zone of the machine.
     pub zone: String,
-    /// True if the cloud may take it back.
+    /// True for a spot machine, which the cloud may take back.
     pub spot: bool,
-    /// Agent epoch of its worker, from the last heartbeat; 0 if there was none.
+    /// Agent epoch of the worker in the last heartbeat; 0 if there was none.
     pub agent_epoch: u64,
-    /// Sequence of the last heartbeat in that epoch; 0 if there was none.
+    /// Sequence number of the last heartbeat in `agent_epoch`; 0 if there was none.
     pub sequence: u64,
-    /// Highest fencing token that the worker is known to have seen; 0 if none.
+    /// Highest fencing token that the worker is known to have seen; 0 if it is known to have seen none.
     pub seen_token: FencingToken,
-    /// The first fencing token of this leader: heartbeats count once the agent has seen it. One with a
-    /// lower token may be a late copy, of a machine that is gone.
+    /// First fencing token of this leader. Heartbeats count only once the worker has seen it: a heartbeat
+    /// with a lower token may be a delayed copy from a machine that no longer exists.
     pub required_token: FencingToken,
-    /// The partition that it is being given to.
+    /// Partition to which the machine is being transferred; `None` if it is not being transferred.
     pub transferring_to: Option<u32>,
-    /// Steady time of the last heartbeat, in milliseconds.
+    /// Steady time, in milliseconds, of the last heartbeat.
     pub last_heartbeat_ms: u64,
-    /// Steady time of the last answer that may have renewed the worker's lease.
+    /// Steady time, in milliseconds, of the last answer that may have renewed the worker's lease.
     pub lease_renewed_ms: u64,
-    /// Steady time of the answer to a report that showed the worker this leader's token; 0 if none.
+    /// Steady time, in milliseconds, of the answer that showed the worker this leader's token; 0 if there
+    /// was none.
     pub token_shown_ms: u64,
-    /// In the registry, so that a successor knows that it may hold tasks.
+    /// True if the machine is in the registry. A succeeding leader then knows that it may hold tasks.
     pub registered: bool,
-    /// Has reported under this leader's token, or surely lost all it had.
+    /// True if the machine has reported under this leader's token, or has certainly lost all its tasks.
     pub reconciled: bool,
-    /// Reports tasks that this partition does not know.
+    /// True if the machine reports tasks that this partition does not know.
     pub has_unknown_tasks: bool,
-    /// The cloud has announced that it takes the machine back.
+    /// True if the cloud has announced that it will take the machine back.
     pub preemption_notice: bool,
-    /// Its return to the cloud was decided: nothing is placed on it any more.
+    /// True if its return to the cloud was decided. No task is placed on it any more.
     pub terminating: bool,
-    /// Its worker keeps models loaded, by the extension for that.
+    /// True if its worker supports the extension for keeping models loaded.
     pub loads_models: bool,
-    /// Being emptied, to be returned.
+    /// True while its tasks are moved away so that it can be returned to the cloud.
     pub draining: bool,
-    /// Direct commands in a row that had no answer.
+    /// Number of consecutive direct commands without an answer.
     pub unanswered_probes: u32,
-    /// A direct command to it is in flight.
+    /// True while a direct command to the machine is in flight.
     pub do_in_flight: bool,
-    /// Steady time before which no further direct command is sent (retry after); 0 if there is no wait.
+    /// Steady time, in milliseconds, before which no further direct command is sent (retry after); 0 if
+    /// there is no delay.
     pub do_after_ms: u64,
-    /// Steady time before which nothing is placed on it, as it refused a task; 0 if it did not.
+    /// Steady time, in milliseconds, before which no task is placed on the machine because it refused one;
+    /// 0 if it refused none.
     pub blocked_until_ms: u64,
-    /// Jobs that failed here and on no other machine, since it last completed a task.
+    /// Jobs that have failed on this machine and on no other since it last completed a task.
     pub failed_jobs: HashSet<JobIndex>,
-    /// What failed here has succeeded on another machine.
+    /// True if a job that failed on this machine has succeeded on another one.
     pub succeeded_elsewhere: bool,
-    /// Steady time of the last report after which it had attempts, or at which it became known.
+    /// Steady time, in milliseconds, of the last report after which the machine had attempts, or at which
+    /// it became known.
     pub idle_since_ms: u64,
-    /// Steady time at which this leader came to know the machine.
+    /// Steady time, in milliseconds, at which the machine became known to this leader.
     pub up_ms: u64,
-    /// Attempts of tasks that are, or may be, on the machine.
+    /// Task attempts that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
-    /// Reservations for jobs and teams.
+    /// Capacity on the machine that is reserved for jobs and teams.
     pub reservations: Vec<Reservation>,
-    /// Images in its cache or being fetched, as far as this leader knows.
+    /// Images in the cache of the machine or being fetched, as far as this leader knows.
     pub images: Vec<CachedImage>,
 }
 
 impl Host {
-    /// A machine of which nothing is known but what it was rented as.
+    /// Creates a machine of which only its id and offering are known. `now` is steady time in milliseconds.
     pub fn new(id: String, zone: String, spot: bool, instance_type: Option<usize>, now: u64) -> Host {
         Host {
             id,
@@ -153,13 +159,13 @@
         }
     }
 
-    /// Is it the machine that is at fault for the tasks that failed on it?
+    /// Returns whether the machine, rather than the jobs, is taken to be the cause of the failures on it.
     pub fn faulty(&self) -> bool {
         self.succeeded_elsewhere || self.failed_jobs.len() >= FAULTY_AFTER_JOBS
     }
 
-    /// Where this attempt stands in the list of the machine's attempts. The search begins at
-    /// `start`, so that a list in about the same order is looked through once altogether.
+    /// Returns the position of an attempt in `attempts`; `None` if it is not there. The search begins at
+    /// `start`, so that a caller whose list is in nearly the same order reads `attempts` about once in total.
     pub fn attempt_position(&self, key: TaskKey, attempt: u64, start: usize) -> Option<usize> {
         let is_wanted = |own: &TaskAttempt| own.key == key && own.attempt == attempt;
         let start = start.min(self.attempts.len());
@@ -167,20 +173,21 @@
         after.iter().position(is_wanted).map(|position| start + position).or_else(|| before.iter().position(is_wanted))
     }
 
-    /// The attempt of this number, if it is on the machine.
+    /// Returns the attempt with this task and number; `None` if it is not on the machine.
     pub fn attempt_mut(&mut self, key: TaskKey, attempt: u64) -> Option<&mut TaskAttempt> {
         self.attempts.iter_mut().find(|own| own.key == key && own.attempt == attempt)
     }
 
-    /// Has its agent seen a fencing token of this leader?
+    /// Returns whether the worker has seen a fencing token of this leader.
     ///
     /// Invariant: a direct command without an answer may still be carried out until its machine reports a
-    /// higher token. After that no order of an earlier leader can be.
+    /// higher token. After that no order of an earlier leader can be carried out.
     pub fn token_confirmed(&self) -> bool {
         self.reconciled && self.seen_token >= self.required_token
     }
 
-    /// Is it certain that the machine exists, beyond a heartbeat that may be a late copy?
+    /// Returns whether the machine certainly exists. A heartbeat alone does not prove it, as it may be a
+    /// delayed copy.
     pub fn confirmed(&self) -> bool {
         self.registered || self.reconciled
     }
--- a/src/model/image_cache.rs
+++ b/src/model/image_cache.rs
@@ -1,12 +1,12 @@
-//! The image caches of machines, as far as the leader knows them.
+//! Image caches of machines, as far as the leader knows them.
 
 use super::Host;
 
-/// The least rate of a fetch, in gigabytes per second, that its duration is computed with.
-const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
+/// Lower bound of the fetch rate, in gigabytes per second, with which fetch durations are computed.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// The share of all fetches under way that is still to come when an image is among them.
-const SHARE_LEFT_OF_FETCH: f64 = 0.5;
+/// Share of the fetches under way that is assumed to remain until an image among them is ready.
+const REMAINING_FETCH_SHARE: f64 = 0.5;
 
 /// An image in the cache of a machine.
 #[derive(Debug, Clone)]
@@ -15,26 +15,27 @@
     pub name: String,
     /// Size in gigabytes.
     pub gb: f64,
-    /// Steady time in milliseconds at which a task last needed it.
+    /// Steady time, in milliseconds, at which a task last needed the image.
     pub used_ms: u64,
-    /// False while it is fetched.
+    /// False while the image is being fetched.
     pub ready: bool,
 }
 
 impl Host {
-    /// Seconds until `image`, of `gb` gigabytes, would be on the machine, which fetches `rate` gigabytes
-    /// per second.
+    /// Returns the expected number of seconds until `image`, of `gb` gigabytes, is on the machine, which
+    /// fetches `rate` gigabytes per second.
     pub fn fetch_s(&self, image: &str, gb: f64, rate: f64) -> f64 {
-        let rate = rate.max(LEAST_FETCH_GB_PER_S);
-        let under_way_gb: f64 = self.images.iter().filter(|cached| !cached.ready).map(|cached| cached.gb).sum();
+        let rate = rate.max(MIN_FETCH_GB_PER_S);
+        let in_progress_gb: f64 = self.images.iter().filter(|cached| !cached.ready).map(|cached| cached.gb).sum();
         match self.images.iter().find(|cached| cached.name == image) {
             Some(cached) if cached.ready => 0.0,
-            Some(_) => under_way_gb / rate * SHARE_LEFT_OF_FETCH,
-            None => (under_way_gb + gb) / rate,
+            Some(_) => in_progress_gb / rate * REMAINING_FETCH_SHARE,
+            None => (in_progress_gb + gb) / rate,
         }
     }
 
-    /// Notes that a task here needs `image`; the ones that were not used for longest leave a full cache.
+    /// Records that a task on the machine needs `image`. The least recently used other images are evicted
+    /// while the cache exceeds `cache_gb` gigabytes.
     pub fn use_image(&mut self, image: &str, gb: f64, cache_gb: f64, now: u64) {
         match self.images.iter_mut().find(|cached| cached.name == image) {
             Some(cached) => cached.used_ms = now,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Notes that an image was fetched.
+    /// Records that `image` was fetched.
     pub fn image_ready(&mut self, image: &str) {
         if let Some(cached) = self.images.iter_mut().find(|cached| cached.name == image) {
             cached.ready = true;
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, with the state of their tasks and of their records.
+//! Jobs, with the state of their tasks and of their stored records.
 
 use super::{ClusterState, HostIndex, Place, Spec, Task, Urgency};
 use serde::{Deserialize, Serialize};
@@ -7,43 +7,43 @@
 /// Index of a job in [`ClusterState::jobs`](super::ClusterState::jobs).
 pub type JobIndex = usize;
 
-/// The phase of a job, as it is answered to users.
+/// Phase of a job, as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobPhase {
-    /// Accepted; no task runs.
+    /// The job is accepted and none of its tasks runs.
     Pending,
-    /// At least one task runs.
+    /// At least one task of the job runs.
     Running,
-    /// All tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// Cancelled, and all its tasks are gone.
+    /// The job is cancelled and none of its tasks is left on a machine.
     Cancelled,
 }
 
-/// What is not yet written to the record of a job.
+/// Change of a job that is not yet written to its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnsavedChange {
     /// The record is up to date.
     Nothing,
-    /// More tasks are done than it has.
+    /// More tasks are done than the record states.
     Progress,
-    /// The job has ended.
+    /// The job has ended in this way.
     End(JobEnd),
-    /// There is no record yet.
+    /// The record does not exist yet.
     Creation,
 }
 
-/// How a job ended.
+/// Way in which a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// Its user cancelled it.
+    /// A user cancelled the job.
     Cancelled,
 }
 
 impl JobEnd {
-    /// The phase that users are answered.
+    /// Returns the phase that is shown to users.
     pub fn phase(self) -> JobPhase {
         match self {
             JobEnd::Done => JobPhase::Done,
@@ -52,71 +52,76 @@
     }
 }
 
-/// A job avoids so many machines at the most.
+/// Upper bound of the number of machines that a job avoids after failures on them.
 const MAX_AVOIDED_HOSTS: usize = 3;
 
-/// A job, with the state of its tasks and of its record.
+/// A job, with the state of its tasks and of its stored record.
 #[allow(clippy::struct_excessive_bools, reason = "independent facts of a job and of its record")]
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What its user asked for.
+    /// Description of the job, as its user submitted it.
     pub spec: Spec,
-    /// Wall time at which it was accepted.
+    /// Wall time, in milliseconds, at which the job was accepted.
     pub accepted_ms: u64,
-    /// It waits for other jobs: none of its tasks was or may be started.
+    /// True while the job waits for other jobs. None of its tasks was started or may be started.
     pub waiting: bool,
-    /// Wall time from which on it could start: of its acceptance, or when it became known that
-    /// the last job that it waits for is done.
+    /// Wall time, in milliseconds, from which the job could start: the time of its acceptance, or the time
+    /// at which the last of its dependencies became known to be done.
     pub ready_ms: u64,
-    /// Its priority: its own, or that of a job that needs it where that is higher.
+    /// Effective priority: the highest of its own and those of the jobs that depend on it.
     pub urgency: Urgency,
-    /// Wall time by which it should be done for the sake of those that need it; `None` if none
-    /// of them has a deadline.
+    /// Wall time, in milliseconds, by which the job should be done so that the jobs that depend on it meet
+    /// their deadlines; `None` if none of them has a deadline.
     pub needed_by_ms: Option<u64>,
-    /// Version of its record; 0 while it is not created.
+    /// Version of the stored record; 0 while the record does not exist.
     pub version: u64,
-    /// The end that its record has.
+    /// End that the stored record states; `None` if it states none.
     ///
-    /// Invariant: it is set only after the commit of the record, and never changes then.
+    /// Invariant: it is set only after the commit of the record, and never changes afterwards.
     pub end: Option<JobEnd>,
-    /// The change that is to be written next.
+    /// Change that is to be written next.
     pub unsaved: UnsavedChange,
-    /// Steady time at which unsaved progress began.
+    /// Steady time, in milliseconds, since which progress is unsaved.
     pub unsaved_since_ms: u64,
-    /// Its record is in a commit in flight.
+    /// True while a commit with the record is in flight.
     pub saving: bool,
-    /// Steady time before which its record is not written, as it was not taken; 0 if it was.
+    /// Steady time, in milliseconds, before which the record is not written because the last write was
+    /// rejected; 0 if it was not rejected.
     pub write_after_ms: u64,
-    /// A write of its end is indeterminate: it may be carried out or not, now or later. Until that is
-    /// settled another node may read the end and answer with it.
+    /// True while the outcome of a write of the job's end is indeterminate: the write may take effect, now or
+    /// later, or not at all. Until the outcome is known, another node may read the end and answer with it.
     pub end_indeterminate: bool,
-    /// The state of each task, by its number.
+    /// State of each task, by its number.
     pub tasks: Vec<Task>,
-    /// Tasks that are done, whether recorded or not.
+    /// Number of tasks that are done, whether or not that is stored.
     pub done: u32,
-    /// Done tasks that its record has, as ranges in order, first and one past the last.
+    /// Done tasks that the stored record states, as ordered ranges of the first number and one past the last.
     pub recorded_done: Vec<(u32, u32)>,
-    /// The attempt of a gang that is starting or running.
+    /// Number of the gang's attempt that is starting or running.
     pub gang_attempt: u64,
-    /// Steady time until which capacity is reserved for the gang; 0 if none is.
+    /// Steady time, in milliseconds, until which capacity is reserved for the gang; 0 if none is reserved.
     pub gang_reserved_until_ms: u64,
-    /// Steady time before which none is reserved again after a reservation that expired unused; 0 if there
-    /// was none.
+    /// Steady time, in milliseconds, before which no capacity is reserved for the gang again, after a
+    /// reservation that expired unused; 0 if there was none.
     pub gang_backoff_until_ms: u64,
-    /// Steady time until which it waits for capacity on a machine that has its image; 0 if it does not yet.
+    /// Steady time, in milliseconds, until which the job waits for capacity on a machine that has its image;
+    /// 0 if this wait has not begun.
     pub image_wait_until_ms: u64,
-    /// Accepted in this fencing token: no earlier leader can have started its tasks.
+    /// True if the job was accepted under the current fencing token. No earlier leader can have started its
+    /// tasks.
     pub fresh: bool,
-    /// Its user has asked for its cancellation, which is answered once none of its tasks can run.
+    /// True if a user requested cancellation. The request is answered once none of the job's tasks can run.
     pub cancelling: bool,
-    /// Machines on which its tasks failed, and until when it keeps away from them.
+    /// Machines on which tasks of the job failed.
     pub failed_on: HashSet<HostIndex>,
-    /// Steady time until which the machines in `failed_on` are avoided; 0 if none is.
+    /// Steady time, in milliseconds, until which the machines in `failed_on` are avoided; 0 if none is
+    /// avoided.
     pub avoid_hosts_until_ms: u64,
 }
 
 impl Job {
-    /// A job none of whose tasks was placed.
+    /// Creates a job none of whose tasks is placed. `accepted_ms` is wall time, `now` is steady time, both in
+    /// milliseconds.
     pub fn new(spec: Spec, accepted_ms: u64, now: u64) -> Job {
         let tasks = vec![Task { place: Place::Idle, located: false, fails: 0, retry_ms: 0 }; spec.tasks as usize];
         Job {
@@ -147,21 +152,21 @@
         }
     }
 
-    /// Is the task done by its record? Then its attempts may be forgotten, also
-    /// while further tasks end all the time and more is to be recorded.
+    /// Returns whether the stored record states that the task is done. Its attempts may then be removed, even
+    /// if tasks keep ending so that there is always progress left to be stored.
     pub fn recorded_as_done(&self, task: u32) -> bool {
         let next = self.recorded_done.partition_point(|range| range.0 <= task);
         next > 0 && task < self.recorded_done[next - 1].1
     }
 
-    /// The wall time by which it has to be done, for its own deadline or for those that need
-    /// it; `None` if there is none.
+    /// Returns the wall time, in milliseconds, by which the job has to be done: the earlier of its own
+    /// deadline and `needed_by_ms`; `None` if there is neither.
     pub fn due_ms(&self) -> Option<u64> {
-        let own = self.spec.due_s.map(|due_s| self.accepted_ms + (due_s * 1000.0) as u64);
-        own.into_iter().chain(self.needed_by_ms).min()
+        let own_due_ms = self.spec.due_s.map(|due_s| self.accepted_ms + (due_s * 1000.0) as u64);
+        own_due_ms.into_iter().chain(self.needed_by_ms).min()
     }
 
-    /// May its tasks be started?
+    /// Returns whether tasks of the job may be started.
     pub fn active(&self) -> bool {
         self.version > 0
             && !self.waiting
@@ -170,27 +175,28 @@
             && !matches!(self.unsaved, UnsavedChange::End(_))
     }
 
-    /// Machines that it is not placed on again for a while, as it failed there: they
-    /// are mostly faulty, and others are rented instead.
+    /// Returns the machines on which the job is temporarily not placed because its tasks failed there. Such
+    /// machines are usually faulty; other machines are requested instead.
     pub fn avoided_hosts(&self, cluster: &ClusterState, now: u64) -> &HashSet<HostIndex> {
         static NONE: std::sync::LazyLock<HashSet<HostIndex>> = std::sync::LazyLock::new(HashSet::new);
         if now < self.avoid_hosts_until_ms && !self.fails_everywhere(cluster) { &self.failed_on } else { &NONE }
     }
 
-    /// It failed on many machines, or on several and no other is left: it is at fault itself.
+    /// Returns whether the job has failed on more than `MAX_AVOIDED_HOSTS` machines, or on several and no
+    /// other machine is left. The job itself is then taken to be the cause of the failures.
     fn fails_everywhere(&self, cluster: &ClusterState) -> bool {
-        let all = || cluster.host_index.values().all(|host| self.failed_on.contains(host));
-        self.failed_on.len() > MAX_AVOIDED_HOSTS || (self.failed_on.len() > 1 && all())
+        let no_other_host = || cluster.host_index.values().all(|host| self.failed_on.contains(host));
+        self.failed_on.len() > MAX_AVOIDED_HOSTS || (self.failed_on.len() > 1 && no_other_host())
     }
 
-    /// Frees what a job that is over no longer needs.
+    /// Sets the number of done tasks to the number of tasks if the job is done.
     pub fn retire(&mut self) {
         if self.end == Some(JobEnd::Done) {
             self.done = self.spec.tasks;
         }
     }
 
-    /// Its phase while so many of its tasks run.
+    /// Returns the phase of the job, given the number of its running tasks.
     pub fn phase(&self, running: u32) -> JobPhase {
         match self.end {
             Some(JobEnd::Done) => JobPhase::Done,
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,8 +1,10 @@
-//! The state of a partition: jobs with their tasks, machines with the attempts of tasks on them. Plain
-//! data; decisions are in `scheduling`, the protocol with machines and users in `control::partition`.
+//! State of a partition: jobs with their tasks, and machines with the task attempts on them.
 //!
-//! Fields in `_ms` are milliseconds, of the steady clock or of the wall clock as their comments state:
-//! the two never mix.
+//! The types of this module hold data. Decisions are made in `scheduling`; the protocol with machines
+//! and users is in `control::partition`.
+//!
+//! Fields whose names end in `_ms` are milliseconds of the steady clock or of the wall clock, as their
+//! comments state. Values of the two clocks are never combined.
 
 mod borrowing;
 mod cluster;
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -1,44 +1,45 @@
-//! Records of jobs and machines in the state service.
+//! Stored records of jobs and machines in the state service.
 
 use super::{Job, JobEnd, Place, Spec};
 use crate::clients::write_limits::{RANGE_BYTES, json_bytes};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The record of a job in the state service.
+/// Record of a job in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What its user asked for.
+    /// Description of the job, as its user submitted it.
     pub spec: Spec,
-    /// Wall time at which it was accepted.
+    /// Wall time, in milliseconds, at which the job was accepted.
     pub accepted_ms: u64,
-    /// How it ended; `None` while it is under way.
+    /// Way in which the job ended; `None` if it has not ended.
     pub end: Option<JobEnd>,
-    /// Done tasks as ranges, first and one past the last.
+    /// Done tasks, as ranges of the first number and one past the last.
     pub done: Vec<(u32, u32)>,
 }
 
 impl JobRecord {
-    /// The record of `job` for a value of at most `most` bytes, with as many of the widest
-    /// ranges of done tasks as fit. A range that is left out only makes its tasks run once
-    /// more: their results are kept. `None` if the job's description alone is too large,
-    /// having been accepted under a larger limit; a job that is over is then described by
-    /// what is still of use.
-    pub fn of(job: &Job, end: Option<JobEnd>, most: usize) -> Option<JobRecord> {
+    /// Creates the record of `job` for a stored value of at most `max_bytes` bytes, with as many of the
+    /// widest_ranges ranges of done tasks as fit. The tasks of an omitted range may run once more, but their results
+    /// are kept.
+    ///
+    /// Returns `None` if the description of a job that has not ended is too large by itself, because it was
+    /// accepted under a larger limit. A too large description of a job that has ended is abridged.
+    pub fn of(job: &Job, end: Option<JobEnd>, max_bytes: usize) -> Option<JobRecord> {
         let mut record = JobRecord { spec: job.spec.clone(), accepted_ms: job.accepted_ms, end, done: Vec::new() };
         if end.is_some() {
-            if json_bytes(&record) > most {
+            if json_bytes(&record) > max_bytes {
                 record.spec = record.spec.abridged();
             }
             return Some(record);
         }
-        let left = most.checked_sub(json_bytes(&record))?;
-        record.done = widest(ranges(job), (left / RANGE_BYTES).min((most / 2 / RANGE_BYTES).max(1)));
+        let left_bytes = max_bytes.checked_sub(json_bytes(&record))?;
+        record.done = widest_ranges(ranges(job), (left_bytes / RANGE_BYTES).min((max_bytes / 2 / RANGE_BYTES).max(1)));
         Some(record)
     }
 
-    /// The job of the record, with no task placed. `version` is that of the record; `now` is steady time
-    /// in milliseconds.
+    /// Creates the job that the record describes, with no task placed. `version` is the version of the
+    /// record; `now` is steady time in milliseconds.
     pub fn into_job(self, version: u64, now: u64) -> Job {
         let mut job = Job::new(self.spec, self.accepted_ms, now);
         job.version = version;
@@ -57,34 +58,34 @@
     }
 }
 
-/// The record of a machine in the registry: it may hold tasks.
+/// Record of a machine in the registry. A machine with a record may hold tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Where its worker takes direct commands; `None` if not known.
+    /// Address at which the worker accepts direct commands; `None` if it is not known.
     pub addr: Option<SocketAddr>,
-    /// Name of its type.
+    /// Name of the instance type.
     #[serde(rename = "flavor")]
     pub instance_type: String,
-    /// Zone in which it stands.
+    /// Zone of the machine.
     pub zone: String,
-    /// True if the cloud may take it back.
+    /// True for a spot machine, which the cloud may take back.
     pub spot: bool,
-    /// The partition that it belongs to.
+    /// Partition to which the machine belongs.
     #[serde(default, rename = "part")]
     pub partition: u32,
 }
 
-/// At most so many of the ranges, the widest ones, in order.
-fn widest(mut ranges: Vec<(u32, u32)>, most: usize) -> Vec<(u32, u32)> {
-    if ranges.len() > most {
+/// Returns the widest ranges, at most `max_ranges` of them, in ascending order.
+fn widest_ranges(mut ranges: Vec<(u32, u32)>, max_ranges: usize) -> Vec<(u32, u32)> {
+    if ranges.len() > max_ranges {
         ranges.sort_unstable_by_key(|range| std::cmp::Reverse(range.1 - range.0));
-        ranges.truncate(most);
+        ranges.truncate(max_ranges);
         ranges.sort_unstable();
     }
     ranges
 }
 
-/// Numbers of done tasks as ranges, first and one past the last.
+/// Returns the numbers of the done tasks as ordered ranges of the first number and one past the last.
 pub fn ranges(job: &Job) -> Vec<(u32, u32)> {
     let mut out: Vec<(u32, u32)> = Vec::new();
     for (number, task) in (0u32..).zip(&job.tasks) {
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -1,58 +1,58 @@
-//! Tasks, and the attempts of them that are on machines.
+//! Tasks of jobs, and the attempts to run them on machines.
 
 use super::FencingToken;
 use super::{Demand, HostIndex, JobIndex};
 
-/// Identifies a task: its job, and its number in it.
+/// Identifies a task by its job and its number in the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
-    /// The job.
+    /// Job to which the task belongs.
     pub job: JobIndex,
-    /// Number of the task in the job, from 0.
+    /// Number of the task in the job, starting at 0.
     pub task: u32,
 }
 
-/// Where a task is placed.
+/// Placement of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Place {
-    /// Not placed on any machine.
+    /// The task is on no machine.
     Idle,
-    /// Placed on this machine, as the attempt of this number.
+    /// The task is on this machine, as the attempt with this number.
     On(HostIndex, u64),
-    /// Completed.
+    /// The task is completed.
     Done,
 }
 
-/// The state of one task of a job.
+/// State of one task of a job.
 #[derive(Debug, Clone, Copy)]
 pub struct Task {
-    /// Where it is placed.
+    /// Placement of the task.
     pub place: Place,
-    /// Seen running, or started, by this leader: it is on no unreconciled machine.
+    /// True if this leader has started the task or seen it run. It is then on no unreconciled machine.
     pub located: bool,
-    /// Failures so far, up to the largest value.
+    /// Number of failures so far, saturating at the largest value of the type.
     pub fails: u16,
-    /// Steady time before which it is not placed again; 0 if there is no wait.
+    /// Steady time, in milliseconds, before which the task is not placed again; 0 if there is no delay.
     pub retry_ms: u64,
 }
 
-/// Why an attempt ended, as its worker reports it.
+/// Reason why an attempt ended, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was ordered to stop.
+    /// The attempt was ordered to stop.
     Stopped {
-        /// True if its state was saved.
+        /// True if the state of the task was saved.
         saved: bool,
     },
-    /// Other tasks of its gang stopped.
+    /// Other tasks of its gang had stopped.
     MatesGone,
-    /// Its gang was not complete in time.
+    /// The tasks of its gang did not all start in time.
     Incomplete,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The worker had no capacity for it.
+    /// The worker had no capacity for the task.
     NoRoom,
     /// Another attempt of the task was still on the machine.
     InUse,
@@ -60,54 +60,58 @@
     NoSuch,
 }
 
-/// Where an attempt stands on its machine.
+/// Phase of an attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TaskPhase {
-    /// Ordered, and not yet seen in a report.
+    /// The attempt is ordered and has not appeared in a report yet.
     Sent,
-    /// Waits for its image.
+    /// The attempt waits for its image.
     Fetching,
-    /// Waits for the other tasks of its gang.
+    /// The attempt waits for the other tasks of its gang.
     Gathering,
-    /// Runs.
+    /// The attempt runs.
     Running,
-    /// Ordered to stop, and saves its state.
+    /// The attempt was ordered to stop and saves its state.
     Saving,
-    /// Ended, and still listed by its worker.
+    /// The attempt has ended and its worker still lists it.
     Ended(ExitReason),
 }
 
-/// One attempt of a task on a machine, for as long as it may be there.
+/// One attempt to run a task on a machine. It is kept for as long as it may be on the machine.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskAttempt {
-    /// The task.
+    /// Task that the attempt runs.
     pub key: TaskKey,
-    /// Number of the attempt, which is not used again.
+    /// Number of the attempt, which is never reused.
     pub attempt: u64,
-    /// What it takes of its machine.
+    /// Resources of its machine that the attempt uses.
     pub demand: Demand,
-    /// How far it is.
+    /// Phase of the attempt.
     pub phase: TaskPhase,
-    /// Steady time at which it was ordered, or first seen by this leader.
+    /// Steady time, in milliseconds, at which the attempt was ordered, or first reported to this leader.
     pub since_ms: u64,
-    /// Ordered to stop, with this grace in seconds.
+    /// Grace period, in seconds, of the stop that was decided; `None` if the attempt is not to be stopped.
     pub stop: Option<f64>,
-    /// Highest fencing token of a direct command with its `run` that had no answer.
+    /// Highest fencing token of an unanswered direct command with the `run` of this attempt; `None` if there
+    /// is none.
     pub indeterminate_order_token: Option<FencingToken>,
-    /// Its `run` is in a direct command in flight.
+    /// True while a direct command with the `run` of this attempt is in flight.
     pub in_flight: bool,
-    /// Sequence of the last heartbeat of its machine that listed it; 0 if none did.
+    /// Sequence number of the machine's last heartbeat that listed the attempt; 0 if none did.
     pub listed_sequence: u64,
-    /// It claims a warm reservation, and the claim is not recorded yet: it must not be ordered.
+    /// True while the attempt's claim of a warm reservation is not stored. The attempt must not be ordered
+    /// before.
     pub awaits_record: bool,
-    /// Number of the pool slot whose loaded model it takes over, if it takes one over.
+    /// Number of the pool slot whose loaded model the attempt takes over; `None` if it takes over none.
     pub slot: Option<u64>,
-    /// It is to be stopped for a loan that is not recorded yet: the stop must not be ordered.
+    /// True while the loan for which the attempt is to be stopped is not stored. The stop must not be
+    /// ordered before.
     pub stop_awaits_record: bool,
 }
 
 impl TaskAttempt {
-    /// An attempt that is to be ordered, or was and is seen first.
+    /// Creates an attempt that is to be ordered, or that was ordered and appears for the first time. `now` is
+    /// steady time in milliseconds.
     pub fn sent(key: TaskKey, attempt: u64, demand: Demand, now: u64) -> TaskAttempt {
         let phase = TaskPhase::Sent;
         TaskAttempt {
@@ -126,16 +130,17 @@
         }
     }
 
-    /// Is it to be stopped, and may that be ordered?
+    /// Returns the grace period, in seconds, of a stop that may be ordered now; `None` if the attempt is not
+    /// to be stopped or the stop must not be ordered yet.
     pub fn stop_due(&self) -> Option<f64> {
         self.stop.filter(|_| !self.stop_awaits_record)
     }
 
-    /// Has the attempt ended?
+    /// Returns whether the attempt has ended.
     pub fn ended(&self) -> bool {
         matches!(self.phase, TaskPhase::Ended(_))
     }
-    /// Does the attempt run?
+    /// Returns whether the attempt runs.
     pub fn running(&self) -> bool {
         matches!(self.phase, TaskPhase::Running)
     }
--- a/src/model/warm_reservation.rs
+++ b/src/model/warm_reservation.rs
@@ -1,57 +1,57 @@
-//! Warm reservations: capacity that warm pools keep for replicas of their models.
+//! Warm reservations: capacity that warm pools reserve for replicas of their models.
 
 use super::{Demand, HostIndex, TaskKey};
 use std::sync::Arc;
 
-/// To whom a warm reservation is offered: which jobs may claim it.
+/// Conditions under which a job may claim a warm reservation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WarmReservationOffer {
-    /// Names of the image with which jobs ask for what is warm there.
+    /// Names of the images whose jobs may claim the reservation.
     pub images: Vec<String>,
-    /// Teams whose jobs may; all if there are none.
+    /// Teams whose jobs may claim the reservation; empty if the jobs of all teams may.
     pub teams: Vec<String>,
-    /// The team that pays for the reservation.
+    /// Team that pays for the reservation.
     pub payer: String,
 }
 
 impl WarmReservationOffer {
-    /// May a job of this team with this image claim it?
+    /// Returns whether a job of this team with this image may claim the reservation.
     pub fn takes(&self, image: &str, team: &str) -> bool {
         self.images.iter().any(|name| name == image)
             && (self.teams.is_empty() || self.teams.iter().any(|own| own == team))
     }
 }
 
-/// Capacity on a machine that a warm pool keeps for a replica, and that no attempt takes.
+/// Capacity on a machine that a warm pool reserves for a replica and that no attempt uses.
 ///
-/// It belongs to a slot of a pool, whose state is recorded; `control::partition` lists the reservations
-/// anew before each cycle. It does reduce what is free. Unlike a [`Reservation`](super::Reservation) it
-/// is for any job that its offer allows, and it does not expire.
+/// It belongs to a slot of a pool, whose state is stored. `control::partition` lists the reservations
+/// again before each cycle. A warm reservation reduces the free capacity of the machine. Unlike a
+/// [`Reservation`](super::Reservation) it is for any job that its offer allows, and it does not expire.
 #[derive(Debug, Clone)]
 pub struct WarmReservation {
     /// Number of the pool slot.
     pub slot: u64,
-    /// The machine.
+    /// Machine on which the capacity is reserved.
     pub host: HostIndex,
-    /// How much is reserved.
+    /// Reserved amounts.
     pub demand: Demand,
-    /// Which jobs may claim it; `None` while none may.
+    /// Conditions for a claim; `None` while no job may claim the reservation.
     pub offer: Option<Arc<WarmReservationOffer>>,
-    /// The model is warm there, or the image ready.
+    /// True if the model is loaded or the image is ready.
     pub warm: bool,
-    /// It may be given up for other work.
+    /// True if the reservation may be released for other work.
     pub may_yield: bool,
 }
 
-/// The start of a task on a warm reservation: the reservation ends with it.
+/// Start of a task on a warm reservation. The reservation ends with the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WarmReservationClaim {
     /// Number of the pool slot.
     pub slot: u64,
-    /// The machine.
+    /// Machine on which the task starts.
     pub host: HostIndex,
-    /// The task.
+    /// Task that claims the reservation.
     pub key: TaskKey,
-    /// Number of its attempt.
+    /// Number of the attempt of the task.
     pub attempt: u64,
 }
