--- a/src/provisioning/provisioner/booting.rs
+++ b/src/provisioning/provisioner/booting.rs
@@ -1,5 +1,5 @@
-//! Booting machines: which of those that were requested and have not reported yet are coming, which are
-//! late, and which will never come up.
+//! Booting machines, which were requested and have not reported yet: which count as capacity, which are
+//! late, and which are given up.
 
 use super::distribution::PendingTransfer;
 use super::{CloudRequest, Provisioner};
@@ -10,52 +10,60 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
 
-/// A requested machine that was not listed within this multiple of the list's lag is gone. The list lags
-/// by up to twice its usual lag.
+/// Multiple of the list's usual lag after which a requested machine that was never listed is taken to be
+/// gone. The list lags by up to twice its usual lag.
 const UNLISTED_LAGS: u64 = 4;
-/// A listed machine that a later list lacks is gone once it was listed for this multiple of the list's
-/// lag: until then the later list may be an older one.
+/// Multiple of the list's usual lag, counted from the first list with a machine, after which a machine
+/// that a list omits is taken to be gone. Before that, the list may show an older state.
 const RELISTED_LAGS: u64 = 2;
-/// At least this share of the machines that are requested or booting counts as capacity, late or not. So
-/// what is coming for a need never exceeds the need over this share, also if all machines are late, and
-/// their replacements too.
-const LEAST_COUNTED: f64 = 0.5;
-/// A leader that made no round for this multiple of `react_ms` stalled, or has just begun: heartbeats of
-/// machines that came up meanwhile are still to be read.
+/// Minimum share of the requested and booting machines that counts as capacity, even if they are late.
+/// The number of outstanding machines therefore never exceeds the need divided by this share, even if all
+/// machines and their replacements are late.
+const MIN_COUNTED_SHARE: f64 = 0.5;
+/// Multiple of `react_ms` without a round after which the leader is taken to have stalled or just begun.
+/// Heartbeats of machines that came up in the meantime may then be unread.
 const STALL_RATIO: u64 = 3;
-/// The least lag of the list that is reckoned with.
-const LEAST_LAG_MS: u64 = 1000;
+/// Lower bound of the list's lag, in milliseconds, that is assumed.
+const MIN_LAG_MS: u64 = 1000;
 
-/// A machine that is listed or requested and has not reported yet.
+/// A machine that was requested or listed and has not reported yet.
 #[derive(Debug, Clone)]
 pub(super) struct BootingHost {
-    /// The partition that it is for.
+    /// Partition for which the machine was requested.
     partition: u32,
     offering: InstanceOffering,
-    /// When it was requested, as far as is known.
+    /// Time of its request; the earliest known time if the request itself is not known.
     since_ms: u64,
-    /// When it was first listed.
+    /// Time at which it was first listed; `None` if it was not listed yet.
     listed_ms: Option<u64>,
-    /// When it was first listed as up.
+    /// Time at which it was first listed as up; `None` if it was not.
     running_ms: Option<u64>,
-    /// It was seen before it was up, so that its boot time is known.
-    timed: bool,
-    /// It takes longer than machines of its offering usually do.
+    /// True if the machine became known before it was up, so that its boot time can be recorded.
+    boot_time_known: bool,
+    /// True if its boot takes clearly longer than usual for its offering.
     late: bool,
 }
 
 impl BootingHost {
-    /// The answer to a request names it.
+    /// Creates the entry of a machine that became known at `now`.
     pub(super) fn requested(partition: u32, offering: InstanceOffering, now: u64) -> BootingHost {
-        BootingHost { partition, offering, since_ms: now, listed_ms: None, running_ms: None, timed: true, late: false }
+        BootingHost {
+            partition,
+            offering,
+            since_ms: now,
+            listed_ms: None,
+            running_ms: None,
+            boot_time_known: true,
+            late: false,
+        }
     }
 
     fn age_ms(&self, now: u64) -> u64 {
         now.saturating_sub(self.since_ms)
     }
 
-    /// Takes in its entry in a list.
-    fn note_listed(&mut self, entry: &ListedInstance, now: u64) {
+    /// Updates the times from the machine's entry in a list.
+    fn update_from_list(&mut self, entry: &ListedInstance, now: u64) {
         self.listed_ms.get_or_insert(now);
         let age_ms = (entry.age_s * 1000.0) as u64;
         self.since_ms = self.since_ms.min(now.saturating_sub(age_ms));
@@ -64,9 +72,9 @@
         }
     }
 
-    /// Must it be gone, as the list of now lacks it?
+    /// Returns whether the machine is certainly gone, given that the list read at `now` does not have it.
     fn is_gone(&self, list_lag_ms: u64, now: u64) -> bool {
-        let lag_ms = list_lag_ms.max(LEAST_LAG_MS);
+        let lag_ms = list_lag_ms.max(MIN_LAG_MS);
         match self.listed_ms {
             Some(first_ms) => now >= first_ms + RELISTED_LAGS * lag_ms,
             None => now >= self.since_ms + UNLISTED_LAGS * lag_ms,
@@ -75,8 +83,9 @@
 }
 
 impl Provisioner {
-    /// Machines that are coming to a partition and count as its capacity, one entry each. A machine that
-    /// is up for another partition counts there for `report_ttl_ms`.
+    /// Returns the offerings of the machines that are requested, booting or being transferred for partition
+    /// `to` and count as its capacity, one entry for each machine. A machine that has come up for another
+    /// partition counts there for `report_ttl_ms`.
     pub fn pending_machines(
         &mut self,
         to: u32,
@@ -84,12 +93,12 @@
         now: u64,
         report_ttl_ms: u64,
     ) -> Vec<InstanceOffering> {
-        self.note_round(partition, now, report_ttl_ms);
-        self.note_arrivals(partition, now, report_ttl_ms);
-        self.note_late(partition, now);
+        self.record_round(partition, now, report_ttl_ms);
+        self.record_reported_hosts(partition, now, report_ttl_ms);
+        self.update_late_hosts(partition, now);
         self.transfers.retain(|_, transfer| now < transfer.until_ms);
         let mut pending: Vec<InstanceOffering> = Vec::new();
-        for request in self.scale_outs.values().filter(|request| request.partition == to) {
+        for request in self.pending_scale_outs.values().filter(|request| request.partition == to) {
             let scale_out = &request.scale_out;
             pending.extend(std::iter::repeat_n(scale_out.offering.clone(), scale_out.count));
         }
@@ -99,23 +108,24 @@
         pending
     }
 
-    /// Booting machines that count as capacity of a partition; `requested` more are requested. A late
-    /// machine does not count, so that another is requested in its place. But if too many are late, the
-    /// youngest of them count all the same: see `LEAST_COUNTED`.
+    /// Returns the offerings of the booting machines that count as capacity of partition `to`. `requested` is
+    /// the number of further machines whose request has no known outcome. A late machine does not count, so
+    /// that another is requested in its place. If too many are late, the most recently requested of them count
+    /// nevertheless; see `MIN_COUNTED_SHARE`.
     fn booting_capacity(&self, to: u32, requested: usize) -> Vec<InstanceOffering> {
         let booting = self.booting.values().filter(|host| host.partition == to);
         let (mut late, mut counted): (Vec<_>, Vec<_>) = booting.partition(|host| host.late);
         let outstanding = requested + late.len() + counted.len();
-        let least = (outstanding as f64 * LEAST_COUNTED).floor() as usize;
-        let missing = least.saturating_sub(requested + counted.len());
+        let min_counted = (outstanding as f64 * MIN_COUNTED_SHARE).floor() as usize;
+        let missing = min_counted.saturating_sub(requested + counted.len());
         late.sort_by_key(|host| Reverse(host.since_ms));
         counted.extend(late.into_iter().take(missing));
         counted.into_iter().map(|host| host.offering.clone()).collect()
     }
 
-    /// Judges anew which machines are late.
-    fn note_late(&mut self, partition: &Partition, now: u64) {
-        if now < self.judges_from_ms {
+    /// Recomputes which booting machines are late.
+    fn update_late_hosts(&mut self, partition: &Partition, now: u64) {
+        if now < self.boot_checks_from_ms {
             return;
         }
         for (id, host) in &mut self.booting {
@@ -123,14 +133,14 @@
             let age_ms = host.age_ms(now);
             let late = self.boot_times.is_late(offering, nominal_boot_ms(partition, offering), age_ms, now);
             if late && !host.late {
-                tracing::info!(host = id, zone = offering.zone, spot = offering.spot, age_ms, "machine is late");
-                self.counts.push(("boots_late", offering_label(partition, offering)));
+                tracing::info!(host = id, zone = offering.zone, spot = offering.spot, age_ms, "machine boot is late");
+                self.pending_counts.push(("boots_late", offering_label(partition, offering)));
             }
             host.late = late;
         }
     }
 
-    /// How many machines of each offering are late.
+    /// Returns the number of late machines by offering.
     pub(super) fn late_by_offering(&self) -> HashMap<InstanceOffering, usize> {
         let mut late: HashMap<InstanceOffering, usize> = HashMap::new();
         for host in self.booting.values().filter(|host| host.late) {
@@ -139,32 +149,33 @@
         late
     }
 
-    /// Notes when this leader began: what its predecessor requested just before is listed a lag later.
-    /// The very first leader has none.
-    fn note_begin(&mut self, partition: &Partition, now: u64) {
+    /// Sets, at the first call, the time from which a list shows what the previous leader requested: one lag
+    /// after this leader began, or at once for the first leader, which has no predecessor.
+    fn set_predecessor_listed_time(&mut self, partition: &Partition, now: u64) {
         let lag_ms = if partition.fencing_token() > FencingToken::FIRST { self.list_lag_ms } else { 0 };
         self.predecessor_listed_ms.get_or_insert(now + lag_ms);
     }
 
-    /// Judges no machine for a while after rounds were missed.
-    fn note_round(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
-        self.note_begin(partition, now);
+    /// Records a round. If rounds were missed, no machine is considered late or given up for
+    /// `report_ttl_ms`.
+    fn record_round(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
+        self.set_predecessor_listed_time(partition, now);
         self.react_ms = partition.policy().react_ms;
         if now > self.last_round_ms + STALL_RATIO * partition.policy().react_ms {
-            self.judges_from_ms = now + report_ttl_ms;
+            self.boot_checks_from_ms = now + report_ttl_ms;
         }
         self.last_round_ms = now;
     }
 
-    /// Notes which machines reported, and their boot times.
-    fn note_arrivals(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
-        let up: Vec<String> = self.booting.keys().filter(|id| is_up(partition, id)).cloned().collect();
+    /// Removes the machines that have reported from the booting ones and records their boot times.
+    fn record_reported_hosts(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
+        let up: Vec<String> = self.booting.keys().filter(|id| has_reported(partition, id)).cloned().collect();
         for id in up {
             let Some(host) = self.booting.remove(&id) else { continue };
-            if host.timed {
-                self.boot_times.came_up(&host.offering, host.age_ms(now), now);
+            if host.boot_time_known {
+                self.boot_times.record_boot(&host.offering, host.age_ms(now), now);
             }
-            // One that is up for another partition is still coming there for a while.
+            // A machine that came up for another partition counts there as pending for a while.
             if host.partition != partition.id() {
                 let until_ms = now + report_ttl_ms;
                 let transfer = PendingTransfer { to: host.partition, offering: host.offering, until_ms };
@@ -173,18 +184,18 @@
         }
     }
 
-    /// Which partition each booting machine is for, where that is not the provisioner's.
+    /// Returns the partition of each booting machine that is not for partition `provisioner`, by machine id.
     pub fn pending_transfers(&self, provisioner: u32) -> HashMap<String, u32> {
         let for_others = self.booting.iter().filter(|(_, host)| host.partition != provisioner);
         for_others.map(|(id, host)| (id.clone(), host.partition)).collect()
     }
 
-    /// Takes in a list of machines; returns those to be returned: failed ones, and those that never come
-    /// up.
+    /// Processes a list of the cloud's machines. Returns the requests that return machines whose boot failed
+    /// or was given up.
     pub fn process_list(&mut self, list: &[ListedInstance], partition: &Partition, now: u64) -> Vec<CloudRequest> {
-        self.note_begin(partition, now);
-        self.predecessor_known |= self.predecessor_listed_ms.is_some_and(|listed_ms| now >= listed_ms);
-        self.forget_abandoned(now);
+        self.set_predecessor_listed_time(partition, now);
+        self.predecessor_requests_listed |= self.predecessor_listed_ms.is_some_and(|listed_ms| now >= listed_ms);
+        self.remove_listed_abandoned(now);
         let mut failed = Vec::new();
         for entry in list {
             if self.process_entry(entry, partition, now) == BootState::Failed {
@@ -197,38 +208,38 @@
         self.terminate(failed)
     }
 
-    /// Takes in one entry of a list.
+    /// Processes one entry of a list and returns the state of the machine's boot.
     fn process_entry(&mut self, entry: &ListedInstance, partition: &Partition, now: u64) -> BootState {
         if self.terminated.contains(&entry.id) || self.terminating.contains(&entry.id) {
-            return BootState::Settled;
+            return BootState::NotBooting;
         }
         if entry.failed() {
-            self.boot_failed(&entry.id, partition, now);
+            self.record_failed_boot(&entry.id, partition, now);
             return BootState::Failed;
         }
         let Some(instance_type) = partition.cluster().instance_type(&entry.instance_type) else {
-            return BootState::Settled;
+            return BootState::NotBooting;
         };
         let offering = InstanceOffering { instance_type, zone: entry.zone.clone(), spot: entry.spot };
-        self.offerings.insert(entry.id.clone(), offering.clone());
-        if is_up(partition, &entry.id) {
-            return BootState::Settled;
+        self.offering_by_host.insert(entry.id.clone(), offering.clone());
+        if has_reported(partition, &entry.id) {
+            return BootState::NotBooting;
         }
         let host = self.booting.entry(entry.id.clone()).or_insert_with(|| BootingHost {
-            timed: entry.booting(),
+            boot_time_known: entry.booting(),
             ..BootingHost::requested(partition.id(), offering, now)
         });
-        host.note_listed(entry, now);
-        if now < self.judges_from_ms || !self.never_comes_up(&entry.id, partition, now) {
+        host.update_from_list(entry, now);
+        if now < self.boot_checks_from_ms || !self.is_given_up(&entry.id, partition, now) {
             return BootState::Booting;
         }
-        tracing::info!(host = entry.id, "machine does not come up, releasing it");
-        self.boot_failed(&entry.id, partition, now);
+        tracing::info!(host = entry.id, "machine did not come up, returning it to the cloud");
+        self.record_failed_boot(&entry.id, partition, now);
         BootState::Failed
     }
 
-    /// How long a machine is expected to take until it is up, whatever its offering: by the boots that
-    /// were seen lately, or by the nominal time.
+    /// Returns the longest expected boot time over all offerings, in milliseconds, computed from the recent
+    /// boots and the nominal times; 0 if there are no offerings.
     pub fn expected_boot_ms(&self, partition: &Partition, now: u64) -> u64 {
         let instance_types = partition.cluster().instance_types.iter().enumerate();
         let offerings = instance_types.flat_map(|(index, instance_type)| offerings(index, instance_type));
@@ -238,17 +249,17 @@
         offerings.map(expected_ms).max().unwrap_or(0)
     }
 
-    /// Notes a failed boot, unless the machine was up before.
-    fn boot_failed(&mut self, id: &str, partition: &Partition, now: u64) {
+    /// Records a failed boot, unless the machine had come up before.
+    fn record_failed_boot(&mut self, id: &str, partition: &Partition, now: u64) {
         if let Some(host) = self.booting.remove(id) {
-            self.boot_times.failed(&host.offering, now);
-            self.counts.push(("boots_failed", offering_label(partition, &host.offering)));
+            self.boot_times.record_failure(&host.offering, now);
+            self.pending_counts.push(("boots_failed", offering_label(partition, &host.offering)));
         }
     }
 
-    /// Is the machine given up? One that is up by the list may be unreachable: it is given the time of a
-    /// worker's lease, and the time that its boot was expected to take.
-    fn never_comes_up(&self, id: &str, partition: &Partition, now: u64) -> bool {
+    /// Returns whether the boot of the machine is given up. A machine that is listed as up but does not report
+    /// may be unreachable: it is given up after the longer of a worker's lease and its expected boot time.
+    fn is_given_up(&self, id: &str, partition: &Partition, now: u64) -> bool {
         let Some(host) = self.booting.get(id) else { return false };
         let nominal_ms = nominal_boot_ms(partition, &host.offering);
         match host.running_ms {
@@ -256,22 +267,22 @@
                 let expected_ms = self.boot_times.expected_ms(&host.offering, nominal_ms, now);
                 now.saturating_sub(running_ms) > expected_ms.max(partition.policy().lease_ms)
             }
-            None => self.boot_times.is_lost(&host.offering, nominal_ms, host.age_ms(now), now),
+            None => self.boot_times.exceeds_give_up_age(&host.offering, nominal_ms, host.age_ms(now), now),
         }
     }
 }
 
-/// What an entry of a list shows of a boot.
+/// State of a machine's boot according to its entry in a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BootState {
-    /// The machine is up or being returned, or its type is not known.
-    Settled,
+    /// The machine has reported or is being returned, or its type is not known.
+    NotBooting,
     Booting,
-    /// It failed or never comes up: it is to be returned.
+    /// The boot failed or is given up; the machine is to be returned.
     Failed,
 }
 
-/// All offerings of an instance type.
+/// Returns all offerings of an instance type: spot and on demand in each of its zones.
 fn offerings(index: usize, instance_type: &InstanceType) -> impl Iterator<Item = InstanceOffering> {
     let of_zone = move |zone: &String| {
         [false, true].map(|spot| InstanceOffering { instance_type: index, zone: zone.clone(), spot })
@@ -283,12 +294,12 @@
     partition.cluster().instance_types[offering.instance_type].boot_ms()
 }
 
-/// The label of counters for machines of one type in one zone.
+/// Returns the metric label for machines of this type and zone.
 fn offering_label(partition: &Partition, offering: &InstanceOffering) -> String {
     format!("{}/{}", partition.cluster().instance_types[offering.instance_type].name, offering.zone)
 }
 
-/// Has the machine reported, to any partition?
-fn is_up(partition: &Partition, id: &str) -> bool {
+/// Returns whether the machine has reported, to any partition.
+fn has_reported(partition: &Partition, id: &str) -> bool {
     partition.knows_host(id)
 }
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -1,5 +1,5 @@
-//! The plan of one partition: what it needs, which of its machines it could do without, and which it
-//! drains or returns.
+//! Capacity plan of one partition: the machines that it needs, those that it does not need, and those that
+//! it drains or returns.
 
 use super::{CloudRequest, Provisioner, frame_sizes};
 use crate::control::partition::Partition;
@@ -8,24 +8,25 @@
 use crate::transport::peer::{CapacityReport, Machines};
 use std::collections::BTreeMap;
 
-/// Arrivals are counted over this multiple of the longest boot.
-const FLOW_WINDOW_BOOTS: f64 = 3.0;
-/// The least boot time, in seconds, that arrivals are counted with.
-const LEAST_BOOT_S: f64 = 1.0;
+/// Length of the window over which arrivals are counted, as a multiple of the longest boot time.
+const ARRIVAL_WINDOW_BOOTS: f64 = 3.0;
+/// Lower bound of the boot time, in seconds, from which the window is computed.
+const MIN_BOOT_S: f64 = 1.0;
 
-/// What was accepted of a class within the window.
-struct Arrivals<'a> {
-    /// The last job.
+/// Totals of the jobs of a class that were accepted within the window.
+struct ArrivalSums<'a> {
+    /// Description of the last job.
     spec: &'a Spec,
     tasks: f64,
-    /// Sum of the squared job sizes.
-    squares: f64,
+    /// Sum over the jobs of the squared number of tasks.
+    squared_tasks: f64,
 }
 
 impl Provisioner {
-    /// Plans for this partition; what must be requested or transferred for it is returned as its report,
-    /// with the machines that it returns. `pending_machines` has one entry for each machine that is
-    /// booting or transferred for it.
+    /// Computes the capacity plan of this partition. Returns its capacity report, with the machines that it
+    /// lacks or does not need, and the requests that return machines to the cloud. `pending_machines` has one
+    /// entry for each machine that is booting for the partition or being transferred to it. `wall` is wall
+    /// time in milliseconds.
     pub fn plan_partition(
         &mut self,
         partition: &mut Partition,
@@ -33,11 +34,11 @@
         now: u64,
         wall: u64,
     ) -> (CapacityReport, Vec<CloudRequest>) {
-        for (name, label) in self.counts.drain(..) {
+        for (name, label) in self.pending_counts.drain(..) {
             partition.metrics_mut().count(name, &label);
         }
         let flows = flows(partition, wall);
-        let exhausted = self.exhausted_types(partition.cluster(), now);
+        let exhausted = self.exhausted_instance_types(partition.cluster(), now);
         partition.set_exhausted(exhausted);
         partition.reserve_for_flows(&flows);
         let mut report = CapacityReport {
@@ -51,18 +52,18 @@
             return (report, Vec::new());
         }
         let plan = self.plan_capacity(partition, &flows, pending_machines, now);
-        report.wanted = plan.scale_out.into_iter().map(|request| machines(partition.cluster(), request)).collect();
-        let (spare, expendable) = spare_and_expendable(partition, plan.unneeded, now);
-        report.spare = frame_sizes::names_for_frame(spare);
-        let requests = self.terminate(expendable);
+        report.wanted = plan.scale_out.into_iter().map(|request| to_machines(partition.cluster(), request)).collect();
+        let (spare, terminable) = spare_and_terminable(partition, plan.unneeded, now);
+        report.spare = frame_sizes::truncate_names_to_frame(spare);
+        let requests = self.terminate(terminable);
         for drain in &plan.drains {
             partition.drain(drain, now);
         }
         (report, requests)
     }
 
-    /// Instance types that are refused in all their zones on demand.
-    fn exhausted_types(&self, cluster: &ClusterState, now: u64) -> Vec<usize> {
+    /// Returns the indices of the instance types whose on-demand offerings are refused in all zones.
+    fn exhausted_instance_types(&self, cluster: &ClusterState, now: u64) -> Vec<usize> {
         let refused = |instance_type: usize, zone: &String| {
             self.is_refused(&InstanceOffering { instance_type, zone: zone.clone(), spot: false }, now)
         };
@@ -91,7 +92,7 @@
         scheduling::plan_capacity(cluster, partition.policy(), now, &work, pending_machines, &availability)
     }
 
-    /// Whether each offering can be had now, by what was refused and how boots went.
+    /// Returns a function that gives the availability of an offering, based on refusals and recent boots.
     fn availability<'a>(
         &'a self,
         partition: &'a Partition,
@@ -109,57 +110,59 @@
     }
 }
 
-/// A request in the form of a report.
-fn machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> Machines {
+/// Converts a request for machines into an entry of a capacity report.
+fn to_machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> Machines {
     let instance_type = cluster.instance_types[offering.instance_type].name.clone();
     Machines { instance_type, zone: offering.zone, spot: offering.spot, count }
 }
 
-/// Ids of the unneeded machines that other partitions may have, and of the machines to return: those
-/// that were idle for too long, and those without attempts that can't be used.
-fn spare_and_expendable(partition: &Partition, unneeded: Vec<HostIndex>, now: u64) -> (Vec<String>, Vec<String>) {
+/// Returns the ids of the unneeded machines that other partitions may receive, and the ids of the machines
+/// to return: those that were idle for too long, and those without attempts on which nothing may be
+/// placed.
+fn spare_and_terminable(partition: &Partition, unneeded: Vec<HostIndex>, now: u64) -> (Vec<String>, Vec<String>) {
     let cluster = partition.cluster();
-    let (mut spare, mut expendable) = (Vec::new(), Vec::new());
+    let (mut spare, mut terminable) = (Vec::new(), Vec::new());
     for host_index in unneeded {
         let Some(host) = cluster.host(host_index) else { continue };
         let Some(boot_s) = host.instance_type.map(|index| cluster.instance_types[index].boot_s) else { continue };
-        let keep_ms = (partition.policy().idle_keep * boot_s * 1000.0) as u64;
-        if now > host.idle_since_ms + keep_ms {
-            expendable.push(host.id.clone());
+        let idle_limit_ms = (partition.policy().idle_keep * boot_s * 1000.0) as u64;
+        if now > host.idle_since_ms + idle_limit_ms {
+            terminable.push(host.id.clone());
         } else {
             spare.push(host.id.clone());
         }
     }
-    let useless = |host: &Host| host.attempts.is_empty() && (host.preemption_notice || host.draining || host.faulty());
-    let useless_hosts = cluster.each_host().filter(|(_, host)| useless(host));
-    expendable.extend(useless_hosts.map(|(_, host)| host.id.clone()));
-    (spare, expendable)
+    let is_unusable =
+        |host: &Host| host.attempts.is_empty() && (host.preemption_notice || host.draining || host.faulty());
+    let unusable_hosts = cluster.each_host().filter(|(_, host)| is_unusable(host));
+    terminable.extend(unusable_hosts.map(|(_, host)| host.id.clone()));
+    (spare, terminable)
 }
 
 fn longest_boot_ms(cluster: &ClusterState) -> u64 {
     cluster.instance_types.iter().map(|instance_type| instance_type.boot_ms()).max().unwrap_or(0)
 }
 
-/// Arrivals of each class within some of the longest boots, from what was accepted.
+/// Returns the arrivals of each class, computed from the jobs that were accepted within the window.
 fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
     let instance_types = partition.cluster().instance_types.iter();
-    let boot_s = instance_types.map(|instance_type| instance_type.boot_s).fold(LEAST_BOOT_S, f64::max);
-    let window_s = FLOW_WINDOW_BOOTS * boot_s;
+    let boot_s = instance_types.map(|instance_type| instance_type.boot_s).fold(MIN_BOOT_S, f64::max);
+    let window_s = ARRIVAL_WINDOW_BOOTS * boot_s;
     let since_ms = wall.saturating_sub((window_s * 1000.0) as u64).max(partition.policy().start_ms);
     let span_s = (wall.saturating_sub(since_ms) as f64 / 1000.0).max(boot_s);
-    let mut by_class: BTreeMap<&str, Arrivals> = BTreeMap::new();
+    let mut by_class: BTreeMap<&str, ArrivalSums> = BTreeMap::new();
     for job in partition.cluster().jobs.iter().filter(|job| job.accepted_ms >= since_ms) {
         let tasks = f64::from(job.spec.tasks);
-        let none = Arrivals { spec: &job.spec, tasks: 0.0, squares: 0.0 };
-        let arrivals = by_class.entry(&job.spec.class).or_insert(none);
+        let empty = ArrivalSums { spec: &job.spec, tasks: 0.0, squared_tasks: 0.0 };
+        let arrivals = by_class.entry(&job.spec.class).or_insert(empty);
         arrivals.spec = &job.spec;
         arrivals.tasks += tasks;
-        arrivals.squares += tasks * tasks;
+        arrivals.squared_tasks += tasks * tasks;
     }
-    let flow = |arrivals: Arrivals| ClassFlow {
+    let flow = |arrivals: ArrivalSums| ClassFlow {
         spec: arrivals.spec.clone(),
         rate: arrivals.tasks / span_s,
-        burst: arrivals.squares / arrivals.tasks,
+        burst: arrivals.squared_tasks / arrivals.tasks,
     };
     by_class.into_values().map(flow).collect()
 }
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -38,7 +38,7 @@
     let mut bench = Bench::of(partition());
     for n in 0..120 {
         let request = scale_out(["a", "b"][n % 2], 50);
-        bench.provisioner.scale_outs.insert(format!("r-1-{n}"), PendingScaleOut::new(1, request));
+        bench.provisioner.pending_scale_outs.insert(format!("r-1-{n}"), PendingScaleOut::new(1, request));
     }
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
@@ -54,7 +54,7 @@
 fn few_machines_on_their_way_are_told_one_by_one() {
     let mut bench = Bench::of(partition());
     let request = scale_out("a", 50);
-    bench.provisioner.scale_outs.insert("r-1-1".into(), PendingScaleOut::new(1, request));
+    bench.provisioner.pending_scale_outs.insert("r-1-1".into(), PendingScaleOut::new(1, request));
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
     let (pending_machines, _) =
@@ -71,5 +71,5 @@
     let sizes: Vec<usize> =
         ops.iter().map(|op| if let CloudRequest::Terminate(hosts) = op { hosts.len() } else { 0 }).collect();
     assert_eq!((sizes.len(), sizes.iter().sum::<usize>()), (60, 6000));
-    assert!(sizes.iter().all(|size| *size <= MAX_TERMINATED));
+    assert!(sizes.iter().all(|size| *size <= MAX_IDS_PER_TERMINATION));
 }
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -227,7 +227,7 @@
     pub(super) fn rent(&mut self, id: &str, zone: &str) {
         let request = scale_out(zone, 1);
         let name = format!("of-{id}");
-        self.provisioner.scale_outs.insert(name.clone(), PendingScaleOut::new(0, request));
+        self.provisioner.pending_scale_outs.insert(name.clone(), PendingScaleOut::new(0, request));
         self.provisioner.scale_out_answered(&name, RentResult::Rented(vec![id.into()]), self.now);
     }
 
