--- a/src/provisioning/boot_times/tests.rs
+++ b/src/provisioning/boot_times/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of boot times: what is usual, what is late, what is lost.
+//! Tests of the boot time statistics: expected boot times, late machines and machines that are given up.
 
 use super::*;
 
@@ -9,15 +9,15 @@
 }
 
 #[test]
-fn usual_boots_are_neither_late_nor_change_what_is_expected_by_much() {
+fn ordinary_boots_are_not_late_and_hardly_change_the_expected_boot_time() {
     let mut times = BootTimes::default();
     let offering = offering("a");
-    assert_eq!(times.expected_ms(&offering, NOMINAL, 0), NOMINAL, "nothing seen yet");
-    // Boots of 0.6 to 1.5 times the nominal time, evenly.
-    for i in 0..60 {
-        let duration_ms = NOMINAL * (60 + i * 37 % 91) / 100;
-        assert!(!times.is_late(&offering, NOMINAL, duration_ms, i * 1000));
-        times.record_boot(&offering, duration_ms, i * 1000);
+    assert_eq!(times.expected_ms(&offering, NOMINAL, 0), NOMINAL, "no boot recorded yet");
+    // Boots of 0.6 to 1.5 times the nominal time, evenly distributed.
+    for index in 0..60 {
+        let duration_ms = NOMINAL * (60 + index * 37 % 91) / 100;
+        assert!(!times.is_late(&offering, NOMINAL, duration_ms, index * 1000));
+        times.record_boot(&offering, duration_ms, index * 1000);
     }
     let expected = times.expected_ms(&offering, NOMINAL, 60_000);
     assert!((NOMINAL..NOMINAL * 3 / 2).contains(&expected), "{expected}");
@@ -26,52 +26,58 @@
 }
 
 #[test]
-fn one_slow_boot_changes_nothing_and_many_are_what_is_expected() {
+fn one_slow_boot_does_not_change_the_expected_boot_time_and_many_do() {
     let mut times = BootTimes::default();
     let (slow, other) = (offering("a"), offering("b"));
     times.record_boot(&slow, 5 * NOMINAL, 1000);
     assert_eq!(times.expected_ms(&slow, NOMINAL, 1000), NOMINAL);
-    for i in 0..5 {
-        times.record_boot(&slow, 5 * NOMINAL, 2000 + i);
+    for index in 0..5 {
+        times.record_boot(&slow, 5 * NOMINAL, 2000 + index);
     }
     assert_eq!(times.expected_ms(&slow, NOMINAL, 3000), 5 * NOMINAL);
     assert!(!times.is_late(&slow, NOMINAL, 6 * NOMINAL, 3000));
     assert!(!times.exceeds_give_up_age(&slow, NOMINAL, 6 * NOMINAL, 3000));
-    assert!(times.is_late(&other, NOMINAL, 2 * NOMINAL, 3000), "other zones are judged by themselves");
-    // The spell is over: it is forgotten.
+    assert!(times.is_late(&other, NOMINAL, 2 * NOMINAL, 3000), "other zones have their own statistics");
+    // After the retention time the slow boots no longer count.
     assert_eq!(times.expected_ms(&slow, NOMINAL, 3000 + 21 * NOMINAL), NOMINAL);
 }
 
+// Otherwise ordinary boots would count as late after a series of fast ones, and be replaced needlessly.
 #[test]
-fn a_spell_of_fast_boots_makes_nobody_impatient() {
+fn fast_boots_do_not_lower_the_expected_boot_time() {
     let mut times = BootTimes::default();
-    for i in 0..50 {
-        times.record_boot(&offering("a"), NOMINAL / 20, i);
+    for index in 0..50 {
+        times.record_boot(&offering("a"), NOMINAL / 20, index);
     }
     assert_eq!(times.expected_ms(&offering("a"), NOMINAL, 100), NOMINAL);
 }
 
+// A failed boot has no duration: it must not make the provisioner wait longer for other machines.
 #[test]
-fn failures_and_late_machines_make_a_kind_dearer_and_no_boot_longer() {
+fn failures_and_late_machines_raise_the_cost_factor_and_not_the_expected_boot_time() {
     let mut times = BootTimes::default();
     let offering = offering("a");
     let with_late = times.cost_factor(&offering, NOMINAL, 6, 0);
     assert!(with_late >= 3.0, "{with_late}");
-    for i in 0..6 {
-        times.record_failure(&offering, i);
+    for index in 0..6 {
+        times.record_failure(&offering, index);
     }
     assert!(times.cost_factor(&offering, NOMINAL, 0, 10) >= 3.0);
     assert_eq!(times.expected_ms(&offering, NOMINAL, 10), NOMINAL);
-    assert!(times.exceeds_give_up_age(&offering, NOMINAL, 4 * NOMINAL, 10), "what never comes up makes nobody patient");
-    assert_eq!(times.cost_factor(&offering, NOMINAL, 0, 21 * NOMINAL), 1.0, "failures are forgotten");
+    assert!(
+        times.exceeds_give_up_age(&offering, NOMINAL, 4 * NOMINAL, 10),
+        "failed boots do not raise the expected boot time"
+    );
+    assert_eq!(times.cost_factor(&offering, NOMINAL, 0, 21 * NOMINAL), 1.0, "failures expire");
 }
 
+// Memory must not grow with the number of boots.
 #[test]
-fn a_bounded_number_of_boots_is_kept() {
+fn the_number_of_recorded_boots_per_offering_is_bounded() {
     let mut times = BootTimes::default();
-    for i in 0..10_000 {
-        times.record_boot(&offering("a"), NOMINAL, i);
-        times.record_failure(&offering("b"), i);
+    for index in 0..10_000 {
+        times.record_boot(&offering("a"), NOMINAL, index);
+        times.record_failure(&offering("b"), index);
     }
     assert!(times.by_offering.values().all(|boots| boots.len() <= MAX_RECENT_BOOTS));
 }
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! What partitions tell each other fits into a frame, whatever the number of machines.
+//! Tests that messages between partitions fit into a frame, whatever the number of machines.
 
 use super::*;
 use crate::transport::peer::{CapacityReport, MAX_FRAME, PeerRequest, PeerResponse};
@@ -9,67 +9,78 @@
     out.len()
 }
 
-/// A bench whose partition knows so many idle machines, with names as long as clouds use them.
-fn bench_with_idle_machines(count: u64) -> Bench {
-    let mut bench = Bench::of(partition());
-    for n in 0..count {
-        let id = format!("instance-{n:027}");
-        bench.partition.heartbeat(&heartbeat(&id, 1, 1, 1, vec![]), StatusSource::Heartbeat, bench.now);
+/// Returns a simulation whose partition knows `count` idle machines, with names as long as clouds use them.
+fn simulation_with_idle_machines(count: u64) -> Simulation {
+    let mut simulation = Simulation::of(partition());
+    for index in 0..count {
+        let id = format!("instance-{index:027}");
+        simulation.partition.heartbeat(&heartbeat(&id, 1, 1, 1, vec![]), StatusSource::Heartbeat, simulation.now);
     }
-    while bench.partition.next_commit(bench.now, 1000).is_some() {
-        bench.partition.committed(CommitOutcome::Done { revision: bench.now }).unwrap();
+    while simulation.partition.next_commit(simulation.now, 1000).is_some() {
+        simulation.partition.committed(CommitOutcome::Done { revision: simulation.now }).unwrap();
     }
-    bench
+    simulation
 }
 
-// A frame that is too long is not sent: the provisioner would never hear of this partition again.
+// A frame that is too long is not sent: the provisioner would receive no more reports of this partition.
 #[test]
-fn what_a_partition_with_six_thousand_idle_machines_tells_the_leader_fits_into_a_frame() {
-    let mut bench = bench_with_idle_machines(6000);
-    bench.partition.schedule(bench.now, bench.now);
-    let (capacity_report, _) = bench.provisioner.plan_partition(&mut bench.partition, &[], bench.now, bench.now);
-    assert!(capacity_report.spare.len() > 1000, "{} are told", capacity_report.spare.len());
+fn a_capacity_report_with_six_thousand_idle_machines_fits_into_a_frame() {
+    let mut simulation = simulation_with_idle_machines(6000);
+    simulation.partition.schedule(simulation.now, simulation.now);
+    let (capacity_report, _) =
+        simulation.provisioner.plan_partition(&mut simulation.partition, &[], simulation.now, simulation.now);
+    assert!(capacity_report.spare.len() > 1000, "{} ids in the report", capacity_report.spare.len());
     assert!(bytes(&PeerRequest::CapacityReport(capacity_report)) < MAX_FRAME);
 }
 
-// The same of the provisioner's answer: the partition would believe that nothing is on its way.
+// An answer that is too long is not sent either: the partition would assume that no machines are pending.
 #[test]
-fn six_thousand_machines_on_their_way_are_told_in_a_frame_and_none_is_lost() {
-    let mut bench = Bench::of(partition());
-    for n in 0..120 {
-        let request = scale_out(["a", "b"][n % 2], 50);
-        bench.provisioner.pending_scale_outs.insert(format!("r-1-{n}"), PendingScaleOut::new(1, request));
+fn six_thousand_pending_machines_fit_into_a_frame_and_none_is_omitted() {
+    let mut simulation = Simulation::of(partition());
+    for index in 0..120 {
+        let request = scale_out(["a", "b"][index % 2], 50);
+        simulation.provisioner.pending_scale_outs.insert(format!("r-1-{index}"), PendingScaleOut::new(1, request));
     }
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
-    let (pending_machines, refused) =
-        bench.provisioner.answer_capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
+    let (pending_machines, refused) = simulation.provisioner.answer_capacity_report(
+        capacity_report,
+        &simulation.partition,
+        simulation.now,
+        REPORT_TTL_MS,
+    );
     assert_eq!(pending_machines.iter().map(|machines| machines.count).sum::<usize>(), 6000);
-    assert_eq!(pending_machines.len(), 2, "one entry a kind");
+    assert_eq!(pending_machines.len(), 2, "one entry for each offering");
     assert!(bytes(&PeerResponse::PendingMachines { pending_machines, refused }) < MAX_FRAME);
 }
 
-// The version before counts each entry as one machine.
+// The previous version counts each entry as one machine.
 #[test]
-fn few_machines_on_their_way_are_told_one_by_one() {
-    let mut bench = Bench::of(partition());
+fn few_pending_machines_are_listed_in_one_entry_each() {
+    let mut simulation = Simulation::of(partition());
     let request = scale_out("a", 50);
-    bench.provisioner.pending_scale_outs.insert("r-1-1".into(), PendingScaleOut::new(1, request));
+    simulation.provisioner.pending_scale_outs.insert("r-1-1".into(), PendingScaleOut::new(1, request));
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
-    let (pending_machines, _) =
-        bench.provisioner.answer_capacity_report(capacity_report, &bench.partition, bench.now, PATIENCE_MS);
+    let (pending_machines, _) = simulation.provisioner.answer_capacity_report(
+        capacity_report,
+        &simulation.partition,
+        simulation.now,
+        REPORT_TTL_MS,
+    );
     assert_eq!(pending_machines.len(), 50);
     assert!(pending_machines.iter().all(|machines| machines.count == 1));
 }
 
-// The protocol takes 100 names in a release.
+// The cloud's protocol accepts at most 100 ids in one request to return machines.
 #[test]
-fn six_thousand_machines_are_released_in_requests_that_the_cloud_takes() {
-    let mut bench = Bench::of(partition());
-    let ops = bench.provisioner.terminate((0..6000).map(|n| format!("host-{n:06}")));
-    let sizes: Vec<usize> =
-        ops.iter().map(|op| if let CloudRequest::Terminate(hosts) = op { hosts.len() } else { 0 }).collect();
+fn six_thousand_machines_are_returned_in_requests_of_at_most_one_hundred() {
+    let mut simulation = Simulation::of(partition());
+    let requests = simulation.provisioner.terminate((0..6000).map(|index| format!("host-{index:06}")));
+    let sizes: Vec<usize> = requests
+        .iter()
+        .map(|request| if let CloudRequest::Terminate(hosts) = request { hosts.len() } else { 0 })
+        .collect();
     assert_eq!((sizes.len(), sizes.iter().sum::<usize>()), (60, 6000));
     assert!(sizes.iter().all(|size| *size <= MAX_IDS_PER_TERMINATION));
 }
--- a/src/provisioning/provisioner/tests/late_boots.rs
+++ b/src/provisioning/provisioner/tests/late_boots.rs
@@ -1,172 +1,182 @@
-//! Tests of machines that come up late or never, and of their replacements.
+//! Tests of machines that boot late or never come up, and of their replacements.
 
 use super::*;
 
-/// When a machine that is listed as starting for ever is returned, counted from its rental.
-fn given_up_after(bench: &mut Bench, id: &str) -> u64 {
-    let since = bench.now;
-    bench.rent(id, "a");
+/// Returns the age, in milliseconds since its request, at which a machine that stays listed as starting is
+/// returned.
+fn give_up_age_ms(simulation: &mut Simulation, id: &str) -> u64 {
+    let since = simulation.now;
+    simulation.add_booting_host(id, "a");
     loop {
-        bench.rounds_until(bench.now + ROUND_MS);
-        let age = bench.now - since;
-        if released(&bench.list(&[entry(id, "a", "starting", age)])) == [id] {
-            return age;
+        simulation.rounds_until(simulation.now + ROUND_MS);
+        let age_ms = simulation.now - since;
+        if terminated_ids(&simulation.list(&[listed_instance(id, "a", "starting", age_ms)])) == [id] {
+            return age_ms;
         }
-        assert!(age < 100 * BOOT_MS, "never returned");
+        assert!(age_ms < 100 * BOOT_MS, "the machine is never returned");
     }
 }
 
 #[test]
-fn a_machine_that_never_comes_up_is_returned_after_what_its_kind_takes() {
-    let mut bench = Bench::new();
-    let usual = given_up_after(&mut bench, "host-1");
-    assert!((2 * BOOT_MS..4 * BOOT_MS).contains(&usual), "{usual}");
-    // All machines take four times as long here: that is awaited.
-    for i in 0..6 {
-        let id = format!("slow-{i}");
-        bench.rent(&id, "a");
-        bench.rounds_until(bench.now + 2 * BOOT_MS);
-        bench.list(&[entry(&id, "a", "starting", 2 * BOOT_MS)]);
-        bench.rounds_until(bench.now + BOOT_MS * 2 / 3);
-        bench.comes_up(&id);
+fn a_machine_that_never_comes_up_is_returned_after_a_multiple_of_the_expected_boot_time() {
+    let mut simulation = Simulation::new();
+    let first_age_ms = give_up_age_ms(&mut simulation, "host-1");
+    assert!((2 * BOOT_MS..4 * BOOT_MS).contains(&first_age_ms), "{first_age_ms}");
+    // All boots take 2.67 times the nominal time here, so that a longer boot time is expected.
+    for index in 0..6 {
+        let id = format!("slow-{index}");
+        simulation.add_booting_host(&id, "a");
+        simulation.rounds_until(simulation.now + 2 * BOOT_MS);
+        simulation.list(&[listed_instance(&id, "a", "starting", 2 * BOOT_MS)]);
+        simulation.rounds_until(simulation.now + BOOT_MS * 2 / 3);
+        simulation.report_up(&id);
     }
-    let patient = given_up_after(&mut bench, "host-2");
-    assert!(patient > 7 * BOOT_MS, "{patient}");
-    assert!(patient < 12 * BOOT_MS, "{patient}");
+    let slow_age_ms = give_up_age_ms(&mut simulation, "host-2");
+    assert!(slow_age_ms > 7 * BOOT_MS, "{slow_age_ms}");
+    assert!(slow_age_ms < 12 * BOOT_MS, "{slow_age_ms}");
 }
 
 #[test]
-fn what_failed_is_returned_at_once() {
-    let mut bench = Bench::new();
-    bench.rent("host-1", "a");
-    bench.rounds_until(bench.now + ROUND_MS);
-    assert_eq!(released(&bench.list(&[entry("host-1", "a", "failed", ROUND_MS)])), ["host-1"]);
-    assert_eq!(bench.pending_machines(), 0);
+fn a_machine_listed_as_failed_is_returned_at_once() {
+    let mut simulation = Simulation::new();
+    simulation.add_booting_host("host-1", "a");
+    simulation.rounds_until(simulation.now + ROUND_MS);
+    assert_eq!(terminated_ids(&simulation.list(&[listed_instance("host-1", "a", "failed", ROUND_MS)])), ["host-1"]);
+    assert_eq!(simulation.pending_machines(), 0);
 }
 
+// A machine that is up may be unreachable for a while. Returning it at once would lose it needlessly.
 #[test]
-fn a_machine_that_is_up_by_the_list_is_given_time_to_reach_us() {
-    let mut bench = Bench::new();
-    bench.rent("host-1", "a");
-    let since = bench.now;
-    bench.rounds_until(since + BOOT_MS * 5 / 2);
-    assert!(bench.list(&[entry("host-1", "a", "running", BOOT_MS * 5 / 2)]).is_empty(), "it has just come up");
-    bench.rounds_until(since + BOOT_MS * 10 / 3);
-    assert!(bench.list(&[entry("host-1", "a", "running", BOOT_MS * 10 / 3)]).is_empty());
-    bench.rounds_until(since + BOOT_MS * 4);
-    assert_eq!(released(&bench.list(&[entry("host-1", "a", "running", BOOT_MS * 4)])), ["host-1"]);
+fn a_machine_listed_as_up_is_given_time_to_report() {
+    let mut simulation = Simulation::new();
+    simulation.add_booting_host("host-1", "a");
+    let since = simulation.now;
+    simulation.rounds_until(since + BOOT_MS * 5 / 2);
+    assert!(
+        simulation.list(&[listed_instance("host-1", "a", "running", BOOT_MS * 5 / 2)]).is_empty(),
+        "the machine has just come up"
+    );
+    simulation.rounds_until(since + BOOT_MS * 10 / 3);
+    assert!(simulation.list(&[listed_instance("host-1", "a", "running", BOOT_MS * 10 / 3)]).is_empty());
+    simulation.rounds_until(since + BOOT_MS * 4);
+    assert_eq!(terminated_ids(&simulation.list(&[listed_instance("host-1", "a", "running", BOOT_MS * 4)])), ["host-1"]);
 }
 
+// Lists lag, so that a later one may show an older state, without the machine.
 #[test]
-fn an_older_list_takes_no_machine_from_the_books() {
-    let mut bench = Bench::new();
-    bench.rent("host-1", "a");
-    bench.rounds_until(bench.now + LAG_MS);
-    bench.list(&[entry("host-1", "a", "starting", LAG_MS)]);
-    assert_eq!(bench.pending_machines(), 1);
-    // Older than the one before, by up to twice the lag.
-    bench.rounds_until(bench.now + LAG_MS);
-    bench.list(&[]);
-    assert_eq!(bench.pending_machines(), 1, "it would be rented a second time");
-    bench.rounds_until(bench.now + LAG_MS + ROUND_MS);
-    bench.list(&[]);
-    assert_eq!(bench.pending_machines(), 0, "it is gone");
+fn an_older_list_does_not_remove_a_booting_machine() {
+    let mut simulation = Simulation::new();
+    simulation.add_booting_host("host-1", "a");
+    simulation.rounds_until(simulation.now + LAG_MS);
+    simulation.list(&[listed_instance("host-1", "a", "starting", LAG_MS)]);
+    assert_eq!(simulation.pending_machines(), 1);
+    // This list may be older than the one before, by up to twice the lag.
+    simulation.rounds_until(simulation.now + LAG_MS);
+    simulation.list(&[]);
+    assert_eq!(simulation.pending_machines(), 1, "otherwise it would be requested a second time");
+    simulation.rounds_until(simulation.now + LAG_MS + ROUND_MS);
+    simulation.list(&[]);
+    assert_eq!(simulation.pending_machines(), 0, "the machine is gone");
 }
 
+// After a stall the heartbeats of machines that came up in the meantime are still unread.
 #[test]
-fn a_leader_that_stood_still_first_hears_who_came_up_meanwhile() {
-    let mut bench = Bench::new();
-    bench.rent("host-1", "a");
-    bench.rounds_until(bench.now + BOOT_MS);
-    bench.now += 3 * BOOT_MS;
-    bench.pending_machines();
-    let stale = [entry("host-1", "a", "starting", 4 * BOOT_MS)];
-    assert!(bench.list(&stale).is_empty());
-    bench.rounds_until(bench.now + PATIENCE_MS);
-    assert_eq!(released(&bench.list(&stale)), ["host-1"]);
+fn a_leader_that_stalled_gives_up_no_machine_before_reports_can_arrive() {
+    let mut simulation = Simulation::new();
+    simulation.add_booting_host("host-1", "a");
+    simulation.rounds_until(simulation.now + BOOT_MS);
+    simulation.now += 3 * BOOT_MS;
+    simulation.pending_machines();
+    let old_list = [listed_instance("host-1", "a", "starting", 4 * BOOT_MS)];
+    assert!(simulation.list(&old_list).is_empty());
+    simulation.rounds_until(simulation.now + REPORT_TTL_MS);
+    assert_eq!(terminated_ids(&simulation.list(&old_list)), ["host-1"]);
 }
 
 #[test]
-fn a_late_machine_is_replaced_elsewhere_and_once() {
-    let mut bench = Bench::new();
-    bench.boot_ms = |zone| if zone == "a" { None } else { Some(BOOT_MS) };
-    bench.submit("run-000001", 1);
-    bench.run(BOOT_MS * 3 / 2);
-    assert_eq!(bench.zones(), ["a"], "not late yet");
-    bench.run(BOOT_MS / 2);
-    assert_eq!(bench.zones(), ["a", "b"]);
-    bench.run(BOOT_MS);
-    assert_eq!(bench.rented.len(), 2, "one replacement");
-    bench.run(10 * BOOT_MS);
-    let metrics = bench.partition.metrics().text();
-    for counted in [r#"boots_late_total{of="g8/a"} 1"#, r#"boots_failed_total{of="g8/a"} 1"#] {
-        assert!(metrics.contains(counted), "{counted} in {metrics}");
+fn a_late_machine_is_replaced_once_in_another_zone() {
+    let mut simulation = Simulation::new();
+    simulation.boot_ms = |zone| if zone == "a" { None } else { Some(BOOT_MS) };
+    simulation.submit("run-000001", 1);
+    simulation.run(BOOT_MS * 3 / 2);
+    assert_eq!(simulation.zones(), ["a"], "not late yet");
+    simulation.run(BOOT_MS / 2);
+    assert_eq!(simulation.zones(), ["a", "b"]);
+    simulation.run(BOOT_MS);
+    assert_eq!(simulation.requested_ids.len(), 2, "one replacement");
+    simulation.run(10 * BOOT_MS);
+    let metrics = simulation.partition.metrics().text();
+    for expected in [r#"boots_late_total{of="g8/a"} 1"#, r#"boots_failed_total{of="g8/a"} 1"#] {
+        assert!(metrics.contains(expected), "{expected} in {metrics}");
     }
     assert!(metrics.contains(r#"rentals_total{of="filled"} 2"#), "{metrics}");
-    assert_eq!(bench.zones(), ["b"], "what never came up is returned");
-    assert_eq!(bench.rented.len(), 2);
+    assert_eq!(simulation.zones(), ["b"], "the machine that never came up is returned");
+    assert_eq!(simulation.requested_ids.len(), 2);
 }
 
+// If replacements are late too, each would be replaced in turn without the minimum share that counts as
+// capacity.
 #[test]
-fn machines_that_are_all_late_are_not_replaced_without_end() {
-    let mut bench = Bench::new();
-    bench.boot_ms = never;
-    bench.submit("run-000001", 5);
+fn replacements_of_late_machines_are_bounded() {
+    let mut simulation = Simulation::new();
+    simulation.boot_ms = never_up;
+    simulation.submit("run-000001", 5);
     for _ in 0..40 {
-        bench.run(BOOT_MS / 4);
-        let outstanding = bench.machines.len();
-        assert!(outstanding <= 10, "{outstanding} for a need of 5");
+        simulation.run(BOOT_MS / 4);
+        let outstanding = simulation.machines.len();
+        assert!(outstanding <= 10, "{outstanding} machines for a need of 5");
     }
-    // Ten boot times, of which each machine is awaited for three.
-    assert!(bench.rented.len() <= 10 * 5, "{} rented", bench.rented.len());
+    // Ten boot times pass, and each machine is given up after three.
+    assert!(simulation.requested_ids.len() <= 10 * 5, "{} machines requested", simulation.requested_ids.len());
 }
 
+// Without a list no machine is returned, so that requests could accumulate.
 #[test]
-fn late_machines_are_not_replaced_without_end_while_there_is_no_list_either() {
-    let mut bench = Bench::new();
-    bench.boot_ms = never;
-    bench.next_list_ms = u64::MAX;
-    bench.submit("run-000001", 5);
-    bench.run(20 * BOOT_MS);
-    assert_eq!(bench.rented.len(), 10, "one replacement for each");
+fn replacements_of_late_machines_are_bounded_without_a_list() {
+    let mut simulation = Simulation::new();
+    simulation.boot_ms = never_up;
+    simulation.next_list_ms = u64::MAX;
+    simulation.submit("run-000001", 5);
+    simulation.run(20 * BOOT_MS);
+    assert_eq!(simulation.requested_ids.len(), 10, "one replacement for each machine");
 }
 
 #[test]
-fn boots_that_are_all_slow_are_awaited_once_that_is_known() {
-    let mut bench = Bench::new();
-    bench.boot_ms = |_| Some(BOOT_MS * 5 / 2);
-    bench.submit("run-000001", 4);
-    bench.run(4 * BOOT_MS);
-    let before = bench.rented.len();
+fn slow_boots_are_not_replaced_once_the_expected_boot_time_has_risen() {
+    let mut simulation = Simulation::new();
+    simulation.boot_ms = |_| Some(BOOT_MS * 5 / 2);
+    simulation.submit("run-000001", 4);
+    simulation.run(4 * BOOT_MS);
+    let before = simulation.requested_ids.len();
     assert!((5..=8).contains(&before), "{before}");
-    bench.submit("run-000002", 8);
-    bench.run(3 * BOOT_MS);
-    assert!(bench.rented.len() <= before + 8, "{} rented", bench.rented.len());
+    simulation.submit("run-000002", 8);
+    simulation.run(3 * BOOT_MS);
+    assert!(simulation.requested_ids.len() <= before + 8, "{} machines requested", simulation.requested_ids.len());
 }
 
 #[test]
-fn a_late_machine_that_comes_up_leaves_its_replacement_to_be_returned() {
-    let mut bench = Bench::new();
-    bench.boot_ms = |zone| Some(if zone == "a" { BOOT_MS * 5 / 2 } else { BOOT_MS });
-    bench.submit("run-000001", 1);
-    bench.run(BOOT_MS * 9 / 4);
-    assert_eq!(bench.zones(), ["a", "b"]);
-    // Up after 2.6 boot times, and idle for as long as any machine may be.
-    let keep_ms = (bench.partition.policy().idle_keep * BOOT_MS as f64) as u64;
-    bench.run(BOOT_MS / 2 + keep_ms);
-    assert_eq!(bench.zones(), ["a"], "the surplus is returned");
-    assert_eq!(bench.rented.len(), 2);
+fn a_replacement_is_returned_once_the_late_machine_comes_up() {
+    let mut simulation = Simulation::new();
+    simulation.boot_ms = |zone| Some(if zone == "a" { BOOT_MS * 5 / 2 } else { BOOT_MS });
+    simulation.submit("run-000001", 1);
+    simulation.run(BOOT_MS * 9 / 4);
+    assert_eq!(simulation.zones(), ["a", "b"]);
+    // The machine is up after 2.5 boot times; its replacement then stays idle for the maximum idle time.
+    let keep_ms = (simulation.partition.policy().idle_keep * BOOT_MS as f64) as u64;
+    simulation.run(BOOT_MS / 2 + keep_ms);
+    assert_eq!(simulation.zones(), ["a"], "the replacement is returned");
+    assert_eq!(simulation.requested_ids.len(), 2);
 }
 
-// Pools of warm replicas are begun with as long before they are wanted.
+// Warm pools start their replicas the expected boot time before they are wanted.
 #[test]
-fn the_expected_boot_follows_what_was_seen() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.provisioner.expected_boot_ms(&bench.partition, bench.now), BOOT_MS);
-    bench.boot_ms = |_| Some(2 * BOOT_MS);
-    // A job of a team without a limit that fills ten machines.
+fn the_expected_boot_time_rises_after_slow_boots() {
+    let mut simulation = Simulation::new();
+    assert_eq!(simulation.provisioner.expected_boot_ms(&simulation.partition, simulation.now), BOOT_MS);
+    simulation.boot_ms = |_| Some(2 * BOOT_MS);
+    // A job that fills ten machines, of a team without a limit.
     let job = String::from_utf8(crate::control::partition::tests::body("run-000001", "service", 80)).unwrap();
-    let _rx = submit(&mut bench.partition, job.replace("\"red\"", "\"blue\"").as_bytes(), bench.now);
-    bench.run(6 * BOOT_MS);
-    assert!(bench.provisioner.expected_boot_ms(&bench.partition, bench.now) > BOOT_MS);
+    let _answer = submit(&mut simulation.partition, job.replace("\"red\"", "\"blue\"").as_bytes(), simulation.now);
+    simulation.run(6 * BOOT_MS);
+    assert!(simulation.provisioner.expected_boot_ms(&simulation.partition, simulation.now) > BOOT_MS);
 }
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the provisioner's books, and a cloud for them.
+//! Tests of the provisioner's state, with a simulated cloud.
 
 mod frame_sizes;
 mod late_boots;
@@ -13,29 +13,33 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nominal boot time of the machines of these tests.
+/// Nominal boot time, in milliseconds, of the machines in these tests.
 pub(super) const BOOT_MS: u64 = 30_000;
 
+/// Usual lag of the cloud's list, in seconds.
 pub(super) const LAG_S: f64 = 4.0;
 
+/// `LAG_S` in milliseconds.
 pub(super) const LAG_MS: u64 = 4000;
 
-pub(super) const PATIENCE_MS: u64 = 3000;
+/// Time, in milliseconds, for which capacity reports and transfers are valid.
+pub(super) const REPORT_TTL_MS: u64 = 3000;
 
+/// Interval between two rounds of the leader, in milliseconds.
 pub(super) const ROUND_MS: u64 = 1000;
 
-/// How long a machine takes to boot, by zone; none if it never comes up.
-pub(super) type BootMs = fn(zone: &str) -> Option<u64>;
+/// Boot time of a machine, in milliseconds, by zone; `None` if it never comes up.
+pub(super) type BootDuration = fn(zone: &str) -> Option<u64>;
 
-pub(super) fn usual(_zone: &str) -> Option<u64> {
+pub(super) fn nominal_boot_ms(_zone: &str) -> Option<u64> {
     Some(BOOT_MS)
 }
 
-pub(super) fn never(_zone: &str) -> Option<u64> {
+pub(super) fn never_up(_zone: &str) -> Option<u64> {
     None
 }
 
-/// A machine of the scripted cloud.
+/// A machine of the simulated cloud.
 pub(super) struct Machine {
     pub(super) zone: String,
     pub(super) since_ms: u64,
@@ -45,50 +49,50 @@
     pub(super) tasks: BTreeMap<String, u64>,
 }
 
-/// A leader with its partition and a scripted cloud, on a clock of their own.
-pub(super) struct Bench {
+/// A leader with its partition and a simulated cloud, on a simulated clock.
+pub(super) struct Simulation {
     pub(super) partition: Partition,
     pub(super) provisioner: Provisioner,
     pub(super) now: u64,
-    pub(super) boot_ms: BootMs,
+    pub(super) boot_ms: BootDuration,
     pub(super) machines: BTreeMap<String, Machine>,
-    /// All machines ever rented by the provisioner, in order.
-    pub(super) rented: Vec<String>,
-    /// When the next list comes; never in an outage of the list.
+    /// Ids of all machines that the provisioner has requested, in order.
+    pub(super) requested_ids: Vec<String>,
+    /// Time of the next list; `u64::MAX` while no list can be read.
     pub(super) next_list_ms: u64,
-    /// Rental requests get no answer, and nothing comes of them.
-    pub(super) rents_unanswered: bool,
-    /// When which request without an answer was to be sent.
+    /// True while requests for machines get no answer and start no machines.
+    pub(super) requests_unanswered: bool,
+    /// Send time and name of each request without an answer.
     pub(super) unanswered: Vec<(u64, String)>,
-    /// What lists told, to be told late.
+    /// State of the cloud at each time, from which delayed lists are made.
     pub(super) snapshots: Vec<(u64, Vec<ListedInstance>)>,
 }
 
-impl Bench {
-    /// Of a leader that has been at work for a while, with nothing to do.
-    pub(super) fn new() -> Bench {
-        let mut bench = Bench::of(partition());
-        bench.run(PATIENCE_MS + ROUND_MS);
-        bench
+impl Simulation {
+    /// Creates the simulation of a leader that has been running for a while without jobs.
+    pub(super) fn new() -> Simulation {
+        let mut simulation = Simulation::of(partition());
+        simulation.run(REPORT_TTL_MS + ROUND_MS);
+        simulation
     }
 
-    pub(super) fn of(mut partition: Partition) -> Bench {
+    pub(super) fn of(mut partition: Partition) -> Simulation {
         partition.policy_mut().headroom = 0.0;
-        Bench {
+        Simulation {
             partition,
             provisioner: Provisioner::new(LAG_S),
             now: 1000,
-            boot_ms: usual,
+            boot_ms: nominal_boot_ms,
             machines: BTreeMap::new(),
-            rented: Vec::new(),
+            requested_ids: Vec::new(),
             next_list_ms: 0,
-            rents_unanswered: false,
+            requests_unanswered: false,
             unanswered: Vec::new(),
             snapshots: Vec::new(),
         }
     }
 
-    /// Time passes, and the cloud does what it is asked.
+    /// Runs rounds for `for_ms`; the cloud carries out the requests.
     pub(super) fn run(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
         while self.now < until {
@@ -97,44 +101,44 @@
             if self.partition.next_commit(self.now, 32).is_some() {
                 self.partition.committed(CommitOutcome::Done { revision: self.now }).unwrap();
             }
-            let ops = self.round();
-            self.carry_out(ops);
-            self.lose_answers();
-            self.snapshots.push((self.now, self.entries()));
+            let requests = self.round();
+            self.execute(requests);
+            self.report_unanswered();
+            self.snapshots.push((self.now, self.listed_machines()));
             if self.now >= self.next_list_ms {
                 self.next_list_ms = self.now + LAG_MS / 2;
-                let list = self.lagging_list();
-                let ops = self.list(&list);
-                self.carry_out(ops);
+                let list = self.delayed_list();
+                let requests = self.list(&list);
+                self.execute(requests);
             }
         }
     }
 
-    pub(super) fn entries(&self) -> Vec<ListedInstance> {
-        let of = |(id, m): (&String, &Machine)| {
-            let phase = if m.up_ms.is_some_and(|t| self.now >= t) { "running" } else { "starting" };
-            entry(id, &m.zone, phase, self.now - m.since_ms)
+    pub(super) fn listed_machines(&self) -> Vec<ListedInstance> {
+        let to_entry = |(id, machine): (&String, &Machine)| {
+            let phase = if machine.up_ms.is_some_and(|up_ms| self.now >= up_ms) { "running" } else { "starting" };
+            listed_instance(id, &machine.zone, phase, self.now - machine.since_ms)
         };
-        self.machines.iter().map(of).collect()
+        self.machines.iter().map(to_entry).collect()
     }
 
-    pub(super) fn lagging_list(&self) -> Vec<ListedInstance> {
-        let old = self.snapshots.iter().rfind(|(at, _)| at + LAG_MS <= self.now);
-        old.map(|(_, list)| list.clone()).unwrap_or_default()
+    pub(super) fn delayed_list(&self) -> Vec<ListedInstance> {
+        let snapshot = self.snapshots.iter().rfind(|(at, _)| at + LAG_MS <= self.now);
+        snapshot.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Machines that are up report, and do as they are told.
+    /// Machines that are up send heartbeats and carry out the orders in the answers.
     pub(super) fn heartbeat(&mut self) {
         let (now, fencing_token) = (self.now, self.partition.fencing_token());
         for (id, machine) in &mut self.machines {
-            if machine.up_ms.is_none_or(|t| now < t) {
+            if machine.up_ms.is_none_or(|up_ms| now < up_ms) {
                 continue;
             }
             machine.sequence += 1;
             let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
-            let mut r = heartbeat(id, 1, machine.sequence, fencing_token.0, tasks.collect());
-            r.zone.clone_from(&machine.zone);
-            for order in self.partition.heartbeat(&r, StatusSource::Heartbeat, now) {
+            let mut report = heartbeat(id, 1, machine.sequence, fencing_token.0, tasks.collect());
+            report.zone.clone_from(&machine.zone);
+            for order in self.partition.heartbeat(&report, StatusSource::Heartbeat, now) {
                 match order {
                     Order::Run { task, attempt } => drop(machine.tasks.insert(task, attempt)),
                     Order::Stop { task, .. } | Order::Reap { task, .. } => drop(machine.tasks.remove(&task)),
@@ -146,26 +150,26 @@
         }
     }
 
-    /// The leader's round; returns what the cloud is asked.
+    /// Runs one round of the leader; returns its requests to the cloud.
     pub(super) fn round(&mut self) -> Vec<CloudRequest> {
         self.partition.schedule(self.now, self.now);
-        let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
-        let (capacity_report, mut ops) =
+        let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, REPORT_TTL_MS);
+        let (capacity_report, mut requests) =
             self.provisioner.plan_partition(&mut self.partition, &pending_machines, self.now, self.now);
-        ops.extend(self.provisioner.distribute(capacity_report, &self.partition, self.now, PATIENCE_MS));
-        ops
+        requests.extend(self.provisioner.distribute(capacity_report, &self.partition, self.now, REPORT_TTL_MS));
+        requests
     }
 
-    pub(super) fn carry_out(&mut self, ops: Vec<CloudRequest>) {
-        for op in ops {
-            match op {
-                CloudRequest::ScaleOut { name, pause_ms, .. } if self.rents_unanswered => {
+    pub(super) fn execute(&mut self, requests: Vec<CloudRequest>) {
+        for request in requests {
+            match request {
+                CloudRequest::ScaleOut { name, pause_ms, .. } if self.requests_unanswered => {
                     self.unanswered.push((self.now + pause_ms, name));
                 }
                 CloudRequest::ScaleOut { name, scale_out, .. } => {
                     let ids: Vec<String> =
-                        (0..scale_out.count).map(|_| self.machine(&scale_out.offering.zone)).collect();
-                    self.rented.extend(ids.clone());
+                        (0..scale_out.count).map(|_| self.add_machine(&scale_out.offering.zone)).collect();
+                    self.requested_ids.extend(ids.clone());
                     self.provisioner.scale_out_answered(&name, RentResult::Rented(ids), self.now);
                 }
                 CloudRequest::Terminate(ids) => {
@@ -173,31 +177,35 @@
                     self.provisioner.hosts_terminated(&ids);
                     ids.iter().for_each(|id| self.partition.host_terminated(id));
                 }
-                CloudRequest::TransferHost { .. } => panic!("there is one part"),
+                CloudRequest::TransferHost { .. } => panic!("there is only one partition"),
             }
         }
     }
 
-    /// Requests that were sent by now turn out to have no answer.
-    pub(super) fn lose_answers(&mut self) {
+    /// Reports an indeterminate outcome for the unanswered requests that were sent in this round.
+    pub(super) fn report_unanswered(&mut self) {
         let now = self.now;
-        let sent: Vec<String> =
-            self.unanswered.iter().filter(|(at, _)| (now - ROUND_MS..now).contains(at)).map(|u| u.1.clone()).collect();
+        let sent: Vec<String> = self
+            .unanswered
+            .iter()
+            .filter(|(at, _)| (now - ROUND_MS..now).contains(at))
+            .map(|request| request.1.clone())
+            .collect();
         for name in sent {
-            let again = self.provisioner.scale_out_answered(&name, RentResult::Again, now);
-            self.carry_out(again.into_iter().collect());
+            let repeated = self.provisioner.scale_out_answered(&name, RentResult::Again, now);
+            self.execute(repeated.into_iter().collect());
         }
     }
 
-    pub(super) fn machine(&mut self, zone: &str) -> String {
-        let id = format!("host-{:04}", self.rented.len() + self.machines.len());
+    pub(super) fn add_machine(&mut self, zone: &str) -> String {
+        let id = format!("host-{:04}", self.requested_ids.len() + self.machines.len());
         let up_ms = (self.boot_ms)(zone).map(|ms| self.now + ms);
         let machine = Machine { zone: zone.into(), since_ms: self.now, up_ms, sequence: 0, tasks: BTreeMap::new() };
         self.machines.insert(id.clone(), machine);
         id
     }
 
-    /// A job that needs as many machines as it has tasks.
+    /// Submits a job with `machines` tasks, each of which fills a machine.
     pub(super) fn submit(&mut self, id: &str, machines: u32) {
         let body = json!({"id": id, "jobclass": "chat", "owner": "blue", "shape": "service", "urgency": "standard",
             "shards": machines, "cores": 2.0, "cards": 8.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0,
@@ -208,10 +216,10 @@
     }
 
     pub(super) fn zones(&self) -> Vec<&str> {
-        self.machines.values().map(|m| m.zone.as_str()).collect()
+        self.machines.values().map(|machine| machine.zone.as_str()).collect()
     }
 
-    /// Rounds alone, without the scripted cloud.
+    /// Runs rounds until `until` without the simulated cloud.
     pub(super) fn rounds_until(&mut self, until: u64) {
         while self.now < until {
             self.now += ROUND_MS.min(until - self.now);
@@ -223,39 +231,39 @@
         self.provisioner.process_list(machines, &self.partition, self.now)
     }
 
-    /// A machine was rented for this partition, and the scripted cloud knows nothing of it.
-    pub(super) fn rent(&mut self, id: &str, zone: &str) {
+    /// Records that a machine was started for this partition, without adding it to the simulated cloud.
+    pub(super) fn add_booting_host(&mut self, id: &str, zone: &str) {
         let request = scale_out(zone, 1);
         let name = format!("of-{id}");
         self.provisioner.pending_scale_outs.insert(name.clone(), PendingScaleOut::new(0, request));
         self.provisioner.scale_out_answered(&name, RentResult::Rented(vec![id.into()]), self.now);
     }
 
-    pub(super) fn comes_up(&mut self, id: &str) {
+    pub(super) fn report_up(&mut self, id: &str) {
         let fencing_token = self.partition.fencing_token();
         self.partition.heartbeat(&heartbeat(id, 1, 1, fencing_token.0, vec![]), StatusSource::Heartbeat, self.now);
-        self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS);
+        self.provisioner.pending_machines(0, &self.partition, self.now, REPORT_TTL_MS);
     }
 
     pub(super) fn pending_machines(&mut self) -> usize {
-        self.provisioner.pending_machines(0, &self.partition, self.now, PATIENCE_MS).len()
+        self.provisioner.pending_machines(0, &self.partition, self.now, REPORT_TTL_MS).len()
     }
 }
 
-pub(super) fn entry(id: &str, zone: &str, phase: &str, age_ms: u64) -> ListedInstance {
+pub(super) fn listed_instance(id: &str, zone: &str, phase: &str, age_ms: u64) -> ListedInstance {
     let held_s = age_ms as f64 / 1000.0;
     serde_json::from_value(json!({"id": id, "flavor": "g8", "region": zone, "phase": phase, "held_s": held_s})).unwrap()
 }
 
-pub(super) fn released(ops: &[CloudRequest]) -> Vec<String> {
-    let ids = ops.iter().filter_map(|op| match op {
+pub(super) fn terminated_ids(requests: &[CloudRequest]) -> Vec<String> {
+    let ids = requests.iter().filter_map(|request| match request {
         CloudRequest::Terminate(ids) => Some(ids.clone()),
         _ => None,
     });
     ids.flatten().collect()
 }
 
-/// A request for ordinary machines of the only type.
+/// Returns a request for on-demand machines of the only type.
 pub(super) fn scale_out(zone: &str, count: usize) -> ScaleOut {
     ScaleOut { offering: InstanceOffering { instance_type: 0, zone: zone.into(), spot: false }, count }
 }
--- a/src/provisioning/provisioner/tests/rental_requests.rs
+++ b/src/provisioning/provisioner/tests/rental_requests.rs
@@ -1,62 +1,65 @@
-//! Tests of rental requests, and of what the last leader rented.
+//! Tests of requests for machines: retries, and machines that the previous leader requested.
 
 use super::*;
 
+// Machines of the previous leader may be booting and not listed yet; they would be requested a second time.
 #[test]
-fn a_new_leader_awaits_the_list_of_what_the_last_one_rented() {
-    let mut bench = Bench::of(partition_of(2, vec![], vec![]));
-    // The last provisioner's, rented just before it ended, and not in the first lists.
-    (0..3).for_each(|_| drop(bench.machine("a")));
-    bench.submit("run-000001", 4);
-    bench.run(LAG_MS / 2);
-    assert!(bench.rented.is_empty());
-    bench.run(2 * LAG_MS);
-    assert_eq!(bench.rented.len(), 1, "only what is missing, and soon");
+fn a_new_leader_requests_nothing_before_a_list_shows_the_requests_of_the_previous_one() {
+    let mut simulation = Simulation::of(partition_of(2, vec![], vec![]));
+    // Machines that the previous leader requested just before it ended. The first lists do not show them.
+    (0..3).for_each(|_| drop(simulation.add_machine("a")));
+    simulation.submit("run-000001", 4);
+    simulation.run(LAG_MS / 2);
+    assert!(simulation.requested_ids.is_empty());
+    simulation.run(2 * LAG_MS);
+    assert_eq!(simulation.requested_ids.len(), 1, "only the missing machine, within two lags of the list");
 }
 
+// The first leader has no predecessor whose requests it would have to wait for.
 #[test]
-fn the_first_leader_of_all_rents_at_once() {
-    let mut bench = Bench::of(partition());
-    bench.submit("run-000001", 4);
-    bench.run(2 * ROUND_MS);
-    assert_eq!(bench.rented.len(), 4);
+fn the_first_leader_requests_machines_at_once() {
+    let mut simulation = Simulation::of(partition());
+    simulation.submit("run-000001", 4);
+    simulation.run(2 * ROUND_MS);
+    assert_eq!(simulation.requested_ids.len(), 4);
 }
 
 #[test]
-fn a_rental_without_an_answer_is_repeated_under_its_name_ever_more_rarely() {
-    let mut bench = Bench::new();
-    bench.rents_unanswered = true;
-    bench.next_list_ms = u64::MAX;
-    bench.submit("run-000001", 1);
-    bench.run(20 * BOOT_MS);
-    let names: BTreeSet<&String> = bench.unanswered.iter().map(|u| &u.1).collect();
-    assert_eq!(names.len(), 1, "no second rental before a list shows that nothing came of the first");
-    let sent: Vec<u64> = bench.unanswered.iter().map(|u| u.0).collect();
+fn an_unanswered_request_is_repeated_under_its_name_at_growing_intervals() {
+    let mut simulation = Simulation::new();
+    simulation.requests_unanswered = true;
+    simulation.next_list_ms = u64::MAX;
+    simulation.submit("run-000001", 1);
+    simulation.run(20 * BOOT_MS);
+    let names: BTreeSet<&String> = simulation.unanswered.iter().map(|request| &request.1).collect();
+    assert_eq!(names.len(), 1, "no second request before a list shows that the first started no machine");
+    let sent: Vec<u64> = simulation.unanswered.iter().map(|request| request.0).collect();
     assert_eq!(sent.len(), 8);
-    let pauses: Vec<u64> = sent.windows(2).map(|w| w[1] - w[0]).collect();
+    let pauses: Vec<u64> = sent.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(pauses.is_sorted() && pauses[6] >= 8 * pauses[0], "{pauses:?}");
-    let metrics = bench.partition.metrics().text();
+    let metrics = simulation.partition.metrics().text();
     assert!(metrics.contains(r#"rentals_total{of="unanswered"} 8"#), "{metrics}");
     assert!(metrics.contains(r#"rentals_total{of="abandoned"} 1"#), "{metrics}");
-    // The cloud answers again.
-    bench.rents_unanswered = false;
-    bench.next_list_ms = 0;
-    bench.run(BOOT_MS);
-    assert_eq!(bench.rented.len(), 1);
+    // The cloud answers requests again.
+    simulation.requests_unanswered = false;
+    simulation.next_list_ms = 0;
+    simulation.run(BOOT_MS);
+    assert_eq!(simulation.requested_ids.len(), 1);
 }
 
+// An unanswered request may have started machines, which only a later list shows.
 #[test]
-fn what_came_of_a_rental_without_an_answer_is_not_rented_again() {
-    let mut bench = Bench::new();
-    bench.rents_unanswered = true;
-    bench.submit("run-000001", 1);
-    // Until the last try, which rents a machine.
-    while bench.unanswered.len() < 8 || bench.now < bench.unanswered[7].0 {
-        bench.run(ROUND_MS);
+fn machines_of_an_unanswered_request_are_not_requested_again() {
+    let mut simulation = Simulation::new();
+    simulation.requests_unanswered = true;
+    simulation.submit("run-000001", 1);
+    // Runs until the last try, which starts a machine.
+    while simulation.unanswered.len() < 8 || simulation.now < simulation.unanswered[7].0 {
+        simulation.run(ROUND_MS);
     }
-    bench.machine("a");
-    bench.run(ROUND_MS);
-    bench.rents_unanswered = false;
-    bench.run(20 * ROUND_MS);
-    assert!(bench.rented.is_empty(), "{:?}", bench.rented);
+    simulation.add_machine("a");
+    simulation.run(ROUND_MS);
+    simulation.requests_unanswered = false;
+    simulation.run(20 * ROUND_MS);
+    assert!(simulation.requested_ids.is_empty(), "{:?}", simulation.requested_ids);
 }
