--- a/crates/borrowing/src/check.rs
+++ b/crates/borrowing/src/check.rs
@@ -1,32 +1,32 @@
-//! Checks of what an operator declares, against what the platform's settings know.
+//! Checks of the borrowing settings against the teams of the platform's settings.
 
 use crate::amounts::Amounts;
 use crate::settings::{BorrowingSettings, Lender};
 use badgerdrift_common::FieldError;
 use std::collections::BTreeMap;
 
-/// What the platform's settings say of a team.
+/// A team of the platform's settings, as far as the checks need it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct KnownTeam {
-    /// What it is guaranteed.
+    /// Amounts that the team is guaranteed.
     pub guarantee: Amounts,
 }
 
 impl BorrowingSettings {
-    /// Checks what the types can't say.
+    /// Checks the constraints that the types do not express.
     ///
     /// # Errors
     ///
-    /// The first field that is not valid, with the reason.
+    /// Returns the first field that is not valid, with the reason.
     pub fn check(&self, teams: &BTreeMap<String, KnownTeam>) -> Result<(), FieldError> {
-        not_negative("quiet_s", self.quiet_s)?;
-        not_negative("return_after_s", self.return_after_s)?;
+        check_not_negative("quiet_s", self.quiet_s)?;
+        check_not_negative("return_after_s", self.return_after_s)?;
         for name in self.borrowers.keys() {
-            known(&format!("borrower.{name}"), name, teams)?;
+            check_known_team(&format!("borrower.{name}"), name, teams)?;
         }
         for (name, lender) in &self.lenders {
             let field = format!("lender.{name}");
-            known(&field, name, teams)?;
+            check_known_team(&field, name, teams)?;
             self.check_lender(&field, name, lender, teams)?;
         }
         Ok(())
@@ -39,21 +39,21 @@
         lender: &Lender,
         teams: &BTreeMap<String, KnownTeam>,
     ) -> Result<(), FieldError> {
-        let to = format!("{field}.to");
+        let to_field = format!("{field}.to");
         if lender.to.is_empty() {
-            return Err(FieldError::new(&to, "must name a team"));
+            return Err(FieldError::new(&to_field, "must name a team"));
         }
         for borrower in &lender.to {
-            known(&to, borrower, teams)?;
+            check_known_team(&to_field, borrower, teams)?;
             if borrower == name {
-                return Err(FieldError::new(&to, "a team does not lend to itself"));
+                return Err(FieldError::new(&to_field, "a team does not lend to itself"));
             }
             if !self.borrowers.contains_key(borrower) {
-                return Err(FieldError::new(&to, &format!("{borrower} is no borrower")));
+                return Err(FieldError::new(&to_field, &format!("{borrower} is no borrower")));
             }
         }
-        if let Some(most) = lender.most_gpus {
-            not_negative(&format!("{field}.most_gpus"), most)?;
+        if let Some(most_gpus) = lender.most_gpus {
+            check_not_negative(&format!("{field}.most_gpus"), most_gpus)?;
         }
         let Some(share) = lender.most_share else { return Ok(()) };
         let field = format!("{field}.most_share");
@@ -65,11 +65,11 @@
     }
 }
 
-fn known(field: &str, team: &str, teams: &BTreeMap<String, KnownTeam>) -> Result<(), FieldError> {
+fn check_known_team(field: &str, team: &str, teams: &BTreeMap<String, KnownTeam>) -> Result<(), FieldError> {
     if teams.contains_key(team) { Ok(()) } else { Err(FieldError::new(field, &format!("no team {team}"))) }
 }
 
-fn not_negative(field: &str, amount: f64) -> Result<(), FieldError> {
-    let sound = amount.is_finite() && amount >= 0.0;
-    if sound { Ok(()) } else { Err(FieldError::new(field, &format!("must be at least 0, is {amount}"))) }
+fn check_not_negative(field: &str, amount: f64) -> Result<(), FieldError> {
+    let is_valid = amount.is_finite() && amount >= 0.0;
+    if is_valid { Ok(()) } else { Err(FieldError::new(field, &format!("must be at least 0, is {amount}"))) }
 }
--- a/crates/borrowing/src/floor.rs
+++ b/crates/borrowing/src/floor.rs
@@ -1,75 +1,77 @@
-//! The floor of a team: what other teams must leave it.
+//! The floor of a team: the amounts that borrowing must leave it.
 
-use crate::amounts::{Amounts, covers, is_some};
+use crate::amounts::{Amounts, covers, exceeds_rounding};
 
-/// What the tasks of one job could take now.
+/// Demand of one job that could be met now.
 ///
-/// | case | counts as |
+/// | case | counted as |
 /// | --- | --- |
-/// | waits for other jobs, cancelled or over | nothing: the job is left out |
-/// | fits no machine that is up | the tasks that run, and none that wait |
+/// | the job waits for other jobs, is cancelled or has ended | nothing: the job is left out |
+/// | no machine that is up can hold a task of the job | the running tasks, and no waiting ones |
 /// | a task in back-off | nothing until the back-off ends |
-/// | a task that may be on a machine not accounted for | nothing: it can't start now |
-/// | an attempt that is being stopped | waiting: it starts again as soon as it is gone |
-/// | a gang | all of its tasks, or none where one of them could neither run nor start |
+/// | a task that may be on a machine not accounted for | nothing: it cannot start now |
+/// | an attempt that is being stopped | waiting: the task can start again once the attempt has ended |
+/// | a gang | all of its tasks, or none if one of them neither runs nor could start |
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobDemand {
-    /// What one task takes.
+    /// Amounts that one task takes.
     pub each: Amounts,
-    /// Tasks on machines that are not being stopped.
+    /// Number of tasks that are on a machine and are not being stopped.
     pub running: u32,
-    /// Tasks that could start if there were room.
+    /// Number of tasks that could start if there were free capacity.
     pub waiting: u32,
-    /// The number of tasks that run together or not at all, for a gang.
+    /// Number of tasks of a gang, which run together or not at all; `None` for other jobs.
     pub gang_of: Option<u32>,
 }
 
 impl JobDemand {
-    /// What the job could use now.
+    /// Returns the amounts that the job could use now; 0 for a gang that is incomplete.
     pub fn amounts(&self) -> Amounts {
         let tasks = self.running + self.waiting;
-        let whole = self.gang_of.is_none_or(|size| tasks >= size);
-        self.each.times(f64::from(if whole { tasks } else { 0 }))
+        let can_run = self.gang_of.is_none_or(|size| tasks >= size);
+        self.each.times(f64::from(if can_run { tasks } else { 0 }))
     }
 }
 
-/// What a team is guaranteed, could use and uses.
+/// Guarantee, demand and use of a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamShare {
-    /// What it is guaranteed; 0 where nothing is.
+    /// Amounts that the team is guaranteed; 0 without a guarantee.
     pub guarantee: Amounts,
-    /// What its jobs could use now: the sum of [`JobDemand::amounts`].
+    /// Amounts that the team's jobs could use now: the sum of [`JobDemand::amounts`].
     pub runnable: Amounts,
-    /// What its attempts take that are not being stopped, on machines that are accounted for,
-    /// starts under way included.
+    /// Amounts that the team's attempts take on machines that are accounted for. Attempts that are
+    /// being started count, attempts that are being stopped do not.
     pub in_use: Amounts,
 }
 
 impl TeamShare {
-    /// What other teams must leave it: the lesser of its guarantee and its demand that could run
-    /// now, of each amount alone.
+    /// Returns the amounts that other teams must leave the team: for each resource, the smaller of
+    /// its guarantee and its demand that could be met now.
     pub fn floor(&self) -> Amounts {
         self.guarantee.least(self.runnable)
     }
 
-    /// What it lacks to its floor.
+    /// Returns the amounts by which the team's use is below its floor.
     pub fn shortfall(&self) -> Amounts {
         self.floor().beyond(self.in_use)
     }
 
-    /// Is it at or above its floor in what `taken` counts, once that is stopped too?
+    /// Returns whether the team stays at or above its floor in each resource of `stopped` once work
+    /// that takes these amounts is stopped.
     ///
-    /// What is stopped could run again at once, so that the demand that could run is no less than
-    /// the use before the stop. Where the use after it is below the floor, it is below the
-    /// guarantee; so the guarantee alone decides, and not how much else waits.
-    pub fn keeps_floor_without(&self, taken: Amounts) -> bool {
-        let left = self.in_use.minus(taken);
-        let keeps =
-            |taken: f64, left: f64, guarantee: f64| !is_some(taken) || !is_some(guarantee) || covers(left, guarantee);
-        keeps(taken.cpus, left.cpus, self.guarantee.cpus) && keeps(taken.gpus, left.gpus, self.guarantee.gpus)
+    /// Stopped work could start again at once, so the demand after the stop is at least the use
+    /// before it. A use below the floor is therefore below the guarantee, and comparing with the
+    /// guarantee is enough; other waiting work makes no difference.
+    pub fn keeps_floor_without(&self, stopped: Amounts) -> bool {
+        let left = self.in_use.minus(stopped);
+        let keeps = |stopped: f64, left: f64, guarantee: f64| {
+            !exceeds_rounding(stopped) || !exceeds_rounding(guarantee) || covers(left, guarantee)
+        };
+        keeps(stopped.cpus, left.cpus, self.guarantee.cpus) && keeps(stopped.gpus, left.gpus, self.guarantee.gpus)
     }
 
-    /// What it could use beyond its guarantee.
+    /// Returns the amounts of the team's demand that exceed its guarantee.
     pub fn need_beyond_guarantee(&self) -> Amounts {
         self.runnable.beyond(self.guarantee)
     }
--- a/crates/borrowing/src/lib.rs
+++ b/crates/borrowing/src/lib.rs
@@ -1,10 +1,10 @@
-//! Loans of accelerators between teams: who may take room from whom, what each team keeps, whom to
-//! stop, which loans are open, and when they are returned. Pure: time and state come in, decisions
-//! go out.
+//! Loans of accelerators between teams: which team may borrow from which, how much each team keeps,
+//! what stopping work costs, which loans are open, and when they are returned. The crate does no I/O
+//! and reads no clock: callers pass in time and state and carry out the decisions.
 //!
-//! A team's *floor* is what other teams must leave it ([`TeamShare::floor`]). A *loan* is room that
-//! one team's stopped work left to another team ([`Loan`]). [`Loans`] keeps the loans of one
-//! partition and says which records have to be written before and after stops.
+//! A team's *floor* is the amount that other teams must leave it ([`TeamShare::floor`]). A *loan* is
+//! capacity that one team's stopped tasks freed for another team ([`Loan`]). [`Loans`] keeps the loans
+//! of one partition and returns the records that must be written before and after tasks are stopped.
 
 mod amounts;
 mod check;
@@ -25,10 +25,10 @@
 pub use refusal::Refusal;
 pub use settings::{Borrower, BorrowingSettings, Lender, Priority};
 
-/// Prefix of the keys of loans' records in the state service.
+/// Prefix of the keys under which the state service stores loan records.
 pub const LOAN_PREFIX: &str = "loan/";
 
-/// Key of the record of a job's loans.
+/// Returns the key of the record with the loans of `lending_job`.
 pub fn loan_key(lending_job: &str) -> String {
     format!("{LOAN_PREFIX}{lending_job}")
 }
--- a/crates/borrowing/src/loan.rs
+++ b/crates/borrowing/src/loan.rs
@@ -1,46 +1,48 @@
-//! One loan, and the record of a job's loans.
+//! A loan, and the stored record of a job's loans.
 
 use crate::amounts::Amounts;
 use serde::{Deserialize, Serialize};
 
-/// Number of a loan, which is not used again.
+/// Number of a loan. Numbers are not reused.
 pub type LoanId = u64;
 
-/// Why room was taken.
+/// Reason for which capacity was taken from the lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoanKind {
-    /// The borrower uses it beyond its guarantee and has to give it back.
+    /// The borrower uses the capacity beyond its guarantee and must return it.
     Borrowed,
-    /// The borrower is due it under its guarantee: nothing is owed, but the job gave way.
+    /// The capacity belongs to the borrower's guarantee: the job's tasks were stopped, but nothing is owed.
     Guaranteed,
 }
 
-/// Why a loan ended.
+/// Reason for which a loan ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// The lender's work runs again after the borrower's need was gone, or the lender took it back.
+    /// The lender's tasks run again after the borrower no longer needed the capacity, or after the
+    /// lender reclaimed it.
     Returned,
-    /// The lender's work runs again in other room while the borrower still needs this.
+    /// The lender's tasks run again on other capacity while the borrower still needs the loan.
     Replaced,
-    /// The lender's job is over.
-    LenderOver,
-    /// Nothing was owed from the start.
+    /// The lender's job was done or cancelled.
+    #[serde(rename = "lender_over")]
+    LenderEnded,
+    /// The loan was within the borrower's guarantee: nothing was owed from the start.
     WithinGuarantee,
-    /// It could not be recorded, so that nothing was stopped.
+    /// The loan could not be recorded, so no task was stopped.
     NotRecorded,
-    /// A failover found that nothing had been stopped.
+    /// The leader after a failover found that no task had been stopped.
     NotCarriedOut,
 }
 
 impl EndCause {
-    /// Its name in logs and figures.
+    /// Returns the name that logs and metrics use.
     pub fn label(self) -> &'static str {
         match self {
             EndCause::Returned => "returned",
             EndCause::Replaced => "replaced",
-            EndCause::LenderOver => "lender_over",
+            EndCause::LenderEnded => "lender_over",
             EndCause::WithinGuarantee => "within_guarantee",
             EndCause::NotRecorded => "not_recorded",
             EndCause::NotCarriedOut => "not_carried_out",
@@ -48,24 +50,25 @@
     }
 }
 
-/// How far a loan is.
+/// State of a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoanState {
-    /// It was decided; nothing is stopped before its record is written.
+    /// The loan is decided, but not recorded. No task is stopped before its record is written.
     Proposed,
-    /// A failover found its record; what was stopped is known once all machines are accounted for.
+    /// The loan was read from its record after a failover. Which tasks were stopped is known once all
+    /// machines are accounted for.
     Unsettled,
-    /// The borrower has the room.
+    /// The borrower has the capacity.
     Open,
-    /// The borrower's need is gone: the lender's work is first to be placed.
+    /// The borrower no longer needs the capacity: the lender's tasks are placed first.
     Returning,
-    /// It is over.
+    /// The loan has ended, for this cause.
     Ended(EndCause),
 }
 
 impl LoanState {
-    /// Its name in logs and figures.
+    /// Returns the name that logs and metrics use; the same for every cause of an ended loan.
     pub fn label(self) -> &'static str {
         match self {
             LoanState::Proposed => "proposed",
@@ -77,56 +80,56 @@
     }
 }
 
-/// Room that a job's stopped tasks left to another team.
+/// Capacity that a job's stopped tasks freed for another team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// Its number.
+    /// Number of the loan.
     pub id: LoanId,
-    /// The team that has the room.
+    /// Team that uses the capacity.
     pub borrower: String,
-    /// The job that the room was made for.
+    /// Job for which the capacity was freed.
     pub borrowing_job: String,
     /// Type of the first machine on which a task was stopped.
     pub machine: String,
-    /// Stopped tasks that do not run again yet.
+    /// Number of stopped tasks that do not run again yet.
     pub tasks: u32,
-    /// What each of them takes.
+    /// Amounts that each of the stopped tasks takes.
     pub each: Amounts,
-    /// Why the room was taken.
+    /// Reason for which the capacity was taken.
     pub kind: LoanKind,
-    /// Wall time at which it was decided.
+    /// Time of day at which the loan was decided, in milliseconds since 1970 (UTC).
     pub begun_ms: u64,
-    /// How far it is.
+    /// State of the loan.
     pub state: LoanState,
 }
 
 impl Loan {
-    /// What it is of.
+    /// Returns the amounts lent: those of all stopped tasks that do not run again yet.
     pub fn amounts(&self) -> Amounts {
         self.each.times(f64::from(self.tasks))
     }
 
-    /// Has the borrower the room, or will it have it?
+    /// Returns whether the loan has not ended: the borrower has the capacity or is to get it.
     pub fn is_active(&self) -> bool {
         !matches!(self.state, LoanState::Ended(_))
     }
 
-    /// Is the room owed to the lender?
+    /// Returns whether the borrower owes the capacity to the lender.
     pub fn is_owed(&self) -> bool {
         self.is_active() && self.kind == LoanKind::Borrowed
     }
 
-    /// Was anything stopped for it, as far as is known?
+    /// Returns whether tasks were stopped for the loan, as far as is known.
     pub fn took_effect(&self) -> bool {
         !matches!(self.state, LoanState::Proposed | LoanState::Ended(EndCause::NotRecorded | EndCause::NotCarriedOut))
     }
 }
 
-/// The record of a job's loans, in the state service.
+/// Record of a job's loans in the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobLoans {
-    /// The job's team.
+    /// Team of the lending job.
     pub lender: String,
-    /// Its loans, the oldest first. Ended ones are kept while the job is to be passed over.
+    /// Loans of the job, the oldest first. Ended loans are kept until the job's quiet time is over.
     pub loans: Vec<Loan>,
 }
--- a/crates/borrowing/src/loans/restore.rs
+++ b/crates/borrowing/src/loans/restore.rs
@@ -1,10 +1,10 @@
-//! Loans after a failover: read from their records, then settled by what the machines report.
+//! Loans after a failover: restored from their records, then reconciled with the reports of the machines.
 
 use super::{Entry, LendingJob, LoanLedger, Loans};
 use crate::loan::{EndCause, JobLoans, LoanKind, LoanState};
 
 impl Loans {
-    /// Begins with the records of an earlier leader, each with the job that lends and its version.
+    /// Restores the loans from the records of an earlier leader, each as (lending job, record, version).
     pub fn restore(&mut self, records: impl IntoIterator<Item = (String, JobLoans, u64)>) {
         for (job, record, version) in records {
             let entries = record.loans.into_iter().map(|mut loan| {
@@ -15,7 +15,7 @@
                     (LoanState::Open | LoanState::Proposed, LoanKind::Borrowed) => LoanState::Unsettled,
                     (state, _) => state,
                 };
-                Entry { loan, sent: false, told: true, unneeded_since_ms: None }
+                Entry { loan, in_current_commit: false, may_be_recorded: true, unneeded_since_ms: None }
             });
             let ledger = LoanLedger {
                 lender: record.lender,
@@ -29,21 +29,22 @@
         }
     }
 
-    /// Settles what an earlier leader left, once all machines are accounted for: no order of its can
-    /// take effect any more. What it had not stopped is not lent.
+    /// Reconciles restored loans with the tasks that do not run. Must be called only once all machines
+    /// are accounted for, when no order of an earlier leader can take effect any more. Tasks that were
+    /// not stopped are not lent.
     pub fn settle(&mut self, lending: impl Fn(&str) -> LendingJob) {
         let jobs: Vec<String> = self.ledgers.keys().cloned().collect();
         for job in jobs {
             let mut missing = lending(&job).missing;
             for index in 0..self.ledgers[&job].entries.len() {
-                missing = missing.saturating_sub(self.settle_loan(&job, index, missing));
+                missing = missing.saturating_sub(self.reconcile_loan(&job, index, missing));
             }
         }
     }
 
-    /// Settles one loan of a job that misses so many tasks beside those of its other loans; tells
-    /// how many of them it accounts for.
-    fn settle_loan(&mut self, job: &str, index: usize, missing: u32) -> u32 {
+    /// Reconciles one loan of a job. `missing` is the number of the job's missing tasks that its earlier
+    /// loans do not account for. Returns how many of them this loan accounts for.
+    fn reconcile_loan(&mut self, job: &str, index: usize, missing: u32) -> u32 {
         let Some(ledger) = self.ledgers.get_mut(job) else { return 0 };
         let loan = &mut ledger.entries[index].loan;
         if loan.state != LoanState::Unsettled {
@@ -52,7 +53,7 @@
         loan.tasks = loan.tasks.min(missing);
         let tasks = loan.tasks;
         let state = if tasks == 0 { LoanState::Ended(EndCause::NotCarriedOut) } else { LoanState::Open };
-        self.change(job, index, state);
+        self.set_state(job, index, state);
         tasks
     }
 }
--- a/crates/borrowing/src/refusal.rs
+++ b/crates/borrowing/src/refusal.rs
@@ -1,27 +1,27 @@
-//! Why work of another team is not stopped.
+//! Reasons for which no work of another team is stopped.
 
 use serde::{Deserialize, Serialize};
 
-/// Why work of another team is not stopped for a job.
+/// Reason for which no work of another team is stopped for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The job's team is no borrower, or its work is not urgent enough for that.
+    /// The job's team does not borrow, or not for work of the job's priority.
     NotABorrower,
-    /// The other team does not lend to this one, or not such urgent work.
+    /// The other team does not lend to the job's team, or its work has too high a priority to be stopped.
     NotALender,
-    /// The other team would be below its floor.
+    /// The stop would leave the other team below its floor.
     LenderAtFloor,
-    /// The other team lends as much as it may.
+    /// The other team already lends as much as its settings allow.
     LendsItsMost,
-    /// No loan can be recorded: the state service does not answer.
+    /// The loan cannot be recorded, as the state service does not answer.
     NotRecordable,
-    /// After a failover, machines of the last leader are not accounted for yet.
+    /// Machines of the previous leader are not accounted for yet after a failover.
     MachinesUnaccounted,
 }
 
 impl Refusal {
-    /// Its name in logs and figures.
+    /// Returns the name that logs and metrics use.
     pub fn label(self) -> &'static str {
         match self {
             Refusal::NotABorrower => "not_a_borrower",
--- a/crates/borrowing/src/settings.rs
+++ b/crates/borrowing/src/settings.rs
@@ -1,15 +1,15 @@
-//! What the operators' file says of borrowing.
+//! Settings of the operators' borrowing file.
 
 use crate::amounts::Amounts;
 use crate::refusal::Refusal;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Least first, so that the order of the values is the order of priority.
+/// Priority of work. The variants stand in ascending order, which the derived comparison relies on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Work for idle times.
+    /// Work that runs on capacity that is otherwise idle.
     BestEffort,
     /// Ordinary work.
     Standard,
@@ -19,72 +19,82 @@
     Production,
 }
 
-/// Who lends to whom, and for how long.
+/// Teams that lend and borrow, and the times that apply to loans.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BorrowingSettings {
-    /// A job that gave way is passed over for so many seconds, while others can give.
+    /// Seconds for which a job whose tasks were stopped is spared, as long as other jobs can be stopped.
     #[serde(default = "default_quiet_s")]
     pub quiet_s: f64,
-    /// A borrower's need has to be gone for so many seconds before a loan is returned.
+    /// Seconds for which a borrower must have no need of a loan before the loan is returned.
     #[serde(default = "default_return_after_s")]
     pub return_after_s: f64,
-    /// The teams that lend, by name.
+    /// Teams that lend, by name.
     #[serde(default, rename = "lender")]
     pub lenders: BTreeMap<String, Lender>,
-    /// The teams that borrow, by name.
+    /// Teams that borrow, by name.
     #[serde(default, rename = "borrower")]
     pub borrowers: BTreeMap<String, Borrower>,
 }
 
-/// An hour.
+/// Returns the default of `quiet_s`: one hour.
 fn default_quiet_s() -> f64 {
     3600.0
 }
 
+/// Returns the default of `return_after_s`, in seconds.
 fn default_return_after_s() -> f64 {
     30.0
 }
 
-/// A team that lends what it uses beyond its floor.
+/// Settings of a team that lends the capacity it uses beyond its floor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lender {
-    /// The teams that it lends to.
+    /// Teams that it lends to.
     pub to: Vec<String>,
-    /// Its work of this priority or less may give way.
+    /// Highest priority of its work that may be stopped.
     pub up_to: Priority,
-    /// Most accelerators that it lends at a time.
+    /// Largest number of accelerators that it lends at a time; `None` for no bound.
     #[serde(default)]
     pub most_gpus: Option<f64>,
-    /// The same as a part of its guarantee, from 0 to 1.
+    /// Largest part of its guaranteed accelerators that it lends at a time, from 0 to 1; `None` for no
+    /// bound.
     #[serde(default)]
     pub most_share: Option<f64>,
 }
 
-/// A team that borrows.
+/// Settings of a team that borrows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Borrower {
-    /// It borrows for its work of this priority or more.
+    /// Lowest priority of its work for which it borrows.
     pub from: Priority,
 }
 
 impl BorrowingSettings {
-    /// Checks that the lender's work of one priority may be preempted for the borrower's work of another.
+    /// Checks that the lender's work of `lender_priority` may be stopped for the borrower's work of
+    /// `borrower_priority`.
     ///
     /// # Errors
     ///
-    /// Why no loan is possible between them.
-    pub fn permits(&self, lender: &str, gives: Priority, borrower: &str, takes: Priority) -> Result<(), Refusal> {
-        if self.borrowers.get(borrower).is_none_or(|team| takes < team.from) {
+    /// Returns [`Refusal::NotABorrower`] or [`Refusal::NotALender`] if the settings allow no such loan.
+    pub fn permits(
+        &self,
+        lender: &str,
+        lender_priority: Priority,
+        borrower: &str,
+        borrower_priority: Priority,
+    ) -> Result<(), Refusal> {
+        if self.borrowers.get(borrower).is_none_or(|team| borrower_priority < team.from) {
             return Err(Refusal::NotABorrower);
         }
-        let lends = |team: &Lender| gives <= team.up_to && team.to.iter().any(|to| to == borrower);
+        let lends = |team: &Lender| lender_priority <= team.up_to && team.to.iter().any(|to| to == borrower);
         if self.lenders.get(lender).is_some_and(lends) { Ok(()) } else { Err(Refusal::NotALender) }
     }
 
-    /// Most accelerators that a team with this guarantee lends; infinite where there is no bound.
+    /// Returns the largest number of accelerators that a team with this guarantee lends: 0 if the team
+    /// does not lend, infinity if it has no bound.
     pub fn most_gpus(&self, lender: &str, guarantee: Amounts) -> f64 {
         let Some(team) = self.lenders.get(lender) else { return 0.0 };
         let by_share = team.most_share.map(|share| share * guarantee.gpus);
--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -163,7 +163,7 @@
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::Replaced)));
     let mut loans = open(2);
     loans.follow(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
-    assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::LenderOver)));
+    assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::LenderEnded)));
 }
 
 #[test]
--- a/crates/common/src/field_error.rs
+++ b/crates/common/src/field_error.rs
@@ -1,19 +1,19 @@
-//! Errors in what an operator declares.
+//! Errors in the files of operators.
 
 use std::error::Error;
 use std::fmt;
 
-/// A field of an operator's file that is not valid, and the reason.
+/// An invalid field of an operator's file, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError {
     /// Path of the field, for example `pool.counter.payer`.
     pub field: String,
-    /// What is wrong with its value.
+    /// Reason for which the value is not valid.
     pub reason: String,
 }
 
 impl FieldError {
-    /// An error in the field of this path.
+    /// Creates an error in the field with the path `field`.
     pub fn new(field: &str, reason: &str) -> FieldError {
         FieldError { field: field.into(), reason: reason.into() }
     }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,4 +1,5 @@
-//! Types that the pure cores (borrowing, warm pools) share.
+//! Types shared by the crates `badgerdrift-borrowing` and `badgerdrift-warm-pools`, which do no I/O and
+//! read no clock.
 
 mod field_error;
 mod moment;
