--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -1,4 +1,4 @@
-//! The life of a loan, with commits that are made, refused, late or without an answer.
+//! Tests of the states of a loan, with commits that are applied, refused, delayed or without an answer.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -37,12 +37,12 @@
     loans.loans().find(|(_, _, loan)| loan.id == id).map(|(_, _, loan)| loan.state)
 }
 
-fn lent(loans: &Loans) -> f64 {
+fn lent_gpus(loans: &Loans) -> f64 {
     loans.lent().values().map(|amounts| amounts.gpus).sum()
 }
 
-/// A job of which so many tasks neither run nor are done.
-fn missing(tasks: u32) -> impl Fn(&str) -> LendingJob {
+/// Returns a job that lends, with `tasks` tasks that neither run nor are done.
+fn with_missing_tasks(tasks: u32) -> impl Fn(&str) -> LendingJob {
     move |_| LendingJob { over: false, missing: tasks }
 }
 
@@ -50,8 +50,8 @@
     [("desk".to_string(), Amounts::new(4.0 * gpus, gpus))].into()
 }
 
-/// An open loan of so many tasks.
-fn open(tasks: u32) -> Loans {
+/// Returns loans with one open loan of `tasks` tasks.
+fn loans_with_one_open(tasks: u32) -> Loans {
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, tasks), at(0));
     assert_eq!(loans.next_writes(8, at(0).wall_ms).len(), 1);
@@ -59,26 +59,34 @@
     loans
 }
 
-fn record(loans: &mut Loans, now: Moment) -> Option<JobLoans> {
+/// Returns the record of the next write; `None` if nothing is to be written or the record is deleted.
+fn next_record(loans: &mut Loans, now: Moment) -> Option<JobLoans> {
     let mut writes = loans.next_writes(8, now.wall_ms);
     writes.pop().and_then(|write| write.value)
 }
 
+// Tasks stopped before the record is written would be lost to the lender after a failover. The record must
+// already have the state that a successor is to find.
 #[test]
-fn nothing_is_recorded_as_long_as_the_commit_is_under_way() {
+fn loan_is_recorded_only_after_its_commit_succeeds() {
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     let writes = loans.next_writes(8, at(0).wall_ms);
     assert_eq!((writes[0].version, writes[0].key.as_str()), (0, "loan/run-1"));
-    assert_eq!(writes[0].value.as_ref().unwrap().loans[0].state, LoanState::Open, "as a successor is to find it");
+    assert_eq!(
+        writes[0].value.as_ref().unwrap().loans[0].state,
+        LoanState::Open,
+        "the state that a successor has to find"
+    );
     assert_eq!(state(&loans, 1), Some(LoanState::Proposed));
-    assert!(loans.next_writes(8, at(0).wall_ms).is_empty(), "one commit of a record at a time");
+    assert!(loans.next_writes(8, at(0).wall_ms).is_empty(), "a record is in one commit at a time");
     assert_eq!(loans.written(10), [LoanEvent::Recorded(1)]);
-    assert_eq!((state(&loans, 1), lent(&loans)), (Some(LoanState::Open), 2.0));
+    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Open), 2.0));
 }
 
+// A record of an abandoned loan would make a successor look for tasks that were never stopped.
 #[test]
-fn a_loan_that_is_given_up_before_any_record_tells_of_it_leaves_nothing() {
+fn loan_abandoned_before_any_write_leaves_no_record() {
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     assert_eq!(loans.unrecorded_before(at(1).wall_ms), [1]);
@@ -87,119 +95,130 @@
     assert!(loans.next_writes(8, at(2).wall_ms).is_empty());
 }
 
-// A commit without an answer may be made late: the record is written anew under the version that is
-// found, so that the late one fails, also where the loan was given up meanwhile.
+// A commit without an answer may be applied later. The record is written again under the version found,
+// so that the delayed commit fails, also if the loan was abandoned in the meantime.
 #[test]
-fn a_commit_without_an_answer_is_settled_by_another_write() {
+fn commit_without_answer_is_read_and_written_again() {
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     loans.next_writes(8, at(0).wall_ms);
     loans.indeterminate();
     assert_eq!(loans.keys_to_read(), ["loan/run-1"]);
-    assert!(loans.next_writes(8, at(1).wall_ms).is_empty(), "it has to be read first");
+    assert!(loans.next_writes(8, at(1).wall_ms).is_empty(), "the record has to be read first");
     loans.abandon(1);
     loans.reread("loan/run-1", 0);
     let write = loans.next_writes(8, at(2).wall_ms).pop().unwrap();
     assert_eq!(write.version, 0);
-    let told = write.value.expect("a deletion would leave the late write its condition").loans[0].state;
-    assert_eq!(told, LoanState::Ended(EndCause::NotRecorded));
-    assert!(loans.written(12).is_empty(), "nothing is stopped for it any more");
-    // Its end is recorded: the record goes.
+    let recorded_state =
+        write.value.expect("the record must not be deleted: the condition of the delayed write would still hold").loans
+            [0]
+        .state;
+    assert_eq!(recorded_state, LoanState::Ended(EndCause::NotRecorded));
+    assert!(loans.written(12).is_empty(), "no task is stopped for the abandoned loan");
+    // Its end is recorded, so the record is deleted.
     let write = loans.next_writes(8, at(3).wall_ms).pop().unwrap();
     assert_eq!((write.version, write.value), (12, None));
     loans.written(13);
     assert!(loans.loans().next().is_none());
 }
 
+// A refused commit must lose neither its loans nor those proposed while it was in flight.
 #[test]
-fn a_refused_commit_is_tried_again_with_what_came_since() {
+fn refused_commit_is_retried_with_later_proposals() {
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     loans.next_writes(8, at(0).wall_ms);
     loans.propose(proposal(2, 3), at(1));
     loans.not_written();
-    let record = record(&mut loans, at(2)).unwrap();
+    let record = next_record(&mut loans, at(2)).unwrap();
     assert_eq!(record.loans.len(), 2);
     assert_eq!(loans.written(10).len(), 2);
-    assert_eq!(lent(&loans), 5.0, "both are one loan to the same team now");
+    assert_eq!(lent_gpus(&loans), 5.0, "both are merged into one loan to the same team");
     assert_eq!(loans.loans().count(), 1);
 }
 
+// A short gap in the need must not return a loan: the borrower would take the capacity again at once.
 #[test]
-fn a_loan_is_returned_once_the_need_has_been_gone_for_long_enough() {
-    let mut loans = open(2);
-    loans.follow(missing(2), &needs(2.0), at(1000));
-    // A need that flickers begins the time anew.
-    loans.follow(missing(2), &needs(0.0), at(2000));
-    loans.follow(missing(2), &needs(2.0), at(9000));
-    loans.follow(missing(2), &needs(0.0), at(10_000));
-    loans.follow(missing(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
+fn loan_is_returned_after_the_need_is_gone_for_the_return_time() {
+    let mut loans = loans_with_one_open(2);
+    loans.follow(with_missing_tasks(2), &needs(2.0), at(1000));
+    // A need that comes back starts the time again.
+    loans.follow(with_missing_tasks(2), &needs(0.0), at(2000));
+    loans.follow(with_missing_tasks(2), &needs(2.0), at(9000));
+    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000));
+    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
     assert_eq!(state(&loans, 1), Some(LoanState::Open));
-    loans.follow(missing(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
+    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
     assert_eq!(state(&loans, 1), Some(LoanState::Returning));
     assert_eq!(loans.returning().collect::<Vec<_>>(), [("run-1", 2)]);
-    loans.follow(missing(1), &needs(0.0), at(22_000));
-    assert_eq!(lent(&loans), 1.0);
-    loans.follow(missing(0), &needs(0.0), at(23_000));
-    assert_eq!((state(&loans, 1), lent(&loans)), (Some(LoanState::Ended(EndCause::Returned)), 0.0));
+    loans.follow(with_missing_tasks(1), &needs(0.0), at(22_000));
+    assert_eq!(lent_gpus(&loans), 1.0);
+    loans.follow(with_missing_tasks(0), &needs(0.0), at(23_000));
+    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(EndCause::Returned)), 0.0));
 }
 
+// Returning every loan at the first surplus would take capacity that the borrower still uses.
 #[test]
-fn what_the_borrower_still_needs_is_kept_and_the_oldest_loan_is_returned_first() {
-    let mut loans = open(2);
+fn needed_loans_are_kept_and_the_oldest_loan_is_returned_first() {
+    let mut loans = loans_with_one_open(2);
     loans.propose(Proposal { lending_job: "run-9".into(), ..proposal(2, 3) }, at(10));
     loans.next_writes(8, at(10).wall_ms);
     loans.written(11);
     for ms in [1000, 1000 + RETURN_AFTER_MS] {
-        loans.follow(missing(3), &needs(3.0), at(ms));
+        loans.follow(with_missing_tasks(3), &needs(3.0), at(ms));
     }
     assert_eq!((state(&loans, 1), state(&loans, 2)), (Some(LoanState::Returning), Some(LoanState::Open)));
 }
 
+// A loan that stays open would be owed although nothing is missing.
 #[test]
-fn work_that_runs_again_elsewhere_is_no_longer_lent_and_a_job_that_ended_lends_nothing() {
-    let mut loans = open(2);
-    loans.follow(missing(0), &needs(2.0), at(1000));
+fn loan_ends_when_the_lender_runs_again_or_its_job_ends() {
+    let mut loans = loans_with_one_open(2);
+    loans.follow(with_missing_tasks(0), &needs(2.0), at(1000));
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::Replaced)));
-    let mut loans = open(2);
+    let mut loans = loans_with_one_open(2);
     loans.follow(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::LenderEnded)));
 }
 
+// Without the quiet time the same job would be stopped again and again. Without the deletion the records
+// would pile up.
 #[test]
-fn a_job_that_gave_way_is_quiet_until_the_time_is_over_and_its_record_goes_then() {
-    let mut loans = open(2);
-    loans.follow(missing(0), &needs(0.0), at(1000));
+fn stopped_job_is_spared_for_the_quiet_time_and_its_record_is_deleted_afterwards() {
+    let mut loans = loans_with_one_open(2);
+    loans.follow(with_missing_tasks(0), &needs(0.0), at(1000));
     assert_eq!(loans.quiet_jobs(at(QUIET_MS - 1).wall_ms).collect::<Vec<_>>(), ["run-1"]);
-    assert!(record(&mut loans, at(1000)).is_some(), "its end is recorded and kept");
+    assert!(next_record(&mut loans, at(1000)).is_some(), "the end of the loan is recorded and kept");
     loans.written(20);
     assert_eq!(loans.quiet_jobs(at(QUIET_MS).wall_ms).count(), 0);
     let write = loans.next_writes(8, at(QUIET_MS).wall_ms).pop().unwrap();
     assert_eq!((write.version, write.value), (20, None));
 }
 
+// Capacity that a borrower is guaranteed must not be reclaimed from it.
 #[test]
-fn what_is_due_under_a_guarantee_is_not_owed() {
+fn loan_within_the_guarantee_is_not_owed() {
     let mut loans = Loans::new(settings());
     loans.propose(Proposal { kind: LoanKind::Guaranteed, ..proposal(1, 2) }, at(0));
     loans.next_writes(8, at(0).wall_ms);
     assert_eq!(loans.written(10), [LoanEvent::Recorded(1)]);
-    assert_eq!((state(&loans, 1), lent(&loans)), (Some(LoanState::Ended(EndCause::WithinGuarantee)), 0.0));
-    assert_eq!(loans.quiet_jobs(at(1).wall_ms).count(), 1, "the job gave way all the same");
+    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(EndCause::WithinGuarantee)), 0.0));
+    assert_eq!(loans.quiet_jobs(at(1).wall_ms).count(), 1, "the tasks of the job were stopped nevertheless");
 }
 
-// A successor finds records of stops that were ordered in part, or not at all.
+// A successor finds records of stops that the previous leader ordered in part or not at all. Lending more
+// than was stopped would take capacity from the lender a second time.
 #[test]
-fn a_failover_lends_what_was_stopped_and_no_more() {
+fn restored_loan_counts_only_tasks_that_were_stopped() {
     let successor = |tasks_missing: u32| {
-        let mut before = Loans::new(settings());
-        before.propose(proposal(1, 3), at(0));
-        let record = record(&mut before, at(0)).unwrap();
+        let mut former_loans = Loans::new(settings());
+        former_loans.propose(proposal(1, 3), at(0));
+        let record = next_record(&mut former_loans, at(0)).unwrap();
         let mut loans = Loans::new(settings());
         loans.restore([("run-1".to_string(), record, 10)]);
         assert_eq!(state(&loans, 1), Some(LoanState::Unsettled));
-        loans.settle(missing(tasks_missing));
-        (state(&loans, 1).unwrap(), lent(&loans))
+        loans.settle(with_missing_tasks(tasks_missing));
+        (state(&loans, 1).unwrap(), lent_gpus(&loans))
     };
     assert_eq!(successor(0), (LoanState::Ended(EndCause::NotCarriedOut), 0.0));
     assert_eq!(successor(1), (LoanState::Open, 1.0));
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -1,4 +1,5 @@
-//! Random sequences of loans, commits that are lost or come late, failovers, needs and returns.
+//! Model-based test of loans: random sequences of proposals, commits that are refused, delayed or without an
+//! answer, failovers, needs and returns.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -10,88 +11,92 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::collections::BTreeMap;
 
-const JOBS: u32 = 3;
-const TASKS: u32 = 8;
+const JOB_COUNT: u32 = 3;
+const TASKS_PER_JOB: u32 = 8;
 const BORROWERS: [&str; 2] = ["desk", "relief"];
-/// Long enough for every loan to be returned and forgotten.
-const LONG_MS: u64 = 200_000;
+/// Time, in milliseconds, within which every loan is returned and removed.
+const RETURN_ALL_MS: u64 = 200_000;
 
-/// What may happen.
+/// A step of a sequence.
 #[derive(Debug, Clone)]
 enum Transition {
+    /// This many milliseconds pass.
     Wait(u64),
-    /// So many tasks of a job are to be stopped for a borrower.
+    /// Tasks are to be stopped: number of the job, index of the borrower, number of tasks, and whether the
+    /// loan is owed.
     Propose(u32, usize, u32, bool),
-    /// The next commit, and what becomes of it.
-    Commit(Outcome),
-    /// The records are read that must be.
-    Reread,
-    /// A commit without an answer is made now, if its conditions hold.
-    LateCommit,
-    /// Loans that are not recorded are given up.
+    /// The next commit, with this outcome.
+    Commit(CommitOutcome),
+    /// All records that must be read are read.
+    ReadRecords,
+    /// A delayed commit is applied, if its conditions still hold.
+    ApplyDelayedCommit,
+    /// All loans that are not recorded are abandoned.
     Abandon,
-    /// So many stopped tasks of a job start again.
+    /// Stopped tasks start again: number of the job and number of tasks.
     Restart(u32, u32),
-    /// What the borrowers need.
+    /// Every borrower needs this many accelerators.
     Need(u32),
+    /// Another leader takes over.
     Failover,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Outcome {
-    Done,
+enum CommitOutcome {
+    Applied,
     Refused,
-    MadeWithoutAnswer,
-    Lost,
+    AppliedWithoutAnswer,
+    Delayed,
 }
 
-/// The reference only says what happens: what becomes of it depends on the loans.
+/// Reference without state: every step is possible at any time, and its effect depends on the loans.
 #[derive(Debug, Clone, Default)]
-struct Steps;
+struct AnySequence;
 
-impl ReferenceStateMachine for Steps {
-    type State = Steps;
+impl ReferenceStateMachine for AnySequence {
+    type State = AnySequence;
     type Transition = Transition;
 
-    fn init_state() -> BoxedStrategy<Steps> {
-        Just(Steps).boxed()
+    fn init_state() -> BoxedStrategy<AnySequence> {
+        Just(AnySequence).boxed()
     }
 
-    fn transitions(_: &Steps) -> BoxedStrategy<Transition> {
+    fn transitions(_: &AnySequence) -> BoxedStrategy<Transition> {
         let outcome = prop_oneof![
-            4 => Just(Outcome::Done), 1 => Just(Outcome::Refused),
-            1 => Just(Outcome::MadeWithoutAnswer), 1 => Just(Outcome::Lost)
+            4 => Just(CommitOutcome::Applied), 1 => Just(CommitOutcome::Refused),
+            1 => Just(CommitOutcome::AppliedWithoutAnswer), 1 => Just(CommitOutcome::Delayed)
         ];
         prop_oneof![
             2 => (100u64..8000).prop_map(Transition::Wait),
-            3 => (0..JOBS, 0..BORROWERS.len(), 1..4u32, any::<bool>())
+            3 => (0..JOB_COUNT, 0..BORROWERS.len(), 1..4u32, any::<bool>())
                 .prop_map(|(job, borrower, tasks, owed)| Transition::Propose(job, borrower, tasks, owed)),
             5 => outcome.prop_map(Transition::Commit),
-            2 => Just(Transition::Reread),
-            1 => Just(Transition::LateCommit),
+            2 => Just(Transition::ReadRecords),
+            1 => Just(Transition::ApplyDelayedCommit),
             1 => Just(Transition::Abandon),
-            2 => (0..JOBS, 1..4u32).prop_map(|(job, tasks)| Transition::Restart(job, tasks)),
+            2 => (0..JOB_COUNT, 1..4u32).prop_map(|(job, tasks)| Transition::Restart(job, tasks)),
             2 => (0u32..10).prop_map(Transition::Need),
             1 => Just(Transition::Failover),
         ]
         .boxed()
     }
 
-    fn apply(state: Steps, _: &Transition) -> Steps {
+    fn apply(state: AnySequence, _: &Transition) -> AnySequence {
         state
     }
 }
 
-/// A partition's loans with a store and the jobs' tasks.
+/// The loans of a partition, a store for their records, and the stopped tasks of the jobs.
 struct Harness {
     loans: Loans,
     store: BTreeMap<String, (JobLoans, u64)>,
     revision: u64,
-    late: Vec<Vec<RecordWrite>>,
-    /// Tasks of each job that were stopped and do not run again.
+    /// Commits without an answer that may still be applied.
+    late_commits: Vec<Vec<RecordWrite>>,
+    /// Number of tasks of each job that were stopped and do not run again.
     stopped: BTreeMap<String, u32>,
-    /// What is to be stopped once it is recorded.
-    waiting: BTreeMap<LoanId, (String, u32)>,
+    /// Lending job and number of tasks to stop once the loan is recorded, by loan.
+    unrecorded_stops: BTreeMap<LoanId, (String, u32)>,
     need: u32,
     now_ms: u64,
     next_id: LoanId,
@@ -110,7 +115,7 @@
         writes.iter().all(|write| self.store.get(&write.key).map_or(0, |stored| stored.1) == write.version)
     }
 
-    fn make(&mut self, writes: Vec<RecordWrite>) {
+    fn apply_writes(&mut self, writes: Vec<RecordWrite>) {
         self.revision += 1;
         for write in writes {
             match write.value {
@@ -120,39 +125,40 @@
         }
     }
 
-    fn commit(&mut self, outcome: Outcome) {
+    fn commit(&mut self, outcome: CommitOutcome) {
         let writes = self.loans.next_writes(2, self.moment().wall_ms);
         if writes.is_empty() {
             return;
         }
-        let holds = self.conditions_hold(&writes);
+        let conditions_hold = self.conditions_hold(&writes);
         match outcome {
-            Outcome::Done if holds => {
-                self.make(writes);
+            CommitOutcome::Applied if conditions_hold => {
+                self.apply_writes(writes);
                 let events = self.loans.written(self.revision);
-                events.into_iter().for_each(|LoanEvent::Recorded(id)| self.recorded(id));
+                events.into_iter().for_each(|LoanEvent::Recorded(id)| self.stop_recorded_tasks(id));
             }
-            // A condition did not hold: the records are read again.
-            Outcome::Done => self.loans.indeterminate(),
-            Outcome::Refused => self.loans.not_written(),
-            Outcome::MadeWithoutAnswer => {
-                if holds {
-                    self.make(writes);
+            // A condition did not hold, so the records must be read.
+            CommitOutcome::Applied => self.loans.indeterminate(),
+            CommitOutcome::Refused => self.loans.not_written(),
+            CommitOutcome::AppliedWithoutAnswer => {
+                if conditions_hold {
+                    self.apply_writes(writes);
                 }
                 self.loans.indeterminate();
             }
-            Outcome::Lost => {
-                self.late.push(writes);
+            CommitOutcome::Delayed => {
+                self.late_commits.push(writes);
                 self.loans.indeterminate();
             }
         }
     }
 
-    fn recorded(&mut self, id: LoanId) {
-        let (job, tasks) = self.waiting.remove(&id).expect("a loan is recorded once, and not after it was given up");
+    fn stop_recorded_tasks(&mut self, id: LoanId) {
+        let (job, tasks) =
+            self.unrecorded_stops.remove(&id).expect("a loan is recorded at most once, and not after it was abandoned");
         let (record, _) = &self.store[&format!("loan/{job}")];
-        let told: u32 = record.loans.iter().filter(|loan| loan.id <= id).map(|loan| loan.tasks).sum();
-        assert!(told >= tasks, "nothing is stopped before its record");
+        let recorded_tasks: u32 = record.loans.iter().filter(|loan| loan.id <= id).map(|loan| loan.tasks).sum();
+        assert!(recorded_tasks >= tasks, "tasks are stopped only after their record is written");
         *self.stopped.entry(job).or_default() += tasks;
     }
 
@@ -168,7 +174,7 @@
 
     fn check(&self) {
         let sum = |sums: BTreeMap<String, Amounts>| sums.values().map(|amounts| amounts.gpus).sum::<f64>();
-        assert_eq!(sum(self.loans.lent()), sum(self.loans.borrowed()), "what is lent is what is borrowed");
+        assert_eq!(sum(self.loans.lent()), sum(self.loans.borrowed()), "the amounts lent equal the amounts borrowed");
         let mut lent: BTreeMap<&str, u32> = BTreeMap::new();
         for (job, _, loan) in self.loans.loans() {
             if matches!(loan.state, LoanState::Open | LoanState::Returning) {
@@ -176,19 +182,20 @@
             }
         }
         for (job, tasks) in lent {
-            assert!(tasks <= self.stopped.get(job).copied().unwrap_or(0), "{job} lends what it did not stop");
+            assert!(tasks <= self.stopped.get(job).copied().unwrap_or(0), "{job} lends more tasks than were stopped");
         }
     }
 
-    /// The leader proposes to stop some tasks of a job for another team.
+    /// Proposes to stop up to `tasks` tasks of a job for a borrower, as far as the job has such tasks.
     fn propose(&mut self, job: u32, borrower: usize, tasks: u32, owed: bool) {
         let job = format!("run-{job}");
-        let busy: u32 = self.waiting.values().filter(|waiting| waiting.0 == job).map(|waiting| waiting.1).sum();
+        let unrecorded_tasks: u32 =
+            self.unrecorded_stops.values().filter(|stop| stop.0 == job).map(|stop| stop.1).sum();
         let stopped = self.stopped.get(&job).copied().unwrap_or(0);
-        let tasks = tasks.min(TASKS.saturating_sub(busy + stopped));
+        let tasks = tasks.min(TASKS_PER_JOB.saturating_sub(unrecorded_tasks + stopped));
         if tasks > 0 {
             self.next_id += 1;
-            self.waiting.insert(self.next_id, (job.clone(), tasks));
+            self.unrecorded_stops.insert(self.next_id, (job.clone(), tasks));
             let proposal = Proposal {
                 id: self.next_id,
                 lending_job: job,
@@ -205,11 +212,11 @@
         }
     }
 
-    /// Another leader takes over with what is recorded.
+    /// Replaces the leader by one that restores the loans from the stored records.
     fn fail_over(&mut self) {
-        // Commits of the last leader guard on the partition's key as well.
-        self.late.clear();
-        self.waiting.clear();
+        // Commits are also conditional on the partition's key, so those of the previous leader fail.
+        self.late_commits.clear();
+        self.unrecorded_stops.clear();
         let records = self
             .store
             .iter()
@@ -220,45 +227,45 @@
         self.follow();
     }
 
-    /// All demand ends, and the state service answers: everything is returned and forgotten.
-    fn settle_all(&mut self) {
+    /// Ends all demand, with a state service that answers, and checks that all loans are returned and removed.
+    fn return_all_loans(&mut self) {
         self.need = 0;
         for _ in 0..40 {
-            self.now_ms += LONG_MS / 40;
-            let given_up = self.loans.unrecorded_before(self.moment().wall_ms);
-            given_up.into_iter().for_each(|id| self.loans.abandon(id));
+            self.now_ms += RETURN_ALL_MS / 40;
+            let abandoned = self.loans.unrecorded_before(self.moment().wall_ms);
+            abandoned.into_iter().for_each(|id| self.loans.abandon(id));
             for key in self.loans.keys_to_read() {
                 self.loans.reread(&key, self.store.get(&key).map_or(0, |stored| stored.1));
             }
             self.stopped.clear();
             self.follow();
-            self.commit(Outcome::Done);
-            self.commit(Outcome::Done);
+            self.commit(CommitOutcome::Applied);
+            self.commit(CommitOutcome::Applied);
         }
-        assert!(self.loans.lent().is_empty(), "all is returned: {:?}", self.loans.loans().collect::<Vec<_>>());
-        assert!(self.loans.loans().next().is_none(), "all is forgotten");
+        assert!(self.loans.lent().is_empty(), "all loans are returned: {:?}", self.loans.loans().collect::<Vec<_>>());
+        assert!(self.loans.loans().next().is_none(), "all loans are removed");
     }
 }
 
 impl StateMachineTest for Harness {
     type SystemUnderTest = Harness;
-    type Reference = Steps;
+    type Reference = AnySequence;
 
-    fn init_test(_: &Steps) -> Harness {
+    fn init_test(_: &AnySequence) -> Harness {
         Harness {
             loans: Loans::new(settings()),
             store: BTreeMap::new(),
             revision: 1,
-            late: Vec::new(),
+            late_commits: Vec::new(),
             stopped: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            unrecorded_stops: BTreeMap::new(),
             need: 0,
             now_ms: 0,
             next_id: 0,
         }
     }
 
-    fn apply(mut harness: Harness, _: &Steps, transition: Transition) -> Harness {
+    fn apply(mut harness: Harness, _: &AnySequence, transition: Transition) -> Harness {
         match transition {
             Transition::Wait(ms) => {
                 harness.now_ms += ms;
@@ -266,22 +273,22 @@
             }
             Transition::Propose(job, borrower, tasks, owed) => harness.propose(job, borrower, tasks, owed),
             Transition::Commit(outcome) => harness.commit(outcome),
-            Transition::Reread => {
+            Transition::ReadRecords => {
                 for key in harness.loans.keys_to_read() {
                     harness.loans.reread(&key, harness.store.get(&key).map_or(0, |stored| stored.1));
                 }
             }
-            Transition::LateCommit => {
-                if let Some(writes) = harness.late.pop()
+            Transition::ApplyDelayedCommit => {
+                if let Some(writes) = harness.late_commits.pop()
                     && harness.conditions_hold(&writes)
                 {
-                    harness.make(writes);
+                    harness.apply_writes(writes);
                 }
             }
             Transition::Abandon => {
                 for id in harness.loans.unrecorded_before(harness.moment().wall_ms + 1) {
                     harness.loans.abandon(id);
-                    harness.waiting.remove(&id);
+                    harness.unrecorded_stops.remove(&id);
                 }
             }
             Transition::Restart(job, tasks) => {
@@ -296,13 +303,13 @@
         harness
     }
 
-    fn teardown(mut harness: Harness, _: Steps) {
-        harness.settle_all();
+    fn teardown(mut harness: Harness, _: AnySequence) {
+        harness.return_all_loans();
     }
 }
 
 prop_state_machine! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn sums_are_conserved_records_come_first_and_all_is_returned(sequential 1..40 => Harness);
+    fn amounts_balance_records_precede_stops_and_all_loans_are_returned(sequential 1..40 => Harness);
 }
