--- a/crates/fleet-config/src/acceptor.rs
+++ b/crates/fleet-config/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor of one region: what it has promised and accepted for the next version.
+//! The acceptor of one region: its promise and its accepted batch for the next version.
 
 use crate::ballot::Ballot;
 use crate::change::Batch;
@@ -7,68 +7,71 @@
 /// A batch that an acceptor has accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Under which ballot.
+    /// Ballot under which the batch was accepted.
     pub ballot: Ballot,
-    /// The batch.
+    /// Accepted batch.
     pub batch: Batch,
 }
 
-/// The acceptor's record. Every change of it must be stored before its answer is told.
+/// State of an acceptor. Every change must be stored before the answer is sent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Acceptor {
-    /// The last version that the region has applied.
+    /// Last version that the region has applied.
     pub applied: u64,
-    /// The region votes on no version before this one: it may have forgotten what it voted.
+    /// First version on which the region votes. It may have lost its votes on earlier ones.
     pub votes_from: u64,
-    /// The largest ballot for the next version that was promised.
+    /// Largest ballot promised for the next version; `None` without a promise.
     pub promised: Option<Ballot>,
-    /// What was last accepted for the next version.
+    /// Batch last accepted for the next version; `None` if none was.
     pub accepted: Option<Accepted>,
 }
 
-/// Why an acceptor takes no part.
+/// Reason for which an acceptor rejects a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// The version is decided and applied here already.
+    /// The region has already applied the version.
     Decided,
-    /// Versions before it are missing here.
+    /// The region lacks versions before the requested one.
     Behind,
-    /// It has promised a larger ballot.
+    /// The acceptor has promised this larger ballot.
     Outbid(Ballot),
-    /// It may have forgotten a vote on this version.
+    /// The region may have lost a vote on this version.
     NotVoting,
 }
 
 impl Acceptor {
-    /// Promises to accept nothing under smaller ballots. The new record, and what was accepted.
+    /// Promises to accept no batch under a smaller ballot. Returns the new state and the batch accepted
+    /// before, if any.
     ///
     /// # Errors
     ///
-    /// Rejected after a promise of a larger ballot, or if a vote on this version may have been forgotten.
+    /// Returns a [`Rejection`] if the version is not the next one, a vote on it may have been lost, or a
+    /// larger ballot was promised.
     pub fn prepare(&self, version: u64, ballot: &Ballot) -> Result<(Acceptor, Option<Accepted>), Rejection> {
-        self.may_vote(version, ballot)?;
+        self.check_may_vote(version, ballot)?;
         let promised = Acceptor { promised: Some(ballot.clone()), ..self.clone() };
         Ok((promised, self.accepted.clone()))
     }
 
-    /// Accepts a batch. The new record.
+    /// Accepts a batch and returns the new state.
     ///
     /// # Errors
     ///
-    /// As for [`Acceptor::prepare`].
+    /// Returns a [`Rejection`] in the same cases as [`Acceptor::prepare`].
     pub fn accept(&self, version: u64, ballot: &Ballot, batch: &Batch) -> Result<Acceptor, Rejection> {
-        self.may_vote(version, ballot)?;
+        self.check_may_vote(version, ballot)?;
         let accepted = Accepted { ballot: ballot.clone(), batch: batch.clone() };
         Ok(Acceptor { promised: Some(ballot.clone()), accepted: Some(accepted), ..self.clone() })
     }
 
-    /// The record after the next version was applied.
+    /// Returns the state after the next version is applied.
     #[must_use]
     pub fn advanced(&self) -> Acceptor {
         Acceptor { applied: self.applied + 1, votes_from: self.votes_from, promised: None, accepted: None }
     }
 
-    fn may_vote(&self, version: u64, ballot: &Ballot) -> Result<(), Rejection> {
+    /// Checks that the acceptor may vote on `version` under `ballot`.
+    fn check_may_vote(&self, version: u64, ballot: &Ballot) -> Result<(), Rejection> {
         if version <= self.applied {
             return Err(Rejection::Decided);
         }
--- a/crates/fleet-config/src/allowance.rs
+++ b/crates/fleet-config/src/allowance.rs
@@ -1,54 +1,55 @@
-//! What each region may let a team use, while limits and their division change.
+//! The part of a team's limit that each region may use, also while the limit or its division changes.
 
 use crate::document::{Amount, Amounts, RegionName, TeamDocument};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The last version that each region has confirmed to apply.
+/// Last version that each region has confirmed to apply.
 pub type Confirmations = BTreeMap<RegionName, u64>;
 
-/// What a region may let a team use.
+/// Amounts that a region may let a team use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Allowance {
-    /// The limit that the region has applied.
+    /// Largest amounts in use at a time.
     pub limit: Amounts,
-    /// False while a part of its share is still counted with a region that has not confirmed.
+    /// Whether the region has its whole share. `false` while a part of it is still reserved for a region
+    /// that has not confirmed the change.
     pub complete: bool,
 }
 
-/// What a region had of a team's limit when the team's document last changed.
+/// Allocation of a region when the team's document last changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreviousAllocation {
-    /// What it might let the team use until it has applied the change.
+    /// Amounts that the region may let the team use until it has applied the change.
     #[serde(rename = "before")]
     pub until_confirmed: Amounts,
-    /// The part of its new share that it had already.
+    /// Part of its new share that the region already had.
     #[serde(rename = "kept")]
     pub retained: Amounts,
 }
 
-/// What the regions had of a team's limit when its document last changed.
+/// Allocations of all regions when the team's document last changed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamAllowance {
-    /// The version of that change.
+    /// Version of the change.
     pub changed_at: u64,
-    /// By region.
+    /// Allocations by region.
     #[serde(rename = "held")]
     pub previous: BTreeMap<RegionName, PreviousAllocation>,
 }
 
-/// What a region has of a team's limit now.
+/// Present allocation of a region.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct RegionAllocation {
-    /// What it is counted with: at least what it may let the team use in any version that it
-    /// may still apply.
+    /// Amounts set aside for the region: at least those that it may let the team use in any version
+    /// that its leader may still apply.
     reserved: Amounts,
-    /// What it may let the team use once it has applied the last change.
+    /// Amounts that the region may let the team use once it has applied the last change.
     usable: Amounts,
 }
 
 impl TeamAllowance {
-    /// Version 0, in which all regions have their shares.
+    /// Creates the allowance of version 0, in which all regions have their shares.
     pub fn initial(team: &TeamDocument) -> TeamAllowance {
         let previous = |region: &RegionName| {
             let share = share_limit(team, region);
@@ -57,9 +58,9 @@
         TeamAllowance { changed_at: 0, previous: team.shares.keys().map(previous).collect() }
     }
 
-    /// What the regions have as the document changes from `team` to `next` in a version.
+    /// Returns the allowance after the document changes from `team` to `next` in `version`.
     #[must_use]
-    pub fn changed(
+    pub fn after_change(
         &self,
         team: &TeamDocument,
         next: &TeamDocument,
@@ -74,10 +75,10 @@
         TeamAllowance { changed_at: version, previous: allocations.iter().map(previous).collect() }
     }
 
-    /// A region is counted with what it had before until it has confirmed the change. What that
-    /// leaves of the limit is given to regions that lack a part of their shares, in the order of
-    /// their names, and counted on top until they have confirmed. As confirmations only become
-    /// later, what a region was given stays.
+    /// Computes the allocations of all regions. Until a region has confirmed the change, its earlier
+    /// allocation stays reserved. The rest of the limit is granted to regions that lack a part of their
+    /// shares, in the order of their names. A grant to a region that has not confirmed is reserved in
+    /// addition. Confirmed versions only increase, so a grant is never taken back.
     fn allocations(
         &self,
         team: &TeamDocument,
@@ -94,31 +95,31 @@
         let mut free = team.limit.zip(sum, Amount::less);
         for (region, allocation) in &mut allocations {
             let missing = share_limit(team, region).zip(allocation.usable, Amount::less);
-            let given = missing.zip(free, Amount::min);
-            allocation.reserved = allocation.reserved.zip(given, Amount::plus);
-            allocation.usable = allocation.usable.zip(given, Amount::plus);
-            free = free.zip(given, Amount::less);
+            let granted = missing.zip(free, Amount::min);
+            allocation.reserved = allocation.reserved.zip(granted, Amount::plus);
+            allocation.usable = allocation.usable.zip(granted, Amount::plus);
+            free = free.zip(granted, Amount::less);
         }
         allocations
     }
 
-    /// What a region may let the team use.
-    pub fn of(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> Allowance {
+    /// Returns the amounts that a region may let the team use; 0 for a region without an allocation.
+    pub fn for_region(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> Allowance {
         let allocation = self.allocations(team, confirmations).get(region).copied().unwrap_or_default();
         let complete = share_limit(team, region).within(&allocation.usable);
         Allowance { limit: allocation.usable, complete }
     }
 
-    /// Is the region counted with more than it may use, until it confirms the change?
-    pub fn waits_for(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> bool {
+    /// Returns whether more is reserved for the region than it may use, until it confirms the change.
+    pub fn has_excess_reservation(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> bool {
         let allocation = self.allocations(team, confirmations).get(region).copied().unwrap_or_default();
         allocation.reserved != allocation.usable
     }
 }
 
-/// A region's part of the limit. Where the fleet has no limit the region has none.
+/// Returns a region's share of the limit; unlimited for a resource that the fleet does not limit.
 fn share_limit(team: &TeamDocument, region: &str) -> Amounts {
     let share = team.shares.get(region).map(|share| share.limit).unwrap_or_default();
-    let of = |fleet: Amount, share: Amount| if fleet == Amount::UNLIMITED { fleet } else { share };
-    team.limit.zip(share, of)
+    let limit_or_share = |fleet: Amount, share: Amount| if fleet == Amount::UNLIMITED { fleet } else { share };
+    team.limit.zip(share, limit_or_share)
 }
--- a/crates/fleet-config/src/ballot.rs
+++ b/crates/fleet-config/src/ballot.rs
@@ -1,27 +1,28 @@
-//! Ballots: attempts to reach agreement on one version.
+//! Ballots, which number the attempts to reach agreement on one version.
 
 use serde::{Deserialize, Serialize};
 
-/// Who proposes; a controller that begins anew is another proposer.
+/// Identity of a proposer. A restarted controller is another proposer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposerId {
-    /// The controller, by its region and name.
+    /// Region and name of the controller.
     pub node: String,
-    /// A random number of its process.
+    /// Random number of the controller's process.
     pub incarnation: u64,
 }
 
-/// An attempt to reach agreement; a later one has a larger ballot. No two attempts share one.
+/// Ballot of an attempt to reach agreement. No two attempts have the same ballot, and a later attempt uses a
+/// larger one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts up with each attempt.
+    /// Number of the round, which increases with each attempt.
     pub round: u64,
-    /// Who makes the attempt.
+    /// Proposer that makes the attempt.
     pub proposer: ProposerId,
 }
 
 impl Ballot {
-    /// A ballot of a proposer that is larger than another one.
+    /// Returns a ballot of `proposer` that is larger than `other`.
     pub fn after(other: &Ballot, proposer: ProposerId) -> Ballot {
         Ballot { round: other.round + 1, proposer }
     }
--- a/crates/fleet-config/src/change.rs
+++ b/crates/fleet-config/src/change.rs
@@ -1,61 +1,62 @@
-//! Changes of the configuration, and what the regions agree on.
+//! Changes of the configuration, and the batches that the regions agree on.
 
 use crate::document::{Document, DocumentName, RegionName};
 use serde::{Deserialize, Serialize};
 
-/// Names a change, so that its outcome can be asked for again; chosen by whoever makes it.
+/// Identifier of a change, under which its outcome can be queried. The author of the change chooses it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub String);
 
-/// The version of a document that a change was made from; 0 if there was none.
+/// Version of a document that a change was based on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadVersion {
-    /// The document.
+    /// Name of the document.
     pub document: DocumentName,
-    /// The version in which it was last changed.
+    /// Version in which the document was last changed; 0 if it did not exist or had never changed.
     pub version: u64,
 }
 
-/// A change of one or more documents, which is taken whole or not at all. It is taken only if
-/// every document that it read is still in that version, and it must have read all that it
-/// writes: so it is never taken twice.
+/// A change of one or more documents, which is applied as a whole or not at all. It is applied only if
+/// every document that it read still has the version that was read. As it must have read every document
+/// that it writes, it is never applied twice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its name.
+    /// Identifier of the change.
     pub id: ChangeId,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// When, in milliseconds of the time of day.
+    /// Time of day of the change, in milliseconds.
     pub at_ms: u64,
-    /// What it was made from.
+    /// Versions of the documents that the change was based on.
     pub reads: Vec<ReadVersion>,
-    /// The new documents.
+    /// New documents.
     pub writes: Vec<Document>,
 }
 
-/// A region tells that its leader, and any successor, has applied the configuration from this version on.
+/// Statement of a region that its leader, and any successor, applies the configuration of this version or a
+/// later one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// The version.
+    /// Confirmed version.
     pub version: u64,
 }
 
-/// A part of a batch.
+/// Entry of a batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// A change of documents.
     Change(Change),
-    /// A confirmation.
+    /// A confirmation of a region.
     Confirmation(Confirmation),
 }
 
-/// What one version consists of.
+/// The entries of one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Its parts, in order.
+    /// Entries, in the order in which they are applied.
     pub entries: Vec<Entry>,
 }
--- a/crates/fleet-config/src/document.rs
+++ b/crates/fleet-config/src/document.rs
@@ -1,4 +1,4 @@
-//! The documents: one for each team, and one for the operators' figures.
+//! The documents: one for each team, and one for the operators' settings.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,109 +7,109 @@
 /// Name of a region.
 pub type RegionName = String;
 
-/// An amount in thousandths, so that sums are exact.
+/// An amount in thousandths of a unit, so that sums are exact.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Amount(pub u64);
 
 impl Amount {
-    /// More than any machine, team or fleet has.
+    /// Value for an amount without limit; larger than any machine, team or fleet has.
     pub const UNLIMITED: Amount = Amount(1 << 50);
 
-    /// The sum; what is unlimited stays so.
+    /// Returns the sum; unlimited if either amount is.
     #[must_use]
     pub fn plus(self, other: Amount) -> Amount {
         Amount(self.0.saturating_add(other.0)).min(Amount::UNLIMITED)
     }
 
-    /// The difference, or nothing if `other` is larger.
+    /// Returns the difference, or 0 if `other` is larger. An unlimited amount stays unlimited.
     #[must_use]
     pub fn less(self, other: Amount) -> Amount {
         if self == Amount::UNLIMITED { self } else { Amount(self.0.saturating_sub(other.0)) }
     }
 }
 
-/// Amounts of both resources that limits and guarantees are about.
+/// Amounts of the two resources that limits and guarantees cover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amounts {
-    /// CPU cores.
+    /// Number of CPU cores.
     pub cpus: Amount,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: Amount,
 }
 
 impl Amounts {
-    /// No limit on either resource.
+    /// Amounts without a limit on either resource.
     pub const UNLIMITED: Amounts = Amounts { cpus: Amount::UNLIMITED, gpus: Amount::UNLIMITED };
 
-    /// Combines two amounts, resource by resource.
+    /// Combines these amounts with `other`, resource by resource.
     #[must_use]
     pub fn zip(self, other: Amounts, combine: fn(Amount, Amount) -> Amount) -> Amounts {
         Amounts { cpus: combine(self.cpus, other.cpus), gpus: combine(self.gpus, other.gpus) }
     }
 
-    /// Are both amounts at most those of `other`?
+    /// Returns whether both amounts are at most those of `other`.
     pub fn within(&self, other: &Amounts) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 
-    /// The sum of several amounts.
+    /// Returns the sum of all `amounts`.
     pub fn sum(amounts: impl IntoIterator<Item = Amounts>) -> Amounts {
         amounts.into_iter().fold(Amounts::default(), |sum, next| sum.zip(next, Amount::plus))
     }
 }
 
-/// A region's part of a team's guarantee and limit.
+/// Part of a team's guarantee and limit that belongs to one region.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// What the region guarantees the team.
+    /// Amounts that the region guarantees the team.
     pub guarantee: Amounts,
-    /// What the region lets the team use at most.
+    /// Largest amounts that the region lets the team use at a time.
     pub limit: Amounts,
 }
 
-/// What a team is guaranteed and may use over the whole fleet, and how regions divide that.
+/// Guarantee and limit of a team over the whole fleet, and their division among the regions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamDocument {
     /// Name of the team.
     pub name: String,
-    /// The team takes no new jobs any more.
+    /// Whether the team is removed: it accepts no new jobs.
     pub removed: bool,
-    /// Guaranteed amounts over the whole fleet.
+    /// Amounts guaranteed over the whole fleet.
     pub guarantee: Amounts,
     /// Largest amounts in use at a time over the whole fleet.
     pub limit: Amounts,
-    /// The regions' parts; a region that is not named has none.
+    /// Shares by region; a region that is not listed has none.
     pub shares: BTreeMap<RegionName, Share>,
 }
 
-/// The operators' figures; see the settings of the same names.
+/// Values that operators set for the whole fleet; see the settings of the same names.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OperatorDocument {
     /// Width of a bin of soft deadlines, in seconds.
     pub bin_width_s: f64,
-    /// Soft deadline of a job that has neither `due_s` nor an objective.
+    /// Soft deadline, in seconds, of a job that has neither `due_s` nor an objective.
     pub default_deadline_s: f64,
-    /// Idle machines are kept for this many of their boot times.
+    /// Time for which an idle machine is kept, as a multiple of its boot time.
     pub idle_keep: f64,
-    /// Scales the spare room kept for arrivals during a boot.
+    /// Factor of the spare capacity that is kept for jobs arriving while a machine boots.
     pub headroom: f64,
 }
 
-/// A document.
+/// A document of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Document {
-    /// A team's.
+    /// Document of a team.
     Team(TeamDocument),
-    /// The operators' figures.
+    /// Document of the operators' settings.
     Operator(OperatorDocument),
 }
 
-/// What a document is known by.
+/// Name of a document.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DocumentName {
-    /// The document of the team of that name.
+    /// The document of the team with this name.
     Team(String),
-    /// The operators' figures.
+    /// The document of the operators' settings.
     Operator,
 }
 
@@ -122,17 +122,17 @@
     }
 }
 
-/// Why a document is not sound.
+/// An invalid field of a document, with the reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentError {
-    /// The field at fault.
+    /// Name of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// Reason for which the value is not valid.
     pub reason: String,
 }
 
 impl Document {
-    /// What the document is known by.
+    /// Returns the name of the document.
     pub fn name(&self) -> DocumentName {
         match self {
             Document::Team(team) => DocumentName::Team(team.name.clone()),
@@ -140,44 +140,45 @@
         }
     }
 
-    /// Checks what the types cannot say.
+    /// Checks the constraints that the types do not express.
     ///
     /// # Errors
     ///
-    /// The first field that is not valid, with the reason.
+    /// Returns the first field that is not valid, with the reason.
     pub fn check(&self, regions: &[RegionName]) -> Result<(), DocumentError> {
         match self {
             Document::Team(team) => team.check(regions),
-            Document::Operator(figures) => figures.check(),
+            Document::Operator(operator) => operator.check(),
         }
     }
 }
 
-fn error(field: &str, reason: impl Into<String>) -> Result<(), DocumentError> {
+/// Returns the error for an invalid field.
+fn invalid_field(field: &str, reason: impl Into<String>) -> Result<(), DocumentError> {
     Err(DocumentError { field: field.into(), reason: reason.into() })
 }
 
 impl TeamDocument {
     fn check(&self, regions: &[RegionName]) -> Result<(), DocumentError> {
         if self.name.is_empty() {
-            return error("name", "must not be empty");
+            return invalid_field("name", "must not be empty");
         }
         if let Some(unknown) = self.shares.keys().find(|region| !regions.contains(region)) {
-            return error("shares", format!("no region {unknown}"));
+            return invalid_field("shares", format!("no region {unknown}"));
         }
         if !self.guarantee.within(&self.limit) {
-            return error("guarantee", "above the limit");
+            return invalid_field("guarantee", "above the limit");
         }
         let limits = Amounts::sum(self.shares.values().map(|share| share.limit));
         if !limits.within(&self.limit) {
-            return error("shares", "the regions' limits add up to more than the team's");
+            return invalid_field("shares", "the regions' limits add up to more than the team's");
         }
         let guarantees = Amounts::sum(self.shares.values().map(|share| share.guarantee));
         if !guarantees.within(&self.guarantee) {
-            return error("shares", "the regions' guarantees add up to more than the team's");
+            return invalid_field("shares", "the regions' guarantees add up to more than the team's");
         }
         match self.shares.iter().find(|(_, share)| !share.guarantee.within(&share.limit)) {
-            Some((region, _)) => error("shares", format!("the guarantee of {region} is above its limit")),
+            Some((region, _)) => invalid_field("shares", format!("the guarantee of {region} is above its limit")),
             None => Ok(()),
         }
     }
@@ -188,12 +189,12 @@
         let above_zero = [("bin_width_s", self.bin_width_s), ("default_deadline_s", self.default_deadline_s)];
         for (field, value) in above_zero {
             if !value.is_finite() || value <= 0.0 {
-                return error(field, "must be above 0");
+                return invalid_field(field, "must be above 0");
             }
         }
         for (field, value) in [("idle_keep", self.idle_keep), ("headroom", self.headroom)] {
             if !value.is_finite() || value < 0.0 {
-                return error(field, "must be 0 or more");
+                return invalid_field(field, "must be 0 or more");
             }
         }
         Ok(())
--- a/crates/fleet-config/src/lib.rs
+++ b/crates/fleet-config/src/lib.rs
@@ -1,14 +1,15 @@
 //! Configuration of a fleet of several regions: a versioned set of documents that the regions
-//! agree on, and what each region may let a team use. Pure: no I/O, no clock.
+//! agree on, and the amounts that each region may let a team use. The crate does no I/O and reads no
+//! clock.
 //!
 //! The documents change in numbered versions. Each version is one [`Batch`], and the regions
-//! agree on it by single-decree Paxos with one acceptor a region ([`Acceptor`], [`Proposer`]),
-//! whose record is in that region's state service. A region takes part in the agreement on one
-//! version at a time: the one after the last that it has applied.
+//! agree on it by single-decree Paxos with one acceptor per region ([`Acceptor`], [`Proposer`]),
+//! whose state is stored in that region's state service. A region takes part in the agreement on one
+//! version at a time: the one after the last version that it has applied.
 //!
-//! A team's limit is divided among the regions. [`ConfigState::allowance`] tells what a region may
-//! let a team use: a region that gives a part of a limit away is counted with what it had until it
-//! has confirmed that its leader, and any successor, has applied the change.
+//! A team's limit is divided among the regions. [`ConfigState::allowance`] returns the amounts that a
+//! region may let a team use. If a region's share shrinks, its earlier share stays reserved until the
+//! region has confirmed that its leader, and any successor, applies the change.
 #![warn(missing_docs)]
 
 mod acceptor;
--- a/crates/fleet-config/src/proposer.rs
+++ b/crates/fleet-config/src/proposer.rs
@@ -12,7 +12,7 @@
     version: u64,
     ballot: Ballot,
     majority: usize,
-    own: Batch,
+    own_batch: Batch,
     phase: Phase,
 }
 
@@ -22,36 +22,37 @@
     Accepting { batch: Batch, accepted: BTreeSet<RegionName> },
 }
 
-/// What an answer led to.
+/// Next step after an answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// More answers are needed.
     Wait,
-    /// All regions are to be asked to accept this batch.
+    /// All regions must be asked to accept this batch.
     Accept(Batch),
-    /// The batch is agreed on.
+    /// The regions have agreed on this batch.
     Decided(Batch),
 }
 
 impl Proposer {
-    /// An attempt among so many regions.
-    pub fn new(version: u64, ballot: Ballot, own: Batch, regions: usize) -> Proposer {
+    /// Creates an attempt of `ballot` to agree on `own_batch` as `version`, among `regions` regions.
+    pub fn new(version: u64, ballot: Ballot, own_batch: Batch, regions: usize) -> Proposer {
         let phase = Phase::Preparing { promises: BTreeMap::new() };
-        Proposer { version, ballot, majority: regions / 2 + 1, own, phase }
+        Proposer { version, ballot, majority: regions / 2 + 1, own_batch, phase }
     }
 
-    /// The version that it is about.
+    /// Returns the version that the attempt is for.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The ballot of the attempt.
+    /// Returns the ballot of the attempt.
     pub fn ballot(&self) -> &Ballot {
         &self.ballot
     }
 
-    /// A region has promised; it tells what it had accepted. With a majority of promises the batch
-    /// of the largest ballot is taken up, as it may be agreed on already; else the own one.
+    /// Records the promise of a region, with the batch that it had accepted before. At a majority of
+    /// promises the batch with the largest ballot is proposed, as it may already be agreed on; if no
+    /// region had accepted one, the proposer's own batch is.
     pub fn promised(&mut self, region: RegionName, accepted: Option<Accepted>) -> Step {
         let Phase::Preparing { promises } = &mut self.phase else { return Step::Wait };
         promises.insert(region, accepted);
@@ -59,12 +60,12 @@
             return Step::Wait;
         }
         let latest = promises.values().flatten().max_by(|a, b| a.ballot.cmp(&b.ballot));
-        let batch = latest.map_or_else(|| self.own.clone(), |accepted| accepted.batch.clone());
+        let batch = latest.map_or_else(|| self.own_batch.clone(), |accepted| accepted.batch.clone());
         self.phase = Phase::Accepting { batch: batch.clone(), accepted: BTreeSet::new() };
         Step::Accept(batch)
     }
 
-    /// A region has accepted the batch under this ballot.
+    /// Records that a region has accepted the batch under this ballot.
     pub fn accepted(&mut self, region: RegionName) -> Step {
         let Phase::Accepting { batch, accepted } = &mut self.phase else { return Step::Wait };
         accepted.insert(region);
--- a/crates/fleet-config/src/region.rs
+++ b/crates/fleet-config/src/region.rs
@@ -1,4 +1,4 @@
-//! What a region stores, and how it answers the requests of proposers.
+//! The stored state of a region, and its answers to the requests of proposers.
 
 use crate::acceptor::{Accepted, Acceptor, Rejection};
 use crate::ballot::Ballot;
@@ -7,78 +7,78 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a region stores.
+/// Stored state of a region.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegionRecord {
-    /// Its part in the agreement.
+    /// State of the region's acceptor.
     pub acceptor: Acceptor,
-    /// The configuration that it has applied.
+    /// Configuration that the region has applied.
     pub state: Arc<ConfigState>,
 }
 
-/// A request to a region.
+/// Request of a proposer to a region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     /// Asks for a promise.
     Prepare {
-        /// The version that it is about.
+        /// Version to agree on.
         version: u64,
-        /// The ballot.
+        /// Ballot of the attempt.
         ballot: Ballot,
     },
     /// Asks to accept a batch.
     Accept {
-        /// The version that it is about.
+        /// Version to agree on.
         version: u64,
-        /// The ballot.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// The batch.
+        /// Batch to accept.
         batch: Batch,
     },
-    /// Tells a batch that is agreed on.
+    /// Announces a batch that was agreed on.
     Learn {
-        /// The version that it is about.
+        /// Version of the batch.
         version: u64,
-        /// The batch.
+        /// Batch to apply.
         batch: Batch,
     },
 }
 
-/// A region's answer.
+/// Answer of a region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The promise, with what was accepted.
+    /// The region promises, and returns the batch that it had accepted before.
     Promised(Option<Accepted>),
-    /// The batch is accepted.
+    /// The region has accepted the batch.
     Accepted,
-    /// The batch is applied, now or before.
+    /// The region has applied the batch, now or earlier.
     Learned,
-    /// It takes no part; this is the last version that it has applied.
+    /// The region rejects the request.
     Rejected {
-        /// Why.
+        /// Reason for the rejection.
         rejection: Rejection,
-        /// That version.
+        /// Last version that the region has applied.
         applied: u64,
     },
 }
 
 impl RegionRecord {
-    /// A region that has stored nothing yet.
+    /// Creates the state of a region that has stored nothing yet.
     pub fn new(state: ConfigState) -> RegionRecord {
         RegionRecord { acceptor: Acceptor::default(), state: Arc::new(state) }
     }
 
-    /// Answers a request. Where there is a new record the answer may be told only once that is
-    /// stored, guarded by the present one.
+    /// Answers a request. If a new record is returned, it must be stored before the answer is sent, by a
+    /// write that is conditional on the present record.
     pub fn handle(&self, request: &Request) -> (Option<RegionRecord>, Reply) {
         match request {
             Request::Prepare { version, ballot } => match self.acceptor.prepare(*version, ballot) {
-                Ok((acceptor, accepted)) => (Some(self.with(acceptor)), Reply::Promised(accepted)),
-                Err(rejection) => (None, self.rejected(rejection)),
+                Ok((acceptor, accepted)) => (Some(self.with_acceptor(acceptor)), Reply::Promised(accepted)),
+                Err(rejection) => (None, self.rejection_reply(rejection)),
             },
             Request::Accept { version, ballot, batch } => match self.acceptor.accept(*version, ballot, batch) {
-                Ok(acceptor) => (Some(self.with(acceptor)), Reply::Accepted),
-                Err(rejection) => (None, self.rejected(rejection)),
+                Ok(acceptor) => (Some(self.with_acceptor(acceptor)), Reply::Accepted),
+                Err(rejection) => (None, self.rejection_reply(rejection)),
             },
             Request::Learn { version, batch } => self.learn(*version, batch),
         }
@@ -89,32 +89,33 @@
             return (None, Reply::Learned);
         }
         if version > self.acceptor.applied + 1 {
-            return (None, self.rejected(Rejection::Behind));
+            return (None, self.rejection_reply(Rejection::Behind));
         }
         let mut state = ConfigState::clone(&self.state);
         state.apply(batch);
         (Some(RegionRecord { acceptor: self.acceptor.advanced(), state: Arc::new(state) }), Reply::Learned)
     }
 
-    fn with(&self, acceptor: Acceptor) -> RegionRecord {
+    fn with_acceptor(&self, acceptor: Acceptor) -> RegionRecord {
         RegionRecord { acceptor, state: self.state.clone() }
     }
 
-    fn rejected(&self, rejection: Rejection) -> Reply {
+    fn rejection_reply(&self, rejection: Rejection) -> Reply {
         Reply::Rejected { rejection, applied: self.acceptor.applied }
     }
 
-    /// May the region's leader start tasks? Not while a confirmation that the region has forgotten
-    /// may still be agreed on: it would apply an older version than it has confirmed.
+    /// Returns whether the region's leader may start tasks. It may not while the regions may still agree on
+    /// a confirmation that the region has lost: the leader would apply an older version than the
+    /// confirmed one.
     pub fn may_start_tasks(&self) -> bool {
         self.acceptor.applied + 1 >= self.acceptor.votes_from
     }
 
-    /// The record of a region that has lost what it stored: it takes over the state of another
-    /// one, and votes again only on versions on which it can't have voted before. `latest` is the
-    /// last version that any of a majority of the others has applied. It may have voted on the
-    /// version after the last that was agreed on, which one of that majority has at least
-    /// accepted; so the second one after `latest` is the last that it may have voted on.
+    /// Creates the record of a region that has lost its stored state. It takes over `state` from another
+    /// region and votes only on versions on which it cannot have voted before. `latest` is the last
+    /// version that any of a majority of the other regions has applied. The last version agreed on is at
+    /// most the one after `latest`, as one region of that majority has at least accepted it. The lost
+    /// votes are at most for the version after that one, which is the second after `latest`.
     pub fn rejoin(state: ConfigState, latest: u64) -> RegionRecord {
         let acceptor = Acceptor { applied: state.version, votes_from: latest + 3, promised: None, accepted: None };
         RegionRecord { acceptor, state: Arc::new(state) }
--- a/crates/fleet-config/src/state.rs
+++ b/crates/fleet-config/src/state.rs
@@ -1,4 +1,4 @@
-//! The documents in one version, and what applying a batch does to them.
+//! The configuration in one version, and the application of batches to it.
 
 use crate::allowance::{Allowance, Confirmations, TeamAllowance};
 use crate::change::{Batch, Change, ChangeId, Entry};
@@ -9,73 +9,73 @@
 /// A document with the version in which it was last changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionedDocument {
-    /// That version.
+    /// Version of the last change.
     pub version: u64,
-    /// The document.
+    /// Content of the document.
     pub document: Document,
-    /// What regions held of the limit; unused for the operators' figures.
+    /// Allocations of the regions at the last change; unused for the operators' settings.
     pub allowance: TeamAllowance,
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It was taken, in this version.
+    /// The change was applied.
     Taken {
-        /// The version.
+        /// Version in which it was applied.
         version: u64,
     },
-    /// A document that it read has changed since.
+    /// A document that the change read has another version now.
     Conflict {
-        /// The document.
+        /// Name of the document.
         document: DocumentName,
-        /// The version in which it is now.
+        /// Present version of the document.
         found: u64,
     },
-    /// It writes a document that it has not read.
+    /// The change writes this document without having read it.
     NotRead(DocumentName),
-    /// A document is not sound.
+    /// A document that the change writes is not valid.
     Invalid {
-        /// The document.
+        /// Name of the document.
         document: DocumentName,
-        /// What is wrong with it.
+        /// Invalid field and reason.
         error: DocumentError,
     },
 }
 
-/// A change with its outcome.
+/// A change with its outcome, as kept in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedChange {
-    /// The change.
+    /// The recorded change.
     pub change: Change,
-    /// What became of it.
+    /// Outcome of the change.
     pub outcome: ChangeOutcome,
-    /// The documents before it, to roll it back.
+    /// Documents before the change, with which it can be rolled back.
     pub before: Vec<Document>,
 }
 
-/// The configuration in one version. The same batches lead to the same state everywhere.
+/// The configuration in one version. The same batches lead to the same state in every region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// The version.
+    /// Last version applied.
     pub version: u64,
-    /// The regions of the fleet.
+    /// Names of the regions of the fleet.
     pub regions: Vec<RegionName>,
-    /// The documents.
+    /// Documents by name.
     pub documents: BTreeMap<DocumentName, VersionedDocument>,
-    /// What each region has confirmed.
+    /// Version that each region has confirmed.
     pub confirmations: Confirmations,
-    /// The last changes, the oldest first.
+    /// Last changes, at most `HISTORY_LENGTH`, the oldest first.
     pub history: VecDeque<RecordedChange>,
-    /// Changes that were ever recorded here.
+    /// Number of changes ever recorded, including those that the history no longer has.
     pub history_count: u64,
 }
 
-/// Changes that are remembered with their outcomes.
+/// Number of changes that are kept with their outcomes.
 pub const HISTORY_LENGTH: usize = 200;
 
 impl ConfigState {
-    /// Version 0: each region already has applied the shares of these teams.
+    /// Creates version 0, in which every region has already applied the shares of the teams.
     pub fn initial(regions: Vec<RegionName>, documents: Vec<Document>) -> ConfigState {
         let versioned = documents.into_iter().map(|document| {
             let allowance = match &document {
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Applies the next version.
+    /// Applies the batch of the next version.
     pub fn apply(&mut self, batch: &Batch) {
         self.version += 1;
         for entry in &batch.entries {
             match entry {
                 Entry::Change(change) => self.apply_change(change),
                 Entry::Confirmation(confirmation) => {
-                    // What is confirmed must be known to all by then.
+                    // Only an earlier version can be confirmed, as every region that applies this batch has those.
                     let version = confirmation.version.min(self.version - 1);
                     if let Some(confirmed) = self.confirmations.get_mut(&confirmation.region) {
                         *confirmed = version.max(*confirmed);
@@ -111,6 +111,7 @@
         }
     }
 
+    /// Applies a change, unless it was applied before, and adds it to the history with its outcome.
     fn apply_change(&mut self, change: &Change) {
         if self.outcome(&change.id).is_some_and(|outcome| matches!(outcome, ChangeOutcome::Taken { .. })) {
             return;
@@ -137,13 +138,13 @@
         }
     }
 
-    /// What was recorded since so many changes had been.
+    /// Returns the changes recorded after the first `count`, as far as the history still has them.
     pub fn recorded_since(&self, count: u64) -> Vec<RecordedChange> {
-        let new = (self.history_count.saturating_sub(count) as usize).min(self.history.len());
-        self.history.iter().skip(self.history.len() - new).cloned().collect()
+        let new_count = (self.history_count.saturating_sub(count) as usize).min(self.history.len());
+        self.history.iter().skip(self.history.len() - new_count).cloned().collect()
     }
 
-    /// Why a change is not taken, if so.
+    /// Returns the reason for which a change must not be applied; `None` if it can be.
     fn refusal(&self, change: &Change) -> Option<ChangeOutcome> {
         for read in &change.reads {
             let found = self.document_version(&read.document);
@@ -167,37 +168,41 @@
         let name = document.name();
         let allowance = match (&document, self.team_allowance(&name)) {
             (Document::Team(next), Some((team, allowance))) => {
-                allowance.changed(team, next, &self.confirmations, self.version)
+                allowance.after_change(team, next, &self.confirmations, self.version)
             }
-            // A new team: nobody lets it use anything yet.
+            // No region may let a new team use anything yet.
             _ => TeamAllowance { changed_at: self.version, ..TeamAllowance::default() },
         };
         self.documents.insert(name, VersionedDocument { version: self.version, document, allowance });
     }
 
-    /// The version in which a document was last changed; 0 if there is none or it is the first.
+    /// Returns the version in which a document was last changed; 0 if it does not exist or was never
+    /// changed since version 0.
     pub fn document_version(&self, name: &DocumentName) -> u64 {
         self.documents.get(name).map_or(0, |versioned| versioned.version)
     }
 
-    /// What became of a change, as far as that is remembered.
+    /// Returns the last outcome of a change; `None` if the history does not have the change.
     pub fn outcome(&self, id: &ChangeId) -> Option<&ChangeOutcome> {
         self.history.iter().rev().find(|recorded| recorded.change.id == *id).map(|recorded| &recorded.outcome)
     }
 
-    /// What a region may let a team use; nothing for a team that is not known.
+    /// Returns the amounts that a region may let a team use; `None` for an unknown team.
     pub fn allowance(&self, team: &str, region: &str) -> Option<Allowance> {
         let (team, allowance) = self.team_allowance(&DocumentName::Team(team.into()))?;
-        Some(allowance.of(team, &self.confirmations, region))
+        Some(allowance.for_region(team, &self.confirmations, region))
     }
 
-    /// Does a region hold what others wait for, until it confirms?
+    /// Returns whether more is reserved for a region than it may use for some team, so that other regions
+    /// wait for its confirmation.
     pub fn waits_for(&self, region: &str) -> bool {
         let teams = self.documents.keys().filter_map(|name| self.team_allowance(name));
-        let mut waits = teams.map(|(team, allowance)| allowance.waits_for(team, &self.confirmations, region));
-        waits.any(|waits| waits)
+        let mut has_excess =
+            teams.map(|(team, allowance)| allowance.has_excess_reservation(team, &self.confirmations, region));
+        has_excess.any(|excess| excess)
     }
 
+    /// Returns a team's document and allowance; `None` for an unknown team and for the operators' document.
     fn team_allowance(&self, name: &DocumentName) -> Option<(&TeamDocument, &TeamAllowance)> {
         let versioned = self.documents.get(name)?;
         match &versioned.document {
--- a/crates/fleet-config/tests/agreement.rs
+++ b/crates/fleet-config/tests/agreement.rs
@@ -1,7 +1,7 @@
 //! Model-based tests: five regions agree on changes and divide limits, while messages are lost,
-//! late, repeated and reordered, regions are cut off, controllers restart without memory, a state
-//! service forgets, and writes without an answer are carried out late. `PROPTEST_CASES` raises the
-//! number of cases.
+//! delayed, duplicated and reordered, regions are isolated, controllers restart without memory, a state
+//! service loses its data, and writes without an answer are applied late. The variable `PROPTEST_CASES`
+//! sets the number of cases.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -16,61 +16,43 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// What happens next; numbers choose among what there is.
+/// A step of a sequence. Numbers of messages and writes are taken modulo the number of those present.
 #[derive(Debug, Clone)]
 pub enum Transition {
-    /// A region changes a team's limit and its division.
-    Change {
-        region: usize,
-        team: usize,
-        limit: u64,
-        weights: [u64; REGIONS],
-    },
-    Confirm {
-        region: usize,
-    },
-    Retry {
-        region: usize,
-    },
-    Deliver {
-        message: usize,
-    },
-    DeliverSeveral {
-        count: usize,
-    },
-    Lose {
-        message: usize,
-    },
-    Repeat {
-        message: usize,
-    },
-    Isolate {
-        isolated: [bool; REGIONS],
-    },
-    RestartController {
-        region: usize,
-    },
-    ForgetStore {
-        region: usize,
-    },
-    SetWriteFate {
-        region: usize,
-        fate: WriteFate,
-    },
-    CarryOutLateWrite {
-        write: usize,
-    },
-    CatchUp {
-        region: usize,
-    },
-    Obey {
-        region: usize,
-    },
+    /// A region proposes a new limit of a team and a division by weights.
+    Change { region: usize, team: usize, limit: u64, weights: [u64; REGIONS] },
+    /// A region proposes the confirmation of the version that its leader has applied.
+    Confirm { region: usize },
+    /// A region tries its last proposal again with a larger ballot.
+    Retry { region: usize },
+    /// A message is delivered.
+    Deliver { message: usize },
+    /// Messages are delivered in order.
+    DeliverSeveral { count: usize },
+    /// A message is lost.
+    DropMessage { message: usize },
+    /// A message is sent a second time.
+    DuplicateMessage { message: usize },
+    /// These regions, and only these, are isolated from all others.
+    Isolate { isolated: [bool; REGIONS] },
+    /// A region's controller restarts without its memory.
+    RestartController { region: usize },
+    /// A region's state service loses its data.
+    LoseStore { region: usize },
+    /// The next write to a region's state service has this outcome.
+    SetWriteFate { region: usize, fate: WriteFate },
+    /// A delayed write is applied, if its condition still holds.
+    ApplyDelayedWrite { write: usize },
+    /// A region learns the versions that others have applied.
+    CatchUp { region: usize },
+    /// A region's leader applies the version that the region has applied.
+    ApplyVersion { region: usize },
 }
 
-pub struct AnyHistory;
+/// Reference without state: every step is possible at any time.
+pub struct AnySequence;
 
-impl ReferenceStateMachine for AnyHistory {
+impl ReferenceStateMachine for AnySequence {
     type State = ();
     type Transition = Transition;
 
@@ -81,7 +63,8 @@
     fn transitions((): &()) -> BoxedStrategy<Transition> {
         let region = 0..REGIONS;
         let number = 0usize..1000;
-        let fate = prop_oneof![Just(WriteFate::Answered), Just(WriteFate::AnswerLost), Just(WriteFate::Late)];
+        let fate =
+            prop_oneof![Just(WriteFate::Answered), Just(WriteFate::AppliedWithoutAnswer), Just(WriteFate::Delayed)];
         prop_oneof![
             4 => (region.clone(), 0..TEAMS, 0u64..60, any::<[u8; REGIONS]>()).prop_map(|(region, team, limit, weights)| {
                 Transition::Change { region, team, limit, weights: weights.map(u64::from) }
@@ -90,16 +73,16 @@
             2 => region.clone().prop_map(|region| Transition::Retry { region }),
             8 => number.clone().prop_map(|message| Transition::Deliver { message }),
             10 => (1usize..30).prop_map(|count| Transition::DeliverSeveral { count }),
-            1 => number.clone().prop_map(|message| Transition::Lose { message }),
-            1 => number.clone().prop_map(|message| Transition::Repeat { message }),
+            1 => number.clone().prop_map(|message| Transition::DropMessage { message }),
+            1 => number.clone().prop_map(|message| Transition::DuplicateMessage { message }),
             1 => any::<[bool; REGIONS]>().prop_map(|isolated| Transition::Isolate { isolated }),
             1 => Just(Transition::Isolate { isolated: [false; REGIONS] }),
             1 => region.clone().prop_map(|region| Transition::RestartController { region }),
-            1 => region.clone().prop_map(|region| Transition::ForgetStore { region }),
+            1 => region.clone().prop_map(|region| Transition::LoseStore { region }),
             1 => (region.clone(), fate).prop_map(|(region, fate)| Transition::SetWriteFate { region, fate }),
-            1 => number.prop_map(|write| Transition::CarryOutLateWrite { write }),
+            1 => number.prop_map(|write| Transition::ApplyDelayedWrite { write }),
             4 => region.clone().prop_map(|region| Transition::CatchUp { region }),
-            4 => region.prop_map(|region| Transition::Obey { region }),
+            4 => region.prop_map(|region| Transition::ApplyVersion { region }),
         ]
         .boxed()
     }
@@ -109,7 +92,7 @@
 
 impl StateMachineTest for Fleet {
     type SystemUnderTest = Fleet;
-    type Reference = AnyHistory;
+    type Reference = AnySequence;
 
     fn init_test((): &()) -> Fleet {
         Fleet::new()
@@ -117,20 +100,20 @@
 
     fn apply(mut fleet: Fleet, (): &(), transition: Transition) -> Fleet {
         match transition {
-            Transition::Change { region, team, limit, weights } => fleet.change(region, team, limit, weights),
-            Transition::Confirm { region } => fleet.confirm(region),
+            Transition::Change { region, team, limit, weights } => fleet.propose_change(region, team, limit, weights),
+            Transition::Confirm { region } => fleet.propose_confirmation(region),
             Transition::Retry { region } => fleet.retry(region),
             Transition::Deliver { message } => fleet.deliver(message),
             Transition::DeliverSeveral { count } => (0..count).for_each(|_| fleet.deliver(0)),
-            Transition::Lose { message } => fleet.lose(message),
-            Transition::Repeat { message } => fleet.repeat(message),
+            Transition::DropMessage { message } => fleet.drop_message(message),
+            Transition::DuplicateMessage { message } => fleet.duplicate_message(message),
             Transition::Isolate { isolated } => fleet.isolated = isolated,
             Transition::RestartController { region } => fleet.restart_controller(region),
-            Transition::ForgetStore { region } => fleet.forget_store(region),
+            Transition::LoseStore { region } => fleet.lose_store(region),
             Transition::SetWriteFate { region, fate } => fleet.set_write_fate(region, fate),
-            Transition::CarryOutLateWrite { write } => fleet.carry_out_late_write(write),
+            Transition::ApplyDelayedWrite { write } => fleet.apply_delayed_write(write),
             Transition::CatchUp { region } => fleet.catch_up(region),
-            Transition::Obey { region } => fleet.apply_version(region),
+            Transition::ApplyVersion { region } => fleet.apply_version(region),
         }
         fleet
     }
@@ -140,16 +123,16 @@
     }
 
     fn teardown(mut fleet: Fleet, (): ()) {
-        fleet.settle();
+        fleet.recover_and_check();
     }
 }
 
-/// Cases in a run without `PROPTEST_CASES`.
-const CASES: u32 = 300;
+/// Number of cases in a run without `PROPTEST_CASES`.
+const DEFAULT_CASES: u32 = 300;
 
 prop_state_machine! {
     #![proptest_config(Config {
-        cases: std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(CASES),
+        cases: std::env::var("PROPTEST_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(DEFAULT_CASES),
         failure_persistence: None,
         rng_algorithm: RngAlgorithm::ChaCha,
         rng_seed: RngSeed::Fixed(22),
@@ -158,144 +141,153 @@
     })]
 
     #[test]
-    fn one_history_no_limit_exceeded_and_progress_with_a_majority(sequential 1..180 => Fleet);
+    fn regions_agree_on_one_history_keep_limits_and_progress_with_a_majority(sequential 1..180 => Fleet);
 }
 
+// Both changes read the same version. If both were applied, the second would overwrite the first unseen.
 #[test]
-fn of_two_concurrent_changes_of_one_team_one_is_refused_as_a_conflict() {
+fn second_of_two_concurrent_changes_of_a_team_is_a_conflict() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 30, [1; REGIONS]);
-    fleet.change(1, 0, 20, [1; REGIONS]);
-    fleet.run();
+    fleet.propose_change(0, 0, 30, [1; REGIONS]);
+    fleet.propose_change(1, 0, 20, [1; REGIONS]);
+    fleet.deliver_all();
     fleet.retry(0);
     fleet.retry(1);
-    fleet.run();
+    fleet.deliver_all();
     let outcomes = fleet.outcomes();
     assert_eq!(outcomes.taken, 1, "{outcomes:?}");
     assert_eq!(outcomes.conflicts, 1, "{outcomes:?}");
 }
 
+// A third region may have accepted the batch as well, so it may be agreed on. Another batch for the same
+// version would split the history.
 #[test]
-fn what_a_dead_proposer_had_accepted_by_two_of_five_is_finished_by_the_next() {
+fn batch_accepted_by_two_of_five_is_completed_by_the_next_proposer() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 30, [1; REGIONS]);
+    fleet.propose_change(0, 0, 30, [1; REGIONS]);
     fleet.deliver_until_accepted_by(2);
     fleet.restart_controller(0);
-    fleet.lose_all_messages();
-    // The next proposer hears one of the two.
+    fleet.drop_all_messages();
+    // The next proposer reaches one of the two regions.
     fleet.isolated = [true, false, false, false, false];
-    fleet.change(2, 1, 10, [1; REGIONS]);
-    fleet.run();
+    fleet.propose_change(2, 1, 10, [1; REGIONS]);
+    fleet.deliver_all();
     fleet.retry(2);
-    fleet.run();
-    assert_eq!(fleet.agreed_limits(0), Some(30), "finished");
-    assert_eq!(fleet.agreed_limits(1), Some(10), "and the own change came after it");
+    fleet.deliver_all();
+    assert_eq!(fleet.agreed_limit(0), Some(30), "the batch of the stopped proposer is agreed on");
+    assert_eq!(fleet.agreed_limit(1), Some(10), "the change of the next proposer follows it");
 }
 
+// Without its condition the write would replace the record of a newer version by an older one.
 #[test]
-fn a_write_that_is_carried_out_late_after_a_newer_version_changes_nothing() {
+fn delayed_write_after_a_newer_version_has_no_effect() {
     let mut fleet = Fleet::new();
-    fleet.set_write_fate(4, WriteFate::Late);
-    fleet.change(0, 0, 30, [1; REGIONS]);
-    fleet.run();
-    fleet.change(0, 0, 20, [1; REGIONS]);
-    fleet.run();
+    fleet.set_write_fate(4, WriteFate::Delayed);
+    fleet.propose_change(0, 0, 30, [1; REGIONS]);
+    fleet.deliver_all();
+    fleet.propose_change(0, 0, 20, [1; REGIONS]);
+    fleet.deliver_all();
     fleet.catch_up(4);
-    fleet.carry_out_late_write(0);
-    assert_eq!(fleet.agreed_limits(0), Some(20));
-    fleet.settle();
+    fleet.apply_delayed_write(0);
+    assert_eq!(fleet.agreed_limit(0), Some(20));
+    fleet.recover_and_check();
 }
 
+// A region that has lost its vote could form a second majority for another batch of the same version.
 #[test]
-fn a_region_that_has_forgotten_its_votes_does_not_vote_on_them_again() {
+fn region_with_a_lost_store_does_not_vote_again_on_earlier_versions() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 30, [1; REGIONS]);
-    fleet.run();
-    fleet.change(0, 0, 20, [1; REGIONS]);
-    // Regions 0, 1 and 2 accept; 3 and 4 hear nothing.
+    fleet.propose_change(0, 0, 30, [1; REGIONS]);
+    fleet.deliver_all();
+    fleet.propose_change(0, 0, 20, [1; REGIONS]);
+    // Regions 0, 1 and 2 accept the batch; 3 and 4 receive nothing.
     fleet.isolated = [false, false, false, true, true];
     fleet.deliver_until_accepted_by(3);
-    fleet.lose_all_messages();
+    fleet.drop_all_messages();
     fleet.restart_controller(0);
     fleet.isolated = [false; REGIONS];
-    fleet.forget_store(2);
-    // 2, 3 and 4 alone know nothing of what was agreed on.
+    fleet.lose_store(2);
+    // Regions 2, 3 and 4 together know nothing of the batch that was agreed on.
     fleet.isolated = [true, true, false, false, false];
-    fleet.change(3, 1, 10, [1; REGIONS]);
-    fleet.run();
-    assert_eq!(fleet.agreed_versions(), 1, "two of them are no majority");
-    fleet.settle();
-    assert_eq!(fleet.agreed_limits(0), Some(20));
+    fleet.propose_change(3, 1, 10, [1; REGIONS]);
+    fleet.deliver_all();
+    assert_eq!(fleet.agreed_versions(), 1, "two voting regions are no majority");
+    fleet.recover_and_check();
+    assert_eq!(fleet.agreed_limit(0), Some(20));
 }
 
+// If the growing region used its new share at once, both regions together could exceed the limit.
 #[test]
-fn a_region_grows_only_after_the_one_that_gives_has_confirmed() {
+fn share_grows_only_after_the_shrinking_region_has_confirmed() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 50, [1, 0, 0, 0, 0]);
-    fleet.run();
-    fleet.settle_confirmations();
-    assert_eq!(fleet.limit_of(0, 0), 50);
-    fleet.change(1, 0, 50, [0, 1, 0, 0, 0]);
-    fleet.run();
-    // The cut begins between shrinking and growing.
+    fleet.propose_change(0, 0, 50, [1, 0, 0, 0, 0]);
+    fleet.deliver_all();
+    fleet.confirm_everywhere();
+    assert_eq!(fleet.effective_limit(0, 0), 50);
+    fleet.propose_change(1, 0, 50, [0, 1, 0, 0, 0]);
+    fleet.deliver_all();
+    // Region 0 is isolated after the change is agreed on and before it has confirmed.
     fleet.isolated = [true, false, false, false, false];
     (1..REGIONS).for_each(|region| fleet.apply_version(region));
-    assert_eq!(fleet.limit_of(1, 0), 0, "region 0 has not confirmed");
+    assert_eq!(fleet.effective_limit(1, 0), 0, "region 0 has not confirmed");
     fleet.apply_version(0);
-    assert_eq!(fleet.limit_of(0, 0), 0, "it obeys its own part at once");
-    fleet.confirm(0);
-    fleet.run();
-    assert_eq!(fleet.limit_of(1, 0), 0, "nobody heard the confirmation");
+    assert_eq!(fleet.effective_limit(0, 0), 0, "region 0 applies its smaller share at once");
+    fleet.propose_confirmation(0);
+    fleet.deliver_all();
+    assert_eq!(fleet.effective_limit(1, 0), 0, "the confirmation reached no other region");
     fleet.isolated = [false; REGIONS];
-    fleet.settle_confirmations();
-    assert_eq!(fleet.limit_of(1, 0), 50);
+    fleet.confirm_everywhere();
+    assert_eq!(fleet.effective_limit(1, 0), 50);
 }
 
+// An isolated region keeps using its old share, so the others must not divide that part among themselves.
 #[test]
-fn a_lowered_limit_binds_at_once_and_a_cut_off_region_stays_counted() {
+fn lowered_limit_applies_at_once_and_an_isolated_region_keeps_its_reservation() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 50, [1; REGIONS]);
-    fleet.run();
-    fleet.settle_confirmations();
+    fleet.propose_change(0, 0, 50, [1; REGIONS]);
+    fleet.deliver_all();
+    fleet.confirm_everywhere();
     fleet.isolated = [false, false, false, false, true];
-    fleet.change(0, 0, 25, [1, 1, 1, 1, 0]);
-    fleet.run();
+    fleet.propose_change(0, 0, 25, [1, 1, 1, 1, 0]);
+    fleet.deliver_all();
     (0..REGIONS - 1).for_each(|region| fleet.apply_version(region));
-    // Region 4 keeps its 10 of 50 and is counted with them.
-    assert_eq!(fleet.limit_of(4, 0), 10);
-    let others: u64 = (0..REGIONS - 1).map(|region| fleet.limit_of(region, 0)).sum();
+    // Region 4 keeps its 10 of 50, which stay reserved for it.
+    assert_eq!(fleet.effective_limit(4, 0), 10);
+    let others: u64 = (0..REGIONS - 1).map(|region| fleet.effective_limit(region, 0)).sum();
     assert!(others + 10 <= 50, "{others}");
-    assert!((0..REGIONS - 1).all(|region| fleet.limit_of(region, 0) <= 6));
+    assert!((0..REGIONS - 1).all(|region| fleet.effective_limit(region, 0) <= 6));
 }
 
+// A proposer that gets no answer proposes the change again, although it may be agreed on already.
 #[test]
-fn asking_again_never_applies_a_change_twice() {
+fn repeated_proposal_of_a_change_is_applied_once() {
     let mut fleet = Fleet::new();
-    fleet.change(0, 0, 30, [1; REGIONS]);
+    fleet.propose_change(0, 0, 30, [1; REGIONS]);
     fleet.deliver_until_accepted_by(3);
-    // The proposer does not learn that it was agreed on, and proposes it again.
-    fleet.lose_all_messages();
+    // The proposer does not learn that the change was agreed on and proposes it again.
+    fleet.drop_all_messages();
     fleet.retry(0);
-    fleet.run();
+    fleet.deliver_all();
     fleet.propose_last_change_again(1);
-    fleet.run();
+    fleet.deliver_all();
     assert_eq!(fleet.outcomes().taken, 1);
 }
 
+// A version that is skipped or applied twice would lose a change.
 #[test]
-fn two_hundred_changes_in_a_row_stay_in_order() {
+fn two_hundred_successive_changes_are_all_applied() {
     let mut fleet = Fleet::new();
     for number in 0..200 {
-        fleet.change(number % REGIONS, number % TEAMS, number as u64 % 50, [1; REGIONS]);
-        fleet.run();
+        fleet.propose_change(number % REGIONS, number % TEAMS, number as u64 % 50, [1; REGIONS]);
+        fleet.deliver_all();
     }
     assert_eq!(fleet.outcomes().taken, 200);
-    fleet.settle();
+    fleet.recover_and_check();
 }
 
-// A vote on a later version would be forgotten as the version before it is applied.
+// A vote on a later version would be lost when the version before it is applied.
 #[test]
-fn a_region_that_lacks_a_version_votes_on_none_after_it() {
+fn region_that_lacks_a_version_rejects_votes_on_later_ones() {
     let ballot = Ballot { round: 1, proposer: ProposerId { node: "a".into(), incarnation: 1 } };
     let fresh = Acceptor::default();
     assert_eq!(fresh.prepare(2, &ballot), Err(Rejection::Behind));
@@ -304,9 +296,10 @@
     assert_eq!(fresh.advanced().prepare(1, &ballot), Err(Rejection::Decided));
 }
 
-// What the fleet has no limit for is divided among nobody; a limit that is set binds at once.
+// An unlimited team has no shares to divide. A region that kept the old, unlimited share after the change
+// would exceed the new limit.
 #[test]
-fn a_limit_that_is_set_where_there_was_none_binds_each_region_at_once() {
+fn limit_set_on_an_unlimited_team_applies_to_each_region_at_once() {
     let names = ["a", "b"].map(String::from);
     let team = |limit: Amount, share: Amount| {
         let amounts = |cpus: Amount| Amounts { cpus, gpus: Amount::UNLIMITED };
@@ -331,5 +324,5 @@
     };
     state.apply(&Batch { entries: vec![Entry::Change(change)] });
     assert_eq!(state.allowance("t", "a").unwrap().limit.cpus, Amount(10));
-    assert!(state.waits_for("a"), "until it confirms it may use any amount");
+    assert!(state.waits_for("a"), "an unlimited amount stays reserved until the region confirms");
 }
--- a/crates/fleet-config/tests/fleet/mod.rs
+++ b/crates/fleet-config/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Five regions, the messages between them, and the writes to their state services.
+//! Model of five regions, the messages between them, and the writes to their state services.
 
 mod checks;
 
@@ -9,33 +9,35 @@
 
 pub const REGIONS: usize = 5;
 pub const TEAMS: usize = 2;
-/// Each region's part of each team's limit at first.
-const FIRST_SHARE: u64 = 6;
-/// Attempts after which progress is overdue.
-const MOST_ATTEMPTS: usize = 20;
+/// Share of each region in each team's limit in version 0.
+const INITIAL_SHARE: u64 = 6;
+/// Number of attempts within which a proposal must be agreed on.
+const MAX_ATTEMPTS: usize = 20;
 
-/// What becomes of the next write to a state service.
+/// Outcome of the next write to a state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteFate {
+    /// The write is applied and answered.
     Answered,
-    /// Carried out, without an answer.
-    AnswerLost,
-    /// Carried out later or never, without an answer.
-    Late,
+    /// The write is applied, but not answered.
+    AppliedWithoutAnswer,
+    /// The write is applied later or never, and not answered.
+    Delayed,
 }
 
-/// A region's state service: a record with a version that writes guard on.
+/// State service of a region: a record with a version on which writes are conditional.
 #[derive(Debug)]
 struct Store {
     record: RegionRecord,
-    stamp: u64,
+    version: u64,
     fate: WriteFate,
 }
 
+/// A write without an answer that may still be applied.
 #[derive(Debug)]
-struct LateWrite {
+struct DelayedWrite {
     region: usize,
-    guard: u64,
+    expected_version: u64,
     record: RegionRecord,
 }
 
@@ -45,31 +47,35 @@
     Reply { from: usize, to: usize, ballot: Ballot, reply: Reply },
 }
 
-/// What a region's controller proposes, in its memory only.
+/// Proposal of a region's controller, which is kept in memory only.
 #[derive(Debug)]
-struct Running {
+struct Attempt {
     proposer: Proposer,
     entry: Entry,
 }
 
+/// Numbers of changes by outcome.
 #[derive(Debug, Default)]
 pub struct Outcomes {
     pub taken: usize,
     pub conflicts: usize,
 }
 
+/// The regions, their messages and the history that they agreed on.
 #[derive(Debug)]
 pub struct Fleet {
     stores: Vec<Store>,
-    running: Vec<Option<Running>>,
+    attempts: Vec<Option<Attempt>>,
     messages: Vec<Message>,
-    late_writes: Vec<LateWrite>,
+    delayed_writes: Vec<DelayedWrite>,
+    /// Regions that can exchange no messages with others.
     pub isolated: [bool; REGIONS],
-    /// The one history, with the state after each version.
+    /// Batches agreed on, in the order of their versions.
     log: Vec<Batch>,
+    /// State after each version, starting with version 0.
     states: Vec<ConfigState>,
-    /// The version that the leader of each region has applied.
-    obeyed: [u64; REGIONS],
+    /// Version that the leader of each region has applied.
+    applied_by_leader: [u64; REGIONS],
     incarnations: u64,
     changes: u64,
     last_change: Option<Change>,
@@ -100,27 +106,28 @@
 
 impl Fleet {
     pub fn new() -> Fleet {
-        let documents = (0..TEAMS).map(|team| document(team, FIRST_SHARE * REGIONS as u64, [FIRST_SHARE; REGIONS]));
+        let documents = (0..TEAMS).map(|team| document(team, INITIAL_SHARE * REGIONS as u64, [INITIAL_SHARE; REGIONS]));
         let state = ConfigState::initial((0..REGIONS).map(region_name).collect(), documents.collect());
-        let store = || Store { record: RegionRecord::new(state.clone()), stamp: 1, fate: WriteFate::Answered };
+        let store = || Store { record: RegionRecord::new(state.clone()), version: 1, fate: WriteFate::Answered };
         Fleet {
             stores: (0..REGIONS).map(|_| store()).collect(),
-            running: (0..REGIONS).map(|_| None).collect(),
+            attempts: (0..REGIONS).map(|_| None).collect(),
             messages: Vec::new(),
-            late_writes: Vec::new(),
+            delayed_writes: Vec::new(),
             isolated: [false; REGIONS],
             log: Vec::new(),
             states: vec![state],
-            obeyed: [0; REGIONS],
+            applied_by_leader: [0; REGIONS],
             incarnations: 0,
             changes: 0,
             last_change: None,
         }
     }
 
-    // ---- what can happen ----
+    // ---- steps ----
 
-    pub fn change(&mut self, region: usize, team: usize, limit: u64, weights: [u64; REGIONS]) {
+    /// Proposes a new limit of a team, divided among the regions in proportion to `weights`.
+    pub fn propose_change(&mut self, region: usize, team: usize, limit: u64, weights: [u64; REGIONS]) {
         let sum = weights.iter().sum::<u64>().max(1);
         let limits = weights.map(|weight| limit * weight / sum);
         let name = DocumentName::Team(team_name(team));
@@ -140,12 +147,14 @@
         self.propose(region, Entry::Change(change), 1);
     }
 
-    /// The region's leader tells that it has applied a version, and so will any successor.
-    pub fn confirm(&mut self, region: usize) {
-        let confirmation = Confirmation { region: region_name(region), version: self.obeyed[region] };
+    /// Proposes the confirmation that the region's leader, and any successor, applies the version that the
+    /// leader has applied.
+    pub fn propose_confirmation(&mut self, region: usize) {
+        let confirmation = Confirmation { region: region_name(region), version: self.applied_by_leader[region] };
         self.propose(region, Entry::Confirmation(confirmation), 1);
     }
 
+    /// Proposes the last change again from another region.
     pub fn propose_last_change_again(&mut self, region: usize) {
         let change = self.last_change.clone().unwrap();
         self.propose(region, Entry::Change(change), 1);
@@ -158,14 +167,14 @@
         let ballot = Ballot { round, proposer };
         let batch = Batch { entries: vec![entry.clone()] };
         let proposer = Proposer::new(version, ballot.clone(), batch, REGIONS);
-        self.running[region] = Some(Running { proposer, entry });
-        self.ask_all(region, &ballot, &Request::Prepare { version, ballot: ballot.clone() });
+        self.attempts[region] = Some(Attempt { proposer, entry });
+        self.send_to_all(region, &ballot, &Request::Prepare { version, ballot: ballot.clone() });
     }
 
-    /// Tries again with a larger ballot what is not agreed on yet.
+    /// Tries the region's proposal again with a larger ballot, unless the change already has an outcome.
     pub fn retry(&mut self, region: usize) {
         self.catch_up(region);
-        let Some(Running { proposer, entry }) = self.running[region].take() else { return };
+        let Some(Attempt { proposer, entry }) = self.attempts[region].take() else { return };
         if let Entry::Change(change) = &entry
             && self.stores[region].record.state.outcome(&change.id).is_some()
         {
@@ -179,71 +188,73 @@
     pub fn deliver(&mut self, message: usize) {
         if !self.messages.is_empty() {
             let message = self.messages.remove(message % self.messages.len());
-            self.take(message);
+            self.process(message);
         }
     }
 
-    pub fn lose(&mut self, message: usize) {
+    pub fn drop_message(&mut self, message: usize) {
         if !self.messages.is_empty() {
             self.messages.remove(message % self.messages.len());
         }
     }
 
-    pub fn repeat(&mut self, message: usize) {
+    pub fn duplicate_message(&mut self, message: usize) {
         if !self.messages.is_empty() {
             let again = self.messages[message % self.messages.len()].clone();
             self.messages.push(again);
         }
     }
 
-    pub fn lose_all_messages(&mut self) {
+    pub fn drop_all_messages(&mut self) {
         self.messages.clear();
     }
 
-    /// The controller's memory is lost; its successor has applied what the state service has.
+    /// Replaces a region's controller by one without its memory, which applies the stored version.
     pub fn restart_controller(&mut self, region: usize) {
-        self.running[region] = None;
-        self.obeyed[region] = self.stores[region].record.acceptor.applied;
+        self.attempts[region] = None;
+        self.applied_by_leader[region] = self.stores[region].record.acceptor.applied;
     }
 
     pub fn set_write_fate(&mut self, region: usize, fate: WriteFate) {
         self.stores[region].fate = fate;
     }
 
-    pub fn carry_out_late_write(&mut self, write: usize) {
-        if self.late_writes.is_empty() {
+    /// Applies a delayed write if the record still has the expected version.
+    pub fn apply_delayed_write(&mut self, write: usize) {
+        if self.delayed_writes.is_empty() {
             return;
         }
-        let write = self.late_writes.remove(write % self.late_writes.len());
+        let write = self.delayed_writes.remove(write % self.delayed_writes.len());
         let store = &mut self.stores[write.region];
-        if store.stamp == write.guard {
+        if store.version == write.expected_version {
             store.record = write.record;
-            store.stamp += 1;
-            self.note_applied(write.region);
+            store.version += 1;
+            self.check_applied(write.region);
         }
     }
 
-    /// A region's state service loses everything. It takes over from a majority of the others,
-    /// if it hears one; one region at a time forgets.
-    pub fn forget_store(&mut self, region: usize) {
+    /// Replaces a region's record by one recovered from the others, as after a loss of its state service.
+    /// Has no effect unless it reaches a majority of the regions and all others vote, as at most one
+    /// region may have lost its data at a time.
+    pub fn lose_store(&mut self, region: usize) {
         let voting = |store: &Store| store.record.may_start_tasks();
-        let heard: Vec<usize> =
+        let reachable: Vec<usize> =
             (0..REGIONS).filter(|other| *other != region && !self.isolated[*other] && !self.isolated[region]).collect();
         let all_vote = self.stores.iter().enumerate().all(|(other, store)| other == region || voting(store));
-        if heard.len() < REGIONS / 2 + 1 || !all_vote {
+        if reachable.len() < REGIONS / 2 + 1 || !all_vote {
             return;
         }
-        let latest = heard.iter().max_by_key(|other| self.stores[**other].record.acceptor.applied).unwrap();
+        let latest = reachable.iter().max_by_key(|other| self.stores[**other].record.acceptor.applied).unwrap();
         let state = ConfigState::clone(&self.stores[*latest].record.state);
         let version = state.version;
         self.stores[region].record = RegionRecord::rejoin(state, version);
-        self.stores[region].stamp += 1;
+        self.stores[region].version += 1;
         self.restart_controller(region);
     }
 
-    /// The region learns the next versions from others that it hears.
+    /// Lets a region learn the next versions from the regions that it reaches.
     pub fn catch_up(&mut self, region: usize) {
-        while let Some(batch) = self.next_known_elsewhere(region) {
+        while let Some(batch) = self.next_batch_known_elsewhere(region) {
             let version = self.stores[region].record.acceptor.applied + 1;
             let (record, _) = self.stores[region].record.handle(&Request::Learn { version, batch });
             self.write(region, record.unwrap());
@@ -253,21 +264,22 @@
         }
     }
 
-    fn next_known_elsewhere(&self, region: usize) -> Option<Batch> {
+    /// Returns the next batch for a region if another one that it reaches has applied it.
+    fn next_batch_known_elsewhere(&self, region: usize) -> Option<Batch> {
         let applied = self.stores[region].record.acceptor.applied;
         let mut others = (0..REGIONS).filter(|other| !self.isolated[*other] && !self.isolated[region]);
         let known = others.any(|other| self.stores[other].record.acceptor.applied > applied);
         known.then(|| self.log[applied as usize].clone())
     }
 
-    /// The region's leader has applied what the region has applied.
+    /// Lets a region's leader apply the version that the region has applied.
     pub fn apply_version(&mut self, region: usize) {
-        self.obeyed[region] = self.stores[region].record.acceptor.applied;
+        self.applied_by_leader[region] = self.stores[region].record.acceptor.applied;
     }
 
     // ---- messages ----
 
-    fn ask_all(&mut self, from: usize, ballot: &Ballot, request: &Request) {
+    fn send_to_all(&mut self, from: usize, ballot: &Ballot, request: &Request) {
         for to in 0..REGIONS {
             self.messages.push(Message::Request { from, to, ballot: ballot.clone(), request: request.clone() });
         }
@@ -277,7 +289,7 @@
         from == to || (!self.isolated[from] && !self.isolated[to])
     }
 
-    fn take(&mut self, message: Message) {
+    fn process(&mut self, message: Message) {
         match message {
             Message::Request { from, to, ballot, request } if self.reaches(from, to) => {
                 let (record, reply) = self.stores[to].record.handle(&request);
@@ -287,37 +299,37 @@
                 }
             }
             Message::Reply { from, to, ballot, reply } if self.reaches(from, to) => {
-                self.heard(from, to, &ballot, reply);
+                self.handle_reply(from, to, &ballot, reply);
             }
             _ => {}
         }
     }
 
-    /// Writes a region's record; true if that is answered.
+    /// Writes a region's record. Returns whether the write is answered.
     fn write(&mut self, region: usize, record: RegionRecord) -> bool {
         let store = &mut self.stores[region];
         match std::mem::replace(&mut store.fate, WriteFate::Answered) {
-            WriteFate::Late => {
-                self.late_writes.push(LateWrite { region, guard: store.stamp, record });
+            WriteFate::Delayed => {
+                self.delayed_writes.push(DelayedWrite { region, expected_version: store.version, record });
                 false
             }
             fate => {
                 store.record = record;
-                store.stamp += 1;
-                self.note_applied(region);
+                store.version += 1;
+                self.check_applied(region);
                 fate == WriteFate::Answered
             }
         }
     }
 
-    fn heard(&mut self, from: usize, to: usize, ballot: &Ballot, reply: Reply) {
-        let Some(running) = self.running[to].as_mut().filter(|running| running.proposer.ballot() == ballot) else {
+    fn handle_reply(&mut self, from: usize, to: usize, ballot: &Ballot, reply: Reply) {
+        let Some(attempt) = self.attempts[to].as_mut().filter(|attempt| attempt.proposer.ballot() == ballot) else {
             return;
         };
-        let version = running.proposer.version();
+        let version = attempt.proposer.version();
         let step = match reply {
-            Reply::Promised(accepted) => running.proposer.promised(region_name(from), accepted),
-            Reply::Accepted => running.proposer.accepted(region_name(from)),
+            Reply::Promised(accepted) => attempt.proposer.promised(region_name(from), accepted),
+            Reply::Accepted => attempt.proposer.accepted(region_name(from)),
             Reply::Learned => Step::Wait,
             Reply::Rejected { rejection, .. } => return self.rejected(from, to, &rejection),
         };
@@ -325,11 +337,11 @@
             Step::Wait => {}
             Step::Accept(batch) => {
                 let request = Request::Accept { version, ballot: ballot.clone(), batch };
-                self.ask_all(to, ballot, &request);
+                self.send_to_all(to, ballot, &request);
             }
             Step::Decided(batch) => {
-                self.note_agreed(version, &batch);
-                self.ask_all(to, ballot, &Request::Learn { version, batch });
+                self.record_agreed(version, &batch);
+                self.send_to_all(to, ballot, &Request::Learn { version, batch });
             }
         }
     }
