--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -2,7 +2,7 @@
 
 use super::Api;
 use crate::api::refusal::RefusalReason;
-use crate::clients::job_reads::{LiveJob, READ_LIMIT, RecordedJob};
+use crate::clients::job_reads::{LiveJob, READ_TIMEOUT, RecordedJob};
 use crate::clients::request_budget::Purpose;
 use crate::model::{Dependencies, JobEnd, JobPhase, Spec};
 use crate::transport::http::Response;
@@ -23,7 +23,7 @@
     pub(super) async fn check_dependencies(&self, spec: &Spec) -> Result<CheckedSubmission, Response> {
         let impossible = |why: String| Response::error(422, &format!("waits_on: {why}"));
         let mut checked = CheckedSubmission { spec: spec.clone(), phase: JobPhase::Pending };
-        let deadline = Instant::now() + 2 * READ_LIMIT;
+        let deadline = Instant::now() + 2 * READ_TIMEOUT;
         let mut done = HashSet::new();
         for id in spec.dependencies.iter() {
             if id == spec.id {
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -42,7 +42,7 @@
             return RefusalReason::NotLeaseHolder.response();
         }
         match self.router.leader(partition) {
-            Some(node) => Response::json(421, &wire::redirect(Some(&node))),
+            Some(node) => Response::json(421, &wire::leader_redirect(Some(&node))),
             None => RefusalReason::MachineWithoutLeader.response(),
         }
     }
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -3,7 +3,7 @@
 use super::Api;
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
-use crate::clients::job_reads::{READ_LIMIT, RecordedJob};
+use crate::clients::job_reads::{READ_TIMEOUT, RecordedJob};
 use crate::clients::request_budget::Purpose;
 use crate::model::{JobEnd, JobPhase};
 use crate::runtime::sync::lock;
@@ -76,7 +76,7 @@
     /// Answers from the job's record, read now. Without the leader a job that has not ended can be
     /// polled (`is_poll`), and not be cancelled.
     pub(super) async fn fresh(&self, id: &str, is_poll: bool, purpose: Purpose) -> Response {
-        let deadline = Instant::now() + 2 * READ_LIMIT;
+        let deadline = Instant::now() + 2 * READ_TIMEOUT;
         match self.job_reads.read(id, purpose, deadline).await {
             Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
             Ok(RecordedJob::Live(job)) => match self.any_cancelled(&job.dependencies, purpose, deadline).await {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -114,7 +114,7 @@
     /// leader reads it; a present one is notified by a key in its inbox. `None` if the outcome is
     /// indeterminate or nothing was written.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
-        if !self.request_budget.admits_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
+        if !self.request_budget.try_admit_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
         let instance_types = partition_leader::stored_instance_types(&self.state)
--- a/src/api/tests/answers.rs
+++ b/src/api/tests/answers.rs
@@ -51,11 +51,11 @@
 async fn requests_beyond_the_budget_are_refused_at_once_with_retry_after() {
     let service = StateService::default();
     let api = api_at(&service).await;
-    while api.request_budget.admits(Purpose::Poll) {}
+    while api.request_budget.try_admit(Purpose::Poll) {}
     let poll = poll(&api).await;
     assert_eq!((poll.status, poll.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
-    while api.request_budget.admits(Purpose::Change) {}
+    while api.request_budget.try_admit(Purpose::Change) {}
     let submission = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
     assert_eq!((submission.status, submission.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
@@ -69,7 +69,7 @@
     let (first, shares_its_read) = tokio::join!(poll(&api), poll(&api));
     assert_eq!((first.status, shares_its_read.status), (200, 200));
     poll(&api).await;
-    while api.request_budget.admits(Purpose::Poll) {}
+    while api.request_budget.try_admit(Purpose::Poll) {}
     call(&api, "GET", "/v1/jobs/run-000002".to_string(), Vec::new()).await;
     let text = call(&api, "GET", "/metrics".to_string(), Vec::new()).await.body;
     let expected = "\
--- a/src/clients.rs
+++ b/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the state store, the cloud and the workers, with timeouts and
-//! rate budgets derived from the settings.
+//! Clients of the state service, the cloud and the workers, with timeouts and rate limits derived
+//! from the settings.
 
 mod cloud;
 pub mod job_reads;
--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -1,8 +1,8 @@
-//! Fresh reads of job records, shared by the requests that came before them.
+//! Fresh reads of job records, each shared by the requests that arrived before it was sent.
 //!
-//! A read may answer every request that arrived before it was sent, and none that arrived later:
-//! another node may have answered something newer meanwhile. So a storm of requests about one job
-//! costs one read at a time.
+//! A read may answer every request that arrived before it was sent, but none that arrived later, as
+//! another node may have given a newer answer meanwhile. Any number of concurrent requests about one
+//! job thus costs at most one read at a time.
 
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
@@ -19,39 +19,40 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-/// Timeout of a read. A poll may wait for two of them, the one under way and the next.
-pub const READ_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a read. A request may wait for two reads: the one in flight and the next one.
+pub const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The status of a job by its own record.
+/// Status of a job according to its own record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedJob {
-    /// There is no record.
+    /// The job has no record.
     Missing,
-    /// The job has not ended by its own record.
+    /// The record states no end of the job.
     Live(LiveJob),
-    /// The job has ended.
+    /// The record states the end of the job.
     Ended {
-        /// How it ended.
+        /// End of the job, and its number of done tasks.
         ended: EndedJob,
-        /// True for a service, which no job may depend on.
+        /// Whether the job is a service; no job may depend on a service.
         is_service: bool,
     },
 }
 
-/// A job that has not ended by its own record. It is cancelled all the same if one of its
+/// A job whose own record states no end. The job is cancelled nevertheless if one of its
 /// dependencies is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveJob {
-    /// Number of tasks that are recorded as done.
+    /// Number of tasks that the record states as done.
     pub done: u32,
-    /// True for a service, which no job may depend on.
+    /// Whether the job is a service; no job may depend on a service.
     pub is_service: bool,
-    /// The jobs that it depends on.
+    /// Jobs that the job depends on.
     pub dependencies: Arc<Dependencies>,
 }
 
 impl RecordedJob {
-    fn of(record: &JobRecord) -> RecordedJob {
+    /// Returns the status that a record states.
+    fn from_record(record: &JobRecord) -> RecordedJob {
         let done_tasks = record.done.iter().map(|range| range.1 - range.0).sum();
         let is_service = record.spec.shape == Shape::Service;
         let ended = |end, done| RecordedJob::Ended { ended: EndedJob { end, done }, is_service };
@@ -66,31 +67,33 @@
     }
 }
 
-/// The result of a read, as all its requests get it.
+/// Result of a read, which every request that shares the read receives.
 pub type ReadResult = Result<RecordedJob, RefusalReason>;
 
-/// Requests by key that wait for a read which is not sent yet. A key is listed for as long as it
-/// is being read.
-type Waiting<T> = Arc<Mutex<HashMap<String, Vec<oneshot::Sender<T>>>>>;
+/// Requests that wait for a read that is not sent yet, by key. The map contains each key that is
+/// being read, also if no request waits for its next read.
+type WaitingRequests<T> = Arc<Mutex<HashMap<String, Vec<oneshot::Sender<T>>>>>;
 
-/// At most one read of a key at a time.
+/// Reads that are shared by concurrent requests; at most one read of a key is in flight. Clones share
+/// the reads.
 #[derive(Clone)]
 pub struct SharedReads<T> {
-    waiting: Waiting<T>,
-    /// Number of requests that needed no read of their own.
-    shared: Arc<AtomicU64>,
+    waiting: WaitingRequests<T>,
+    /// Number of requests that shared a read which another request had caused.
+    shared_count: Arc<AtomicU64>,
 }
 
 impl<T> Default for SharedReads<T> {
     fn default() -> SharedReads<T> {
-        SharedReads { waiting: Arc::default(), shared: Arc::default() }
+        SharedReads { waiting: Arc::default(), shared_count: Arc::default() }
     }
 }
 
 impl<T: Clone + Send + 'static> SharedReads<T> {
-    /// Enters a request for the next read of the key. `admit` is called only if the request needs a
-    /// read that no other has asked for; `None` if it refuses.
-    pub fn enter<F, R>(&self, key: &str, admit: impl FnOnce() -> bool, read: F) -> Option<oneshot::Receiver<T>>
+    /// Adds a request to the next read of the key and returns the receiver of the result. `admit` is
+    /// called only if no other request waits for that read; if it returns `false`, the request is not
+    /// added and the result is `None`.
+    pub fn join_next_read<F, R>(&self, key: &str, admit: impl FnOnce() -> bool, read: F) -> Option<oneshot::Receiver<T>>
     where
         F: Fn() -> R + Send + 'static,
         R: Future<Output = T> + Send + 'static,
@@ -99,7 +102,7 @@
         let mut waiting = self.waiting.lock().ok()?;
         if let Some(next) = waiting.get_mut(key) {
             if !next.is_empty() {
-                self.shared.fetch_add(1, Ordering::Relaxed);
+                self.shared_count.fetch_add(1, Ordering::Relaxed);
             } else if !admit() {
                 return None;
             }
@@ -110,29 +113,30 @@
             return None;
         }
         waiting.insert(key.to_string(), vec![answer]);
-        task::spawn(read_in_turn(self.waiting.clone(), key.to_string(), read));
+        task::spawn(serve_waiting_requests(self.waiting.clone(), key.to_string(), read));
         Some(receiver)
     }
 }
 
-/// Reads a key for as long as requests wait for it.
-async fn read_in_turn<T, F, R>(waiting: Waiting<T>, key: String, read: F)
+/// Reads a key repeatedly for as long as requests wait for it.
+async fn serve_waiting_requests<T, F, R>(waiting: WaitingRequests<T>, key: String, read: F)
 where
     T: Clone,
     F: Fn() -> R,
     R: Future<Output = T>,
 {
-    while let Some(requests) = take_requests(&waiting, &key) {
+    while let Some(requests) = take_waiting_requests(&waiting, &key) {
         let result = read().await;
         for request in requests {
-            // An asker that waits no longer needs no result.
+            // Sending fails if the request no longer waits; it then needs no result.
             let _ = request.send(result.clone());
         }
     }
 }
 
-/// The requests of the next read; `None`, and the key is removed, if there are none.
-fn take_requests<T>(waiting: &Waiting<T>, key: &str) -> Option<Vec<oneshot::Sender<T>>> {
+/// Takes the requests of the next read of the key. If there are none, removes the key and returns
+/// `None`.
+fn take_waiting_requests<T>(waiting: &WaitingRequests<T>, key: &str) -> Option<Vec<oneshot::Sender<T>>> {
     let mut waiting = waiting.lock().ok()?;
     let next = waiting.get_mut(key)?;
     next.retain(|request| !request.is_closed());
@@ -143,42 +147,43 @@
     Some(std::mem::take(next))
 }
 
-/// Reads job records afresh for users; cheap to clone.
+/// Fresh reads of job records for users, within a budget; cheap to clone.
 #[derive(Clone)]
 pub struct JobReads {
     state: StateStore,
     budget: RequestBudget,
     leader_lease_ttl_ms: u64,
-    shared: SharedReads<ReadResult>,
+    reads: SharedReads<ReadResult>,
 }
 
 impl JobReads {
-    /// Reads of this state store, as many as the budget admits. It counts as unresponsive without an
-    /// answer for half of `leader_lease_ttl_ms`, in milliseconds.
+    /// Returns reads of this state service, limited by the budget. The state service counts as
+    /// unresponsive after half of `leader_lease_ttl_ms`, in milliseconds, without an answer.
     pub fn new(state: StateStore, budget: RequestBudget, leader_lease_ttl_ms: u64) -> JobReads {
-        JobReads { state, budget, leader_lease_ttl_ms, shared: SharedReads::default() }
+        JobReads { state, budget, leader_lease_ttl_ms, reads: SharedReads::default() }
     }
 
-    /// Number of requests so far that shared a read which another had asked for.
+    /// Returns the number of requests so far that shared a read which another request had caused.
     pub fn shared_count(&self) -> u64 {
-        self.shared.shared.load(Ordering::Relaxed)
+        self.reads.shared_count.load(Ordering::Relaxed)
     }
 
-    /// The job by its record, in a read that is sent after this call.
+    /// Returns the status of a job by a read of its record that is sent after this call.
     ///
     /// # Errors
     ///
-    /// Why the user has to ask again: the budget for reads is used up, or the state store gave no answer.
+    /// The reason of the refusal: the budget for reads is used up, the state service gave no answer
+    /// before the deadline, or the record can't be parsed.
     pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
-        // An unresponsive store: refused at once, not after a timeout.
+        // The request is refused at once instead of after a timeout.
         if !self.state.is_responsive(self.leader_lease_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
         }
         let key = job_key(id);
         let (state, read_key) = (self.state.clone(), key.clone());
         let read = move || read_record(state.clone(), read_key.clone());
-        let admit = || self.budget.admits(purpose);
-        let Some(answer) = self.shared.enter(&key, admit, read) else {
+        let admit = || self.budget.try_admit(purpose);
+        let Some(answer) = self.reads.join_next_read(&key, admit, read) else {
             return Err(RefusalReason::TooManyReads);
         };
         match timeout_at(deadline, answer).await {
@@ -188,10 +193,11 @@
     }
 }
 
+/// Reads and parses the job record under the key.
 async fn read_record(state: StateStore, key: String) -> ReadResult {
-    match state.get_with_timeout(&key, READ_LIMIT).await {
+    match state.get_with_timeout(&key, READ_TIMEOUT).await {
         Ok((Some(item), _)) => match serde_json::from_value::<JobRecord>(item.value) {
-            Ok(record) => Ok(RecordedJob::of(&record)),
+            Ok(record) => Ok(RecordedJob::from_record(&record)),
             Err(_) => Err(RefusalReason::RecordUnreadable),
         },
         Ok((None, _)) => Ok(RecordedJob::Missing),
--- a/src/clients/request_budget.rs
+++ b/src/clients/request_budget.rs
@@ -1,33 +1,36 @@
-//! How many requests this node may make to the state store on behalf of users.
+//! Budget of the requests that this node may make to the state service on behalf of users.
 //!
-//! The store's rate is shared by all controllers, whose renewals, heartbeats and commits
-//! draw on it too. What users may cause is therefore a share of it for all controllers
-//! together, and submissions and cancellations don't wait behind a storm of polls.
+//! All controllers share the rate limit of the state service, also for their lease renewals,
+//! heartbeats and commits. The requests that users cause are therefore limited to a share of that
+//! rate for all controllers together. Submissions and cancellations have a share of their own, so
+//! that many polls do not delay them.
 
 use crate::clients::TokenBucket;
 use crate::runtime::clock;
 use std::sync::{Arc, Mutex};
 
-/// Share of the store's rate that the polls at all controllers may take.
+/// Share of the state service's rate limit for polls at all controllers together.
 const POLL_SHARE: f64 = 0.3;
-/// Share of the store's rate that submissions and cancellations at all controllers may take.
+/// Share of the state service's rate limit for submissions and cancellations at all controllers
+/// together.
 const CHANGE_SHARE: f64 = 0.4;
-/// Requests of so many seconds may be made at once.
+/// Largest burst, as the number of seconds whose requests may be made at once.
 const BURST_S: f64 = 1.0;
-/// Requests that may be made at once in any case: a submission that is accepted without
-/// the leader takes so many.
+/// Lower bound of the largest burst, in requests: the acceptance of a submission without the leader
+/// takes three.
 const MIN_BURST: f64 = 3.0;
 
-/// What a user's request is for.
+/// Purpose of a request that a user causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// To read the status of a job.
+    /// Reading the status of a job.
     Poll,
-    /// To submit a job or to cancel it.
+    /// Submitting or cancelling a job.
     Change,
 }
 
-/// The requests that users of this node may cause; cheap to clone.
+/// Budget of the requests that users of this node may cause; cheap to clone, and all clones share the
+/// budget.
 #[derive(Clone)]
 pub struct RequestBudget {
     polls: Arc<Mutex<TokenBucket>>,
@@ -35,7 +38,8 @@
 }
 
 impl RequestBudget {
-    /// The budget of one of so many controllers that share a state store of this rate.
+    /// Returns the budget of one controller, where `controllers` controllers share a state service that
+    /// allows `requests_per_s` requests per second.
     pub fn new(requests_per_s: f64, controllers: usize) -> RequestBudget {
         let own_rate = requests_per_s / controllers.max(1) as f64;
         let bucket = |share: f64| {
@@ -46,13 +50,13 @@
         RequestBudget { polls: bucket(POLL_SHARE), changes: bucket(CHANGE_SHARE) }
     }
 
-    /// True if a request may be made now, which is then counted.
-    pub fn admits(&self, purpose: Purpose) -> bool {
-        self.admits_all(1, purpose)
+    /// Counts a request if it may be made now, and returns whether it may.
+    pub fn try_admit(&self, purpose: Purpose) -> bool {
+        self.try_admit_all(1, purpose)
     }
 
-    /// True if so many requests may be made now, which are then counted.
-    pub fn admits_all(&self, requests: usize, purpose: Purpose) -> bool {
+    /// Counts this number of requests if all of them may be made now, and returns whether they may.
+    pub fn try_admit_all(&self, requests: usize, purpose: Purpose) -> bool {
         let bucket = match purpose {
             Purpose::Poll => &self.polls,
             Purpose::Change => &self.changes,
--- a/src/clients/request_budget/tests.rs
+++ b/src/clients/request_budget/tests.rs
@@ -1,3 +1,6 @@
+//! Tests of the budget of requests to the state service. The controllers together must not exceed the
+//! shares of the rate limit, and polls must not use up the share of submissions and cancellations.
+
 use super::*;
 use std::time::Duration;
 use tokio::time::advance;
@@ -6,45 +9,49 @@
 const REQUESTS_PER_S: f64 = 100.0;
 const SECONDS: u64 = 10;
 
-/// Requests that all controllers together make for users who ask them all the time.
+/// Returns how many requests the budgets admit in [`SECONDS`] if they are asked continually.
 async fn admitted(budgets: &[RequestBudget], purpose: Purpose) -> f64 {
     let mut admitted = 0;
     for _ in 0..SECONDS * 100 {
         for budget in budgets {
-            admitted += (0..5).filter(|_| budget.admits(purpose)).count();
+            admitted += (0..5).filter(|_| budget.try_admit(purpose)).count();
         }
         advance(Duration::from_millis(10)).await;
     }
     admitted as f64
 }
 
+/// Returns the budgets of all controllers.
 fn budgets() -> Vec<RequestBudget> {
     (0..CONTROLLERS).map(|_| RequestBudget::new(REQUESTS_PER_S, CONTROLLERS)).collect()
 }
 
-/// Asserts that of the store's rate at most this share is used, but nearly that.
+/// Asserts that the admitted requests use at most this share of the rate limit, and nearly all of it.
 fn assert_share(admitted: f64, share: f64) {
-    let most = REQUESTS_PER_S * share * (SECONDS as f64 + BURST_S);
-    assert!(admitted <= most && admitted > 0.9 * most, "{admitted} of {most}");
+    let max_requests = REQUESTS_PER_S * share * (SECONDS as f64 + BURST_S);
+    assert!(admitted <= max_requests && admitted > 0.9 * max_requests, "{admitted} of {max_requests}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn polls_at_all_controllers_together_take_their_share_of_the_stores_rate() {
+async fn polls_at_all_controllers_together_are_limited_to_their_share_of_the_rate() {
     assert_share(admitted(&budgets(), Purpose::Poll).await, 0.3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn submissions_and_cancellations_have_a_share_that_polls_leave_alone() {
+async fn submissions_and_cancellations_keep_their_share_when_polls_use_up_theirs() {
     let budgets = budgets();
     admitted(&budgets, Purpose::Poll).await;
-    assert!(!budgets[0].admits(Purpose::Poll) || !budgets[0].admits(Purpose::Poll), "polls have spent theirs");
+    assert!(
+        !budgets[0].try_admit(Purpose::Poll) || !budgets[0].try_admit(Purpose::Poll),
+        "the budget of polls is used up"
+    );
     assert_share(admitted(&budgets, Purpose::Change).await, 0.4);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_submission_can_be_accepted_without_the_leader_at_any_rate() {
+async fn budget_at_a_low_rate_admits_the_acceptance_of_a_submission_without_the_leader() {
     let budget = RequestBudget::new(2.0, CONTROLLERS);
-    assert!(budget.admits(Purpose::Change), "the read whether the job is known");
-    assert!(budget.admits_all(2, Purpose::Change), "the machine types and the commit");
-    assert!(!budget.admits(Purpose::Change));
+    assert!(budget.try_admit(Purpose::Change), "the read that shows whether the job is known");
+    assert!(budget.try_admit_all(2, Purpose::Change), "the read of the instance types and the commit");
+    assert!(!budget.try_admit(Purpose::Change));
 }
--- a/src/clients/request_error.rs
+++ b/src/clients/request_error.rs
@@ -1,22 +1,22 @@
-//! Why a request to the state store or the cloud failed.
+//! Errors of requests to the state service and the cloud.
 
 use crate::transport::http::CallError;
 use thiserror::Error;
 
-/// Why the state store or the cloud gave no usable answer.
+/// Reason for which a request to the state service or the cloud had no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// Not carried out.
+    /// The request was not carried out.
     #[error("the request was not carried out")]
     Refused,
-    /// Not carried out, as there were too many requests or writes lately.
+    /// The request was not carried out, as it exceeded a rate limit.
     #[error("the request was not carried out: the rate limit is exceeded")]
     Throttled,
-    /// There was no answer: the request may have been carried out, or may be later, also after
-    /// requests that are sent after it.
+    /// The request had no answer. It may have been carried out, or may still be carried out later,
+    /// even after requests that are sent after it.
     #[error("the request had no answer: its outcome is indeterminate")]
     Indeterminate,
-    /// The key, lease or revision does not exist (any more).
+    /// The key, lease or revision does not exist, or no longer exists.
     #[error("the key, lease or revision does not exist")]
     NotFound,
 }
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -1,4 +1,4 @@
-//! The client of the state store: keys with versions, compare-and-swap commits, leases and watches.
+//! Client of the state service: keys with versions, compare-and-swap commits, leases and watches.
 
 use super::RequestError;
 use crate::control::partition::CommitOutcome;
@@ -6,33 +6,33 @@
 use crate::settings::Settings;
 use crate::transport::http::{Client, SMALL_IDLE_POOL};
 use crate::transport::network::Net;
-use crate::wire::{self, Changes, Condition, Item, Page, Revision, StateLease, Write, store};
+use crate::wire::{self, Changes, Condition, Item, LeaseReply, Page, RevisionReply, Write, store};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Keys on a page of a list, at the most.
+/// Maximum number of keys on a page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// The state store; cheap to clone. All clones share the time of the last answer.
+/// Client of the state service; cheap to clone, and all clones share the instant of the last answer.
 #[derive(Clone)]
 pub struct StateStore {
     http: Client,
     addr: SocketAddr,
     timeout: Duration,
-    /// Milliseconds of the steady clock; 0 if there was no answer yet.
+    /// Instant of the last answer, in milliseconds of the steady clock; 0 if there was none yet.
     last_answer_ms: Arc<AtomicU64>,
 }
 
 impl StateStore {
-    /// A client over TCP.
+    /// Returns a client over TCP.
     pub fn new(settings: &Settings) -> StateStore {
         StateStore::on(&Net::default(), settings)
     }
 
-    /// A client over a given network.
+    /// Returns a client over the given network.
     pub fn on(net: &Net, settings: &Settings) -> StateStore {
         StateStore {
             http: Client::on(net, SMALL_IDLE_POOL),
@@ -42,25 +42,29 @@
         }
     }
 
-    /// How long to wait before a request that had no answer is repeated.
+    /// Returns the time to wait before a request without an answer is repeated.
     pub fn retry_delay(&self) -> Duration {
         self.timeout / 5
     }
 
-    /// When the store last gave an answer that was not a refusal, in milliseconds of the steady
-    /// clock; 0 if it never did.
+    /// Returns the instant, in milliseconds of the steady clock, of the last answer that was not a
+    /// refusal; 0 if there was none.
     pub fn last_answer_ms(&self) -> u64 {
         self.last_answer_ms.load(Ordering::Relaxed)
     }
 
-    /// Whether the store has answered within half the duration of a leader lease, which is in
-    /// milliseconds. A leader asks it five times in that duration.
+    /// Returns whether the state service has answered within half the duration of a leader lease, which
+    /// is given in milliseconds. A leader sends it five requests per lease duration.
     pub fn is_responsive(&self, leader_lease_ttl_ms: u64) -> bool {
         let last_answer_ms = self.last_answer_ms();
         last_answer_ms > 0 && clock::now_ms().saturating_sub(last_answer_ms) < leader_lease_ttl_ms / 2
     }
 
-    /// Status and body of the answer; an error also for a status by which the store did nothing.
+    /// Sends a request and returns the status and the body of the answer.
+    ///
+    /// # Errors
+    ///
+    /// The request had no answer, or a status (429, or 500 and above) by which nothing was carried out.
     async fn call(
         &self,
         method: &str,
@@ -79,16 +83,16 @@
         }
     }
 
-    /// A key, if it exists, and the revision up to which that is known.
+    /// Returns the key, or `None` if it does not exist, and the revision up to which that is known.
     ///
     /// # Errors
     ///
-    /// The store refused the request, or gave no answer in time.
+    /// The state service refused the request, or gave no answer within the timeout.
     pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
         self.get_with_timeout(key, self.timeout).await
     }
 
-    /// Like [`StateStore::get`], with the caller's timeout.
+    /// Returns the same as [`StateStore::get`], with the given timeout.
     ///
     /// # Errors
     ///
@@ -102,18 +106,18 @@
                 Ok((Some(item), version))
             }
             404 => {
-                let absent: Revision = parse(&body)?;
+                let absent: RevisionReply = parse(&body)?;
                 Ok((None, absent.revision))
             }
             _ => Err(RequestError::Refused),
         }
     }
 
-    /// All keys with the prefix, read page by page.
+    /// Returns all keys with the prefix, read page by page.
     ///
     /// # Errors
     ///
-    /// As for [`StateStore::get`]; nothing is returned of the pages that were read.
+    /// As for [`StateStore::get`], on any page; the pages read before it are discarded.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, RequestError> {
         let mut items: Vec<Item> = Vec::new();
         loop {
@@ -124,27 +128,27 @@
                 return Err(RequestError::Refused);
             }
             let page: Page = parse(&body)?;
-            let empty = page.items.is_empty();
+            let page_is_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || empty {
+            if !page.more || page_is_empty {
                 return Ok(items);
             }
         }
     }
 
-    /// Compare-and-swap: makes all `writes` if all `conditions` hold, and none of them otherwise.
+    /// Commits all `writes` if all `conditions` hold, and none of them otherwise (compare-and-swap).
     ///
-    /// A commit without a usable answer is indeterminate: it may be applied at once or late,
-    /// also after commits that are sent after it.
+    /// The outcome of a commit without a usable answer is indeterminate: it may be applied at once or
+    /// later, even after commits that are sent after it.
     pub async fn commit(&self, conditions: &[Condition], writes: &[Write]) -> CommitOutcome {
         let body = wire::commit_body(conditions, writes);
         match self.call("POST", store::COMMIT, Some(&body), self.timeout).await {
-            Ok((200, answer)) => parse::<Revision>(&answer)
+            Ok((200, answer)) => parse::<RevisionReply>(&answer)
                 .map_or(CommitOutcome::Indeterminate, |committed| CommitOutcome::Done { revision: committed.revision }),
-            Ok((409, answer)) => parse::<Revision>(&answer)
+            Ok((409, answer)) => parse::<RevisionReply>(&answer)
                 .map_or(CommitOutcome::Indeterminate, |conflict| CommitOutcome::Conflict { failed: conflict.failed }),
             Ok((status, answer)) => {
-                tracing::error!(status, body = %String::from_utf8_lossy(&answer), "commit not accepted");
+                tracing::error!(status, body = %String::from_utf8_lossy(&answer), "state service rejected the commit");
                 CommitOutcome::NotTaken
             }
             Err(RequestError::Indeterminate) => CommitOutcome::Indeterminate,
@@ -153,50 +157,53 @@
         }
     }
 
-    /// Creates a lease that lives for so many milliseconds; returns its id.
+    /// Creates a lease with a duration of `ttl_ms` milliseconds and returns its id.
     ///
     /// # Errors
     ///
-    /// The store refused the request. After [`RequestError::Indeterminate`] there may be a lease that nobody knows.
+    /// The state service refused the request, or the outcome is unknown. After
+    /// [`RequestError::Indeterminate`] a lease with an unknown id may exist until it expires.
     pub async fn create_lease(&self, ttl_ms: u64) -> Result<u64, RequestError> {
-        let (status, body) = self.call("POST", store::GRANTS, Some(&wire::grant_body(ttl_ms)), self.timeout).await?;
+        let (status, body) = self.call("POST", store::LEASES, Some(&wire::lease_body(ttl_ms)), self.timeout).await?;
         if status != 200 {
             return Err(RequestError::Refused);
         }
-        // The lease exists, though its id is unknown: it ends by itself.
-        parse::<StateLease>(&body).map(|lease| lease.id).map_err(|_| RequestError::Indeterminate)
+        // The lease exists but its id is unknown; it expires without renewals.
+        parse::<LeaseReply>(&body).map(|lease| lease.id).map_err(|_| RequestError::Indeterminate)
     }
 
-    /// Renews a lease for so many milliseconds from when the store takes the request;
-    /// `NotFound` if the lease has ended.
+    /// Renews a lease for `ttl_ms` milliseconds, which begin when the state service handles the request.
     ///
     /// # Errors
     ///
-    /// [`RequestError::NotFound`] if the lease has ended; otherwise the renewal may or may not have been made.
+    /// [`RequestError::NotFound`] if the lease has ended. After other errors the renewal may or may not
+    /// have been made.
     pub async fn renew_lease(&self, id: u64, ttl_ms: u64) -> Result<(), RequestError> {
         let timeout = Duration::from_millis(ttl_ms / 3);
-        match self.call("POST", &store::extend(id), Some(&wire::grant_body(ttl_ms)), timeout).await?.0 {
+        match self.call("POST", &store::lease_renewal(id), Some(&wire::lease_body(ttl_ms)), timeout).await?.0 {
             200 => Ok(()),
             404 => Err(RequestError::NotFound),
             _ => Err(RequestError::Refused),
         }
     }
 
-    /// Revokes a lease; the keys that are attached to it are deleted with it.
+    /// Revokes a lease and thereby deletes the keys that are attached to it.
     ///
     /// # Errors
     ///
-    /// The lease may or may not have ended; without a renewal it ends by itself.
+    /// The request was refused or had no answer. The lease may or may not have ended; it expires
+    /// without renewals.
     pub async fn revoke_lease(&self, id: u64) -> Result<(), RequestError> {
-        self.call("DELETE", &store::grant(id), None, self.timeout).await.map(|_| ())
+        self.call("DELETE", &store::lease(id), None, self.timeout).await.map(|_| ())
     }
 
-    /// Changes under the prefix after a revision; waits up to `wait_ms` for the first one.
-    /// `NotFound` if the store no longer has the changes since that revision.
+    /// Returns the changes under the prefix after a revision. If there are none yet, the request waits
+    /// for the first one for up to `wait_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// [`RequestError::NotFound`] if the store no longer has the changes since that revision: read the keys again.
+    /// [`RequestError::NotFound`] if the state service no longer has the changes since that revision;
+    /// the caller has to read the keys again.
     pub async fn changes(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes, RequestError> {
         let timeout = self.timeout + Duration::from_millis(wait_ms);
         let (status, body) = self.call("GET", &store::changes(prefix, after, wait_ms), None, timeout).await?;
@@ -208,7 +215,7 @@
     }
 }
 
-/// The answer in a body; one that can't be read counts as refused.
+/// Parses the body of an answer; a body that can't be parsed counts as a refusal.
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
     serde_json::from_slice(body).map_err(|_| RequestError::Refused)
 }
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the token bucket.
+
 use super::*;
 
 #[test]
-fn a_bucket_allows_bursts_and_then_its_rate() {
+fn token_bucket_allows_a_burst_and_then_its_rate() {
     let mut bucket = TokenBucket::new(10.0, 1.0, 0);
     assert_eq!((0..20).filter(|_| bucket.try_take(0)).count(), 10);
     assert_eq!((0..20).filter(|_| bucket.try_take(500)).count(), 5);
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -1,4 +1,4 @@
-//! The client of the workers.
+//! Client of the workers.
 
 use crate::control::partition::DirectCommandOutcome;
 use crate::settings::Settings;
@@ -10,50 +10,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many more direct commands may be under way.
+/// Number of direct commands that may be sent in addition to those in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandCapacity {
-    /// Commands that may be sent now.
+    /// Number of commands that may be sent now.
     pub free: usize,
-    /// So many of them are not for probes, however many are due.
+    /// Number of the free commands that probes must leave for orders, however many probes are due.
     pub reserved_for_orders: usize,
 }
 
-/// Direct commands to workers.
+/// Client that sends direct commands to workers; cheap to clone.
 ///
-/// A command without an answer is indeterminate: it may be carried out minutes later, until the
-/// worker has seen a higher fencing token or a new agent runs on its machine.
+/// The outcome of a command without an answer is indeterminate: the worker may carry it out minutes
+/// later, until it has seen a higher fencing token or a new agent runs on its machine.
 #[derive(Clone)]
 pub struct Worker {
     http: Client,
-    /// Bounds the commands under way, and so the sockets that they use.
-    under_way: Arc<tokio::sync::Semaphore>,
+    /// Limits the number of commands in flight, and thereby of the sockets that they use.
+    in_flight: Arc<tokio::sync::Semaphore>,
     reserved_for_orders: usize,
     timeout: Duration,
 }
 
 impl Worker {
-    /// A client over TCP.
+    /// Returns a client over TCP.
     pub fn new(settings: &Settings) -> Worker {
         Worker::on(&Net::default(), settings)
     }
 
-    /// A client over a given network.
+    /// Returns a client over the given network.
     pub fn on(net: &Net, settings: &Settings) -> Worker {
         let bounds = Bounds::new(settings);
         Worker {
             http: Client::on(net, bounds.worker_connections),
-            under_way: Arc::new(tokio::sync::Semaphore::new(bounds.direct_commands)),
+            in_flight: Arc::new(tokio::sync::Semaphore::new(bounds.direct_commands)),
             reserved_for_orders: bounds.direct_commands / 2,
-            // Two unanswered probes make a machine unreachable: both fit into one `react_ms`.
+            // Two unanswered probes make a machine unreachable; both must time out within `react_ms`.
             timeout: Duration::from_millis(settings.react_ms() / 2),
         }
     }
 
-    /// Sends a direct command, once fewer than the allowed number are under way.
+    /// Sends a direct command as soon as fewer than the maximum number are in flight, and returns its
+    /// outcome.
     pub async fn direct(&self, addr: SocketAddr, body: &[u8]) -> DirectCommandOutcome {
-        let Ok(_permit) = self.under_way.acquire().await else { return DirectCommandOutcome::NotSent };
-        match self.http.call(addr, "POST", wire::DO_PATH, Some(body), self.timeout).await {
+        let Ok(_permit) = self.in_flight.acquire().await else { return DirectCommandOutcome::NotSent };
+        match self.http.call(addr, "POST", wire::DIRECT_COMMAND_PATH, Some(body), self.timeout).await {
             Ok((200 | 409, answer)) => match serde_json::from_slice(&answer) {
                 Ok(heartbeat) => DirectCommandOutcome::Answered(Box::new(heartbeat)),
                 Err(_) => DirectCommandOutcome::Indeterminate,
@@ -63,12 +64,12 @@
         }
     }
 
-    /// How many more commands may be under way now.
+    /// Returns how many commands may be sent now.
     pub fn capacity(&self) -> CommandCapacity {
-        CommandCapacity { free: self.under_way.available_permits(), reserved_for_orders: self.reserved_for_orders }
+        CommandCapacity { free: self.in_flight.available_permits(), reserved_for_orders: self.reserved_for_orders }
     }
 
-    /// Closes the idle connections to a worker that is gone.
+    /// Closes the idle connections to a worker that no longer exists.
     pub fn forget(&self, addr: SocketAddr) {
         self.http.forget(addr);
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,6 @@
-//! The messages of the protocols with users, workers, the cloud and the state service. Their spellings
-//! occur here alone; the rest of the code uses the names of the model.
+//! Messages of the protocols with users, workers, the cloud and the state service. The field names and
+//! values of these protocols occur in this module only; the rest of the code uses the names of the
+//! model.
 
 mod cloud;
 mod state_service;
@@ -7,14 +8,17 @@
 mod user;
 mod worker;
 
-pub use cloud::{ListedInstance, list_path, parse_flavors, parse_list, parse_rented, release_body, rent_body};
+pub use cloud::{
+    ListedInstance, machine_list_path, parse_instance_types, parse_machine_list, parse_rented_machines, release_body,
+    rent_body,
+};
 pub use state_service::{
-    Change, Changes, Condition, Item, Page, Revision, StateLease, Write, commit_body, condition, delete, grant_body,
-    put, store,
+    Change, Changes, Condition, Item, LeaseReply, Page, RevisionReply, Write, commit_body, condition, delete,
+    lease_body, put, store,
 };
 pub use submission::{FieldFault, MAX_TASKS, Malformed, SubmissionError, is_job_id, parse_submission};
 pub use user::{job_answer, stated_end};
-pub use worker::{DO_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, orders, redirect};
+pub use worker::{DIRECT_COMMAND_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, leader_redirect, orders};
 
 #[cfg(test)]
 pub mod tests;
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -1,18 +1,18 @@
-//! Messages between the service and the state service: keys, changes, commits and leases.
+//! Messages between controllers and the state service: keys, changes, commits and leases.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// A key of the state service.
+/// A key of the state service, with its value.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Item {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value.
+    /// The value of the key.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision at which it was written last.
+    /// Revision at which the key was last written.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -20,92 +20,94 @@
 /// A page of a list of keys.
 #[derive(Deserialize)]
 pub struct Page {
-    /// The keys of the page.
+    /// The keys on the page.
     pub items: Vec<Item>,
-    /// True if further pages follow.
+    /// Whether further pages follow.
     #[serde(default)]
     pub more: bool,
-    /// The revision of the list.
+    /// Revision of the state service at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// One change that a watch reports: the key, and its value unless deleted.
+/// A change of a key that a watch reports, with the new value unless the key was deleted.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Change {
+    /// The key, if it was written.
     #[serde(default)]
     put: Option<String>,
+    /// The key, if it was deleted.
     #[serde(default)]
     delete: Option<String>,
-    /// The new value, unless the key is gone.
+    /// The new value; `None` if the key was deleted.
     #[serde(default, rename = "data")]
     pub value: Option<Value>,
-    /// The revision of the change.
+    /// Revision of the change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Change {
-    /// The key that changed.
+    /// Returns the key that changed.
     pub fn key(&self) -> &str {
         self.put.as_deref().or(self.delete.as_deref()).unwrap_or("")
     }
 
-    /// True if the key is gone.
+    /// Returns whether the key was deleted.
     pub fn deleted(&self) -> bool {
         self.put.is_none()
     }
 }
 
-/// The changes that a watch reports, and the revision up to which they go.
+/// The changes that a watch reports, and the revision up to which they are complete.
 #[derive(Deserialize)]
 pub struct Changes {
-    /// The revision up to which the changes go.
+    /// Revision up to which the changes are complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes.
+    /// The reported changes.
     #[serde(default, rename = "log")]
     pub events: Vec<Change>,
 }
 
 /// The answer to a commit, or about a key that does not exist.
 #[derive(Deserialize)]
-pub struct Revision {
-    /// The revision of the commit, or of the read.
+pub struct RevisionReply {
+    /// Revision of the commit, or of the read.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Keys whose conditions failed.
+    /// Keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
 /// The answer to a request for a lease.
 #[derive(Deserialize)]
-pub struct StateLease {
+pub struct LeaseReply {
     /// Id of the lease.
     #[serde(rename = "grant")]
     pub id: u64,
 }
 
-/// A condition of a commit: the version that a key must have.
+/// A condition of a commit, which requires a version of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Its version; 0 if it must not exist.
+    /// The version that the key must have; 0 if the key must not exist.
     pub version: u64,
 }
 
 /// A write of a commit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// Sets a key.
+    /// Sets the value of a key.
     Put {
         /// The key.
         key: String,
-        /// Its value.
+        /// The new value.
         value: Value,
-        /// The lease that the key ends with, if any.
+        /// Id of the lease with whose end the key is deleted; `None` for a key without a lease.
         lease: Option<u64>,
     },
     /// Deletes a key.
@@ -115,30 +117,30 @@
     },
 }
 
-/// A condition of a commit: the version that a key must have; 0 if it must not exist.
+/// Returns the condition that a key has the given version; 0 if the key must not exist.
 pub fn condition(key: &str, version: u64) -> Condition {
     Condition { key: key.into(), version }
 }
 
-/// A write of a commit; with a lease, the key ends with it.
+/// Returns a write that sets a key. With the id of a lease, the key is deleted when the lease ends.
 pub fn put(key: &str, value: &Value, lease: Option<u64>) -> Write {
     Write::Put { key: key.into(), value: value.clone(), lease }
 }
 
-/// A deletion of a commit.
+/// Returns a write that deletes a key.
 pub fn delete(key: &str) -> Write {
     Write::Delete { key: key.into() }
 }
 
 impl Condition {
-    /// The condition as it is sent.
+    /// Returns the condition as it is sent.
     pub fn to_json(&self) -> Value {
         json!({ "path": self.key, "stamp": self.version })
     }
 }
 
 impl Write {
-    /// The write as it is sent.
+    /// Returns the write as it is sent.
     pub fn to_json(&self) -> Value {
         match self {
             Write::Put { key, value, lease: Some(lease) } => json!({ "put": key, "data": value, "grant": lease }),
@@ -148,58 +150,60 @@
     }
 }
 
-/// The text of the write as it is sent.
+/// Displays the write as the JSON that is sent.
 impl std::fmt::Display for Write {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.to_json().fmt(formatter)
     }
 }
 
-/// The body of a commit.
+/// Returns the body of a commit.
 pub fn commit_body(conditions: &[Condition], writes: &[Write]) -> Vec<u8> {
     let conditions: Vec<Value> = conditions.iter().map(Condition::to_json).collect();
     let writes: Vec<Value> = writes.iter().map(Write::to_json).collect();
     serde_json::to_vec(&json!({ "guards": conditions, "apply": writes })).unwrap_or_default()
 }
 
-/// The body of a request for a lease of so many milliseconds, or for its extension.
-pub fn grant_body(leader_lease_ttl_ms: u64) -> Vec<u8> {
-    serde_json::to_vec(&json!({ "life_ms": leader_lease_ttl_ms })).unwrap_or_default()
+/// Returns the body of a request to create or renew a lease with a duration of `ttl_ms` milliseconds.
+pub fn lease_body(ttl_ms: u64) -> Vec<u8> {
+    serde_json::to_vec(&json!({ "life_ms": ttl_ms })).unwrap_or_default()
 }
 
-/// Paths of the state service.
+/// Paths of requests to the state service.
 pub mod store {
-    /// Commits are posted here.
+    /// Path to which commits are posted.
     pub const COMMIT: &str = "/commit";
-    /// New leases are asked for here.
-    pub const GRANTS: &str = "/grants";
+    /// Path to which requests for new leases are posted.
+    pub const LEASES: &str = "/grants";
 
-    /// One key.
+    /// Returns the path of a key.
     pub fn key(key: &str) -> String {
         format!("/store/{key}")
     }
 
-    /// A page of the keys with a prefix.
-    pub fn page(prefix: &str, after: &str, most: usize) -> String {
+    /// Returns the path of a page with at most `page_size` of the keys with the prefix, after the key
+    /// `after`; of the first page if that is empty.
+    pub fn page(prefix: &str, after: &str, page_size: usize) -> String {
         if after.is_empty() {
-            format!("/store?under={prefix}&most={most}")
+            format!("/store?under={prefix}&most={page_size}")
         } else {
-            format!("/store?under={prefix}&from={after}&most={most}")
+            format!("/store?under={prefix}&from={after}&most={page_size}")
         }
     }
 
-    /// The changes under a prefix after a revision.
+    /// Returns the path of the changes under the prefix after a revision; the state service waits up to
+    /// `wait_ms` milliseconds for the first one.
     pub fn changes(prefix: &str, after: u64, wait_ms: u64) -> String {
         format!("/changes?under={prefix}&from={after}&hold_ms={wait_ms}")
     }
 
-    /// The extension of a lease.
-    pub fn extend(grant: u64) -> String {
-        format!("/grants/{grant}/extend")
+    /// Returns the path for the renewal of a lease.
+    pub fn lease_renewal(lease: u64) -> String {
+        format!("/grants/{lease}/extend")
     }
 
-    /// One lease.
-    pub fn grant(grant: u64) -> String {
-        format!("/grants/{grant}")
+    /// Returns the path of a lease.
+    pub fn lease(lease: u64) -> String {
+        format!("/grants/{lease}")
     }
 }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -4,20 +4,21 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Most tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// A submission that is refused as malformed.
+/// The refusal of a malformed submission.
 #[derive(Debug, Error)]
 #[error("{reason}")]
 pub struct Malformed {
-    /// The id of the job, if it could be read: a known job is answered all the same.
+    /// Id of the job; `None` if it could not be read. A known job is answered even if its submission
+    /// is malformed.
     pub id: Option<String>,
-    /// What is wrong with the submission.
+    /// The fault of the submission.
     pub reason: SubmissionError,
 }
 
-/// What is wrong with a submission; users see it as it is displayed.
+/// The fault of a malformed submission; users see its displayed text.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
     /// The body is not JSON.
@@ -26,98 +27,103 @@
     /// The body is JSON, but not an object.
     #[error("the body is not an object")]
     NotAnObject,
-    /// A field is at fault.
+    /// A field is missing or has a wrong value.
     #[error("{field}: {fault}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The fault of the field.
         fault: FieldFault,
     },
 }
 
-/// What is wrong with a field of a submission.
+/// The fault of a field of a submission; the displayed text follows the name of the field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FieldFault {
-    /// It is absent or null.
+    /// The field is absent or null.
     #[error("is missing")]
     Missing,
-    /// It is not a text, or an empty one.
+    /// The value is not a string or is empty.
     #[error("must be a non-empty string")]
     Text,
-    /// It is not a number of 0 or more.
+    /// The value is not a finite number of 0 or more.
     #[error("must be a number of 0 or more")]
     Amount,
-    /// It is not a truth value.
+    /// The value is not a boolean.
     #[error("must be true or false")]
     Flag,
-    /// It is not in the form of a job id.
+    /// The value is not in the form of a job id.
     #[error("must be run- and at least six digits")]
     JobId,
-    /// It is none of these values.
+    /// The value is none of the named ones.
     #[error("must be {0}")]
     Choice(&'static str),
-    /// It is not an integer in the range of a task count.
+    /// The value is not an integer from 1 to [`MAX_TASKS`].
     #[error("must be an integer from 1 to {MAX_TASKS}")]
     TaskCount,
-    /// It is neither an array of texts nor null.
+    /// The value is neither an array of strings nor null.
     #[error("must be an array of strings or null")]
     Texts,
-    /// It is neither a text nor null.
+    /// The value is neither a string nor null.
     #[error("must be a string or null")]
     TextOrNull,
-    /// It is neither an array of job ids nor null.
+    /// The value is neither an array of job ids nor null.
     #[error("must be an array of job ids or null")]
     JobIds,
 }
 
 impl FieldFault {
-    fn of(self, field: &'static str) -> SubmissionError {
+    /// Returns the fault of a submission whose field with the given name has this fault.
+    fn in_field(self, field: &'static str) -> SubmissionError {
         SubmissionError::Field { field, fault: self }
     }
 }
 
-/// True for ids in the protocol's form: `run-` and 6 to 20 digits.
+/// Returns whether the text has the form of a job id: `run-` and 6 to 20 digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("run-")
         .is_some_and(|digits| (6..=20).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
-/// The fields of a submission; null counts as absent.
+/// The fields of a submission, by name; null counts as absent.
 struct Fields<'a>(&'a serde_json::Map<String, Value>);
 
 impl Fields<'_> {
+    /// Returns the value of a field; `None` if it is absent or null.
     fn get(&self, name: &str) -> Option<&Value> {
         self.0.get(name).filter(|value| !value.is_null())
     }
 
+    /// Returns a field that has to be a non-empty string.
     fn text(&self, name: &'static str) -> Result<String, SubmissionError> {
         match self.get(name) {
             Some(Value::String(text)) if !text.is_empty() => Ok(text.clone()),
-            Some(_) => Err(FieldFault::Text.of(name)),
-            None => Err(FieldFault::Missing.of(name)),
+            Some(_) => Err(FieldFault::Text.in_field(name)),
+            None => Err(FieldFault::Missing.in_field(name)),
         }
     }
 
+    /// Returns a field that has to be a finite number of 0 or more.
     fn amount(&self, name: &'static str) -> Result<f64, SubmissionError> {
-        let value = self.get(name).ok_or(FieldFault::Missing.of(name))?;
+        let value = self.get(name).ok_or(FieldFault::Missing.in_field(name))?;
         match value.as_f64() {
             Some(amount) if amount.is_finite() && amount >= 0.0 => Ok(amount),
-            _ => Err(FieldFault::Amount.of(name)),
+            _ => Err(FieldFault::Amount.in_field(name)),
         }
     }
 
+    /// Returns a field that has to be a boolean.
     fn flag(&self, name: &'static str) -> Result<bool, SubmissionError> {
-        let value = self.get(name).ok_or(FieldFault::Missing.of(name))?;
-        value.as_bool().ok_or(FieldFault::Flag.of(name))
+        let value = self.get(name).ok_or(FieldFault::Missing.in_field(name))?;
+        value.as_bool().ok_or(FieldFault::Flag.in_field(name))
     }
 }
 
-/// Reads a submission.
+/// Parses a submission.
 ///
 /// # Errors
 ///
-/// What is malformed, with the id of the job if that could be read.
+/// The first fault of the submission, with the id of the job if that could be read.
 pub fn parse_submission(body: &[u8]) -> Result<Spec, Malformed> {
     let without_id = |reason| Malformed { id: None, reason };
     let value: Value = serde_json::from_slice(body).map_err(|error| without_id(SubmissionError::NotJson(error)))?;
@@ -127,12 +133,13 @@
     let fields = Fields(map);
     let id = fields.text("id").map_err(without_id)?;
     if !is_job_id(&id) {
-        return Err(without_id(FieldFault::JobId.of("id")));
+        return Err(without_id(FieldFault::JobId.in_field("id")));
     }
-    spec_of(&fields, &id).map_err(|reason| Malformed { id: Some(id), reason })
+    parse_spec(&fields, &id).map_err(|reason| Malformed { id: Some(id), reason })
 }
 
-fn spec_of(fields: &Fields<'_>, id: &str) -> Result<Spec, SubmissionError> {
+/// Reads the fields of the submission of the job with the given id.
+fn parse_spec(fields: &Fields<'_>, id: &str) -> Result<Spec, SubmissionError> {
     let shape = shape(fields)?;
     let urgency = urgency(fields)?;
     let tasks = task_count(fields)?;
@@ -168,7 +175,7 @@
         "batch" => Ok(Shape::Batch),
         "group" => Ok(Shape::Gang),
         "service" => Ok(Shape::Service),
-        _ => Err(FieldFault::Choice("batch, group or service").of("shape")),
+        _ => Err(FieldFault::Choice("batch, group or service").in_field("shape")),
     }
 }
 
@@ -178,14 +185,14 @@
         "urgent" => Ok(Urgency::High),
         "standard" => Ok(Urgency::Normal),
         "best_effort" => Ok(Urgency::Low),
-        _ => Err(FieldFault::Choice("production, urgent, standard or best_effort").of("urgency")),
+        _ => Err(FieldFault::Choice("production, urgent, standard or best_effort").in_field("urgency")),
     }
 }
 
 fn task_count(fields: &Fields<'_>) -> Result<u32, SubmissionError> {
     match fields.get("shards").and_then(Value::as_u64) {
         Some(count) if (1..=MAX_TASKS).contains(&count) => Ok(count as u32),
-        _ => Err(FieldFault::TaskCount.of("shards")),
+        _ => Err(FieldFault::TaskCount.in_field("shards")),
     }
 }
 
@@ -194,10 +201,10 @@
         None => Ok(None),
         Some(Value::Array(names)) => {
             let names = names.iter().map(|name| name.as_str().map(str::to_string));
-            let names = names.collect::<Option<Vec<_>>>().ok_or(FieldFault::Texts.of("flavors"))?;
+            let names = names.collect::<Option<Vec<_>>>().ok_or(FieldFault::Texts.in_field("flavors"))?;
             Ok(Some(names))
         }
-        Some(_) => Err(FieldFault::Texts.of("flavors")),
+        Some(_) => Err(FieldFault::Texts.in_field("flavors")),
     }
 }
 
@@ -205,7 +212,7 @@
     match fields.get("region") {
         None => Ok(None),
         Some(Value::String(zone)) => Ok(Some(zone.clone())),
-        Some(_) => Err(FieldFault::TextOrNull.of("region")),
+        Some(_) => Err(FieldFault::TextOrNull.in_field("region")),
     }
 }
 
@@ -216,15 +223,15 @@
     }
 }
 
-/// The jobs that the job waits for; a name that is given again counts once.
+/// Returns the jobs that the job depends on; a repeated id counts once.
 fn dependencies(fields: &Fields<'_>) -> Result<Dependencies, SubmissionError> {
     match fields.get("waits_on") {
         None => Ok(Dependencies::default()),
         Some(Value::Array(names)) => {
             let ids = names.iter().map(|name| name.as_str().filter(|id| is_job_id(id)).map(str::to_string));
-            let ids = ids.collect::<Option<Vec<_>>>().ok_or(FieldFault::JobIds.of("waits_on"))?;
+            let ids = ids.collect::<Option<Vec<_>>>().ok_or(FieldFault::JobIds.in_field("waits_on"))?;
             Ok(Dependencies::new(ids))
         }
-        Some(_) => Err(FieldFault::JobIds.of("waits_on")),
+        Some(_) => Err(FieldFault::JobIds.in_field("waits_on")),
     }
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of the protocols' messages, and messages for the tests of other modules.
+//! Tests of the protocols' messages, and helpers that build messages for the tests of other modules.
 
 use super::{TaskStatus, parse_submission};
 use crate::model::Shape;
 use serde_json::{Value, json};
 
-/// A task in a heartbeat.
+/// Returns a task as a heartbeat states it.
 pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> TaskStatus {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
         .expect("a task in a heartbeat")
 }
 
-/// A submission that is accepted, with a field that the protocol does not name.
+/// Returns a valid submission, with one field that the protocol does not define.
 pub fn submission() -> Value {
     json!({"id":"run-000412","jobclass":"train","owner":"vision","shape":"group","urgency":"urgent","shards":16,
  "cores":8.0,"cards":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_submission_is_read_and_each_bad_field_is_named() {
+fn valid_submission_is_parsed_and_the_error_for_a_wrong_value_names_its_field() {
     let spec = parse_submission(submission().to_string().as_bytes()).unwrap();
     assert_eq!((spec.tasks, spec.shape, spec.due_s), (16, Shape::Gang, Some(900.0)));
     for (field, value) in [
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn bodies_without_a_job_id_are_refused_without_one() {
+fn submission_without_a_valid_job_id_is_refused_without_an_id() {
     for body in ["", "[]", "3", "{", "{\"id\":7}", "{\"id\":\"job-000001\"}", "{\"id\":\"run-1\"}"] {
         let malformed = parse_submission(body.as_bytes()).unwrap_err();
         assert!(malformed.id.is_none(), "{body}");
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,16 +1,16 @@
-//! Answers to users about jobs.
+//! Answers to users.
 
 use crate::model::{JobEnd, JobPhase};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// The answer to a user about a job.
+/// Returns the body of the answer to a user about a job, with its numbers of done and running tasks.
 pub fn job_answer(id: &str, phase: JobPhase, done: u32, running: u32) -> Value {
     json!({ "id": id, "phase": phase_name(phase), "done": done, "running": running })
 }
 
-/// The end of the job that an answer states, and how many tasks were done by then; `None`
-/// if the job has not ended.
+/// Reads the end of the job that the body of an answer states, and the number of tasks that were done
+/// by then; `None` if the answer states no end or can't be parsed.
 pub fn stated_end(answer: &[u8]) -> Option<(JobEnd, u32)> {
     #[derive(Deserialize)]
     struct Answer {
@@ -22,6 +22,7 @@
     Some((end, answer.done))
 }
 
+/// Returns the name of a phase in answers.
 fn phase_name(phase: JobPhase) -> &'static str {
     match phase {
         JobPhase::Pending => "pending",
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,47 +1,47 @@
-//! Messages between workers and the service: heartbeats, orders and direct commands.
+//! Messages between workers and controllers: heartbeats, orders and direct commands.
 //!
-//! Heartbeats are ordered by agent epoch, then by sequence. A direct command without an answer may
-//! be carried out minutes later, until a heartbeat shows a higher fencing token or agent epoch, or
-//! the machine is terminated.
+//! The heartbeats of a machine are ordered by agent epoch, then by sequence number. A direct command
+//! without an answer may be carried out minutes later. This is ruled out only once a heartbeat shows
+//! a higher fencing token or agent epoch, or once the machine is terminated.
 
 use crate::model::{ExitReason, FencingToken, TaskAttempt, TaskPhase};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A worker's heartbeat.
+/// A heartbeat of a worker.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Heartbeat {
     /// Id of the machine.
     pub host: String,
-    /// Where it takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub addr: SocketAddr,
-    /// Name of its instance type.
+    /// Name of the machine's instance type.
     #[serde(rename = "flavor")]
     pub instance_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "region")]
     pub zone: String,
-    /// True if the cloud may preempt it.
+    /// Whether the cloud may preempt the machine.
     #[serde(default, rename = "preemptible")]
     pub spot: bool,
-    /// Epoch of the worker: a later one after each start on the machine.
+    /// Epoch of the agent; it increases with each start of the agent on the machine.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// Number of the heartbeat in its epoch.
+    /// Sequence number of the heartbeat in its epoch.
     #[serde(rename = "serial")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "fence")]
     pub seen_token: FencingToken,
-    /// Seconds until the cloud preempts the machine, after its notice.
+    /// Number of seconds until the cloud preempts the machine; `None` if the cloud has given no notice.
     #[serde(default)]
     pub warning_s: Option<f64>,
     /// The tasks on the machine.
     #[serde(default, rename = "shards")]
     pub tasks: Vec<TaskStatus>,
-    /// The models that are loaded and not attached to a task; `None` from a worker without the
+    /// Loaded models that are not attached to a task; `None` from a worker that does not implement the
     /// extension of `docs/warm-pools.md`.
     #[serde(default)]
     pub slots: Option<Vec<SlotStatus>>,
@@ -52,11 +52,11 @@
 pub struct SlotStatus {
     /// Number of the slot.
     pub slot: u64,
-    /// It answers requests as soon as a task is attached to it.
+    /// Whether the model would answer requests as soon as a task is attached to the slot.
     pub ready: bool,
 }
 
-/// A task in a heartbeat.
+/// An attempt of a task as a heartbeat states it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TaskStatus {
     /// Job id and task number.
@@ -65,16 +65,20 @@
     /// Number of the attempt.
     #[serde(rename = "try_no")]
     pub attempt: u64,
-    phase: WirePhase,
+    /// Phase of the attempt.
+    phase: WireTaskPhase,
+    /// Reason for which the attempt ended; `None` if it has not ended.
     #[serde(default)]
-    exit_reason: Option<WireReason>,
+    exit_reason: Option<WireExitReason>,
+    /// Whether the attempt saved its state when it was stopped.
     #[serde(default)]
     stored: bool,
 }
 
+/// Phase of an attempt, by its name in the protocol.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum WirePhase {
+enum WireTaskPhase {
     Fetching,
     Gathering,
     Running,
@@ -84,9 +88,10 @@
     Unknown,
 }
 
+/// Reason for which an attempt ended, by its name in the protocol.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum WireReason {
+enum WireExitReason {
     Done,
     Halted,
     MatesGone,
@@ -100,27 +105,28 @@
 }
 
 impl TaskStatus {
-    /// How far the task is; an unknown phase counts as running.
+    /// Returns the phase of the attempt; an unknown phase counts as running, and an unknown or missing
+    /// exit reason as an error.
     pub fn phase(&self) -> TaskPhase {
         match self.phase {
-            WirePhase::Fetching => TaskPhase::Fetching,
-            WirePhase::Gathering => TaskPhase::Gathering,
-            WirePhase::Running | WirePhase::Unknown => TaskPhase::Running,
-            WirePhase::Flushing => TaskPhase::Saving,
-            WirePhase::Ended => TaskPhase::Ended(match self.exit_reason {
-                Some(WireReason::Done) => ExitReason::Done,
-                Some(WireReason::Halted) => ExitReason::Stopped { saved: self.stored },
-                Some(WireReason::MatesGone) => ExitReason::MatesGone,
-                Some(WireReason::Incomplete) => ExitReason::Incomplete,
-                Some(WireReason::NoRoom) => ExitReason::NoRoom,
-                Some(WireReason::InUse) => ExitReason::InUse,
-                Some(WireReason::NoSuch) => ExitReason::NoSuch,
-                Some(WireReason::Error | WireReason::Unknown) | None => ExitReason::Error,
+            WireTaskPhase::Fetching => TaskPhase::Fetching,
+            WireTaskPhase::Gathering => TaskPhase::Gathering,
+            WireTaskPhase::Running | WireTaskPhase::Unknown => TaskPhase::Running,
+            WireTaskPhase::Flushing => TaskPhase::Saving,
+            WireTaskPhase::Ended => TaskPhase::Ended(match self.exit_reason {
+                Some(WireExitReason::Done) => ExitReason::Done,
+                Some(WireExitReason::Halted) => ExitReason::Stopped { saved: self.stored },
+                Some(WireExitReason::MatesGone) => ExitReason::MatesGone,
+                Some(WireExitReason::Incomplete) => ExitReason::Incomplete,
+                Some(WireExitReason::NoRoom) => ExitReason::NoRoom,
+                Some(WireExitReason::InUse) => ExitReason::InUse,
+                Some(WireExitReason::NoSuch) => ExitReason::NoSuch,
+                Some(WireExitReason::Error | WireExitReason::Unknown) | None => ExitReason::Error,
             }),
         }
     }
 
-    /// Job id and task number; `None` if they are not in the expected form.
+    /// Returns the job id and the task number; `None` if they are not in the expected form.
     pub fn key(&self) -> Option<(&str, u32)> {
         let (job, number) = self.task.rsplit_once('/')?;
         Some((job, number.parse().ok()?))
@@ -131,7 +137,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Order {
-    /// Start an attempt of a task.
+    /// Starts an attempt of a task.
     Run {
         /// Job id and task number.
         #[serde(rename = "shard")]
@@ -140,35 +146,35 @@
         #[serde(rename = "try_no")]
         attempt: u64,
     },
-    /// Load a model into a slot, so that a task can be attached to it.
+    /// Loads a model into a slot, so that a task can be attached to it.
     Load {
         /// Number of the slot.
         slot: u64,
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Its version.
+        /// Version of the model.
         version: u64,
-        /// Its image.
+        /// Image of the model.
         #[serde(rename = "bundle")]
         image: String,
-        /// Size of the image.
+        /// Size of the image in gigabytes.
         size_gb: f64,
-        /// CPU cores that the slot takes.
+        /// Number of CPU cores that the slot uses.
         #[serde(rename = "cores")]
         cpus: f64,
-        /// Accelerators that it takes.
+        /// Number of accelerators that the slot uses.
         #[serde(rename = "cards")]
         gpus: f64,
-        /// Gigabytes of memory that it takes.
+        /// Memory that the slot uses, in gigabytes.
         mem_gb: f64,
     },
-    /// Unload a slot.
+    /// Unloads the model of a slot.
     Unload {
         /// Number of the slot.
         slot: u64,
     },
-    /// Start an attempt of a task with the loaded model of a slot, or as `run` does if the slot is
-    /// not there.
+    /// Starts an attempt of a task with the loaded model of a slot, or as `Run` does if the worker does
+    /// not have the slot.
     Attach {
         /// Job id and task number.
         #[serde(rename = "shard")]
@@ -179,7 +185,7 @@
         /// Number of the slot.
         slot: u64,
     },
-    /// End an attempt, with time to save its state.
+    /// Stops an attempt, with time to save its state.
     Stop {
         /// Job id and task number.
         #[serde(rename = "shard")]
@@ -187,11 +193,11 @@
         /// Number of the attempt.
         #[serde(rename = "try_no")]
         attempt: u64,
-        /// Seconds that it has for saving its state.
+        /// Number of seconds that the attempt has for saving its state.
         #[serde(rename = "drain_s")]
         grace_s: f64,
     },
-    /// Forget an attempt that has ended.
+    /// Makes the worker forget an attempt that has ended.
     Reap {
         /// Job id and task number.
         #[serde(rename = "shard")]
@@ -203,7 +209,7 @@
 }
 
 impl Order {
-    /// The order to start an attempt of a task.
+    /// Returns the order to start an attempt of a task, in its slot if it has one.
     pub fn run(job: &str, attempt: &TaskAttempt) -> Order {
         let task = format!("{job}/{}", attempt.key.task);
         match attempt.slot {
@@ -212,34 +218,35 @@
         }
     }
 
-    /// The order to stop an attempt of a task.
+    /// Returns the order to stop an attempt of a task within `grace_s` seconds.
     pub fn stop(job: &str, attempt: &TaskAttempt, grace_s: f64) -> Order {
         Order::Stop { task: format!("{job}/{}", attempt.key.task), attempt: attempt.attempt, grace_s }
     }
 
-    /// The order to forget an attempt of a task.
+    /// Returns the order to forget an attempt of a task.
     pub fn reap(job: &str, attempt: &TaskAttempt) -> Order {
         Order::Reap { task: format!("{job}/{}", attempt.key.task), attempt: attempt.attempt }
     }
 }
 
-/// The reply to a heartbeat.
+/// Returns the body of the reply to a heartbeat.
 pub fn orders(fencing_token: FencingToken, orders: &[Order]) -> Value {
     json!({ "fence": fencing_token, "orders": orders })
 }
 
-/// The body of a direct command.
+/// Returns the body of a direct command.
 pub fn direct(fencing_token: FencingToken, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
     serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": agent_epoch, "orders": orders })).unwrap_or_default()
 }
 
-/// The refusal of a heartbeat by a node that does not lead the machine's partition.
-pub fn redirect(node: Option<&str>) -> Value {
+/// Returns the body of the refusal of a heartbeat by a node that does not lead the machine's partition,
+/// with the node that leads it if that is known.
+pub fn leader_redirect(node: Option<&str>) -> Value {
     match node {
         Some(node) => json!({ "reports_to": node }),
         None => json!({}),
     }
 }
 
-/// The path of a direct command.
-pub const DO_PATH: &str = "/do";
+/// Path to which direct commands are posted.
+pub const DIRECT_COMMAND_PATH: &str = "/do";
