--- a/src/api/ended_jobs/tests.rs
+++ b/src/api/ended_jobs/tests.rs
@@ -1,8 +1,11 @@
+//! Tests of the cache of ended jobs. A status that may still change must not be remembered, as it would
+//! be answered after the job has changed.
+
 use super::*;
 use crate::model::JobPhase;
 
-/// Ends that are remembered in these tests.
-const MOST: usize = 100;
+/// Capacity of the caches in these tests.
+const MAX_ENDS: usize = 100;
 
 const DONE: EndedJob = EndedJob { end: JobEnd::Done, done: 3 };
 
@@ -11,8 +14,8 @@
 }
 
 #[test]
-fn only_ends_stated_by_a_leader_are_remembered() {
-    let ended = EndedJobs::new(MOST);
+fn answers_of_a_leader_without_an_end_are_not_remembered() {
+    let ended = EndedJobs::new(MAX_ENDS);
     ended.insert_stated("a", &answer(200, JobPhase::Pending));
     ended.insert_stated("a", &answer(200, JobPhase::Running));
     ended.insert_stated("a", &answer(503, JobPhase::Done));
@@ -25,21 +28,21 @@
 }
 
 #[test]
-fn a_remembered_end_is_not_replaced() {
-    let ended = EndedJobs::new(MOST);
+fn remembered_end_is_not_replaced() {
+    let ended = EndedJobs::new(MAX_ENDS);
     ended.insert("a", DONE);
     ended.insert("a", EndedJob { done: 2, ..DONE });
     assert_eq!(ended.get("a"), Some(DONE));
 }
 
 #[test]
-fn the_oldest_end_is_evicted_first() {
-    let ended = EndedJobs::new(MOST);
-    for n in 0..=MOST {
-        ended.insert(&n.to_string(), DONE);
+fn oldest_end_is_evicted_when_the_cache_is_full() {
+    let ended = EndedJobs::new(MAX_ENDS);
+    for number in 0..=MAX_ENDS {
+        ended.insert(&number.to_string(), DONE);
     }
-    assert_eq!(ended.ends.lock().unwrap().by_id.len(), MOST);
+    assert_eq!(ended.ends.lock().unwrap().by_id.len(), MAX_ENDS);
     assert_eq!(ended.get("0"), None);
     assert_eq!(ended.get("1"), Some(DONE));
-    assert_eq!(ended.get(&MOST.to_string()), Some(DONE));
+    assert_eq!(ended.get(&MAX_ENDS.to_string()), Some(DONE));
 }
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -12,86 +12,93 @@
 use crate::wire;
 use tokio::time::Instant;
 
-/// What the partition leaders answer about a job.
-enum LeadersAnswer {
-    /// The answer of the leader that has the job.
+/// The answer of the partition leaders about a job.
+enum PartitionLeadersAnswer {
+    /// The answer of the leader whose partition has the job.
     Known(Response),
-    /// A leader that may have the job refused, or could not be asked; the refusal.
+    /// The refusal of a leader that may have the job, or the refusal for a leader that could not be
+    /// asked.
     Indeterminate(Response),
-    /// No leader has the job.
+    /// No leader knows the job.
     Unknown,
 }
 
 impl Api {
-    /// Answers a poll or a cancellation of a job. Its partition leader is asked, in the partition in
-    /// which the job was last found or else in all; without an answer the record is read.
-    pub(super) async fn job(&self, id: &str, call: UserCall) -> Response {
+    /// Answers a poll or a cancellation of a job. The leader of the partition in which the job was
+    /// last found is asked, or else the leaders of all partitions. If no leader knows the job, or if
+    /// a poll gets no answer, the record is read.
+    pub(super) async fn poll_or_cancel(&self, id: &str, call: UserCall) -> Response {
         if !wire::is_job_id(id) {
             return Response::error(404, "no such job");
         }
         let is_poll = matches!(call, UserCall::Status(_));
         if let Some(ended) = self.ended_jobs.get(id) {
             if is_poll {
-                self.metrics.count_remembered_poll();
+                self.metrics.count_poll_from_remembered_end();
             }
             return ended.response(id);
         }
-        match self.ask_leaders(id, call).await {
-            LeadersAnswer::Known(response) => response,
-            LeadersAnswer::Indeterminate(response) if !is_poll => response,
-            // Only a fresh read can show that a job does not exist.
-            LeadersAnswer::Indeterminate(_) | LeadersAnswer::Unknown => {
+        match self.ask_partition_leaders(id, call).await {
+            PartitionLeadersAnswer::Known(response) => response,
+            PartitionLeadersAnswer::Indeterminate(response) if !is_poll => response,
+            // Only a fresh read of the record can show that a job does not exist.
+            PartitionLeadersAnswer::Indeterminate(_) | PartitionLeadersAnswer::Unknown => {
                 let purpose = if is_poll { Purpose::Poll } else { Purpose::Change };
-                self.fresh(id, is_poll, purpose).await
+                self.answer_from_record(id, is_poll, purpose).await
             }
         }
     }
 
-    async fn ask_leaders(&self, id: &str, call: UserCall) -> LeadersAnswer {
+    /// Asks the leader of the partition in which the job was last found, or else the leaders of all
+    /// partitions, until one knows the job.
+    async fn ask_partition_leaders(&self, id: &str, call: UserCall) -> PartitionLeadersAnswer {
         let hint = lock(&self.route_hints).job(id);
-        let all = 0..self.router.partitions.len() as u32;
-        let order: Vec<u32> = hint.into_iter().chain(all.filter(|partition| Some(*partition) != hint)).collect();
-        let mut answer = LeadersAnswer::Unknown;
+        let all_partitions = 0..self.router.partitions.len() as u32;
+        let order: Vec<u32> =
+            hint.into_iter().chain(all_partitions.filter(|partition| Some(*partition) != hint)).collect();
+        let mut answer = PartitionLeadersAnswer::Unknown;
         for partition in order {
             match self.router.user(partition, call.clone()).await {
                 Some(response) if response.status == 404 => {}
                 Some(response) if response.status == 200 => {
                     lock(&self.route_hints).remember_job(id, partition);
                     self.ended_jobs.insert_stated(id, &response);
-                    return LeadersAnswer::Known(response);
+                    return PartitionLeadersAnswer::Known(response);
                 }
                 other => {
                     let refusal = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
-                    answer = LeadersAnswer::Indeterminate(refusal);
+                    answer = PartitionLeadersAnswer::Indeterminate(refusal);
                 }
             }
             if hint == Some(partition) {
-                // It was there, and a job stays in its partition.
+                // A job never changes its partition.
                 break;
             }
         }
         answer
     }
 
-    /// Answers from the job's record, read now. Without the leader a job that has not ended can be
-    /// polled (`is_poll`), and not be cancelled.
-    pub(super) async fn fresh(&self, id: &str, is_poll: bool, purpose: Purpose) -> Response {
+    /// Answers from a fresh read of the job's record. A job that has not ended can be polled
+    /// (`is_poll`) without its leader, but not be cancelled.
+    pub(super) async fn answer_from_record(&self, id: &str, is_poll: bool, purpose: Purpose) -> Response {
         let deadline = Instant::now() + 2 * READ_TIMEOUT;
         match self.job_reads.read(id, purpose, deadline).await {
             Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
-            Ok(RecordedJob::Live(job)) => match self.any_cancelled(&job.dependencies, purpose, deadline).await {
-                Ok(true) => self.ended(id, EndedJob { end: JobEnd::Cancelled, done: job.done }),
-                Ok(false) if is_poll => Response::json(200, &wire::job_answer(id, JobPhase::Pending, job.done, 0)),
-                Ok(false) => RefusalReason::LeaderUnreachable.response(),
-                Err(reason) => reason.response(),
-            },
-            Ok(RecordedJob::Ended { ended, .. }) => self.ended(id, ended),
+            Ok(RecordedJob::Live(job)) => {
+                match self.any_dependency_cancelled(&job.dependencies, purpose, deadline).await {
+                    Ok(true) => self.remember_end(id, EndedJob { end: JobEnd::Cancelled, done: job.done }),
+                    Ok(false) if is_poll => Response::json(200, &wire::job_answer(id, JobPhase::Pending, job.done, 0)),
+                    Ok(false) => RefusalReason::LeaderUnreachable.response(),
+                    Err(reason) => reason.response(),
+                }
+            }
+            Ok(RecordedJob::Ended { ended, .. }) => self.remember_end(id, ended),
             Err(reason) => reason.response(),
         }
     }
 
-    /// Remembers an end, and answers with it.
-    fn ended(&self, id: &str, ended: EndedJob) -> Response {
+    /// Remembers the end of a job and returns the answer with it.
+    fn remember_end(&self, id: &str, ended: EndedJob) -> Response {
         self.ended_jobs.insert(id, ended);
         ended.response(id)
     }
--- a/src/api/node_status.rs
+++ b/src/api/node_status.rs
@@ -9,24 +9,25 @@
 use tokio::sync::oneshot;
 
 impl Api {
-    /// Ready means that requests can be served: the state service has answered within the life of
-    /// a leader lease, and every partition has a leader.
+    /// Answers whether this node can serve requests: the state service has answered within the
+    /// duration of a leader lease, and every partition has a leader.
     pub(super) fn ready(&self) -> Response {
         let now = clock::now_ms();
-        let last_ok_ms = self.state.last_answer_ms();
-        let state_ok = last_ok_ms > 0 && now.saturating_sub(last_ok_ms) < self.router.leader_lease_ttl_ms;
-        let all_led = self.router.partitions.iter().all(|partition| {
+        let last_answer_ms = self.state.last_answer_ms();
+        let state_ok = last_answer_ms > 0 && now.saturating_sub(last_answer_ms) < self.router.leader_lease_ttl_ms;
+        let every_partition_has_leader = self.router.partitions.iter().all(|partition| {
             let leader_status = partition.leader_status.borrow();
             if leader_status.is_self { partition.leader_lease.holds(now) } else { leader_status.leader.is_some() }
         });
-        if state_ok && all_led {
+        if state_ok && every_partition_has_leader {
             Response::json(200, &serde_json::json!({ "ready": true }))
         } else {
             RefusalReason::NotReady.response()
         }
     }
 
-    /// The metrics of this node and of the partitions that it leads, in the text format.
+    /// Answers with the metrics of this node and of the partitions that it leads, in the Prometheus
+    /// text format.
     pub(super) async fn metrics_text(&self) -> Response {
         let mut text = self.metrics.text(self.job_reads.shared_count());
         text.push_str(&self.node_metrics.text());
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -1,74 +1,77 @@
-//! Why a request of a user or a worker is refused for now.
+//! Reasons for which requests of users and workers are refused temporarily.
 
 use crate::transport::http::Response;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Seconds after which a refused request may come again.
+/// Default value of `Retry-After`, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// The reasons of refusals that a later attempt may not meet.
+/// A reason for refusing a request that a later attempt may not meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// A write of the job's end was sent and may or may not have been made.
+    /// A commit with the job's end was sent and its outcome is not known yet.
     EndBeingRecorded,
-    /// The leader of the jobs is not known or gave no answer.
+    /// The leader of the job's partition is not known or gave no answer.
     #[serde(rename = "owner_unreachable")]
     LeaderUnreachable,
-    /// The job's record is not written yet.
+    /// The record of the job is not committed yet.
     JobNotAccepted,
-    /// The instance types of the cloud are not known yet.
+    /// The instance types that the cloud offers are not known yet.
     MachineTypesUnknown,
-    /// No node is known to lead the partition of the machine of a heartbeat.
+    /// No leader is known for the partition to which the machine of a heartbeat belongs.
     #[serde(rename = "machine_unowned")]
     MachineWithoutLeader,
-    /// A cancelled job may have tasks on unreachable machines.
+    /// The cancelled job may still have tasks on unreachable machines.
     MachineUnreachable,
-    /// The partition's actor took too long over a poll or a cancellation.
+    /// The partition's actor did not decide about a poll or a cancellation within the time limit.
     NoDecisionInTime,
-    /// The partition's number is out of range.
+    /// No partition has the requested number.
     NoSuchPartition,
-    /// This node's leader lease is not valid for the machine of a heartbeat, or the machine is not
-    /// known to it.
+    /// This node has no valid leader lease for the machine of a heartbeat, or does not know the
+    /// machine.
     #[serde(rename = "not_entitled")]
     NotLeaseHolder,
-    /// This node has lost, or does not have, the partition.
+    /// This node does not lead the partition, or no longer does.
     #[serde(rename = "not_owner")]
     NotLeader,
-    /// The node can't serve requests, as `GET /ready` answers.
+    /// `GET /ready`: this node can't serve requests now.
     NotReady,
-    /// The job's record is not in a form that this version reads.
+    /// The record of the job can't be parsed by this version.
     RecordUnreadable,
-    /// The state service gave no answer in time.
+    /// The state service gave no answer within the timeout.
     StateServiceSilent,
-    /// The partition's actor or the state service took too long over a submission.
+    /// The partition's actor or the state service did not complete a submission within the time limit.
     SubmissionSlow,
-    /// Another region may already have applied a version with the job's team, or a larger limit of it.
+    /// Another region may already have applied a version of the shared configuration that contains
+    /// the job's team or a larger limit for it.
     ConfigurationBehind,
-    /// The new leader has not read the partition's records yet.
+    /// The new leader of the partition has not read its records yet.
     #[serde(rename = "takeover_under_way")]
     FailoverUnderWay,
-    /// The budget for reads of job records is used up.
+    /// This node has used up its budget for reads of job records.
     TooManyReads,
-    /// A controller is of an earlier version, which ignores dependencies.
+    /// A controller runs an earlier version, which ignores dependencies.
     ControllerOutdated,
-    /// A dependency belongs to another partition: only its record shows its state.
+    /// A dependency belongs to another partition, so that only its record shows its state.
     #[serde(rename = "predecessor_elsewhere")]
     DependencyElsewhere,
-    /// Whether a dependency was accepted is not known yet.
+    /// It is not known yet whether a dependency was accepted.
     #[serde(rename = "predecessor_unclear")]
     DependencyIndeterminate,
-    /// The queue of the partition's actor is full; the worker sends its next heartbeat anyway.
+    /// The queue of the partition's actor is full, so that a heartbeat was dropped; the worker sends
+    /// the next one after its usual interval.
     TooManyReports,
-    /// The queue of the partition's actor is full.
+    /// The queue of the partition's actor is full, so that a user's request was dropped.
     TooManyRequests,
-    /// More submissions wait than can be recorded soon, or their budget is used up.
+    /// More submissions wait for their commits than can be made soon, or the budget for them is
+    /// used up.
     TooManySubmissions,
 }
 
 impl RefusalReason {
-    /// The status: 429 where the load is at fault, else 503.
+    /// Returns the HTTP status: 429 if the request was refused for the load, 503 otherwise.
     pub fn status(self) -> u16 {
         match self {
             RefusalReason::SubmissionSlow | RefusalReason::TooManyReads | RefusalReason::TooManySubmissions => 429,
@@ -76,28 +79,28 @@
         }
     }
 
-    /// Whether the version before this one knows it, too.
+    /// Returns whether the previous version of the software knows the reason as well.
     pub fn is_known_to_all(self) -> bool {
         use RefusalReason::{ConfigurationBehind, ControllerOutdated, DependencyElsewhere, DependencyIndeterminate};
         !matches!(self, ConfigurationBehind | ControllerOutdated | DependencyElsewhere | DependencyIndeterminate)
     }
 
-    /// The reason with this name, if this version knows it.
+    /// Returns the reason with the given name in metrics; `None` if this version has no such reason.
     pub fn from_label(label: &str) -> Option<RefusalReason> {
         serde_json::from_value(serde_json::Value::from(label)).ok()
     }
 
-    /// Its name in metrics.
+    /// Returns the name of the reason in metrics.
     pub fn label(self) -> String {
         serde_json::to_value(self).ok().and_then(|name| name.as_str().map(String::from)).unwrap_or_default()
     }
 
-    /// The refusal, with the usual time until the next attempt.
+    /// Returns the refusal with the default `Retry-After`.
     pub fn response(self) -> Response {
         self.response_after(RETRY_AFTER_S)
     }
 
-    /// The refusal of a request that may come again after so many seconds.
+    /// Returns the refusal with the given `Retry-After`, in seconds.
     pub fn response_after(self, retry_after_s: u64) -> Response {
         let refusal = Response::error(self.status(), &self.to_string());
         Response { retry_after_s: Some(retry_after_s), refusal: Some(self), ..refusal }
--- a/src/api/refusal/tests.rs
+++ b/src/api/refusal/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the responses to refused requests.
+
 use super::*;
 
 #[test]
-fn a_refusal_has_its_reason_and_retry_after() {
+fn refusal_has_status_reason_retry_after_and_body() {
     let overload = RefusalReason::TooManySubmissions.response_after(7);
     assert_eq!((overload.status, overload.retry_after_s), (429, Some(7)));
     assert_eq!(overload.refusal, Some(RefusalReason::TooManySubmissions));
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions: forwarded to the leader of the team's partition, or accepted without it.
+//! Submissions: forwarded to the leader of the team's partition, or accepted by this node if the
+//! leader gives no answer.
 
 use super::Api;
 use crate::api::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
@@ -14,19 +15,21 @@
 use crate::wire;
 use std::sync::Arc;
 
-/// Requests of an acceptance without the leader: the machine types, and the commit.
-const ACCEPTANCE_REQUESTS: usize = 2;
+/// Requests to the state service for an acceptance without the leader: the read of the instance
+/// types, and the commit.
+const REQUESTS_PER_ACCEPTANCE: usize = 2;
 
 impl Api {
-    /// Answers a submission. A known id is answered before any judgement of the rest.
+    /// Answers a submission. A known job is answered with its status, whatever the body contains
+    /// otherwise.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
-        // What is malformed needs no leader.
+        // A malformed submission is refused without asking the leader.
         let spec = match wire::parse_submission(&body) {
             Ok(spec) => spec,
             Err(malformed) => {
                 let refusal = Response::error(400, &malformed.to_string());
                 return match malformed.id {
-                    Some(id) => self.unless_known(&id, refusal).await,
+                    Some(id) => self.known_job_or_refusal(&id, refusal).await,
                     None => refusal,
                 };
             }
@@ -35,33 +38,35 @@
             return ended.response(&spec.id);
         }
         if !spec.dependencies.is_empty() && self.router.has_old_peer() {
-            return self.unless_known(&spec.id, RefusalReason::ControllerOutdated.response()).await;
+            return self.known_job_or_refusal(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
-        let leader_answer = self.ask_leader(partition, &spec, body).await;
-        let answer = self.answer_or_accept(partition, &spec, leader_answer).await;
+        let leader_answer = self.submit_to_leader(partition, &spec, body).await;
+        let answer = self.leader_answer_or_accept(partition, &spec, leader_answer).await;
         match answer.status {
-            400 | 422 => return self.unless_known(&spec.id, answer).await,
+            400 | 422 => return self.known_job_or_refusal(&spec.id, answer).await,
             200 | 201 => lock(&self.route_hints).remember_job(&spec.id, partition),
             _ => {}
         }
         answer
     }
 
-    /// The leader's answer to a submission; `None` if it can't be asked or gives none.
-    async fn ask_leader(&self, partition: u32, spec: &Spec, body: Vec<u8>) -> Option<Response> {
-        // A leader that is not known to be of this version might ignore the dependencies.
+    /// Forwards a submission to the partition's leader and returns its answer; `None` if the leader
+    /// can't be asked or gives no answer.
+    async fn submit_to_leader(&self, partition: u32, spec: &Spec, body: Vec<u8>) -> Option<Response> {
+        // A leader that is not known to run this version might ignore the dependencies.
         if !spec.dependencies.is_empty() && !self.router.leader_is_current(partition) {
             return None;
         }
         self.router.user(partition, UserCall::Submit(body)).await
     }
 
-    /// The leader's answer, or this node's own where the leader gave none or could not decide.
-    async fn answer_or_accept(&self, partition: u32, spec: &Spec, leader_answer: Option<Response>) -> Response {
+    /// Returns the leader's answer, or the answer of this node if the leader gave none or could not
+    /// decide.
+    async fn leader_answer_or_accept(&self, partition: u32, spec: &Spec, leader_answer: Option<Response>) -> Response {
         match leader_answer {
             Some(answer) if answer.status != 503 => answer,
-            // The cause of this refusal would not keep this node from accepting the job.
+            // These refusals stand, as their causes would not keep this node from accepting the job.
             Some(answer)
                 if matches!(
                     answer.refusal,
@@ -70,37 +75,40 @@
             {
                 answer
             }
-            // A second attempt would only add to the load of the leader.
+            // The leader is active but overloaded; an attempt without it would only add to the load.
             None if self.router.leader_is_active(partition)
                 && self.state.is_responsive(self.router.leader_lease_ttl_ms) =>
             {
                 RefusalReason::SubmissionSlow.response()
             }
-            // The partition has no leader now, it can't be reached, or the job's end is being recorded.
+            // The partition has no leader, it can't be reached, or it can't decide now, for example
+            // because the job's end is being recorded.
             other => {
-                let later = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
-                match self.fresh(&spec.id, true, Purpose::Change).await {
+                let retry_later = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
+                match self.answer_from_record(&spec.id, true, Purpose::Change).await {
                     known if known.status == 200 => known,
-                    excess if excess.status == 429 => excess,
-                    unknown if unknown.status == 404 => self.accept(partition, spec).await.unwrap_or(later),
-                    _ => later,
+                    over_budget if over_budget.status == 429 => over_budget,
+                    unknown if unknown.status == 404 => self.accept(partition, spec).await.unwrap_or(retry_later),
+                    _ => retry_later,
                 }
             }
         }
     }
 
-    /// Answers a known job as such even where its content is refused now.
-    async fn unless_known(&self, id: &str, refusal: Response) -> Response {
+    /// Returns the status of the job if it is known, and the given refusal otherwise. A known job is
+    /// answered even if the content of the request is refused.
+    async fn known_job_or_refusal(&self, id: &str, refusal: Response) -> Response {
         if let Some(ended) = self.ended_jobs.get(id) {
             return ended.response(id);
         }
-        match self.fresh(id, true, Purpose::Change).await {
+        match self.answer_from_record(id, true, Purpose::Change).await {
             unknown if unknown.status == 404 => refusal,
             known => known,
         }
     }
 
-    /// The policy under the shared configuration, if there is one, and whether no later version is known.
+    /// Returns the policy under the shared configuration, if there is one, and whether that is the
+    /// latest known version.
     fn current_policy(&self) -> (Arc<Policy>, bool) {
         let Some(configuration) = &self.router.configuration else { return (self.policy.clone(), true) };
         match (configuration.policy(&self.policy), configuration.published()) {
@@ -109,12 +117,12 @@
         }
     }
 
-    /// Accepts a job without its partition's leader: the record is the truth. It is created on the
-    /// condition that the key does not exist, and 201 is answered only after that commit. The next
-    /// leader reads it; a present one is notified by a key in its inbox. `None` if the outcome is
-    /// indeterminate or nothing was written.
+    /// Accepts a job without its partition's leader, as the job record is authoritative. The record
+    /// is created on the condition that its key does not exist, and 201 is answered only after that
+    /// commit. The next leader reads the record; a present leader is notified by a key in its inbox.
+    /// Returns `None` if the outcome is indeterminate or nothing was written.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
-        if !self.request_budget.try_admit_all(ACCEPTANCE_REQUESTS, Purpose::Change) {
+        if !self.request_budget.try_admit_all(REQUESTS_PER_ACCEPTANCE, Purpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
         let instance_types = partition_leader::stored_instance_types(&self.state)
@@ -137,13 +145,13 @@
         let id = spec.id.clone();
         let record = JobRecord { spec: checked.spec, accepted_ms: clock::wall_ms(), end: None, done: Vec::new() };
         let value = serde_json::to_value(&record).ok()?;
-        let apply = [
+        let writes = [
             wire::put(&job_key(&id), &value, None),
             wire::put(&inbox_key(partition, &id), &serde_json::json!({}), None),
         ];
-        match self.state.commit(&[wire::condition(&job_key(&id), 0)], &apply).await {
+        match self.state.commit(&[wire::condition(&job_key(&id), 0)], &writes).await {
             CommitOutcome::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, checked.phase, 0, 0))),
-            CommitOutcome::Conflict { .. } => Some(self.fresh(&id, true, Purpose::Change).await),
+            CommitOutcome::Conflict { .. } => Some(self.answer_from_record(&id, true, Purpose::Change).await),
             _ => None,
         }
     }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the answers to users and workers, against a scripted state service.
+//! Tests of the answers to users and workers, against a simulated state service.
 
 mod answers;
 mod dependencies;
@@ -26,16 +26,18 @@
 
 const ID: &str = "run-000001";
 
-/// A state service with job records, which counts how often that of the first job is read.
+/// A simulated state service with job records. It counts the reads of the record of job [`ID`].
 #[derive(Clone, Default)]
-struct StateService {
+struct SimulatedStateService {
+    /// Job records by job id.
     records: Arc<Mutex<HashMap<String, JobRecord>>>,
+    /// Number of reads of the record of job [`ID`].
     reads: Arc<AtomicU32>,
-    /// The changes of the commits that were made.
+    /// Writes of each commit, in the order of the commits.
     commits: Arc<Mutex<Vec<Value>>>,
 }
 
-impl StateService {
+impl SimulatedStateService {
     fn answer(&self, request: &Request) -> Response {
         if request.path == "/commit" {
             let commit: Value = serde_json::from_slice(&request.body).unwrap();
@@ -56,11 +58,12 @@
         }
     }
 
-    /// Stores the record of the first job, which has no dependencies.
-    fn put(&self, end: Option<JobEnd>) {
+    /// Stores the record of job [`ID`], without dependencies.
+    fn put_first_job(&self, end: Option<JobEnd>) {
         self.put_job(ID, end, &[]);
     }
 
+    /// Stores the record of a job with two tasks.
     fn put_job(&self, id: &str, end: Option<JobEnd>, dependencies: &[&str]) {
         let mut spec = wire::parse_submission(&partition::tests::body(id, "batch", 2)).unwrap();
         spec.dependencies = Dependencies::new(dependencies.iter().map(|id| id.to_string()));
@@ -68,13 +71,14 @@
         self.records.lock().unwrap().insert(id.to_string(), record);
     }
 
-    /// The last value that the commits so far wrote under this key.
-    fn written(&self, key: &str) -> Option<Value> {
+    /// Returns the last value that a commit has written to the key; `None` if none has.
+    fn last_written(&self, key: &str) -> Option<Value> {
         let commits = self.commits.lock().unwrap();
-        let changes = commits.iter().filter_map(|apply| apply.as_array()).flatten();
-        changes.filter(|change| change["put"] == key).map(|change| change["data"].clone()).next_back()
+        let writes = commits.iter().filter_map(|apply| apply.as_array()).flatten();
+        writes.filter(|write| write["put"] == key).map(|write| write["data"].clone()).next_back()
     }
 
+    /// Returns the number of reads of the record of job [`ID`].
     fn reads(&self) -> u32 {
         self.reads.load(Ordering::SeqCst)
     }
@@ -88,8 +92,8 @@
     partition::tests::body(ID, "batch", 2)
 }
 
-/// The interface of a node that knows no leader, at this state service.
-async fn api_at(service: &StateService) -> Api {
+/// Returns the interface of a node that knows no leader and uses this state service.
+async fn api_without_leader(service: &SimulatedStateService) -> Api {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut settings: Settings = settings();
     settings.endpoints.state = listener.local_addr().unwrap();
@@ -127,31 +131,34 @@
     }
 }
 
+/// Sends a request to the interface.
 async fn call(api: &Api, method: &str, path: String, body: Vec<u8>) -> Response {
     api.clone().handle(Request { method: method.to_string(), path, body }).await
 }
 
+/// Polls job [`ID`].
 async fn poll(api: &Api) -> Response {
     call(api, "GET", format!("/v1/jobs/{ID}"), Vec::new()).await
 }
 
-fn phase(response: &Response) -> (u16, String) {
+/// Returns the status of a response and the phase of the job that it states.
+fn status_and_phase(response: &Response) -> (u16, String) {
     let answer: Value = serde_json::from_slice(&response.body).unwrap();
     (response.status, answer["phase"].as_str().unwrap_or_default().to_string())
 }
 
-/// A leader on this node that gives this answer to the one user who asks. Its mailbox is
-/// closed once the task has ended.
-fn led_here(api: &mut Api, answer: UserAnswer) -> (watch::Sender<LeaderStatus>, tokio::task::JoinHandle<()>) {
+/// Adds a leader of partition 0 on this node that gives this answer to one user. Returns the sender of
+/// its leader status, and the task of its mailbox, which is closed once the task has ended.
+fn add_local_leader(api: &mut Api, answer: UserAnswer) -> (watch::Sender<LeaderStatus>, tokio::task::JoinHandle<()>) {
     let (leader, mut messages) = mpsc::channel(1);
     let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_self: true, ..LeaderStatus::default() });
-    let members = mpsc::channel(1).0;
+    let election = mpsc::channel(1).0;
     let handle = PartitionHandle {
         leader_status,
         leader_lease: Default::default(),
         pledge_status: Default::default(),
         leader,
-        election: members,
+        election,
     };
     api.router.partitions = Arc::new(vec![handle]);
     let mailbox = task::spawn(async move {
--- a/src/api/tests/answers.rs
+++ b/src/api/tests/answers.rs
@@ -1,56 +1,60 @@
-//! Tests of ends that are remembered, fresh reads, budgets and time limits.
+//! Tests of remembered ends, fresh reads, request budgets and time limits.
 
 use super::*;
 
 #[tokio::test]
-async fn a_recorded_end_is_read_once() {
-    let service = StateService::default();
-    let api = api_at(&service).await;
+async fn recorded_end_is_read_once_and_then_answered_from_memory() {
+    let service = SimulatedStateService::default();
+    let api = api_without_leader(&service).await;
     for end in [JobEnd::Done, JobEnd::Cancelled] {
         let api = Api { ended_jobs: EndedJobs::new(1000), ..api.clone() };
-        service.put(Some(end));
+        service.put_first_job(Some(end));
         let first = poll(&api).await;
         let reads = service.reads();
-        let withdrawal = call(&api, "POST", format!("/v1/jobs/{ID}/withdraw"), Vec::new()).await;
-        let again = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
+        let cancellation = call(&api, "POST", format!("/v1/jobs/{ID}/withdraw"), Vec::new()).await;
+        let resubmission = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
         let malformed = call(&api, "POST", "/v1/jobs".to_string(), format!("{{\"id\":\"{ID}\"}}").into_bytes()).await;
-        for answer in [poll(&api).await, withdrawal, again, malformed] {
-            assert_eq!((phase(&answer), &answer.body), (phase(&first), &first.body));
+        for answer in [poll(&api).await, cancellation, resubmission, malformed] {
+            assert_eq!((status_and_phase(&answer), &answer.body), (status_and_phase(&first), &first.body));
         }
-        assert_eq!(service.reads(), reads, "nothing is read of a job whose end is known");
+        assert_eq!(service.reads(), reads, "the record of a job whose end is remembered is not read again");
     }
 }
 
+// A recorded end never changes, so the leader need not be asked again.
 #[tokio::test]
-async fn an_end_stated_by_a_leader_is_answered_without_it() {
-    let mut api = api_at(&StateService::default()).await;
+async fn end_stated_by_a_leader_is_answered_later_without_the_leader() {
+    let mut api = api_without_leader(&SimulatedStateService::default()).await;
     let done = UserAnswer::Status { id: ID.to_string(), phase: JobPhase::Done, done: 2, running: 0 };
-    let (_leadership, mailbox) = led_here(&mut api, done);
+    let (_leader_status, mailbox) = add_local_leader(&mut api, done);
     let first = poll(&api).await;
     mailbox.await.unwrap();
     let again = poll(&api).await;
-    assert_eq!((phase(&again), again.body), ((200, "done".to_string()), first.body));
+    assert_eq!((status_and_phase(&again), again.body), ((200, "done".to_string()), first.body));
 }
 
+// A remembered answer about such a job would be wrong once the job is submitted or ends.
 #[tokio::test]
-async fn missing_and_live_jobs_are_read_for_each_poll() {
-    let service = StateService::default();
-    let api = api_at(&service).await;
+async fn record_of_a_missing_or_live_job_is_read_for_each_poll() {
+    let service = SimulatedStateService::default();
+    let api = api_without_leader(&service).await;
     assert_eq!(poll(&api).await.status, 404);
     assert_eq!(poll(&api).await.status, 404);
     assert_eq!(service.reads(), 2);
-    service.put(None);
-    assert_eq!(phase(&poll(&api).await), (200, "pending".to_string()));
-    assert_eq!(phase(&poll(&api).await), (200, "pending".to_string()));
+    service.put_first_job(None);
+    assert_eq!(status_and_phase(&poll(&api).await), (200, "pending".to_string()));
+    assert_eq!(status_and_phase(&poll(&api).await), (200, "pending".to_string()));
     assert_eq!(service.reads(), 4);
-    service.put(Some(JobEnd::Done));
-    assert_eq!(phase(&poll(&api).await), (200, "done".to_string()));
+    service.put_first_job(Some(JobEnd::Done));
+    assert_eq!(status_and_phase(&poll(&api).await), (200, "done".to_string()));
 }
 
+// A request that waited for the budget, or was sent beyond it, would take the rate of the state service
+// from lease renewals, heartbeats and commits.
 #[tokio::test]
-async fn requests_beyond_the_budget_are_refused_at_once_with_retry_after() {
-    let service = StateService::default();
-    let api = api_at(&service).await;
+async fn requests_over_the_budget_are_refused_without_a_read_and_with_retry_after() {
+    let service = SimulatedStateService::default();
+    let api = api_without_leader(&service).await;
     while api.request_budget.try_admit(Purpose::Poll) {}
     let poll = poll(&api).await;
     assert_eq!((poll.status, poll.retry_after_s), (429, Some(1)));
@@ -62,12 +66,12 @@
 }
 
 #[tokio::test]
-async fn metrics_count_refusals_and_saved_reads() {
-    let service = StateService::default();
-    let api = api_at(&service).await;
-    service.put(Some(JobEnd::Done));
-    let (first, shares_its_read) = tokio::join!(poll(&api), poll(&api));
-    assert_eq!((first.status, shares_its_read.status), (200, 200));
+async fn metrics_count_refusals_remembered_polls_and_shared_reads() {
+    let service = SimulatedStateService::default();
+    let api = api_without_leader(&service).await;
+    service.put_first_job(Some(JobEnd::Done));
+    let (first, concurrent) = tokio::join!(poll(&api), poll(&api));
+    assert_eq!((first.status, concurrent.status), (200, 200));
     poll(&api).await;
     while api.request_budget.try_admit(Purpose::Poll) {}
     call(&api, "GET", "/v1/jobs/run-000002".to_string(), Vec::new()).await;
@@ -83,12 +87,13 @@
     assert_eq!(String::from_utf8(text).unwrap(), expected);
 }
 
-// The state service's time-outs add up to more where several calls follow each other.
+// An answer may take several calls to the state service in a row, whose timeouts together exceed the
+// time that users wait.
 #[tokio::test(start_paused = true)]
-async fn an_answer_comes_within_the_wait_of_users() {
+async fn answer_is_refused_after_the_time_limit_of_users() {
     let start = Instant::now();
-    assert_eq!(in_time(std::future::pending()).await.status, 503);
-    assert_eq!(start.elapsed(), MAX_USER_WAIT);
-    assert!(MAX_USER_WAIT < Duration::from_secs(5));
-    assert_eq!(in_time(async { RefusalReason::NoDecisionInTime.response() }).await.status, 503);
+    assert_eq!(answer_within_timeout(std::future::pending()).await.status, 503);
+    assert_eq!(start.elapsed(), USER_ANSWER_TIMEOUT);
+    assert!(USER_ANSWER_TIMEOUT < Duration::from_secs(5));
+    assert_eq!(answer_within_timeout(async { RefusalReason::NoDecisionInTime.response() }).await.status, 503);
 }
--- a/src/api/user_metrics/tests.rs
+++ b/src/api/user_metrics/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the text of the metrics about answers to users and workers.
+
 use super::*;
 
 #[test]
@@ -7,7 +9,7 @@
     metrics.count_answer(&RefusalReason::TooManyReads.response());
     metrics.count_answer(&RefusalReason::StateServiceSilent.response());
     metrics.count_answer(&Response::error(404, "no such job"));
-    metrics.count_remembered_poll();
+    metrics.count_poll_from_remembered_end();
     let expected = "\
         badgerdrift_refusals_total{reason=\"state_service_silent\",status=\"503\"} 1\n\
         badgerdrift_refusals_total{reason=\"too_many_reads\",status=\"429\"} 2\n\
