--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -181,13 +181,13 @@
         format!("/store/{key}")
     }
 
-    /// Returns the path of a page with at most `page_size` of the keys with the prefix, after the key
+    /// Returns the path of a page with at most `most` of the keys with the prefix, after the key
     /// `after`; of the first page if that is empty.
-    pub fn page(prefix: &str, after: &str, page_size: usize) -> String {
+    pub fn page(prefix: &str, after: &str, most: usize) -> String {
         if after.is_empty() {
-            format!("/store?under={prefix}&most={page_size}")
+            format!("/store?under={prefix}&most={most}")
         } else {
-            format!("/store?under={prefix}&from={after}&most={page_size}")
+            format!("/store?under={prefix}&from={after}&most={most}")
         }
     }
 
@@ -197,13 +197,13 @@
         format!("/changes?under={prefix}&from={after}&hold_ms={wait_ms}")
     }
 
-    /// Returns the path for the renewal of a lease.
-    pub fn lease_renewal(lease: u64) -> String {
-        format!("/grants/{lease}/extend")
+    /// Returns the path for the renewal of the lease with the id `grant`.
+    pub fn lease_renewal(grant: u64) -> String {
+        format!("/grants/{grant}/extend")
     }
 
-    /// Returns the path of a lease.
-    pub fn lease(lease: u64) -> String {
-        format!("/grants/{lease}")
+    /// Returns the path of the lease with the id `grant`.
+    pub fn lease(grant: u64) -> String {
+        format!("/grants/{grant}")
     }
 }
