--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -1,12 +1,12 @@
-//! The actor: holds this region's record, and is the region's acceptor.
+//! The configuration actor of a node: holds its region's record and acts as the region's Paxos acceptor.
 
 use super::exchange;
 use super::handle::{ConfigurationHandle, Message, Published};
 use super::messages::{ConfigurationRequest, ConfigurationResponse, RegionDigest, UnavailableReason};
-use super::proposals::{Proposals, Proposed};
+use super::proposals::{ProposalTask, ProposedEntry};
 use super::records::{self, AppliedConfiguration, StoredRecord};
 use super::region_policy::settings_documents;
-use super::regions::Regions;
+use super::regions::RegionClients;
 use super::settings::FleetSettings;
 use crate::clients::{StateStore, TokenBucket};
 use crate::runtime::metrics::SharedMetrics;
@@ -20,43 +20,50 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Messages to the actor that wait, at the most.
-const MAX_QUEUED: usize = 256;
-/// Of the changes that the state service takes in a second, one in so many is for the configuration.
-const WRITE_SHARE: f64 = 8.0;
-/// Another region counts as reachable for so many exchanges after its last answer.
-const CONTACT_EXCHANGES: u64 = 5;
+/// Capacity of the actor's message queue.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Divisor of the state service's write rate: the configuration may use this fraction of it. Also the
+/// burst, in seconds of the reduced rate.
+const WRITE_RATE_DIVISOR: f64 = 8.0;
+/// Number of exchange intervals after its last answer for which another region counts as reachable.
+const CONTACT_TTL_EXCHANGES: u64 = 5;
 
 /// The last answer of another region.
 pub(super) struct LastContact {
     pub(super) digest: RegionDigest,
-    /// When it arrived, on the steady clock.
-    pub(super) at_ms: u64,
+    /// Instant, in milliseconds of the steady clock, at which the answer arrived.
+    pub(super) answered_at_ms: u64,
 }
 
-/// The actor of a node's configuration.
+/// Actor that holds the region's record, answers configuration requests and publishes the configuration.
 pub struct ConfigurationActor {
     pub(super) fleet: FleetSettings,
+    /// Fingerprint of version 0.
     pub(super) genesis: u64,
+    /// Version 0, as the settings define it.
     pub(super) initial: ConfigState,
     pub(super) state: StateStore,
+    /// The region's record as last read or written; `None` before the region has one.
     pub(super) stored: Option<StoredRecord>,
-    pub(super) all_capable: bool,
+    /// Whether all other controllers of the region are known to support the shared configuration.
+    pub(super) peers_capable: bool,
     pub(super) contacts: BTreeMap<RegionName, LastContact>,
-    /// How long after its last answer another region counts as reachable.
+    /// Duration, in milliseconds after its last answer, for which another region counts as reachable.
     pub(super) contact_ttl_ms: u64,
+    /// What the region's leader has applied, as last read from the state service or recorded by this node.
     pub(super) applied_configuration: AppliedConfiguration,
-    /// What the leader on this node has recorded, if it is on this node.
-    pub(super) recorded_here: AppliedConfiguration,
-    /// A confirmation is not asked for again before then.
-    pub(super) confirm_after_ms: u64,
-    pub(super) writes: TokenBucket,
-    pub(super) proposals: mpsc::Sender<Proposed>,
-    pub(super) regions: Regions,
+    /// What a leader on this node last recorded; the default value if none has recorded anything.
+    pub(super) recorded_by_this_node: AppliedConfiguration,
+    /// Instant, in milliseconds of the steady clock, before which no further confirmation is proposed.
+    pub(super) next_confirmation_ms: u64,
+    /// Limit on the configuration's writes to the state service.
+    pub(super) write_limit: TokenBucket,
+    pub(super) proposals: mpsc::Sender<ProposedEntry>,
+    pub(super) regions: RegionClients,
     pub(super) published: watch::Sender<Option<Published>>,
 }
 
-/// Starts a node's configuration with all its tasks.
+/// Starts a node's configuration actor and its tasks, and returns a handle of the actor.
 pub fn start(
     net: &Net,
     settings: &Settings,
@@ -67,21 +74,21 @@
     metrics: SharedMetrics,
 ) -> ConfigurationHandle {
     let initial = ConfigState::initial(fleet.names(), settings_documents(settings, operator, &fleet.names()));
-    let genesis = genesis_of(&initial);
-    let (tx, rx) = mpsc::channel(MAX_QUEUED);
+    let genesis = version_0_fingerprint(&initial);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (published_tx, published) = watch::channel(None);
     let handle = ConfigurationHandle { region: fleet.region.clone(), tx, published };
-    let react = Duration::from_millis(settings.react_ms());
-    let limits = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
-    let regions = Regions::start(net, &fleet, limits, react);
+    let reaction_time = Duration::from_millis(settings.react_ms());
+    let timeouts = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
+    let regions = RegionClients::start(net, &fleet, timeouts, reaction_time);
     let node = format!("{} {}", fleet.region, settings.node);
-    let proposals = Proposals::start(
+    let proposals = ProposalTask::start(
         node,
         genesis,
         handle.clone(),
         regions.clone(),
         settings.write_limits(),
-        react,
+        reaction_time,
         metrics.clone(),
     );
     let now = clock::now_ms();
@@ -91,29 +98,41 @@
         initial,
         state: state.clone(),
         stored: None,
-        all_capable: peers.is_empty(),
+        peers_capable: peers.is_empty(),
         contacts: BTreeMap::new(),
-        contact_ttl_ms: CONTACT_EXCHANGES * settings.react_ms(),
+        contact_ttl_ms: CONTACT_TTL_EXCHANGES * settings.react_ms(),
         applied_configuration: AppliedConfiguration::default(),
-        recorded_here: AppliedConfiguration::default(),
-        confirm_after_ms: 0,
-        writes: TokenBucket::new(settings.write_limits().changes_per_s / WRITE_SHARE, WRITE_SHARE, now),
+        recorded_by_this_node: AppliedConfiguration::default(),
+        next_confirmation_ms: 0,
+        write_limit: TokenBucket::new(
+            settings.write_limits().changes_per_s / WRITE_RATE_DIVISOR,
+            WRITE_RATE_DIVISOR,
+            now,
+        ),
         proposals,
         regions: regions.clone(),
         published: published_tx,
     };
     task::spawn(actor.run(rx));
-    task::spawn(exchange::watch_capable(handle.clone(), peers.to_vec(), genesis, react));
-    task::spawn(exchange::watch_state(handle.clone(), state, react));
+    task::spawn(exchange::wait_for_capable_peers(handle.clone(), peers.to_vec(), genesis, reaction_time));
+    task::spawn(exchange::watch_record(handle.clone(), state, reaction_time));
     for region in regions.names() {
-        task::spawn(exchange::exchange(handle.clone(), regions.clone(), region, react, genesis, metrics.clone()));
+        task::spawn(exchange::exchange_versions(
+            handle.clone(),
+            regions.clone(),
+            region,
+            reaction_time,
+            genesis,
+            metrics.clone(),
+        ));
     }
     handle
 }
 
-/// A fingerprint of version 0: the same in controllers that begin with the same documents.
-fn genesis_of(initial: &ConfigState) -> u64 {
-    // Fixed keys: the same text leads to the same number in every process.
+/// Returns a fingerprint of version 0, which is equal in controllers with the same initial documents and
+/// regions.
+fn version_0_fingerprint(initial: &ConfigState) -> u64 {
+    // `DefaultHasher::new` uses fixed keys, so the result is the same in every process.
     let mut hasher = DefaultHasher::new();
     serde_json::to_string(&initial.documents.values().collect::<Vec<_>>()).unwrap_or_default().hash(&mut hasher);
     initial.regions.hash(&mut hasher);
@@ -129,22 +148,24 @@
                         sync::reply(reply, response);
                     }
                 }
-                Message::Changed(reply) => {
+                Message::RecordMayHaveChanged(reply) => {
                     let loaded = self.reload().await.is_ok();
                     sync::reply(reply, loaded);
                 }
                 Message::RegionDigest(digest) => {
                     self.record_contact(digest).await;
-                    self.confirm();
+                    self.confirm_applied_version();
+                }
+                Message::PeersCapable => self.peers_capable = true,
+                Message::AppliedConfiguration(applied_configuration) => {
+                    self.handle_applied_version(applied_configuration);
                 }
-                Message::AllCapable => self.all_capable = true,
-                Message::AppliedConfiguration(applied_configuration) => self.record_applied(applied_configuration),
             }
             self.publish();
         }
     }
 
-    /// The answer to a request, unless another task gives it.
+    /// Handles a request and returns the response with its reply channel; `None` if another task replies.
     async fn answer(
         &mut self,
         request: ConfigurationRequest,
@@ -156,17 +177,17 @@
             ConfigurationRequest::Agreement { genesis, .. } if genesis != self.genesis => {
                 ConfigurationResponse::Unavailable(UnavailableReason::SettingsDiffer)
             }
-            ConfigurationRequest::Agreement { request, .. } => self.agree(&request).await,
-            ConfigurationRequest::Log(version) => match records::log_entry(&self.state, version).await {
+            ConfigurationRequest::Agreement { request, .. } => self.handle_agreement_request(&request).await,
+            ConfigurationRequest::Log(version) => match records::load_log_entry(&self.state, version).await {
                 Ok(entry) => ConfigurationResponse::Log(entry),
                 Err(_) => ConfigurationResponse::Unavailable(UnavailableReason::StateService),
             },
             ConfigurationRequest::Apply(change) => {
-                self.submit_entry(Proposed { entry: Entry::Change(change), reply: Some(reply) });
+                self.submit_entry(ProposedEntry { entry: Entry::Change(change), reply: Some(reply) });
                 return None;
             }
             ConfigurationRequest::Propose(entry) => {
-                self.propose(Proposed { entry, reply: Some(reply) });
+                self.propose(ProposedEntry { entry, reply: Some(reply) });
                 return None;
             }
             other => self.answer_query(&other),
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of this node's configuration actor, for all that follow the configuration.
+//! Handle of this node's configuration actor, and the configuration that the actor publishes.
 
 use super::messages::{ConfigurationRequest, ConfigurationResponse, UnavailableReason};
 use super::records::AppliedConfiguration;
@@ -11,42 +11,43 @@
 
 /// Messages to the actor.
 pub(super) enum Message {
-    /// A request of another controller, an operator or a task of this one.
+    /// A request from another controller, an operator or a task of this node, with its reply channel.
     Request(ConfigurationRequest, oneshot::Sender<ConfigurationResponse>),
-    /// The region's record may have changed.
-    Changed(oneshot::Sender<bool>),
-    /// Another region has answered which version it has applied.
+    /// The region's record may have changed in the state service. The reply says whether it was reread.
+    RecordMayHaveChanged(oneshot::Sender<bool>),
+    /// Another region has reported the versions that it and its leader have applied.
     RegionDigest(super::messages::RegionDigest),
-    /// All controllers of the region know the shared configuration.
-    AllCapable,
+    /// All other controllers of the region support the shared configuration.
+    PeersCapable,
     /// This node's leader has recorded that it has applied a version.
     AppliedConfiguration(AppliedConfiguration),
 }
 
-/// The configuration that this node knows, as it is published to all that follow it.
+/// The configuration as this node's actor publishes it to other tasks.
 #[derive(Debug, Clone)]
 pub struct Published {
-    /// The configuration in the region's last version.
+    /// Configuration in the last version that the region has applied.
     pub state: Arc<ConfigState>,
-    /// May the region's leader start tasks?
+    /// Whether the region's leader may start tasks.
     pub may_start_tasks: bool,
-    /// The last version that is known of any region.
+    /// Last version that any region is known to have applied.
     pub latest: u64,
-    /// Number of regions, this one included, that answered lately.
+    /// Number of regions, including this one, that answered within the contact time.
     pub reachable_regions: usize,
-    /// The version that the region's leader has applied, as recorded.
+    /// Version that the region's leader has recorded as applied.
     pub applied_configuration: u64,
 }
 
 impl Published {
-    /// Whether no later version is known, while a majority of regions answered lately.
+    /// Returns whether no later version is known and a majority of the regions answered within the contact
+    /// time.
     pub fn is_up_to_date(&self) -> bool {
         let majority = self.state.regions.len() / 2 + 1;
         self.latest <= self.state.version && self.reachable_regions >= majority
     }
 }
 
-/// A handle of the configuration; cheap to clone.
+/// Handle of a node's configuration actor; cheap to clone.
 #[derive(Clone)]
 pub struct ConfigurationHandle {
     pub(super) region: RegionName,
@@ -55,12 +56,13 @@
 }
 
 impl ConfigurationHandle {
-    /// The configuration of this region; `None` while it has none.
+    /// Returns the published configuration of this region; `None` while the region has no record.
     pub fn published(&self) -> Option<Published> {
         self.published.borrow().clone()
     }
 
-    /// Answers a request.
+    /// Sends a request to the actor and returns its response; [`UnavailableReason::Busy`] if the actor's
+    /// queue is full.
     pub async fn answer(&self, request: ConfigurationRequest) -> ConfigurationResponse {
         let (reply, response) = oneshot::channel();
         if self.tx.try_send(Message::Request(request, reply)).is_err() {
@@ -69,37 +71,38 @@
         response.await.unwrap_or(ConfigurationResponse::Unavailable(UnavailableReason::Busy))
     }
 
-    /// Reads the region's record afresh; false if that failed.
+    /// Makes the actor reread the region's record from the state service; false if that failed.
     pub async fn refresh(&self) -> bool {
         let (reply, done) = oneshot::channel();
-        self.tx.send(Message::Changed(reply)).await.is_ok() && done.await == Ok(true)
+        self.tx.send(Message::RecordMayHaveChanged(reply)).await.is_ok() && done.await == Ok(true)
     }
 
-    /// This node's leader has recorded that it has applied a version.
+    /// Tells the actor that this node's leader has recorded an applied version.
     pub fn applied_configuration(&self, applied_configuration: AppliedConfiguration) {
-        // A full queue drops it: the leader records again, and the record is read with the next change.
+        // Dropped if the queue is full: the leader records it again, and the next change rereads the record.
         let _ = self.tx.try_send(Message::AppliedConfiguration(applied_configuration));
     }
 
-    /// The policy under the configuration, where there is one.
+    /// Returns `policy` with the published configuration applied; `None` while there is no configuration.
     pub fn policy(&self, policy: &Policy) -> Option<Policy> {
         Some(policy_of(policy, &self.published()?.state, &self.region))
     }
 
-    /// Name of this node's region.
+    /// Returns the name of this node's region.
     pub fn region(&self) -> &str {
         &self.region
     }
 
-    /// Its metrics in the text format of `GET /metrics`.
+    /// Returns the metrics of the configuration in the text format of `GET /metrics`; empty while there is
+    /// no configuration.
     pub fn metrics_text(&self) -> String {
         let Some(published) = self.published() else { return String::new() };
-        let figures = [
+        let gauges = [
             ("configuration_version", published.state.version),
             ("configuration_obeyed", published.applied_configuration),
             ("configuration_latest", published.latest),
             ("configuration_regions_heard", published.reachable_regions as u64),
         ];
-        figures.iter().map(|(name, value)| gauge_line(name, *value as usize)).collect()
+        gauges.iter().map(|(name, value)| gauge_line(name, *value as usize)).collect()
     }
 }
--- a/src/configuration/messages.rs
+++ b/src/configuration/messages.rs
@@ -1,4 +1,4 @@
-//! What controllers and operators ask of the configuration, and what is answered.
+//! Requests about the shared configuration and their responses.
 
 use super::records::LogEntry;
 use badgerdrift_fleet_config::{
@@ -6,124 +6,124 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A request to a controller.
+/// Request about the shared configuration to a controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ConfigurationRequest {
-    /// From the same region: does the controller know the shared configuration?
+    /// Asks a controller of the same region whether it supports the shared configuration.
     Capable,
-    /// From another region: which versions have this one and its leader applied?
+    /// Asks another region for the versions that it and its leader have applied.
     Digest,
-    /// A part of the agreement on a version.
+    /// A message of the agreement protocol on one version.
     Agreement {
-        /// What version 0 of the asker is made of; only the same takes part.
+        /// Fingerprint of the sender's version 0; the receiver refuses any other than its own.
         genesis: u64,
-        /// The request.
+        /// The protocol message.
         request: Request,
     },
-    /// One version of the log.
+    /// Asks for one version of the log.
     Log(u64),
-    /// Take a change.
+    /// Submits a change of documents.
     Apply(Change),
-    /// From a controller of any region: propose this here.
+    /// Asks the receiving region to propose an entry, on behalf of a controller of any region.
     Propose(Entry),
-    /// What became of a change?
+    /// Asks for the outcome of a change.
     Outcome(ChangeId),
-    /// One document.
+    /// Asks for one document.
     Document(DocumentName),
-    /// All documents with their versions.
+    /// Asks for the names and versions of all documents.
     Documents,
-    /// The last changes.
+    /// Asks for the latest changes.
     History,
-    /// Versions and states of all regions.
+    /// Asks for the versions and conditions of all regions.
     Status,
 }
 
-/// The answer of a controller.
+/// Response to a [`ConfigurationRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ConfigurationResponse {
-    /// It knows the shared configuration.
+    /// The controller supports the shared configuration.
     Capable {
-        /// What its version 0 is made of.
+        /// Fingerprint of the controller's version 0.
         genesis: u64,
     },
     /// The versions that the region and its leader have applied.
     Digest(RegionDigest),
-    /// The acceptor's answer.
+    /// Reply of the region's acceptor.
     Agreement(Reply),
-    /// A version of the log; `None` if it is not stored any more.
+    /// A version of the log; `None` if it is no longer stored.
     Log(Option<LogEntry>),
-    /// What became of a change; `None` if that is not known.
+    /// Outcome of a change; `None` if it is not known.
     Outcome(Option<ChangeOutcome>),
-    /// A document; `None` if there is none.
+    /// A document; `None` if it does not exist.
     Document(Option<VersionedDocument>),
-    /// The documents with their versions.
+    /// Names and versions of all documents.
     Documents(Vec<(DocumentName, u64)>),
-    /// The last changes, the oldest first.
+    /// The latest changes, oldest first.
     History(Vec<RecordedChange>),
-    /// The regions.
+    /// Versions and conditions of all regions.
     Status(Vec<RegionStatus>),
-    /// Nothing was done.
+    /// The request was not carried out.
     Unavailable(UnavailableReason),
 }
 
-/// Why nothing was done.
+/// Reason why a configuration request was not carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnavailableReason {
-    /// The region has not begun to take part.
+    /// The region does not take part in agreements yet, or not all regions have started.
     NotStarted,
-    /// The regions' settings differ: their first versions are not the same.
+    /// The settings of the regions differ: their version 0 is not the same.
     SettingsDiffer,
-    /// The state service has not answered.
+    /// The state service did not answer or did not store the change.
     StateService,
-    /// No majority of regions has answered: the change may still be taken.
+    /// No agreement was reached in the attempts made: the change may still be applied.
     #[serde(rename = "Unclear")]
     Indeterminate,
     /// The change does not fit into the records of the state service.
     TooLarge,
-    /// The controller can't do more now.
+    /// The controller's queue is full.
     Busy,
 }
 
 /// The versions that a region and its leader have applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionDigest {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// What its version 0 is made of.
+    /// Fingerprint of the region's version 0.
     pub genesis: u64,
-    /// The last version that it has applied; `None` if it has no record.
+    /// Last version that the region has applied; `None` if it has no record.
     pub version: Option<u64>,
-    /// It has taken no part in any agreement.
+    /// Whether the region has taken part in no agreement.
     pub untouched: bool,
-    /// The version that its leader has applied.
+    /// Version that the region's leader has applied.
     #[serde(rename = "obeyed")]
     pub applied_configuration: u64,
 }
 
-/// What one region knows of another, or of itself.
+/// Versions and condition of a region as the answering region knows them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionStatus {
-    /// The region.
+    /// Name of the region.
     pub region: RegionName,
-    /// The last version that it is known to have applied.
+    /// Last version that the region is known to have applied; 0 if it never answered.
     pub version: u64,
-    /// The last version that its leader is known to have applied.
+    /// Last version that the region's leader is known to have applied; 0 if it never answered.
     #[serde(rename = "obeyed")]
     pub applied_configuration: u64,
-    /// Its condition relative to the last version known here.
+    /// Condition relative to the last version known to the answering region.
     pub condition: RegionCondition,
 }
 
 /// The condition of a region relative to the last version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegionCondition {
-    /// Its leader has applied it.
+    /// The region's leader has applied the last version.
     InForce,
-    /// Its leader has not applied it yet.
+    /// The region's leader has not applied the last version yet.
     Pending,
-    /// It has not answered for so many seconds.
+    /// The region has not answered recently.
     UnreachableSince {
-        /// The seconds; `None` if it never answered.
+        /// Seconds since the region's last answer; `None` if it never answered.
         seconds: Option<u64>,
     },
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,13 +1,13 @@
 //! The configuration that the regions of a fleet share and change while controllers run. Unlike
-//! `settings`, which are files that each controller reads once as it starts, it consists of
-//! versioned documents in the state service of every region. This module connects
-//! `badgerdrift_fleet_config`, which decides what is agreed on and who may use what, to the state
-//! service and to the other controllers.
+//! `settings`, which are files that a controller reads once at its start, it consists of versioned
+//! documents in the state service of every region. This module connects `badgerdrift_fleet_config`,
+//! which implements the agreement and the division of limits, to the state service and to the other
+//! controllers.
 //!
-//! [`ConfigurationActor`] holds this region's record and is its acceptor. One task proposes what
-//! operators and the leader ask for, one watches the region's state service, and one for each
-//! other region exchanges versions with it. All of it is off unless the controller is given a fleet
-//! file.
+//! [`ConfigurationActor`] holds this region's record and is its acceptor. One task proposes the
+//! entries of operators and of the leader, one watches the region's state service, and one for each
+//! other region exchanges versions with it. The module is inactive unless the controller is given a
+//! fleet file.
 
 mod actor;
 mod entries;
--- a/src/configuration/region_policy.rs
+++ b/src/configuration/region_policy.rs
@@ -1,4 +1,4 @@
-//! What the configuration means for one region's decisions.
+//! Conversion between the settings, the shared configuration and a region's scheduling policy.
 
 use crate::model::Demand;
 use crate::scheduling::{Policy, TeamRule};
@@ -7,23 +7,23 @@
     Amount, Amounts, ConfigState, Document, OperatorDocument, RegionName, Share, TeamDocument,
 };
 
-/// Thousandths in a whole.
-const MILLI: f64 = 1000.0;
+/// Units of [`Amount`], which are thousandths, in 1.
+const AMOUNT_UNITS: f64 = 1000.0;
 
-/// The documents of version 0: each region has the guarantees and limits of the settings, the fleet
-/// their sum.
+/// Returns the documents of version 0: each region has the guarantees and limits of the settings, and the
+/// fleet has their sum.
 pub fn settings_documents(settings: &Settings, operator: &Operator, regions: &[RegionName]) -> Vec<Document> {
     let mut documents: Vec<Document> = Vec::new();
     for team in &settings.params.teams {
-        let guarantee = Amounts { cpus: amount(team.cpus), gpus: amount(team.gpus) };
-        let limit = Amounts { cpus: limit_amount(team.cpus_max), gpus: limit_amount(team.gpus_max) };
+        let guarantee = Amounts { cpus: to_amount(team.cpus), gpus: to_amount(team.gpus) };
+        let limit = Amounts { cpus: to_limit(team.cpus_max), gpus: to_limit(team.gpus_max) };
         let share = Share { guarantee, limit };
-        let times = |of_region: Amounts| Amounts::sum(regions.iter().map(|_| of_region));
+        let over_regions = |of_region: Amounts| Amounts::sum(regions.iter().map(|_| of_region));
         documents.push(Document::Team(TeamDocument {
             name: team.name.clone(),
             removed: false,
-            guarantee: times(guarantee),
-            limit: times(limit),
+            guarantee: over_regions(guarantee),
+            limit: over_regions(limit),
             shares: regions.iter().map(|region| (region.clone(), share)).collect(),
         }));
     }
@@ -36,8 +36,8 @@
     documents
 }
 
-/// The policy of a region under the configuration. Teams that are not known any more have no
-/// guarantee.
+/// Returns the policy of a region under the configuration: `policy` with its teams and operator values
+/// replaced. Teams that are not in the configuration have no guarantee.
 pub fn policy_of(policy: &Policy, state: &ConfigState, region: &str) -> Policy {
     let mut policy = policy.clone();
     policy.teams.clear();
@@ -46,11 +46,11 @@
             Document::Team(team) => {
                 policy.teams.insert(team.name.clone(), team_rule(team, state, region));
             }
-            Document::Operator(figures) => {
-                policy.bin_width_s = figures.bin_width_s;
-                policy.default_deadline_s = figures.default_deadline_s;
-                policy.idle_keep = figures.idle_keep;
-                policy.headroom = figures.headroom;
+            Document::Operator(operator_document) => {
+                policy.bin_width_s = operator_document.bin_width_s;
+                policy.default_deadline_s = operator_document.default_deadline_s;
+                policy.idle_keep = operator_document.idle_keep;
+                policy.headroom = operator_document.headroom;
             }
         }
     }
@@ -61,26 +61,26 @@
     let share = team.shares.get(region).copied().unwrap_or_default();
     let allowance = state.allowance(&team.name, region);
     TeamRule {
-        guarantee: demand(share.guarantee),
-        limit: demand(allowance.map(|allowance| allowance.limit).unwrap_or_default()),
+        guarantee: to_demand(share.guarantee),
+        limit: to_demand(allowance.map(|allowance| allowance.limit).unwrap_or_default()),
         settled: allowance.is_some_and(|allowance| allowance.complete),
         removed: team.removed,
     }
 }
 
-fn demand(amounts: Amounts) -> Demand {
-    Demand { cpus: number(amounts.cpus), gpus: number(amounts.gpus), mem: f64::INFINITY }
+fn to_demand(amounts: Amounts) -> Demand {
+    Demand { cpus: to_number(amounts.cpus), gpus: to_number(amounts.gpus), mem: f64::INFINITY }
 }
 
-fn number(amount: Amount) -> f64 {
-    if amount == Amount::UNLIMITED { f64::INFINITY } else { amount.0 as f64 / MILLI }
+fn to_number(amount: Amount) -> f64 {
+    if amount == Amount::UNLIMITED { f64::INFINITY } else { amount.0 as f64 / AMOUNT_UNITS }
 }
 
-fn amount(number: f64) -> Amount {
-    Amount((number * MILLI).round() as u64)
+fn to_amount(value: f64) -> Amount {
+    Amount((value * AMOUNT_UNITS).round() as u64)
 }
 
-/// 0 in the settings means no limit.
-fn limit_amount(number: f64) -> Amount {
-    if number > 0.0 { amount(number) } else { Amount::UNLIMITED }
+/// Converts a limit of the settings, in which 0 means no limit.
+fn to_limit(value: f64) -> Amount {
+    if value > 0.0 { to_amount(value) } else { Amount::UNLIMITED }
 }
--- a/src/configuration/regions.rs
+++ b/src/configuration/regions.rs
@@ -1,4 +1,4 @@
-//! Requests to the controllers of other regions, and of this one.
+//! Configuration requests to the controllers of other regions and of this one.
 
 use super::messages::{ConfigurationRequest, ConfigurationResponse};
 use super::settings::FleetSettings;
@@ -10,66 +10,74 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A request that needs an agreement may take so many times as long as another one.
-const AGREEMENT_FACTOR: u32 = 4;
+/// Factor on the time limit of a request that needs an agreement.
+const AGREEMENT_TIMEOUT_FACTOR: u32 = 4;
 
-/// Connections to the other regions; cheap to clone.
+/// Connections to the controllers of the other regions; cheap to clone.
 #[derive(Clone)]
-pub(super) struct Regions {
-    regions: Arc<BTreeMap<RegionName, Region>>,
-    limit: Duration,
+pub(super) struct RegionClients {
+    regions: Arc<BTreeMap<RegionName, RegionClient>>,
+    /// Time limit of a request to one controller.
+    request_timeout: Duration,
 }
 
-struct Region {
+/// Connections to the controllers of one region.
+struct RegionClient {
     controllers: Vec<Peer>,
     /// Index of the controller that answered last.
     last_answered: AtomicUsize,
 }
 
-impl Regions {
-    /// Connects to all regions but the fleet's own one.
-    pub(super) fn start(net: &Net, fleet: &FleetSettings, limits: PeerTimeouts, limit: Duration) -> Regions {
+impl RegionClients {
+    /// Opens the connections to all regions of the fleet but this node's own.
+    pub(super) fn start(
+        net: &Net,
+        fleet: &FleetSettings,
+        timeouts: PeerTimeouts,
+        request_timeout: Duration,
+    ) -> RegionClients {
         let others = fleet.regions.iter().filter(|(name, _)| **name != fleet.region);
         let start = |(name, region): (&RegionName, &super::RegionAddresses)| {
-            let peer = |address| Peer::start_on(net.clone(), format!("{name} {address}"), address, limits);
+            let peer = |address| Peer::start_on(net.clone(), format!("{name} {address}"), address, timeouts);
             let controllers = region.controllers.iter().copied().map(peer).collect();
-            (name.clone(), Region { controllers, last_answered: AtomicUsize::new(0) })
+            (name.clone(), RegionClient { controllers, last_answered: AtomicUsize::new(0) })
         };
-        Regions { regions: Arc::new(others.map(start).collect()), limit }
+        RegionClients { regions: Arc::new(others.map(start).collect()), request_timeout }
     }
 
-    /// Names of the other regions.
+    /// Returns the names of the other regions.
     pub(super) fn names(&self) -> Vec<RegionName> {
         self.regions.keys().cloned().collect()
     }
 
-    /// Asks a region: the controller that answered last, then the next ones.
+    /// Sends a request to a region: first to the controller that answered last, then to the others in order.
+    /// Returns `None` if no controller answers.
     pub(super) async fn ask(&self, region: &str, request: &ConfigurationRequest) -> Option<ConfigurationResponse> {
-        self.ask_within(region, request, self.limit).await
+        self.ask_within(region, request, self.request_timeout).await
     }
 
-    /// The same for a request that needs an agreement.
+    /// Sends a request that needs an agreement, as [`Self::ask`] but with a longer time limit.
     pub(super) async fn ask_for_agreement(
         &self,
         region: &str,
         request: &ConfigurationRequest,
     ) -> Option<ConfigurationResponse> {
-        self.ask_within(region, request, self.limit * AGREEMENT_FACTOR).await
+        self.ask_within(region, request, self.request_timeout * AGREEMENT_TIMEOUT_FACTOR).await
     }
 
     async fn ask_within(
         &self,
         region: &str,
         request: &ConfigurationRequest,
-        limit: Duration,
+        request_timeout: Duration,
     ) -> Option<ConfigurationResponse> {
         let region = self.regions.get(region)?;
         let count = region.controllers.len();
         let first = region.last_answered.load(Ordering::Relaxed);
-        for turn in 0..count {
-            let number = (first + turn) % count;
-            if let Some(response) = ask(&region.controllers[number], request, limit).await {
-                region.last_answered.store(number, Ordering::Relaxed);
+        for offset in 0..count {
+            let index = (first + offset) % count;
+            if let Some(response) = ask(&region.controllers[index], request, request_timeout).await {
+                region.last_answered.store(index, Ordering::Relaxed);
                 return Some(response);
             }
         }
@@ -77,9 +85,13 @@
     }
 }
 
-/// Asks one controller.
-pub(super) async fn ask(peer: &Peer, request: &ConfigurationRequest, limit: Duration) -> Option<ConfigurationResponse> {
-    match peer.request(PeerRequest::Configuration(request.clone()), limit).await? {
+/// Sends a request to one controller; `None` if it does not answer in time or answers another request.
+pub(super) async fn ask(
+    peer: &Peer,
+    request: &ConfigurationRequest,
+    request_timeout: Duration,
+) -> Option<ConfigurationResponse> {
+    match peer.request(PeerRequest::Configuration(request.clone()), request_timeout).await? {
         PeerResponse::Configuration(response) => Some(response),
         _ => None,
     }
--- a/src/configuration/settings.rs
+++ b/src/configuration/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' file that switches the shared configuration on (HCL).
+//! The operators' fleet file (HCL), which enables the shared configuration.
 
 use crate::settings::{Fault, FieldError, SettingsError, hcl_text, load};
 use badgerdrift_fleet_config::RegionName;
@@ -7,26 +7,26 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The fleet as one region's controllers know it.
+/// Regions of the fleet, as the controllers of one region are configured.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
     /// Name of this controller's region.
     pub region: RegionName,
-    /// All regions of the fleet, by name, this one included.
+    /// All regions of the fleet by name, including this one.
     pub regions: BTreeMap<RegionName, RegionAddresses>,
 }
 
-/// Where a region's controllers are.
+/// Addresses of a region's controllers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionAddresses {
-    /// Internal addresses of its controllers.
+    /// Internal addresses of the region's controllers.
     pub controllers: Vec<SocketAddr>,
 }
 
 impl FleetSettings {
-    /// Names of all regions, in order.
+    /// Returns the names of all regions in order.
     pub fn names(&self) -> Vec<RegionName> {
         self.regions.keys().cloned().collect()
     }
@@ -43,11 +43,12 @@
     }
 }
 
-/// Reads and checks the file; the error is one line naming file and field.
+/// Reads and checks the fleet file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is not valid HCL, or a field is not valid: names file and field in one line.
+/// The file cannot be read, is not valid HCL, or a field is not valid. The text names file and field in
+/// one line.
 pub fn load_fleet(path: &Path) -> Result<FleetSettings, SettingsError> {
     load(path, |text| {
         let fleet: FleetSettings = hcl_text::parse(text, &[])?;
--- a/src/configuration/status.rs
+++ b/src/configuration/status.rs
@@ -1,4 +1,4 @@
-//! What the actor answers and publishes about versions, documents and regions.
+//! Queries of the configuration, the contact times of other regions, and the published configuration.
 
 use super::actor::{ConfigurationActor, LastContact};
 use super::handle::Published;
@@ -10,7 +10,7 @@
 use badgerdrift_fleet_config::{Acceptor, RegionName};
 
 impl ConfigurationActor {
-    /// Answers a request that changes nothing.
+    /// Returns the response to a request that only reads.
     pub(super) fn answer_query(&self, request: &ConfigurationRequest) -> ConfigurationResponse {
         let Some(StoredRecord { record, .. }) = &self.stored else {
             return ConfigurationResponse::Unavailable(UnavailableReason::NotStarted);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The version and the effect of this region, for the other ones.
+    /// Returns the digest of this region for other regions.
     pub(super) fn digest(&self) -> RegionDigest {
         let record = self.stored.as_ref().map(|stored| &stored.record);
         RegionDigest {
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The versions and conditions of all regions.
-    fn status(&self, own: u64) -> Vec<RegionStatus> {
-        let latest = self.latest(own);
+    /// Returns the versions and conditions of all regions; `own_version` is the version of this one.
+    fn status(&self, own_version: u64) -> Vec<RegionStatus> {
+        let latest_version = self.latest_version(own_version);
         let now = clock::now_ms();
         let status = |region: &RegionName| {
             if *region == self.fleet.region {
-                return region_status(region, own, self.applied_configuration.version, latest);
+                return region_status(region, own_version, self.applied_configuration.version, latest_version);
             }
             let Some(contact) = self.contacts.get(region) else {
                 let condition = RegionCondition::UnreachableSince { seconds: None };
@@ -56,9 +56,9 @@
                 region,
                 contact.digest.version.unwrap_or(0),
                 contact.digest.applied_configuration,
-                latest,
+                latest_version,
             );
-            let unreachable_ms = now.saturating_sub(contact.at_ms);
+            let unreachable_ms = now.saturating_sub(contact.answered_at_ms);
             if unreachable_ms > self.contact_ttl_ms {
                 status.condition = RegionCondition::UnreachableSince { seconds: Some(unreachable_ms / 1000) };
             }
@@ -67,31 +67,36 @@
         self.initial.regions.iter().map(status).collect()
     }
 
-    /// The last version that any region is known to have applied.
-    pub(super) fn latest(&self, own: u64) -> u64 {
-        self.contacts.values().filter_map(|contact| contact.digest.version).fold(own, u64::max)
+    /// Returns the last version that any region is known to have applied; `own_version` is the version of this one.
+    pub(super) fn latest_version(&self, own_version: u64) -> u64 {
+        self.contacts.values().filter_map(|contact| contact.digest.version).fold(own_version, u64::max)
     }
 
-    /// Another region has answered which version it has applied.
+    /// Records the answer of another region. Creates this region's record if enough regions have now
+    /// answered. A region with another version 0 is not recorded.
     pub(super) async fn record_contact(&mut self, digest: RegionDigest) {
         if digest.genesis != self.genesis {
-            tracing::error!(region = digest.region, "the region begins with other teams or figures than this one");
+            tracing::error!(
+                region = digest.region,
+                "region has a different initial configuration: its version 0 differs from this region's"
+            );
             return;
         }
-        self.contacts.insert(digest.region.clone(), LastContact { digest, at_ms: clock::now_ms() });
-        if self.stored.is_none() && self.all_capable && self.reload().await.is_ok() && self.stored.is_none() {
-            self.begin().await;
+        self.contacts.insert(digest.region.clone(), LastContact { digest, answered_at_ms: clock::now_ms() });
+        if self.stored.is_none() && self.peers_capable && self.reload().await.is_ok() && self.stored.is_none() {
+            self.create_record().await;
         }
     }
 
-    /// Publishes the configuration to all that follow it on this node.
+    /// Publishes the configuration to the other tasks of this node.
     pub(super) fn publish(&self) {
         let now = clock::now_ms();
-        let reachable = self.contacts.values().filter(|contact| now <= contact.at_ms + self.contact_ttl_ms).count();
+        let reachable =
+            self.contacts.values().filter(|contact| now <= contact.answered_at_ms + self.contact_ttl_ms).count();
         let published = self.stored.as_ref().map(|stored| Published {
             state: stored.record.state.clone(),
             may_start_tasks: stored.record.may_start_tasks(),
-            latest: self.latest(stored.record.state.version),
+            latest: self.latest_version(stored.record.state.version),
             reachable_regions: reachable + 1,
             applied_configuration: self.applied_configuration.version,
         });
@@ -99,7 +104,9 @@
     }
 }
 
-fn region_status(region: &RegionName, version: u64, applied_configuration: u64, latest: u64) -> RegionStatus {
-    let condition = if applied_configuration >= latest { RegionCondition::InForce } else { RegionCondition::Pending };
+/// Returns the status of a reachable region.
+fn region_status(region: &RegionName, version: u64, applied_configuration: u64, latest_version: u64) -> RegionStatus {
+    let condition =
+        if applied_configuration >= latest_version { RegionCondition::InForce } else { RegionCondition::Pending };
     RegionStatus { region: region.clone(), version, applied_configuration, condition }
 }
