--- a/src/borrowing/messages.rs
+++ b/src/borrowing/messages.rs
@@ -1,22 +1,22 @@
-//! Requests about loans, through any controller.
+//! Requests about loans, which any controller answers, and their responses.
 
 use crate::control::partition::LoansStatus;
 use serde::{Deserialize, Serialize};
 
-/// A request about loans.
+/// Request about loans.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum BorrowingRequest {
-    /// The state of the loans and the teams.
+    /// Asks for the state of the loans and the teams.
     Status,
 }
 
-/// The answer.
+/// Response to a [`BorrowingRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum BorrowingResponse {
-    /// The loans that are not over, and all teams.
+    /// Loans that have not ended, and all teams.
     Status(LoansStatus),
-    /// The controller has no borrowing.
+    /// Borrowing is switched off on the controller.
     NoBorrowing,
-    /// No answer is possible now; again in so many seconds.
+    /// The controller cannot answer at present; the request may be repeated after this number of seconds.
     RetryLater(u64),
 }
--- a/src/borrowing/mod.rs
+++ b/src/borrowing/mod.rs
@@ -1,6 +1,6 @@
-//! Loans between teams in the controller: the operators' file, and the requests of controllers and
-//! operators about loans. Decisions about loans are in `badgerdrift_borrowing` and `scheduling`, what
-//! concerns machines and jobs is in `control::partition`.
+//! Loans between teams in the controller: the operators' file, and requests of controllers and operators
+//! about loans. Decisions about loans are made in `badgerdrift_borrowing` and `scheduling`; machines and
+//! jobs are handled in `control::partition`.
 
 mod messages;
 mod settings;
--- a/src/borrowing/tests.rs
+++ b/src/borrowing/tests.rs
@@ -1,4 +1,4 @@
-//! The operators' file, read as they write it.
+//! Tests of the operators' file of lenders and borrowers.
 
 use super::settings::parse_borrowing;
 use crate::settings::{Team, tests::settings};
@@ -19,20 +19,20 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_the_delivered_one_is_valid() {
+fn an_example_file_and_the_shipped_one_are_accepted() {
     let borrowing = parse_borrowing(FILE, &settings()).unwrap();
     assert_eq!((borrowing.quiet_s, borrowing.return_after_s), (1800.0, 20.0));
     assert_eq!(borrowing.lenders["blue"].to, ["red"]);
-    let mut users = settings();
-    let team = users.params.teams[0].clone();
+    let mut fleet_settings = settings();
+    let team = fleet_settings.params.teams[0].clone();
     let named = |name: &str| Team { name: name.into(), gpus: 32.0, ..team.clone() };
-    users.params.teams = ["roster-desk", "district-liaison", "relief-ops", "infra-crew"].map(named).into();
-    let delivered = parse_borrowing(include_str!("../../deploy/borrowing.hcl"), &users).unwrap();
-    assert!(!delivered.lenders.is_empty());
+    fleet_settings.params.teams = ["roster-desk", "district-liaison", "relief-ops", "infra-crew"].map(named).into();
+    let shipped = parse_borrowing(include_str!("../../deploy/borrowing.hcl"), &fleet_settings).unwrap();
+    assert!(!shipped.lenders.is_empty());
 }
 
 #[test]
-fn errors_name_field_and_reason_in_one_line() {
+fn an_invalid_file_is_refused_with_field_and_reason_in_one_line() {
     for (from, to, expected) in [
         ("lender \"blue\"", "lender \"nobody\"", "lender.nobody: no team nobody"),
         ("borrower \"red\"", "borrower \"nobody\"", "borrower.nobody: no team nobody"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_share_needs_a_guarantee() {
+fn a_lent_share_of_a_team_without_guarantee_is_refused() {
     let mut settings = settings();
     let blue = settings.params.teams.iter_mut().find(|team| team.name == "blue").unwrap();
     blue.gpus = 0.0;
--- a/src/commands/borrowing.rs
+++ b/src/commands/borrowing.rs
@@ -1,8 +1,8 @@
-//! `badgerdrift loans`: shows loans between teams, through any controller.
+//! `badgerdrift loans`: shows loans between teams through any controller.
 
 use crate::borrowing::{BorrowingRequest, BorrowingResponse};
-use crate::commands::controller_client::{ask, json_text, retry_later};
-use crate::commands::errors::{CommandError, NotDone};
+use crate::commands::controller_client::{ask, json_text, retry_later_error};
+use crate::commands::errors::{CommandError, ExecutionError};
 use crate::control::partition::LoansStatus;
 use crate::transport::peer::{PeerRequest, PeerResponse};
 use clap::Subcommand;
@@ -20,27 +20,26 @@
     },
 }
 
-/// Carries a command out through the controller at this internal address; returns what is to be
-/// printed.
+/// Carries out a command through the controller at this internal address and returns its output.
 ///
 /// # Errors
 ///
-/// Invalid input, or the controller gave no usable answer.
+/// The controller gave no usable response.
 pub async fn run(controller: SocketAddr, command: &BorrowingCommand) -> Result<String, CommandError> {
     let BorrowingCommand::Status { json } = command;
     let PeerResponse::Loans(response) = ask(controller, PeerRequest::Loans(BorrowingRequest::Status)).await? else {
-        return Err(NotDone::Feature("knows no loans").into());
+        return Err(ExecutionError::MissingFeature("knows no loans").into());
     };
     match response {
         BorrowingResponse::Status(status) if *json => json_text(&status),
-        BorrowingResponse::Status(status) => Ok(table(&status)),
-        BorrowingResponse::NoBorrowing => Err(NotDone::Feature("has no borrowing").into()),
-        BorrowingResponse::RetryLater(after_s) => Err(retry_later(after_s)),
+        BorrowingResponse::Status(status) => Ok(loans_table(&status)),
+        BorrowingResponse::NoBorrowing => Err(ExecutionError::MissingFeature("has no borrowing").into()),
+        BorrowingResponse::RetryLater(after_s) => Err(retry_later_error(after_s)),
     }
 }
 
-fn table(status: &LoansStatus) -> String {
-    // Writing to a String can't fail.
+fn loans_table(status: &LoansStatus) -> String {
+    // Writing to a String cannot fail.
     let mut text =
         String::from("lender           borrower         job                  state      tasks     gpus    cpus\n");
     for entry in &status.loans {
--- a/src/commands/configuration.rs
+++ b/src/commands/configuration.rs
@@ -1,8 +1,8 @@
-//! `badgerdrift config`: shows and changes the configuration that the regions of a fleet share,
-//! through any controller.
+//! `badgerdrift config`: shows and changes the shared configuration of a fleet through any of its
+//! controllers.
 
 use crate::commands::controller_client::connect;
-use crate::commands::errors::{CommandError, InputError, NotDone};
+use crate::commands::errors::{CommandError, ExecutionError, InputError};
 use crate::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionStatus};
 use crate::transport::peer::{Peer, PeerRequest, PeerResponse};
 use badgerdrift_fleet_config::{ChangeId, ChangeOutcome, DocumentName, VersionedDocument};
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long an answer is waited for: as long as a controller may try to reach an agreement.
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for the response of a controller, which covers its attempts to reach an agreement.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What is asked of a controller.
 #[derive(Subcommand, Debug, Clone)]
@@ -47,17 +47,16 @@
     Status,
 }
 
-/// The connection to the controller.
+/// Connection to the controller that carries out the command.
 struct Connection {
     peer: Peer,
 }
 
-/// Carries a command out through the controller at this internal address; returns what is to be
-/// printed.
+/// Carries out a command through the controller at this internal address and returns its output.
 ///
 /// # Errors
 ///
-/// Invalid input, or the command was not carried out.
+/// The input is invalid, or the command was not carried out.
 pub async fn run(controller: SocketAddr, command: &ConfigCommand) -> Result<String, CommandError> {
     let connection = Connection { peer: connect(controller) };
     match command {
@@ -72,19 +71,19 @@
 
 impl Connection {
     async fn ask(&self, request: ConfigurationRequest) -> Result<ConfigurationResponse, CommandError> {
-        match self.peer.request(PeerRequest::Configuration(request), ANSWER_LIMIT).await {
-            Some(PeerResponse::Configuration(ConfigurationResponse::Unavailable(why))) => {
-                Err(NotDone::Unavailable(why).into())
+        match self.peer.request(PeerRequest::Configuration(request), RESPONSE_TIMEOUT).await {
+            Some(PeerResponse::Configuration(ConfigurationResponse::Unavailable(reason))) => {
+                Err(ExecutionError::Unavailable(reason).into())
             }
             Some(PeerResponse::Configuration(response)) => Ok(response),
-            Some(_) => Err(NotDone::Feature("has no shared configuration").into()),
-            None => Err(NotDone::NoAnswer.into()),
+            Some(_) => Err(ExecutionError::MissingFeature("has no shared configuration").into()),
+            None => Err(ExecutionError::NoAnswer.into()),
         }
     }
 
     async fn list(&self) -> Result<String, CommandError> {
         let ConfigurationResponse::Documents(documents) = self.ask(ConfigurationRequest::Documents).await? else {
-            return Err(NotDone::UnexpectedAnswer.into());
+            return Err(ExecutionError::UnexpectedAnswer.into());
         };
         Ok(documents.iter().map(|(name, version)| format!("{name} {version}\n")).collect())
     }
@@ -92,7 +91,7 @@
     async fn document(&self, name: DocumentName) -> Result<Option<VersionedDocument>, CommandError> {
         match self.ask(ConfigurationRequest::Document(name)).await? {
             ConfigurationResponse::Document(document) => Ok(document),
-            _ => Err(NotDone::UnexpectedAnswer.into()),
+            _ => Err(ExecutionError::UnexpectedAnswer.into()),
         }
     }
 
@@ -100,22 +99,22 @@
         let parsed = match name.strip_prefix("team/") {
             Some(team) => DocumentName::Team(team.into()),
             None if name == "operator" => DocumentName::Operator,
-            None => return Err(InputError::DocumentName(name.into()).into()),
+            None => return Err(InputError::InvalidDocumentName(name.into()).into()),
         };
         match self.document(parsed).await? {
             Some(document) => Ok(document_text(&document)),
-            None => Err(NotDone::NoSuchDocument(name.into()).into()),
+            None => Err(ExecutionError::NoSuchDocument(name.into()).into()),
         }
     }
 
     async fn apply(&self, file: &Path, id: Option<&str>) -> Result<String, CommandError> {
         let id = id.map_or_else(new_id, String::from);
         let change = read_changes(file)?.into_change(&id);
-        // Printed before it is sent: with it the outcome can be asked for, whatever happens.
+        // Printed before the change is sent, so that its outcome can be requested even if no response arrives.
         eprintln!("change {id}");
         match self.ask(ConfigurationRequest::Apply(change)).await? {
             ConfigurationResponse::Outcome(outcome) => outcome_text(&id, outcome),
-            _ => Err(NotDone::UnexpectedAnswer.into()),
+            _ => Err(ExecutionError::UnexpectedAnswer.into()),
         }
     }
 
@@ -126,10 +125,10 @@
             let name = document.name();
             let line = match self.document(name.clone()).await? {
                 None => format!("{name}: new"),
-                Some(present) if present.document == document => continue,
-                Some(present) => format!("{name}: differs from version {}", present.version),
+                Some(current) if current.document == document => continue,
+                Some(current) => format!("{name}: differs from version {}", current.version),
             };
-            // Writing to a String can't fail.
+            // Writing to a String cannot fail.
             let _ = writeln!(text, "{line}");
         }
         Ok(text)
@@ -138,14 +137,14 @@
     async fn outcome(&self, id: &str) -> Result<String, CommandError> {
         match self.ask(ConfigurationRequest::Outcome(ChangeId(id.into()))).await? {
             ConfigurationResponse::Outcome(outcome) => outcome_text(id, outcome),
-            _ => Err(NotDone::UnexpectedAnswer.into()),
+            _ => Err(ExecutionError::UnexpectedAnswer.into()),
         }
     }
 
     async fn status(&self) -> Result<String, CommandError> {
         match self.ask(ConfigurationRequest::Status).await? {
             ConfigurationResponse::Status(regions) => Ok(regions.iter().map(status_line).collect()),
-            _ => Err(NotDone::UnexpectedAnswer.into()),
+            _ => Err(ExecutionError::UnexpectedAnswer.into()),
         }
     }
 }
@@ -162,11 +161,11 @@
 
 fn outcome_text(id: &str, outcome: Option<ChangeOutcome>) -> Result<String, CommandError> {
     let refused = match outcome {
-        None => NotDone::UnknownChange { id: id.into() },
+        None => ExecutionError::UnknownChange { id: id.into() },
         Some(ChangeOutcome::Taken { version }) => return Ok(format!("taken in version {version}\n")),
-        Some(ChangeOutcome::Conflict { document, found }) => NotDone::Conflict { document, found },
-        Some(ChangeOutcome::NotRead(document)) => NotDone::NotRead(document),
-        Some(ChangeOutcome::Invalid { document, error }) => NotDone::Invalid { document, error },
+        Some(ChangeOutcome::Conflict { document, found }) => ExecutionError::Conflict { document, found },
+        Some(ChangeOutcome::NotRead(document)) => ExecutionError::NotRead(document),
+        Some(ChangeOutcome::Invalid { document, error }) => ExecutionError::Invalid { document, error },
     };
     Err(refused.into())
 }
--- a/src/commands/configuration/file.rs
+++ b/src/commands/configuration/file.rs
@@ -1,4 +1,4 @@
-//! Files with changes of documents (HCL), and documents printed in the same form.
+//! Files of document changes (HCL), and the output of documents in the same form.
 
 use crate::commands::errors::{ChangesError, InputError};
 use crate::settings::hcl_text;
@@ -11,10 +11,10 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Thousandths in a whole.
-const MILLI: f64 = 1000.0;
+/// Units of [`Amount`], which are thousandths, in 1.
+const AMOUNT_UNITS: f64 = 1000.0;
 
-/// A file with changes.
+/// Content of a file of changes.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangesFile {
@@ -26,7 +26,7 @@
     operator: Option<OperatorBlock>,
 }
 
-/// A team's document, with the version that it was made from; 0 for a new team.
+/// A team's document with the version from which it was made; 0 for a new team.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TeamBlock {
@@ -41,6 +41,7 @@
     share: BTreeMap<String, ShareBlock>,
 }
 
+/// The operators' document with the version from which it was made.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OperatorBlock {
@@ -51,6 +52,7 @@
     headroom: f64,
 }
 
+/// A region's share of a team's guarantee and limit.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ShareBlock {
@@ -60,7 +62,7 @@
     limit: AmountsBlock,
 }
 
-/// Amounts; one that is left out of a team's limit is unlimited, elsewhere it is 0.
+/// Amounts of cores and accelerators. A missing amount is unlimited in a team's limit and 0 elsewhere.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AmountsBlock {
@@ -69,32 +71,36 @@
 }
 
 impl AmountsBlock {
-    fn or(self, absent: Amount) -> Amounts {
-        let amount = |number: Option<f64>| number.map_or(absent, |number| Amount((number * MILLI).round() as u64));
+    /// Returns the amounts, with `absent` for missing ones.
+    fn with_default(self, absent: Amount) -> Amounts {
+        let amount =
+            |number: Option<f64>| number.map_or(absent, |number| Amount((number * AMOUNT_UNITS).round() as u64));
         Amounts { cpus: amount(self.cpus), gpus: amount(self.gpus) }
     }
 
+    /// Checks that each amount is finite, not negative and below [`Amount::UNLIMITED`].
     fn check(&self, document: &str, field: &'static str) -> Result<(), ChangesError> {
-        let sound = |number: &f64| number.is_finite() && *number >= 0.0 && *number * MILLI < Amount::UNLIMITED.0 as f64;
-        match [self.cpus, self.gpus].iter().flatten().all(sound) {
+        let is_valid =
+            |number: &f64| number.is_finite() && *number >= 0.0 && *number * AMOUNT_UNITS < Amount::UNLIMITED.0 as f64;
+        match [self.cpus, self.gpus].iter().flatten().all(is_valid) {
             true => Ok(()),
-            false => Err(ChangesError::Amount { document: document.into(), field }),
+            false => Err(ChangesError::InvalidAmount { document: document.into(), field }),
         }
     }
 }
 
 /// Reads and checks a file of changes.
 pub(super) fn read_changes(file: &Path) -> Result<ChangesFile, InputError> {
-    let text =
-        std::fs::read_to_string(file).map_err(|source| InputError::Unreadable { file: file.to_path_buf(), source })?;
-    parse_changes(&text).map_err(|source| InputError::File { file: file.to_path_buf(), source })
+    let text = std::fs::read_to_string(file)
+        .map_err(|source| InputError::UnreadableFile { file: file.to_path_buf(), source })?;
+    parse_changes(&text).map_err(|source| InputError::InvalidFile { file: file.to_path_buf(), source })
 }
 
-/// The same of the file's text.
+/// Parses and checks the text of a file of changes.
 pub(super) fn parse_changes(text: &str) -> Result<ChangesFile, ChangesError> {
     let changes: ChangesFile = hcl_text::parse(text, &[])?;
     if changes.team.is_empty() && changes.operator.is_none() {
-        return Err(ChangesError::Empty);
+        return Err(ChangesError::NoChanges);
     }
     for (name, team) in &changes.team {
         let document = format!("team/{name}");
@@ -108,28 +114,29 @@
     for (document, _) in changes.documents() {
         let regions: Vec<String> = changes.team.values().flat_map(|team| team.share.keys().cloned()).collect();
         if let Err(error) = document.check(&regions) {
-            return Err(ChangesError::Document { document: document.name(), error });
+            return Err(ChangesError::InvalidDocument { document: document.name(), error });
         }
     }
     Ok(changes)
 }
 
 impl ChangesFile {
-    /// The documents with the versions that they were made from.
+    /// Returns the changed documents with the versions from which they were made.
     pub(super) fn documents(&self) -> Vec<(Document, u64)> {
         let teams = self.team.iter().map(|(name, block)| (team_document(name, block), block.version));
         let operator = self.operator.iter().map(|block| {
-            let figures = OperatorDocument {
+            let operator_document = OperatorDocument {
                 bin_width_s: block.bin_width_s,
                 default_deadline_s: block.default_deadline_s,
                 idle_keep: block.idle_keep,
                 headroom: block.headroom,
             };
-            (Document::Operator(figures), block.version)
+            (Document::Operator(operator_document), block.version)
         });
         teams.chain(operator).collect()
     }
 
+    /// Returns the change with this identifier, dated with the present time.
     pub(super) fn into_change(self, id: &str) -> Change {
         let documents = self.documents();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -148,28 +155,33 @@
 }
 
 fn team_document(name: &str, block: &TeamBlock) -> Document {
-    let share =
-        |block: &ShareBlock| Share { guarantee: block.guarantee.or(Amount(0)), limit: block.limit.or(Amount(0)) };
+    let share = |block: &ShareBlock| Share {
+        guarantee: block.guarantee.with_default(Amount(0)),
+        limit: block.limit.with_default(Amount(0)),
+    };
     Document::Team(TeamDocument {
         name: name.into(),
         removed: block.removed,
-        guarantee: block.guarantee.or(Amount(0)),
-        limit: block.limit.or(Amount::UNLIMITED),
+        guarantee: block.guarantee.with_default(Amount(0)),
+        limit: block.limit.with_default(Amount::UNLIMITED),
         shares: block.share.iter().map(|(region, block)| (region.clone(), share(block))).collect(),
     })
 }
 
-/// A document as `apply` takes it, without author and reason.
+/// Returns a document in the form that `apply` reads, without author and reason.
 pub(super) fn document_text(versioned: &VersionedDocument) -> String {
     let version = versioned.version;
     match &versioned.document {
-        Document::Operator(figures) => format!(
+        Document::Operator(operator_document) => format!(
             "operator {{\n  version = {version}\n  bin_width_s = {:?}\n  default_deadline_s = {:?}\n  idle_keep = {:?}\n  \
              headroom = {:?}\n}}\n",
-            figures.bin_width_s, figures.default_deadline_s, figures.idle_keep, figures.headroom
+            operator_document.bin_width_s,
+            operator_document.default_deadline_s,
+            operator_document.idle_keep,
+            operator_document.headroom
         ),
         Document::Team(team) => {
-            // Writing to a String can't fail.
+            // Writing to a String cannot fail.
             let mut text = format!("team {:?} {{\n  version = {version}\n  removed = {}\n", team.name, team.removed);
             let _ = writeln!(text, "  guarantee {{{}}}", amounts_text(team.guarantee));
             let _ = writeln!(text, "  limit {{{}}}", amounts_text(team.limit));
@@ -183,10 +195,11 @@
     }
 }
 
-/// Amounts in the lines of a block; what is unlimited is left out.
+/// Returns the lines of a block of amounts; unlimited amounts are left out.
 fn amounts_text(amounts: Amounts) -> String {
     let fields = [("cpus", amounts.cpus), ("gpus", amounts.gpus)];
-    let limited = fields.into_iter().filter(|(_, amount)| *amount < Amount::UNLIMITED);
-    let lines: String = limited.map(|(name, amount)| format!("\n    {name} = {:?}", amount.0 as f64 / MILLI)).collect();
+    let limited_fields = fields.into_iter().filter(|(_, amount)| *amount < Amount::UNLIMITED);
+    let lines: String =
+        limited_fields.map(|(name, amount)| format!("\n    {name} = {:?}", amount.0 as f64 / AMOUNT_UNITS)).collect();
     if lines.is_empty() { lines } else { lines + "\n  " }
 }
--- a/src/commands/configuration/tests.rs
+++ b/src/commands/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the files that `apply` takes.
+//! Tests of the files that `apply` reads and of the documents that `get` prints.
 
 use super::file::{document_text, parse_changes};
 use badgerdrift_fleet_config::VersionedDocument;
@@ -21,18 +21,18 @@
 "#;
 
 #[test]
-fn a_printed_document_is_read_back() {
+fn a_printed_document_is_read_back_unchanged() {
     let changes = parse_changes(CHANGES).unwrap();
     let (document, version) = changes.documents().remove(0);
     assert_eq!(version, 3);
     let printed =
         document_text(&VersionedDocument { version, document: document.clone(), allowance: Default::default() });
-    let again = parse_changes(&format!("author = \"ops\"\nreason = \"again\"\n{printed}")).unwrap();
-    assert_eq!(again.documents(), vec![(document, 3)]);
+    let reread = parse_changes(&format!("author = \"ops\"\nreason = \"again\"\n{printed}")).unwrap();
+    assert_eq!(reread.documents(), vec![(document, 3)]);
 }
 
 #[test]
-fn errors_name_document_and_field_in_one_line() {
+fn an_invalid_file_is_refused_with_document_and_field_in_one_line() {
     let cases = [
         ("version = 3", "", "missing field `version`"),
         ("limit { cpus = 40.5 }", "limit { cpus = 30 }", "team/red.shares: the regions' limits add up"),
--- a/src/commands/errors.rs
+++ b/src/commands/errors.rs
@@ -1,4 +1,4 @@
-//! Why a command of the program fails.
+//! Errors of the subcommands.
 
 use crate::configuration::UnavailableReason;
 use crate::settings::HclError;
@@ -7,139 +7,141 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a command failed; the two kinds differ in the exit status of the program.
+/// Reason why a command failed. The variants differ in the exit status of the program.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The input is at fault; nothing was applied.
+    /// The arguments or the file are invalid; no change was sent to a controller.
     #[error(transparent)]
-    BadInput(#[from] InputError),
-    /// The change was not taken, or the controller gave no answer.
+    InvalidInput(#[from] InputError),
+    /// The controller did not carry out the request, or gave no usable response.
     #[error(transparent)]
-    NotDone(#[from] NotDone),
+    Failed(#[from] ExecutionError),
 }
 
-/// What is wrong with the arguments of a command or with its file.
+/// Fault in the arguments of a command or in its file.
 #[derive(Debug, Error)]
 pub enum InputError {
-    /// The file could not be read.
+    /// The file cannot be read.
     #[error("{}: {source}", .file.display())]
-    Unreadable {
-        /// The file.
+    UnreadableFile {
+        /// Path of the file.
         file: PathBuf,
-        /// What the operating system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The content of the file is at fault.
+    /// The content of the file is invalid.
     #[error("{}: {source}", .file.display())]
-    File {
-        /// The file.
+    InvalidFile {
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong with its content.
+        /// Fault in its content.
         source: ChangesError,
     },
-    /// The argument names no document.
+    /// The argument is not the name of a document.
     #[error("{0}: must be `operator` or `team/NAME`")]
-    DocumentName(String),
-    /// An argument is no date.
+    InvalidDocumentName(String),
+    /// An argument is not a date.
     #[error("{argument}: {value} is no day such as 2026-12-02")]
-    Day {
-        /// The argument, as `--from`.
+    InvalidDay {
+        /// Name of the argument, such as `--from`.
         argument: &'static str,
-        /// Its value.
+        /// Value that was given.
         value: String,
     },
     /// The last day is before the first.
     #[error("--to: {to} is before {from}")]
     DaysReversed {
-        /// The first day.
+        /// Value of `--from`.
         from: String,
-        /// The last day.
+        /// Value of `--to`.
         to: String,
     },
 }
 
-/// What is wrong with a file of changes.
+/// Fault in the content of a file of changes.
 #[derive(Debug, Error)]
 pub enum ChangesError {
-    /// It is not HCL, or not of the expected types.
+    /// The text is not valid HCL, or a field is unknown, missing or of another type.
     #[error(transparent)]
     Hcl(#[from] HclError),
-    /// It changes nothing.
+    /// The file changes no document.
     #[error("team: no document is changed")]
-    Empty,
+    NoChanges,
     /// An amount is below 0, not finite or too large.
     #[error("{document}.{field}: must be 0 or more")]
-    Amount {
+    InvalidAmount {
         /// Name of the document.
         document: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A document is not valid.
+    /// A document breaks a rule of `badgerdrift_fleet_config`.
     #[error("{document}.{}: {}", .error.field, .error.reason)]
-    Document {
+    InvalidDocument {
         /// Name of the document.
         document: DocumentName,
-        /// The field at fault, and why.
+        /// Field at fault, and the reason.
         error: DocumentError,
     },
 }
 
-/// Why a controller did not do, or not answer, what it was asked for.
+/// Reason why a controller did not carry out a request, or gave no usable response.
 #[derive(Debug, Error)]
-pub enum NotDone {
-    /// No answer in time.
+pub enum ExecutionError {
+    /// The controller did not respond in time.
     #[error("the controller does not answer")]
     NoAnswer,
-    /// The answer belongs to another request.
+    /// The response is of another type than the request asks for.
     #[error("the controller gave another answer than expected")]
     UnexpectedAnswer,
-    /// The answer can't be printed as JSON.
+    /// The response cannot be serialised as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A feature is switched off, or unknown to the controller; the text names it.
+    /// A feature is switched off or unknown to the controller. The text, which follows "the controller",
+    /// names it.
     #[error("the controller {0}")]
-    Feature(&'static str),
-    /// No answer is possible now.
+    MissingFeature(&'static str),
+    /// The controller cannot answer at present.
     #[error("no answer is possible now: again in {after_s} s")]
     RetryLater {
-        /// Seconds after which it may be asked again.
+        /// Seconds after which the request may be repeated.
         after_s: u64,
     },
-    /// The shared configuration can't be read or changed now.
-    #[error("{}", unavailable(*.0))]
+    /// The shared configuration cannot be read or changed at present.
+    #[error("{}", unavailable_text(*.0))]
     Unavailable(UnavailableReason),
-    /// There is no document of this name.
+    /// No document has this name.
     #[error("{0}: there is no such document")]
     NoSuchDocument(String),
-    /// The change is not known.
+    /// No outcome is known for the change.
     #[error("{id}: not known; it may have been made too long ago, or not be agreed on")]
     UnknownChange {
-        /// Id of the change.
+        /// Identifier of the change.
         id: String,
     },
-    /// A document changed after it was read for the change.
+    /// A document was changed after the version that the change was made from.
     #[error("{document}.version: it has changed meanwhile, in version {found}")]
     Conflict {
         /// Name of the document.
         document: DocumentName,
-        /// The version that it has.
+        /// Present version of the document.
         found: u64,
     },
-    /// A document is changed without the version that it was read in.
+    /// The change names no version from which a document was made.
     #[error("{0}.version: is missing")]
     NotRead(DocumentName),
-    /// A document would not be valid.
+    /// A document would become invalid.
     #[error("{document}.{}: {}", .error.field, .error.reason)]
     Invalid {
         /// Name of the document.
         document: DocumentName,
-        /// The field at fault, and why.
+        /// Field at fault, and the reason.
         error: DocumentError,
     },
 }
 
-fn unavailable(reason: UnavailableReason) -> &'static str {
+/// Returns the text that is printed for a reason.
+fn unavailable_text(reason: UnavailableReason) -> &'static str {
     match reason {
         UnavailableReason::NotStarted => "the region has not begun to take part, or waits for the others to begin",
         UnavailableReason::SettingsDiffer => "the regions' settings differ",
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program that ask a running controller.
+//! Subcommands of the program that send requests to a running controller.
 
 pub mod borrowing;
 pub mod configuration;
--- a/src/commands/warm_pools.rs
+++ b/src/commands/warm_pools.rs
@@ -1,7 +1,7 @@
-//! `badgerdrift pools`: shows warm pools and their bills, through any controller.
+//! `badgerdrift pools`: shows warm pools and their bills through any controller.
 
-use crate::commands::controller_client::{ask, json_text, retry_later};
-use crate::commands::errors::{CommandError, InputError, NotDone};
+use crate::commands::controller_client::{ask, json_text, retry_later_error};
+use crate::commands::errors::{CommandError, ExecutionError, InputError};
 use crate::transport::peer::{PeerRequest, PeerResponse};
 use crate::warm_pools::{BillRow, WarmPoolsRequest, WarmPoolsResponse};
 use badgerdrift_warm_pools::PoolStatus;
@@ -9,9 +9,8 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Micro-units in a unit of the currency.
-const MICRO: f64 = 1e6;
-/// Milliseconds in a second.
+/// Millionths, in which amounts are counted, in one unit of the currency.
+const MICRO_PER_UNIT: f64 = 1e6;
 const MS_PER_S: f64 = 1000.0;
 
 /// What is asked about pools.
@@ -40,28 +39,28 @@
     },
 }
 
-/// Carries a command out through the controller at this internal address; returns what is to be
-/// printed.
+/// Carries out a command through the controller at this internal address and returns its output.
 ///
 /// # Errors
 ///
-/// Invalid input, or the controller gave no usable answer.
+/// The input is invalid, or the controller gave no usable response.
 pub async fn run(controller: SocketAddr, command: &WarmPoolsCommand) -> Result<String, CommandError> {
-    let request = request(command)?;
+    let request = build_request(command)?;
     let PeerResponse::Pools(response) = ask(controller, PeerRequest::Pools(request)).await? else {
-        return Err(NotDone::Feature("knows no pools").into());
+        return Err(ExecutionError::MissingFeature("knows no pools").into());
     };
     match (response, command) {
         (WarmPoolsResponse::Status(pools), WarmPoolsCommand::Status { json: true }) => json_text(&pools),
         (WarmPoolsResponse::Status(pools), _) => Ok(status_table(&pools)),
         (WarmPoolsResponse::Bill(rows), WarmPoolsCommand::Bill { json: true, .. }) => json_text(&rows),
         (WarmPoolsResponse::Bill(rows), _) => Ok(bill_table(&rows)),
-        (WarmPoolsResponse::NoPools, _) => Err(NotDone::Feature("has no warm pools").into()),
-        (WarmPoolsResponse::RetryLater(after_s), _) => Err(retry_later(after_s)),
+        (WarmPoolsResponse::NoPools, _) => Err(ExecutionError::MissingFeature("has no warm pools").into()),
+        (WarmPoolsResponse::RetryLater(after_s), _) => Err(retry_later_error(after_s)),
     }
 }
 
-fn request(command: &WarmPoolsCommand) -> Result<WarmPoolsRequest, CommandError> {
+/// Returns the request of a command after a check of its days.
+fn build_request(command: &WarmPoolsCommand) -> Result<WarmPoolsRequest, CommandError> {
     match command {
         WarmPoolsCommand::Status { .. } => Ok(WarmPoolsRequest::Status),
         WarmPoolsCommand::Bill { from, to, team, .. } => {
@@ -76,11 +75,15 @@
 }
 
 fn check_day(argument: &'static str, day: &str) -> Result<(), InputError> {
-    if badgerdrift_warm_pools::is_day(day) { Ok(()) } else { Err(InputError::Day { argument, value: day.into() }) }
+    if badgerdrift_warm_pools::is_day(day) {
+        Ok(())
+    } else {
+        Err(InputError::InvalidDay { argument, value: day.into() })
+    }
 }
 
 fn status_table(pools: &[PoolStatus]) -> String {
-    // Writing to a String can't fail.
+    // Writing to a String cannot fail.
     let mut text =
         String::from("pool                 payer            wanted renting loading  idle claimed draining  idle/h\n");
     for pool in pools {
@@ -95,14 +98,14 @@
             pool.idle,
             pool.claimed,
             pool.draining,
-            pool.idle_cost_per_hour as f64 / MICRO
+            pool.idle_cost_per_hour as f64 / MICRO_PER_UNIT
         );
     }
     text
 }
 
 fn bill_table(rows: &[BillRow]) -> String {
-    // Writing to a String can't fail.
+    // Writing to a String cannot fail.
     let mut text = String::from(
         "day        team             pool                   idle s     idle  claimed s  claimed  estimated s\n",
     );
@@ -115,9 +118,9 @@
             row.team,
             row.pool,
             total.idle_ms as f64 / MS_PER_S,
-            total.idle_amount as f64 / MICRO,
+            total.idle_amount as f64 / MICRO_PER_UNIT,
             total.claimed_ms as f64 / MS_PER_S,
-            total.claimed_amount as f64 / MICRO,
+            total.claimed_amount as f64 / MICRO_PER_UNIT,
             total.estimated_ms as f64 / MS_PER_S
         );
     }
--- a/src/commands/warm_pools/tests.rs
+++ b/src/commands/warm_pools/tests.rs
@@ -5,14 +5,14 @@
 }
 
 #[test]
-fn days_are_checked_before_anything_is_sent() {
-    assert!(request(&bill("2026-12-01", "2026-12-02")).is_ok());
+fn invalid_days_are_refused_before_a_request_is_sent() {
+    assert!(build_request(&bill("2026-12-01", "2026-12-02")).is_ok());
     for (command, field) in [
         (bill("today", "2026-12-02"), "--from: "),
         (bill("2026-12-02", "2026-13-02"), "--to: "),
         (bill("2026-12-02", "2026-12-01"), "--to: "),
     ] {
-        let Err(CommandError::BadInput(error)) = request(&command) else { panic!("{command:?} is taken") };
+        let Err(CommandError::InvalidInput(error)) = build_request(&command) else { panic!("{command:?} is taken") };
         let error = error.to_string();
         assert!(error.starts_with(field), "{error}");
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: command line, logging, runtime.
+//! The `badgerdrift` program: command line, loading of the settings files, logging and runtime.
 
 use badgerdrift::commands::borrowing::BorrowingCommand;
 use badgerdrift::commands::configuration::ConfigCommand;
@@ -74,54 +74,55 @@
     borrowing: Option<PathBuf>,
 }
 
-/// The content of the files.
-struct Loaded {
+/// Settings that were loaded from the files.
+struct LoadedFiles {
     settings: settings::Settings,
     operator: settings::Operator,
     subsystems: Subsystems,
-    /// The file that the pools of `subsystems` are from.
+    /// Path of the file from which the pools of `subsystems` were loaded.
     pools_file: Option<PathBuf>,
 }
 
-/// Why the files can't be used.
+/// Reason why the settings files cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum FilesError {
-    /// One of them can't.
+    /// One of the files is unreadable or invalid.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// A setting does not go with a file that is given.
+    /// A setting excludes a feature whose file is given.
     #[error(transparent)]
     Combination(#[from] FieldError),
 }
 
 impl Files {
-    fn load(&self) -> Result<Loaded, FilesError> {
+    fn load(&self) -> Result<LoadedFiles, FilesError> {
         let settings = settings::load_settings(&self.config)?;
         let operator = self.operator.as_deref().map(settings::load_operator).transpose()?.unwrap_or_default();
         let fleet = self.fleet.as_deref().map(configuration::load_fleet).transpose()?;
         if fleet.is_some() && operator.partitions > 1 {
-            return Err(one_partition_with("a fleet of several regions").into());
+            return Err(requires_one_partition("a fleet of several regions").into());
         }
         let warm_pools = self.warm_pools.as_deref().map(|file| warm_pools::load_pools(file, &settings)).transpose()?;
         if warm_pools.is_some() && operator.partitions > 1 {
-            return Err(one_partition_with("warm pools").into());
+            return Err(requires_one_partition("warm pools").into());
         }
         let borrowing = self.borrowing.as_deref().map(|file| borrowing::load_borrowing(file, &settings)).transpose()?;
         if let (Some(file), true) = (&self.borrowing, operator.partitions > 1) {
-            let source = Box::new(one_partition_with("borrowing").into());
+            let source = Box::new(requires_one_partition("borrowing").into());
             return Err(SettingsError::Invalid { file: file.clone(), source }.into());
         }
         let pools_file = self.warm_pools.clone();
-        Ok(Loaded { settings, operator, subsystems: Subsystems { fleet, warm_pools, borrowing }, pools_file })
+        Ok(LoadedFiles { settings, operator, subsystems: Subsystems { fleet, warm_pools, borrowing }, pools_file })
     }
 }
 
-fn one_partition_with(feature: &'static str) -> FieldError {
+/// Returns the error that a feature needs exactly one partition.
+fn requires_one_partition(feature: &'static str) -> FieldError {
     FieldError::new("partitions", Fault::NotOneWith { feature })
 }
 
-/// Exit status for invalid input.
-const BAD_INPUT: u8 = 2;
+/// Exit status of the program after invalid input.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -133,8 +134,8 @@
         }
     };
     match cli.command {
-        Command::Serve(files) => with_files(&files, |loaded| serve(&runtime, loaded)),
-        Command::Check(files) => with_files(&files, |loaded| {
+        Command::Serve(files) => run_with_files(&files, |loaded| serve(&runtime, loaded)),
+        Command::Check(files) => run_with_files(&files, |loaded| {
             println!("{}: the settings are sound", loaded.settings.node);
             ExitCode::SUCCESS
         }),
@@ -150,17 +151,17 @@
     }
 }
 
-fn with_files(files: &Files, then: impl FnOnce(Loaded) -> ExitCode) -> ExitCode {
+fn run_with_files(files: &Files, then: impl FnOnce(LoadedFiles) -> ExitCode) -> ExitCode {
     match files.load() {
         Ok(loaded) => then(loaded),
         Err(error) => {
             eprintln!("badgerdrift: {error}");
-            ExitCode::from(BAD_INPUT)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
 
-/// Prints the output of a command, or why it failed.
+/// Prints the output or the error of a command, and returns the exit status.
 fn print_outcome(outcome: Result<String, CommandError>) -> ExitCode {
     let error = match outcome {
         Ok(text) => {
@@ -171,21 +172,21 @@
     };
     eprintln!("badgerdrift: {error}");
     match error {
-        CommandError::BadInput(_) => ExitCode::from(BAD_INPUT),
-        CommandError::NotDone(_) => ExitCode::FAILURE,
+        CommandError::InvalidInput(_) => ExitCode::from(EXIT_INVALID_INPUT),
+        CommandError::Failed(_) => ExitCode::FAILURE,
     }
 }
 
-fn serve(runtime: &tokio::runtime::Runtime, loaded: Loaded) -> ExitCode {
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
+fn serve(runtime: &tokio::runtime::Runtime, loaded: LoadedFiles) -> ExitCode {
+    let log_level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("debug") => LevelFilter::DEBUG,
         _ => LevelFilter::INFO,
     };
-    tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(level).init();
+    tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(log_level).init();
     if let Err(error) = runtime.block_on(check_machine_types(&loaded)) {
         eprintln!("badgerdrift: {error}");
-        return ExitCode::from(BAD_INPUT);
+        return ExitCode::from(EXIT_INVALID_INPUT);
     }
     match runtime.block_on(node::run(loaded.settings, loaded.operator, loaded.subsystems)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -196,8 +197,13 @@
     }
 }
 
-/// Checks the machine types in the pools' file, if there is one, against those of the cloud.
-async fn check_machine_types(loaded: &Loaded) -> Result<(), SettingsError> {
+/// Checks the machine types in the file of warm pools, if one is given, against those that the cloud lists
+/// or the state service stores.
+///
+/// # Errors
+///
+/// A field of the file names an unknown machine type.
+async fn check_machine_types(loaded: &LoadedFiles) -> Result<(), SettingsError> {
     let (Some(pools), Some(file)) = (&loaded.subsystems.warm_pools, &loaded.pools_file) else { return Ok(()) };
     let checked = warm_pools::check_machine_types(&Net::default(), &loaded.settings, pools).await;
     checked.map_err(|error| SettingsError::Invalid {
--- a/src/warm_pools/bills.rs
+++ b/src/warm_pools/bills.rs
@@ -1,26 +1,27 @@
-//! Bills as they are recorded.
+//! Reads of the recorded bills.
 
 use super::messages::{BillRow, WarmPoolsResponse};
 use crate::clients::StateStore;
 use crate::wire::Item;
 use badgerdrift_warm_pools::{BillRecord, RecordKey};
 
-/// Seconds after which bills may be asked for again.
+/// Seconds after which a request for bills may be repeated.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Reads the bills of these days, of all teams or of one.
+/// Reads the bills from the first to the last of these days, of all teams or of one. Returns
+/// [`WarmPoolsResponse::RetryLater`] if the state service does not answer.
 pub async fn read_bills(state: &StateStore, from: &str, to: &str, team: Option<&str>) -> WarmPoolsResponse {
     let Ok(items) = state.list(RecordKey::BILL_PREFIX).await else {
         return WarmPoolsResponse::RetryLater(RETRY_AFTER_S);
     };
-    WarmPoolsResponse::Bill(items.into_iter().flat_map(|item| rows(item, from, to, team)).collect())
+    WarmPoolsResponse::Bill(items.into_iter().flat_map(|item| matching_rows(item, from, to, team)).collect())
 }
 
-/// The rows of a record, if it is of these days and this team.
-fn rows(item: Item, from: &str, to: &str, team: Option<&str>) -> Vec<BillRow> {
+/// Returns the rows of a record; none if it is of another day or team, or unreadable.
+fn matching_rows(item: Item, from: &str, to: &str, team: Option<&str>) -> Vec<BillRow> {
     let Some(RecordKey::Bill(day, payer)) = RecordKey::parse(&item.key) else { return Vec::new() };
     let day = day.to_string();
-    // Dates in this form are in the order of time.
+    // The text order of dates in this form is their order in time.
     if day.as_str() < from || day.as_str() > to || team.is_some_and(|team| team != payer) {
         return Vec::new();
     }
--- a/src/warm_pools/machine_types.rs
+++ b/src/warm_pools/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types that pools name, checked before a controller opens a port.
+//! Check of the machine types of warm pools, made before a controller opens a port.
 
 use super::known_fleet;
 use crate::clients::{Cloud, StateStore};
@@ -11,28 +11,30 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Checks the pools against the machine types that the cloud and the state service list; the error
-/// names the first field at fault.
+/// Checks that the machine types of the pools are listed by the cloud or stored in the state service.
 ///
-/// A type that was known once does not keep a controller from starting: the cloud may have
-/// dropped it since. Neither does a cloud or a state service that gives no answer: the leader
-/// checks the types again once they are known.
+/// A stored type that the cloud no longer lists does not prevent the start of a controller: the cloud
+/// may have dropped it. Neither does a cloud or a state service without an answer: the leader checks
+/// the types again once they are known.
 ///
 /// # Errors
 ///
-/// The first field that names an unknown machine type.
+/// A field names an unknown machine type. The error is of the first such field.
 pub async fn check_machine_types(net: &Net, settings: &Settings, pools: &PoolSettings) -> Result<(), FieldError> {
-    let limit = Duration::from_millis(settings.react_ms());
+    let request_timeout = Duration::from_millis(settings.react_ms());
     let (cloud, state) = (Cloud::on(net, settings), StateStore::on(net, settings));
-    let (offered, stored) =
-        tokio::join!(timeout(limit, cloud.instance_types()), timeout(limit, stored_instance_types(&state)));
+    let (offered, stored) = tokio::join!(
+        timeout(request_timeout, cloud.instance_types()),
+        timeout(request_timeout, stored_instance_types(&state))
+    );
     let (Ok(Some(offered)), Ok(Some(stored))) = (offered, stored) else {
-        tracing::warn!("the machine types of warm pools can't be checked now");
+        tracing::warn!("machine types of warm pools not checked: the cloud or the state service gave no list");
         return Ok(());
     };
-    pools.check(&KnownFleet { machines: Some(names(&offered, &stored)), ..known_fleet(settings) })
+    pools.check(&KnownFleet { machines: Some(machine_type_names(&offered, &stored)), ..known_fleet(settings) })
 }
 
-fn names(offered: &[InstanceType], stored: &[InstanceType]) -> BTreeSet<String> {
+/// Returns the names of the listed and the stored machine types.
+fn machine_type_names(offered: &[InstanceType], stored: &[InstanceType]) -> BTreeSet<String> {
     offered.iter().chain(stored).map(|instance_type| instance_type.name.clone()).collect()
 }
--- a/src/warm_pools/messages.rs
+++ b/src/warm_pools/messages.rs
@@ -1,47 +1,47 @@
-//! Requests about pools, through any controller.
+//! Requests about warm pools, which any controller answers, and their responses.
 
 use badgerdrift_warm_pools::{DayTotal, PoolStatus};
 use serde::{Deserialize, Serialize};
 
-/// A request about pools.
+/// Request about warm pools.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum WarmPoolsRequest {
-    /// The state of each pool.
+    /// Asks for the state of each pool.
     Status,
-    /// The recorded bills from the first to the last of these days, each as `2026-12-02`.
+    /// Asks for the recorded bills from the first to the last of these days, each in the form `2026-12-02`.
     Bill {
-        /// The first day (UTC).
+        /// First day (UTC).
         from: String,
-        /// The last day (UTC).
+        /// Last day (UTC).
         to: String,
-        /// Of this team alone.
+        /// Name of the only team whose bills are wanted; `None` for all teams.
         team: Option<String>,
     },
 }
 
-/// What a team pays for the replicas of a pool on a day.
+/// Amount that a team pays for the replicas of a pool on one day.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillRow {
-    /// The day (UTC).
+    /// Day (UTC), in the form `2026-12-02`.
     pub day: String,
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// The pool.
+    /// Name of the pool.
     pub pool: String,
-    /// Durations and amounts.
+    /// Durations and amounts of the day.
     #[serde(flatten)]
     pub total: DayTotal,
 }
 
-/// The answer.
+/// Response to a [`WarmPoolsRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum WarmPoolsResponse {
     /// The state of each pool.
     Status(Vec<PoolStatus>),
     /// The recorded bills, by day, team and pool.
     Bill(Vec<BillRow>),
-    /// The controller has no pools.
+    /// The controller has no warm pools.
     NoPools,
-    /// No answer is possible now; again in so many seconds.
+    /// The controller cannot answer at present; the request may be repeated after this number of seconds.
     RetryLater(u64),
 }
--- a/src/warm_pools/mod.rs
+++ b/src/warm_pools/mod.rs
@@ -1,6 +1,6 @@
-//! Warm pools in the controller: the operators' file, and the requests of controllers and operators
-//! about pools. Decisions about slots are in `badgerdrift_warm_pools`, what concerns machines and
-//! jobs is in `control::partition`.
+//! Warm pools in the controller: the operators' file, and requests of controllers and operators about
+//! pools. Decisions about slots are made in `badgerdrift_warm_pools`; machines and jobs are handled in
+//! `control::partition`.
 
 mod bills;
 mod machine_types;
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -1,4 +1,4 @@
-//! The operators' file, read as they write it.
+//! Tests of the operators' file of warm pools and of the check of its machine types.
 
 use super::settings::parse_pools;
 use crate::settings::{Team, tests::settings};
@@ -33,21 +33,21 @@
 "#;
 
 #[test]
-fn a_file_is_read_and_the_delivered_one_is_valid() {
+fn an_example_file_and_the_shipped_one_are_accepted() {
     let pools = parse_pools(FILE, &settings()).unwrap();
     assert_eq!((pools.pools["counter"].most_wanted(), pools.models["notes"].version), (6, 3));
     assert!(parse_pools("", &settings()).unwrap().pools.is_empty());
-    let mut users = settings();
-    users.params.zones = vec!["viti-levu".into(), "vanua-levu".into()];
-    let team = users.params.teams[0].clone();
+    let mut fleet_settings = settings();
+    fleet_settings.params.zones = vec!["viti-levu".into(), "vanua-levu".into()];
+    let team = fleet_settings.params.teams[0].clone();
     let named = |name: &str| Team { name: name.into(), gpus_max: 350.0, ..team.clone() };
-    users.params.teams = vec![named("valuers"), named("objections")];
-    let delivered = parse_pools(include_str!("../../deploy/warm-pools.hcl"), &users).unwrap();
-    assert_eq!(delivered.pools["counter"].most_wanted(), 4);
+    fleet_settings.params.teams = vec![named("valuers"), named("objections")];
+    let shipped = parse_pools(include_str!("../../deploy/warm-pools.hcl"), &fleet_settings).unwrap();
+    assert_eq!(shipped.pools["counter"].most_wanted(), 4);
 }
 
 #[test]
-fn errors_name_field_and_reason_in_one_line() {
+fn an_invalid_file_is_refused_with_field_and_reason_in_one_line() {
     for (from, to, expected) in [
         ("payer  = \"red\"", "payer  = \"nobody\"", "pool.counter.payer: there is no team nobody"),
         ("count  = 2", "count  = -2", "-2"),
@@ -67,12 +67,13 @@
     }
 }
 
-// A slot and its bills change together: a state service that can't do that is expected of at once.
+// A slot and its bills are written in one commit. Guards against a start with a state service whose
+// commits are too small for that, which would fail only at the first charge.
 #[test]
-fn a_state_service_with_too_small_commits_is_refused() {
-    let mut small = settings();
-    small.params.state.txn_ops = 5;
-    let refused = parse_pools(FILE, &small).unwrap_err().to_string();
+fn a_state_service_with_commits_too_small_for_a_slot_and_its_bills_is_refused() {
+    let mut settings_with_small_commits = settings();
+    settings_with_small_commits.params.state.txn_ops = 5;
+    let refused = parse_pools(FILE, &settings_with_small_commits).unwrap_err().to_string();
     assert!(refused.starts_with("params.state.txn_ops: "), "{refused}");
 }
 
@@ -86,7 +87,7 @@
     use std::time::Duration;
     use tokio::net::TcpListener;
 
-    /// A server that gives every request this answer, or none.
+    /// Starts a server that gives every request this answer, or never answers, and returns its address.
     #[expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
     async fn server(answer: Option<Value>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -115,9 +116,9 @@
     }
 
     fn state_with(name: &str) -> Option<Value> {
-        let kept = crate::control::partition::tests::instance_type();
-        let kept = crate::model::InstanceType { name: name.into(), ..kept };
-        Some(json!({"items": [{"path": "flavors", "data": [kept], "stamp": 1}], "more": false, "epoch": 1}))
+        let stored = crate::control::partition::tests::instance_type();
+        let stored = crate::model::InstanceType { name: name.into(), ..stored };
+        Some(json!({"items": [{"path": "flavors", "data": [stored], "stamp": 1}], "more": false, "epoch": 1}))
     }
 
     async fn check(cloud: Option<Value>, state: Option<Value>) -> Result<(), String> {
@@ -130,17 +131,19 @@
         check_machine_types(&Net::default(), &settings, &pools).await.map_err(|error| error.to_string())
     }
 
-    // An operator learnt of a type with a mistake from the log of a controller that ran.
+    // Guards against a controller that starts with a misspelt machine type, of which the operator learns
+    // only from its log.
     #[tokio::test]
-    async fn an_unknown_instance_type_is_refused_with_its_field() {
+    async fn an_unknown_machine_type_is_refused_with_its_field() {
         let refused = check(cloud_with(&["g4"]), state_with("c8")).await;
         assert_eq!(refused.unwrap_err(), "pool.counter.machines: there is no machine type g8");
         assert_eq!(check(cloud_with(&["g4", "g8"]), state_with("c8")).await, Ok(()));
     }
 
-    // Refused for these, controllers could not be started again when it matters most.
+    // Guards against a refused restart of a controller when the cloud has dropped a machine type, or when the
+    // cloud or the state service is down.
     #[tokio::test]
-    async fn a_former_or_unreadable_instance_type_does_not_prevent_the_start() {
+    async fn a_dropped_machine_type_or_a_missing_list_is_accepted() {
         assert_eq!(check(cloud_with(&["g4"]), state_with("g8")).await, Ok(()), "the cloud has dropped it");
         assert_eq!(check(None, state_with("c8")).await, Ok(()));
         assert_eq!(check(cloud_with(&["g4"]), None).await, Ok(()));
