--- a/src/runtime/metrics.rs
+++ b/src/runtime/metrics.rs
@@ -19,12 +19,12 @@
 impl Metrics {
     /// Records a duration in milliseconds in a histogram; durations over an hour count as one.
     #[allow(clippy::expect_used, reason = "the bounds are constants that hdrhistogram accepts")]
-    pub fn observe(&mut self, name: &'static str, label: &str, ms: u64) {
+    pub fn observe(&mut self, name: &'static str, label: &str, duration_ms: u64) {
         let histogram = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit keeps a histogram at a few kilobytes.
             Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("constant bounds, which hdrhistogram takes")
         });
-        histogram.saturating_record(ms.clamp(1, MAX_OBSERVED_MS));
+        histogram.saturating_record(duration_ms.clamp(1, MAX_OBSERVED_MS));
     }
 
     /// Raises a counter by one.
@@ -40,18 +40,18 @@
     /// All metrics in the text format of `GET /metrics`.
     pub fn text(&self) -> String {
         // Writing to a String can't fail.
-        let mut out = String::new();
+        let mut text = String::new();
         for ((name, label), histogram) in &self.histograms {
             for quantile in [0.5, 0.9, 0.99] {
                 let value = histogram.value_at_quantile(quantile);
-                let _ = writeln!(out, "badgerdrift_{name}{{of=\"{label}\",quantile=\"{quantile}\"}} {value}");
+                let _ = writeln!(text, "badgerdrift_{name}{{of=\"{label}\",quantile=\"{quantile}\"}} {value}");
             }
-            let _ = writeln!(out, "badgerdrift_{name}_count{{of=\"{label}\"}} {}", histogram.len());
+            let _ = writeln!(text, "badgerdrift_{name}_count{{of=\"{label}\"}} {}", histogram.len());
         }
         for ((name, label), count) in &self.counters {
-            let _ = writeln!(out, "badgerdrift_{name}_total{{of=\"{label}\"}} {count}");
+            let _ = writeln!(text, "badgerdrift_{name}_total{{of=\"{label}\"}} {count}");
         }
-        out
+        text
     }
 }
 
@@ -77,8 +77,8 @@
 }
 
 /// The same with a label.
-pub fn labelled_gauge_line(name: &str, label: &str, value_of_label: &str, value: usize) -> String {
-    format!("badgerdrift_{name}{{{label}=\"{value_of_label}\"}} {value}\n")
+pub fn labelled_gauge_line(name: &str, label: &str, label_value: &str, value: usize) -> String {
+    format!("badgerdrift_{name}{{{label}=\"{label_value}\"}} {value}\n")
 }
 
 #[cfg(test)]
--- a/src/runtime/metrics/tests.rs
+++ b/src/runtime/metrics/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn metrics_are_printed_by_name_and_label() {
     let mut metrics = Metrics::default();
-    for ms in 1..=100 {
-        metrics.observe("decision_ms", "chat", ms);
+    for duration_ms in 1..=100 {
+        metrics.observe("decision_ms", "chat", duration_ms);
     }
     metrics.count("preempted", "sweep");
     let text = metrics.text();
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -9,7 +9,7 @@
 /// Bytes in a megabyte, as the settings count them.
 const BYTES_PER_MB: f64 = 1e6;
 /// Memory that is assumed where the settings name none.
-const ASSUMED_MEMORY_MB: f64 = 256.0;
+const DEFAULT_MEMORY_MB: f64 = 256.0;
 
 /// Share of the memory that remembered ends of jobs may take.
 const ENDED_JOBS_SHARE: f64 = 1.0 / 16.0;
@@ -28,7 +28,7 @@
 const ATTEMPT_BYTES: f64 = 400.0;
 /// Entries of attempts in heartbeats that a leader with a whole core can follow in a
 /// second beside its other work.
-const ENTRIES_PER_CORE: f64 = 60_000.0;
+const ENTRIES_PER_S_PER_CORE: f64 = 60_000.0;
 
 /// How often in a second an attempt is listed: assumed until it was measured, and at the most.
 /// Workers with short tasks send heartbeats more often than they have to.
@@ -40,20 +40,20 @@
 pub const QUEUED_FOR_LEADER: usize = 1024;
 
 /// Part of the sockets that the server may use; the rest is for what this node opens itself.
-const SERVER_SHARE: (usize, usize) = (3, 4);
+const SERVER_SOCKETS_SHARE: (usize, usize) = (3, 4);
 /// Idle connections to workers, as a part of the sockets. Of a thousand machines few are sent
 /// orders at a time: what stays open to the others would use up the sockets that their heartbeats
 /// need.
-const WORKER_POOL_PART: usize = 16;
+const WORKER_POOL_DIVISOR: usize = 16;
 /// Direct commands to workers under way at a time, as a part of the sockets.
-const DIRECT_COMMANDS_PART: usize = 8;
+const DIRECT_COMMANDS_DIVISOR: usize = 8;
 
 /// Machines that a leader with a whole core may probe in a second, beside its other work. A leader
 /// with a small share that probed all machines at once after a failover would answer neither
 /// heartbeats nor users for seconds.
-const PROBES_PER_CORE: f64 = 1000.0;
+const PROBES_PER_S_PER_CORE: f64 = 1000.0;
 /// Fewest machines that may be probed in a second.
-const LEAST_PROBES_PER_S: f64 = 1.0;
+const MIN_PROBES_PER_S: f64 = 1.0;
 
 /// Upper bounds of a controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -80,21 +80,21 @@
         let limits = &settings.params.limits;
         let sockets = limits.max_sockets;
         Bounds {
-            ended_jobs: entries(limits, ENDED_JOBS_SHARE, ENDED_JOB_BYTES),
-            route_hints: entries(limits, ROUTE_HINTS_SHARE, ROUTE_HINT_BYTES),
-            server_connections: sockets * SERVER_SHARE.0 / SERVER_SHARE.1,
-            worker_connections: (sockets / WORKER_POOL_PART).max(1),
-            direct_commands: (sockets / DIRECT_COMMANDS_PART).max(1),
-            probes_per_s: limits.core_share.map(|share| (share * PROBES_PER_CORE).max(LEAST_PROBES_PER_S)),
+            ended_jobs: entries_in_memory_share(limits, ENDED_JOBS_SHARE, ENDED_JOB_BYTES),
+            route_hints: entries_in_memory_share(limits, ROUTE_HINTS_SHARE, ROUTE_HINT_BYTES),
+            server_connections: sockets * SERVER_SOCKETS_SHARE.0 / SERVER_SOCKETS_SHARE.1,
+            worker_connections: (sockets / WORKER_POOL_DIVISOR).max(1),
+            direct_commands: (sockets / DIRECT_COMMANDS_DIVISOR).max(1),
+            probes_per_s: limits.core_share.map(|share| (share * PROBES_PER_S_PER_CORE).max(MIN_PROBES_PER_S)),
             attempts: AttemptBounds::new(limits),
         }
     }
 }
 
 /// How many entries of so many bytes fit into a share of the process's memory.
-fn entries(limits: &Limits, share: f64, bytes: f64) -> usize {
-    let memory_mb = limits.memory_mb.unwrap_or(ASSUMED_MEMORY_MB);
-    (memory_mb * BYTES_PER_MB * share / bytes) as usize
+fn entries_in_memory_share(limits: &Limits, share: f64, entry_bytes: f64) -> usize {
+    let memory_mb = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
+    (memory_mb * BYTES_PER_MB * share / entry_bytes) as usize
 }
 
 /// How many attempts a leader can follow, by its memory and its processor.
@@ -109,8 +109,8 @@
 impl AttemptBounds {
     fn new(limits: &Limits) -> AttemptBounds {
         AttemptBounds {
-            by_memory: entries(limits, ATTEMPTS_SHARE, ATTEMPT_BYTES),
-            entries_per_s: limits.core_share.map(|share| (share * ENTRIES_PER_CORE) as usize),
+            by_memory: entries_in_memory_share(limits, ATTEMPTS_SHARE, ATTEMPT_BYTES),
+            entries_per_s: limits.core_share.map(|share| (share * ENTRIES_PER_S_PER_CORE) as usize),
         }
     }
 
--- a/src/settings/bounds/tests.rs
+++ b/src/settings/bounds/tests.rs
@@ -41,13 +41,13 @@
 // Probed all at once after a failover, the machines of a fleet held up a leader with a small share.
 #[test]
 fn probes_follow_the_processor_share() {
-    let rate = |core_share| {
+    let probes_per_s = |core_share| {
         let mut settings = settings();
         settings.params.limits.core_share = core_share;
         Bounds::new(&settings).probes_per_s
     };
-    assert_eq!(rate(Some(0.4)), Some(400.0));
-    assert_eq!(rate(Some(0.036)), Some(36.0));
-    assert_eq!(rate(Some(1e-6)), Some(LEAST_PROBES_PER_S));
-    assert_eq!(rate(None), None);
+    assert_eq!(probes_per_s(Some(0.4)), Some(400.0));
+    assert_eq!(probes_per_s(Some(0.036)), Some(36.0));
+    assert_eq!(probes_per_s(Some(1e-6)), Some(MIN_PROBES_PER_S));
+    assert_eq!(probes_per_s(None), None);
 }
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -5,9 +5,9 @@
 use std::collections::HashSet;
 
 /// Fewest sockets that a controller works with.
-const LEAST_SOCKETS: usize = 16;
+const MIN_SOCKETS: usize = 16;
 /// A partition's leader lease is taken with so many changes in one commit.
-const LEAST_TXN_OPS: usize = 2;
+const MIN_TXN_OPS: usize = 2;
 
 /// Checks the platform's settings.
 ///
@@ -17,13 +17,13 @@
 pub fn check_settings(settings: &Settings) -> Result<(), FieldError> {
     let params = &settings.params;
     check_names(settings)?;
-    not_negative("params.time_bound_ms", params.time_bound_ms)?;
+    check_not_negative("params.time_bound_ms", params.time_bound_ms)?;
     check_teams(&params.teams)?;
     check_objectives(&params.objectives)?;
     check_workers(&params.workers)?;
     check_state_limits(&params.state)?;
-    positive("params.cloud.rps", params.cloud.rps)?;
-    not_negative("params.cloud.list_lag_s", params.cloud.list_lag_s)?;
+    check_positive("params.cloud.rps", params.cloud.rps)?;
+    check_not_negative("params.cloud.list_lag_s", params.cloud.list_lag_s)?;
     check_limits(&params.limits)
 }
 
@@ -33,21 +33,21 @@
 ///
 /// The first field that is not valid, with the reason.
 pub fn check_operator(operator: &Operator) -> Result<(), FieldError> {
-    positive("bin_width_s", operator.bin_width_s)?;
-    positive("default_deadline_s", operator.default_deadline_s)?;
-    not_negative("idle_keep", operator.idle_keep)?;
-    not_negative("headroom", operator.headroom)?;
+    check_positive("bin_width_s", operator.bin_width_s)?;
+    check_positive("default_deadline_s", operator.default_deadline_s)?;
+    check_not_negative("idle_keep", operator.idle_keep)?;
+    check_not_negative("headroom", operator.headroom)?;
     if operator.partitions == 0 {
         return Err(FieldError::new("partitions", Fault::BelowMinimum(1)));
     }
     Ok(())
 }
 
-fn positive(field: &str, value: f64) -> Result<(), FieldError> {
+fn check_positive(field: &str, value: f64) -> Result<(), FieldError> {
     if value.is_finite() && value > 0.0 { Ok(()) } else { Err(FieldError::new(field, Fault::NotPositive(value))) }
 }
 
-fn not_negative(field: &str, value: f64) -> Result<(), FieldError> {
+fn check_not_negative(field: &str, value: f64) -> Result<(), FieldError> {
     if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(FieldError::new(field, Fault::Negative(value))) }
 }
 
@@ -82,8 +82,8 @@
         }
         for (resource, guarantee, limit) in [("cpus", team.cpus, team.cpus_max), ("gpus", team.gpus, team.gpus_max)] {
             let field = format!("params.teams.{resource} of {}", team.name);
-            not_negative(&field, guarantee)?;
-            not_negative(&format!("params.teams.{resource}_max of {}", team.name), limit)?;
+            check_not_negative(&field, guarantee)?;
+            check_not_negative(&format!("params.teams.{resource}_max of {}", team.name), limit)?;
             if limit > 0.0 && guarantee > limit {
                 return Err(FieldError::new(field, Fault::AboveLimit { limit: format!("{resource}_max") }));
             }
@@ -96,7 +96,7 @@
     for objective in objectives {
         for (field, value) in [("within_s", objective.within_s), ("share", objective.share)] {
             if let Some(value) = value {
-                not_negative(&format!("params.objectives.{field}"), value)?;
+                check_not_negative(&format!("params.objectives.{field}"), value)?;
             }
         }
     }
@@ -104,11 +104,11 @@
 }
 
 fn check_workers(workers: &Workers) -> Result<(), FieldError> {
-    positive("params.workers.report_s", workers.report_s)?;
-    positive("params.workers.lease_s", workers.lease_s)?;
-    positive("params.workers.gang_wait_s", workers.gang_wait_s)?;
-    positive("params.workers.gang_peer_s", workers.gang_peer_s)?;
-    positive("params.workers.cancel_s", workers.cancel_s)?;
+    check_positive("params.workers.report_s", workers.report_s)?;
+    check_positive("params.workers.lease_s", workers.lease_s)?;
+    check_positive("params.workers.gang_wait_s", workers.gang_wait_s)?;
+    check_positive("params.workers.gang_peer_s", workers.gang_peer_s)?;
+    check_positive("params.workers.cancel_s", workers.cancel_s)?;
     if workers.lease_s < 2.0 * workers.report_s {
         return Err(FieldError::new("params.workers.lease_s", Fault::BelowTwice("report_s")));
     }
@@ -124,26 +124,26 @@
     ];
     for (field, present, next) in amounts {
         for (table, amount) in [("params.state", present), ("params.state.next", next)] {
-            amount.map_or(Ok(()), |amount| positive(&format!("{table}.{field}"), amount))?;
+            amount.map_or(Ok(()), |amount| check_positive(&format!("{table}.{field}"), amount))?;
         }
     }
     for (table, changes) in [("params.state", Some(limits.txn_ops)), ("params.state.next", next.txn_ops)] {
-        if changes.is_some_and(|changes| changes < LEAST_TXN_OPS) {
-            return Err(FieldError::new(format!("{table}.txn_ops"), Fault::BelowMinimum(LEAST_TXN_OPS)));
+        if changes.is_some_and(|changes| changes < MIN_TXN_OPS) {
+            return Err(FieldError::new(format!("{table}.txn_ops"), Fault::BelowMinimum(MIN_TXN_OPS)));
         }
     }
     Ok(())
 }
 
 fn check_limits(limits: &Limits) -> Result<(), FieldError> {
-    if limits.max_sockets < LEAST_SOCKETS {
-        return Err(FieldError::new("params.limits.max_sockets", Fault::BelowMinimum(LEAST_SOCKETS)));
+    if limits.max_sockets < MIN_SOCKETS {
+        return Err(FieldError::new("params.limits.max_sockets", Fault::BelowMinimum(MIN_SOCKETS)));
     }
     if let Some(memory_mb) = limits.memory_mb {
-        positive("params.limits.memory_mb", memory_mb)?;
+        check_positive("params.limits.memory_mb", memory_mb)?;
     }
     if let Some(core_share) = limits.core_share {
-        positive("params.limits.core_share", core_share)?;
+        check_positive("params.limits.core_share", core_share)?;
     }
     Ok(())
 }
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -16,9 +16,9 @@
         let mut load = vec![0.0; partitions.max(1) as usize];
         let mut partitions_of_teams = HashMap::new();
         for team in teams {
-            let least = (0..load.len()).min_by(|a, b| f64::total_cmp(&load[*a], &load[*b])).unwrap_or(0);
-            load[least] += weight(team).max(1.0);
-            partitions_of_teams.insert(team.name.clone(), least as u32);
+            let least_loaded = (0..load.len()).min_by(|a, b| f64::total_cmp(&load[*a], &load[*b])).unwrap_or(0);
+            load[least_loaded] += weight(team).max(1.0);
+            partitions_of_teams.insert(team.name.clone(), least_loaded as u32);
         }
         partitions_of_teams
     }
@@ -27,8 +27,8 @@
     /// ends well within it, but as long as a controller may be held up without losing its
     /// partition, where a quarter of the worker's lease allows that.
     pub fn leader_lease_ttl_ms(&self) -> u64 {
-        let lease = self.lease_ms();
-        (lease / 8).max(MAX_STALL_MS).min(lease / 4).clamp(100, 600_000)
+        let lease_ms = self.lease_ms();
+        (lease_ms / 8).max(MAX_STALL_MS).min(lease_ms / 4).clamp(100, 600_000)
     }
 
     /// Milliseconds within which a direct command shows its effect, or is taken as lost. They
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Error)]
 pub enum ContentError {
     /// It is not TOML, or not of the expected types.
-    #[error("{}", one_line_toml(.text_line, .source))]
+    #[error("{}", single_line_toml_error(.text_line, .source))]
     Toml {
         /// Number, from 1, and text of the line at fault; `None` if the parser names no place.
         text_line: Option<(usize, String)>,
@@ -50,7 +50,7 @@
     Borrowing(badgerdrift_borrowing::FieldError),
 }
 
-fn one_line_toml(text_line: &Option<(usize, String)>, error: &toml::de::Error) -> String {
+fn single_line_toml_error(text_line: &Option<(usize, String)>, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match text_line {
         Some((number, text)) => format!("line {number} ({text}): {message}"),
@@ -62,7 +62,7 @@
 #[derive(Debug, Error)]
 pub enum HclError {
     /// It is not HCL, or not of the expected types.
-    #[error("{}", one_line(.0))]
+    #[error("{}", single_line_hcl_error(.0))]
     Unparsable(#[from] hcl::Error),
     /// Two blocks of a kind have the same name.
     #[error("{kind}.{name}: there are two of this name")]
@@ -74,7 +74,7 @@
     },
 }
 
-fn one_line(error: &hcl::Error) -> String {
+fn single_line_hcl_error(error: &hcl::Error) -> String {
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
--- a/src/settings/hcl_text.rs
+++ b/src/settings/hcl_text.rs
@@ -11,12 +11,12 @@
 /// The text is not valid HCL, two blocks have the same name, or a field is missing, unknown or of the wrong type.
 pub fn parse<T: DeserializeOwned>(text: &str, named_blocks: &[&str]) -> Result<T, HclError> {
     let body = hcl::parse(text)?;
-    check_names(&body, named_blocks)?;
+    check_block_names_unique(&body, named_blocks)?;
     Ok(hcl::from_body(body)?)
 }
 
 /// Two blocks of one name would otherwise be reported as a value of a wrong type.
-fn check_names(body: &hcl::Body, named_blocks: &[&str]) -> Result<(), HclError> {
+fn check_block_names_unique(body: &hcl::Body, named_blocks: &[&str]) -> Result<(), HclError> {
     for kind in named_blocks {
         let mut names = BTreeSet::new();
         for block in body.blocks().filter(|block| block.identifier.as_str() == *kind) {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -77,25 +77,25 @@
 
 #[test]
 fn later_limits_are_checked_like_the_present_ones() {
-    let with_next = |table: &str| {
+    let with_later_limits = |table: &str| {
         let text = example().replace("[params.cloud]", &format!("[params.state.next]\n{table}\n[params.cloud]"));
         toml::from_str::<Settings>(&text)
-            .map_err(|e| e.to_string())
-            .and_then(|settings| check_settings(&settings).map(|()| settings).map_err(|e| e.to_string()))
+            .map_err(|error| error.to_string())
+            .and_then(|settings| check_settings(&settings).map(|()| settings).map_err(|error| error.to_string()))
     };
-    let settings_with_next = with_next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
-    assert_eq!(settings_with_next.write_limits().commit_changes, 4);
-    assert_eq!(with_next("").unwrap().write_limits(), settings().write_limits());
-    for (bad, field) in [
+    let accepted = with_later_limits("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
+    assert_eq!(accepted.write_limits().commit_changes, 4);
+    assert_eq!(with_later_limits("").unwrap().write_limits(), settings().write_limits());
+    for (invalid, field) in [
         ("value_kb = 0.0", "value_kb"),
         ("write_rps = -1.0", "write_rps"),
         ("rps = nan", "rps"),
         ("txn_ops = 1", "txn_ops"),
     ] {
-        let refusal = with_next(bad).unwrap_err();
-        assert!(refusal.starts_with(&format!("params.state.next.{field}: ")), "{refusal}");
+        let error = with_later_limits(invalid).unwrap_err();
+        assert!(error.starts_with(&format!("params.state.next.{field}: ")), "{error}");
     }
-    assert!(with_next("txn_ops = \"four\"").is_err());
+    assert!(with_later_limits("txn_ops = \"four\"").is_err());
 }
 
 #[test]
--- a/src/transport/frame_format.rs
+++ b/src/transport/frame_format.rs
@@ -33,12 +33,12 @@
 }
 
 /// Stands for a peer from which no frame has come.
-const UNKNOWN: u32 = u32::MAX;
+const NO_FRAME_RECEIVED: u32 = u32::MAX;
 
 impl PeerFormat {
     /// Nothing is known of this peer yet.
     pub fn new(peer: &str) -> PeerFormat {
-        PeerFormat { peer: peer.into(), format: Arc::new(AtomicU32::new(UNKNOWN)) }
+        PeerFormat { peer: peer.into(), format: Arc::new(AtomicU32::new(NO_FRAME_RECEIVED)) }
     }
 
     /// A frame in this format has come from the peer.
@@ -50,7 +50,7 @@
 
     /// The format of the peer's last frame; `None` if none has come.
     pub fn get(&self) -> Option<FrameFormat> {
-        Some(self.format.load(Ordering::Relaxed)).filter(|format| *format != UNKNOWN).map(FrameFormat)
+        Some(self.format.load(Ordering::Relaxed)).filter(|format| *format != NO_FRAME_RECEIVED).map(FrameFormat)
     }
 
     /// Whether the peer is known to be of an earlier version.
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -39,13 +39,13 @@
 
 impl Client {
     /// A client with `most` idle connections at the most.
-    pub fn with_idle(most: usize) -> Client {
-        Client::on(&Net::default(), most)
+    pub fn with_idle(max_idle: usize) -> Client {
+        Client::on(&Net::default(), max_idle)
     }
 
     /// The same over a given network.
-    pub fn on(net: &Net, most: usize) -> Client {
-        Client { idle: Arc::new(Mutex::new(Pool::new(most))), net: net.clone() }
+    pub fn on(net: &Net, max_idle: usize) -> Client {
+        Client { idle: Arc::new(Mutex::new(Pool::new(max_idle))), net: net.clone() }
     }
 
     /// Sends a request and returns the status and the body of the reply.
@@ -59,12 +59,12 @@
         method: &str,
         path: &str,
         body: Option<&[u8]>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(u16, Vec<u8>), CallError> {
-        let deadline = Instant::now() + limit;
-        let mut stream = self.connection(addr, deadline).await?;
-        let out = encode_request(addr, method, path, body);
-        match timeout_at(deadline, stream.write_all(&out)).await {
+        let deadline = Instant::now() + timeout;
+        let mut stream = self.take_or_connect(addr, deadline).await?;
+        let request = encode_request(addr, method, path, body);
+        match timeout_at(deadline, stream.write_all(&request)).await {
             Ok(Ok(())) => {}
             _ => return Err(CallError::Indeterminate),
         }
@@ -72,16 +72,16 @@
         let Ok(Ok(reply)) = timeout_at(deadline, read_message(&mut stream, &mut buf, parse_reply)).await else {
             return Err(CallError::Indeterminate);
         };
-        if !reply.close && buf.is_empty() {
-            lock(&self.idle).put(addr, stream);
+        if !reply.close_after && buf.is_empty() {
+            lock(&self.idle).add(addr, stream);
         }
         Ok((reply.head, reply.body))
     }
 
     /// An idle connection to the server, or a new one.
-    async fn connection(&self, addr: SocketAddr, deadline: Instant) -> Result<Box<dyn Stream>, CallError> {
-        let reused = lock(&self.idle).take(addr);
-        match reused {
+    async fn take_or_connect(&self, addr: SocketAddr, deadline: Instant) -> Result<Box<dyn Stream>, CallError> {
+        let idle = lock(&self.idle).take(addr);
+        match idle {
             Some(stream) if !stream.is_closed() => Ok(stream),
             _ => match timeout_at(deadline, self.net.connect(addr)).await {
                 Ok(Ok(stream)) => Ok(stream),
@@ -92,7 +92,7 @@
 
     /// Forgets the idle connections to a machine that is gone.
     pub fn forget(&self, addr: SocketAddr) {
-        lock(&self.idle).forget(addr);
+        lock(&self.idle).close_all(addr);
     }
 }
 
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -10,46 +10,46 @@
 use tokio::io::{AsyncRead, ReadBuf};
 
 /// Most that the head of a message may hold.
-pub(super) const MAX_HEAD: usize = 16 * 1024;
+pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most that is read from a connection at once.
-const READ_CHUNK: usize = 8192;
+const READ_CHUNK_BYTES: usize = 8192;
 /// Most headers of a message.
 const MAX_HEADERS: usize = 64;
 /// Replies of the state service have no size limit; this one only bounds memory.
-const MAX_REPLY: usize = 8 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// The frame of a message: where its body begins, how long it is, and whether the connection ends
 /// after it.
-pub(super) struct Frame {
+pub(super) struct Framing {
     head_len: usize,
     body_len: usize,
-    close: bool,
+    close_after: bool,
 }
 
 /// Headers that framing needs; `Err` is the status of the refusal.
-fn frame(head_len: usize, headers: &[httparse::Header<'_>], max_body: usize) -> Result<Frame, u16> {
-    let mut frame = Frame { head_len, body_len: 0, close: false };
+fn parse_framing(head_len: usize, headers: &[httparse::Header<'_>], max_body: usize) -> Result<Framing, u16> {
+    let mut framing = Framing { head_len, body_len: 0, close_after: false };
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(header.value).map_err(|_| 400u16)?.trim();
-            frame.body_len = text.parse().map_err(|_| 400u16)?;
-            if frame.body_len > max_body {
+            framing.body_len = text.parse().map_err(|_| 400u16)?;
+            if framing.body_len > max_body {
                 return Err(413);
             }
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(501);
         } else if header.name.eq_ignore_ascii_case("connection") && header.value.eq_ignore_ascii_case(b"close") {
-            frame.close = true;
+            framing.close_after = true;
         }
     }
-    Ok(frame)
+    Ok(framing)
 }
 
 /// A message that has arrived whole; the head is that of a request or a reply.
 pub(super) struct Message<T> {
     pub(super) head: T,
     pub(super) body: Vec<u8>,
-    pub(super) close: bool,
+    pub(super) close_after: bool,
 }
 
 /// The first line of a request.
@@ -65,16 +65,16 @@
     parse: impl Fn(&[u8]) -> Parsed<T>,
 ) -> Result<Message<T>, ReadError> {
     loop {
-        if let Some((head, frame)) = parse(buf).map_err(ReadError::Refused)? {
-            let total = frame.head_len + frame.body_len;
+        if let Some((head, framing)) = parse(buf).map_err(ReadError::Refused)? {
+            let total = framing.head_len + framing.body_len;
             while buf.len() < total {
                 read_more(stream, buf).await?;
             }
-            let body = buf[frame.head_len..total].to_vec();
+            let body = buf[framing.head_len..total].to_vec();
             buf.drain(..total);
-            return Ok(Message { head, body, close: frame.close });
+            return Ok(Message { head, body, close_after: framing.close_after });
         }
-        if buf.len() > MAX_HEAD {
+        if buf.len() > MAX_HEAD_BYTES {
             return Err(ReadError::Refused(431));
         }
         read_more(stream, buf).await?;
@@ -94,7 +94,7 @@
 /// and be cleared for every message.
 pub(super) async fn read_available(stream: &mut Box<dyn Stream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|context| {
-        let mut chunk = [MaybeUninit::<u8>::uninit(); READ_CHUNK];
+        let mut chunk = [MaybeUninit::<u8>::uninit(); READ_CHUNK_BYTES];
         let mut chunk = ReadBuf::uninit(&mut chunk);
         ready!(Pin::new(&mut *stream).poll_read(context, &mut chunk))?;
         buf.extend_from_slice(chunk.filled());
@@ -112,7 +112,7 @@
 }
 
 /// A head that has arrived whole, with its frame; none if more must come.
-pub(super) type Parsed<T> = Result<Option<(T, Frame)>, u16>;
+pub(super) type Parsed<T> = Result<Option<(T, Framing)>, u16>;
 
 /// Reads the head of a request.
 pub(super) fn parse_request(buf: &[u8]) -> Parsed<RequestLine> {
@@ -120,10 +120,10 @@
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(buf) {
         Ok(httparse::Status::Complete(head_len)) => {
-            let frame = frame(head_len, request.headers, MAX_BODY)?;
+            let framing = parse_framing(head_len, request.headers, MAX_BODY)?;
             let method = request.method.unwrap_or("").to_string();
             let path = request.path.unwrap_or("").to_string();
-            Ok(Some((RequestLine { method, path }, frame)))
+            Ok(Some((RequestLine { method, path }, framing)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(431),
@@ -137,8 +137,8 @@
     let mut reply = httparse::Response::new(&mut headers);
     match reply.parse(buf) {
         Ok(httparse::Status::Complete(head_len)) => {
-            let frame = frame(head_len, reply.headers, MAX_REPLY)?;
-            Ok(Some((reply.code.unwrap_or(0), frame)))
+            let framing = parse_framing(head_len, reply.headers, MAX_REPLY_BYTES)?;
+            Ok(Some((reply.code.unwrap_or(0), framing)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(_) => Err(400),
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -4,7 +4,7 @@
 
 /// Most that a request's body may hold.
 pub const MAX_BODY: usize = 64 * 1024;
-pub(super) const TOO_LARGE: &str = "body: must be at most 64 KiB";
+pub(super) const BODY_TOO_LARGE: &str = "body: must be at most 64 KiB";
 
 /// A request that has arrived whole.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 }
 
 /// The reason phrase of a status.
-pub(super) fn reason(status: u16) -> &'static str {
+pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -1,8 +1,8 @@
 //! The server: one task a connection, bounded in number.
 
 use super::framing::{Message, ReadError, parse_request, read_available, read_message};
-use super::idle::{Idle, IdleEntry};
-use super::message::{Request, Response, TOO_LARGE, reason};
+use super::idle::{IdleConnections, IdleRegistration};
+use super::message::{BODY_TOO_LARGE, Request, Response, reason_phrase};
 use crate::runtime::sync::lock;
 use crate::runtime::task;
 use crate::transport::network::{Listener, Stream};
@@ -15,19 +15,19 @@
 use tokio::time::timeout;
 
 /// Pause before a connection is accepted again when no socket was free.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// An idle connection may wait this many times as long as a request may take to arrive.
-const IDLE_FACTOR: u32 = 30;
+const IDLE_TIMEOUT_FACTOR: u32 = 30;
 
 /// Connections beyond the bound that get a refusal before they are closed, as a part of it.
-const REFUSED_PART: usize = 16;
+const REFUSED_CONNECTIONS_DIVISOR: usize = 16;
 /// Seconds after which a request on such a connection may come again.
-const REFUSED_RETRY_S: u64 = 1;
+const REFUSED_RETRY_AFTER_S: u64 = 1;
 
-/// Serves `listener` for ever. `patience` bounds how long a request may take
+/// Serves `listener` for ever. `request_timeout` bounds how long a request may take
 /// to arrive; idle connections may stay until there are too many, when the one
 /// that waited longest is closed: workers that were cut off leave theirs behind.
-pub async fn serve<H, F>(listener: impl Listener, max_open: usize, patience: Duration, handler: H)
+pub async fn serve<H, F>(listener: impl Listener, max_connections: usize, request_timeout: Duration, handler: H)
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
@@ -35,16 +35,21 @@
     let handler = Arc::new(handler);
     let open = Arc::new(AtomicUsize::new(0));
     let refused = Arc::new(AtomicUsize::new(0));
-    let idle = Arc::new(Mutex::new(Idle::default()));
+    let idle = Arc::new(Mutex::new(IdleConnections::default()));
     loop {
         let Ok(stream) = listener.accept().await else {
             // No free socket: wait for one instead of spinning.
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.load(Ordering::Relaxed) >= max_open {
+        if open.load(Ordering::Relaxed) >= max_connections {
             let Some((_, oldest)) = lock(&idle).waiting.pop_first() else {
-                refuse(stream, patience, &refused, max_open.div_ceil(REFUSED_PART));
+                refuse_connection(
+                    stream,
+                    request_timeout,
+                    &refused,
+                    max_connections.div_ceil(REFUSED_CONNECTIONS_DIVISOR),
+                );
                 continue;
             };
             oldest.notify_one();
@@ -52,7 +57,7 @@
         open.fetch_add(1, Ordering::Relaxed);
         let (handler, open, idle) = (handler.clone(), open.clone(), idle.clone());
         task::spawn(async move {
-            connection(stream, patience, &*handler, &idle).await;
+            serve_connection(stream, request_timeout, &*handler, &idle).await;
             open.fetch_sub(1, Ordering::Relaxed);
         });
     }
@@ -60,89 +65,103 @@
 
 /// Refuses the first request of a connection beyond the bound, if there are fewer than `most`
 /// such connections. Others are closed at once, so that sockets stay free.
-fn refuse(mut stream: Box<dyn Stream>, patience: Duration, refused: &Arc<AtomicUsize>, most: usize) {
-    if refused.load(Ordering::Relaxed) >= most {
+fn refuse_connection(
+    mut stream: Box<dyn Stream>,
+    request_timeout: Duration,
+    refused: &Arc<AtomicUsize>,
+    max_refused: usize,
+) {
+    if refused.load(Ordering::Relaxed) >= max_refused {
         return;
     }
     refused.fetch_add(1, Ordering::Relaxed);
     let refused = refused.clone();
     task::spawn(async move {
         // The connection is closed in any case.
-        let _ = timeout(patience, answer_refusal(&mut stream)).await;
+        let _ = timeout(request_timeout, send_refusal(&mut stream)).await;
         refused.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
-async fn answer_refusal(stream: &mut Box<dyn Stream>) {
+async fn send_refusal(stream: &mut Box<dyn Stream>) {
     if read_message(stream, &mut Vec::new(), parse_request).await.is_ok() {
         let refusal = Response::error(503, "too many connections");
-        let refusal = Response { retry_after_s: Some(REFUSED_RETRY_S), ..refusal };
+        let refusal = Response { retry_after_s: Some(REFUSED_RETRY_AFTER_S), ..refusal };
         // The client may have closed the connection.
         let _ = stream.write_all(&encode_reply(&refusal, true)).await;
     }
 }
 
-async fn connection<H, F>(mut stream: Box<dyn Stream>, patience: Duration, handler: &H, idle: &Mutex<Idle>)
-where
+async fn serve_connection<H, F>(
+    mut stream: Box<dyn Stream>,
+    request_timeout: Duration,
+    handler: &H,
+    idle: &Mutex<IdleConnections>,
+) where
     H: Fn(Request) -> F,
     F: Future<Output = Response>,
 {
     let mut buf = Vec::new();
     loop {
-        if buf.is_empty() && !next_request_begins(&mut stream, &mut buf, patience, idle).await {
+        if buf.is_empty() && !wait_for_next_request(&mut stream, &mut buf, request_timeout, idle).await {
             return;
         }
-        let (reply, close) = match timeout(patience, read_message(&mut stream, &mut buf, parse_request)).await {
-            Ok(Ok(Message { head, body, close })) => {
-                (handler(Request { method: head.method, path: head.path, body }).await, close)
-            }
-            Ok(Err(ReadError::Refused(status))) => (refusal(status), true),
-            Ok(Err(ReadError::Closed)) => return,
-            Err(_) => (Response::error(408, "the request did not arrive in time"), true),
-        };
-        if timeout(patience, stream.write_all(&encode_reply(&reply, close))).await.is_err() || close {
+        let (reply, close_after) =
+            match timeout(request_timeout, read_message(&mut stream, &mut buf, parse_request)).await {
+                Ok(Ok(Message { head, body, close_after })) => {
+                    (handler(Request { method: head.method, path: head.path, body }).await, close_after)
+                }
+                Ok(Err(ReadError::Refused(status))) => (framing_refusal(status), true),
+                Ok(Err(ReadError::Closed)) => return,
+                Err(_) => (Response::error(408, "the request did not arrive in time"), true),
+            };
+        if timeout(request_timeout, stream.write_all(&encode_reply(&reply, close_after))).await.is_err() || close_after
+        {
             return;
         }
     }
 }
 
 /// Waits for the next request, which may take long; `false` if the connection is to end.
-async fn next_request_begins(
+async fn wait_for_next_request(
     stream: &mut Box<dyn Stream>,
     buf: &mut Vec<u8>,
-    patience: Duration,
-    idle: &Mutex<Idle>,
+    request_timeout: Duration,
+    idle: &Mutex<IdleConnections>,
 ) -> bool {
-    let entry = IdleEntry::enter(idle);
+    let registration = IdleRegistration::new(idle);
     tokio::select! {
         biased;
-        read = timeout(patience * IDLE_FACTOR, read_available(stream, buf)) => matches!(read, Ok(Ok(length)) if length > 0),
-        () = entry.close_request.notified() => false,
+        read = timeout(request_timeout * IDLE_TIMEOUT_FACTOR, read_available(stream, buf)) => matches!(read, Ok(Ok(length)) if length > 0),
+        () = registration.close_request.notified() => false,
     }
 }
 
 /// The answer to a message that framing refuses.
-fn refusal(status: u16) -> Response {
+fn framing_refusal(status: u16) -> Response {
     match status {
         // Not asked again: users repeat what gets any status but 400.
-        413 => Response::error(400, TOO_LARGE),
-        _ => Response::error(status, reason(status)),
+        413 => Response::error(400, BODY_TOO_LARGE),
+        _ => Response::error(status, reason_phrase(status)),
     }
 }
 
-fn encode_reply(response: &Response, close: bool) -> Vec<u8> {
+fn encode_reply(response: &Response, close_after: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(160 + response.body.len());
-    let (status, reason) = (response.status, reason(response.status));
+    let (status, reason_phrase) = (response.status, reason_phrase(response.status));
     let (content_type, length) = (response.content_type, response.body.len());
     // Writing to a vector can't fail.
-    let _ = write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n");
+    let _ = write!(
+        out,
+        "HTTP/1.1 {status} {reason_phrase}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n"
+    );
     if let Some(seconds) = response.retry_after_s {
         let _ = write!(out, "Retry-After: {seconds}\r\n");
     }
     if let Some(methods) = response.allow {
         let _ = write!(out, "Allow: {methods}\r\n");
     }
-    if close {
+    if close_after {
         out.extend_from_slice(b"Connection: close\r\n");
     }
     out.extend_from_slice(b"\r\n");
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,6 +1,6 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
-use super::framing::MAX_HEAD;
+use super::framing::MAX_HEAD_BYTES;
 use super::{CallError, Client, MAX_BODY, Request, Response, serve};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-async fn server(patience_ms: u64) -> SocketAddr {
+async fn start_server(request_timeout_ms: u64) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    tokio::spawn(serve(listener, 10, Duration::from_millis(patience_ms), |request: Request| async move {
+    tokio::spawn(serve(listener, 10, Duration::from_millis(request_timeout_ms), |request: Request| async move {
         Response { retry_after_s: Some(3), ..Response::json(200, &(request.method, request.path, request.body.len())) }
     }));
     addr
 }
 
 /// Sends bytes and returns all that comes back before the connection closes.
-async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     // A refusal may close the connection before all is written.
     let _ = stream.write_all(bytes).await;
@@ -29,15 +29,15 @@
 
 #[tokio::test]
 async fn requests_are_framed_and_connections_reused() {
-    let addr = server(1000).await;
+    let addr = start_server(1000).await;
     let client = Client::default();
-    for n in [0, 5, MAX_BODY] {
-        let body = vec![b'x'; n];
+    for length in [0, 5, MAX_BODY] {
+        let body = vec![b'x'; length];
         let (status, reply) = client.call(addr, "POST", "/p", Some(&body), Duration::from_secs(2)).await.unwrap();
-        assert_eq!((status, reply), (200, format!("[\"POST\",\"/p\",{n}]").into_bytes()));
+        assert_eq!((status, reply), (200, format!("[\"POST\",\"/p\",{length}]").into_bytes()));
     }
     assert_eq!(client.idle.lock().unwrap().by_addr[&addr].len(), 1, "one connection served all");
-    let reply = raw(addr, b"GET /x HTTP/1.1\r\nConnection: close\r\n\r\n").await;
+    let reply = send_raw(addr, b"GET /x HTTP/1.1\r\nConnection: close\r\n\r\n").await;
     assert!(reply.contains("Retry-After: 3") && reply.contains("Connection: close"));
 }
 
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn idle_connections_are_bounded_and_the_oldest_is_closed() {
     let client = Client::with_idle(2);
-    let addrs = [server(1000).await, server(1000).await, server(1000).await];
+    let addrs = [start_server(1000).await, start_server(1000).await, start_server(1000).await];
     for addr in addrs {
         client.call(addr, "GET", "/", None, Duration::from_secs(2)).await.unwrap();
     }
@@ -56,22 +56,22 @@
     last.sort();
     assert_eq!(kept, last);
     client.forget(addrs[2]);
-    assert_eq!(client.idle.lock().unwrap().by_age.len(), 1);
+    assert_eq!(client.idle.lock().unwrap().by_sequence.len(), 1);
 }
 
 // Connections that cut-off workers left behind must not keep others out.
 #[tokio::test]
 async fn the_longest_idle_connection_is_closed_beyond_the_bound() {
-    let addr = server(1000).await;
-    let limit = Duration::from_secs(2);
+    let addr = start_server(1000).await;
+    let timeout = Duration::from_secs(2);
     let mut clients = Vec::new();
     for _ in 0..10 {
         let client = Client::default();
-        client.call(addr, "GET", "/", None, limit).await.unwrap();
+        client.call(addr, "GET", "/", None, timeout).await.unwrap();
         clients.push(client);
     }
-    let late = Client::default();
-    assert!(late.call(addr, "GET", "/", None, limit).await.is_ok());
+    let last_client = Client::default();
+    assert!(last_client.call(addr, "GET", "/", None, timeout).await.is_ok());
     tokio::time::sleep(Duration::from_millis(50)).await;
     let open = |client: &Client| client.idle.lock().unwrap().take(addr).is_some_and(|stream| !stream.is_closed());
     assert!(!open(&clients[0]), "the first one was closed");
@@ -84,27 +84,27 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, 1, Duration::from_secs(1), |_| std::future::pending::<Response>()));
-    let mut busy = TcpStream::connect(addr).await.unwrap();
-    busy.write_all(b"GET /x HTTP/1.1\r\n\r\n").await.unwrap();
+    let mut first_connection = TcpStream::connect(addr).await.unwrap();
+    first_connection.write_all(b"GET /x HTTP/1.1\r\n\r\n").await.unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let answer = raw(addr, b"GET /y HTTP/1.1\r\n\r\n").await;
+    let answer = send_raw(addr, b"GET /y HTTP/1.1\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Retry-After: 1"), "{answer}");
 }
 
 #[tokio::test]
 async fn bad_and_slow_requests_are_bounded() {
-    let addr = server(200).await;
+    let addr = start_server(200).await;
     for (bytes, status) in [
         (b"nonsense\r\n\r\n".to_vec(), 400),
         (b"POST /p HTTP/1.1\r\nContent-Length: x\r\n\r\n".to_vec(), 400),
         (b"POST /p HTTP/1.1\r\nContent-Length: 99999\r\n\r\n".to_vec(), 400),
         (b"POST /p HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec(), 501),
-        ([b"GET /p HTTP/1.1\r\nA: ".to_vec(), vec![b'x'; 2 * MAX_HEAD]].concat(), 431),
+        ([b"GET /p HTTP/1.1\r\nA: ".to_vec(), vec![b'x'; 2 * MAX_HEAD_BYTES]].concat(), 431),
         ([b"GET /p HTTP/1.1\r\n".to_vec(), b"A: b\r\n".repeat(100), b"\r\n".to_vec()].concat(), 431),
         (b"GET /p HT".to_vec(), 408),
         (b"POST /p HTTP/1.1\r\nContent-Length: 5\r\n\r\nab".to_vec(), 408),
     ] {
-        let reply = raw(addr, &bytes).await;
+        let reply = send_raw(addr, &bytes).await;
         assert!(reply.starts_with(&format!("HTTP/1.1 {status} ")), "{status}: {reply}");
     }
 }
@@ -114,8 +114,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let client = Client::default();
-    let limit = Duration::from_millis(200);
-    assert_eq!(client.call(addr, "GET", "/", None, limit).await, Err(CallError::Indeterminate));
+    let timeout = Duration::from_millis(200);
+    assert_eq!(client.call(addr, "GET", "/", None, timeout).await, Err(CallError::Indeterminate));
     drop(listener);
-    assert_eq!(client.call(addr, "GET", "/", None, limit).await, Err(CallError::NotSent));
+    assert_eq!(client.call(addr, "GET", "/", None, timeout).await, Err(CallError::NotSent));
 }
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -68,15 +68,15 @@
 
 impl Default for Net {
     fn default() -> Net {
-        Net::new(Tcp)
+        Net::new(TcpNetwork)
     }
 }
 
-struct Tcp;
+struct TcpNetwork;
 
-impl Network for Tcp {
+impl Network for TcpNetwork {
     fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>> {
-        Box::pin(async move { TcpStream::connect(addr).await.map(without_delay) })
+        Box::pin(async move { TcpStream::connect(addr).await.map(disable_nagle) })
     }
 
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
@@ -84,7 +84,7 @@
     }
 }
 
-fn without_delay(stream: TcpStream) -> Box<dyn Stream> {
+fn disable_nagle(stream: TcpStream) -> Box<dyn Stream> {
     // Without it the connection is slower, and works.
     let _ = stream.set_nodelay(true);
     Box::new(stream)
@@ -92,7 +92,7 @@
 
 impl Listener for TcpListener {
     fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>> {
-        Box::pin(async move { TcpListener::accept(self).await.map(|(stream, _)| without_delay(stream)) })
+        Box::pin(async move { TcpListener::accept(self).await.map(|(stream, _)| disable_nagle(stream)) })
     }
 }
 
--- a/src/transport/peer/client.rs
+++ b/src/transport/peer/client.rs
@@ -56,7 +56,7 @@
     pub health: SharedPeerHealth,
     /// The format that the controller speaks, by its last frame.
     pub format: PeerFormat,
-    connect_limit: Duration,
+    connect_timeout: Duration,
     tx: mpsc::Sender<ConnectionMessage>,
 }
 
@@ -71,10 +71,10 @@
     pub fn start_on(net: Net, name: String, addr: SocketAddr, timeouts: PeerTimeouts) -> Peer {
         let (tx, rx) = mpsc::channel(MAX_QUEUED);
         let health = SharedPeerHealth::new(&name, timeouts.health);
-        let connector = Connector { net, addr, limit: timeouts.connect, events: tx.clone() };
+        let connector = Connector { net, addr, connect_timeout: timeouts.connect, events: tx.clone() };
         let format = PeerFormat::new(&name);
         task::spawn(Connections::new(connector, health.clone(), format.clone()).run(rx));
-        Peer { name, health, format, connect_limit: timeouts.connect, tx }
+        Peer { name, health, format, connect_timeout: timeouts.connect, tx }
     }
 
     /// The response to a request, if it comes within the timeout. A user's request to an unresponsive
@@ -91,10 +91,10 @@
         request: PeerRequest,
         cancelled: impl Future<Output = ()>,
     ) -> Option<PeerResponse> {
-        if matches!(request, PeerRequest::User { .. }) && !self.health.may_ask() {
+        if matches!(request, PeerRequest::User { .. }) && !self.health.may_send_user_request() {
             return None;
         }
-        let (sent, sent_ms) = (Instant::now(), clock::now_ms());
+        let (started, sent_ms) = (Instant::now(), clock::now_ms());
         let (reply, response) = oneshot::channel();
         self.tx.try_send(ConnectionMessage::Request(request, reply)).ok()?;
         // The receiver is dropped before the actor is notified, which looks for closed ones.
@@ -106,7 +106,7 @@
         match outcome {
             Some(Ok(response)) => return Some(response),
             // Refused at once, or its connection was closed.
-            Some(Err(_)) if sent.elapsed() < self.connect_limit => return None,
+            Some(Err(_)) if started.elapsed() < self.connect_timeout => return None,
             Some(Err(_)) => {}
             None => {
                 // If the queue is full, a later cancellation has the same effect.
--- a/src/transport/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -19,7 +19,7 @@
     pub(super) net: Net,
     pub(super) addr: SocketAddr,
     /// How long an attempt to connect may take.
-    pub(super) limit: Duration,
+    pub(super) connect_timeout: Duration,
     /// Where connections report what happens on them.
     pub(super) events: mpsc::Sender<ConnectionMessage>,
 }
@@ -41,7 +41,7 @@
 }
 
 /// A request without a response.
-struct Waiting {
+struct PendingRequest {
     connection: u64,
     /// Responses that had come on the connection when the request was sent.
     responses_before: u64,
@@ -54,7 +54,7 @@
     health: SharedPeerHealth,
     format: PeerFormat,
     connections: Vec<Connection>,
-    waiting: HashMap<u64, Waiting>,
+    pending_requests: HashMap<u64, PendingRequest>,
     last_connection: u64,
     last_request: u64,
 }
@@ -66,7 +66,7 @@
             health,
             format,
             connections: Vec::new(),
-            waiting: HashMap::new(),
+            pending_requests: HashMap::new(),
             last_connection: 0,
             last_request: 0,
         }
@@ -77,8 +77,8 @@
         while let Some(message) = messages.recv().await {
             match message {
                 ConnectionMessage::Request(request, reply) => self.send(request, reply),
-                ConnectionMessage::Response { connection, frame } => self.received(connection, frame),
-                ConnectionMessage::ConnectionClosed { connection } => self.connection_closed(connection),
+                ConnectionMessage::Response { connection, frame } => self.handle_response(connection, frame),
+                ConnectionMessage::ConnectionClosed { connection } => self.remove_connection(connection),
                 ConnectionMessage::RequestCancelled => self.drop_cancelled(),
             }
             self.close_unused();
@@ -94,12 +94,12 @@
         if frames.try_send(frame).is_err() {
             return;
         }
-        let waiting = Waiting { connection: connection.number, responses_before: connection.responses, reply };
-        self.waiting.insert(self.last_request, waiting);
+        let pending = PendingRequest { connection: connection.number, responses_before: connection.responses, reply };
+        self.pending_requests.insert(self.last_request, pending);
     }
 
     fn connection_in_use(&mut self) -> &mut Connection {
-        let index = self.connections.iter().position(|c| c.frames.is_some()).unwrap_or_else(|| {
+        let index = self.connections.iter().position(|connection| connection.frames.is_some()).unwrap_or_else(|| {
             self.last_connection += 1;
             self.connections.push(self.connector.open(self.last_connection));
             self.connections.len() - 1
@@ -107,32 +107,32 @@
         &mut self.connections[index]
     }
 
-    fn received(&mut self, connection: u64, frame: Frame<PeerResponse>) {
+    fn handle_response(&mut self, connection: u64, frame: Frame<PeerResponse>) {
         self.health.received();
         self.format.received(frame.format);
-        let Some(connection) = self.connections.iter_mut().find(|c| c.number == connection) else { return };
+        let Some(connection) = self.connections.iter_mut().find(|open| open.number == connection) else { return };
         connection.responses += 1;
-        if let Some(waiting) = self.waiting.remove(&frame.number) {
+        if let Some(pending) = self.pending_requests.remove(&frame.number) {
             // What can't be read is no usable answer. An asker that waits no longer needs none.
-            let _ = waiting.reply.send(frame.message.unwrap_or(PeerResponse::Rejected));
+            let _ = pending.reply.send(frame.message.unwrap_or(PeerResponse::Rejected));
         }
     }
 
-    fn connection_closed(&mut self, connection: u64) {
-        self.connections.retain(|c| c.number != connection);
-        self.waiting.retain(|_, w| w.connection != connection);
+    fn remove_connection(&mut self, connection: u64) {
+        self.connections.retain(|open| open.number != connection);
+        self.pending_requests.retain(|_, pending| pending.connection != connection);
     }
 
     /// Drops the requests that were cancelled. A connection on which nothing has come since one of
     /// them was sent takes no more: a network partition may hold what is sent on it.
     fn drop_cancelled(&mut self) {
         let connections = &mut self.connections;
-        self.waiting.retain(|_, waiting| {
-            if !waiting.reply.is_closed() {
+        self.pending_requests.retain(|_, pending| {
+            if !pending.reply.is_closed() {
                 return true;
             }
-            if let Some(connection) = connections.iter_mut().find(|connection| connection.number == waiting.connection)
-                && connection.responses == waiting.responses_before
+            if let Some(connection) = connections.iter_mut().find(|connection| connection.number == pending.connection)
+                && connection.responses == pending.responses_before
             {
                 connection.frames = None;
             }
@@ -142,8 +142,11 @@
 
     /// Closes the connections that take no more requests and on which none waits.
     fn close_unused(&mut self) {
-        let waiting = &self.waiting;
-        self.connections.retain(|c| c.frames.is_some() || waiting.values().any(|w| w.connection == c.number));
+        let pending_requests = &self.pending_requests;
+        self.connections.retain(|connection| {
+            connection.frames.is_some()
+                || pending_requests.values().any(|pending| pending.connection == connection.number)
+        });
     }
 }
 
@@ -151,9 +154,10 @@
     /// Starts a connection; what is to be sent on it waits until it is open.
     fn open(&self, number: u64) -> Connection {
         let (frames_tx, frames) = mpsc::channel(MAX_QUEUED);
-        let (net, addr, limit, events) = (self.net.clone(), self.addr, self.limit, self.events.clone());
+        let (net, addr, connect_timeout, events) =
+            (self.net.clone(), self.addr, self.connect_timeout, self.events.clone());
         let task = task::spawn(async move {
-            match timeout(limit, net.connect(addr)).await {
+            match timeout(connect_timeout, net.connect(addr)).await {
                 Ok(Ok(stream)) => {
                     let (read, write) = stream.halves();
                     tokio::join!(write_frames(write, frames), read_responses(frame_reader(read), number, events));
--- a/src/transport/peer/frames.rs
+++ b/src/transport/peer/frames.rs
@@ -13,18 +13,18 @@
 pub(crate) const MAX_FRAME: usize = 2 * MAX_BODY;
 
 /// Bytes of the length before each frame.
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 /// Frames are joined to one write until it has so many bytes.
-const JOINED_WRITE: usize = 16 * 1024;
+const COMBINED_WRITE_BYTES: usize = 16 * 1024;
 /// Bytes that are read ahead on a connection: most frames are taken with one read.
-const READ_AHEAD: usize = 2 * 1024;
+const READ_BUFFER_BYTES: usize = 2 * 1024;
 
 /// The reading direction of a connection, with what was read ahead.
 pub(super) type FrameReader = BufReader<ReadHalf>;
 
 /// Reads frames from a connection.
 pub(super) fn frame_reader(read: ReadHalf) -> FrameReader {
-    BufReader::with_capacity(READ_AHEAD, read)
+    BufReader::with_capacity(READ_BUFFER_BYTES, read)
 }
 
 /// A frame on the wire: a message with the number of its request, and the format that its sender
@@ -54,20 +54,20 @@
 
 /// A frame with a numbered message, unless it is too long.
 pub(super) fn encode<T: Serialize>(number: u64, message: T) -> Option<Vec<u8>> {
-    let mut bytes = vec![0; LENGTH_BYTES];
+    let mut bytes = vec![0; LENGTH_PREFIX_BYTES];
     ciborium::into_writer(&WireFrame { number, message, format: FrameFormat::CURRENT }, &mut bytes).ok()?;
-    let len = bytes.len() - LENGTH_BYTES;
+    let len = bytes.len() - LENGTH_PREFIX_BYTES;
     if len > MAX_FRAME {
         tracing::error!(bytes = len, most = MAX_FRAME, "message is too long for a frame");
         return None;
     }
-    bytes[..LENGTH_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
+    bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
     Some(bytes)
 }
 
 /// The next frame; `None` once the connection has ended, or can't be read any further.
 pub(super) async fn read_frame<T: for<'a> Deserialize<'a>>(stream: &mut FrameReader) -> Option<Frame<T>> {
-    let mut len = [0; LENGTH_BYTES];
+    let mut len = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut len).await.ok()?;
     let len = u32::from_be_bytes(len) as usize;
     if len > MAX_FRAME {
@@ -91,7 +91,7 @@
 /// wait are written together.
 pub(super) async fn write_frames(mut write: WriteHalf, mut rx: mpsc::Receiver<Vec<u8>>) {
     while let Some(mut bytes) = rx.recv().await {
-        while bytes.len() < JOINED_WRITE
+        while bytes.len() < COMBINED_WRITE_BYTES
             && let Ok(frame) = rx.try_recv()
         {
             bytes.extend_from_slice(&frame);
--- a/src/transport/peer/frames/tests.rs
+++ b/src/transport/peer/frames/tests.rs
@@ -9,7 +9,7 @@
 async fn frames_that_wait_are_written_together_and_read_one_by_one() {
     let (near, far) = duplex(MAX_FRAME);
     let (tx, rx) = mpsc::channel(8);
-    let long = "x".repeat(3 * READ_AHEAD);
+    let long = "x".repeat(3 * READ_BUFFER_BYTES);
     for (number, text) in [(1, "a"), (2, long.as_str()), (3, "c")] {
         tx.send(encode(number, text.to_string()).unwrap()).await.unwrap();
     }
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -37,14 +37,14 @@
         for_ms: 5,
         state_ok: true,
     };
-    let limit = Duration::from_millis(500);
-    assert_eq!(peer.request(request(3), limit).await, Some(PeerResponse::Accepted));
+    let timeout = Duration::from_millis(500);
+    assert_eq!(peer.request(request(3), timeout).await, Some(PeerResponse::Accepted));
     assert_eq!(
         peer.request(PeerRequest::TransferHost { partition: 0, host: "x".into(), to: 1 }, Duration::from_millis(30))
             .await,
         None
     );
-    assert_eq!(peer.request(request(4), limit).await, Some(PeerResponse::Rejected));
+    assert_eq!(peer.request(request(4), timeout).await, Some(PeerResponse::Rejected));
 }
 
 /// A connection in memory.
@@ -138,21 +138,25 @@
     (peer, Accepted(Mutex::new(rx)))
 }
 
-fn release(fencing_token: u64) -> PeerRequest {
+fn release_request(fencing_token: u64) -> PeerRequest {
     PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(fencing_token) }
 }
 
-fn poll() -> PeerRequest {
+fn status_request() -> PeerRequest {
     PeerRequest::User { partition: 0, call: UserCall::Status("run-000001".into()) }
 }
 
-fn start(peer: &Peer, request: PeerRequest, limit: Duration) -> tokio::task::JoinHandle<Option<PeerResponse>> {
+fn spawn_request(
+    peer: &Peer,
+    request: PeerRequest,
+    timeout: Duration,
+) -> tokio::task::JoinHandle<Option<PeerResponse>> {
     let peer = peer.clone();
-    tokio::spawn(async move { peer.request(request, limit).await })
+    tokio::spawn(async move { peer.request(request, timeout).await })
 }
 
 /// Answers releases after as many milliseconds as their fencing token has.
-async fn answer_after_milliseconds_of_token(request: PeerRequest, _: FrameFormat) -> PeerResponse {
+async fn accept_after_token_milliseconds(request: PeerRequest, _: FrameFormat) -> PeerResponse {
     if let PeerRequest::ReleasePledge { fencing_token, .. } = request {
         sleep(Duration::from_millis(fencing_token.0)).await;
     }
@@ -163,20 +167,20 @@
 #[tokio::test(start_paused = true)]
 async fn requests_to_a_peer_that_hangs_at_connect_fail_together() {
     let (peer, _accepted) = scripted_peer(None);
-    let begin = Instant::now();
-    let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(10))).collect();
+    let started = Instant::now();
+    let requests: Vec<_> = (0..5).map(|_| spawn_request(&peer, release_request(0), Duration::from_secs(10))).collect();
     for request in requests {
         assert_eq!(request.await.unwrap(), None);
     }
-    let connect_limit = PeerTimeouts::for_leader_lease(LEASE_TTL_MS).connect;
-    assert!(begin.elapsed() < connect_limit + Duration::from_millis(50), "{:?}", begin.elapsed());
+    let connect_timeout = PeerTimeouts::for_leader_lease(LEASE_TTL_MS).connect;
+    assert!(started.elapsed() < connect_timeout + Duration::from_millis(50), "{:?}", started.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
 async fn requests_wait_for_the_connection_and_are_sent_once_it_is_open() {
     let (peer, accepted) = scripted_peer(Some(Duration::from_millis(300)));
-    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
-    let requests: Vec<_> = (0..5).map(|_| start(&peer, release(0), Duration::from_secs(1))).collect();
+    tokio::spawn(serve(accepted, accept_after_token_milliseconds));
+    let requests: Vec<_> = (0..5).map(|_| spawn_request(&peer, release_request(0), Duration::from_secs(1))).collect();
     for request in requests {
         assert_eq!(request.await.unwrap(), Some(PeerResponse::Accepted));
     }
@@ -186,9 +190,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_request_does_not_cancel_others() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
-    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
-    let slow = start(&peer, release(200), Duration::from_millis(500));
-    assert_eq!(peer.request(release(5000), Duration::from_millis(100)).await, None);
+    tokio::spawn(serve(accepted, accept_after_token_milliseconds));
+    let slow = spawn_request(&peer, release_request(200), Duration::from_millis(500));
+    assert_eq!(peer.request(release_request(5000), Duration::from_millis(100)).await, None);
     assert_eq!(slow.await.unwrap(), Some(PeerResponse::Accepted));
 }
 
@@ -197,7 +201,7 @@
 async fn a_connection_without_a_response_since_a_request_takes_no_more() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     for connections in 1..4 {
-        assert_eq!(peer.request(release(0), Duration::from_millis(100)).await, None);
+        assert_eq!(peer.request(release_request(0), Duration::from_millis(100)).await, None);
         assert_eq!(accepted.count(), connections);
     }
 }
@@ -213,48 +217,48 @@
             let _ = forward.send(stream);
         }
     });
-    tokio::spawn(serve(Accepted(Mutex::new(forwarded)), answer_after_milliseconds_of_token));
-    let cancelled = start(&peer, release(5000), Duration::from_millis(100));
+    tokio::spawn(serve(Accepted(Mutex::new(forwarded)), accept_after_token_milliseconds));
+    let cancelled = spawn_request(&peer, release_request(5000), Duration::from_millis(100));
     sleep(Duration::from_millis(10)).await;
     for _ in 0..3 {
-        assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
+        assert_eq!(peer.request(release_request(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     }
     assert_eq!(cancelled.await.unwrap(), None);
-    assert_eq!(peer.request(release(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
+    assert_eq!(peer.request(release_request(50), Duration::from_millis(400)).await, Some(PeerResponse::Accepted));
     assert_eq!(opened.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn users_do_not_wait_for_a_peer_that_never_answers() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
-    let limit = Duration::from_millis(500);
+    let timeout = Duration::from_millis(500);
     for _ in 0..2 {
         assert!(!peer.health.is_unresponsive());
-        assert_eq!(peer.request(poll(), limit).await, None);
+        assert_eq!(peer.request(status_request(), timeout).await, None);
     }
     assert!(peer.health.is_unresponsive());
-    let begin = Instant::now();
+    let started = Instant::now();
     for _ in 0..20 {
-        assert_eq!(peer.request(poll(), limit).await, None);
+        assert_eq!(peer.request(status_request(), timeout).await, None);
     }
-    assert_eq!(begin.elapsed(), Duration::ZERO);
+    assert_eq!(started.elapsed(), Duration::ZERO);
     let connections = accepted.count();
-    assert_eq!(peer.request(release(0), limit).await, None);
+    assert_eq!(peer.request(release_request(0), timeout).await, None);
     assert_eq!(accepted.count(), connections + 1, "releases and pledges are sent all the same");
 
     // It goes on: the next probe is answered, and all requests after it.
-    tokio::spawn(serve(accepted, answer_after_milliseconds_of_token));
+    tokio::spawn(serve(accepted, accept_after_token_milliseconds));
     sleep(Duration::from_millis(PeerTimeouts::for_leader_lease(LEASE_TTL_MS).health.probe_interval_ms)).await;
-    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
+    assert_eq!(peer.request(status_request(), timeout).await, Some(PeerResponse::Accepted));
     assert!(!peer.health.is_unresponsive());
-    assert_eq!(peer.request(poll(), limit).await, Some(PeerResponse::Accepted));
+    assert_eq!(peer.request(status_request(), timeout).await, Some(PeerResponse::Accepted));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_hangs_at_connect_is_unresponsive() {
     let (peer, _accepted) = scripted_peer(None);
     for _ in 0..2 {
-        assert_eq!(peer.request(poll(), Duration::from_secs(10)).await, None);
+        assert_eq!(peer.request(status_request(), Duration::from_secs(10)).await, None);
     }
     assert!(peer.health.is_unresponsive());
 }
--- a/src/transport/peer_health.rs
+++ b/src/transport/peer_health.rs
@@ -44,20 +44,20 @@
     /// When a response or a request last came from the peer, in milliseconds of the steady clock.
     last_received_ms: Option<u64>,
     /// While it is unresponsive: when it was found to be, or was last probed.
-    probed_ms: Option<u64>,
+    last_probe_ms: Option<u64>,
 }
 
 impl PeerHealth {
     /// A peer that is taken to be healthy.
     pub fn new(limits: HealthLimits) -> PeerHealth {
-        PeerHealth { limits, unanswered: 0, last_received_ms: None, probed_ms: None }
+        PeerHealth { limits, unanswered: 0, last_received_ms: None, last_probe_ms: None }
     }
 
     /// A response or a request has come from the peer.
     pub fn received(&mut self, now_ms: u64) -> HealthChange {
         self.unanswered = 0;
         self.last_received_ms = Some(now_ms);
-        match self.probed_ms.take() {
+        match self.last_probe_ms.take() {
             Some(_) => HealthChange::Recovered,
             None => HealthChange::Unchanged,
         }
@@ -74,23 +74,23 @@
         if self.is_unresponsive() || self.unanswered < MAX_UNANSWERED || !is_overdue {
             return HealthChange::Unchanged;
         }
-        self.probed_ms = Some(now_ms);
+        self.last_probe_ms = Some(now_ms);
         HealthChange::BecameUnresponsive
     }
 
     /// Whether a user's request may be sent now. To an unresponsive peer one is sent in each interval.
-    pub fn may_ask(&mut self, now_ms: u64) -> bool {
-        let Some(probed_ms) = self.probed_ms else { return true };
-        let due = now_ms >= probed_ms + self.limits.probe_interval_ms;
-        if due {
-            self.probed_ms = Some(now_ms);
+    pub fn may_send_user_request(&mut self, now_ms: u64) -> bool {
+        let Some(last_probe_ms) = self.last_probe_ms else { return true };
+        let is_due = now_ms >= last_probe_ms + self.limits.probe_interval_ms;
+        if is_due {
+            self.last_probe_ms = Some(now_ms);
         }
-        due
+        is_due
     }
 
     /// True while the peer counts as unresponsive.
     pub fn is_unresponsive(&self) -> bool {
-        self.probed_ms.is_some()
+        self.last_probe_ms.is_some()
     }
 }
 
@@ -120,9 +120,9 @@
         self.log(change);
     }
 
-    /// See [`PeerHealth::may_ask`].
-    pub fn may_ask(&self) -> bool {
-        self.lock().may_ask(clock::now_ms())
+    /// See [`PeerHealth::may_send_user_request`].
+    pub fn may_send_user_request(&self) -> bool {
+        self.lock().may_send_user_request(clock::now_ms())
     }
 
     /// See [`PeerHealth::is_unresponsive`].
--- a/src/transport/peer_health/tests.rs
+++ b/src/transport/peer_health/tests.rs
@@ -52,15 +52,15 @@
 #[test]
 fn an_unresponsive_peer_is_probed_once_in_an_interval() {
     let mut health = unresponsive_since(1000);
-    let probes: Vec<u64> = (1000..=5000).step_by(10).filter(|now_ms| health.may_ask(*now_ms)).collect();
+    let probes: Vec<u64> = (1000..=5000).step_by(10).filter(|now_ms| health.may_send_user_request(*now_ms)).collect();
     assert_eq!(probes, [2250, 3500, 4750]);
 }
 
 #[test]
 fn a_peer_is_responsive_again_once_anything_is_received() {
     let mut health = unresponsive_since(1000);
-    assert!(!health.may_ask(1100));
+    assert!(!health.may_send_user_request(1100));
     assert_eq!(health.received(1200), HealthChange::Recovered);
-    assert!(health.may_ask(1200) && health.may_ask(1200));
+    assert!(health.may_send_user_request(1200) && health.may_send_user_request(1200));
     assert_eq!(health.received(1300), HealthChange::Unchanged);
 }
