--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! badgerdrift: a scheduler for fleets that serve language models.
+//! Scheduler for fleets of machines that serve language models.
 //!
-//! `docs/architecture.md` shows the programs, who owns which state, and how requests travel;
-//! `docs/design.md` gives the reasons.
+//! `docs/architecture.md` describes the programs, the owner of each kind of state and the paths of requests;
+//! `docs/design.md` gives the reasons for the design.
 
 #![warn(missing_docs)]
 
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,35 +1,36 @@
-//! Clocks. Leases and timeouts are measured on the steady clock alone; the time of day serves for
-//! deadlines of jobs, which outlive a controller.
+//! Steady clock and wall clock. Leases and timeouts use only the steady clock; the wall clock is for deadlines of
+//! jobs, which outlive a controller.
 
 use std::cell::Cell;
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Bound on the drift of two steady clocks against each other, as a share of the time between.
+/// Bound on the drift between two steady clocks, as a fraction of the elapsed time.
 pub const DRIFT: f64 = 0.001;
 
+/// Origin of the steady clock: the first reading in this process.
 static PROCESS_START: OnceLock<std::time::Instant> = OnceLock::new();
 
-/// Milliseconds on the steady clock since the process began.
+/// Returns the time of the steady clock, in milliseconds since its first reading in this process.
 pub fn now_ms() -> u64 {
     let process_start = *PROCESS_START.get_or_init(std::time::Instant::now);
     Instant::now().into_std().saturating_duration_since(process_start).as_millis() as u64
 }
 
 thread_local! {
-    /// In a simulation: the time of day in milliseconds, and the instant of the steady clock from
-    /// which it advances with that; `None` while it stands still.
+    /// Simulated wall clock of the thread: its time in milliseconds, and the instant of the steady clock from which
+    /// it advances, or `None` if it stands still. `None` outside simulations.
     static SIMULATED_WALL_CLOCK: Cell<Option<(u64, Option<Instant>)>> = const { Cell::new(None) };
 }
 
-/// For simulations: sets the time of day of this thread, in milliseconds; it advances with the
-/// steady clock or stands still.
+/// Sets the wall clock of this thread, in milliseconds since the Unix epoch, for a simulation. It advances with the
+/// steady clock if `advances` is true, and stands still otherwise.
 pub fn simulate_wall(now_ms: u64, advances: bool) {
     SIMULATED_WALL_CLOCK.set(Some((now_ms, advances.then(Instant::now))));
 }
 
-/// Milliseconds of the time of day.
+/// Returns the time of the wall clock, in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     if let Some((start_ms, start)) = SIMULATED_WALL_CLOCK.get() {
         return start_ms + start.map_or(0, |start| start.elapsed().as_millis() as u64);
--- a/src/runtime/metrics/tests.rs
+++ b/src/runtime/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn metrics_are_printed_by_name_and_label() {
+fn the_text_lists_metrics_by_name_and_label() {
     let mut metrics = Metrics::default();
     for duration_ms in 1..=100 {
         metrics.observe("decision_ms", "chat", duration_ms);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn clones_of_shared_metrics_count_together() {
+fn clones_of_shared_metrics_share_their_counters() {
     let metrics = SharedMetrics::default();
     metrics.clone().count("partitions_lost", "superseded");
     metrics.count("partitions_lost", "superseded");
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! What every part of a controller runs on: clocks, tasks, locks and metrics.
+//! Runtime facilities shared by all modules of a controller: clocks, tasks, locks and metrics.
 
 pub mod clock;
 pub mod metrics;
--- a/src/runtime/task.rs
+++ b/src/runtime/task.rs
@@ -1,5 +1,5 @@
-//! Starts the tasks of a controller. A test may gate all of them, and so pause one controller of
-//! several that run in the same process.
+//! Starting of a controller's tasks. A test can put all of them behind a gate, and so pause one of several
+//! controllers that run in the same process.
 
 use std::future::{Future, poll_fn};
 use std::pin::pin;
@@ -9,16 +9,17 @@
 
 /// Decides whether the tasks of a controller may run.
 pub trait Gate: Send + Sync + 'static {
-    /// Ready while they may; otherwise the task is woken once they may again.
+    /// Returns ready while the tasks may run; otherwise registers the current task to be woken when they may run
+    /// again.
     fn poll_open(&self, context: &mut Context<'_>) -> Poll<()>;
 }
 
 tokio::task_local! {
-    /// The gate of the controller that the current task belongs to.
+    /// Gate of the controller to which the current task belongs.
     static GATE: Arc<dyn Gate>;
 }
 
-/// Starts a task behind the gate of the current one, if that has any.
+/// Starts a task, behind the gate of the current task if it has one.
 #[expect(clippy::disallowed_methods, reason = "all other tasks of a controller are started here")]
 pub fn spawn<F>(future: F) -> JoinHandle<F::Output>
 where
@@ -30,7 +31,7 @@
     }
 }
 
-/// Runs a future, and all tasks that it starts, only while the gate is open.
+/// Runs a future, and all tasks that it starts by [`spawn`], only while the gate is open.
 pub async fn behind<F: Future>(gate: Arc<dyn Gate>, future: F) -> F::Output {
     let mut future = pin!(future);
     let gated = poll_fn(|context| {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings: the platform's TOML file (unknown fields ignored) and the operators' optional HCL file
-//! (unknown names refused). Each controller reads them once, as it starts; what regions share and
-//! change meanwhile is in `configuration`.
+//! Settings: the platform's TOML file, in which unknown fields are ignored, and the operators' optional
+//! HCL file, in which unknown names are refused. Each controller reads them once, at its start. Settings
+//! that the regions share and change at run time are in `configuration`.
 
 pub mod bounds;
 
@@ -14,18 +14,18 @@
 pub use operator::Operator;
 pub use params::{CloudLimits, Limits, NextStateLimits, Objective, Params, StateLimits, Team, Workers};
 
-/// The settings of the platform.
+/// Settings of the platform.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Name of this controller, unique in the deployment.
     pub node: String,
     /// Zone in which this controller runs; one of `params.zones`.
     pub site: String,
-    /// Address at which users and workers are served.
+    /// Address at which this controller serves users and workers.
     pub serve_on: SocketAddr,
-    /// Address at which the other controllers are served.
+    /// Address at which this controller serves the other controllers.
     pub internal_addr: SocketAddr,
-    /// The other controllers of the deployment; empty if this is the only one.
+    /// Other controllers of the deployment; empty if this is the only one.
     #[serde(default)]
     pub seeds: Vec<Seed>,
     /// Addresses of the services that the controller depends on.
@@ -34,23 +34,23 @@
     pub params: Params,
 }
 
-/// Another controller of the deployment.
+/// Name, zone and address of another controller of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seed {
     /// Name of the controller.
     pub node: String,
-    /// Zone in which it runs.
+    /// Zone in which the controller runs.
     pub site: String,
-    /// Its internal address.
+    /// Internal address of the controller.
     pub endpoint: SocketAddr,
 }
 
 /// Addresses of the services that a controller depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's API.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state store.
     pub state: SocketAddr,
 }
 
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -1,81 +1,83 @@
-//! Bounds on what a controller stores and serves at a time, derived from the platform's settings.
+//! Upper bounds on what a controller stores and serves at a time, derived from the platform's settings.
 //!
-//! No bound follows from a number of machines: a larger fleet comes with larger limits of the
-//! process. `docs/CAPACITY.md` lists what each one is at 4,000 and at 6,000 machines, and what
-//! is seen when it is reached.
+//! No bound depends on the number of machines: a larger fleet comes with larger limits of the process.
+//! `docs/CAPACITY.md` lists the value of each bound at 4,000 and at 6,000 machines, and the effect of
+//! reaching it.
 
 use crate::settings::{Limits, Settings};
 
-/// Bytes in a megabyte, as the settings count them.
+/// Number of bytes in a megabyte of the settings.
 const BYTES_PER_MB: f64 = 1e6;
-/// Memory that is assumed where the settings name none.
+/// Memory of the process, in megabytes, if the settings have no limit.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 
-/// Share of the memory that remembered ends of jobs may take.
+/// Share of the memory for remembered ends of jobs.
 const ENDED_JOBS_SHARE: f64 = 1.0 / 16.0;
-/// Bytes of a remembered end: its id, and an entry in a map and in a queue.
+/// Size, in bytes, of a remembered end: the job id, and an entry in a map and in a queue.
 const ENDED_JOB_BYTES: f64 = 160.0;
 
-/// Share of the memory that hints about jobs may take, and those about machines.
+/// Share of the memory for route hints about jobs; those about machines may take the same share.
 const ROUTE_HINTS_SHARE: f64 = 1.0 / 32.0;
-/// Bytes of a hint: an id, and an entry in a map.
+/// Size, in bytes, of a route hint: an id and an entry in a map.
 const ROUTE_HINT_BYTES: f64 = 80.0;
 
-/// Share of the memory that attempts of tasks may take.
+/// Share of the memory for task attempts.
 const ATTEMPTS_SHARE: f64 = 0.5;
-/// Bytes of an attempt, with its task and its part of the heartbeat that is being read: twice the
-/// 0.2 KB that were measured with 40 attempts on each of 6,000 machines.
+/// Size, in bytes, of an attempt with its task and its part of the heartbeat that is being read. This is
+/// twice the 0.2 KB that an attempt takes with 40 attempts on each of 6,000 machines.
 const ATTEMPT_BYTES: f64 = 400.0;
-/// Entries of attempts in heartbeats that a leader with a whole core can follow in a
-/// second beside its other work.
+/// Number of attempt entries in heartbeats that a leader with a whole core can process per second
+/// beside its other work.
 const ENTRIES_PER_S_PER_CORE: f64 = 60_000.0;
 
-/// How often in a second an attempt is listed: assumed until it was measured, and at the most.
-/// Workers with short tasks send heartbeats more often than they have to.
+/// Number of times per second that an attempt is listed in heartbeats: the initial value while the actual rate
+/// is unknown, and the maximum. Workers with short tasks send heartbeats more often than required.
 pub const MOST_ENTRIES_PER_S: f64 = 1.0;
 
-/// Messages that wait for the leader of a partition. It does not grow with the fleet: a heartbeat
-/// that waits longer than its worker does is answered in vain, and a leader that is late answers
-/// none in time. What does not fit is refused at once.
+/// Capacity of the message queue of the leader of a partition; further messages are refused at once. It does
+/// not grow with the fleet: the reply to a heartbeat is useless once its worker has timed out, and with a longer
+/// queue a slow leader would answer no heartbeat in time.
 pub const QUEUED_FOR_LEADER: usize = 1024;
 
-/// Part of the sockets that the server may use; the rest is for what this node opens itself.
+/// Share of the sockets that the server may use, as numerator and denominator; the rest is for connections
+/// that this node opens.
 const SERVER_SOCKETS_SHARE: (usize, usize) = (3, 4);
-/// Idle connections to workers, as a part of the sockets. Of a thousand machines few are sent
-/// orders at a time: what stays open to the others would use up the sockets that their heartbeats
-/// need.
+/// Divisor of the number of sockets that gives the number of idle connections to workers. Of a thousand
+/// machines only a few are sent orders at a time; idle connections to all the others would use up the sockets
+/// that their heartbeats need.
 const WORKER_POOL_DIVISOR: usize = 16;
-/// Direct commands to workers under way at a time, as a part of the sockets.
+/// Divisor of the number of sockets that gives the number of concurrent direct commands to workers.
 const DIRECT_COMMANDS_DIVISOR: usize = 8;
 
-/// Machines that a leader with a whole core may probe in a second, beside its other work. A leader
-/// with a small share that probed all machines at once after a failover would answer neither
-/// heartbeats nor users for seconds.
+/// Number of machines that a leader with a whole core may probe per second beside its other work. A leader with
+/// a small share of a core that probed all machines at once after a failover would respond to neither heartbeats
+/// nor users for seconds.
 const PROBES_PER_S_PER_CORE: f64 = 1000.0;
-/// Fewest machines that may be probed in a second.
+/// Minimum number of machines that may be probed per second.
 const MIN_PROBES_PER_S: f64 = 1.0;
 
-/// Upper bounds of a controller.
+/// Upper bounds on what a controller stores and serves at a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Ends of jobs that are remembered; one that is forgotten is read from its record.
+    /// Number of ends of jobs that are remembered; a forgotten end is read from the record of its job.
     pub ended_jobs: usize,
-    /// Hints of a kind about where jobs and machines belong; without one all partitions are asked.
+    /// Number of route hints about the partitions of jobs, and as many about those of machines; without a hint all
+    /// partitions are asked.
     pub route_hints: usize,
-    /// Connections of users and workers; beyond them the longest idle one is closed.
+    /// Number of connections of users and workers; beyond it the connection that has been idle longest is closed.
     pub server_connections: usize,
-    /// Idle connections to workers, for the next direct command.
+    /// Number of idle connections to workers that are kept for later direct commands.
     pub worker_connections: usize,
-    /// Direct commands under way; further ones wait.
+    /// Number of concurrent direct commands; further ones wait.
     pub direct_commands: usize,
-    /// Machines that may be probed in a second; `None` if that is not limited.
+    /// Number of machines that may be probed per second; `None` if it is unlimited.
     pub probes_per_s: Option<f64>,
-    /// How many attempts a leader follows.
+    /// Bounds on the number of attempts that a leader tracks.
     pub attempts: AttemptBounds,
 }
 
 impl Bounds {
-    /// The bounds under these settings.
+    /// Returns the bounds under these settings.
     pub fn new(settings: &Settings) -> Bounds {
         let limits = &settings.params.limits;
         let sockets = limits.max_sockets;
@@ -91,18 +93,18 @@
     }
 }
 
-/// How many entries of so many bytes fit into a share of the process's memory.
+/// Returns the number of entries of `entry_bytes` bytes that fit into `share` of the memory of the process.
 fn entries_in_memory_share(limits: &Limits, share: f64, entry_bytes: f64) -> usize {
     let memory_mb = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
     (memory_mb * BYTES_PER_MB * share / entry_bytes) as usize
 }
 
-/// How many attempts a leader can follow, by its memory and its processor.
+/// Bounds on the number of attempts that a leader tracks, by its memory and its processor share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptBounds {
-    /// Attempts that fit into its memory.
+    /// Number of attempts that fit into the memory of the leader.
     by_memory: usize,
-    /// Entries of attempts in heartbeats that it can follow in a second; `None` if that is not limited.
+    /// Number of attempt entries in heartbeats that the leader can process per second; `None` if it is unlimited.
     entries_per_s: Option<usize>,
 }
 
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Most attempts while each one is listed so often a second.
+    /// Returns the maximum number of attempts while each one is listed `entries_per_attempt_s` times per second.
     pub fn most(&self, entries_per_attempt_s: f64) -> usize {
         match self.entries_per_s {
             Some(entries) => self.by_memory.min((entries as f64 / entries_per_attempt_s) as usize),
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,19 +1,19 @@
-//! Checks of what the types of settings can't express. The first field at fault is reported.
+//! Checks of settings beyond their types. The first invalid field is reported.
 
 use super::errors::{Fault, FieldError};
 use super::{Limits, Objective, Operator, Settings, StateLimits, Team, Workers};
 use std::collections::HashSet;
 
-/// Fewest sockets that a controller works with.
+/// Minimum number of sockets with which a controller works.
 const MIN_SOCKETS: usize = 16;
-/// A partition's leader lease is taken with so many changes in one commit.
+/// Minimum number of changes in one commit: acquiring the leader lease of a partition takes two.
 const MIN_TXN_OPS: usize = 2;
 
 /// Checks the platform's settings.
 ///
 /// # Errors
 ///
-/// The first field that is not valid, with the reason.
+/// Returns the first invalid field with the reason.
 pub fn check_settings(settings: &Settings) -> Result<(), FieldError> {
     let params = &settings.params;
     check_names(settings)?;
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// The first field that is not valid, with the reason.
+/// Returns the first invalid field with the reason.
 pub fn check_operator(operator: &Operator) -> Result<(), FieldError> {
     check_positive("bin_width_s", operator.bin_width_s)?;
     check_positive("default_deadline_s", operator.default_deadline_s)?;
@@ -51,7 +51,7 @@
     if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(FieldError::new(field, Fault::Negative(value))) }
 }
 
-/// Names of the controllers and zones.
+/// Checks that the names of the controllers are unique and that the zone of this controller is listed.
 fn check_names(settings: &Settings) -> Result<(), FieldError> {
     if settings.node.is_empty() {
         return Err(FieldError::new("node", Fault::Empty));
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -1,14 +1,15 @@
-//! Periods and partitions that follow from the platform's settings.
+//! Durations and the assignment of teams to partitions, derived from the platform's settings.
 
 use super::{Settings, Team};
 use std::collections::HashMap;
 
-/// A controller may be held up for so long by its other work or by the state service.
+/// Duration, in milliseconds, for which a controller may be blocked by its other work or by the state store
+/// without losing its leader lease.
 const MAX_STALL_MS: u64 = 2500;
 
 impl Settings {
-    /// The partition that each team belongs to: the teams with the largest guarantees
-    /// first, each to the partition that has least so far.
+    /// Returns the partition of each team by name. Teams are assigned in descending order of their guarantees,
+    /// each to the partition with the smallest sum of guarantees so far.
     pub fn partitions_of_teams(&self, partitions: u32) -> HashMap<String, u32> {
         let weight = |team: &Team| team.gpus + team.cpus;
         let mut teams: Vec<&Team> = self.params.teams.iter().collect();
@@ -23,27 +24,26 @@
         partitions_of_teams
     }
 
-    /// Life of a leader lease in milliseconds: an eighth of a worker's lease, so that a failover
-    /// ends well within it, but as long as a controller may be held up without losing its
-    /// partition, where a quarter of the worker's lease allows that.
+    /// Returns the duration of a leader lease in milliseconds. It is an eighth of a worker's lease, so that a
+    /// failover ends well within the worker's lease, but at least the time for which a controller may be blocked
+    /// without losing its partition, as far as that is within a quarter of the worker's lease.
     pub fn leader_lease_ttl_ms(&self) -> u64 {
         let lease_ms = self.lease_ms();
         (lease_ms / 8).max(MAX_STALL_MS).min(lease_ms / 4).clamp(100, 600_000)
     }
 
-    /// Milliseconds within which a direct command shows its effect, or is taken as lost. They
-    /// follow round trips, not the interval of heartbeats: where that is long, commands should
-    /// not wait longer.
+    /// Returns the time, in milliseconds, after which a direct command without a visible effect is considered
+    /// lost. It depends on round trips, not on the heartbeat interval: a long interval should not delay commands.
     pub fn react_ms(&self) -> u64 {
         (self.lease_ms() / 20).max(1000).min(self.report_ms())
     }
 
-    /// Life of a worker's lease in milliseconds.
+    /// Returns the duration of a worker's lease in milliseconds.
     pub fn lease_ms(&self) -> u64 {
         (self.params.workers.lease_s * 1000.0) as u64
     }
 
-    /// Interval between two heartbeats of a worker in milliseconds.
+    /// Returns the interval between two heartbeats of a worker in milliseconds.
     pub fn report_ms(&self) -> u64 {
         (self.params.workers.report_s * 1000.0) as u64
     }
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -1,55 +1,56 @@
-//! Why a file of settings is refused. Each error is shown as one line.
+//! Errors of settings files. Each is displayed as one line.
 
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a file of settings can't be used: shown as one line that names the file.
+/// Reason why a settings file cannot be used, displayed as one line with the name of the file.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{}: cannot be read: {source}", .file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the operating system answered.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file was read, and its content is at fault.
+    /// The file was read and its content is invalid.
     #[error("{}: {source}", .file.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong with its content.
+        /// Error in the content of the file.
         source: Box<ContentError>,
     },
 }
 
-/// What is wrong with the content of a file of settings.
+/// Error in the content of a settings file.
 #[derive(Debug, Error)]
 pub enum ContentError {
-    /// It is not TOML, or not of the expected types.
+    /// The content is not valid TOML or does not have the expected types.
     #[error("{}", single_line_toml_error(.text_line, .source))]
     Toml {
-        /// Number, from 1, and text of the line at fault; `None` if the parser names no place.
+        /// Number, from 1, and text of the invalid line; `None` if the parser reports no position.
         text_line: Option<(usize, String)>,
-        /// The error of the parser.
+        /// Error of the parser.
         source: toml::de::Error,
     },
-    /// It is not HCL, or not of the expected types.
+    /// The content is not valid HCL or does not have the expected types.
     #[error(transparent)]
     Hcl(#[from] HclError),
-    /// A field has a value that its type allows and its meaning does not.
+    /// A field has a value of the right type that is not allowed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// A field of the warm pools' file is at fault.
+    /// A field of the warm pools file is invalid.
     #[error("{0}")]
     WarmPools(badgerdrift_warm_pools::FieldError),
-    /// A field of the borrowing file is at fault.
+    /// A field of the borrowing file is invalid.
     #[error("{0}")]
     Borrowing(badgerdrift_borrowing::FieldError),
 }
 
+/// Formats an error of the TOML parser in one line.
 fn single_line_toml_error(text_line: &Option<(usize, String)>, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match text_line {
@@ -58,92 +59,93 @@
     }
 }
 
-/// Why a text in HCL can't be read.
+/// Reason why a text in HCL cannot be parsed.
 #[derive(Debug, Error)]
 pub enum HclError {
-    /// It is not HCL, or not of the expected types.
+    /// The text is not valid HCL or does not have the expected types.
     #[error("{}", single_line_hcl_error(.0))]
     Unparsable(#[from] hcl::Error),
-    /// Two blocks of a kind have the same name.
+    /// Two blocks of one kind have the same name.
     #[error("{kind}.{name}: there are two of this name")]
     DuplicateBlock {
-        /// Kind of the blocks.
+        /// Type of the blocks.
         kind: String,
-        /// Their name.
+        /// Name of the blocks.
         name: String,
     },
 }
 
+/// Formats an error of the HCL parser in one line.
 fn single_line_hcl_error(error: &hcl::Error) -> String {
     error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// A field that is at fault.
+/// Invalid field, with the reason.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{field}: {fault}")]
 pub struct FieldError {
-    /// The field, as `params.workers.lease_s`.
+    /// Path of the field, such as `params.workers.lease_s`.
     pub field: String,
-    /// What is wrong with it.
+    /// Reason why the field is invalid.
     pub fault: Fault,
 }
 
 impl FieldError {
-    /// The error of this field.
+    /// Creates the error of `field`.
     pub fn new(field: impl Into<String>, fault: Fault) -> FieldError {
         FieldError { field: field.into(), fault }
     }
 }
 
-/// What is wrong with a field.
+/// Reason why a field is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Fault {
-    /// A text is empty.
+    /// A string is empty.
     #[error("must not be empty")]
     Empty,
-    /// A name is given a second time.
+    /// A name appears more than once.
     #[error("{0} appears twice")]
     Duplicate(String),
-    /// A list is empty that must name one of these, as `a zone`.
+    /// A list is empty that must contain at least one entry of this kind, such as `a zone`.
     #[error("must name {0}")]
     NamesNone(&'static str),
-    /// A name is missing from the list that it must be of.
+    /// A name is not in the list that must contain it.
     #[error("{name} is not among {list}")]
     NotAmong {
-        /// The name.
+        /// Name that was found.
         name: String,
-        /// The list, as `params.zones`.
+        /// Path of the list, such as `params.zones`.
         list: &'static str,
     },
-    /// A number is not above 0, or not finite.
+    /// A number is not above 0 or not finite.
     #[error("must be above 0, is {0}")]
     NotPositive(f64),
-    /// A number is below 0, or not finite.
+    /// A number is below 0 or not finite.
     #[error("must be 0 or more, is {0}")]
     Negative(f64),
-    /// A guarantee is above the limit in this field.
+    /// A guarantee exceeds its limit.
     #[error("above {limit}")]
     AboveLimit {
-        /// The field of the limit.
+        /// Field that holds the limit.
         limit: String,
     },
-    /// A time is less than twice the one in this field.
+    /// A duration is less than twice the duration in this field.
     #[error("must be at least twice {0}")]
     BelowTwice(&'static str),
-    /// A count is too small.
+    /// A count is below this minimum.
     #[error("must be at least {0}")]
     BelowMinimum(usize),
-    /// A count is too small for a feature that is switched on.
+    /// A count is below the minimum of an enabled feature.
     #[error("must be at least {minimum} with {feature}, is {actual}")]
     BelowMinimumWith {
-        /// The smallest count that the feature takes.
+        /// Minimum count that the feature requires.
         minimum: usize,
         /// The feature, as `warm pools`.
         feature: &'static str,
-        /// The count that is set.
+        /// Count that was found.
         actual: usize,
     },
-    /// More than one partition with a feature that takes no more.
+    /// More than one partition is set with a feature that supports only one.
     #[error("must be 1 with {feature}")]
     NotOneWith {
         /// The feature, as `warm pools`.
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -1,4 +1,4 @@
-//! Reads files of settings.
+//! Reading of settings files.
 
 use super::checks::{check_operator, check_settings};
 use super::errors::{ContentError, SettingsError};
@@ -7,11 +7,11 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Reads and checks the platform's file (TOML).
+/// Reads and checks the platform's settings file, in TOML.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is not valid TOML, or a field is not valid.
+/// Returns an error if the file cannot be read, is not valid TOML, or has an invalid field.
 pub fn load_settings(path: &Path) -> Result<Settings, SettingsError> {
     load(path, |text| {
         let settings: Settings = toml::from_str(text).map_err(|source| ContentError::Toml {
@@ -23,11 +23,11 @@
     })
 }
 
-/// Reads and checks the operators' file (HCL).
+/// Reads and checks the operators' settings file, in HCL.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is not valid HCL, or a field is not valid.
+/// Returns an error if the file cannot be read, is not valid HCL, or has an invalid field.
 pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
     load(path, |text| {
         let operator: Operator = hcl_text::parse(text, &[])?;
@@ -36,14 +36,14 @@
     })
 }
 
-/// Reads a file, and has its text parsed and checked.
+/// Reads a file, and parses and checks its text by `parse`.
 pub(crate) fn load<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, ContentError>) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Unreadable { file: path.to_path_buf(), source })?;
     parse(&text).map_err(|source| SettingsError::Invalid { file: path.to_path_buf(), source: Box::new(source) })
 }
 
-/// Number, from 1, and text of the line in which a span begins.
+/// Returns the number, from 1, and the text of the line in which a span begins.
 fn line_at(text: &str, span: Range<usize>) -> (usize, String) {
     let line = text[..span.start.min(text.len())].matches('\n').count();
     (line + 1, text.lines().nth(line).unwrap_or("").trim().to_string())
--- a/src/settings/hcl_text.rs
+++ b/src/settings/hcl_text.rs
@@ -1,21 +1,23 @@
-//! Operators' files in HCL: read into typed settings, with errors in one line.
+//! Parsing of operators' HCL files into typed settings, with errors in one line.
 
 use super::errors::HclError;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeSet;
 
-/// Reads a text; blocks of these kinds must differ in their names.
+/// Parses a text in HCL. Blocks of each kind in `named_blocks` must have unique names.
 ///
 /// # Errors
 ///
-/// The text is not valid HCL, two blocks have the same name, or a field is missing, unknown or of the wrong type.
+/// Returns an error if the text is not valid HCL, two blocks have the same name, or a field is missing, unknown or of
+/// the wrong type.
 pub fn parse<T: DeserializeOwned>(text: &str, named_blocks: &[&str]) -> Result<T, HclError> {
     let body = hcl::parse(text)?;
     check_block_names_unique(&body, named_blocks)?;
     Ok(hcl::from_body(body)?)
 }
 
-/// Two blocks of one name would otherwise be reported as a value of a wrong type.
+/// Checks that blocks of each kind in `named_blocks` have unique names. Without this check, two blocks with the same
+/// name would be reported as a value of the wrong type.
 fn check_block_names_unique(body: &hcl::Body, named_blocks: &[&str]) -> Result<(), HclError> {
     for kind in named_blocks {
         let mut names = BTreeSet::new();
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,20 +1,20 @@
-//! The operators' own settings.
+//! Settings of the operators, from their HCL file.
 
 use serde::Deserialize;
 
-/// The operators' own settings.
+/// Settings of the operators; absent fields have defaults.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Width of a bin of soft deadlines, in seconds.
+    /// Width, in seconds, of the bins into which soft deadlines are grouped.
     pub bin_width_s: f64,
-    /// Soft deadline of a job that has neither `due_s` nor an objective.
+    /// Soft deadline, in seconds, of a job that has neither `due_s` nor an objective.
     pub default_deadline_s: f64,
-    /// Idle machines stay rented for this many of their boot times.
+    /// Time for which idle machines are kept, as a multiple of their boot time.
     pub idle_keep: f64,
-    /// Scales the spare capacity for arrivals during a boot; 0 means none.
+    /// Factor of the spare capacity for the jobs that arrive during a boot; 0 means no spare capacity.
     pub headroom: f64,
-    /// Partitions that the teams are divided into; each is led by one controller.
+    /// Number of partitions among which the teams are divided; each is led by one controller.
     #[serde(alias = "parts")]
     pub partitions: u32,
 }
--- a/src/settings/params.rs
+++ b/src/settings/params.rs
@@ -10,14 +10,14 @@
     /// Time bound of the platform in milliseconds; 0 if absent. Checked, otherwise unused.
     #[serde(default)]
     pub time_bound_ms: f64,
-    /// The teams that may submit jobs, at least one.
+    /// Teams that may submit jobs, at least one.
     pub teams: Vec<Team>,
     /// Service objectives; empty if there are none.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Periods and timeouts of the workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the state store.
     pub state: StateLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
@@ -30,32 +30,32 @@
 pub struct Team {
     /// Name of the team, as in submissions.
     pub name: String,
-    /// Guaranteed CPU cores.
+    /// Guaranteed number of CPU cores.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPU cores in use at a time.
+    /// Maximum number of CPU cores in use at a time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed number of accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// Most accelerators in use at a time.
+    /// Maximum number of accelerators in use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service objective: when jobs are to start or finish.
+/// Service objective: time within which jobs should start or finish.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Kind of the objective: `wait` and `guarantee` are used, other kinds are ignored.
+    /// Kind of the objective: `wait` and `guarantee` are used; other kinds are ignored.
     pub kind: String,
-    /// Job class that it applies to; `None` if it names none.
+    /// Job class to which the objective applies; `None` if it names no class.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds within which the work is to start or finish.
+    /// Seconds within which the jobs should start or finish; `None` if absent.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of the jobs, from 0 to 1, that must meet it; `None` leaves the default.
+    /// Share of the jobs, from 0 to 1, that must meet the objective; `None` means the default.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -65,53 +65,53 @@
 pub struct Workers {
     /// Interval between two heartbeats of a worker.
     pub report_s: f64,
-    /// Life of a worker's lease: without an answer for so long it stops its tasks.
+    /// Duration of a worker's lease: a worker stops its tasks after this time without a reply to its heartbeats.
     pub lease_s: f64,
-    /// How long the tasks of a gang wait on their machines for the gang to be complete; capacity is
-    /// reserved for a gang for as long.
+    /// Maximum time for which the tasks of a gang wait on their machines until the gang is complete. Capacity is
+    /// reserved for a gang for the same time.
     pub gang_wait_s: f64,
-    /// How long, at most, the tasks of a gang run on after one of them has stopped.
+    /// Maximum time for which the tasks of a gang continue to run after one of them has stopped.
     pub gang_peer_s: f64,
-    /// How long, at most, tasks of a job may still run after `cancelled` was answered.
+    /// Maximum time for which tasks of a job may still run after the reply `cancelled` was sent.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the state store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second, for all controllers together.
+    /// Maximum number of requests per second, of all controllers together.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
-    /// Largest value in KiB.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Most changes in one commit.
+    /// Maximum number of changes in one commit.
     pub txn_ops: usize,
-    /// Limits that replace these ones at an unknown moment; `None` if these stay.
+    /// Limits that replace these at an unknown time; `None` if these limits stay in force.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
 impl StateLimits {
-    /// The smaller of the present and the later limit, in requests per second.
+    /// Returns the smaller of the present and the later limit, in requests per second.
     pub fn least_rps(&self) -> f64 {
         self.next.and_then(|next| next.rps).map_or(self.rps, |next| next.min(self.rps))
     }
 }
 
-/// Later limits of the state service; what is absent stays as it is.
+/// Later limits of the state store; an absent limit does not change.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests per second, for all controllers together.
+    /// Maximum number of requests per second, of all controllers together; `None` if unchanged.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes per second.
+    /// Maximum number of changes per second; `None` if unchanged.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value in KiB.
+    /// Maximum size of a value in KiB; `None` if unchanged.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes in one commit.
+    /// Maximum number of changes in one commit; `None` if unchanged.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
@@ -119,21 +119,21 @@
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Seconds by which the list of machines may lag behind.
+    /// Maximum delay, in seconds, of changes in the list of machines.
     pub list_lag_s: f64,
 }
 
 /// Limits of a controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Most sockets that it may have open.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
-    /// Memory that it may use, in megabytes; none if that is not limited.
+    /// Maximum memory use in megabytes; `None` if it is unlimited.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Share of a processor core that it may use; none if that is not limited.
+    /// Maximum share of a processor core; `None` if it is unlimited.
     #[serde(default)]
     pub core_share: Option<f64>,
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the settings, and settings for the tests of other modules.
+//! Tests of the settings, and example settings for the tests of other modules.
 
 use super::*;
 
-/// A settings file that is accepted.
+/// Returns the text of a valid settings file, with unknown fields.
 pub fn example() -> String {
     r#"
 node = "n0"
@@ -56,13 +56,13 @@
     .to_string()
 }
 
-/// The settings that [`example`] holds.
+/// Returns the settings of [`example`].
 pub fn settings() -> Settings {
     toml::from_str(&example()).unwrap()
 }
 
 #[test]
-fn unknown_settings_are_ignored_and_invalid_ones_named() {
+fn unknown_fields_are_ignored_and_the_error_names_the_invalid_field() {
     check_settings(&settings()).unwrap();
     let mut invalid = settings();
     invalid.params.workers.lease_s = f64::NAN;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn later_limits_are_checked_like_the_present_ones() {
+fn later_limits_of_the_state_store_are_checked_like_the_present_limits() {
     let with_later_limits = |table: &str| {
         let text = example().replace("[params.cloud]", &format!("[params.state.next]\n{table}\n[params.cloud]"));
         toml::from_str::<Settings>(&text)
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn unknown_operator_settings_are_refused() {
+fn unknown_and_invalid_operator_settings_are_refused() {
     let operator: Operator = hcl::from_str("bin_width_s = 2").unwrap();
     assert_eq!(operator.bin_width_s, 2.0);
     assert!(hcl::from_str::<Operator>("bin_widht_s = 2").is_err());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_number_of_partitions_may_be_given_under_its_earlier_name() {
+fn the_number_of_partitions_is_also_read_under_its_earlier_name() {
     for name in ["partitions", "parts"] {
         let operator: Operator = hcl::from_str(&format!("{name} = 3\n")).unwrap();
         assert_eq!(operator.partitions, 3, "{name}");
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: one request at a time on a connection, and a pool of idle connections.
+//! HTTP client: one request at a time on a connection, and a pool of idle connections.
 
 use super::framing::{parse_reply, read_message};
 use super::pool::Pool;
@@ -11,16 +11,16 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a call has no answer.
+/// Reason why a call has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// The request never left: it will not be carried out.
+    /// The request was not sent and will not be carried out.
     NotSent,
-    /// The request may have been carried out, or may be later.
+    /// The request may have been carried out or may still be carried out.
     Indeterminate,
 }
 
-/// A client with a pool of idle connections.
+/// HTTP client with a pool of idle connections; cheap to clone.
 #[derive(Clone)]
 pub struct Client {
     pub(super) idle: Arc<Mutex<Pool>>,
@@ -28,31 +28,32 @@
 }
 
 impl Default for Client {
-    /// For a few servers that get requests all the time.
+    /// Creates a client for a few servers that receive requests continuously.
     fn default() -> Client {
         Client::with_idle(SMALL_IDLE_POOL)
     }
 }
 
-/// Idle connections of a client of a few servers.
+/// Maximum number of idle connections of a client of a few servers.
 pub const SMALL_IDLE_POOL: usize = 16;
 
 impl Client {
-    /// A client with `most` idle connections at the most.
+    /// Creates a client that keeps at most `max_idle` idle connections, over TCP.
     pub fn with_idle(max_idle: usize) -> Client {
         Client::on(&Net::default(), max_idle)
     }
 
-    /// The same over a given network.
+    /// Creates a client that keeps at most `max_idle` idle connections, over the network `net`.
     pub fn on(net: &Net, max_idle: usize) -> Client {
         Client { idle: Arc::new(Mutex::new(Pool::new(max_idle))), net: net.clone() }
     }
 
-    /// Sends a request and returns the status and the body of the reply.
+    /// Sends a request and returns the status and the body of the reply. `timeout` bounds the whole call.
     ///
     /// # Errors
     ///
-    /// [`CallError::NotSent`] if the server cannot have received the request; otherwise it may have been carried out.
+    /// Returns [`CallError::NotSent`] if no connection could be opened, so that the server cannot have received the
+    /// request, and [`CallError::Indeterminate`] if it may have been carried out.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -78,7 +79,7 @@
         Ok((reply.head, reply.body))
     }
 
-    /// An idle connection to the server, or a new one.
+    /// Takes an idle connection to the server from the pool, or opens a new one.
     async fn take_or_connect(&self, addr: SocketAddr, deadline: Instant) -> Result<Box<dyn Stream>, CallError> {
         let idle = lock(&self.idle).take(addr);
         match idle {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Forgets the idle connections to a machine that is gone.
+    /// Closes the idle connections to a server that no longer exists.
     pub fn forget(&self, addr: SocketAddr) {
         lock(&self.idle).close_all(addr);
     }
@@ -98,7 +99,7 @@
 
 fn encode_request(addr: SocketAddr, method: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
     let mut out = Vec::with_capacity(128 + body.map_or(0, <[u8]>::len));
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {addr}\r\n");
     if let Some(body) = body {
         let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n", body.len());
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,4 +1,4 @@
-//! The framing of messages that the server and the client share.
+//! Framing of HTTP messages, shared by the server and the client.
 
 use super::message::MAX_BODY;
 use crate::transport::network::Stream;
@@ -9,24 +9,25 @@
 use std::task::ready;
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Most that the head of a message may hold.
+/// Maximum size, in bytes, of the head of a message.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most that is read from a connection at once.
+/// Maximum number of bytes that are read from a connection at once.
 const READ_CHUNK_BYTES: usize = 8192;
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
-/// Replies of the state service have no size limit; this one only bounds memory.
+/// Maximum size, in bytes, of the body of a reply. Replies of the state store have no size limit of their own; this
+/// one bounds memory use.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// The frame of a message: where its body begins, how long it is, and whether the connection ends
-/// after it.
+/// Framing of a message: lengths of its head and body in bytes, and whether the connection is closed after it.
 pub(super) struct Framing {
     head_len: usize,
     body_len: usize,
     close_after: bool,
 }
 
-/// Headers that framing needs; `Err` is the status of the refusal.
+/// Parses the headers that determine the framing of a message. `Err` holds the HTTP status with which the message is
+/// refused.
 fn parse_framing(head_len: usize, headers: &[httparse::Header<'_>], max_body: usize) -> Result<Framing, u16> {
     let mut framing = Framing { head_len, body_len: 0, close_after: false };
     for header in headers {
@@ -45,20 +46,21 @@
     Ok(framing)
 }
 
-/// A message that has arrived whole; the head is that of a request or a reply.
+/// Completely received message, with the head of a request or a reply.
 pub(super) struct Message<T> {
     pub(super) head: T,
     pub(super) body: Vec<u8>,
     pub(super) close_after: bool,
 }
 
-/// The first line of a request.
+/// Method and path in the first line of a request.
 pub(super) struct RequestLine {
     pub(super) method: String,
     pub(super) path: String,
 }
 
-/// Reads from `stream` into `buf` until `parse` finds a head and its body is in.
+/// Reads from `stream` into `buf` until `parse` finds a head and its body is complete, then removes the message from
+/// `buf` and returns it.
 pub(super) async fn read_message<T>(
     stream: &mut Box<dyn Stream>,
     buf: &mut Vec<u8>,
@@ -81,7 +83,7 @@
     }
 }
 
-/// Appends what arrives next to `buf`.
+/// Appends the next received bytes to `buf`; fails at the end of the stream.
 async fn read_more(stream: &mut Box<dyn Stream>, buf: &mut Vec<u8>) -> Result<(), ReadError> {
     match read_available(stream, buf).await {
         Ok(length) if length > 0 => Ok(()),
@@ -89,9 +91,9 @@
     }
 }
 
-/// Appends what arrives next to `buf`; the number of bytes, 0 at the end of the stream. The chunk is
-/// on the stack of the poll: in the future itself it would take memory in every idle connection,
-/// and be cleared for every message.
+/// Appends the next received bytes to `buf` and returns their number; 0 at the end of the stream. The chunk is on the
+/// stack of the poll function: as a part of the future it would take memory for every idle connection and would be
+/// cleared for every message.
 pub(super) async fn read_available(stream: &mut Box<dyn Stream>, buf: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|context| {
         let mut chunk = [MaybeUninit::<u8>::uninit(); READ_CHUNK_BYTES];
@@ -103,18 +105,19 @@
     .await
 }
 
-/// Why no message could be read.
+/// Reason why no message could be read.
 pub(super) enum ReadError {
-    /// The connection ended.
+    /// The connection was closed.
     Closed,
-    /// The message is refused with this status.
+    /// The message is refused with this HTTP status.
     Refused(u16),
 }
 
-/// A head that has arrived whole, with its frame; none if more must come.
+/// Result of parsing a head: the head with the framing of its message, `None` if the head is incomplete, or the HTTP
+/// status with which the message is refused.
 pub(super) type Parsed<T> = Result<Option<(T, Framing)>, u16>;
 
-/// Reads the head of a request.
+/// Parses the head of a request.
 pub(super) fn parse_request(buf: &[u8]) -> Parsed<RequestLine> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -131,7 +134,7 @@
     }
 }
 
-/// Reads the head of a reply: its status.
+/// Parses the head of a reply; its head is the status.
 pub(super) fn parse_reply(buf: &[u8]) -> Parsed<u16> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut reply = httparse::Response::new(&mut headers);
--- a/src/transport/http/idle.rs
+++ b/src/transport/http/idle.rs
@@ -1,18 +1,18 @@
-//! Connections of the server that wait for their next request.
+//! Registry of the server's idle connections, which wait for their next request.
 
 use crate::runtime::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// Connections that wait for their next request, by when they began to.
+/// Idle connections, numbered in the order in which they became idle; each can be told to close.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     last_number: u64,
     pub(super) waiting: BTreeMap<u64, Arc<Notify>>,
 }
 
-/// One connection's entry, for as long as it waits.
+/// Registration of one idle connection; dropping it removes the connection from the registry.
 pub(super) struct IdleRegistration<'a> {
     idle: &'a Mutex<IdleConnections>,
     number: u64,
@@ -20,7 +20,7 @@
 }
 
 impl IdleRegistration<'_> {
-    /// Enters a connection; it leaves with the entry.
+    /// Registers a connection as idle until the returned registration is dropped.
     pub(super) fn new(idle: &Mutex<IdleConnections>) -> IdleRegistration<'_> {
         let close_request = Arc::new(Notify::new());
         let mut entries = lock(idle);
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -1,53 +1,54 @@
-//! Requests and responses.
+//! HTTP requests and responses.
 
 use crate::api::refusal::RefusalReason;
 
-/// Most that a request's body may hold.
+/// Maximum size, in bytes, of the body of a request.
 pub const MAX_BODY: usize = 64 * 1024;
 pub(super) const BODY_TOO_LARGE: &str = "body: must be at most 64 KiB";
 
-/// A request that has arrived whole.
+/// Completely received request.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, as sent.
+    /// Method, as sent.
     pub method: String,
-    /// The path, as sent.
+    /// Path, as sent.
     pub path: String,
-    /// The body; empty if there is none.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
-/// The answer to a request.
+/// Response to a request.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// When the client should come back.
+    /// Seconds after which the client may retry; `None` if no `Retry-After` header is sent.
     pub retry_after_s: Option<u64>,
-    /// The methods that the path has, if another was used.
+    /// Value of the `Allow` header: the methods that the path supports; `None` unless another method was used.
     pub allow: Option<&'static str>,
-    /// Why it is a refusal, if it is one; for the counters, and not sent.
+    /// Reason of the refusal, for the metrics; it is not sent. `None` if the response is not a refusal that is
+    /// counted.
     pub refusal: Option<RefusalReason>,
-    /// The media type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Creates a response with `value` as its JSON body.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Response {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Response { status, body, retry_after_s: None, allow: None, refusal: None, content_type: "application/json" }
     }
 
-    /// A refusal with a message.
+    /// Creates an error response with `message` in its JSON body.
     pub fn error(status: u16, message: &str) -> Response {
         Response::json(status, &serde_json::json!({ "error": message }))
     }
 }
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status code.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server and client on one shared framing.
+//! Minimal HTTP/1.1 server and client, which share the framing of messages.
 
 mod client;
 mod framing;
--- a/src/transport/http/pool.rs
+++ b/src/transport/http/pool.rs
@@ -1,15 +1,15 @@
-//! The client's idle connections.
+//! Pool of the client's idle connections.
 
 use crate::transport::network::Stream;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Most idle connections to one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 4;
 
 type Connection = Box<dyn Stream>;
 
-/// Idle connections by address; the one that was used longest ago goes first.
+/// Idle connections by address. When the pool is full, the least recently used connection is closed.
 #[derive(Default)]
 pub(super) struct Pool {
     max_idle: usize,
@@ -19,19 +19,19 @@
 }
 
 impl Pool {
-    /// A pool of `most` connections at the most.
+    /// Creates a pool that keeps at most `max_idle` connections.
     pub(super) fn new(max_idle: usize) -> Pool {
         Pool { max_idle, ..Pool::default() }
     }
 
-    /// Takes an idle connection to a server out of the pool.
+    /// Removes the most recently added connection to a server from the pool; `None` if there is none.
     pub(super) fn take(&mut self, addr: SocketAddr) -> Option<Connection> {
         let (sequence, stream) = self.by_addr.get_mut(&addr)?.pop()?;
         self.by_sequence.remove(&sequence);
         Some(stream)
     }
 
-    /// Puts a connection into the pool.
+    /// Adds a connection to the pool, or closes it if the pool keeps no further connection to this server.
     pub(super) fn add(&mut self, addr: SocketAddr, stream: Connection) {
         let connections = self.by_addr.entry(addr).or_default();
         if connections.len() >= MAX_IDLE_PER_SERVER || self.max_idle == 0 {
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: one task a connection, bounded in number.
+//! HTTP server: one task per connection, with a bound on the number of connections.
 
 use super::framing::{Message, ReadError, parse_request, read_available, read_message};
 use super::idle::{IdleConnections, IdleRegistration};
@@ -14,19 +14,20 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-/// Pause before a connection is accepted again when no socket was free.
+/// Delay before the next attempt to accept a connection when no socket was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// An idle connection may wait this many times as long as a request may take to arrive.
+/// Idle timeout of a connection, as a multiple of the request timeout.
 const IDLE_TIMEOUT_FACTOR: u32 = 30;
 
-/// Connections beyond the bound that get a refusal before they are closed, as a part of it.
+/// Divisor of the maximum number of connections that gives the number of further connections that receive a refusal
+/// before they are closed.
 const REFUSED_CONNECTIONS_DIVISOR: usize = 16;
-/// Seconds after which a request on such a connection may come again.
+/// `Retry-After` value, in seconds, of the refusal on a connection beyond the maximum.
 const REFUSED_RETRY_AFTER_S: u64 = 1;
 
-/// Serves `listener` for ever. `request_timeout` bounds how long a request may take
-/// to arrive; idle connections may stay until there are too many, when the one
-/// that waited longest is closed: workers that were cut off leave theirs behind.
+/// Serves the connections of `listener`; never returns. `request_timeout` bounds the time in which a request must
+/// arrive. When `max_connections` are open, the connection that has been idle longest is closed to accept a new one,
+/// since unreachable workers leave idle connections open.
 pub async fn serve<H, F>(listener: impl Listener, max_connections: usize, request_timeout: Duration, handler: H)
 where
     H: Fn(Request) -> F + Send + Sync + 'static,
@@ -38,7 +39,7 @@
     let idle = Arc::new(Mutex::new(IdleConnections::default()));
     loop {
         let Ok(stream) = listener.accept().await else {
-            // No free socket: wait for one instead of spinning.
+            // No socket is free: waits before the next attempt instead of retrying in a busy loop.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -63,8 +64,8 @@
     }
 }
 
-/// Refuses the first request of a connection beyond the bound, if there are fewer than `most`
-/// such connections. Others are closed at once, so that sockets stay free.
+/// Refuses the first request of a connection beyond the maximum, if fewer than `max_refused` such connections are
+/// open. Others are closed at once, so that sockets stay free.
 fn refuse_connection(
     mut stream: Box<dyn Stream>,
     request_timeout: Duration,
@@ -83,6 +84,7 @@
     });
 }
 
+/// Reads the first request of a connection and answers it with status 503.
 async fn send_refusal(stream: &mut Box<dyn Stream>) {
     if read_message(stream, &mut Vec::new(), parse_request).await.is_ok() {
         let refusal = Response::error(503, "too many connections");
@@ -92,6 +94,7 @@
     }
 }
 
+/// Handles the requests of a connection one after the other until it is closed.
 async fn serve_connection<H, F>(
     mut stream: Box<dyn Stream>,
     request_timeout: Duration,
@@ -122,7 +125,7 @@
     }
 }
 
-/// Waits for the next request, which may take long; `false` if the connection is to end.
+/// Waits for the first bytes of the next request; returns `false` if the connection is to be closed.
 async fn wait_for_next_request(
     stream: &mut Box<dyn Stream>,
     buf: &mut Vec<u8>,
@@ -132,15 +135,16 @@
     let registration = IdleRegistration::new(idle);
     tokio::select! {
         biased;
-        read = timeout(request_timeout * IDLE_TIMEOUT_FACTOR, read_available(stream, buf)) => matches!(read, Ok(Ok(length)) if length > 0),
+        read = timeout(request_timeout * IDLE_TIMEOUT_FACTOR, read_available(stream, buf)) =>
+            matches!(read, Ok(Ok(length)) if length > 0),
         () = registration.close_request.notified() => false,
     }
 }
 
-/// The answer to a message that framing refuses.
+/// Returns the response to a request that is refused by the framing with `status`.
 fn framing_refusal(status: u16) -> Response {
     match status {
-        // Not asked again: users repeat what gets any status but 400.
+        // Sent as 400, since users retry a request after any other error status.
         413 => Response::error(400, BODY_TOO_LARGE),
         _ => Response::error(status, reason_phrase(status)),
     }
@@ -150,7 +154,7 @@
     let mut out = Vec::with_capacity(160 + response.body.len());
     let (status, reason_phrase) = (response.status, reason_phrase(response.status));
     let (content_type, length) = (response.content_type, response.body.len());
-    // Writing to a vector can't fail.
+    // Writing to a vector cannot fail.
     let _ = write!(
         out,
         "HTTP/1.1 {status} {reason_phrase}\r\nContent-Type: {content_type}\r\nContent-Length: {length}\r\n"
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -17,18 +17,20 @@
     addr
 }
 
-/// Sends bytes and returns all that comes back before the connection closes.
+/// Sends bytes on a new connection and returns everything received until the connection is closed.
 async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
-    // A refusal may close the connection before all is written.
+    // The server may refuse and close the connection before all bytes are written.
     let _ = stream.write_all(bytes).await;
     let mut out = Vec::new();
-    let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut out)).await.expect("the connection is closed");
+    let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut out))
+        .await
+        .expect("the server did not close the connection within 5 s");
     String::from_utf8(out).unwrap()
 }
 
 #[tokio::test]
-async fn requests_are_framed_and_connections_reused() {
+async fn requests_of_all_sizes_are_answered_on_one_reused_connection() {
     let addr = start_server(1000).await;
     let client = Client::default();
     for length in [0, 5, MAX_BODY] {
@@ -36,15 +38,15 @@
         let (status, reply) = client.call(addr, "POST", "/p", Some(&body), Duration::from_secs(2)).await.unwrap();
         assert_eq!((status, reply), (200, format!("[\"POST\",\"/p\",{length}]").into_bytes()));
     }
-    assert_eq!(client.idle.lock().unwrap().by_addr[&addr].len(), 1, "one connection served all");
+    assert_eq!(client.idle.lock().unwrap().by_addr[&addr].len(), 1, "all calls use one connection");
     let reply = send_raw(addr, b"GET /x HTTP/1.1\r\nConnection: close\r\n\r\n").await;
     assert!(reply.contains("Retry-After: 3") && reply.contains("Connection: close"));
 }
 
-// Found at 1,500 machines: one idle connection to each for direct commands,
-// besides the one of its heartbeats, used up the sockets.
+// Guards against running out of sockets: at 1,500 machines, one idle connection to each for direct commands, beside
+// the connection of its heartbeats, used all of them.
 #[tokio::test]
-async fn idle_connections_are_bounded_and_the_oldest_is_closed() {
+async fn the_client_closes_its_least_recently_used_connection_beyond_the_maximum() {
     let client = Client::with_idle(2);
     let addrs = [start_server(1000).await, start_server(1000).await, start_server(1000).await];
     for addr in addrs {
@@ -59,9 +61,9 @@
     assert_eq!(client.idle.lock().unwrap().by_sequence.len(), 1);
 }
 
-// Connections that cut-off workers left behind must not keep others out.
+// Guards against unreachable workers whose idle connections prevent the server from accepting new ones.
 #[tokio::test]
-async fn the_longest_idle_connection_is_closed_beyond_the_bound() {
+async fn the_server_closes_its_longest_idle_connection_beyond_the_maximum() {
     let addr = start_server(1000).await;
     let timeout = Duration::from_secs(2);
     let mut clients = Vec::new();
@@ -74,13 +76,13 @@
     assert!(last_client.call(addr, "GET", "/", None, timeout).await.is_ok());
     tokio::time::sleep(Duration::from_millis(50)).await;
     let open = |client: &Client| client.idle.lock().unwrap().take(addr).is_some_and(|stream| !stream.is_closed());
-    assert!(!open(&clients[0]), "the first one was closed");
+    assert!(!open(&clients[0]), "the connection that was idle longest is closed");
     assert!(clients[1..].iter().all(open));
 }
 
-// A user must get a refusal from a node without a free connection, and when to try again.
+// A node without a free connection must refuse a user's request with the time after which to retry.
 #[tokio::test]
-async fn a_connection_beyond_the_bound_gets_retry_after() {
+async fn a_request_beyond_the_maximum_of_connections_is_refused_with_retry_after() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, 1, Duration::from_secs(1), |_| std::future::pending::<Response>()));
@@ -92,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn bad_and_slow_requests_are_bounded() {
+async fn malformed_oversized_and_slow_requests_are_refused_with_their_status() {
     let addr = start_server(200).await;
     for (bytes, status) in [
         (b"nonsense\r\n\r\n".to_vec(), 400),
@@ -110,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_was_not_sent_differs_from_an_indeterminate_one() {
+async fn a_call_without_a_connection_is_not_sent_and_one_without_a_reply_is_indeterminate() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let client = Client::default();
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! How bytes travel: the network, HTTP, and frames between controllers.
+//! Network transport: connections, HTTP/1.1, and the frame protocol between controllers.
 
 pub mod frame_format;
 pub mod http;
--- a/src/transport/network.rs
+++ b/src/transport/network.rs
@@ -1,4 +1,4 @@
-//! How connections are made: over TCP, unless a test puts its own network in place.
+//! Abstraction of the network: TCP in production, a simulated network in tests.
 
 use std::future::Future;
 use std::io;
@@ -8,59 +8,59 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A boxed future of an I/O operation, so that the traits here can be used as objects.
+/// Boxed future of an I/O operation; keeps the traits of this module usable as trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
-/// The reading direction of a connection.
+/// Read half of a connection.
 pub type ReadHalf = Box<dyn AsyncRead + Send + Unpin>;
-/// The writing direction of a connection.
+/// Write half of a connection.
 pub type WriteHalf = Box<dyn AsyncWrite + Send + Unpin>;
 
-/// An open connection.
+/// Open connection.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {
-    /// True if the other side has closed an idle connection meanwhile.
+    /// Returns whether the remote side has closed this connection while it was idle.
     fn is_closed(&self) -> bool;
-    /// Splits the connection into both directions, for different tasks.
+    /// Splits the connection into its read half and its write half, for use in different tasks.
     fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf);
 }
 
-/// A bound address.
+/// Listening socket, bound to an address.
 pub trait Listener: Send + Sync + 'static {
-    /// Waits for the next connection.
+    /// Waits for the next incoming connection and returns it.
     fn accept(&self) -> BoxFuture<'_, Box<dyn Stream>>;
 }
 
-/// What connections are made over.
+/// Network that opens and accepts connections.
 pub trait Network: Send + Sync + 'static {
-    /// Opens a connection to an address.
+    /// Opens a connection to `addr`.
     fn connect(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Stream>>;
-    /// Binds an address, to accept connections at it.
+    /// Binds `addr` and listens for connections there.
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>>;
 }
 
-/// A handle of a network; cheap to clone. TCP by default.
+/// Handle of a [`Network`]; cheap to clone. The default is TCP.
 #[derive(Clone)]
 pub struct Net(Arc<dyn Network>);
 
 impl Net {
-    /// A handle of the given network.
+    /// Creates a handle of `network`.
     pub fn new(network: impl Network) -> Net {
         Net(Arc::new(network))
     }
 
-    /// Opens a connection to an address.
+    /// Opens a connection to `addr`.
     ///
     /// # Errors
     ///
-    /// The connection is refused or cannot be opened.
+    /// Returns the I/O error if the connection is refused or cannot be opened.
     pub async fn connect(&self, addr: SocketAddr) -> io::Result<Box<dyn Stream>> {
         self.0.connect(addr).await
     }
 
-    /// Binds an address, to accept connections at it.
+    /// Binds `addr` and listens for connections there.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// Returns the I/O error if the address cannot be bound.
     pub async fn bind(&self, addr: SocketAddr) -> io::Result<Box<dyn Listener>> {
         self.0.bind(addr).await
     }
@@ -72,6 +72,7 @@
     }
 }
 
+/// Network of the operating system's TCP sockets.
 struct TcpNetwork;
 
 impl Network for TcpNetwork {
@@ -84,8 +85,9 @@
     }
 }
 
+/// Sets `TCP_NODELAY`, so that small messages are sent without delay.
 fn disable_nagle(stream: TcpStream) -> Box<dyn Stream> {
-    // Without it the connection is slower, and works.
+    // On failure the connection still works, with a higher latency.
     let _ = stream.set_nodelay(true);
     Box::new(stream)
 }
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -1,5 +1,5 @@
-//! The protocol between controllers: CBOR messages in frames of a length and a body, requests and
-//! responses matched by number.
+//! Protocol between controllers: CBOR messages in length-prefixed frames. A response carries the
+//! number of its request.
 
 mod client;
 mod connections;
--- a/src/transport/peer/client.rs
+++ b/src/transport/peer/client.rs
@@ -1,4 +1,4 @@
-//! The client of one other controller.
+//! Client for requests to one other controller.
 
 use super::connections::{Connections, Connector};
 use super::frames::Frame;
@@ -13,32 +13,33 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-/// Messages to the actor of a peer that wait, at the most; a request beyond is refused at once.
+/// Capacity of the queue of messages to the connection actor of a peer. When it is full, a further
+/// request fails at once.
 pub(super) const MAX_QUEUED: usize = 256;
 
-/// A message to the actor of a peer's connections, which are identified by numbers.
+/// Message to the actor that owns the connections to a peer. Connections are identified by numbers.
 pub(super) enum ConnectionMessage {
-    /// Send a request, and pass on its response.
+    /// Sends a request; its response is passed to the sender.
     Request(PeerRequest, oneshot::Sender<PeerResponse>),
-    /// A response has come on a connection.
+    /// A response was received on a connection.
     Response { connection: u64, frame: Frame<PeerResponse> },
-    /// A connection could not be opened, or has ended.
+    /// A connection could not be opened, or has been closed.
     ConnectionClosed { connection: u64 },
-    /// A request was cancelled: nobody receives the response.
+    /// A request was cancelled: the receiver of its response has been dropped.
     RequestCancelled,
 }
 
 /// Timeouts of requests to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerTimeouts {
-    /// How long an attempt to connect may take.
+    /// Maximum duration of an attempt to connect.
     pub connect: Duration,
-    /// When the peer counts as unresponsive.
+    /// Limits by which the peer is considered unresponsive.
     pub health: HealthLimits,
 }
 
 impl PeerTimeouts {
-    /// The timeouts for a duration of leader leases in milliseconds.
+    /// Returns the timeouts for leader leases of `leader_lease_ttl_ms` milliseconds.
     pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> PeerTimeouts {
         PeerTimeouts {
             connect: Duration::from_millis(leader_lease_ttl_ms / 4),
@@ -47,27 +48,28 @@
     }
 }
 
-/// The client of one other controller; cheap to clone.
+/// Client for requests to one other controller; cheap to clone.
 #[derive(Clone)]
 pub struct Peer {
     /// Name of the other controller.
     pub name: String,
-    /// Whether the controller is unresponsive.
+    /// Health of the controller, shared by the clones of this client.
     pub health: SharedPeerHealth,
-    /// The format that the controller speaks, by its last frame.
+    /// Format of the last frame received from the controller.
     pub format: PeerFormat,
     connect_timeout: Duration,
     tx: mpsc::Sender<ConnectionMessage>,
 }
 
 impl Peer {
-    /// Starts the actor that owns the connections. One that leaves requests unanswered is replaced:
-    /// a network partition may hold what is sent on it.
+    /// Starts the actor that owns the connections to the controller `name` at `addr`, over TCP. A
+    /// connection that leaves requests unanswered is replaced, since a network partition may hold back
+    /// the data sent on it.
     pub fn start(name: String, addr: SocketAddr, timeouts: PeerTimeouts) -> Peer {
         Peer::start_on(Net::default(), name, addr, timeouts)
     }
 
-    /// The same over a given network.
+    /// Starts the actor like [`Peer::start`], over the network `net`.
     pub fn start_on(net: Net, name: String, addr: SocketAddr, timeouts: PeerTimeouts) -> Peer {
         let (tx, rx) = mpsc::channel(MAX_QUEUED);
         let health = SharedPeerHealth::new(&name, timeouts.health);
@@ -77,15 +79,16 @@
         Peer { name, health, format, connect_timeout: timeouts.connect, tx }
     }
 
-    /// The response to a request, if it comes within the timeout. A user's request to an unresponsive
-    /// peer fails at once, unless it is the one that probes it; all others are always sent.
+    /// Sends a request and returns its response; `None` if there is no response within `timeout`. A user's
+    /// request to an unresponsive peer fails at once, unless it is sent as a probe; requests of all other kinds
+    /// are always sent.
     ///
-    /// With `None` the outcome is indeterminate: the peer may handle the request all the same.
+    /// After `None` the outcome is indeterminate: the peer may still carry out the request.
     pub async fn request(&self, request: PeerRequest, timeout: Duration) -> Option<PeerResponse> {
         self.request_until(request, sleep(timeout)).await
     }
 
-    /// Like [`Peer::request`], with a timeout at the end of `cancelled`.
+    /// Sends a request like [`Peer::request`], and stops waiting for the response when `cancelled` completes.
     pub async fn request_until(
         &self,
         request: PeerRequest,
@@ -97,7 +100,7 @@
         let (started, sent_ms) = (Instant::now(), clock::now_ms());
         let (reply, response) = oneshot::channel();
         self.tx.try_send(ConnectionMessage::Request(request, reply)).ok()?;
-        // The receiver is dropped before the actor is notified, which looks for closed ones.
+        // Drops the receiver before the actor is notified, since the actor looks for closed receivers.
         let outcome = tokio::select! {
             biased;
             response = response => Some(response),
@@ -105,11 +108,11 @@
         };
         match outcome {
             Some(Ok(response)) => return Some(response),
-            // Refused at once, or its connection was closed.
+            // The request failed at once, or its connection was closed.
             Some(Err(_)) if started.elapsed() < self.connect_timeout => return None,
             Some(Err(_)) => {}
             None => {
-                // If the queue is full, a later cancellation has the same effect.
+                // If the queue is full, a later cancellation message has the same effect.
                 let _ = self.tx.try_send(ConnectionMessage::RequestCancelled);
             }
         }
--- a/src/transport/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the connections to one peer and the requests that wait there.
+//! Actor that owns the connections to one peer and the requests that wait for a response.
 
 use super::client::{ConnectionMessage, MAX_QUEUED};
 use super::frames::{Frame, FrameReader, encode, frame_reader, read_frame, write_frames};
@@ -14,22 +14,23 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// What opens connections to a peer.
+/// Opens connections to a peer.
 pub(super) struct Connector {
     pub(super) net: Net,
     pub(super) addr: SocketAddr,
-    /// How long an attempt to connect may take.
+    /// Maximum duration of an attempt to connect.
     pub(super) connect_timeout: Duration,
-    /// Where connections report what happens on them.
+    /// Queue of the actor, to which connections report responses and their end.
     pub(super) events: mpsc::Sender<ConnectionMessage>,
 }
 
-/// A connection, or the attempt to open one.
+/// Connection that is open or is being opened.
 struct Connection {
     number: u64,
-    /// Frames wait here until the connection is open. None: it takes no more requests.
+    /// Queue of frames to be written once the connection is open; `None` if the connection accepts no
+    /// further requests.
     frames: Option<mpsc::Sender<Vec<u8>>>,
-    /// Responses that came on it.
+    /// Number of responses received on the connection.
     responses: u64,
     task: AbortHandle,
 }
@@ -40,15 +41,15 @@
     }
 }
 
-/// A request without a response.
+/// Request that waits for its response.
 struct PendingRequest {
     connection: u64,
-    /// Responses that had come on the connection when the request was sent.
+    /// Number of responses that had been received on the connection when the request was sent.
     responses_before: u64,
     reply: oneshot::Sender<PeerResponse>,
 }
 
-/// The connections to one peer: the one in use, and earlier ones on which requests wait.
+/// Connections to one peer: the one in use, and earlier ones on which requests still wait for responses.
 pub(super) struct Connections {
     connector: Connector,
     health: SharedPeerHealth,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Handles messages until nobody can send any more.
+    /// Handles messages until all senders have been dropped.
     pub(super) async fn run(mut self, mut messages: mpsc::Receiver<ConnectionMessage>) {
         while let Some(message) = messages.recv().await {
             match message {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sends a request on the connection in use; drops the reply if that can't be done.
+    /// Sends a request on the connection in use; drops `reply` if it cannot be sent.
     fn send(&mut self, request: PeerRequest, reply: oneshot::Sender<PeerResponse>) {
         self.last_request += 1;
         let Some(frame) = encode(self.last_request, request) else { return };
@@ -98,6 +99,7 @@
         self.pending_requests.insert(self.last_request, pending);
     }
 
+    /// Returns the connection that accepts requests; opens one if there is none.
     fn connection_in_use(&mut self) -> &mut Connection {
         let index = self.connections.iter().position(|connection| connection.frames.is_some()).unwrap_or_else(|| {
             self.last_connection += 1;
@@ -107,24 +109,26 @@
         &mut self.connections[index]
     }
 
+    /// Passes a response to the sender of its request.
     fn handle_response(&mut self, connection: u64, frame: Frame<PeerResponse>) {
         self.health.received();
         self.format.received(frame.format);
         let Some(connection) = self.connections.iter_mut().find(|open| open.number == connection) else { return };
         connection.responses += 1;
         if let Some(pending) = self.pending_requests.remove(&frame.number) {
-            // What can't be read is no usable answer. An asker that waits no longer needs none.
+            // An unreadable response counts as a rejection. Sending fails if the request was cancelled.
             let _ = pending.reply.send(frame.message.unwrap_or(PeerResponse::Rejected));
         }
     }
 
+    /// Removes a closed connection and drops the requests that wait on it.
     fn remove_connection(&mut self, connection: u64) {
         self.connections.retain(|open| open.number != connection);
         self.pending_requests.retain(|_, pending| pending.connection != connection);
     }
 
-    /// Drops the requests that were cancelled. A connection on which nothing has come since one of
-    /// them was sent takes no more: a network partition may hold what is sent on it.
+    /// Drops the cancelled requests. A connection on which no response was received since one of them was
+    /// sent accepts no further requests, since a network partition may hold back the data sent on it.
     fn drop_cancelled(&mut self) {
         let connections = &mut self.connections;
         self.pending_requests.retain(|_, pending| {
@@ -140,7 +144,7 @@
         });
     }
 
-    /// Closes the connections that take no more requests and on which none waits.
+    /// Closes the connections that accept no further requests and on which no request waits.
     fn close_unused(&mut self) {
         let pending_requests = &self.pending_requests;
         self.connections.retain(|connection| {
@@ -151,7 +155,7 @@
 }
 
 impl Connector {
-    /// Starts a connection; what is to be sent on it waits until it is open.
+    /// Starts to open a connection; frames to be sent are queued until it is open.
     fn open(&self, number: u64) -> Connection {
         let (frames_tx, frames) = mpsc::channel(MAX_QUEUED);
         let (net, addr, connect_timeout, events) =
@@ -172,7 +176,7 @@
     }
 }
 
-/// Reports the responses that come on a connection, and its end.
+/// Reports to the actor the responses received on a connection, and its end.
 async fn read_responses(mut read: FrameReader, connection: u64, events: mpsc::Sender<ConnectionMessage>) {
     while let Some(frame) = read_frame(&mut read).await {
         if events.send(ConnectionMessage::Response { connection, frame }).await.is_err() {
--- a/src/transport/peer/frames.rs
+++ b/src/transport/peer/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between controllers: a length of four bytes and a numbered message in CBOR.
+//! Frames between controllers: a length prefix of four bytes and a numbered message in CBOR.
 
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http::MAX_BODY;
@@ -8,27 +8,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::sync::mpsc;
 
-/// Longest body of a frame in bytes: a user's request with what is around it. Messages that name
-/// machines are kept shorter by their sender.
+/// Maximum length, in bytes, of the body of a frame: a user's request with its enclosing message. Senders
+/// of messages that list machines keep them shorter.
 pub(crate) const MAX_FRAME: usize = 2 * MAX_BODY;
 
-/// Bytes of the length before each frame.
+/// Length, in bytes, of the length prefix of a frame.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Frames are joined to one write until it has so many bytes.
+/// Size, in bytes, from which no further queued frame is added to a combined write.
 const COMBINED_WRITE_BYTES: usize = 16 * 1024;
-/// Bytes that are read ahead on a connection: most frames are taken with one read.
+/// Size, in bytes, of the read buffer of a connection; most frames fit into it and need one read.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
 
-/// The reading direction of a connection, with what was read ahead.
+/// Buffered read half of a connection.
 pub(super) type FrameReader = BufReader<ReadHalf>;
 
-/// Reads frames from a connection.
+/// Returns a buffered reader of the frames of a connection.
 pub(super) fn frame_reader(read: ReadHalf) -> FrameReader {
     BufReader::with_capacity(READ_BUFFER_BYTES, read)
 }
 
-/// A frame on the wire: a message with the number of its request, and the format that its sender
-/// speaks. The names and the order of the fields are fixed.
+/// Frame on the wire: a message with the number of its request and the format of its sender. The names and
+/// the order of the fields are fixed.
 #[derive(Serialize, Deserialize)]
 struct WireFrame<T> {
     /// Number of the request.
@@ -36,36 +36,37 @@
     number: u64,
     #[serde(rename = "body")]
     message: T,
-    /// Left out by the version before, which ignores it.
+    /// Format of the sender; the previous version does not send it and ignores it on receipt.
     #[serde(default)]
     format: FrameFormat,
 }
 
-/// A frame that was received.
+/// Received frame.
 #[derive(Debug, PartialEq)]
 pub(super) struct Frame<T> {
     /// Number of the request.
     pub(super) number: u64,
-    /// The format that its sender speaks.
+    /// Format of the sender.
     pub(super) format: FrameFormat,
-    /// The message; `None` if it is of a kind that this version does not know.
+    /// Message; `None` if this version does not know its kind.
     pub(super) message: Option<T>,
 }
 
-/// A frame with a numbered message, unless it is too long.
+/// Encodes a numbered message as a frame with its length prefix; `None` if the message cannot be encoded or is
+/// longer than [`MAX_FRAME`].
 pub(super) fn encode<T: Serialize>(number: u64, message: T) -> Option<Vec<u8>> {
     let mut bytes = vec![0; LENGTH_PREFIX_BYTES];
     ciborium::into_writer(&WireFrame { number, message, format: FrameFormat::CURRENT }, &mut bytes).ok()?;
     let len = bytes.len() - LENGTH_PREFIX_BYTES;
     if len > MAX_FRAME {
-        tracing::error!(bytes = len, most = MAX_FRAME, "message is too long for a frame");
+        tracing::error!(bytes = len, most = MAX_FRAME, "message exceeds the maximum frame length, not sent");
         return None;
     }
     bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
     Some(bytes)
 }
 
-/// The next frame; `None` once the connection has ended, or can't be read any further.
+/// Reads the next frame; `None` if the connection has ended or its data is not a valid frame.
 pub(super) async fn read_frame<T: for<'a> Deserialize<'a>>(stream: &mut FrameReader) -> Option<Frame<T>> {
     let mut len = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut len).await.ok()?;
@@ -78,7 +79,7 @@
     decode(&body)
 }
 
-/// The frame in these bytes; `None` if there is none.
+/// Decodes the body of a frame; `None` if it is not a valid frame. The message of an unknown kind is ignored.
 fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<Frame<T>> {
     if let Ok(WireFrame { number, message, format }) = ciborium::from_reader::<WireFrame<T>, _>(bytes) {
         return Some(Frame { number, format, message: Some(message) });
@@ -87,8 +88,8 @@
     Some(Frame { number, format, message: None })
 }
 
-/// Writes frames until nobody can send any more, or the connection takes no more. Those that
-/// wait are written together.
+/// Writes queued frames until all senders have been dropped or a write fails. Frames that are queued at the
+/// same time are combined into one write.
 pub(super) async fn write_frames(mut write: WriteHalf, mut rx: mpsc::Receiver<Vec<u8>>) {
     while let Some(mut bytes) = rx.recv().await {
         while bytes.len() < COMBINED_WRITE_BYTES
--- a/src/transport/peer/frames/tests.rs
+++ b/src/transport/peer/frames/tests.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 #[tokio::test]
-async fn frames_that_wait_are_written_together_and_read_one_by_one() {
+async fn combined_frames_are_read_one_by_one() {
     let (near, far) = duplex(MAX_FRAME);
     let (tx, rx) = mpsc::channel(8);
     let long = "x".repeat(3 * READ_BUFFER_BYTES);
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_frame_in_pieces_is_read_once_it_is_whole() {
+async fn a_frame_that_arrives_in_parts_is_read_once_complete() {
     let (mut near, far) = duplex(MAX_FRAME);
     let mut read = frame_reader(Box::new(far));
     let bytes = encode(7, "text".to_string()).unwrap();
--- a/src/transport/peer/messages.rs
+++ b/src/transport/peer/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between controllers. The names on the wire are fixed: controllers of an earlier version
-//! send and read them too.
+//! Messages between controllers. The names on the wire are fixed, since controllers of an earlier version
+//! also send and read them.
 
 use crate::api::refusal::RefusalReason;
 use crate::borrowing::{BorrowingRequest, BorrowingResponse};
@@ -9,72 +9,72 @@
 use crate::warm_pools::{WarmPoolsRequest, WarmPoolsResponse};
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// A request to another controller.
+/// Request to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asks for a pledge: that the receiver does not campaign for this partition for a while.
+    /// Asks the receiver to pledge not to campaign for the leadership of a partition for some time.
     #[serde(rename = "Promise")]
     Pledge {
         /// Number of the partition.
         partition: u32,
-        /// Name of the node that asks.
+        /// Name of the controller that asks for the pledge.
         #[serde(rename = "owner")]
         leader: String,
-        /// The fencing token that the pledge is for.
+        /// Fencing token for which the pledge is requested.
         #[serde(rename = "term")]
         fencing_token: FencingToken,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
-        /// True if the state store has answered the asker lately.
+        /// Whether the state store has responded to the sender recently.
         state_ok: bool,
     },
-    /// The asker has stopped acting under this fencing token: its pledge is released.
+    /// Releases a pledge: the sender has stopped acting under this fencing token.
     #[serde(rename = "Release")]
     ReleasePledge {
         /// Number of the partition.
         partition: u32,
-        /// The fencing token that the pledge was for.
+        /// Fencing token for which the pledge was given.
         #[serde(rename = "term")]
         fencing_token: FencingToken,
     },
-    /// A user's request for the leader of a partition.
+    /// User's request, forwarded to the leader of a partition.
     User {
         /// Number of the partition.
         partition: u32,
-        /// The request.
+        /// User's request.
         call: UserCall,
     },
-    /// To the provisioner: the machines that a partition needs, and could do without.
+    /// Report to the provisioner of the machines that a partition needs and of those it does not need.
     CapacityReport(CapacityReport),
-    /// A request about the configuration that the regions of a fleet share.
+    /// Request about the configuration that the regions of a fleet share.
     Configuration(ConfigurationRequest),
-    /// A request about warm pools.
+    /// Request about warm pools.
     Pools(WarmPoolsRequest),
-    /// A request about loans between teams.
+    /// Request about loans between teams.
     Loans(BorrowingRequest),
-    /// From the provisioner: transfer this machine, if it is free, to another partition.
+    /// Order from the provisioner to transfer a machine, if it is free, to another partition.
     TransferHost {
-        /// Partition that the machine belongs to.
+        /// Number of the partition that the machine belongs to.
         partition: u32,
         /// Id of the machine.
         host: String,
-        /// Partition that is to get it.
+        /// Number of the partition that is to receive the machine.
         to: u32,
     },
 }
 
-/// A user's request about a job.
+/// User's request about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum UserCall {
-    /// Accept a job; with the body of the submission.
+    /// Submission of a job, with the body of the HTTP request.
     Submit(Vec<u8>),
-    /// The status of the job with this id.
+    /// Query for the status of the job with this id.
     Status(String),
-    /// Cancel the job with this id.
+    /// Cancellation of the job with this id.
     Cancel(String),
 }
 
-/// Machines of one type.
+/// Number of machines of one instance type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
     /// Name of the instance type.
@@ -82,66 +82,67 @@
     pub instance_type: String,
     /// Zone of the machines.
     pub zone: String,
-    /// True for spot machines.
+    /// Whether they are spot machines.
     pub spot: bool,
     /// Number of machines.
     pub count: usize,
 }
 
-/// The machines that a partition needs, and could do without.
+/// Machines that a partition needs, and free machines that it does not need.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CapacityReport {
     /// Number of the partition.
     pub partition: u32,
-    /// The lowest bin of jobs that wait for capacity, if any do.
+    /// Lowest deadline bin among the jobs that wait for capacity; `None` if no job waits.
     pub lowest_bin: Option<u64>,
-    /// How many machines it expects to be on their way to it.
+    /// Number of pending machines that the partition expects to receive.
     pub assumed: usize,
-    /// Machines that it lacks.
+    /// Machines that the partition needs in addition.
     pub wanted: Vec<Machines>,
-    /// Ids of free machines that nothing in the partition needs.
+    /// Ids of free machines that the partition does not need.
     pub spare: Vec<String>,
 }
 
-/// The response to a [`PeerRequest`].
+/// Response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The pledge is given, or the request is carried out.
+    /// The pledge is given, or the request has been carried out.
     #[serde(rename = "Promised")]
     Accepted,
     /// The request is refused, or cannot be carried out.
     #[serde(rename = "No")]
     Rejected,
-    /// Machines that are on their way to the partition.
+    /// Response to a capacity report: pending and refused machines.
     PendingMachines {
-        /// Machines that are on their way to the partition.
+        /// Machines that the partition is about to receive.
         pending_machines: Vec<Machines>,
-        /// Machines that the cloud has refused.
+        /// Machines that the cloud refused to launch.
         refused: Vec<Machines>,
     },
-    /// The response about warm pools.
+    /// Response to a request about warm pools.
     Pools(WarmPoolsResponse),
-    /// The response about loans between teams.
+    /// Response to a request about loans between teams.
     Loans(BorrowingResponse),
-    /// The response about the shared configuration.
+    /// Response to a request about the shared configuration.
     Configuration(ConfigurationResponse),
-    /// The response for the user.
+    /// Response for the user.
     User {
-        /// The HTTP status code.
+        /// HTTP status code.
         status: u16,
-        /// The body, in JSON.
+        /// Body in JSON.
         body: Vec<u8>,
-        /// Seconds after which to ask again; `None` if the answer is final.
+        /// Seconds after which the user may retry; `None` if the response is final.
         retry_after_s: Option<u64>,
-        /// Why the leader refuses, for the counters of the node that asked.
+        /// Reason of a refusal, for the metrics of the node that forwarded the request; `None` if the request is
+        /// not refused or this version does not know the reason.
         #[serde(default, deserialize_with = "known_reason")]
         refusal: Option<RefusalReason>,
     },
 }
 
 impl PeerResponse {
-    /// The response without what a speaker of this format can't read: an unknown reason makes
-    /// the whole frame unreadable to the version before.
+    /// Removes the parts of the response that a controller with this format cannot read: the previous
+    /// version cannot decode a frame that contains an unknown refusal reason.
     pub(super) fn readable_in(mut self, format: FrameFormat) -> PeerResponse {
         if let PeerResponse::User { refusal, .. } = &mut self
             && !format.is_current()
@@ -152,7 +153,7 @@
     }
 }
 
-/// A reason by its name; `None` also for one that this version does not know.
+/// Deserializes an optional refusal reason from its name; `None` also for a name that this version does not know.
 fn known_reason<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<RefusalReason>, D::Error> {
     let name: Option<String> = Option::deserialize(deserializer)?;
     Ok(name.and_then(|name| RefusalReason::from_label(&name)))
--- a/src/transport/peer/server.rs
+++ b/src/transport/peer/server.rs
@@ -1,4 +1,4 @@
-//! The server of the other controllers' requests.
+//! Server for the requests of other controllers.
 
 use super::frames::{encode, frame_reader, read_frame, write_frames};
 use super::messages::{PeerRequest, PeerResponse};
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Responses of a connection that wait to be written, at the most.
+/// Capacity of the queue of responses to be written on a connection.
 const MAX_QUEUED_RESPONSES: usize = 64;
-/// Pause after a connection could not be accepted.
+/// Delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves the other controllers for ever. Requests of one connection are handled at the same time:
-/// a slow one does not delay the pledges behind it.
+/// Serves the requests of other controllers; never returns. Requests of one connection are handled
+/// concurrently, so that a slow request does not delay later ones such as pledges.
 pub async fn serve<H, F>(listener: impl Listener, handler: H)
 where
     H: Fn(PeerRequest, FrameFormat) -> F + Send + Sync + 'static,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Starts the tasks of a connection. They end with it, once its last request is answered.
+/// Starts the tasks of a connection. They end when the connection has ended and its last request has been
+/// answered.
 fn serve_connection<H, F>(stream: Box<dyn Stream>, handler: Arc<H>)
 where
     H: Fn(PeerRequest, FrameFormat) -> F + Send + Sync + 'static,
@@ -47,11 +48,11 @@
             task::spawn(async move {
                 let response = match frame.message {
                     Some(request) => handler(request, frame.format).await,
-                    // A request of a kind that this version does not know.
+                    // The request is of a kind that this version does not know.
                     None => PeerResponse::Rejected,
                 };
                 if let Some(encoded) = encode(frame.number, response.readable_in(frame.format)) {
-                    // Fails if the connection has ended: the asker gets no response.
+                    // Fails if the connection has ended; the sender of the request gets no response.
                     let _ = responses.send(encoded).await;
                 }
             });
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep};
 
 #[tokio::test]
-async fn peers_answer_requests_and_outlive_one_without_a_response() {
+async fn requests_are_answered_before_and_after_one_without_a_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(serve(listener, |request, _| async move {
@@ -47,7 +47,7 @@
     assert_eq!(peer.request(request(4), timeout).await, Some(PeerResponse::Rejected));
 }
 
-/// A connection in memory.
+/// In-memory connection.
 struct MemoryStream(DuplexStream);
 
 impl AsyncRead for MemoryStream {
@@ -81,13 +81,13 @@
     }
 }
 
-/// A network with one peer on it, which accepts connections after a while or never.
+/// Network with one peer, which accepts connections after a fixed delay or, with `None`, never.
 struct ScriptedNetwork {
     connect_after: Option<Duration>,
     accepted: mpsc::UnboundedSender<DuplexStream>,
 }
 
-/// The connections that the peer has accepted.
+/// Connections that the peer has accepted and does not serve yet.
 pub struct Accepted(Mutex<mpsc::UnboundedReceiver<DuplexStream>>);
 
 impl Network for ScriptedNetwork {
@@ -120,16 +120,16 @@
 }
 
 impl Accepted {
-    /// How many connections wait to be served.
+    /// Returns the number of connections that are not served yet.
     fn count(&self) -> usize {
         self.0.try_lock().unwrap().len()
     }
 }
 
-/// Life of a lease in these tests.
+/// Duration of a leader lease, in milliseconds, in these tests.
 pub const LEASE_TTL_MS: u64 = 2500;
 
-/// A peer "b", and the connections that it accepts and leaves unanswered.
+/// Starts the client of a peer "b"; returns it with the connections that the peer accepts and does not serve.
 pub fn scripted_peer(connect_after: Option<Duration>) -> (Peer, Accepted) {
     let (accepted, rx) = mpsc::unbounded_channel();
     let net = Net::new(ScriptedNetwork { connect_after, accepted });
@@ -155,7 +155,7 @@
     tokio::spawn(async move { peer.request(request, timeout).await })
 }
 
-/// Answers releases after as many milliseconds as their fencing token has.
+/// Accepts each pledge release after a delay of as many milliseconds as its fencing token.
 async fn accept_after_token_milliseconds(request: PeerRequest, _: FrameFormat) -> PeerResponse {
     if let PeerRequest::ReleasePledge { fencing_token, .. } = request {
         sleep(Duration::from_millis(fencing_token.0)).await;
@@ -163,9 +163,9 @@
     PeerResponse::Accepted
 }
 
-// Each request used to wait for the attempts to connect of those before it.
+// Guards against requests that each wait for the failed connection attempts of the requests before them.
 #[tokio::test(start_paused = true)]
-async fn requests_to_a_peer_that_hangs_at_connect_fail_together() {
+async fn concurrent_requests_fail_after_one_connect_timeout_if_connecting_hangs() {
     let (peer, _accepted) = scripted_peer(None);
     let started = Instant::now();
     let requests: Vec<_> = (0..5).map(|_| spawn_request(&peer, release_request(0), Duration::from_secs(10))).collect();
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_wait_for_the_connection_and_are_sent_once_it_is_open() {
+async fn requests_are_sent_once_the_connection_is_open() {
     let (peer, accepted) = scripted_peer(Some(Duration::from_millis(300)));
     tokio::spawn(serve(accepted, accept_after_token_milliseconds));
     let requests: Vec<_> = (0..5).map(|_| spawn_request(&peer, release_request(0), Duration::from_secs(1))).collect();
@@ -186,9 +186,9 @@
     }
 }
 
-// A pledge was lost whenever a submission on the same connection was cancelled.
+// Guards against the loss of a pledge request when a submission on the same connection is cancelled.
 #[tokio::test(start_paused = true)]
-async fn a_cancelled_request_does_not_cancel_others() {
+async fn a_cancelled_request_does_not_cancel_others_on_its_connection() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     tokio::spawn(serve(accepted, accept_after_token_milliseconds));
     let slow = spawn_request(&peer, release_request(200), Duration::from_millis(500));
@@ -196,9 +196,9 @@
     assert_eq!(slow.await.unwrap(), Some(PeerResponse::Accepted));
 }
 
-// A network partition may hold what is sent on a connection, also after it has ended.
+// A network partition may hold back the data sent on a connection even after the partition has healed.
 #[tokio::test(start_paused = true)]
-async fn a_connection_without_a_response_since_a_request_takes_no_more() {
+async fn a_connection_is_replaced_after_a_request_without_any_response_on_it() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     for connections in 1..4 {
         assert_eq!(peer.request(release_request(0), Duration::from_millis(100)).await, None);
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_on_which_responses_come_is_kept() {
+async fn a_connection_is_kept_after_a_cancelled_request_if_it_receives_responses() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     let (opened, (forward, forwarded)) = (Arc::new(AtomicUsize::new(0)), mpsc::unbounded_channel());
     let count = opened.clone();
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn users_do_not_wait_for_a_peer_that_never_answers() {
+async fn user_requests_fail_at_once_while_the_peer_is_unresponsive() {
     let (peer, accepted) = scripted_peer(Some(Duration::ZERO));
     let timeout = Duration::from_millis(500);
     for _ in 0..2 {
@@ -244,9 +244,9 @@
     assert_eq!(started.elapsed(), Duration::ZERO);
     let connections = accepted.count();
     assert_eq!(peer.request(release_request(0), timeout).await, None);
-    assert_eq!(accepted.count(), connections + 1, "releases and pledges are sent all the same");
+    assert_eq!(accepted.count(), connections + 1, "a pledge release is sent although the peer is unresponsive");
 
-    // It goes on: the next probe is answered, and all requests after it.
+    // The peer responds again: the next probe and all requests after it are answered.
     tokio::spawn(serve(accepted, accept_after_token_milliseconds));
     sleep(Duration::from_millis(PeerTimeouts::for_leader_lease(LEASE_TTL_MS).health.probe_interval_ms)).await;
     assert_eq!(peer.request(status_request(), timeout).await, Some(PeerResponse::Accepted));
@@ -255,7 +255,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_hangs_at_connect_is_unresponsive() {
+async fn a_peer_is_unresponsive_after_two_connect_timeouts() {
     let (peer, _accepted) = scripted_peer(None);
     for _ in 0..2 {
         assert_eq!(peer.request(status_request(), Duration::from_secs(10)).await, None);
--- a/src/transport/peer_health.rs
+++ b/src/transport/peer_health.rs
@@ -1,59 +1,63 @@
-//! Judges from unanswered requests whether another controller is unresponsive, so that users are
-//! not kept waiting for it.
+//! Failure detection for other controllers, by their unanswered requests. Users' requests to an
+//! unresponsive controller fail at once instead of waiting for a timeout.
 
 use crate::runtime::clock;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Requests in a row that a peer leaves unanswered before it counts as unresponsive.
+/// Number of consecutive unanswered requests after which a peer is considered unresponsive.
 const MAX_UNANSWERED: u32 = 2;
 
-/// Limits of the judgement, in milliseconds.
+/// Timeouts of the failure detection, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthLimits {
-    /// A peer from which anything was received within this time is only slow.
+    /// Time since the last message received from a peer within which it is considered slow, not
+    /// unresponsive.
     pub receive_timeout_ms: u64,
-    /// Interval of the user requests that probe an unresponsive peer.
+    /// Interval between the user requests that are sent to an unresponsive peer as probes.
     pub probe_interval_ms: u64,
 }
 
 impl HealthLimits {
-    /// The limits for a duration of leader leases. A leader asks for pledges five times in it: two of
-    /// them are missing. Probes are half of it apart.
+    /// Returns the limits for leader leases of `leader_lease_ttl_ms` milliseconds. A leader requests
+    /// pledges five times per lease; the receive timeout spans two of these requests. The probe
+    /// interval is half a lease.
     pub fn for_leader_lease(leader_lease_ttl_ms: u64) -> HealthLimits {
         HealthLimits { receive_timeout_ms: leader_lease_ttl_ms * 2 / 5, probe_interval_ms: leader_lease_ttl_ms / 2 }
     }
 }
 
-/// What an event changed.
+/// Effect of an event on the health of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The peer counts as unresponsive from now on.
+    /// The peer has become unresponsive.
     BecameUnresponsive,
-    /// The peer answers again.
+    /// The peer was unresponsive and has responded.
     Recovered,
-    /// It is judged as before.
+    /// The health of the peer is the same as before.
     Unchanged,
 }
 
-/// What is known of one peer.
+/// Health of one peer.
 #[derive(Debug)]
 pub struct PeerHealth {
     limits: HealthLimits,
-    /// Requests without an answer since anything was received from the peer.
+    /// Number of unanswered requests since a message was last received from the peer.
     unanswered: u32,
-    /// When a response or a request last came from the peer, in milliseconds of the steady clock.
+    /// Instant, in milliseconds of the steady clock, at which a response or a request was last received
+    /// from the peer; `None` if none was.
     last_received_ms: Option<u64>,
-    /// While it is unresponsive: when it was found to be, or was last probed.
+    /// Instant, in milliseconds of the steady clock, at which the peer became unresponsive or was last
+    /// probed; `None` while it is responsive.
     last_probe_ms: Option<u64>,
 }
 
 impl PeerHealth {
-    /// A peer that is taken to be healthy.
+    /// Creates the health of a peer that is considered responsive.
     pub fn new(limits: HealthLimits) -> PeerHealth {
         PeerHealth { limits, unanswered: 0, last_received_ms: None, last_probe_ms: None }
     }
 
-    /// A response or a request has come from the peer.
+    /// Records at `now_ms` that a response or a request was received from the peer.
     pub fn received(&mut self, now_ms: u64) -> HealthChange {
         self.unanswered = 0;
         self.last_received_ms = Some(now_ms);
@@ -63,7 +67,8 @@
         }
     }
 
-    /// A request that was sent at `sent_ms` is given up without an answer.
+    /// Records at `now_ms` that a request sent at `sent_ms` was abandoned without a response. It is not
+    /// counted if a message was received from the peer since it was sent.
     pub fn unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
         if self.last_received_ms.is_some_and(|received_ms| received_ms >= sent_ms) {
             return HealthChange::Unchanged;
@@ -78,7 +83,8 @@
         HealthChange::BecameUnresponsive
     }
 
-    /// Whether a user's request may be sent now. To an unresponsive peer one is sent in each interval.
+    /// Returns whether a user's request may be sent at `now_ms`. For an unresponsive peer this allows one
+    /// request, the probe, per probe interval.
     pub fn may_send_user_request(&mut self, now_ms: u64) -> bool {
         let Some(last_probe_ms) = self.last_probe_ms else { return true };
         let is_due = now_ms >= last_probe_ms + self.limits.probe_interval_ms;
@@ -88,14 +94,14 @@
         is_due
     }
 
-    /// True while the peer counts as unresponsive.
+    /// Returns whether the peer is considered unresponsive.
     pub fn is_unresponsive(&self) -> bool {
         self.last_probe_ms.is_some()
     }
 }
 
-/// The health of a named peer, shared by all tasks that send it requests; cheap to clone. Logs the
-/// changes.
+/// Health of a named peer, shared by all tasks that send it requests; cheap to clone. Each change is
+/// logged.
 #[derive(Debug, Clone)]
 pub struct SharedPeerHealth {
     name: Arc<str>,
@@ -103,29 +109,30 @@
 }
 
 impl SharedPeerHealth {
-    /// A peer that is taken to be healthy.
+    /// Creates the health of the peer `name`, which is considered responsive.
     pub fn new(name: &str, limits: HealthLimits) -> SharedPeerHealth {
         SharedPeerHealth { name: name.into(), health: Arc::new(Mutex::new(PeerHealth::new(limits))) }
     }
 
-    /// See [`PeerHealth::received`].
+    /// Records that a response or a request was received from the peer now; see
+    /// [`PeerHealth::received`].
     pub fn received(&self) {
         let change = self.lock().received(clock::now_ms());
         self.log(change);
     }
 
-    /// See [`PeerHealth::unanswered`].
+    /// Records that a request sent at `sent_ms` is abandoned now; see [`PeerHealth::unanswered`].
     pub fn unanswered(&self, sent_ms: u64) {
         let change = self.lock().unanswered(sent_ms, clock::now_ms());
         self.log(change);
     }
 
-    /// See [`PeerHealth::may_send_user_request`].
+    /// Returns whether a user's request may be sent now; see [`PeerHealth::may_send_user_request`].
     pub fn may_send_user_request(&self) -> bool {
         self.lock().may_send_user_request(clock::now_ms())
     }
 
-    /// See [`PeerHealth::is_unresponsive`].
+    /// Returns whether the peer is considered unresponsive.
     pub fn is_unresponsive(&self) -> bool {
         self.lock().is_unresponsive()
     }
@@ -136,8 +143,8 @@
 
     fn log(&self, change: HealthChange) {
         match change {
-            HealthChange::BecameUnresponsive => tracing::info!(peer = %self.name, "controller is unresponsive"),
-            HealthChange::Recovered => tracing::info!(peer = %self.name, "controller answers again"),
+            HealthChange::BecameUnresponsive => tracing::info!(peer = %self.name, "controller became unresponsive"),
+            HealthChange::Recovered => tracing::info!(peer = %self.name, "controller is responsive again"),
             HealthChange::Unchanged => {}
         }
     }
--- a/src/transport/peer_health/tests.rs
+++ b/src/transport/peer_health/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_peer_is_unresponsive_after_two_unanswered_requests_in_a_row() {
+fn a_peer_is_unresponsive_after_two_consecutive_unanswered_requests() {
     let mut health = PeerHealth::new(LIMITS);
     assert_eq!(health.unanswered(0, 500), HealthChange::Unchanged);
     assert!(!health.is_unresponsive());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_counts_only_if_nothing_was_received_since_it_was_sent() {
+fn an_unanswered_request_is_not_counted_if_a_message_was_received_after_it_was_sent() {
     let mut health = PeerHealth::new(LIMITS);
     health.received(100);
     for sent_ms in [0, 50, 100] {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_answer_in_between_resets_the_count() {
+fn a_received_message_resets_the_count_of_unanswered_requests() {
     let mut health = PeerHealth::new(LIMITS);
     health.unanswered(0, 500);
     health.received(600);
@@ -38,9 +38,9 @@
     assert!(!health.is_unresponsive());
 }
 
-// A busy leader answers late, and asks for pledges all the time.
+// Guards against failing requests to a busy leader: it responds late but requests pledges all the time.
 #[test]
-fn a_peer_from_which_something_was_received_lately_is_slow_and_not_unresponsive() {
+fn a_peer_is_not_unresponsive_within_the_receive_timeout_of_its_last_message() {
     let mut health = PeerHealth::new(LIMITS);
     health.received(1000);
     for now_ms in [1300, 1600, 1999] {
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn an_unresponsive_peer_is_probed_once_in_an_interval() {
+fn an_unresponsive_peer_is_probed_once_per_interval() {
     let mut health = unresponsive_since(1000);
     let probes: Vec<u64> = (1000..=5000).step_by(10).filter(|now_ms| health.may_send_user_request(*now_ms)).collect();
     assert_eq!(probes, [2250, 3500, 4750]);
 }
 
 #[test]
-fn a_peer_is_responsive_again_once_anything_is_received() {
+fn an_unresponsive_peer_is_responsive_again_after_a_received_message() {
     let mut health = unresponsive_since(1000);
     assert!(!health.may_send_user_request(1100));
     assert_eq!(health.received(1200), HealthChange::Recovered);
