--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -10,12 +10,12 @@
 pub const DRIFT: f64 = 0.001;
 
 /// Origin of the steady clock: the first reading in this process.
-static PROCESS_START: OnceLock<std::time::Instant> = OnceLock::new();
+static FIRST_READING: OnceLock<std::time::Instant> = OnceLock::new();
 
 /// Returns the time of the steady clock, in milliseconds since its first reading in this process.
 pub fn now_ms() -> u64 {
-    let process_start = *PROCESS_START.get_or_init(std::time::Instant::now);
-    Instant::now().into_std().saturating_duration_since(process_start).as_millis() as u64
+    let first_reading = *FIRST_READING.get_or_init(std::time::Instant::now);
+    Instant::now().into_std().saturating_duration_since(first_reading).as_millis() as u64
 }
 
 thread_local! {
--- a/src/runtime/metrics.rs
+++ b/src/runtime/metrics.rs
@@ -22,7 +22,7 @@
     pub fn observe(&mut self, name: &'static str, label: &str, duration_ms: u64) {
         let histogram = self.histograms.entry((name, label.to_string())).or_insert_with(|| {
             // One significant digit limits a histogram to a few kilobytes.
-            Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("constant bounds, which hdrhistogram takes")
+            Histogram::new_with_bounds(1, MAX_OBSERVED_MS, 1).expect("hdrhistogram accepts these constant bounds")
         });
         histogram.saturating_record(duration_ms.clamp(1, MAX_OBSERVED_MS));
     }
--- a/src/transport/http/idle.rs
+++ b/src/transport/http/idle.rs
@@ -16,19 +16,19 @@
 pub(super) struct IdleRegistration<'a> {
     idle: &'a Mutex<IdleConnections>,
     number: u64,
-    pub(super) close_request: Arc<Notify>,
+    pub(super) close_signal: Arc<Notify>,
 }
 
 impl IdleRegistration<'_> {
     /// Registers a connection as idle until the returned registration is dropped.
     pub(super) fn new(idle: &Mutex<IdleConnections>) -> IdleRegistration<'_> {
-        let close_request = Arc::new(Notify::new());
+        let close_signal = Arc::new(Notify::new());
         let mut entries = lock(idle);
         entries.last_number += 1;
         let number = entries.last_number;
-        entries.waiting.insert(number, close_request.clone());
+        entries.waiting.insert(number, close_signal.clone());
         drop(entries);
-        IdleRegistration { idle, number, close_request }
+        IdleRegistration { idle, number, close_signal }
     }
 }
 
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -34,8 +34,8 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let handler = Arc::new(handler);
-    let open = Arc::new(AtomicUsize::new(0));
-    let refused = Arc::new(AtomicUsize::new(0));
+    let open_connections = Arc::new(AtomicUsize::new(0));
+    let refused_connections = Arc::new(AtomicUsize::new(0));
     let idle = Arc::new(Mutex::new(IdleConnections::default()));
     loop {
         let Ok(stream) = listener.accept().await else {
@@ -43,23 +43,23 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.load(Ordering::Relaxed) >= max_connections {
+        if open_connections.load(Ordering::Relaxed) >= max_connections {
             let Some((_, oldest)) = lock(&idle).waiting.pop_first() else {
                 refuse_connection(
                     stream,
                     request_timeout,
-                    &refused,
+                    &refused_connections,
                     max_connections.div_ceil(REFUSED_CONNECTIONS_DIVISOR),
                 );
                 continue;
             };
             oldest.notify_one();
         }
-        open.fetch_add(1, Ordering::Relaxed);
-        let (handler, open, idle) = (handler.clone(), open.clone(), idle.clone());
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        let (handler, open_connections, idle) = (handler.clone(), open_connections.clone(), idle.clone());
         task::spawn(async move {
             serve_connection(stream, request_timeout, &*handler, &idle).await;
-            open.fetch_sub(1, Ordering::Relaxed);
+            open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
@@ -69,18 +69,18 @@
 fn refuse_connection(
     mut stream: Box<dyn Stream>,
     request_timeout: Duration,
-    refused: &Arc<AtomicUsize>,
+    refused_connections: &Arc<AtomicUsize>,
     max_refused: usize,
 ) {
-    if refused.load(Ordering::Relaxed) >= max_refused {
+    if refused_connections.load(Ordering::Relaxed) >= max_refused {
         return;
     }
-    refused.fetch_add(1, Ordering::Relaxed);
-    let refused = refused.clone();
+    refused_connections.fetch_add(1, Ordering::Relaxed);
+    let refused_connections = refused_connections.clone();
     task::spawn(async move {
         // The connection is closed in any case.
         let _ = timeout(request_timeout, send_refusal(&mut stream)).await;
-        refused.fetch_sub(1, Ordering::Relaxed);
+        refused_connections.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
@@ -137,7 +137,7 @@
         biased;
         read = timeout(request_timeout * IDLE_TIMEOUT_FACTOR, read_available(stream, buf)) =>
             matches!(read, Ok(Ok(length)) if length > 0),
-        () = registration.close_request.notified() => false,
+        () = registration.close_signal.notified() => false,
     }
 }
 
