--- a/src/transport/http/idle.rs
+++ b/src/transport/http/idle.rs
@@ -1,38 +1,38 @@
-//! Connections of the server that wait for their next request.
+//! Registry of the server's idle connections, which wait for their next request.
 
 use crate::runtime::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// Connections that wait for their next request, by when they began to.
+/// Idle connections, numbered in the order in which they became idle; each can be told to close.
 #[derive(Default)]
-pub(super) struct Idle {
-    next: u64,
+pub(super) struct IdleConnections {
+    last_number: u64,
     pub(super) waiting: BTreeMap<u64, Arc<Notify>>,
 }
 
-/// One connection's entry, for as long as it waits.
-pub(super) struct IdleEntry<'a> {
-    idle: &'a Mutex<Idle>,
+/// Registration of one idle connection; dropping it removes the connection from the registry.
+pub(super) struct IdleRegistration<'a> {
+    idle: &'a Mutex<IdleConnections>,
     number: u64,
-    pub(super) close_request: Arc<Notify>,
+    pub(super) close_signal: Arc<Notify>,
 }
 
-impl IdleEntry<'_> {
-    /// Enters a connection; it leaves with the entry.
-    pub(super) fn enter(idle: &Mutex<Idle>) -> IdleEntry<'_> {
-        let close_request = Arc::new(Notify::new());
+impl IdleRegistration<'_> {
+    /// Registers a connection as idle until the returned registration is dropped.
+    pub(super) fn new(idle: &Mutex<IdleConnections>) -> IdleRegistration<'_> {
+        let close_signal = Arc::new(Notify::new());
         let mut entries = lock(idle);
-        entries.next += 1;
-        let number = entries.next;
-        entries.waiting.insert(number, close_request.clone());
+        entries.last_number += 1;
+        let number = entries.last_number;
+        entries.waiting.insert(number, close_signal.clone());
         drop(entries);
-        IdleEntry { idle, number, close_request }
+        IdleRegistration { idle, number, close_signal }
     }
 }
 
-impl Drop for IdleEntry<'_> {
+impl Drop for IdleRegistration<'_> {
     fn drop(&mut self) {
         lock(self.idle).waiting.remove(&self.number);
     }
