--- a/src/commands/configuration/tests.rs
+++ b/src/commands/configuration/tests.rs
@@ -46,7 +46,7 @@
     for (before, after, expected) in cases {
         assert!(CHANGES.contains(before), "{before}");
         let Err(error) = parse_changes(&CHANGES.replacen(before, after, 1)) else {
-            panic!("{after:?} is taken");
+            panic!("{after:?} is accepted");
         };
         let error = error.to_string();
         assert!(error.contains(expected), "{error}");
--- a/src/commands/warm_pools/tests.rs
+++ b/src/commands/warm_pools/tests.rs
@@ -12,7 +12,7 @@
         (bill("2026-12-02", "2026-13-02"), "--to: "),
         (bill("2026-12-02", "2026-12-01"), "--to: "),
     ] {
-        let Err(CommandError::InvalidInput(error)) = build_request(&command) else { panic!("{command:?} is taken") };
+        let Err(CommandError::InvalidInput(error)) = build_request(&command) else { panic!("{command:?} is accepted") };
         let error = error.to_string();
         assert!(error.starts_with(field), "{error}");
     }
