--- a/crates/warm-pools/src/check.rs
+++ b/crates/warm-pools/src/check.rs
@@ -82,7 +82,7 @@
         if pool.loads_at_a_time == 0 {
             return Err(FieldError::new(&within("loads_at_a_time"), "must be at least 1"));
         }
-        let most = pool.most_wanted() as f64;
+        let most = pool.max_replicas() as f64;
         if most * pool.cores > limit.0 || most * pool.cards > limit.1 {
             let reason = format!("{most} replicas are more than the limit of {}", pool.payer);
             return Err(FieldError::new(&within("count"), &reason));
--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -28,7 +28,7 @@
 pub use pools::{ClaimError, PoolEvent, PoolStatus, SlotPlace, WarmPools};
 pub use records::{ClaimRecord, RecordChanges, RecordKey, RecordWrite, SlotRecord, StoredRecord, WriteId};
 pub use settings::{
-    Amounts, DateException, HoldKind, Identity, Model, ModelName, Pool, PoolName, PoolSettings, TeamName, Window,
+    Amounts, DateException, HoldKind, Model, ModelIdentity, ModelName, Pool, PoolName, PoolSettings, TeamName, Window,
 };
 pub use slot::{Claim, EndCause, Slot, SlotId, SlotState, Transition};
 pub use wall_clock::AcceptedTime;
--- a/crates/warm-pools/src/pools/charging.rs
+++ b/crates/warm-pools/src/pools/charging.rs
@@ -61,7 +61,7 @@
 impl Slot {
     /// Was it claimed under a leader before, and is it not known yet whether the claimant has it?
     pub(crate) fn has_indeterminate_claim(&self) -> bool {
-        matches!(self.state, SlotState::Claimed(_)) && !self.seen
+        matches!(self.state, SlotState::Claimed(_)) && !self.reported_since_failover
     }
 
     /// Charges the interval since the last charge to whoever pays in the present state.
@@ -75,7 +75,7 @@
             _ => (self.payer.clone(), Payment::Idle),
         };
         let interval_ms = (from_ms, bill_ms);
-        self.charges.extend(charges(&team, payment, self.price_per_hour, interval_ms, !self.seen));
+        self.charges.extend(charges(&team, payment, self.price_per_hour, interval_ms, !self.reported_since_failover));
         self.charged_until_ms = bill_ms;
     }
 }
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -24,7 +24,7 @@
 impl WarmPools {
     /// Looks at the time, and drains what is too much. `boot_ms` is how long a machine takes to
     /// boot.
-    pub fn look(&mut self, boot_ms: u64, now: Moment) {
+    pub fn refresh(&mut self, boot_ms: u64, now: Moment) {
         let load_ms = &self.load_ms;
         let warm_up_ms = |pool: &str| boot_ms + load_ms.get(pool).copied().unwrap_or(ASSUMED_LOAD_MS);
         self.targets.update(now.steady_ms, now.wall_ms, warm_up_ms);
@@ -43,7 +43,7 @@
     }
 
     /// How many more replicas a pool may begin with now, at this price each.
-    pub fn may_begin(&self, pool: &str, price_per_hour: MicroUnits, now: Moment) -> usize {
+    pub fn startable_count(&self, pool: &str, price_per_hour: MicroUnits, now: Moment) -> usize {
         let Some(declared) = self.settings.pools.get(pool) else { return 0 };
         if self.budget_is_used_up(pool, now) {
             return 0;
@@ -75,7 +75,7 @@
             payer: declared.payer.clone(),
             price_per_hour: place.price_per_hour,
             state: if warm { SlotState::Idle } else { SlotState::Loading },
-            seen: true,
+            reported_since_failover: true,
             since_ms: now.steady_ms,
             charged_until_ms: self.bill_ms(now),
             charges: Vec::new(),
@@ -87,17 +87,17 @@
     }
 
     /// A slot was seen on its machine, warm or not yet.
-    pub fn seen(&mut self, id: SlotId, warm: bool, now: Moment) {
+    pub fn mark_reported(&mut self, id: SlotId, warm: bool, now: Moment) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
         // A late copy of a report changes nothing of a slot that is gone.
         if matches!(slot.state, SlotState::Ended(_)) {
             return;
         }
-        if !slot.seen {
+        if !slot.reported_since_failover {
             // Until now nobody had observed it since the failover.
             slot.charge_until(bill_ms);
-            slot.seen = true;
+            slot.reported_since_failover = true;
         }
         if warm && slot.state == SlotState::Loading {
             slot.enter(SlotState::Idle, &mut self.transitions);
@@ -122,7 +122,7 @@
 
     /// The worker has no such slot any more, or never had: what was drained is gone, and what was
     /// not is lost.
-    pub fn not_reported(&mut self, id: SlotId, now: Moment) {
+    pub fn mark_missing(&mut self, id: SlotId, now: Moment) {
         let cause = match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Draining(cause)) => *cause,
             Some(SlotState::Loading | SlotState::Idle) => EndCause::NotReported,
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -57,7 +57,7 @@
         payer: record.payer,
         price_per_hour: record.price_per_hour,
         state,
-        seen: false,
+        reported_since_failover: false,
         since_ms: now.steady_ms,
         charged_until_ms: record.charged_until_ms,
         charges: Vec::new(),
--- a/crates/warm-pools/src/pools/status.rs
+++ b/crates/warm-pools/src/pools/status.rs
@@ -2,7 +2,7 @@
 
 use super::WarmPools;
 use crate::money::MicroUnits;
-use crate::settings::{Identity, PoolName, TeamName};
+use crate::settings::{ModelIdentity, PoolName, TeamName};
 use crate::slot::{Slot, SlotState};
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
     /// The team that pays.
     pub payer: TeamName,
     /// What it loads now.
-    pub identity: Option<Identity>,
+    pub identity: Option<ModelIdentity>,
     /// Replicas wanted now.
     pub wanted: usize,
     /// Replicas for which a machine is still to be found.
--- a/crates/warm-pools/src/records.rs
+++ b/crates/warm-pools/src/records.rs
@@ -2,7 +2,7 @@
 
 use crate::bill::BillRecord;
 use crate::money::MicroUnits;
-use crate::settings::{Amounts, HoldKind, Identity, PoolName, TeamName};
+use crate::settings::{Amounts, HoldKind, ModelIdentity, PoolName, TeamName};
 use crate::slot::{Claim, SlotId};
 use jiff::civil::Date;
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,7 @@
     /// Its pool.
     pub pool: PoolName,
     /// What it was loaded with.
-    pub identity: Identity,
+    pub identity: ModelIdentity,
     /// The image of that.
     pub image: String,
     /// Size of the image in gigabytes.
--- a/crates/warm-pools/src/settings.rs
+++ b/crates/warm-pools/src/settings.rs
@@ -12,7 +12,7 @@
 
 /// What a replica was loaded with: it stays the same, whatever names are given later.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Identity {
+pub struct ModelIdentity {
     /// The model.
     pub model: ModelName,
     /// Its version.
@@ -172,7 +172,7 @@
     }
 
     /// The most replicas that are ever wanted.
-    pub fn most_wanted(&self) -> usize {
+    pub fn max_replicas(&self) -> usize {
         let windows = self.windows.values().map(|window| window.count);
         let exceptions = self.exceptions.values().map(|exception| exception.count);
         windows.chain(exceptions).chain([self.count]).max().unwrap_or(0)
@@ -186,15 +186,15 @@
 
 impl PoolSettings {
     /// What a pool loads now.
-    pub fn identity_of(&self, pool: &Pool) -> Option<Identity> {
+    pub fn identity_of(&self, pool: &Pool) -> Option<ModelIdentity> {
         let model = self.models.get(&pool.model)?;
-        Some(Identity { model: pool.model.clone(), version: model.version })
+        Some(ModelIdentity { model: pool.model.clone(), version: model.version })
     }
 
     /// What a job asks for that names this image: an alias, or a model's image itself.
-    pub fn resolve(&self, image: &str) -> Option<Identity> {
+    pub fn resolve(&self, image: &str) -> Option<ModelIdentity> {
         let named = |model: &Model| model.image == image || model.names.iter().any(|name| name == image);
         let (name, model) = self.models.iter().find(|(_, model)| named(model))?;
-        Some(Identity { model: name.clone(), version: model.version })
+        Some(ModelIdentity { model: name.clone(), version: model.version })
     }
 }
--- a/crates/warm-pools/src/slot.rs
+++ b/crates/warm-pools/src/slot.rs
@@ -2,7 +2,7 @@
 
 use crate::bill::Charge;
 use crate::money::MicroUnits;
-use crate::settings::{Amounts, HoldKind, Identity, PoolName, TeamName};
+use crate::settings::{Amounts, HoldKind, ModelIdentity, PoolName, TeamName};
 
 /// Number of a slot, which is not used again.
 pub type SlotId = u64;
@@ -28,7 +28,7 @@
     /// Idle replicas would cost more than the pool's ceiling or budget.
     CostLimit,
     /// Its room is given to work that would miss its guarantee, or is more urgent.
-    RoomNeeded,
+    CapacityNeeded,
     /// Its pool loads another version now, or another model, or is not declared any more.
     Replaced,
     /// The machine is gone, or is to be returned.
@@ -47,7 +47,7 @@
         match self {
             EndCause::FewerWanted => "fewer_wanted",
             EndCause::CostLimit => "cost_limit",
-            EndCause::RoomNeeded => "room_needed",
+            EndCause::CapacityNeeded => "room_needed",
             EndCause::Replaced => "replaced",
             EndCause::MachineLost => "machine_lost",
             EndCause::SessionLost => "session_lost",
@@ -111,7 +111,7 @@
     /// Its pool.
     pub pool: PoolName,
     /// What it was loaded with.
-    pub identity: Identity,
+    pub identity: ModelIdentity,
     /// The image of that.
     pub image: String,
     /// Size of the image in gigabytes.
@@ -131,7 +131,7 @@
     /// Where it stands.
     pub state: SlotState,
     /// Seen since this leader began; else it may be gone for a while already.
-    pub seen: bool,
+    pub reported_since_failover: bool,
     /// Steady time at which it began, or was taken over.
     pub since_ms: u64,
     /// Time of the bill until which its charges are in `charges` or recorded.
@@ -168,7 +168,7 @@
     }
 
     /// Does it hold room that no attempt of a task takes?
-    pub fn holds_room(&self) -> bool {
+    pub fn reserves_capacity(&self) -> bool {
         matches!(self.state, SlotState::Loading | SlotState::Idle | SlotState::Abandoned | SlotState::Draining(_))
     }
 
--- a/crates/warm-pools/src/targets.rs
+++ b/crates/warm-pools/src/targets.rs
@@ -25,7 +25,7 @@
 }
 
 impl Targets {
-    /// The targets of pools that were checked; none is wanted before the first look.
+    /// The targets of pools that were checked; none is wanted before the first refresh.
     pub(crate) fn new(settings: &PoolSettings) -> Targets {
         let target = |schedule| Target { schedule, wanted: 0, fewer_since_ms: None };
         let pools = settings.pools.iter();
--- a/crates/warm-pools/tests/common/mod.rs
+++ b/crates/warm-pools/tests/common/mod.rs
@@ -94,6 +94,6 @@
 pub fn warm_slot(pools: &mut WarmPools, store: &mut Store, write: &mut u64, id: SlotId, now: Moment) {
     pools.begin(id, "counter", place(&format!("h{id}")), now);
     record_all(pools, store, write);
-    pools.seen(id, true, now);
+    pools.mark_reported(id, true, now);
     record_all(pools, store, write);
 }
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -20,7 +20,7 @@
 /// Pools with so many warm slots, from 1 on.
 fn warm(count: u64) -> (WarmPools, Store, u64) {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 0);
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     (1..=count).for_each(|id| warm_slot(&mut pools, &mut store, &mut write, id, at(0)));
     (pools, store, write)
 }
@@ -54,9 +54,9 @@
 #[test]
 fn a_slot_that_is_not_recorded_is_not_claimed() {
     let mut pools = WarmPools::new(settings(), at(0));
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
-    pools.seen(1, true, at(0));
+    pools.mark_reported(1, true, at(0));
     assert_eq!(pools.claim(1, "notes", claim("red", 7), at(0)), Err(ClaimError::NotFree));
 }
 
@@ -123,10 +123,10 @@
 fn a_bill_is_divided_at_midnight_and_by_price() {
     let now = |ms: u64| Moment { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), now(0)), Store::default(), 0);
-    pools.look(BOOT_MS, now(0));
+    pools.refresh(BOOT_MS, now(0));
     warm_slot(&mut pools, &mut store, &mut write, 1, now(0));
     pools.set_price(1, 7_200_000, now(30_000));
-    pools.look(BOOT_MS, now(360_000));
+    pools.refresh(BOOT_MS, now(360_000));
     record_all(&mut pools, &mut store, &mut write);
     let (today, tomorrow) = ("2026-12-02".parse().unwrap(), "2026-12-03".parse().unwrap());
     let total = |day| pools.bill(day, "red").unwrap().pools["counter"];
@@ -149,7 +149,7 @@
         assert_eq!(next.claim(1, "notes", claim("red", 9), begin), Err(ClaimError::NotFree));
         assert_eq!(state(&next, 1), SlotState::Claimed(claim("blue", 7)));
         let later = Moment { steady_ms: begin.steady_ms + 5000, wall_ms: begin.wall_ms + 5000 };
-        next.seen(1, true, begin);
+        next.mark_reported(1, true, begin);
         next.claim_ended(1, later);
         let mut write = 100;
         record_all(&mut next, &mut store, &mut write);
@@ -166,9 +166,9 @@
     record_all(&mut pools, &mut store, &mut write);
     let mut next = WarmPools::new(settings(), at(30_000));
     next.restore(store.all(), at(30_000));
-    next.look(BOOT_MS, at(400_000));
+    next.refresh(BOOT_MS, at(400_000));
     next.void_claim(1, at(401_000));
-    next.seen(1, true, at(401_000));
+    next.mark_reported(1, true, at(401_000));
     next.host_lost("h1", EndCause::MachineLost, at(405_000));
     record_all(&mut next, &mut store, &mut 100);
     assert_eq!((charged(&store, "red"), charged(&store, "blue")), ((405_000, 0, 391_000), (0, 0, 0)));
@@ -179,7 +179,7 @@
     let (mut pools, mut store, mut write) = warm(1);
     for (minute, step) in [(0, 0), (10, HOUR_MS as i64), (20, -(HOUR_MS as i64)), (30, 0)] {
         let now = at(minute * 60_000);
-        pools.look(BOOT_MS, Moment { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
+        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
         record_all(&mut pools, &mut store, &mut write);
     }
     assert_eq!(charged(&store, "red"), (30 * 60_000, 0, 0));
@@ -195,16 +195,16 @@
         serde_json::from_str(r#"{"days": ["daily"], "from": "00:00", "to": "00:40", "zone": "UTC", "count": 1}"#);
     pool(&mut settings).windows.insert("night".into(), window.unwrap());
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     warm_slot(&mut pools, &mut store, &mut write, 1, at(0));
     for minute in 1..10 {
         let now = at(minute * 60_000);
-        pools.look(BOOT_MS, Moment { wall_ms: now.wall_ms + HOUR_MS, ..now });
+        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms + HOUR_MS, ..now });
         assert_eq!(state(&pools, 1), SlotState::Idle, "minute {minute}");
     }
     // The window's end is seen all the same.
-    pools.look(BOOT_MS, at(41 * 60_000));
-    pools.look(BOOT_MS, at(43 * 60_000));
+    pools.refresh(BOOT_MS, at(41 * 60_000));
+    pools.refresh(BOOT_MS, at(43 * 60_000));
     assert_eq!(state(&pools, 1), SlotState::Draining(EndCause::FewerWanted));
 }
 
@@ -214,7 +214,7 @@
     change(&mut settings);
     let mut pools = WarmPools::new(settings, now);
     pools.restore(store.all(), now);
-    pools.look(BOOT_MS, now);
+    pools.refresh(BOOT_MS, now);
     pools
 }
 
@@ -234,7 +234,7 @@
         let idle = |pools: &WarmPools| pools.slots().filter(|slot| slot.state == SlotState::Idle).count();
         assert!(idle(&pools) >= 2, "never below the pool's size");
         warm_slot(&mut pools, &mut store, &mut write, id, at(2000));
-        pools.look(BOOT_MS, at(2000));
+        pools.refresh(BOOT_MS, at(2000));
     }
     assert_eq!([state(&pools, 1), state(&pools, 2)], [const { SlotState::Draining(EndCause::Replaced) }; 2]);
     assert_eq!(pools.claim(11, "notes", claim("red", 10), at(3000)), Ok(()));
@@ -264,7 +264,7 @@
     let mut settings = settings();
     pool(&mut settings).keep = HoldKind::Image;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
     record_all(&mut pools, &mut store, &mut write);
     assert_eq!(pools.claim(1, "notes", claim("red", 9), at(0)), Err(ClaimError::AnotherModel));
@@ -276,7 +276,7 @@
     let mut settings = settings();
     pool(&mut settings).claimants = vec!["red".into()];
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     warm_slot(&mut pools, &mut store, &mut write, 1, at(0));
     assert_eq!(pools.claim(1, "notes", claim("blue", 9), at(0)), Err(ClaimError::NotAllowed));
 }
@@ -287,18 +287,18 @@
     // Each costs 3.6 an hour.
     let capped = with_settings(&store, at(1000), |s| pool(s).idle_cost_per_hour = Some(4.0));
     assert_eq!([state(&capped, 1), state(&capped, 2)], [SlotState::Idle, SlotState::Draining(EndCause::CostLimit)]);
-    assert_eq!(capped.may_begin("counter", 3_600_000, at(1000)), 0);
+    assert_eq!(capped.startable_count("counter", 3_600_000, at(1000)), 0);
     let mut spent = with_settings(&store, at(1000), |s| pool(s).idle_budget_per_day = Some(0.05));
     spent.claim(1, "notes", claim("blue", 9), at(1000)).unwrap();
     let (mut store, mut write) = (store, 100);
     record_all(&mut spent, &mut store, &mut write);
-    spent.look(BOOT_MS, at(301_000));
-    spent.look(BOOT_MS, at(302_000));
+    spent.refresh(BOOT_MS, at(301_000));
+    spent.refresh(BOOT_MS, at(302_000));
     assert!(matches!(state(&spent, 1), SlotState::Claimed(_)));
     assert_eq!(state(&spent, 2), SlotState::Draining(EndCause::CostLimit));
-    assert_eq!(spent.may_begin("counter", 3_600_000, at(302_000)), 0);
+    assert_eq!(spent.startable_count("counter", 3_600_000, at(302_000)), 0);
     // Another day has another budget.
-    assert_eq!(spent.may_begin("counter", 3_600_000, at(24 * HOUR_MS)), 2);
+    assert_eq!(spent.startable_count("counter", 3_600_000, at(24 * HOUR_MS)), 2);
 }
 
 #[test]
@@ -321,11 +321,11 @@
     let mut settings = settings();
     pool(&mut settings).count = 5;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
-    pools.look(BOOT_MS, at(0));
-    assert_eq!((pools.missing("counter"), pools.may_begin("counter", 1, at(0))), (5, 2));
+    pools.refresh(BOOT_MS, at(0));
+    assert_eq!((pools.missing("counter"), pools.startable_count("counter", 1, at(0))), (5, 2));
     pools.begin(1, "counter", place("h1"), at(0));
-    assert_eq!(pools.may_begin("counter", 1, at(0)), 1);
-    pools.seen(1, true, at(0));
+    assert_eq!(pools.startable_count("counter", 1, at(0)), 1);
+    pools.mark_reported(1, true, at(0));
     record_all(&mut pools, &mut store, &mut write);
     pools.claim(1, "notes", claim("blue", 7), at(0)).unwrap();
     assert_eq!(pools.missing("counter"), 5);
@@ -352,7 +352,7 @@
 #[test]
 fn a_slot_that_ends_while_its_first_record_is_open_leaves_none() {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 60);
-    pools.look(BOOT_MS, at(0));
+    pools.refresh(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
     let late = pools.next_changes(50, 12).unwrap();
     pools.indeterminate();
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -117,9 +117,9 @@
         let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
         for id in recorded {
             if matches!(self.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
-                self.pools.not_reported(id, now);
+                self.pools.mark_missing(id, now);
             } else {
-                self.pools.seen(id, true, now);
+                self.pools.mark_reported(id, true, now);
             }
         }
     }
@@ -142,7 +142,7 @@
         self.lost.clear();
         self.pools = WarmPools::new(unbounded_estimates(), now);
         self.pools.restore(self.store.all(), now);
-        self.pools.look(BOOT_MS, now);
+        self.pools.refresh(BOOT_MS, now);
     }
 
     fn commit(&mut self, outcome: Outcome) {
@@ -261,7 +261,7 @@
 
     fn init_test(_: &Clock) -> Checked {
         let mut pools = WarmPools::new(unbounded_estimates(), at(0));
-        pools.look(BOOT_MS, at(0));
+        pools.refresh(BOOT_MS, at(0));
         let store = Store::default();
         let system = System { now_ms: 0, pools, store, next_number: 0, lost: Vec::new(), ordered: BTreeMap::new() };
         Checked { system, began_ms: BTreeMap::new(), ended_ms: 0, has_looked: true }
@@ -275,8 +275,8 @@
         match transition {
             Transition::Wait(_) => {}
             Transition::Refill => {
-                system.pools.look(BOOT_MS, now);
-                for _ in 0..system.pools.may_begin("counter", 3_600_000, now) {
+                system.pools.refresh(BOOT_MS, now);
+                for _ in 0..system.pools.startable_count("counter", 3_600_000, now) {
                     let id = system.number();
                     system.pools.begin(id, "counter", place(&format!("h{id}")), now);
                 }
@@ -341,8 +341,8 @@
         assert!(!system.store.records.keys().any(|key| matches!(key, RecordKey::Slot(_))), "no record is left");
         assert_eq!(system.billed_ms(), checked.ended_ms, "billed and lived");
         // And the pool comes back to its size.
-        system.pools.look(BOOT_MS, now);
-        assert_eq!(system.pools.may_begin("counter", 3_600_000, now), POOL_SIZE);
+        system.pools.refresh(BOOT_MS, now);
+        assert_eq!(system.pools.startable_count("counter", 3_600_000, now), POOL_SIZE);
     }
 }
 
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -16,7 +16,7 @@
         let Some(warm_pools) = &mut self.warm_pools else { return };
         warm_pools.wall_ms = wall;
         let moment = warm_pools.moment(now);
-        warm_pools.pools.look(boot_ms, moment);
+        warm_pools.pools.refresh(boot_ms, moment);
         self.abandon_unrecorded_claims(now);
         self.release_ended_claims(now);
         self.end_lost_slots(now);
@@ -60,7 +60,11 @@
             let host = self.cluster.host_index.get(host).and_then(|index| self.cluster.host(*index));
             host.is_some_and(|host| !host.attempts.iter().any(|own| own.attempt == attempt && !own.ended()))
         };
-        let claims = warm_pools.pools.slots().filter(|slot| slot.seen).filter_map(|slot| Some((slot, slot.claim()?)));
+        let claims = warm_pools
+            .pools
+            .slots()
+            .filter(|slot| slot.reported_since_failover)
+            .filter_map(|slot| Some((slot, slot.claim()?)));
         let ended: Vec<SlotId> =
             claims.filter(|(slot, claim)| gone(&slot.host, claim.attempt)).map(|(slot, _)| slot.id).collect();
         let moment = warm_pools.moment(now);
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -56,7 +56,7 @@
         let there = hosts_of(&self.cluster, warm_pools, name);
         let mut by_zone: HashMap<usize, usize> = HashMap::new();
         there.iter().for_each(|host| *by_zone.entry(index.hosts[*host].zone).or_default() += 1);
-        let most_in_zone = if pool.spread { pool.most_wanted().div_ceil(2) } else { usize::MAX };
+        let most_in_zone = if pool.spread { pool.max_replicas().div_ceil(2) } else { usize::MAX };
         let image =
             warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
         let moment = warm_pools.moment(now);
@@ -67,7 +67,7 @@
                 && demand(&pool.amounts()).fits(&slot.free)
                 && self.allows(pool, host)
                 && by_zone.get(&slot.zone).copied().unwrap_or(0) < most_in_zone
-                && warm_pools.pools.may_begin(name, self.price_on(pool, host), moment) > 0
+                && warm_pools.pools.startable_count(name, self.price_on(pool, host), moment) > 0
         };
         let rank = |(host_index, host): &(HostIndex, &Host)| {
             let zone = by_zone.get(&index.hosts[*host_index].zone).copied().unwrap_or(0);
@@ -95,7 +95,7 @@
     fn payer_may_hold(&self, warm_pools: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
         let mut total = index.usage.get(&pool.payer).copied().unwrap_or_default();
-        let held = warm_pools.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
+        let held = warm_pools.pools.slots().filter(|slot| slot.payer == pool.payer && slot.reserves_capacity());
         held.for_each(|slot| total.add(&demand(&slot.amounts)));
         total.add(&demand(&pool.amounts()));
         let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
@@ -115,7 +115,7 @@
         let pools = warm_pools.pools.settings().pools.iter();
         let missing = pools.filter(|(_, pool)| self.machines_may_suit(pool)).map(|(name, pool)| {
             let price = self.least_price(pool);
-            (name, pool, warm_pools.pools.may_begin(name, price, moment))
+            (name, pool, warm_pools.pools.startable_count(name, price, moment))
         });
         missing.flat_map(|(name, pool, count)| self.replica_specs(warm_pools, name, pool, count)).collect()
     }
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -14,7 +14,7 @@
         let Some(warm_pools) = &self.warm_pools else { return };
         let recordable = self.conditions.reservations_recordable;
         let cluster = &self.cluster;
-        let holding = warm_pools.pools.slots().filter(|slot| slot.holds_room());
+        let holding = warm_pools.pools.slots().filter(|slot| slot.reserves_capacity());
         self.cluster.warm_reservations = holding
             .filter_map(|slot| {
                 Some(warm_pools.warm_reservation(slot, *cluster.host_index.get(&slot.host)?, recordable))
@@ -30,7 +30,7 @@
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
         for slot in &outcome.warm_reservations_given_up {
-            warm_pools.pools.drain(*slot, EndCause::RoomNeeded, moment);
+            warm_pools.pools.drain(*slot, EndCause::CapacityNeeded, moment);
             if let Some(host) = warm_pools.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
             }
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -38,12 +38,12 @@
         }
         for (id, change) in changes {
             match change {
-                SlotStatusChange::Seen { warm } => warm_pools.pools.seen(id, warm, moment),
-                SlotStatusChange::Missing => warm_pools.pools.not_reported(id, moment),
+                SlotStatusChange::Seen { warm } => warm_pools.pools.mark_reported(id, warm, moment),
+                SlotStatusChange::Missing => warm_pools.pools.mark_missing(id, moment),
                 SlotStatusChange::ClaimNeverRecorded => {
                     tracing::info!(slot = id, "reservation of the previous leader was never recorded");
                     warm_pools.pools.void_claim(id, moment);
-                    warm_pools.pools.seen(id, false, moment);
+                    warm_pools.pools.mark_reported(id, false, moment);
                     self.scheduling_triggers.request_cycle();
                 }
                 SlotStatusChange::Nothing => {}
@@ -55,7 +55,7 @@
         let Some(host) = self.cluster.host(host_index) else { return SlotStatusChange::Nothing };
         if let SlotState::Claimed(claim) = &slot.state {
             let there = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
-            return match (there, slot.seen) {
+            return match (there, slot.reported_since_failover) {
                 (true, _) => SlotStatusChange::Seen { warm: true },
                 // No order of the previous leader can come any more: the machine has seen this leader's token.
                 (false, false) => SlotStatusChange::ClaimNeverRecorded,
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_file_is_read_and_the_delivered_one_is_valid() {
     let pools = parse_pools(FILE, &settings()).unwrap();
-    assert_eq!((pools.pools["counter"].most_wanted(), pools.models["notes"].version), (6, 3));
+    assert_eq!((pools.pools["counter"].max_replicas(), pools.models["notes"].version), (6, 3));
     assert!(parse_pools("", &settings()).unwrap().pools.is_empty());
     let mut users = settings();
     users.params.zones = vec!["viti-levu".into(), "vanua-levu".into()];
@@ -43,7 +43,7 @@
     let named = |name: &str| Team { name: name.into(), gpus_max: 350.0, ..team.clone() };
     users.params.teams = vec![named("valuers"), named("objections")];
     let delivered = parse_pools(include_str!("../../deploy/warm-pools.hcl"), &users).unwrap();
-    assert_eq!(delivered.pools["counter"].most_wanted(), 4);
+    assert_eq!(delivered.pools["counter"].max_replicas(), 4);
 }
 
 #[test]
--- a/tests/outputs/labels.rs
+++ b/tests/outputs/labels.rs
@@ -84,7 +84,7 @@
     let causes = [
         (Cause::FewerWanted, "fewer_wanted"),
         (Cause::CostLimit, "cost_limit"),
-        (Cause::RoomNeeded, "room_needed"),
+        (Cause::CapacityNeeded, "room_needed"),
         (Cause::Replaced, "replaced"),
         (Cause::MachineLost, "machine_lost"),
         (Cause::SessionLost, "session_lost"),
