--- a/crates/warm-pools/src/bill.rs
+++ b/crates/warm-pools/src/bill.rs
@@ -1,4 +1,4 @@
-//! Who pays for which part of a slot's life.
+//! Charges of slots to teams, and the daily bills that sum them.
 
 use crate::money::{MicroUnits, cost};
 use crate::settings::{PoolName, TeamName};
@@ -8,61 +8,62 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a team pays for.
+/// Use of a slot that a team is charged for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Payment {
-    /// A replica of its pool that nobody uses.
+pub enum ChargeKind {
+    /// Idle replica, charged to the pool's payer.
     Idle,
-    /// A replica that its task has claimed.
+    /// Claimed replica, charged to the claimant's team.
     Claimed,
 }
 
-/// A closed interval of a slot's life, of one day.
+/// Charge for one interval of a slot's lifetime within one UTC day.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Charge {
-    /// The day (UTC).
+    /// Day in UTC.
     pub day: Date,
-    /// The team that pays.
+    /// Team that pays.
     pub team: TeamName,
-    /// What for.
-    pub payment: Payment,
-    /// How long it is, in milliseconds.
+    /// Use that is charged.
+    pub kind: ChargeKind,
+    /// Length of the interval in milliseconds.
     pub duration_ms: u64,
-    /// What it costs.
+    /// Amount that is charged.
     pub amount: MicroUnits,
-    /// Nobody has observed that the slot was there all the time.
+    /// Whether the charge is an estimate: no report confirms that the slot existed during the whole
+    /// interval.
     pub estimated: bool,
 }
 
-/// What a team pays for the replicas of one pool on one day.
+/// Total of a team's charges for the replicas of one pool on one UTC day.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DayTotal {
-    /// Milliseconds of idle replicas.
+    /// Total time of idle replicas in milliseconds.
     #[serde(default)]
     pub idle_ms: u64,
-    /// What they cost, in micro-units.
+    /// Cost of idle replicas in micro-units.
     #[serde(default)]
     pub idle_amount: MicroUnits,
-    /// Milliseconds of claimed replicas.
+    /// Total time of claimed replicas in milliseconds.
     #[serde(default)]
     pub claimed_ms: u64,
-    /// What they cost, in micro-units.
+    /// Cost of claimed replicas in micro-units.
     #[serde(default)]
     pub claimed_amount: MicroUnits,
-    /// The part of both durations that was not observed.
+    /// Part of both times, in milliseconds, that was estimated and not observed.
     #[serde(default)]
     pub estimated_ms: u64,
 }
 
 impl DayTotal {
-    /// Adds a charge.
+    /// Adds a charge to the totals.
     pub fn add(&mut self, charge: &Charge) {
-        match charge.payment {
-            Payment::Idle => {
+        match charge.kind {
+            ChargeKind::Idle => {
                 self.idle_ms += charge.duration_ms;
                 self.idle_amount += charge.amount;
             }
-            Payment::Claimed => {
+            ChargeKind::Claimed => {
                 self.claimed_ms += charge.duration_ms;
                 self.claimed_amount += charge.amount;
             }
@@ -73,17 +74,18 @@
     }
 }
 
-/// What a team pays on one day, by pool.
+/// Bill of one team for one UTC day.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillRecord {
-    /// The write that made it so.
+    /// Id of the commit that wrote the record.
     pub write: u64,
     /// Totals by pool.
     pub pools: BTreeMap<PoolName, DayTotal>,
 }
 
-/// The parts of an interval, in wall time, by day.
-pub(crate) fn parts_by_day(mut from_ms: u64, to_ms: u64) -> Vec<(Date, u64)> {
+/// Splits an interval of wall time, in milliseconds, at midnight UTC. Returns each day with the
+/// milliseconds of the interval that are in it.
+pub(crate) fn split_by_day(mut from_ms: u64, to_ms: u64) -> Vec<(Date, u64)> {
     let mut parts = Vec::new();
     while from_ms < to_ms {
         let (day, end_ms) = day_of(from_ms);
@@ -94,7 +96,7 @@
     parts
 }
 
-/// The day of a wall time, and the first millisecond after it.
+/// Returns the UTC day of a wall time in milliseconds, and the first millisecond after that day.
 pub(crate) fn day_of(wall_ms: u64) -> (Date, u64) {
     let day = Timestamp::from_millisecond(wall_ms as i64).unwrap_or_default().to_zoned(TimeZone::UTC).date();
     let next = day.tomorrow().and_then(|next| next.to_zoned(TimeZone::UTC));
@@ -102,21 +104,22 @@
     (day, end_ms.unwrap_or(u64::MAX))
 }
 
-/// Is it a day, as `2026-12-02`?
+/// Returns whether the text is a date such as `2026-12-02`.
 pub fn is_day(text: &str) -> bool {
     text.parse::<Date>().is_ok_and(|day| day.to_string() == text)
 }
 
-/// The day before a wall time, its own and the next one: bills of these may be written soon.
+/// Returns the UTC day of a wall time in milliseconds, with the day before and the day after. The
+/// bills of these days may be written soon.
 pub fn days_around(wall_ms: u64) -> Vec<Date> {
     let (day, _) = day_of(wall_ms);
     [day.yesterday().ok(), Some(day), day.tomorrow().ok()].into_iter().flatten().collect()
 }
 
-/// The charges of an interval, one for each day.
+/// Returns the charges for an interval, one for each UTC day.
 pub(crate) fn charges(
     team: &TeamName,
-    payment: Payment,
+    kind: ChargeKind,
     price_per_hour: MicroUnits,
     interval_ms: (u64, u64),
     estimated: bool,
@@ -124,10 +127,10 @@
     let charge = |(day, duration_ms)| Charge {
         day,
         team: team.clone(),
-        payment,
+        kind,
         duration_ms,
         amount: cost(price_per_hour, duration_ms),
         estimated,
     };
-    parts_by_day(interval_ms.0, interval_ms.1).into_iter().map(charge).collect()
+    split_by_day(interval_ms.0, interval_ms.1).into_iter().map(charge).collect()
 }
--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -1,12 +1,14 @@
 //! Pools of warm replicas: how many are wanted and when, the state of each, which job claims it,
-//! and who pays. Pure: no I/O, no clock, no scheduler; times are passed in.
+//! and which team pays. The crate does no I/O, reads no clock and does no scheduling; times are
+//! passed in.
 //!
-//! An operator declares [`Model`]s and [`Pool`]s ([`PoolSettings`]). A [`Slot`] is one replica of
-//! a pool on one machine: room that is held beside the model's image, or, on workers with the
-//! extension for it, a model that is loaded. [`WarmPools`] keeps the slots, decides how many are
-//! missing or too many, takes claims, and charges every moment of a slot's life to one team. What
-//! it must remember is in records ([`SlotRecord`], [`BillRecord`]) that change together in one
-//! [`RecordChanges`]: whoever runs the pools next begins with them.
+//! An operator declares [`Model`]s and [`Pool`]s in [`PoolSettings`]. A [`Slot`] is one replica of
+//! a pool on one machine: either capacity that is reserved on a machine for the model's image, or,
+//! on workers with the model-loading extension, a loaded model. [`WarmPools`] keeps the slots,
+//! determines how many are missing or surplus, accepts claims, and charges each interval of a
+//! slot's lifetime to exactly one team. The state that has to survive a failover is in records
+//! ([`SlotRecord`], [`BillRecord`]) that change together in one [`RecordChanges`]. The next leader
+//! restores the pools from these records.
 #![warn(missing_docs)]
 
 mod bill;
@@ -21,7 +23,7 @@
 mod wall_clock;
 
 pub use badgerdrift_common::{FieldError, Moment};
-pub use bill::{BillRecord, Charge, DayTotal, Payment, days_around, is_day};
+pub use bill::{BillRecord, Charge, ChargeKind, DayTotal, days_around, is_day};
 pub use calendar::{CalendarError, Schedule};
 pub use check::KnownFleet;
 pub use money::{MicroUnits, price_of};
--- a/crates/warm-pools/src/pools/claims.rs
+++ b/crates/warm-pools/src/pools/claims.rs
@@ -1,18 +1,18 @@
-//! Claims: one slot, one claimant.
+//! Claims of slots by tasks. A slot has at most one claimant.
 
 use super::{Moment, WarmPools};
 use crate::settings::HoldKind;
 use crate::slot::{Claim, EndCause, Slot, SlotId, SlotState};
 use std::fmt;
 
-/// Why a slot can't be claimed.
+/// Reason for which a slot cannot be claimed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimError {
-    /// There is no such slot, or it is not free.
+    /// The slot does not exist or is not free.
     NotFree,
     /// The team may not claim from this pool.
     NotAllowed,
-    /// The job's image stands for another model, or another version of it.
+    /// The job's image refers to another model or another version.
     AnotherModel,
 }
 
@@ -21,17 +21,17 @@
         f.write_str(match self {
             ClaimError::NotFree => "the slot is not free",
             ClaimError::NotAllowed => "the team may not claim from the pool",
-            ClaimError::AnotherModel => "the image stands for another model or version",
+            ClaimError::AnotherModel => "the image refers to another model or version than the slot",
         })
     }
 }
 
 impl WarmPools {
-    /// Checks that a job of this team whose image has this name may claim the slot.
+    /// Checks whether a job of this team may claim the slot with an image of this name.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns the reason for which the job may not claim the slot.
     pub fn may_claim(&self, slot: &Slot, image: &str, team: &str) -> Result<(), ClaimError> {
         if !slot.is_claimable() {
             return Err(ClaimError::NotFree);
@@ -39,68 +39,72 @@
         if !self.settings.pools.get(&slot.pool).is_some_and(|pool| pool.may_be_claimed_by(team)) {
             return Err(ClaimError::NotAllowed);
         }
-        // An ordinary worker knows the image by the name that the job gives, and by no other.
-        let same = match slot.keep {
-            HoldKind::Image => slot.image == image && self.settings.resolve(image).as_ref() == Some(&slot.identity),
-            HoldKind::Loaded => self.settings.resolve(image).as_ref() == Some(&slot.identity),
+        // A worker without the model-loading extension knows an image only by the name that the job
+        // gives, so an alias does not match its image.
+        let is_same_model = match slot.keep {
+            HoldKind::Image => {
+                slot.image == image && self.settings.resolve_name(image).as_ref() == Some(&slot.identity)
+            }
+            HoldKind::Loaded => self.settings.resolve_name(image).as_ref() == Some(&slot.identity),
         };
-        if same { Ok(()) } else { Err(ClaimError::AnotherModel) }
+        if is_same_model { Ok(()) } else { Err(ClaimError::AnotherModel) }
     }
 
-    /// Gives a slot to a task of a job whose image has this name. The task must not be ordered
+    /// Claims a slot for a task of a job whose image has this name. The task must not be ordered
     /// before the claim is recorded.
     ///
     /// # Errors
     ///
-    /// Why the slot cannot be claimed, as [`WarmPools::may_claim`] tells.
+    /// Returns the reason given by [`WarmPools::may_claim`].
     pub fn claim(&mut self, id: SlotId, image: &str, claim: Claim, now: Moment) -> Result<(), ClaimError> {
         let slot = self.slots.get(&id).ok_or(ClaimError::NotFree)?;
         self.may_claim(slot, image, &claim.team)?;
         let bill_ms = self.bill_ms(now);
         let slot = self.slots.get_mut(&id).ok_or(ClaimError::NotFree)?;
         slot.charge_until(bill_ms);
-        slot.enter(SlotState::Claiming(claim), &mut self.transitions);
+        slot.set_state(SlotState::Claiming(claim), &mut self.transitions);
         slot.since_ms = now.steady_ms;
         slot.changed = true;
         Ok(())
     }
 
-    /// Claims that wait to be recorded since before this steady time.
+    /// Returns the unrecorded claims that were made at or before this steady time in milliseconds.
     pub fn claims_unrecorded_since(&self, steady_ms: u64) -> Vec<(SlotId, Claim)> {
-        let waits = |slot: &Slot| match &slot.state {
+        let unrecorded_claim = |slot: &Slot| match &slot.state {
             SlotState::Claiming(claim) if slot.since_ms <= steady_ms => Some((slot.id, claim.clone())),
             _ => None,
         };
-        self.slots.values().filter_map(waits).collect()
+        self.slots.values().filter_map(unrecorded_claim).collect()
     }
 
-    /// Gives up a claim that is not recorded; its task was never ordered. The slot is nobody's
-    /// again once it is recorded so: the claim may still be.
+    /// Abandons a claim that is not recorded and whose task was therefore never ordered. The claim
+    /// may still be recorded late, so the slot becomes free only once it is recorded as unclaimed.
     pub fn abandon_claim(&mut self, id: SlotId) {
         if let Some(slot) = self.slots.get_mut(&id)
             && matches!(slot.state, SlotState::Claiming(_))
         {
-            slot.enter(SlotState::Abandoned, &mut self.transitions);
+            slot.set_state(SlotState::Abandoned, &mut self.transitions);
             slot.changed = true;
         }
     }
 
-    /// The leader before this one has recorded a claim, and its task is certainly not on the
-    /// machine and can't come to it any more: the slot is nobody's again.
+    /// Releases a recorded claim whose task was never carried out. The caller must be certain that
+    /// the task, claimed under a previous leader, is not on the machine and cannot start there.
     pub fn void_claim(&mut self, id: SlotId, now: Moment) {
         let bill_ms = self.bill_ms(now);
         if let Some(slot) = self.slots.get_mut(&id)
             && matches!(slot.state, SlotState::Claimed(_))
         {
-            // Nobody has used it since it was claimed.
-            slot.enter(SlotState::Idle, &mut self.transitions);
+            // The claimant never used the slot, so the payer is charged for the time since the claim.
+            slot.set_state(SlotState::Idle, &mut self.transitions);
             slot.charge_until(bill_ms);
             slot.since_ms = now.steady_ms;
             slot.changed = true;
         }
     }
 
-    /// The task that claimed a slot is gone, and the slot with it.
+    /// Handles the end of the task that claimed a slot. The slot ends if the claim is recorded; an
+    /// unrecorded claim is abandoned.
     pub fn claim_ended(&mut self, id: SlotId, now: Moment) {
         match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Claimed(_)) => self.end(id, EndCause::ClaimEnded, now),
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -1,63 +1,66 @@
-//! How slots begin and end.
+//! Creation, loading, draining and end of slots.
 
 use super::{Moment, WarmPools};
-use crate::money::{MicroUnits, micro};
+use crate::money::{MicroUnits, to_micro_units};
 use crate::settings::HoldKind;
 use crate::slot::{EndCause, Slot, SlotId, SlotState, Transition};
 
-/// How long a replica takes until it is warm, before that was seen.
+/// Assumed time, in milliseconds, until a replica is warm, for pools without a known load time.
 const ASSUMED_LOAD_MS: u64 = 60_000;
 
-/// Where a new slot is to be.
+/// Machine on which a new slot is created.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlotPlace {
     /// Id of the machine.
     pub host: String,
-    /// Session of its worker.
+    /// Session of the machine's worker.
     pub agent_epoch: u64,
-    /// What the replica's part of the machine costs in an hour.
+    /// Price per hour of the replica's part of the machine.
     pub price_per_hour: MicroUnits,
-    /// The machine has the image already, and room is all that is held.
+    /// Whether the machine already has the image. With [`HoldKind::Image`] the slot is idle from the
+    /// start in this case.
     pub warm: bool,
 }
 
 impl WarmPools {
-    /// Looks at the time, and drains what is too much. `boot_ms` is how long a machine takes to
-    /// boot.
+    /// Recomputes the targets, drains replaced and surplus slots, and charges the slots that are due.
+    /// `boot_ms` is the time, in milliseconds, in which a machine boots.
     pub fn refresh(&mut self, boot_ms: u64, now: Moment) {
-        let load_ms = &self.load_ms;
-        let warm_up_ms = |pool: &str| boot_ms + load_ms.get(pool).copied().unwrap_or(ASSUMED_LOAD_MS);
+        let last_load_ms = &self.last_load_ms;
+        let warm_up_ms = |pool: &str| boot_ms + last_load_ms.get(pool).copied().unwrap_or(ASSUMED_LOAD_MS);
         self.targets.update(now.steady_ms, now.wall_ms, warm_up_ms);
         self.drain_replaced(now);
         let pools: Vec<String> = self.settings.pools.keys().cloned().collect();
         for pool in pools {
             self.drain_surplus(&pool, now);
         }
-        self.charge_all(now);
+        self.charge_due_slots(now);
     }
 
-    /// How many replicas a pool lacks, whatever they cost.
+    /// Returns the number of replicas that a pool is below its target, regardless of cost limits.
     pub fn missing(&self, pool: &str) -> usize {
-        let current = self.available(pool).filter(|slot| !self.is_replaced(slot)).count();
+        let current = self.available_slots(pool).filter(|slot| !self.is_replaced(slot)).count();
         self.targets.wanted(pool).saturating_sub(current)
     }
 
-    /// How many more replicas a pool may begin with now, at this price each.
+    /// Returns the number of replicas at this price that a pool may start now, within its target, its
+    /// limit of concurrent loads and its cost limits.
     pub fn startable_count(&self, pool: &str, price_per_hour: MicroUnits, now: Moment) -> usize {
         let Some(declared) = self.settings.pools.get(pool) else { return 0 };
-        if self.budget_is_used_up(pool, now) {
+        if self.daily_budget_exhausted(pool, now) {
             return 0;
         }
-        let loading = self.available(pool).filter(|slot| slot.state == SlotState::Loading).count();
-        let by_loads = declared.loads_at_a_time.saturating_sub(loading);
-        let by_cost = declared.idle_cost_per_hour.map_or(usize::MAX, |ceiling| {
-            let left = micro(ceiling).saturating_sub(self.idle_cost_per_hour(pool));
-            left.checked_div(price_per_hour).map_or(usize::MAX, |count| count as usize)
+        let loading = self.available_slots(pool).filter(|slot| slot.state == SlotState::Loading).count();
+        let load_limit = declared.loads_at_a_time.saturating_sub(loading);
+        let cost_limit = declared.idle_cost_per_hour.map_or(usize::MAX, |ceiling| {
+            let remaining = to_micro_units(ceiling).saturating_sub(self.idle_cost_per_hour(pool));
+            remaining.checked_div(price_per_hour).map_or(usize::MAX, |count| count as usize)
         });
-        self.missing(pool).min(by_loads).min(by_cost)
+        self.missing(pool).min(load_limit).min(cost_limit)
     }
 
-    /// Begins with a replica of a pool. Nothing may be ordered for it before it is recorded.
+    /// Creates a slot for a new replica of a pool. No order may be sent for it before it is recorded.
+    /// Returns `None` if the pool or its model is not declared.
     pub fn begin(&mut self, id: SlotId, pool: &str, place: SlotPlace, now: Moment) -> Option<&Slot> {
         let declared = self.settings.pools.get(pool)?;
         let model = self.settings.models.get(&declared.model)?;
@@ -86,27 +89,28 @@
         Some(self.slots.entry(id).or_insert(slot))
     }
 
-    /// A slot was seen on its machine, warm or not yet.
+    /// Handles a report that the slot is on its machine. `warm` tells whether the replica is warm.
     pub fn mark_reported(&mut self, id: SlotId, warm: bool, now: Moment) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
-        // A late copy of a report changes nothing of a slot that is gone.
+        // A delayed or duplicate report must not change a slot that has ended.
         if matches!(slot.state, SlotState::Ended(_)) {
             return;
         }
         if !slot.reported_since_failover {
-            // Until now nobody had observed it since the failover.
+            // The time before this first report since the failover is charged as estimated.
             slot.charge_until(bill_ms);
             slot.reported_since_failover = true;
         }
         if warm && slot.state == SlotState::Loading {
-            slot.enter(SlotState::Idle, &mut self.transitions);
+            slot.set_state(SlotState::Idle, &mut self.transitions);
             slot.changed = true;
-            self.load_ms.insert(slot.pool.clone(), now.steady_ms.saturating_sub(slot.since_ms));
+            self.last_load_ms.insert(slot.pool.clone(), now.steady_ms.saturating_sub(slot.since_ms));
         }
     }
 
-    /// Unloads a slot that nobody has claimed. Where only room is held it ends at once.
+    /// Begins to unload an unclaimed slot. One that only reserves capacity, or that is not recorded,
+    /// ends at once. A claimed, draining or ended slot is not changed.
     pub fn drain(&mut self, id: SlotId, cause: EndCause, now: Moment) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         if !slot.is_available() {
@@ -116,12 +120,12 @@
             self.end(id, cause, now);
             return;
         }
-        slot.enter(SlotState::Draining(cause), &mut self.transitions);
+        slot.set_state(SlotState::Draining(cause), &mut self.transitions);
         slot.since_ms = now.steady_ms;
     }
 
-    /// The worker has no such slot any more, or never had: what was drained is gone, and what was
-    /// not is lost.
+    /// Handles a report that the worker does not have the slot. A draining slot ends with the cause
+    /// for which it was drained; a loading or idle one ends with [`EndCause::NotReported`].
     pub fn mark_missing(&mut self, id: SlotId, now: Moment) {
         let cause = match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Draining(cause)) => *cause,
@@ -131,34 +135,37 @@
         self.end(id, cause, now);
     }
 
-    /// All that was on a machine is gone.
+    /// Ends all slots of a machine.
     pub fn host_lost(&mut self, host: &str, cause: EndCause, now: Moment) {
-        let there = |slot: &&Slot| slot.host == host && !matches!(slot.state, SlotState::Ended(_));
-        let lost: Vec<SlotId> = self.slots.values().filter(there).map(|slot| slot.id).collect();
+        let is_affected = |slot: &&Slot| slot.host == host && !matches!(slot.state, SlotState::Ended(_));
+        let lost: Vec<SlotId> = self.slots.values().filter(is_affected).map(|slot| slot.id).collect();
         for id in lost {
             self.end(id, cause, now);
         }
     }
 
-    /// A slot ends; its last interval is charged, and its record is deleted with the next changes.
+    /// Ends a slot: charges its last interval and marks its record for deletion by one of the next
+    /// commits.
     pub(super) fn end(&mut self, id: SlotId, cause: EndCause, now: Moment) {
         let bill_ms = self.bill_ms(now);
         let unresolved = self.is_being_written(id);
         let Some(slot) = self.slots.get_mut(&id) else { return };
         slot.charge_until(bill_ms);
-        slot.enter(SlotState::Ended(cause), &mut self.transitions);
+        slot.set_state(SlotState::Ended(cause), &mut self.transitions);
         slot.changed = true;
-        // Never recorded: nothing was ordered for it, and nobody knows of it.
+        // A slot that was never recorded has no orders and no record, so it is dropped.
         if slot.version == 0 && !unresolved {
             self.slots.remove(&id);
         }
     }
 
-    fn available(&self, pool: &str) -> impl Iterator<Item = &Slot> {
+    /// Returns the loading and idle slots of a pool.
+    fn available_slots(&self, pool: &str) -> impl Iterator<Item = &Slot> {
         self.slots.values().filter(move |slot| slot.pool == pool && slot.is_available())
     }
 
-    /// Does the slot's pool keep something else by now?
+    /// Returns whether the slot's pool now keeps another model, another version or by another
+    /// method, or is no longer declared.
     fn is_replaced(&self, slot: &Slot) -> bool {
         let declared = self.settings.pools.get(&slot.pool);
         let current = declared.is_some_and(|pool| {
@@ -167,25 +174,26 @@
         !current
     }
 
-    /// Drains slots of earlier versions, as far as as many of the present one are warm; those of
-    /// pools that are not declared any more at once.
+    /// Drains replaced slots. A pool keeps as many of them as it lacks warm replicas of the current
+    /// version; pools that are no longer declared keep none.
     fn drain_replaced(&mut self, now: Moment) {
         let mut replaced: Vec<SlotId> = Vec::new();
         for (pool, slots) in self.replaced_by_pool() {
-            let warm = |slot: &&Slot| slot.state == SlotState::Idle && !self.is_replaced(slot);
-            let warm = self.available(&pool).filter(warm).count();
-            let kept = if self.settings.pools.contains_key(&pool) {
-                self.targets.wanted(&pool).saturating_sub(warm)
+            let is_warm = |slot: &&Slot| slot.state == SlotState::Idle && !self.is_replaced(slot);
+            let warm_count = self.available_slots(&pool).filter(is_warm).count();
+            let kept_count = if self.settings.pools.contains_key(&pool) {
+                self.targets.wanted(&pool).saturating_sub(warm_count)
             } else {
                 0
             };
-            replaced.extend(slots.into_iter().skip(kept));
+            replaced.extend(slots.into_iter().skip(kept_count));
         }
         for id in replaced {
             self.drain(id, EndCause::Replaced, now);
         }
     }
 
+    /// Returns the loading and idle slots that are replaced, by pool.
     fn replaced_by_pool(&self) -> std::collections::BTreeMap<String, Vec<SlotId>> {
         let mut replaced: std::collections::BTreeMap<String, Vec<SlotId>> = std::collections::BTreeMap::new();
         for slot in self.slots.values().filter(|slot| slot.is_available() && self.is_replaced(slot)) {
@@ -194,17 +202,18 @@
         replaced
     }
 
-    /// Drains what is beyond the target, and what idle replicas may not cost: first those that are
-    /// not warm yet, then the youngest.
+    /// Drains slots beyond the target or beyond the cost limits of idle replicas: first those that
+    /// are not warm yet, then the newest.
     fn drain_surplus(&mut self, pool: &str, now: Moment) {
         let mut current: Vec<(bool, SlotId, MicroUnits)> = self
-            .available(pool)
+            .available_slots(pool)
             .filter(|slot| !self.is_replaced(slot))
             .map(|slot| (slot.state == SlotState::Idle, slot.id, slot.price_per_hour))
             .collect();
         current.sort_by_key(|(warm, id, _)| (!warm, *id));
-        let wanted = if self.budget_is_used_up(pool, now) { 0 } else { self.targets.wanted(pool) };
-        let ceiling = self.settings.pools.get(pool).and_then(|declared| declared.idle_cost_per_hour).map(micro);
+        let wanted = if self.daily_budget_exhausted(pool, now) { 0 } else { self.targets.wanted(pool) };
+        let ceiling =
+            self.settings.pools.get(pool).and_then(|declared| declared.idle_cost_per_hour).map(to_micro_units);
         let mut cost = 0;
         for (position, (_, id, price)) in current.into_iter().enumerate() {
             cost += price;
--- a/crates/warm-pools/src/pools/mod.rs
+++ b/crates/warm-pools/src/pools/mod.rs
@@ -1,4 +1,4 @@
-//! All pools of one leader: their slots, and what follows from the time, from reports and claims.
+//! All pools of one leader: their slots, and the changes caused by time, reports and claims.
 
 mod charging;
 mod claims;
@@ -19,68 +19,71 @@
 use badgerdrift_common::Moment;
 use jiff::civil::Date;
 use std::collections::{BTreeMap, BTreeSet};
-use writes::{BillVersion, InFlight};
+use writes::{PoolCommit, VersionedBill};
 
-/// The pools of one leader.
+/// Pools of one leader, with their slots and bills.
 #[derive(Debug, Clone)]
 pub struct WarmPools {
     settings: PoolSettings,
     targets: Targets,
     slots: BTreeMap<SlotId, Slot>,
-    /// Bills as recorded, of the days that charges are about.
-    bills: BTreeMap<(Date, TeamName), BillVersion>,
-    /// When this leader began: charges are told by the steady clock from then on, so that a step
-    /// of the time of day neither charges twice nor leaves a gap.
-    began: Moment,
-    /// How long replicas took until they were warm, lately, by pool.
-    load_ms: BTreeMap<String, u64>,
-    /// Changes of slots' states since they were last taken.
+    /// Recorded bills of the days for which there are charges.
+    bills: BTreeMap<(Date, TeamName), VersionedBill>,
+    /// Time at which this leader started. Billing time advances with the steady clock from then on,
+    /// so that a step of the wall clock neither charges an interval twice nor leaves a gap.
+    started_at: Moment,
+    /// Time, in milliseconds, that the replica that became warm last in each pool took to load.
+    last_load_ms: BTreeMap<String, u64>,
+    /// State changes of slots since the last call of [`WarmPools::take_transitions`].
     transitions: Vec<Transition>,
-    in_flight: Option<InFlight>,
-    /// Commits without an answer that may be made yet.
-    unresolved: Vec<InFlight>,
-    /// Slots whose changes have to be in the next commit, so that none of these can be made later.
-    retried: BTreeSet<SlotId>,
+    /// Commit whose outcome is awaited.
+    in_flight: Option<PoolCommit>,
+    /// Commits without an answer, which may still be carried out.
+    unresolved: Vec<PoolCommit>,
+    /// Slots that the next commit has to write, so that no unresolved commit can be carried out
+    /// after it.
+    must_rewrite: BTreeSet<SlotId>,
 }
 
 impl WarmPools {
-    /// Pools without slots; the settings were checked.
+    /// Creates pools without slots. The settings must have passed [`PoolSettings::check`].
     pub fn new(settings: PoolSettings, now: Moment) -> WarmPools {
         WarmPools {
             targets: Targets::new(&settings),
             settings,
             slots: BTreeMap::new(),
             bills: BTreeMap::new(),
-            began: now,
-            load_ms: BTreeMap::new(),
+            started_at: now,
+            last_load_ms: BTreeMap::new(),
             transitions: Vec::new(),
             in_flight: None,
             unresolved: Vec::new(),
-            retried: BTreeSet::new(),
+            must_rewrite: BTreeSet::new(),
         }
     }
 
-    /// What was declared.
+    /// Returns the declared settings.
     pub fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// Changes of slots' states since the last call.
+    /// Takes the state changes of slots since the last call.
     pub fn take_transitions(&mut self) -> Vec<Transition> {
         std::mem::take(&mut self.transitions)
     }
 
-    /// All slots, those included that are ended and still recorded.
+    /// Returns all slots, including those that have ended and are still recorded.
     pub fn slots(&self) -> impl Iterator<Item = &Slot> {
         self.slots.values()
     }
 
-    /// The slot of this number.
+    /// Returns the slot with this number, or `None` if there is none.
     pub fn slot(&self, id: SlotId) -> Option<&Slot> {
         self.slots.get(&id)
     }
 
-    /// The recorded bill of a team for a day, as far as this leader knows it.
+    /// Returns the recorded bill of a team for a UTC day, or `None` if this leader has neither read
+    /// nor written one.
     pub fn bill(&self, day: Date, team: &str) -> Option<&BillRecord> {
         self.bills.get(&(day, team.to_string())).map(|bill| &bill.record)
     }
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -1,6 +1,6 @@
-//! Going on from the records of the leader before.
+//! Restoring the pools from the records of the previous leader.
 
-use super::writes::BillVersion;
+use super::writes::VersionedBill;
 use super::{Moment, WarmPools};
 use crate::records::{RecordKey, SlotRecord, StoredRecord};
 use crate::slot::{Slot, SlotId, SlotState};
@@ -8,28 +8,30 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl WarmPools {
-    /// Takes the records of the leader before. What it did not record until now is charged by its
-    /// last record and marked as estimated, up to `estimate_at_most_s`. Whose time a claimed slot's
-    /// was is told once it is known whether its task was ever ordered.
+    /// Restores slots and bills from the records of the previous leader. The time since a slot's
+    /// last record is charged according to that record and marked as estimated, up to
+    /// `estimate_at_most_s`. A claimed slot is charged only once it is known whether its task was
+    /// ever ordered, as this determines the paying team.
     pub fn restore(&mut self, records: impl IntoIterator<Item = (RecordKey, StoredRecord, u64)>, now: Moment) {
         for (key, record, version) in records {
             match (key, record) {
                 (RecordKey::Slot(id), StoredRecord::Slot(record)) => {
-                    self.slots.insert(id, restored(id, *record, version, now));
+                    self.slots.insert(id, slot_from_record(id, *record, version, now));
                 }
                 (RecordKey::Bill(day, team), StoredRecord::Bill(record)) => {
-                    self.bills.insert((day, team), BillVersion { record, version });
+                    self.bills.insert((day, team), VersionedBill { record, version });
                 }
                 _ => {}
             }
         }
         let recorded_ms = self.slots.values().map(|slot| slot.charged_until_ms).max().unwrap_or(0);
-        // A clock that is behind the last leader's must not charge again what that one did.
-        self.began = Moment { wall_ms: now.wall_ms.max(recorded_ms), ..now };
-        let most_ms = (self.settings.estimate_at_most_s * MS_PER_S) as u64;
-        let bill_ms = self.began.wall_ms;
+        // If this clock is behind that of the previous leader, billing time starts at the latest
+        // recorded charge, so that no interval is charged twice.
+        self.started_at = Moment { wall_ms: now.wall_ms.max(recorded_ms), ..now };
+        let max_estimate_ms = (self.settings.estimate_at_most_s * MS_PER_S) as u64;
+        let bill_ms = self.started_at.wall_ms;
         for slot in self.slots.values_mut() {
-            slot.charged_until_ms = slot.charged_until_ms.max(bill_ms.saturating_sub(most_ms));
+            slot.charged_until_ms = slot.charged_until_ms.max(bill_ms.saturating_sub(max_estimate_ms));
             if !slot.has_indeterminate_claim() {
                 slot.charge_until(bill_ms);
             }
@@ -38,7 +40,8 @@
     }
 }
 
-fn restored(id: SlotId, record: SlotRecord, version: u64, now: Moment) -> Slot {
+/// Returns the slot of a record, as not reported since the failover.
+fn slot_from_record(id: SlotId, record: SlotRecord, version: u64, now: Moment) -> Slot {
     let state = match record.claim {
         Some(claim) => SlotState::Claimed(claim.into()),
         None if record.warm => SlotState::Idle,
--- a/crates/warm-pools/src/pools/status.rs
+++ b/crates/warm-pools/src/pools/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a pool.
+//! Status of pools, as operators see it.
 
 use super::WarmPools;
 use crate::money::MicroUnits;
@@ -6,37 +6,37 @@
 use crate::slot::{Slot, SlotState};
 use serde::{Deserialize, Serialize};
 
-/// How a pool is.
+/// Status of one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// The team that pays.
+    /// Team that pays for idle replicas.
     pub payer: TeamName,
-    /// What it loads now.
+    /// Model and version that the pool loads; `None` if its model is not declared.
     pub identity: Option<ModelIdentity>,
-    /// Replicas wanted now.
+    /// Number of replicas wanted.
     pub wanted: usize,
-    /// Replicas for which a machine is still to be found.
+    /// Number of replicas that are missing and for which no slot exists yet.
     pub renting: usize,
-    /// Replicas that are loaded, or whose room waits for the image.
+    /// Number of replicas that are being loaded, or whose machine does not have the image yet.
     pub loading: usize,
-    /// Warm replicas that nobody has claimed.
+    /// Number of warm, unclaimed replicas.
     pub idle: usize,
-    /// Replicas that are claimed.
+    /// Number of claimed replicas, whether the claim is recorded or not.
     pub claimed: usize,
-    /// Replicas that are being unloaded.
+    /// Number of replicas that are being unloaded.
     pub draining: usize,
-    /// What replicas that nobody has claimed cost in an hour, in micro-units.
+    /// Price per hour of all loading and idle replicas, in micro-units.
     pub idle_cost_per_hour: MicroUnits,
 }
 
 impl WarmPools {
-    /// How all pools are.
+    /// Returns the status of all pools, by name.
     pub fn status(&self) -> Vec<PoolStatus> {
         let status = |(name, pool): (&PoolName, &crate::settings::Pool)| {
-            let count = |holds: fn(&SlotState) -> bool| {
-                self.slots.values().filter(|slot: &&Slot| slot.pool == *name && holds(&slot.state)).count()
+            let count = |matches_state: fn(&SlotState) -> bool| {
+                self.slots.values().filter(|slot: &&Slot| slot.pool == *name && matches_state(&slot.state)).count()
             };
             PoolStatus {
                 pool: name.clone(),
--- a/crates/warm-pools/src/pools/writes.rs
+++ b/crates/warm-pools/src/pools/writes.rs
@@ -1,10 +1,11 @@
-//! Changes of records: which are due, and what their outcome means.
+//! Commits of records: selection of the changes that are due, and handling of the outcome.
 //!
-//! A slot's record and the bills that its charges go to change in one commit. A commit without an
-//! answer may have been made or may still be: its records are read, and each names the commit that
-//! wrote it. If it was not made, the next commit writes the same records again, so that both can't
-//! be made. The first record of a slot comes with a write of its payer's bill: that the record is
-//! not there would not keep a late write out once the slot has been and gone.
+//! A slot's record and the bills that contain its charges change in one commit. A commit without an
+//! answer may have been carried out, or may still be. Its records are then read, and each names the
+//! commit that wrote it. If the commit was not carried out, the next one writes the same records
+//! again, so that at most one of the two succeeds. The first record of a slot is written together
+//! with its payer's bill. The condition that the slot's record does not exist would not reject a
+//! late write after the slot has ended and its record is deleted; the version of the bill does.
 
 use super::WarmPools;
 use crate::bill::{BillRecord, day_of};
@@ -14,60 +15,63 @@
 use jiff::civil::Date;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A bill as recorded, and the version of its record; 0 if there is none.
+/// Recorded bill with the version of its record; 0 if there is none.
 #[derive(Debug, Clone, Default)]
-pub(super) struct BillVersion {
+pub(super) struct VersionedBill {
     pub(super) record: BillRecord,
     pub(super) version: u64,
 }
 
-/// What a commit tells of a slot.
+/// State of a slot as written by a commit.
 #[derive(Debug, Clone)]
-struct Snapshot {
+struct WrittenSlot {
     claim: Option<Claim>,
     deleted: bool,
-    /// So many of its charges, the first ones, are in the bills.
-    charges: usize,
+    /// Number of charges, counted from the oldest, that the bills of the commit contain.
+    charge_count: usize,
 }
 
-/// A commit whose outcome is not known.
+/// Commit whose outcome is unknown.
 #[derive(Debug, Clone)]
-pub(super) struct InFlight {
+pub(super) struct PoolCommit {
     id: WriteId,
-    slots: BTreeMap<SlotId, Snapshot>,
+    slots: BTreeMap<SlotId, WrittenSlot>,
     bills: BTreeMap<(Date, TeamName), BillRecord>,
-    /// Its records were read since it had no answer.
-    read: bool,
+    /// Whether its records were read after it had no answer.
+    records_read: bool,
 }
 
-impl InFlight {
+impl PoolCommit {
+    /// Returns the keys of all records that the commit writes or deletes.
     fn keys(&self) -> Vec<RecordKey> {
         let slots = self.slots.keys().map(|id| RecordKey::Slot(*id));
         slots.chain(self.bills.keys().map(|(day, team)| RecordKey::Bill(*day, team.clone()))).collect()
     }
 
-    /// Do the records say that it was made? One that deletes, and writes no bill, leaves no record.
-    fn was_made(&self, found: &BTreeMap<RecordKey, Option<(StoredRecord, u64)>>) -> bool {
-        let written_by_it =
+    /// Returns whether the records show that the commit was carried out. A commit that only deletes
+    /// slots and writes no bill leaves no record; it counts as carried out once all its slots are
+    /// absent.
+    fn was_committed(&self, found: &BTreeMap<RecordKey, Option<(StoredRecord, u64)>>) -> bool {
+        let names_this_commit =
             |key: RecordKey| matches!(found.get(&key), Some(Some((record, _))) if record.write() == self.id);
         let only_deletes = self.bills.is_empty() && self.slots.values().all(|snapshot| snapshot.deleted);
-        let is_missing = |id: &SlotId| found.get(&RecordKey::Slot(*id)).is_some_and(Option::is_none);
-        self.keys().into_iter().any(written_by_it) || (only_deletes && self.slots.keys().all(is_missing))
+        let is_absent = |id: &SlotId| found.get(&RecordKey::Slot(*id)).is_some_and(Option::is_none);
+        self.keys().into_iter().any(names_this_commit) || (only_deletes && self.slots.keys().all(is_absent))
     }
 }
 
-/// What follows from a commit that was made.
+/// Consequence of a successful commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoolEvent {
-    /// A slot is recorded: it may be loaded.
+    /// A new slot is recorded, so its replica may be loaded.
     SlotRecorded(SlotId),
-    /// A claim is recorded: its task may be ordered.
+    /// A claim is recorded, so its task may be ordered.
     ClaimRecorded(SlotId, Claim),
-    /// A slot that was not free is nobody's again.
+    /// A slot whose claim was abandoned is recorded as unclaimed and free again.
     SlotFree(SlotId),
 }
 
-/// Which slots are written first; lowest first.
+/// Order in which slots are written, lowest value first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Priority {
     Claim,
@@ -77,17 +81,18 @@
 }
 
 impl WarmPools {
-    /// The next changes, with at most so many writes, if any are due. Their outcome has to be told
-    /// before there are others.
-    pub fn next_changes(&mut self, id: WriteId, most: usize) -> Option<RecordChanges> {
+    /// Returns the changes for the next commit, with at most `max_writes` writes, or `None` if none
+    /// are due or the outcome of an earlier commit is open. The caller has to report the outcome by
+    /// [`Self::written`], [`Self::not_written`] or [`Self::indeterminate`].
+    pub fn next_changes(&mut self, id: WriteId, max_writes: usize) -> Option<RecordChanges> {
         if self.in_flight.is_some() || !self.unresolved_are_read() {
             return None;
         }
-        let chosen = self.choose(most);
+        let chosen = self.select_slots(max_writes);
         if chosen.is_empty() {
             return None;
         }
-        let mut in_flight = InFlight { id, slots: BTreeMap::new(), bills: BTreeMap::new(), read: false };
+        let mut in_flight = PoolCommit { id, slots: BTreeMap::new(), bills: BTreeMap::new(), records_read: false };
         let mut writes = Vec::new();
         for slot_id in chosen {
             let Some(slot) = self.slots.get_mut(&slot_id) else { continue };
@@ -101,8 +106,11 @@
                 }
             }
             let record = slot.record(id);
-            let snapshot =
-                Snapshot { claim: slot.claim().cloned(), deleted: record.is_none(), charges: slot.charges.len() };
+            let snapshot = WrittenSlot {
+                claim: slot.claim().cloned(),
+                deleted: record.is_none(),
+                charge_count: slot.charges.len(),
+            };
             in_flight.slots.insert(slot_id, snapshot);
             writes.push(RecordWrite {
                 key: RecordKey::Slot(slot_id),
@@ -124,14 +132,14 @@
         Some(RecordChanges { id, writes })
     }
 
-    /// The slots that the next commit is about: those of a commit that may still be made, or the
-    /// first ones that there is room for.
-    fn choose(&self, most: usize) -> Vec<SlotId> {
-        let mut due: Vec<(Priority, SlotId)> = if self.retried.is_empty() {
+    /// Selects the slots of the next commit. These are all slots of unresolved commits, if there are
+    /// any, or else as many changed slots as fit, in order of priority.
+    fn select_slots(&self, max_writes: usize) -> Vec<SlotId> {
+        let mut due: Vec<(Priority, SlotId)> = if self.must_rewrite.is_empty() {
             let changed = self.slots.values().filter(|slot| slot.changed);
             changed.map(|slot| (slot.priority(), slot.id)).collect()
         } else {
-            self.retried.iter().map(|id| (Priority::Claim, *id)).collect()
+            self.must_rewrite.iter().map(|id| (Priority::Claim, *id)).collect()
         };
         due.sort_unstable();
         let mut chosen = Vec::new();
@@ -139,57 +147,60 @@
             self.unresolved.iter().flat_map(|commit| commit.bills.keys().cloned()).collect();
         for (_, id) in due {
             let Some(slot) = self.slots.get(&id) else { continue };
-            let mut with_this = bills.clone();
-            with_this.extend(slot.bill_keys());
-            if chosen.len() + 1 + with_this.len() > most {
-                // All of a commit that may still be made, or nothing.
-                return if self.retried.is_empty() { chosen } else { Vec::new() };
+            let mut bills_with_slot = bills.clone();
+            bills_with_slot.extend(slot.bill_keys());
+            if chosen.len() + 1 + bills_with_slot.len() > max_writes {
+                // The slots of unresolved commits are written all together or not at all.
+                return if self.must_rewrite.is_empty() { chosen } else { Vec::new() };
             }
-            bills = with_this;
+            bills = bills_with_slot;
             chosen.push(id);
         }
         chosen
     }
 
-    /// The changes were made, at this revision.
+    /// Handles the success of the commit in flight, at this revision, and returns what follows.
     pub fn written(&mut self, revision: u64) -> Vec<PoolEvent> {
         let Some(in_flight) = self.in_flight.take() else { return Vec::new() };
         let keys = in_flight.keys();
-        self.made(in_flight, &keys.into_iter().map(|key| (key, revision)).collect())
+        self.apply_commit(in_flight, &keys.into_iter().map(|key| (key, revision)).collect())
     }
 
-    /// The changes were certainly not made, and will not be.
+    /// Handles the failure of the commit in flight, which certainly was not and never will be carried
+    /// out.
     pub fn not_written(&mut self) {
         let Some(in_flight) = self.in_flight.take() else { return };
         self.mark_changed(&in_flight);
     }
 
-    /// The changes may have been made or may still be, or did not meet the records as expected:
-    /// these records must be read.
+    /// Handles an unknown outcome of the commit in flight, or a record without the expected version.
+    /// The records of the commit have to be read next, see [`Self::keys_to_read`].
     pub fn indeterminate(&mut self) {
         let Some(in_flight) = self.in_flight.take() else { return };
         self.mark_changed(&in_flight);
-        self.retried.extend(in_flight.slots.keys());
+        self.must_rewrite.extend(in_flight.slots.keys());
         self.unresolved.push(in_flight);
     }
 
-    /// The records that must be read before there are further changes; none if nothing is indeterminate.
+    /// Returns the keys of the records that have to be read before the next commit; empty if the
+    /// outcome of no commit is unknown.
     pub fn keys_to_read(&self) -> Vec<RecordKey> {
         if self.unresolved_are_read() {
             return Vec::new();
         }
-        let keys: BTreeSet<RecordKey> = self.unresolved.iter().flat_map(InFlight::keys).collect();
+        let keys: BTreeSet<RecordKey> = self.unresolved.iter().flat_map(PoolCommit::keys).collect();
         keys.into_iter().collect()
     }
 
-    /// Takes these records, all of [`Self::keys_to_read`], as they are now, with their versions.
+    /// Applies the current values and versions of all records of [`Self::keys_to_read`], and returns
+    /// what follows if they show that an unresolved commit was carried out.
     pub fn reread(&mut self, found: Vec<(RecordKey, Option<(StoredRecord, u64)>)>) -> Vec<PoolEvent> {
         let found: BTreeMap<RecordKey, Option<(StoredRecord, u64)>> = found.into_iter().collect();
-        let made = self.unresolved.iter().position(|commit| commit.was_made(&found));
-        if let Some(position) = made {
+        let committed = self.unresolved.iter().position(|commit| commit.was_committed(&found));
+        if let Some(position) = committed {
             let commit = self.unresolved.swap_remove(position);
             let versions = found.iter().map(|(key, item)| (key.clone(), item.as_ref().map_or(0, |item| item.1)));
-            return self.made(commit, &versions.collect());
+            return self.apply_commit(commit, &versions.collect());
         }
         for (key, item) in found {
             let version = item.as_ref().map_or(0, |item| item.1);
@@ -200,37 +211,38 @@
                     }
                 }
                 (RecordKey::Bill(day, team), Some((StoredRecord::Bill(record), version))) => {
-                    self.bills.insert((day, team), BillVersion { record, version });
+                    self.bills.insert((day, team), VersionedBill { record, version });
                 }
                 _ => {}
             }
         }
-        self.unresolved.iter_mut().for_each(|commit| commit.read = true);
+        self.unresolved.iter_mut().for_each(|commit| commit.records_read = true);
         Vec::new()
     }
 
-    /// A commit was made; these are the versions of its records now. Those before it that had no
-    /// answer can't be made any more: it wrote all of their slots.
-    fn made(&mut self, commit: InFlight, versions: &BTreeMap<RecordKey, u64>) -> Vec<PoolEvent> {
+    /// Applies a successful commit with the current versions of its records. The unresolved commits
+    /// before it can no longer be carried out, as it wrote all their slots.
+    fn apply_commit(&mut self, commit: PoolCommit, versions: &BTreeMap<RecordKey, u64>) -> Vec<PoolEvent> {
         self.unresolved.clear();
-        self.retried.clear();
+        self.must_rewrite.clear();
         let mut events = Vec::new();
         for (id, snapshot) in commit.slots {
             if snapshot.deleted {
                 self.slots.remove(&id);
             } else if let Some(slot) = self.slots.get_mut(&id) {
                 let version = versions.get(&RecordKey::Slot(id)).copied().unwrap_or(0);
-                events.extend(slot.recorded(&snapshot, version, &mut self.transitions));
+                events.extend(slot.apply_write(&snapshot, version, &mut self.transitions));
             }
         }
         for ((day, team), record) in commit.bills {
             let version = versions.get(&RecordKey::Bill(day, team.clone())).copied().unwrap_or(0);
-            self.bills.insert((day, team), BillVersion { record, version });
+            self.bills.insert((day, team), VersionedBill { record, version });
         }
         events
     }
 
-    fn mark_changed(&mut self, commit: &InFlight) {
+    /// Marks the slots of a commit as changed, so that they are written again.
+    fn mark_changed(&mut self, commit: &PoolCommit) {
         for id in commit.slots.keys() {
             if let Some(slot) = self.slots.get_mut(id) {
                 slot.changed = true;
@@ -239,18 +251,18 @@
     }
 
     fn unresolved_are_read(&self) -> bool {
-        self.unresolved.iter().all(|commit| commit.read)
+        self.unresolved.iter().all(|commit| commit.records_read)
     }
 
-    /// Is, or may a record of the slot be written by a commit under way?
+    /// Returns whether a commit in flight or an unresolved one may write the slot's record.
     pub(super) fn is_being_written(&self, id: SlotId) -> bool {
         let under_way = self.in_flight.as_ref().is_some_and(|commit| commit.slots.contains_key(&id));
-        under_way || self.retried.contains(&id)
+        under_way || self.must_rewrite.contains(&id)
     }
 }
 
 impl Slot {
-    /// The bills that are written with its record.
+    /// Returns the bills that are written together with the slot's record.
     fn bill_keys(&self) -> BTreeSet<(Date, TeamName)> {
         let charged = self.charges.iter().map(|charge| (charge.day, charge.team.clone()));
         let first = (self.version == 0).then(|| (day_of(self.charged_until_ms).0, self.payer.clone()));
@@ -266,8 +278,9 @@
         }
     }
 
-    /// Its record; `None` if that is to be deleted. One that ended while its first record may still
-    /// be written is written first: a record that comes late would stay.
+    /// Returns the record to write, or `None` if the record has to be deleted. A slot that ended
+    /// while its first record may still be written is written once before it is deleted, since a
+    /// record that is written late would never be deleted.
     fn record(&self, write: WriteId) -> Option<SlotRecord> {
         if matches!(self.state, SlotState::Ended(_)) && self.version > 0 {
             return None;
@@ -290,18 +303,23 @@
         })
     }
 
-    /// Its record was written; what follows.
-    fn recorded(&mut self, snapshot: &Snapshot, version: u64, transitions: &mut Vec<Transition>) -> Option<PoolEvent> {
+    /// Updates the slot after its record was written at this version, and returns what follows.
+    fn apply_write(
+        &mut self,
+        snapshot: &WrittenSlot,
+        version: u64,
+        transitions: &mut Vec<Transition>,
+    ) -> Option<PoolEvent> {
         let is_new = self.version == 0;
         self.version = version;
-        self.charges.drain(..snapshot.charges.min(self.charges.len()));
+        self.charges.drain(..snapshot.charge_count.min(self.charges.len()));
         match self.state.clone() {
             SlotState::Claiming(claim) if snapshot.claim.as_ref() == Some(&claim) => {
-                self.enter(SlotState::Claimed(claim.clone()), transitions);
+                self.set_state(SlotState::Claimed(claim.clone()), transitions);
                 Some(PoolEvent::ClaimRecorded(self.id, claim))
             }
             SlotState::Abandoned if snapshot.claim.is_none() => {
-                self.enter(SlotState::Idle, transitions);
+                self.set_state(SlotState::Idle, transitions);
                 Some(PoolEvent::SlotFree(self.id))
             }
             SlotState::Ended(_) => {
--- a/crates/warm-pools/src/records.rs
+++ b/crates/warm-pools/src/records.rs
@@ -1,4 +1,4 @@
-//! What is recorded of slots and bills, and changes of records that are made together.
+//! Records of slots and bills in the state service, and changes that are committed together.
 
 use crate::bill::BillRecord;
 use crate::money::MicroUnits;
@@ -7,20 +7,20 @@
 use jiff::civil::Date;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a commit of records: each record names the one that wrote it last, so that it can be
-/// told whether a commit without an answer was made.
+/// Id of a commit of records. Each record names the commit that wrote it last, which tells whether
+/// a commit without an answer was made.
 pub type WriteId = u64;
 
-/// A claim, as it is recorded.
+/// Recorded form of a [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Id of the job.
     pub job: String,
-    /// Number of the task in it.
+    /// Number of the task within the job.
     pub task: u32,
-    /// Number of the attempt.
+    /// Number of the task attempt.
     pub attempt: u64,
-    /// The team that pays.
+    /// Team that pays.
     pub team: TeamName,
 }
 
@@ -38,57 +38,58 @@
     }
 }
 
-/// A slot, as it is recorded.
+/// Recorded form of a [`Slot`](crate::Slot).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlotRecord {
-    /// The write that made it so.
+    /// Id of the commit that wrote the record.
     pub write: WriteId,
-    /// Its pool.
+    /// Pool of the slot.
     pub pool: PoolName,
-    /// What it was loaded with.
+    /// Model and version that the slot was loaded with.
     pub identity: ModelIdentity,
-    /// The image of that.
+    /// Name of the image of that version.
     pub image: String,
     /// Size of the image in gigabytes.
     pub size_gb: f64,
-    /// How it is kept.
+    /// Method by which the replica is kept warm.
     pub keep: HoldKind,
-    /// Id of its machine.
+    /// Id of the machine.
     pub host: String,
-    /// Session of the worker in which it began.
+    /// Session of the machine's worker in which the slot began; 0 if unknown.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// What it takes of the machine.
+    /// Resources that the slot uses on the machine.
     pub amounts: Amounts,
-    /// The team that pays while it is idle.
+    /// Team that pays while the slot is idle.
     pub payer: TeamName,
-    /// What it costs in an hour, in micro-units.
+    /// Price per hour in micro-units.
     pub price_per_hour: MicroUnits,
-    /// Wall time until which it is charged in the bills.
+    /// Billing time, in milliseconds since 1970 (UTC), up to which the bills contain the slot's
+    /// charges.
     pub charged_until_ms: u64,
-    /// It was warm.
+    /// Whether the slot had left the state [`Loading`](crate::SlotState::Loading).
     pub warm: bool,
-    /// Who has claimed it, if anybody.
+    /// Claim of the slot; `None` if it is not claimed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub claim: Option<ClaimRecord>,
 }
 
-/// Which record it is.
+/// Key of a record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKey {
-    /// That of a slot.
+    /// Record of a slot.
     Slot(SlotId),
-    /// The bill of a team for a day.
+    /// Bill of a team for a UTC day.
     Bill(Date, TeamName),
 }
 
 impl RecordKey {
-    /// What the keys of all slots begin with.
+    /// Prefix of the keys of all slots in the state service.
     pub const SLOT_PREFIX: &str = "pool/slot/";
-    /// What the keys of all bills begin with.
+    /// Prefix of the keys of all bills in the state service.
     pub const BILL_PREFIX: &str = "pool/bill/";
 
-    /// The key in the state service.
+    /// Returns the key in the state service.
     pub fn path(&self) -> String {
         match self {
             RecordKey::Slot(id) => format!("{}{id}", RecordKey::SLOT_PREFIX),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The record of a key in the state service, if it is one of a pool's.
+    /// Parses a key of the state service. Returns `None` if it is not the key of a slot or a bill.
     pub fn parse(path: &str) -> Option<RecordKey> {
         if let Some(id) = path.strip_prefix(RecordKey::SLOT_PREFIX) {
             return Some(RecordKey::Slot(id.parse().ok()?));
@@ -106,18 +107,18 @@
     }
 }
 
-/// The value of a record.
+/// Value of a record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum StoredRecord {
-    /// Of a slot.
+    /// Record of a slot.
     Slot(Box<SlotRecord>),
-    /// Of a bill.
+    /// Record of a bill.
     Bill(BillRecord),
 }
 
 impl StoredRecord {
-    /// The commit that wrote it.
+    /// Returns the id of the commit that wrote the record.
     pub fn write(&self) -> WriteId {
         match self {
             StoredRecord::Slot(record) => record.write,
@@ -126,22 +127,22 @@
     }
 }
 
-/// A change of one record.
+/// Conditional write or deletion of one record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordWrite {
-    /// Which record.
+    /// Key of the record.
     pub key: RecordKey,
-    /// The version that it must have; 0 if there must be none.
+    /// Version that the record must have; 0 if it must not exist.
     pub version: u64,
-    /// Its new value; `None` deletes it.
+    /// New value; `None` deletes the record.
     pub value: Option<StoredRecord>,
 }
 
-/// Changes of records that are made all or not at all.
+/// Changes of records that are committed atomically.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordChanges {
-    /// Identifies this commit.
+    /// Id of this commit.
     pub id: WriteId,
-    /// The changes.
+    /// Writes and deletions of the commit.
     pub writes: Vec<RecordWrite>,
 }
--- a/crates/warm-pools/src/slot.rs
+++ b/crates/warm-pools/src/slot.rs
@@ -1,48 +1,48 @@
-//! One replica of a pool on one machine.
+//! A slot, which is one replica of a pool on one machine, and its states.
 
 use crate::bill::Charge;
 use crate::money::MicroUnits;
 use crate::settings::{Amounts, HoldKind, ModelIdentity, PoolName, TeamName};
 
-/// Number of a slot, which is not used again.
+/// Number of a slot. It is never reused.
 pub type SlotId = u64;
 
-/// A job's task that has a slot.
+/// Claim of a slot by a task of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// Id of the job.
     pub job: String,
-    /// Number of the task in it.
+    /// Number of the task within the job.
     pub task: u32,
-    /// Number of the attempt that begins with the claim.
+    /// Number of the task attempt that starts with the claim.
     pub attempt: u64,
-    /// The job's team, which pays from the claim on.
+    /// Team of the job. It pays for the slot from the claim on.
     pub team: TeamName,
 }
 
-/// Why a slot ends.
+/// Reason for which a slot ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndCause {
-    /// Fewer are wanted now.
+    /// The pool wants fewer replicas.
     FewerWanted,
-    /// Idle replicas would cost more than the pool's ceiling or budget.
+    /// Idle replicas would exceed the pool's hourly cost limit or daily budget.
     CostLimit,
-    /// Its room is given to work that would miss its guarantee, or is more urgent.
+    /// The capacity is needed by work that would miss its guarantee otherwise, or is more urgent.
     CapacityNeeded,
-    /// Its pool loads another version now, or another model, or is not declared any more.
+    /// The pool loads another model or version now, or is no longer declared.
     Replaced,
-    /// The machine is gone, or is to be returned.
+    /// The machine is lost, or is about to be returned.
     MachineLost,
-    /// The worker has lost its lease and all it had.
+    /// The worker lost its lease and with it all its slots.
     SessionLost,
-    /// The worker does not have it any more.
+    /// The worker no longer reports the slot.
     NotReported,
-    /// The task that claimed it is gone.
+    /// The task that claimed the slot has ended.
     ClaimEnded,
 }
 
 impl EndCause {
-    /// Its name in logs and metrics.
+    /// Returns the name of the cause in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             EndCause::FewerWanted => "fewer_wanted",
@@ -57,27 +57,27 @@
     }
 }
 
-/// Where a slot stands.
+/// State of a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotState {
-    /// Its room is held; the model is not there yet.
+    /// The capacity is reserved, and the model or its image is not present yet.
     Loading,
-    /// Warm, and nobody's.
+    /// The replica is warm and unclaimed.
     Idle,
-    /// Claimed by a task; the claim is not recorded yet, so that the task must not be ordered.
+    /// A task has claimed the slot. The claim is not recorded yet, so the task must not be ordered.
     Claiming(Claim),
-    /// The same after the claim was given up: it may have been recorded, or may still be.
+    /// An unrecorded claim was abandoned. It may have been recorded all the same, or may still be.
     Abandoned,
-    /// Claimed by a task, as recorded.
+    /// A task has claimed the slot, and the claim is recorded.
     Claimed(Claim),
-    /// Being unloaded, for this reason.
+    /// The replica is being unloaded, for this reason.
     Draining(EndCause),
-    /// Gone, for this reason; its record is to be deleted.
+    /// The slot has ended, for this reason. Its record has to be deleted.
     Ended(EndCause),
 }
 
 impl SlotState {
-    /// Its name in tables, logs and metrics.
+    /// Returns the name of the state in tables, logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             SlotState::Loading => "loading",
@@ -90,74 +90,78 @@
     }
 }
 
-/// A change of a slot's state, to be logged.
+/// A change of a slot's state, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transition {
-    /// The slot.
+    /// Number of the slot.
     pub slot: SlotId,
-    /// Its pool.
+    /// Pool of the slot.
     pub pool: PoolName,
-    /// The state that it left; `None` for a new one.
+    /// Previous state; `None` for a new slot.
     pub from: Option<SlotState>,
-    /// The state that it is in.
+    /// New state.
     pub to: SlotState,
 }
 
 /// One replica of a pool on one machine.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// Its number.
+    /// Number of the slot.
     pub id: SlotId,
-    /// Its pool.
+    /// Pool of the slot.
     pub pool: PoolName,
-    /// What it was loaded with.
+    /// Model and version that the slot was loaded with.
     pub identity: ModelIdentity,
-    /// The image of that.
+    /// Name of the image of that version.
     pub image: String,
     /// Size of the image in gigabytes.
     pub size_gb: f64,
-    /// How it is kept.
+    /// Method by which the replica is kept warm.
     pub keep: HoldKind,
-    /// Id of its machine.
+    /// Id of the machine.
     pub host: String,
-    /// Session of the machine's worker in which it began; 0 if it is not known.
+    /// Session of the machine's worker in which the slot began; 0 if unknown.
     pub agent_epoch: u64,
-    /// What it takes of the machine.
+    /// Resources that the slot uses on the machine.
     pub amounts: Amounts,
-    /// The team that pays while it is idle.
+    /// Team that pays while the slot is idle.
     pub payer: TeamName,
-    /// What it costs in an hour now.
+    /// Current price per hour.
     pub price_per_hour: MicroUnits,
-    /// Where it stands.
+    /// Current state.
     pub state: SlotState,
-    /// Seen since this leader began; else it may be gone for a while already.
+    /// Whether this leader has created the slot or received a report of it. A restored slot that
+    /// was not reported since the failover may no longer exist.
     pub reported_since_failover: bool,
-    /// Steady time at which it began, or was taken over.
+    /// Time, in milliseconds of the steady clock, at which the slot was created, restored from its
+    /// record, claimed, released by [`WarmPools::void_claim`](crate::WarmPools::void_claim) or began
+    /// to drain, whichever came last.
     pub since_ms: u64,
-    /// Time of the bill until which its charges are in `charges` or recorded.
+    /// Billing time, in milliseconds, up to which the slot is charged in `charges` or in recorded
+    /// bills.
     pub(crate) charged_until_ms: u64,
-    /// Charges that are not recorded yet.
+    /// Charges that are not in a recorded bill yet.
     pub(crate) charges: Vec<Charge>,
-    /// Version of its record; 0 if there is none.
+    /// Version of the slot's record; 0 if there is none.
     pub(crate) version: u64,
-    /// Its record is to be written or deleted.
+    /// Whether the slot's record has to be written or deleted.
     pub(crate) changed: bool,
 }
 
 impl Slot {
-    /// Changes its state.
-    pub(crate) fn enter(&mut self, to: SlotState, transitions: &mut Vec<Transition>) {
+    /// Changes the state and appends the transition.
+    pub(crate) fn set_state(&mut self, to: SlotState, transitions: &mut Vec<Transition>) {
         let from = Some(std::mem::replace(&mut self.state, to.clone()));
         transitions.push(Transition { slot: self.id, pool: self.pool.clone(), from, to });
     }
 
-    /// Does it count as one of the pool's replicas, idle or about to be?
+    /// Returns whether the slot is idle or loading, and so counts towards the pool's target.
     pub fn is_available(&self) -> bool {
         matches!(self.state, SlotState::Loading | SlotState::Idle)
     }
 
-    /// May a task claim it now? Room that is held without a model may be claimed before the image
-    /// is there.
+    /// Returns whether a task may claim the slot now. Capacity that is reserved for an image may be
+    /// claimed before the image is present.
     pub fn is_claimable(&self) -> bool {
         self.version > 0
             && match self.state {
@@ -167,17 +171,17 @@
             }
     }
 
-    /// Does it hold room that no attempt of a task takes?
+    /// Returns whether the slot reserves capacity that no task attempt accounts for.
     pub fn reserves_capacity(&self) -> bool {
         matches!(self.state, SlotState::Loading | SlotState::Idle | SlotState::Abandoned | SlotState::Draining(_))
     }
 
-    /// Is there a record of it, so that a successor knows of what is ordered for it?
+    /// Returns whether the slot has a record, from which the next leader learns of orders for it.
     pub fn is_recorded(&self) -> bool {
         self.version > 0
     }
 
-    /// The claim, recorded or not.
+    /// Returns the claim, recorded or not; `None` if the slot is not claimed.
     pub fn claim(&self) -> Option<&Claim> {
         match &self.state {
             SlotState::Claiming(claim) | SlotState::Claimed(claim) => Some(claim),
--- a/crates/warm-pools/src/targets.rs
+++ b/crates/warm-pools/src/targets.rs
@@ -1,23 +1,25 @@
-//! How many replicas each pool wants now.
+//! Current target number of replicas of each pool.
 
 use crate::calendar::Schedule;
 use crate::settings::{PoolName, PoolSettings};
 use crate::wall_clock::AcceptedTime;
 use std::collections::BTreeMap;
 
-/// Fewer replicas are wanted only once that has held for as long as warming one up takes, and in
-/// any case for this long.
-const LEAST_PATIENCE_MS: u64 = 60_000;
+/// Minimum time, in milliseconds, for which a lower number has to be wanted before the target is
+/// reduced. The time in which a replica becomes warm applies if it is longer.
+const MIN_REDUCTION_DELAY_MS: u64 = 60_000;
 
-/// What a pool wants, and since when it could do with less.
+/// Target of one pool.
 #[derive(Debug, Clone)]
 struct Target {
     schedule: Schedule,
     wanted: usize,
+    /// Steady time, in milliseconds, since which the schedule wants fewer than `wanted`; `None` if
+    /// it does not.
     fewer_since_ms: Option<u64>,
 }
 
-/// The targets of all pools.
+/// Targets of all pools.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Targets {
     by_pool: BTreeMap<PoolName, Target>,
@@ -25,7 +27,8 @@
 }
 
 impl Targets {
-    /// The targets of pools that were checked; none is wanted before the first refresh.
+    /// Creates the targets of pools whose settings were checked. Every target is 0 until the first
+    /// [`Targets::update`].
     pub(crate) fn new(settings: &PoolSettings) -> Targets {
         let target = |schedule| Target { schedule, wanted: 0, fewer_since_ms: None };
         let pools = settings.pools.iter();
@@ -33,8 +36,9 @@
         Targets { by_pool: by_pool.collect(), time: AcceptedTime::default() }
     }
 
-    /// Looks at the time of day. `warm_up_ms` tells how long a replica of a pool takes until it
-    /// is warm: it is begun with as long before it is wanted.
+    /// Recomputes the targets for a steady and a wall time in milliseconds. `warm_up_ms` returns
+    /// the time in which a replica of a pool becomes warm. Replicas are wanted that long before the
+    /// window in which they are to be warm.
     pub(crate) fn update(&mut self, steady_ms: u64, wall_ms: u64, warm_up_ms: impl Fn(&str) -> u64) {
         let wall_ms = self.time.at(steady_ms, wall_ms);
         for (name, target) in &mut self.by_pool {
@@ -46,14 +50,14 @@
                 continue;
             }
             let since_ms = *target.fewer_since_ms.get_or_insert(steady_ms);
-            if steady_ms >= since_ms + ahead_ms.max(LEAST_PATIENCE_MS) {
+            if steady_ms >= since_ms + ahead_ms.max(MIN_REDUCTION_DELAY_MS) {
                 target.wanted = wanted;
                 target.fewer_since_ms = None;
             }
         }
     }
 
-    /// How many replicas a pool wants.
+    /// Returns the number of replicas that a pool wants; 0 if the pool is not declared.
     pub(crate) fn wanted(&self, pool: &str) -> usize {
         self.by_pool.get(pool).map_or(0, |target| target.wanted)
     }
--- a/crates/warm-pools/src/wall_clock.rs
+++ b/crates/warm-pools/src/wall_clock.rs
@@ -1,38 +1,41 @@
-//! A time of day that a step of the clock does not move.
+//! A wall time that ignores short-lived steps of the wall clock.
 
-/// A time of day that runs further from a steady clock than this has stepped.
-const STEP_MS: u64 = 5_000;
-/// A step counts once the clock has stayed there for so long.
-const SETTLE_MS: u64 = 15 * 60 * 1000;
+/// Deviation of the wall clock from the steady clock, in milliseconds, above which it counts as a
+/// step.
+const STEP_THRESHOLD_MS: u64 = 5_000;
+/// Time, in milliseconds, for which a step has to last before it is accepted.
+const STEP_ACCEPTANCE_MS: u64 = 15 * 60 * 1000;
 
-/// The time of day that targets are chosen by. It follows the steady clock; a step of the wall
-/// clock counts only once it has lasted, so that one that is soon put right empties no pool.
+/// Wall time by which the targets of pools are determined. It advances with the steady clock, and
+/// follows a step of the wall clock only after the step has lasted. A step that is soon corrected
+/// therefore drains no pool.
 #[derive(Debug, Clone, Default)]
 pub struct AcceptedTime {
-    /// Wall time less steady time, as it is reckoned with.
+    /// Accepted offset of the wall time from the steady time; `None` before the first reading.
     offset_ms: Option<i64>,
-    /// An offset that differs, and the steady time since which it has.
-    stepped: Option<(i64, u64)>,
+    /// Offset after a step that is not accepted yet, and the steady time at which it was first
+    /// observed.
+    pending_step: Option<(i64, u64)>,
 }
 
 impl AcceptedTime {
-    /// The time of day to reckon with.
+    /// Returns the accepted wall time for these readings of both clocks, all in milliseconds.
     pub fn at(&mut self, steady_ms: u64, wall_ms: u64) -> u64 {
-        let seen = wall_ms as i64 - steady_ms as i64;
-        let accepted = *self.offset_ms.get_or_insert(seen);
-        if seen.abs_diff(accepted) <= STEP_MS {
-            self.stepped = None;
-            self.offset_ms = Some(seen);
+        let observed = wall_ms as i64 - steady_ms as i64;
+        let accepted = *self.offset_ms.get_or_insert(observed);
+        if observed.abs_diff(accepted) <= STEP_THRESHOLD_MS {
+            self.pending_step = None;
+            self.offset_ms = Some(observed);
             return wall_ms;
         }
-        let since_ms = match self.stepped {
-            Some((offset, since_ms)) if offset.abs_diff(seen) <= STEP_MS => since_ms,
+        let since_ms = match self.pending_step {
+            Some((offset, since_ms)) if offset.abs_diff(observed) <= STEP_THRESHOLD_MS => since_ms,
             _ => steady_ms,
         };
-        self.stepped = Some((seen, since_ms));
-        if steady_ms >= since_ms + SETTLE_MS {
-            self.offset_ms = Some(seen);
-            self.stepped = None;
+        self.pending_step = Some((observed, since_ms));
+        if steady_ms >= since_ms + STEP_ACCEPTANCE_MS {
+            self.offset_ms = Some(observed);
+            self.pending_step = None;
             return wall_ms;
         }
         u64::try_from(steady_ms as i64 + accepted).unwrap_or(0)
