--- a/crates/warm-pools/tests/calendar.rs
+++ b/crates/warm-pools/tests/calendar.rs
@@ -1,4 +1,5 @@
-//! Windows, exceptions, daylight saving, and clocks that step.
+//! Windows, exceptions, changes of daylight saving time, steps of the wall clock, and validation of
+//! settings.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -10,7 +11,7 @@
 const MINUTE_MS: u64 = 60_000;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// Wall time of a moment in UTC.
+/// Returns the wall time, in milliseconds, of a timestamp in UTC.
 fn utc(text: &str) -> u64 {
     text.parse::<jiff::Timestamp>().unwrap().as_millisecond() as u64
 }
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_window_counts_in_its_own_time_zone_and_on_its_days() {
+fn window_applies_only_on_its_days_in_its_time_zone() {
     let office = schedule("weekdays", "07:30", "17:00", "Pacific/Fiji");
     // 07:30 on Wednesday in Fiji is 19:30 on Tuesday in UTC.
     assert_eq!(office.wanted_at(utc("2026-12-01T19:29:59Z")), 2);
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn what_is_wanted_when_a_window_opens_is_wanted_as_long_before_as_warming_up_takes() {
+fn replicas_of_a_window_are_wanted_ahead_by_the_warm_up_time() {
     let office = schedule("weekdays", "07:30", "17:00", "Pacific/Fiji");
     let opens = utc("2026-12-01T19:30:00Z");
     assert_eq!(office.wanted_within(opens - 11 * MINUTE_MS, 10 * MINUTE_MS), 2);
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn an_exception_takes_the_place_of_all_windows_on_its_date() {
+fn exception_replaces_all_windows_on_its_date() {
     let mut settings = settings();
     let window = Window {
         days: vec!["daily".into()],
@@ -58,49 +59,54 @@
     let schedule = Schedule::new(pool(&mut settings)).unwrap();
     assert_eq!(schedule.wanted_at(utc("2026-12-24T20:00:00Z")), 1, "Christmas in Fiji");
     assert_eq!(schedule.wanted_at(utc("2026-12-25T20:00:00Z")), 6);
-    // The pool's own count is wanted again from midnight on, and that is to be warm by then.
+    // The default number of the pool applies again from midnight on, and has to be warm by then.
     assert_eq!(schedule.wanted_within(utc("2026-12-25T11:55:00Z"), 10 * MINUTE_MS), 2);
 }
 
-// In Berlin 02:00 to 03:00 is missing on 2026-03-29, and comes twice on 2026-10-25.
+// Daylight saving time could cancel or repeat a window. In Berlin the hour from 02:00 to 03:00 is
+// skipped on 2026-03-29 and repeated on 2026-10-25.
 #[test]
-fn a_missing_or_doubled_hour_neither_loses_nor_repeats_a_window() {
+fn skipped_or_repeated_hour_neither_loses_nor_repeats_a_window() {
     let night = schedule("daily", "02:30", "04:00", "Europe/Berlin");
-    let open = |from: &str| {
+    let open_minutes = |from: &str| {
         let from = utc(from);
         (0..24 * 60).filter(|minute| night.wanted_at(from + minute * MINUTE_MS) == 6).collect::<Vec<u64>>()
     };
-    // It begins at 03:30 local time, as there is no 02:30, and ends at 04:00.
-    let missing = open("2026-03-28T23:00:00Z");
-    assert_eq!((missing.len(), missing[0]), (30, 150));
-    // It begins at the first 02:30 and holds until 04:00: an hour longer, and without a break.
-    let doubled = open("2026-10-24T22:00:00Z");
-    assert_eq!((doubled.len(), doubled[0], doubled[doubled.len() - 1]), (150, 150, 299));
+    // The window begins at 03:30 local time, as 02:30 is skipped, and ends at 04:00.
+    let skipped = open_minutes("2026-03-28T23:00:00Z");
+    assert_eq!((skipped.len(), skipped[0]), (30, 150));
+    // The window begins at the first 02:30 and ends at 04:00: one hour longer, without a gap.
+    let repeated = open_minutes("2026-10-24T22:00:00Z");
+    assert_eq!((repeated.len(), repeated[0], repeated[repeated.len() - 1]), (150, 150, 299));
 }
 
 #[test]
-fn a_step_of_the_clock_counts_only_once_it_has_lasted() {
+fn wall_clock_step_is_accepted_only_after_it_has_lasted() {
     let mut time = AcceptedTime::default();
     let noon = utc("2026-12-02T12:00:00Z");
     assert_eq!(time.at(1_000, noon), noon);
     for step in [HOUR_MS as i64, -(HOUR_MS as i64)] {
         let wall = |steady_ms: u64| (noon + steady_ms - 1_000).saturating_add_signed(step);
-        // Ten minutes in which the clock is an hour off.
+        // The wall clock is off by one hour for less than ten minutes.
         for minute in 1..10 {
             let steady_ms = 1_000 + minute * MINUTE_MS;
             assert_eq!(time.at(steady_ms, wall(steady_ms)), noon + minute * MINUTE_MS);
         }
         let steady_ms = 1_000 + 10 * MINUTE_MS;
-        assert_eq!(time.at(steady_ms, noon + 10 * MINUTE_MS), noon + 10 * MINUTE_MS, "put right");
+        assert_eq!(time.at(steady_ms, noon + 10 * MINUTE_MS), noon + 10 * MINUTE_MS, "the step was corrected");
     }
     let late = 1_000 + 20 * MINUTE_MS;
     time.at(late, noon + HOUR_MS);
     let later = late + 15 * MINUTE_MS;
-    assert_eq!(time.at(later, noon + HOUR_MS + 15 * MINUTE_MS), noon + HOUR_MS + 15 * MINUTE_MS, "it has lasted");
+    assert_eq!(
+        time.at(later, noon + HOUR_MS + 15 * MINUTE_MS),
+        noon + HOUR_MS + 15 * MINUTE_MS,
+        "the step has lasted long enough"
+    );
 }
 
 #[test]
-fn invalid_declarations_are_refused_with_field_and_reason() {
+fn invalid_settings_are_rejected_with_field_and_reason() {
     type Change = fn(&mut badgerdrift_warm_pools::PoolSettings);
     let window = |from: &str, to: &str, zone: &str, day: &str| Window {
         days: vec![day.into()],
--- a/crates/warm-pools/tests/common/mod.rs
+++ b/crates/warm-pools/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Settings and a store of records for the tests.
+//! Settings, times and an in-memory store of records for the tests.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test program uses only some of it")]
 
 use badgerdrift_warm_pools::{
     KnownFleet, Moment, Pool, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotPlace, StoredRecord,
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-/// A Wednesday, 2026-12-02 at 00:00 UTC.
+/// Wall time of Wednesday, 2026-12-02 at 00:00 UTC, in milliseconds.
 pub const MIDNIGHT_MS: u64 = 1_796_169_600_000;
 
 pub fn known_fleet() -> KnownFleet {
@@ -21,7 +21,7 @@
     }
 }
 
-/// A pool of two replicas of model `notes`, paid by team red.
+/// Returns settings with one pool, of two replicas of model `notes`, that team `red` pays for.
 pub fn settings() -> PoolSettings {
     serde_json::from_str(
         r#"{
@@ -37,7 +37,7 @@
     settings.pools.get_mut("counter").unwrap()
 }
 
-/// So many milliseconds after midnight, by both clocks.
+/// Returns the moment that both clocks show this many milliseconds after midnight.
 pub fn at(ms: u64) -> Moment {
     Moment { steady_ms: 1000 + ms, wall_ms: MIDNIGHT_MS + ms }
 }
@@ -46,7 +46,7 @@
     SlotPlace { host: host.into(), agent_epoch: 1, price_per_hour: 3_600_000, warm: false }
 }
 
-/// Records as a state service holds them.
+/// In-memory stand-in for the state service, with a version for each record.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     pub records: BTreeMap<RecordKey, (StoredRecord, u64)>,
@@ -54,7 +54,8 @@
 }
 
 impl Store {
-    /// Makes the changes if all versions are as expected; the revision, or none.
+    /// Commits the changes and returns the revision, or returns `None` and changes nothing if a
+    /// record does not have the expected version.
     pub fn commit(&mut self, changes: &RecordChanges) -> Option<u64> {
         let version = |key: &RecordKey| self.records.get(key).map_or(0, |item| item.1);
         if changes.writes.iter().any(|write| version(&write.key) != write.version) {
@@ -79,18 +80,18 @@
     }
 }
 
-/// Records all that is due.
+/// Commits changes until none are due, and returns the events. `write` is the last commit id used.
 pub fn record_all(pools: &mut WarmPools, store: &mut Store, write: &mut u64) -> Vec<PoolEvent> {
     let mut events = Vec::new();
     loop {
         *write += 1;
         let Some(changes) = pools.next_changes(*write, 12) else { return events };
-        let revision = store.commit(&changes).expect("nobody else writes");
+        let revision = store.commit(&changes).expect("the store has no other writer");
         events.extend(pools.written(revision));
     }
 }
 
-/// A recorded slot that is warm.
+/// Creates a slot, records it, reports it as warm and records that.
 pub fn warm_slot(pools: &mut WarmPools, store: &mut Store, write: &mut u64, id: SlotId, now: Moment) {
     pools.begin(id, "counter", place(&format!("h{id}")), now);
     record_all(pools, store, write);
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots, claims, bills and names, one at a time.
+//! Slots, claims, bills and model names, one case at a time.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -17,8 +17,9 @@
     Claim { job: format!("run-{attempt:06}"), task: 0, attempt, team: team.into() }
 }
 
-/// Pools with so many warm slots, from 1 on.
-fn warm(count: u64) -> (WarmPools, Store, u64) {
+/// Returns pools with this many warm, recorded slots numbered from 1, with their store and the last
+/// commit id.
+fn warm_pools(count: u64) -> (WarmPools, Store, u64) {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, at(0));
     (1..=count).for_each(|id| warm_slot(&mut pools, &mut store, &mut write, id, at(0)));
@@ -29,7 +30,8 @@
     pools.slot(id).map_or(SlotState::Ended(EndCause::NotReported), |slot| slot.state.clone())
 }
 
-/// Milliseconds charged in the store, by team: idle, claimed, and the estimated part of both.
+/// Returns the milliseconds charged to a team in the store: idle, claimed, and the estimated part of
+/// both.
 fn charged(store: &Store, team: &str) -> (u64, u64, u64) {
     let bills = store.records.iter().filter_map(|(key, (record, _))| match (key, record) {
         (RecordKey::Bill(_, payer), StoredRecord::Bill(bill)) if payer == team => Some(bill),
@@ -41,8 +43,8 @@
 }
 
 #[test]
-fn a_slot_has_one_claimant_and_its_task_waits_for_the_record() {
-    let (mut pools, mut store, mut write) = warm(1);
+fn claimed_slot_refuses_a_second_claim_before_and_after_its_record() {
+    let (mut pools, mut store, mut write) = warm_pools(1);
     assert_eq!(pools.claim(1, "notes", claim("blue", 7), at(1000)), Ok(()));
     assert_eq!(pools.claim(1, "notes", claim("red", 8), at(1000)), Err(ClaimError::NotFree));
     assert!(matches!(state(&pools, 1), SlotState::Claiming(_)), "not recorded yet");
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn a_slot_that_is_not_recorded_is_not_claimed() {
+fn unrecorded_slot_cannot_be_claimed() {
     let mut pools = WarmPools::new(settings(), at(0));
     pools.refresh(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
@@ -60,23 +62,24 @@
     assert_eq!(pools.claim(1, "notes", claim("red", 7), at(0)), Err(ClaimError::NotFree));
 }
 
-// The write may be carried out at once, late, or never: the slot is given away once.
+// A commit without an answer may be carried out at once, late or never. The claim must be recorded
+// exactly once in each case, so that its task is ordered once.
 #[test]
-fn a_claim_whose_commit_has_no_answer_is_found_or_written_again() {
+fn claim_is_recorded_once_when_its_commit_has_no_answer() {
     for (made_at_once, made_late) in [(true, false), (false, false), (false, true)] {
-        let (mut pools, mut store, mut write) = warm(1);
+        let (mut pools, mut store, mut write) = warm_pools(1);
         pools.claim(1, "notes", claim("blue", 7), at(1000)).unwrap();
         let changes = pools.next_changes(50, 12).unwrap();
         if made_at_once {
             store.commit(&changes).unwrap();
         }
         pools.indeterminate();
-        assert_eq!(pools.next_changes(51, 12), None, "first the records are read");
+        assert_eq!(pools.next_changes(51, 12), None, "the records must be read first");
         let mut events = pools.reread(store.read(&pools.keys_to_read()));
         if made_late {
             store.commit(&changes).unwrap();
             let again = pools.next_changes(52, 12).unwrap();
-            assert_eq!(store.commit(&again), None, "the late one came first");
+            assert_eq!(store.commit(&again), None, "the late commit was carried out first");
             pools.indeterminate();
             events.extend(pools.reread(store.read(&pools.keys_to_read())));
         }
@@ -84,20 +87,20 @@
         events.extend(record_all(&mut pools, &mut store, &mut write));
         let recorded: Vec<_> = events.iter().filter(|e| matches!(e, PoolEvent::ClaimRecorded(..))).collect();
         assert_eq!(recorded, [&PoolEvent::ClaimRecorded(1, claim("blue", 7))]);
-        assert_eq!(store.commit(&changes), None, "an even later one fails");
+        assert_eq!(store.commit(&changes), None, "the same commit fails when it is even later");
         assert_eq!(charged(&store, "red"), (1000, 0, 0));
     }
 }
 
 #[test]
-fn a_claim_that_is_given_up_frees_the_slot_only_once_that_is_recorded() {
-    let (mut pools, mut store, mut write) = warm(1);
+fn abandoned_claim_frees_the_slot_only_after_that_is_recorded() {
+    let (mut pools, mut store, mut write) = warm_pools(1);
     pools.claim(1, "notes", claim("blue", 7), at(1000)).unwrap();
     let late = pools.next_changes(50, 12).unwrap();
     pools.indeterminate();
     pools.abandon_claim(1);
     assert_eq!(pools.claim(1, "notes", claim("red", 8), at(1100)), Err(ClaimError::NotFree));
-    // The claim is recorded after all, and then the slot's being free is.
+    // The claim is recorded late; only then is the slot recorded as free.
     store.commit(&late).unwrap();
     assert_eq!(pools.reread(store.read(&pools.keys_to_read())), []);
     assert_eq!(pools.claim(1, "notes", claim("red", 8), at(1200)), Err(ClaimError::NotFree));
@@ -105,12 +108,12 @@
     assert_eq!(record_all(&mut pools, &mut store, &mut write), [PoolEvent::SlotFree(1)]);
     assert_eq!(pools.claim(1, "notes", claim("red", 8), at(2000)), Ok(()));
     record_all(&mut pools, &mut store, &mut write);
-    assert_eq!(charged(&store, "red"), (2000, 0, 0), "nobody had it before");
+    assert_eq!(charged(&store, "red"), (2000, 0, 0), "no claimant used the slot before");
 }
 
 #[test]
-fn idle_time_is_the_payers_and_claimed_time_the_claimants() {
-    let (mut pools, mut store, mut write) = warm(1);
+fn idle_time_is_billed_to_the_payer_and_claimed_time_to_the_claimant() {
+    let (mut pools, mut store, mut write) = warm_pools(1);
     pools.claim(1, "notes", claim("blue", 7), at(10_000)).unwrap();
     record_all(&mut pools, &mut store, &mut write);
     pools.claim_ended(1, at(25_000));
@@ -120,7 +123,7 @@
 }
 
 #[test]
-fn a_bill_is_divided_at_midnight_and_by_price() {
+fn charges_are_split_at_midnight_and_at_price_changes() {
     let now = |ms: u64| Moment { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), now(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, now(0));
@@ -136,11 +139,11 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_claims_and_bills() {
-    let (mut pools, mut store, mut write) = warm(2);
+fn next_leader_restores_claims_and_bills_despite_a_wrong_clock() {
+    let (mut pools, mut store, mut write) = warm_pools(2);
     pools.claim(1, "notes", claim("blue", 7), at(10_000)).unwrap();
     record_all(&mut pools, &mut store, &mut write);
-    // The next leader's clock is an hour ahead, or an hour behind.
+    // The clock of the next leader is correct, one hour ahead, or one hour behind.
     for (wall_step, gap_ms) in [(0i64, 20_000), (HOUR_MS as i64, 900_000), (-(HOUR_MS as i64), 0)] {
         let mut store = store.clone();
         let begin = Moment { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
@@ -153,15 +156,16 @@
         next.claim_ended(1, later);
         let mut write = 100;
         record_all(&mut next, &mut store, &mut write);
-        // What nobody observed is marked, and is not more than the operator allows.
+        // The unobserved time is marked as estimated and stays within `estimate_at_most_s`.
         assert_eq!(charged(&store, "blue"), (0, gap_ms + 5000, gap_ms), "step {wall_step}");
     }
 }
 
-// Found in a burst whose leader was killed: claimants were billed for replicas that they never had.
+// In a burst whose leader was killed, claimants were billed for replicas that they never had: the
+// claims were recorded and never carried out.
 #[test]
-fn a_claim_that_was_not_carried_out_is_billed_to_the_payer() {
-    let (mut pools, mut store, mut write) = warm(1);
+fn claim_that_was_never_carried_out_is_billed_to_the_payer() {
+    let (mut pools, mut store, mut write) = warm_pools(1);
     pools.claim(1, "notes", claim("blue", 7), at(10_000)).unwrap();
     record_all(&mut pools, &mut store, &mut write);
     let mut next = WarmPools::new(settings(), at(30_000));
@@ -175,8 +179,8 @@
 }
 
 #[test]
-fn a_clock_step_changes_no_bill_of_a_leader() {
-    let (mut pools, mut store, mut write) = warm(1);
+fn bills_are_unaffected_by_wall_clock_steps() {
+    let (mut pools, mut store, mut write) = warm_pools(1);
     for (minute, step) in [(0, 0), (10, HOUR_MS as i64), (20, -(HOUR_MS as i64)), (30, 0)] {
         let now = at(minute * 60_000);
         pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
@@ -186,9 +190,9 @@
     assert_eq!(state(&pools, 1), SlotState::Idle);
 }
 
-// A clock an hour off for ten minutes, in the middle of a window.
+// A wall clock that is off by one hour for ten minutes, within a window, must not end the window.
 #[test]
-fn a_step_of_the_clock_empties_no_pool() {
+fn wall_clock_step_that_is_short_drains_no_pool() {
     let mut settings = settings();
     pool(&mut settings).count = 0;
     let window =
@@ -202,13 +206,13 @@
         pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms + HOUR_MS, ..now });
         assert_eq!(state(&pools, 1), SlotState::Idle, "minute {minute}");
     }
-    // The window's end is seen all the same.
+    // The window still ends at its regular time.
     pools.refresh(BOOT_MS, at(41 * 60_000));
     pools.refresh(BOOT_MS, at(43 * 60_000));
     assert_eq!(state(&pools, 1), SlotState::Draining(EndCause::FewerWanted));
 }
 
-/// The same pools under settings that were changed.
+/// Returns pools that are restored from the store under changed settings.
 fn with_settings(store: &Store, now: Moment, change: impl Fn(&mut badgerdrift_warm_pools::PoolSettings)) -> WarmPools {
     let mut settings = settings();
     change(&mut settings);
@@ -219,20 +223,20 @@
 }
 
 #[test]
-fn a_new_version_under_an_old_name_never_yields_the_weights_of_the_old_one() {
-    let (_, mut store, _) = warm(2);
+fn slots_of_the_old_version_cannot_be_claimed_after_a_version_change() {
+    let (_, mut store, _) = warm_pools(2);
     let version =
         |version: u64| Model { version, image: format!("notes-{version}"), size_gb: 40.0, names: vec!["notes".into()] };
     let mut pools = with_settings(&store, at(1000), |s| _ = s.models.insert("notes".into(), version(4)));
     for image in ["notes", "notes-3", "notes-4"] {
         assert_eq!(pools.claim(1, image, claim("red", 9), at(1000)), Err(ClaimError::AnotherModel), "{image}");
     }
-    // Old ones go as new ones are warm, one for one.
+    // Slots of the old version are drained one by one as slots of the new version become warm.
     assert_eq!(pools.missing("counter"), 2);
     let mut write = 100;
     for id in [11, 12] {
         let idle = |pools: &WarmPools| pools.slots().filter(|slot| slot.state == SlotState::Idle).count();
-        assert!(idle(&pools) >= 2, "never below the pool's size");
+        assert!(idle(&pools) >= 2, "there are never fewer idle slots than the pool wants");
         warm_slot(&mut pools, &mut store, &mut write, id, at(2000));
         pools.refresh(BOOT_MS, at(2000));
     }
@@ -241,8 +245,8 @@
 }
 
 #[test]
-fn names_that_are_swapped_or_renamed_follow_the_model_and_not_the_slot() {
-    let (_, store, _) = warm(2);
+fn swapped_or_renamed_aliases_follow_the_model() {
+    let (_, store, _) = warm_pools(2);
     let model =
         |image: &str, name: &str| Model { version: 3, image: image.into(), size_gb: 40.0, names: vec![name.into()] };
     let mut swapped = with_settings(&store, at(1000), |s| {
@@ -258,9 +262,10 @@
     assert_eq!(renamed.claim(1, "parcels", claim("red", 9), at(1000)), Ok(()));
 }
 
-// An ordinary worker fetches an image under the name that the job gives.
+// A worker without the model-loading extension fetches an image by the name that the job gives. An
+// alias would make it fetch another image than the slot was prepared for.
 #[test]
-fn capacity_beside_an_image_is_claimed_under_the_name_of_the_image_alone() {
+fn image_slot_can_be_claimed_only_by_the_image_name() {
     let mut settings = settings();
     pool(&mut settings).keep = HoldKind::Image;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
@@ -272,7 +277,7 @@
 }
 
 #[test]
-fn a_team_that_may_not_claim_does_not() {
+fn claim_by_a_team_that_is_no_claimant_is_refused() {
     let mut settings = settings();
     pool(&mut settings).claimants = vec!["red".into()];
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
@@ -282,9 +287,9 @@
 }
 
 #[test]
-fn ceiling_and_budget_drain_idle_slots_and_never_claimed_ones() {
-    let (_, store, _) = warm(2);
-    // Each costs 3.6 an hour.
+fn cost_limits_drain_idle_slots_and_no_claimed_ones() {
+    let (_, store, _) = warm_pools(2);
+    // Each slot costs 3.6 per hour.
     let capped = with_settings(&store, at(1000), |s| pool(s).idle_cost_per_hour = Some(4.0));
     assert_eq!([state(&capped, 1), state(&capped, 2)], [SlotState::Idle, SlotState::Draining(EndCause::CostLimit)]);
     assert_eq!(capped.startable_count("counter", 3_600_000, at(1000)), 0);
@@ -297,14 +302,14 @@
     assert!(matches!(state(&spent, 1), SlotState::Claimed(_)));
     assert_eq!(state(&spent, 2), SlotState::Draining(EndCause::CostLimit));
     assert_eq!(spent.startable_count("counter", 3_600_000, at(302_000)), 0);
-    // Another day has another budget.
+    // The budget starts anew on the next day.
     assert_eq!(spent.startable_count("counter", 3_600_000, at(24 * HOUR_MS)), 2);
 }
 
 #[test]
-fn what_is_lost_or_not_wanted_ends_and_is_missing_again() {
+fn slots_of_a_lost_machine_end_and_are_missing_again() {
     for cause in [EndCause::MachineLost, EndCause::SessionLost] {
-        let (mut pools, mut store, mut write) = warm(2);
+        let (mut pools, mut store, mut write) = warm_pools(2);
         pools.claim(1, "notes", claim("blue", 7), at(0)).unwrap();
         record_all(&mut pools, &mut store, &mut write);
         pools.host_lost("h1", cause, at(5000));
@@ -317,7 +322,7 @@
 }
 
 #[test]
-fn loads_under_way_are_bounded_and_a_claimed_place_is_refilled() {
+fn concurrent_loads_are_bounded_and_a_claimed_replica_is_missing() {
     let mut settings = settings();
     pool(&mut settings).count = 5;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
@@ -331,12 +336,13 @@
     assert_eq!(pools.missing("counter"), 5);
 }
 
-// A limit of the state service must not divide a slot from its bill.
+// The state service limits the writes of a commit. The limit must not separate a slot from its bill,
+// as only one of the two might then be written.
 #[test]
-fn a_commit_is_no_larger_than_allowed_and_whole() {
-    let (mut pools, mut store, _) = warm(4);
+fn commit_within_the_write_limit_keeps_slots_and_bills_together() {
+    let (mut pools, mut store, _) = warm_pools(4);
     (1..=4).for_each(|id| pools.host_lost(&format!("h{id}"), EndCause::MachineLost, at(1000)));
-    assert_eq!(pools.next_changes(50, 1), None, "a slot and its bill are two writes");
+    assert_eq!(pools.next_changes(50, 1), None, "a slot and its bill need two writes");
     let mut sizes = Vec::new();
     for write in 51.. {
         let Some(changes) = pools.next_changes(write, 3) else { break };
@@ -348,9 +354,10 @@
     assert_eq!(charged(&store, "red").0, 4000);
 }
 
-// The record of a slot comes late, after the slot has ended: it would stay for ever.
+// The first record of a slot may be written late, after the slot has ended. Nothing would ever
+// delete it then.
 #[test]
-fn a_slot_that_ends_while_its_first_record_is_open_leaves_none() {
+fn slot_that_ends_while_its_first_commit_is_open_leaves_no_record() {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 60);
     pools.refresh(BOOT_MS, at(0));
     pools.begin(1, "counter", place("h1"), at(0));
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -1,5 +1,5 @@
-//! Random sequences of claims, lost and late commits, failovers and losses, against a reference
-//! that keeps one line for each slot: whose it is, and since when.
+//! Random sequences of claims, lost and late commits, failovers and machine losses, checked against
+//! a reference that records the claimant and the lifetime of each slot.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -16,29 +16,29 @@
 
 const BOOT_MS: u64 = 30_000;
 const TEAMS: [&str; 2] = ["red", "blue"];
-/// Slots at a time, as the settings have it.
+/// Number of replicas of the pool, as in the settings.
 const POOL_SIZE: usize = 2;
 
-/// What may happen.
+/// Event that is applied to the pools.
 #[derive(Debug, Clone)]
 enum Transition {
-    /// Time passes.
+    /// This many milliseconds pass.
     Wait(u64),
-    /// The leader looks, and begins with as many slots as it may.
+    /// The leader refreshes the pools and starts as many replicas as it may.
     Refill,
-    /// Workers report what they have.
+    /// The workers report their slots.
     Report,
-    /// A job of a team, by number, claims any slot.
+    /// A task of a team, given by its index, claims the first free slot.
     Claim(usize),
-    /// The next commit, and what becomes of it.
+    /// The next commit is sent, with this outcome.
     Commit(Outcome),
-    /// The records are read that must be.
+    /// The records that have to be read are read.
     Reread,
-    /// A commit without an answer is made now, if any is left.
+    /// The latest lost commit is carried out now, if there is one.
     LateCommit,
-    /// Claims that are not recorded are given up.
+    /// All unrecorded claims are abandoned.
     Abandon,
-    /// The oldest claimed slot's task ends.
+    /// The task of the oldest claimed slot ends.
     ClaimEnds,
     /// The machine of the oldest slot is lost.
     MachineLost,
@@ -46,15 +46,18 @@
     Failover,
 }
 
+/// Outcome of a commit.
 #[derive(Debug, Clone, Copy)]
 enum Outcome {
     Done,
     Refused,
+    /// Carried out, and without an answer.
     MadeWithoutAnswer,
+    /// Not carried out, and without an answer.
     Lost,
 }
 
-/// The reference only counts time: what happens to slots depends on the pools.
+/// Reference state. It only counts time, as the effect of other events depends on the pools.
 #[derive(Debug, Clone, Default)]
 struct Clock {
     now_ms: u64,
@@ -99,20 +102,21 @@
     }
 }
 
-/// What the workers have: a slot is there from its recorded creation until its end.
+/// Pools under test with their store and workers. The workers have a slot from the time at which it
+/// is recorded until its end.
 struct System {
     now_ms: u64,
     pools: WarmPools,
     store: Store,
     next_number: u64,
-    /// Commits that had no answer and were not made.
-    lost: Vec<RecordChanges>,
-    /// Tasks that were ordered after their claim was recorded, by slot.
+    /// Commits that had no answer and were not carried out.
+    lost_commits: Vec<RecordChanges>,
+    /// Claims whose tasks were ordered, which is after the claim was recorded, by slot.
     ordered: BTreeMap<SlotId, Claim>,
 }
 
 impl System {
-    /// The workers report all recorded slots as ready, but for those that are being unloaded.
+    /// Reports all recorded slots as warm, except draining ones, which are reported as missing.
     fn report(&mut self, now: Moment) {
         let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
         for id in recorded {
@@ -124,35 +128,35 @@
         }
     }
 
-    /// A task of this team claims the first free slot.
+    /// Claims the first free slot for a task of this team.
     fn claim_first_free(&mut self, team: usize, now: Moment) {
         let free: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_claimable()).map(|slot| slot.id).collect();
         if let Some(id) = free.first() {
-            let attempt = self.number();
+            let attempt = self.next_id();
             let claim = Claim { job: format!("run-{attempt}"), task: 0, attempt, team: TEAMS[team].into() };
-            assert!(!self.ordered.contains_key(id), "slot {id} was given away before");
+            assert!(!self.ordered.contains_key(id), "slot {id} was ordered for another task before");
             self.pools.claim(*id, "notes", claim, now).unwrap();
         }
     }
 
-    /// Another leader takes over with what is recorded.
+    /// Replaces the leader by one that restores the pools from the records.
     fn fail_over(&mut self, now: Moment) {
-        // The records are as they are; commits of the leader before are refused by its guard.
+        // Late commits of the previous leader are refused by its guard from now on.
         self.settle();
-        self.lost.clear();
+        self.lost_commits.clear();
         self.pools = WarmPools::new(unbounded_estimates(), now);
         self.pools.restore(self.store.all(), now);
         self.pools.refresh(BOOT_MS, now);
     }
 
     fn commit(&mut self, outcome: Outcome) {
-        let id = self.number();
+        let id = self.next_id();
         let Some(changes) = self.pools.next_changes(id, 12) else { return };
         match outcome {
             Outcome::Refused => self.pools.not_written(),
             Outcome::Lost => {
                 self.pools.indeterminate();
-                self.lost.push(changes);
+                self.lost_commits.push(changes);
             }
             Outcome::MadeWithoutAnswer => {
                 self.store.commit(&changes);
@@ -161,7 +165,7 @@
             Outcome::Done => match self.store.commit(&changes) {
                 Some(revision) => {
                     let events = self.pools.written(revision);
-                    self.follow(events);
+                    self.apply_events(events);
                 }
                 None => self.pools.indeterminate(),
             },
@@ -172,29 +176,30 @@
         let keys = self.pools.keys_to_read();
         if !keys.is_empty() {
             let events = self.pools.reread(self.store.read(&keys));
-            self.follow(events);
+            self.apply_events(events);
         }
     }
 
-    fn follow(&mut self, events: Vec<PoolEvent>) {
+    /// Records the tasks that are ordered because of these events.
+    fn apply_events(&mut self, events: Vec<PoolEvent>) {
         for event in events {
             if let PoolEvent::ClaimRecorded(id, claim) = event {
                 let before = self.ordered.insert(id, claim.clone());
-                assert!(before.is_none(), "slot {id} is ordered for {claim:?} and was for {before:?}");
+                assert!(before.is_none(), "slot {id} is ordered for {claim:?} after it was ordered for {before:?}");
             }
         }
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_id(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
-    fn first(&self, holds: impl Fn(&SlotState) -> bool) -> Option<SlotId> {
-        self.pools.slots().find(|slot| holds(&slot.state)).map(|slot| slot.id)
+    fn first_slot(&self, matches_state: impl Fn(&SlotState) -> bool) -> Option<SlotId> {
+        self.pools.slots().find(|slot| matches_state(&slot.state)).map(|slot| slot.id)
     }
 
-    /// Nothing is lost any more, and the commits without an answer are settled.
+    /// Reads and commits without further faults until all open commits are resolved.
     fn settle(&mut self) {
         for _ in 0..8 {
             self.reread();
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Milliseconds in the bills.
+    /// Returns the total time in all bills, in milliseconds.
     fn billed_ms(&self) -> u64 {
         let bills = self.store.records.values().filter_map(|(record, _)| match record {
             StoredRecord::Bill(bill) => Some(bill),
@@ -212,27 +217,28 @@
     }
 }
 
-struct Pools;
+struct PoolsTest;
 
-/// All that was not observed is charged: the reference knows of no bound for that.
+/// Returns settings under which all unobserved time is charged, since the reference does not model
+/// the limit on estimated charges.
 fn unbounded_estimates() -> PoolSettings {
     PoolSettings { estimate_at_most_s: 1e9, ..settings() }
 }
 
-/// The system under test with the reference's account of it.
-struct Checked {
+/// System under test with the lifetimes of its slots, as the reference determines them.
+struct CheckedSystem {
     system: System,
-    /// When each slot began, by its first appearance.
-    began_ms: BTreeMap<SlotId, u64>,
-    /// Milliseconds of slots that are gone.
-    ended_ms: u64,
-    /// The leader has looked, and nothing has happened since.
-    has_looked: bool,
+    /// Time at which each current slot first appeared, in milliseconds.
+    started_ms: BTreeMap<SlotId, u64>,
+    /// Total lifetime of ended slots, in milliseconds.
+    ended_total_ms: u64,
+    /// Whether the last event was a refresh of the pools.
+    just_refreshed: bool,
 }
 
-impl Checked {
-    /// Slots that are gone are charged until now: each transition ends them at its own time.
-    fn account(&mut self) {
+impl CheckedSystem {
+    /// Updates the lifetimes after an event. A slot that is gone ended now, at the time of the event.
+    fn update_lifetimes(&mut self) {
         let now_ms = self.system.now_ms;
         let alive: Vec<SlotId> = self
             .system
@@ -242,42 +248,43 @@
             .map(|slot| slot.id)
             .collect();
         for id in &alive {
-            self.began_ms.entry(*id).or_insert(now_ms);
+            self.started_ms.entry(*id).or_insert(now_ms);
         }
-        let gone: Vec<SlotId> = self.began_ms.keys().copied().filter(|id| !alive.contains(id)).collect();
+        let gone: Vec<SlotId> = self.started_ms.keys().copied().filter(|id| !alive.contains(id)).collect();
         for id in gone {
-            let began_ms = self.began_ms.remove(&id).unwrap();
-            // One that was never recorded held nothing: nothing was ordered for it.
+            let started_ms = self.started_ms.remove(&id).unwrap();
+            // A slot that was never recorded is not billed: nothing was ordered for it.
             if self.system.pools.slot(id).is_some() {
-                self.ended_ms += now_ms - began_ms;
+                self.ended_total_ms += now_ms - started_ms;
             }
         }
     }
 }
 
-impl StateMachineTest for Pools {
-    type SystemUnderTest = Checked;
+impl StateMachineTest for PoolsTest {
+    type SystemUnderTest = CheckedSystem;
     type Reference = Clock;
 
-    fn init_test(_: &Clock) -> Checked {
+    fn init_test(_: &Clock) -> CheckedSystem {
         let mut pools = WarmPools::new(unbounded_estimates(), at(0));
         pools.refresh(BOOT_MS, at(0));
         let store = Store::default();
-        let system = System { now_ms: 0, pools, store, next_number: 0, lost: Vec::new(), ordered: BTreeMap::new() };
-        Checked { system, began_ms: BTreeMap::new(), ended_ms: 0, has_looked: true }
+        let system =
+            System { now_ms: 0, pools, store, next_number: 0, lost_commits: Vec::new(), ordered: BTreeMap::new() };
+        CheckedSystem { system, started_ms: BTreeMap::new(), ended_total_ms: 0, just_refreshed: true }
     }
 
-    fn apply(mut checked: Checked, clock: &Clock, transition: Transition) -> Checked {
+    fn apply(mut checked: CheckedSystem, clock: &Clock, transition: Transition) -> CheckedSystem {
         let system = &mut checked.system;
         system.now_ms = clock.now_ms;
-        checked.has_looked = matches!(transition, Transition::Refill);
+        checked.just_refreshed = matches!(transition, Transition::Refill);
         let now = at(system.now_ms);
         match transition {
             Transition::Wait(_) => {}
             Transition::Refill => {
                 system.pools.refresh(BOOT_MS, now);
                 for _ in 0..system.pools.startable_count("counter", 3_600_000, now) {
-                    let id = system.number();
+                    let id = system.next_id();
                     system.pools.begin(id, "counter", place(&format!("h{id}")), now);
                 }
             }
@@ -286,7 +293,7 @@
             Transition::Commit(outcome) => system.commit(outcome),
             Transition::Reread => system.reread(),
             Transition::LateCommit => {
-                if let Some(changes) = system.lost.pop() {
+                if let Some(changes) = system.lost_commits.pop() {
                     system.store.commit(&changes);
                 }
             }
@@ -296,7 +303,7 @@
                 }
             }
             Transition::ClaimEnds => {
-                if let Some(id) = system.first(|state| matches!(state, SlotState::Claimed(_))) {
+                if let Some(id) = system.first_slot(|state| matches!(state, SlotState::Claimed(_))) {
                     system.pools.claim_ended(id, now);
                 }
             }
@@ -308,39 +315,39 @@
             }
             Transition::Failover => system.fail_over(now),
         }
-        checked.account();
+        checked.update_lifetimes();
         checked
     }
 
-    fn check_invariants(checked: &Checked, _: &Clock) {
+    fn check_invariants(checked: &CheckedSystem, _: &Clock) {
         let pools = &checked.system.pools;
         let available = pools.slots().filter(|slot| slot.is_available()).count();
-        // A claim that is given up brings one more, until the leader looks.
-        assert!(!checked.has_looked || available <= POOL_SIZE, "{available} slots of a pool of {POOL_SIZE}");
+        // An abandoned claim may free one slot more than wanted until the next refresh.
+        assert!(!checked.just_refreshed || available <= POOL_SIZE, "{available} slots of a pool of {POOL_SIZE}");
         for slot in pools.slots() {
             if let (SlotState::Claimed(claim), Some(ordered)) = (&slot.state, checked.system.ordered.get(&slot.id)) {
-                assert_eq!(claim, ordered, "slot {} has another claimant than was ordered", slot.id);
+                assert_eq!(claim, ordered, "slot {} has a claim that differs from the ordered one", slot.id);
             }
         }
     }
 
-    fn teardown(mut checked: Checked, _: Clock) {
-        // Once troubles end, bills tell the life of every slot, each moment once.
+    fn teardown(mut checked: CheckedSystem, _: Clock) {
+        // Without further faults, the bills cover the lifetime of every slot exactly once.
         let system = &mut checked.system;
         system.now_ms += 400_000;
         let now = at(system.now_ms);
         system.settle();
-        system.lost.clear();
+        system.lost_commits.clear();
         let all: Vec<String> = system.pools.slots().map(|slot| slot.host.clone()).collect();
         all.iter().for_each(|host| system.pools.host_lost(host, EndCause::MachineLost, now));
-        checked.account();
+        checked.update_lifetimes();
         let system = &mut checked.system;
         system.settle();
         system.settle();
-        assert_eq!(system.pools.slots().count(), 0, "all are deleted");
-        assert!(!system.store.records.keys().any(|key| matches!(key, RecordKey::Slot(_))), "no record is left");
-        assert_eq!(system.billed_ms(), checked.ended_ms, "billed and lived");
-        // And the pool comes back to its size.
+        assert_eq!(system.pools.slots().count(), 0, "all slots are removed");
+        assert!(!system.store.records.keys().any(|key| matches!(key, RecordKey::Slot(_))), "no slot record is left");
+        assert_eq!(system.billed_ms(), checked.ended_total_ms, "billed time and total lifetime of the slots");
+        // The pool is refilled to its size.
         system.pools.refresh(BOOT_MS, now);
         assert_eq!(system.pools.startable_count("counter", 3_600_000, now), POOL_SIZE);
     }
@@ -350,5 +357,5 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn slots_have_one_claimant_and_bills_tell_their_lives(sequential 1..60 => Pools);
+    fn slots_have_one_claimant_and_bills_cover_their_lifetimes(sequential 1..60 => PoolsTest);
 }
