--- a/crates/warm-pools/src/check.rs
+++ b/crates/warm-pools/src/check.rs
@@ -91,7 +91,6 @@
     }
 }
 
-/// The names that stand for a model: those that are declared, and that of its image.
 /// Returns all names by which jobs may request the model: its aliases and the name of its image.
 fn all_names(model: &Model) -> BTreeSet<&str> {
     model.names.iter().map(String::as_str).chain([model.image.as_str()]).collect()
