--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -39,12 +39,12 @@
         }
         for (id, change) in changes {
             match change {
-                SlotStatusChange::Present { warm } => warm_pools.pools.seen(id, warm, moment),
-                SlotStatusChange::Missing => warm_pools.pools.not_reported(id, moment),
+                SlotStatusChange::Present { warm } => warm_pools.pools.mark_reported(id, warm, moment),
+                SlotStatusChange::Missing => warm_pools.pools.mark_missing(id, moment),
                 SlotStatusChange::ClaimUnused => {
                     tracing::info!(slot = id, "warm slot claim of the previous leader was never used, voided");
                     warm_pools.pools.void_claim(id, moment);
-                    warm_pools.pools.seen(id, false, moment);
+                    warm_pools.pools.mark_reported(id, false, moment);
                     self.scheduling_triggers.request_cycle();
                 }
                 SlotStatusChange::Unknown => {}
@@ -57,7 +57,7 @@
         let Some(host) = self.cluster.host(host_index) else { return SlotStatusChange::Unknown };
         if let SlotState::Claimed(claim) = &slot.state {
             let is_present = host.attempts.iter().any(|attempt| attempt.attempt == claim.attempt);
-            return match (is_present, slot.seen) {
+            return match (is_present, slot.reported_since_failover) {
                 (true, _) => SlotStatusChange::Present { warm: true },
                 // No order of the previous leader can take effect any more: the machine has seen this leader's token.
                 (false, false) => SlotStatusChange::ClaimUnused,
--- a/src/warm_pools/tests.rs
+++ b/src/warm_pools/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn an_example_file_and_the_shipped_one_are_accepted() {
     let pools = parse_pools(FILE, &settings()).unwrap();
-    assert_eq!((pools.pools["counter"].most_wanted(), pools.models["notes"].version), (6, 3));
+    assert_eq!((pools.pools["counter"].max_replicas(), pools.models["notes"].version), (6, 3));
     assert!(parse_pools("", &settings()).unwrap().pools.is_empty());
     let mut fleet_settings = settings();
     fleet_settings.params.zones = vec!["viti-levu".into(), "vanua-levu".into()];
@@ -43,7 +43,7 @@
     let named = |name: &str| Team { name: name.into(), gpus_max: 350.0, ..team.clone() };
     fleet_settings.params.teams = vec![named("valuers"), named("objections")];
     let shipped = parse_pools(include_str!("../../deploy/warm-pools.hcl"), &fleet_settings).unwrap();
-    assert_eq!(shipped.pools["counter"].most_wanted(), 4);
+    assert_eq!(shipped.pools["counter"].max_replicas(), 4);
 }
 
 #[test]
