--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The clients against scripted peers that page, refuse, forget and babble.
+//! The clients of the state service and the cloud against scripted servers, which return pages, refuse requests,
+//! forget keys and send malformed bodies.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
@@ -12,10 +13,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-async fn scripted(script: fn(Request) -> Response) -> SocketAddr {
-    let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let addr = l.local_addr().unwrap();
-    tokio::spawn(http::serve(l, 10, Duration::from_secs(5), move |r| async move { script(r) }));
+/// Starts a server on loopback that answers each request with `script`, and returns its address.
+async fn start_scripted(script: fn(Request) -> Response) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let addr = listener.local_addr().unwrap();
+    tokio::spawn(http::serve(listener, 10, Duration::from_secs(5), move |request| async move { script(request) }));
     addr
 }
 
@@ -29,25 +31,26 @@
     );
     let file = std::env::temp_dir().join(format!("badgerdrift-{}-{}.toml", std::process::id(), state.port()));
     std::fs::write(&file, text).unwrap();
-    let s = load_settings(&file).unwrap();
+    let settings = load_settings(&file).unwrap();
     std::fs::remove_file(file).unwrap();
-    s
+    settings
 }
 
-fn state_script(r: Request) -> Response {
-    let item = |k: &str| json!({"path": k, "data": {}, "stamp": 3});
-    match r.path.as_str() {
-        p if p.starts_with("/store?") && !p.contains("from=") => {
+/// Answers of the state service.
+fn state_script(request: Request) -> Response {
+    let item = |key: &str| json!({"path": key, "data": {}, "stamp": 3});
+    match request.path.as_str() {
+        path if path.starts_with("/store?") && !path.contains("from=") => {
             Response::json(200, &json!({"items": [item("a/1"), item("a/2")], "more": true, "epoch": 9}))
         }
-        p if p.starts_with("/store?") && p.contains("from=a/2") => {
+        path if path.starts_with("/store?") && path.contains("from=a/2") => {
             Response::json(200, &json!({"items": [item("a/3")], "more": false, "epoch": 9}))
         }
         "/store/a/1" => Response::json(200, &item("a/1")),
         "/store/none" => Response::json(404, &json!({"epoch": 9})),
         "/store/babble" => Response { body: b"{\"path\":".to_vec(), ..Response::json(200, &0) },
         "/store/busy" => Response::error(429, "too many"),
-        p if p.starts_with("/changes") => Response::error(410, "too old"),
+        path if path.starts_with("/changes") => Response::error(410, "too old"),
         "/commit" => Response::json(409, &json!({"failed": ["a/1"], "epoch": 9})),
         "/grants/4/extend" => Response::error(404, "no such lease"),
         _ => Response::error(503, "trouble"),
@@ -55,25 +58,34 @@
 }
 
 #[tokio::test]
-async fn the_state_store_client_reads_pages_and_distinguishes_refusals() {
-    let addr = scripted(state_script).await;
+async fn the_state_service_client_reads_all_pages_and_distinguishes_refusals() {
+    let addr = start_scripted(state_script).await;
     let state = StateStore::new(&settings(addr, addr));
-    let keys: Vec<String> = state.list("a/").await.unwrap().into_iter().map(|i| i.key).collect();
+    let keys: Vec<String> = state.list("a/").await.unwrap().into_iter().map(|item| item.key).collect();
     assert_eq!(keys, ["a/1", "a/2", "a/3"]);
     assert_eq!(state.get("a/1").await.unwrap().0.unwrap().version, 3);
     let (none, revision) = state.get("none").await.unwrap();
     assert!(none.is_none() && revision == 9);
-    assert_eq!(state.get("babble").await.err(), Some(RequestError::Refused), "what can't be read is no answer");
-    assert_eq!(state.get("busy").await.err(), Some(RequestError::Throttled), "429 is distinguished from an outage");
-    assert_eq!(state.changes("a/", 1, 0).await.err(), Some(RequestError::NotFound), "the keys must be read again");
+    assert_eq!(state.get("babble").await.err(), Some(RequestError::Refused), "a malformed answer counts as a refusal");
+    assert_eq!(
+        state.get("busy").await.err(),
+        Some(RequestError::Throttled),
+        "429 must be distinguished from an outage"
+    );
+    assert_eq!(
+        state.changes("a/", 1, 0).await.err(),
+        Some(RequestError::NotFound),
+        "410 must make the caller read the keys again"
+    );
     assert_eq!(state.renew_lease(4, 2500).await, Err(RequestError::NotFound));
     assert_eq!(state.create_lease(2500).await, Err(RequestError::Refused));
     assert!(matches!(state.commit(&[], &[]).await, CommitOutcome::Conflict { failed } if failed == ["a/1"]));
 }
 
-fn cloud_script(r: Request) -> Response {
-    let body: serde_json::Value = serde_json::from_slice(&r.body).unwrap_or_default();
-    match (r.path.as_str(), body["rental"].as_str()) {
+/// Answers of the cloud.
+fn cloud_script(request: Request) -> Response {
+    let body: serde_json::Value = serde_json::from_slice(&request.body).unwrap_or_default();
+    match (request.path.as_str(), body["rental"].as_str()) {
         ("/hosts", Some("full")) => Response::error(503, "no capacity"),
         ("/hosts", Some("trouble")) => Response::error(503, "trouble"),
         ("/hosts", Some("bad")) => Response::error(400, "malformed"),
@@ -92,7 +104,7 @@
 
 #[tokio::test]
 async fn the_cloud_client_retries_only_if_the_outcome_is_indeterminate() {
-    let addr = scripted(cloud_script).await;
+    let addr = start_scripted(cloud_script).await;
     let cloud = Cloud::new(&settings(addr, addr));
     assert_eq!(cloud.rent("r-1-1", "g8", "a", false, 3).await, RentResult::Rented(vec!["host-000001".into()]));
     assert_eq!(cloud.rent("full", "g8", "a", false, 3).await, RentResult::NoCapacity);
@@ -100,6 +112,9 @@
     assert_eq!(cloud.rent("trouble", "g8", "a", false, 3).await, RentResult::Again);
     let list = cloud.list().await.unwrap();
     assert!(list.len() == 2 && list[0].booting() && list[1].failed());
-    assert!(!cloud.release(&["host-000001".into()]).await, "not confirmed");
+    assert!(
+        !cloud.release(&["host-000001".into()]).await,
+        "a release that the cloud has not confirmed must be repeated"
+    );
     assert!(cloud.instance_types().await.is_none());
 }
--- a/tests/fault_combinations/answers.rs
+++ b/tests/fault_combinations/answers.rs
@@ -1,26 +1,27 @@
-//! The answers that users get, while answers are lost and heartbeats come late.
+//! Answers to users while answers of the state service are lost and heartbeats arrive late.
 
-use crate::scenario::{days, s};
+use crate::scenario::{run_with_seeds, seconds};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::net::Cut;
 use badgerdrift_stand_ins::{NODES, controller, world};
 use std::time::Duration;
 
-// Who can't reach the leader reads the record; the leader has lost the answer to its write.
+// A node that cannot reach the leader answers from the job's record, while the leader has not received the
+// answer to its own write of that record. The two must not contradict each other.
 #[test]
-fn a_lost_answer_as_a_job_is_done_confuses_no_user() {
+fn a_lost_commit_answer_at_the_end_of_a_job_leads_to_no_contradicting_status() {
     for seed in seeds(1..=3) {
         simulate(seed, async |mut sim| {
-            sim.run(s(5)).await;
+            sim.run(seconds(5)).await;
             let ids: Vec<String> = ["batch", "group", "batch"]
                 .into_iter()
                 .map(|shape| {
-                    let j = sim.job(shape, 2);
-                    sim.submit(j)
+                    let job = sim.job(shape, 2);
+                    sim.submit(job)
                 })
                 .collect();
-            let all = |w: &world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
-            sim.until("all are accepted", s(30), all).await;
+            let all = |world: &world::SimulationState| world.jobs.values().all(|job| job.accepted.is_some());
+            sim.until("all are accepted", seconds(30), all).await;
             let leader = sim.leader().expect("there is a leader");
             let cut_off = (leader + 1) % NODES;
             sim.cut(controller(leader), controller(cut_off), Some(Cut::Refuse));
@@ -34,49 +35,54 @@
     }
 }
 
+// A new leader that believes late heartbeats of terminated machines assigns a gang task to one of them. The
+// gang's other tasks then wait in vain and are stopped.
 #[test]
-fn late_copies_of_all_reports_reach_a_new_leader() {
+fn a_new_leader_places_no_gang_on_machines_known_only_from_late_heartbeats() {
     for seed in seeds(1..=3) {
         simulate(seed, async |mut sim| {
             sim.keep_reports();
             for shape in ["batch", "group", "service", "batch"] {
-                let mut j = sim.job(shape, 2);
-                j.run_s = 8.0;
-                sim.submit(j);
+                let mut job = sim.job(shape, 2);
+                job.run_s = 8.0;
+                sim.submit(job);
             }
-            // Long enough for machines to be returned.
-            sim.run(s(40)).await;
+            // Long enough for machines to be terminated.
+            sim.run(seconds(40)).await;
             let leader = sim.leader().expect("there is a leader");
             sim.kill(leader);
-            // Each task takes most of a machine: there is none left for both.
-            let mut j = sim.job("group", 2);
-            j.cards = 3.0;
-            sim.submit(j);
-            sim.run(s(30)).await;
-            // Nothing else needs the room: only a mate on a machine that is long gone,
-            // as its late report was believed, makes a task wait in vain or be stopped.
+            // Each task takes most of a machine, so that both cannot fit on the machines that are left.
+            let mut job = sim.job("group", 2);
+            job.cards = 3.0;
+            sim.submit(job);
+            sim.run(seconds(30)).await;
+            // No other job needs the resources. A task is stopped only if another task of its gang was
+            // assigned to a terminated machine.
             let stopped = sim.g.w.lock().unwrap().stopped.clone();
-            assert!(stopped.is_empty(), "seed {seed}: a task started, and its mates did not: {stopped:?}");
+            assert!(
+                stopped.is_empty(),
+                "seed {seed}: tasks were stopped because the rest of their gang did not start: {stopped:?}"
+            );
             sim.start(leader);
             sim.settle().await;
         });
     }
 }
 
-// Users ask at all nodes, and repeat the submission, within milliseconds after every
-// answer, and some cancel at once, while answers of the state service are lost.
+// Users poll all nodes and repeat the submission within milliseconds of every answer, and some cancel at
+// once, while answers of the state service are lost. No status may contradict an earlier one.
 #[test]
-fn close_looks_after_acceptances_ends_and_cancellations() {
-    days(async |sim| {
-        sim.run(s(5)).await;
+fn frequent_polls_see_no_contradicting_status_while_commit_answers_are_lost() {
+    run_with_seeds(async |sim| {
+        sim.run(seconds(5)).await;
         sim.lost_answers(0.4);
-        for n in 0..24 {
-            let mut j = sim.job(["batch", "service", "group"][n % 3], 1);
-            j.run_s = 1.5;
-            let id = sim.submit(j);
-            if n % 2 == 0 {
+        for index in 0..24 {
+            let mut job = sim.job(["batch", "service", "group"][index % 3], 1);
+            job.run_s = 1.5;
+            let id = sim.submit(job);
+            if index % 2 == 0 {
                 let known = id.clone();
-                sim.until("accepted", s(60), |w| w.jobs[&known].accepted.is_some()).await;
+                sim.until("accepted", seconds(60), |world| world.jobs[&known].accepted.is_some()).await;
                 sim.cancel(&id, &[0, 1, 2]);
             }
             for _ in 0..10 {
--- a/tests/fault_combinations/borrowing/deployment.rs
+++ b/tests/fault_combinations/borrowing/deployment.rs
@@ -1,5 +1,5 @@
-//! Two full machines of four cards: a night run of one team, idle work of a guest, and the replicas
-//! of a third team that borrow from both.
+//! The deployment of the borrowing tests: two machines of four accelerators each, filled by the batch work of one
+//! team and the best-effort work of another. The replicas of a third team borrow from both.
 
 use crate::simulation::{seeds, simulate_with};
 use badgerdrift::control::node::Subsystems;
@@ -8,24 +8,27 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Cards that the teams are guaranteed.
-pub const DESK_GUARANTEE: f64 = 1.0;
-pub const NIGHT_GUARANTEE: f64 = 3.0;
-/// Seconds after which loans are returned, as the settings have it.
+/// Accelerators that the serving team is guaranteed.
+pub const SERVING_GUARANTEE: f64 = 1.0;
+/// Accelerators that the batch team is guaranteed: its floor while it lends.
+pub const BATCH_GUARANTEE: f64 = 3.0;
+/// Time after which loans are returned, as in the settings (`return_after_s`).
 pub const RETURN_AFTER: Duration = Duration::from_secs(8);
-/// Seconds of progress between the checkpoints of the night runs.
+/// Seconds of progress between the checkpoints of batch jobs.
 pub const CHECKPOINT_S: f64 = 5.0;
-/// The teams, as the stand-ins call them: one that serves, one that runs at night, one without a
-/// guarantee.
-pub const DESK: &str = "red";
-pub const NIGHT: &str = "blue";
-pub const GUEST: &str = "guest";
-
-/// Within how long a burst has its replicas, without faults.
-pub const GAIN: Duration = Duration::from_secs(20);
-/// Within how long lent work runs again once the loan is to be returned, without faults.
-pub const RETURN: Duration = Duration::from_secs(20);
-
+/// Name of the team that runs replicas and borrows for them.
+pub const SERVING_TEAM: &str = "red";
+/// Name of the team that runs batch jobs and lends.
+pub const BATCH_TEAM: &str = "blue";
+/// Name of the team without a guarantee, which lends as well.
+pub const BEST_EFFORT_TEAM: &str = "guest";
+
+/// Maximum time until all replicas of a burst run, without faults.
+pub const GAIN_LIMIT: Duration = Duration::from_secs(20);
+/// Maximum time until the lenders' tasks run again after a loan becomes due, without faults.
+pub const RETURN_LIMIT: Duration = Duration::from_secs(20);
+
+/// Setup in which the batch team and the team without a guarantee lend to urgent work of the serving team.
 pub fn setup() -> Setup {
     let borrowing: BorrowingSettings = serde_json::from_str(
         r#"{"quiet_s": 3600, "return_after_s": 8,
@@ -36,73 +39,78 @@
     setup_with(borrowing)
 }
 
+/// Setup with two machines and these borrowing settings.
 pub fn setup_with(borrowing: BorrowingSettings) -> Setup {
     Setup {
         subsystems: Subsystems { borrowing: Some(borrowing), ..Subsystems::default() },
-        guaranteed_cards: vec![(DESK, DESK_GUARANTEE), (NIGHT, NIGHT_GUARANTEE)],
+        guaranteed_cards: vec![(SERVING_TEAM, SERVING_GUARANTEE), (BATCH_TEAM, BATCH_GUARANTEE)],
         capacity: Some(1),
         ..Setup::default()
     }
 }
 
-/// A few seeds of a day with borrowing; each ends settled.
-pub fn days(day: impl AsyncFn(&mut Sim) + Sync) {
+/// Runs a scenario with borrowing with a few seeds. Each run ends with `settle`, which checks that all work ends.
+pub fn run_with_seeds(scenario: impl AsyncFn(&mut Sim) + Sync) {
     for seed in seeds(1..=3) {
         simulate_with(setup(), seed, async |mut sim| {
-            day(&mut sim).await;
+            scenario(&mut sim).await;
             sim.settle().await;
         });
     }
 }
 
-/// A night run of so many tasks that saves its progress.
-pub fn night_run(sim: &mut Sim, tasks: u32) -> String {
+/// Submits a batch job of this many tasks with checkpoints, and returns its identifier.
+pub fn submit_batch_job(sim: &mut Sim, tasks: u32) -> String {
     let mut job = sim.job("batch", tasks);
-    (job.team, job.run_s, job.checkpoint_s, job.flush_s) = (NIGHT, 120.0, CHECKPOINT_S, 1.0);
+    (job.team, job.run_s, job.checkpoint_s, job.flush_s) = (BATCH_TEAM, 120.0, CHECKPOINT_S, 1.0);
     sim.submit(job)
 }
 
-/// Fine-tuning of so many tasks that run together.
-pub fn fine_tuning(sim: &mut Sim, tasks: u32) -> String {
+/// Submits a gang of this many tasks with checkpoints, and returns its identifier.
+pub fn submit_gang(sim: &mut Sim, tasks: u32) -> String {
     let mut job = sim.job("group", tasks);
-    (job.team, job.run_s, job.checkpoint_s, job.flush_s) = (NIGHT, 120.0, CHECKPOINT_S, 1.0);
+    (job.team, job.run_s, job.checkpoint_s, job.flush_s) = (BATCH_TEAM, 120.0, CHECKPOINT_S, 1.0);
     sim.submit(job)
 }
 
-/// Work for idle times of the team without a guarantee.
-pub fn guest_work(sim: &mut Sim, tasks: u32) -> String {
+/// Submits a best-effort job of the team without a guarantee, and returns its identifier.
+pub fn submit_best_effort_job(sim: &mut Sim, tasks: u32) -> String {
     let mut job = sim.job("batch", tasks);
     (job.team, job.urgency, job.run_s, job.checkpoint_s, job.flush_s) =
-        (GUEST, "best_effort", 120.0, CHECKPOINT_S, 1.0);
+        (BEST_EFFORT_TEAM, "best_effort", 120.0, CHECKPOINT_S, 1.0);
     sim.submit(job)
 }
 
-/// Replicas that users need now.
-pub fn burst(sim: &mut Sim, replicas: u32) -> String {
+/// Submits an urgent service of this many replicas, and returns its identifier.
+pub fn submit_burst(sim: &mut Sim, replicas: u32) -> String {
     let mut job = sim.job("service", replicas);
-    (job.team, job.urgency) = (DESK, "urgent");
+    (job.team, job.urgency) = (SERVING_TEAM, "urgent");
     sim.submit(job)
 }
 
-/// Cards that a team's tasks take on the machines.
-pub fn cards(sim: &Sim, team: &str) -> f64 {
+/// Accelerators that a team's tasks use on the machines.
+pub fn cards_used(sim: &Sim, team: &str) -> f64 {
     sim.g.w.lock().unwrap().usage_by_team().get(team).map_or(0.0, |used| used.1)
 }
 
-/// The night run has six cards and the guest two: all that there is.
-pub async fn full(sim: &mut Sim) -> (String, String) {
-    let night = night_run(sim, 6);
-    sim.until("the night run runs", Duration::from_secs(60), |w| on_cards(w, NIGHT) == 6.0).await;
-    let guest = guest_work(sim, 2);
-    sim.until("all cards are taken", Duration::from_secs(60), |w| on_cards(w, GUEST) == 2.0).await;
-    (night, guest)
+/// Fills all accelerators: six by a batch job and two by a best-effort job. Returns the jobs' identifiers.
+pub async fn fill_all_cards(sim: &mut Sim) -> (String, String) {
+    let batch_job = submit_batch_job(sim, 6);
+    sim.until("the batch job runs", Duration::from_secs(60), |world| cards_used_in(world, BATCH_TEAM) == 6.0).await;
+    let guest = submit_best_effort_job(sim, 2);
+    sim.until("all accelerators are in use", Duration::from_secs(60), |world| {
+        cards_used_in(world, BEST_EFFORT_TEAM) == 2.0
+    })
+    .await;
+    (batch_job, guest)
 }
 
-pub fn on_cards(world: &badgerdrift_stand_ins::world::SimulationState, team: &str) -> f64 {
+/// Accelerators that a team's tasks use on the machines of this state.
+pub fn cards_used_in(world: &badgerdrift_stand_ins::world::SimulationState, team: &str) -> f64 {
     world.usage_by_team().get(team).map_or(0.0, |used| used.1)
 }
 
-/// The loans that the records tell of, with the job that lends.
+/// Recorded loans, each with the identifier of the lending job.
 pub fn recorded_loans(sim: &Sim) -> Vec<(String, Value)> {
     let records = sim.g.w.lock().unwrap().store.under("loan/");
     let loans = |(key, record): (String, Value)| {
@@ -112,12 +120,12 @@
     records.into_iter().flat_map(loans).collect()
 }
 
-/// Loans among these that are in this state.
+/// Number of recorded loans in this state.
 pub fn in_state(sim: &Sim, state: &str) -> usize {
     recorded_loans(sim).iter().filter(|(_, loan)| loan["state"] == state).count()
 }
 
-/// Lets time pass until a record tells of a loan in this state.
+/// Waits until a loan in this state is recorded. Panics after 60 s.
 pub async fn until_recorded(sim: &mut Sim, state: &str) {
     for _ in 0..6000 {
         if in_state(sim, state) > 0 {
@@ -125,5 +133,5 @@
         }
         sim.run(Duration::from_millis(10)).await;
     }
-    panic!("seed {}: no loan is {state}: {:?}", sim.g.seed, recorded_loans(sim));
+    panic!("seed {}: no loan in state {state} was recorded in 60 s: {:?}", sim.g.seed, recorded_loans(sim));
 }
--- a/tests/fault_combinations/borrowing/faults.rs
+++ b/tests/fault_combinations/borrowing/faults.rs
@@ -1,10 +1,11 @@
-//! Machines that hang, die or are deaf while their tasks are stopped, and random faults.
+//! Machines that die or are unreachable while their tasks are stopped for a loan, and random faults.
 
 use super::deployment::{
-    DESK, GAIN, NIGHT, NIGHT_GUARANTEE, RETURN, RETURN_AFTER, burst, cards, days, full, on_cards, setup, until_recorded,
+    BATCH_GUARANTEE, BATCH_TEAM, GAIN_LIMIT, RETURN_AFTER, RETURN_LIMIT, SERVING_TEAM, cards_used, cards_used_in,
+    fill_all_cards, run_with_seeds, setup, submit_burst, until_recorded,
 };
-use super::shares::{check_lost_work, run_at_floor, told, until_at_floor};
-use crate::scenario::{machines, s};
+use super::shares::{assert_lost_work_bounded, describe_loans, run_checking_floor, until_checking_floor};
+use crate::scenario::{machines, seconds};
 use crate::simulation::{seeds, simulate_with};
 use badgerdrift_stand_ins::machines::die;
 use badgerdrift_stand_ins::world::BootFaults;
@@ -12,51 +13,61 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Within how long a lender is at its floor again after machines died: they are asked after 1.3
-/// reports, released after two questions, and replicas are stopped one by one, each of which takes
-/// a reaction.
-const FLOOR_AGAIN: Duration = Duration::from_secs(30);
+/// Maximum time until a lender uses its floor again after machines died. Silent machines are queried after 1.3
+/// heartbeat intervals and released after two queries. Replicas are then stopped one by one, each after a reaction
+/// time.
+const FLOOR_RECOVERY_LIMIT: Duration = Duration::from_secs(30);
 
-// Direct commands are held up for 2 to 16 s and carried out then, beside those of the replies: also
+// Direct commands are delayed by 2 to 16 s, while the same orders also go out in heartbeat replies. Some arrive
 // after the loan, when the same tasks run again as later attempts.
 #[test]
-fn stops_are_carried_out_late() {
-    days(async |sim| {
-        full(sim).await;
+fn late_stop_commands_stop_no_later_attempts() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
         sim.g.w.lock().unwrap().late_commands = 0.5;
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "the replicas run", GAIN + s(20), |sim| cards(sim, DESK) == 4.0).await;
-        sim.cancel(&desk, &[0, 1, 2]);
-        let most = RETURN_AFTER + RETURN + s(20);
-        until_at_floor(sim, "lent work runs again", most, |sim| cards(sim, NIGHT) == 6.0).await;
-        run_at_floor(sim, s(17)).await;
-        assert_eq!(cards(sim, NIGHT), 6.0, "no late stop takes effect on what runs again");
-        check_lost_work(sim);
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT + seconds(20), |sim| {
+            cards_used(sim, SERVING_TEAM) == 4.0
+        })
+        .await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        let limit = RETURN_AFTER + RETURN_LIMIT + seconds(20);
+        until_checking_floor(sim, "the lender's tasks run again", limit, |sim| cards_used(sim, BATCH_TEAM) == 6.0)
+            .await;
+        run_checking_floor(sim, seconds(17)).await;
+        assert_eq!(cards_used(sim, BATCH_TEAM), 6.0, "a late stop command took effect on a later attempt");
+        assert_lost_work_bounded(sim);
     });
 }
 
-// The machines' reports come, and neither answers nor orders reach them for a while.
+// For two seconds the machines' heartbeats arrive, but neither replies nor commands reach the machines.
 #[test]
-fn machines_are_unreachable_as_their_tasks_are_to_be_stopped() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
+fn a_loan_completes_though_machines_are_unreachable_when_tasks_must_stop() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
-        let until = Instant::now() + s(2);
+        let until = Instant::now() + seconds(2);
         machines(sim, 1, |machine| machine.deaf = until);
-        until_at_floor(sim, "the replicas run", GAIN + s(15), |sim| cards(sim, DESK) == 4.0).await;
-        sim.cancel(&desk, &[0, 1, 2]);
-        until_at_floor(sim, "lent work runs again", RETURN_AFTER + RETURN, |sim| cards(sim, NIGHT) == 6.0).await;
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT + seconds(15), |sim| {
+            cards_used(sim, SERVING_TEAM) == 4.0
+        })
+        .await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        until_checking_floor(sim, "the lender's tasks run again", RETURN_AFTER + RETURN_LIMIT, |sim| {
+            cards_used(sim, BATCH_TEAM) == 6.0
+        })
+        .await;
     });
 }
 
-/// What is rented from now on never comes up.
-fn no_new_machines(sim: &Sim) {
+/// Makes machines that are launched from now on never boot.
+fn prevent_boots(sim: &Sim) {
     sim.boot_faults(BootFaults { never: 1.0, ..BootFaults::default() });
 }
 
-/// A machine that is up.
-fn any_machine(sim: &Sim, last: bool) -> String {
+/// Identifier of the first or last machine with accelerators that is up.
+fn running_machine(sim: &Sim, last: bool) -> String {
     let now = Instant::now();
     let world = sim.g.w.lock().unwrap();
     let mut up = world.machines.values().filter(|machine| machine.alive(now) && machine.flavor.cards > 0.0);
@@ -64,81 +75,93 @@
     machine.expect("a machine is up").id.clone()
 }
 
-/// The lender is at its floor again within the bound, without new machines.
-async fn floor_met_again(sim: &mut Sim) {
-    let end = Instant::now() + FLOOR_AGAIN;
-    while cards(sim, NIGHT) < NIGHT_GUARANTEE {
-        assert!(Instant::now() < end, "seed {}: {} cards: {}", sim.g.seed, cards(sim, NIGHT), told(sim));
+/// Waits until the lender uses its floor again, and asserts that this takes at most `FLOOR_RECOVERY_LIMIT`.
+async fn until_floor_regained(sim: &mut Sim) {
+    let end = Instant::now() + FLOOR_RECOVERY_LIMIT;
+    while cards_used(sim, BATCH_TEAM) < BATCH_GUARANTEE {
+        assert!(
+            Instant::now() < end,
+            "seed {}: the lender still uses only {} accelerators: {}",
+            sim.g.seed,
+            cards_used(sim, BATCH_TEAM),
+            describe_loans(sim)
+        );
         sim.run(Duration::from_millis(50)).await;
     }
 }
 
-// A machine dies while its tasks save: what `stored` would have told is never reported.
+// A machine dies while its tasks write checkpoints, so the outcome of the checkpoints (`stored`) is never
+// reported.
 #[test]
-fn a_machine_dies_while_tasks_save() {
-    days(async |sim| {
-        full(sim).await;
-        no_new_machines(sim);
-        let desk = burst(sim, 4);
+fn a_lender_regains_its_floor_after_a_machine_dies_during_checkpoints() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        prevent_boots(sim);
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         sim.run(Duration::from_millis(300 * (sim.g.seed % 5))).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
+        let id = running_machine(sim, sim.g.seed % 2 == 0);
         die(&sim.g, &id);
-        floor_met_again(sim).await;
-        run_at_floor(sim, s(10)).await;
+        until_floor_regained(sim).await;
+        run_checking_floor(sim, seconds(10)).await;
         sim.boot_faults(BootFaults::default());
-        sim.cancel(&desk, &[0, 1, 2]);
-        sim.until("lent work runs again", s(90), |w| on_cards(w, NIGHT) == 6.0).await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        sim.until("the lender's tasks run again", seconds(90), |world| cards_used_in(world, BATCH_TEAM) == 6.0).await;
     });
 }
 
-// Half of the machines die during a loan: the borrower gives back what the lender lacks to its
-// floor, and keeps its own guarantee.
+// Half of the machines die during a loan. The borrower must return what the lender lacks to its floor, and keep
+// its own guarantee.
 #[test]
-fn a_lender_below_its_floor_is_at_it_again_in_bounded_time() {
-    days(async |sim| {
-        full(sim).await;
-        no_new_machines(sim);
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
+fn a_lender_regains_its_floor_in_bounded_time_after_half_of_the_machines_die() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        prevent_boots(sim);
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
+        let id = running_machine(sim, sim.g.seed % 2 == 0);
         die(&sim.g, &id);
-        floor_met_again(sim).await;
-        run_at_floor(sim, s(15)).await;
-        assert!(cards(sim, DESK) >= super::deployment::DESK_GUARANTEE, "seed {}: {}", sim.g.seed, told(sim));
+        until_floor_regained(sim).await;
+        run_checking_floor(sim, seconds(15)).await;
+        assert!(
+            cards_used(sim, SERVING_TEAM) >= super::deployment::SERVING_GUARANTEE,
+            "seed {}: {}",
+            sim.g.seed,
+            describe_loans(sim)
+        );
         sim.boot_faults(BootFaults::default());
-        sim.cancel(&desk, &[0, 1, 2]);
-        sim.until("lent work runs again", s(90), |w| on_cards(w, NIGHT) == 6.0).await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        sim.until("the lender's tasks run again", seconds(90), |world| cards_used_in(world, BATCH_TEAM) == 6.0).await;
     });
 }
 
-// The leader ends at the same time: its successor knows from the records what is owed.
+// The leader ends at the same time, and its successor must read from the records what is owed.
 #[test]
-fn half_of_the_machines_die_and_the_leader_with_them() {
-    days(async |sim| {
-        full(sim).await;
-        no_new_machines(sim);
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
+fn a_lender_regains_its_floor_after_half_of_the_machines_and_the_leader_die() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        prevent_boots(sim);
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
+        let id = running_machine(sim, sim.g.seed % 2 == 0);
         die(&sim.g, &id);
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
-        sim.run(s(5)).await;
+        sim.run(seconds(5)).await;
         sim.start(leader);
-        floor_met_again(sim).await;
-        run_at_floor(sim, s(10)).await;
+        until_floor_regained(sim).await;
+        run_checking_floor(sim, seconds(10)).await;
         sim.boot_faults(BootFaults::default());
-        sim.cancel(&desk, &[0, 1, 2]);
-        sim.until("lent work runs again", s(90), |w| on_cards(w, NIGHT) == 6.0).await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        sim.until("the lender's tasks run again", seconds(90), |world| cards_used_in(world, BATCH_TEAM) == 6.0).await;
     });
 }
 
-// What the rules of the stand-ins check, with several faults at the same time.
+// The rules of the stand-ins are checked under several faults at the same time.
 #[test]
 fn random_faults_break_no_rule_with_borrowing() {
     for seed in seeds(1..=8) {
-        // With as many machines as usual: some random jobs fit on no fewer.
+        // As many machines as usual, as some random jobs do not fit on two.
         let setup = Setup { capacity: None, ..setup() };
         simulate_with(setup, seed, async |mut sim| {
             let faults = 2 + (seed % 4) as usize;
--- a/tests/fault_combinations/borrowing/leaders.rs
+++ b/tests/fault_combinations/borrowing/leaders.rs
@@ -1,33 +1,45 @@
-//! Owners that end, hold still or are cut off at each step of a loan.
+//! Leaders that end, are paused or are cut off at each step of a loan.
 
 use super::deployment::{
-    DESK, GAIN, NIGHT, RETURN, RETURN_AFTER, burst, cards, days, full, in_state, recorded_loans, until_recorded,
+    BATCH_TEAM, GAIN_LIMIT, RETURN_AFTER, RETURN_LIMIT, SERVING_TEAM, cards_used, fill_all_cards, in_state,
+    recorded_loans, run_with_seeds, submit_burst, until_recorded,
 };
-use super::shares::{check_lost_work, run_at_floor, stopped, until_at_floor};
-use crate::scenario::{others, s};
+use super::shares::{assert_lost_work_bounded, run_checking_floor, stopped, until_checking_floor};
+use crate::scenario::{others, seconds};
 use badgerdrift_stand_ins::net::Cut;
 use badgerdrift_stand_ins::{NODES, Sim, controller, state_of};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A failover, with the pause before it.
-const FAILOVER: Duration = Duration::from_secs(25);
+/// Maximum time of a failover, including the time until the old leader's lease expires.
+const FAILOVER_LIMIT: Duration = Duration::from_secs(25);
 
-/// The burst has its replicas after all, and all is given back in the end.
-async fn ends_well(sim: &mut Sim, desk: &str) {
-    until_at_floor(sim, "the replicas run", GAIN + FAILOVER, |sim| cards(sim, DESK) == 4.0).await;
-    sim.cancel(desk, &[0, 1, 2]);
-    returned(sim).await;
+/// Waits until all replicas of the burst run, cancels the burst and waits until everything is returned.
+async fn loan_completes(sim: &mut Sim, serving_job: &str) {
+    until_checking_floor(sim, "the replicas run", GAIN_LIMIT + FAILOVER_LIMIT, |sim| {
+        cards_used(sim, SERVING_TEAM) == 4.0
+    })
+    .await;
+    sim.cancel(serving_job, &[0, 1, 2]);
+    loan_is_returned(sim).await;
 }
 
-async fn returned(sim: &mut Sim) {
-    until_at_floor(sim, "lent work runs again", RETURN_AFTER + RETURN + FAILOVER, |sim| cards(sim, NIGHT) == 6.0).await;
-    until_at_floor(sim, "no loan is open", s(30), |sim| in_state(sim, "open") + in_state(sim, "returning") == 0).await;
-    // What was lent for one need is no more than that need took.
-    assert!(stopped(sim) <= 8, "seed {}: {} stops", sim.g.seed, stopped(sim));
-    check_lost_work(sim);
+/// Waits until the lender's tasks run again and no loan is left, and checks the number of stops and the lost work.
+async fn loan_is_returned(sim: &mut Sim) {
+    until_checking_floor(sim, "the lender's tasks run again", RETURN_AFTER + RETURN_LIMIT + FAILOVER_LIMIT, |sim| {
+        cards_used(sim, BATCH_TEAM) == 6.0
+    })
+    .await;
+    until_checking_floor(sim, "no loan is open", seconds(30), |sim| {
+        in_state(sim, "open") + in_state(sim, "returning") == 0
+    })
+    .await;
+    // A loan must not take more than the burst needed, also after a failover.
+    assert!(stopped(sim) <= 8, "seed {}: {} tasks were stopped, expected at most 8", sim.g.seed, stopped(sim));
+    assert_lost_work_bounded(sim);
 }
 
+/// Ends the leader, and returns its number.
 fn kill_leader(sim: &mut Sim) -> usize {
     let leader = sim.leader().expect("there is a leader");
     sim.kill(leader);
@@ -35,200 +47,204 @@
 }
 
 #[test]
-fn the_leader_ends_after_the_record_and_before_or_while_the_stops_are_ordered() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
+fn a_loan_completes_though_the_leader_ends_before_or_while_it_orders_the_stops() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         sim.run(Duration::from_millis(4 * (sim.g.seed % 8))).await;
         let leader = kill_leader(sim);
-        run_at_floor(sim, s(8)).await;
+        run_checking_floor(sim, seconds(8)).await;
         sim.start(leader);
-        ends_well(sim, &desk).await;
+        loan_completes(sim, &serving_job).await;
     });
 }
 
 #[test]
-fn the_leader_ends_after_the_stops_and_before_the_starts() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "something is stopped", GAIN, |sim| stopped(sim) > 0).await;
+fn a_loan_completes_though_the_leader_ends_between_the_stops_and_the_starts() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "a task is stopped", GAIN_LIMIT, |sim| stopped(sim) > 0).await;
         let leader = kill_leader(sim);
-        run_at_floor(sim, s(3)).await;
+        run_checking_floor(sim, seconds(3)).await;
         sim.start(leader);
-        ends_well(sim, &desk).await;
+        loan_completes(sim, &serving_job).await;
     });
 }
 
 #[test]
-fn the_leader_ends_during_the_return() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-        sim.cancel(&desk, &[0, 1, 2]);
+fn a_loan_is_returned_though_the_leader_ends_during_the_return() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
         until_recorded(sim, "returning").await;
         let leader = kill_leader(sim);
-        run_at_floor(sim, s(3)).await;
+        run_checking_floor(sim, seconds(3)).await;
         sim.start(leader);
-        returned(sim).await;
+        loan_is_returned(sim).await;
     });
 }
 
 #[test]
-fn two_owners_end_in_a_row() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
+fn a_loan_completes_though_two_leaders_end_in_a_row() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         let first = kill_leader(sim);
         let held = |sim: &Sim| sim.leader().is_some_and(|leader| leader != first);
-        until_at_floor(sim, "another controller leads", FAILOVER, held).await;
-        run_at_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
+        until_checking_floor(sim, "another controller leads", FAILOVER_LIMIT, held).await;
+        run_checking_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
         let second = kill_leader(sim);
-        run_at_floor(sim, s(2)).await;
+        run_checking_floor(sim, seconds(2)).await;
         sim.start(first);
         sim.start(second);
-        ends_well(sim, &desk).await;
+        loan_completes(sim, &serving_job).await;
     });
 }
 
 #[test]
-fn all_controllers_end_at_once() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
+fn a_loan_completes_though_all_controllers_end_at_once() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         (0..NODES).for_each(|node| sim.kill(node));
-        run_at_floor(sim, Duration::from_millis(400 * (sim.g.seed % 5))).await;
+        run_checking_floor(sim, Duration::from_millis(400 * (sim.g.seed % 5))).await;
         (0..NODES).for_each(|node| sim.start(node));
-        ends_well(sim, &desk).await;
+        loan_completes(sim, &serving_job).await;
     });
 }
 
-// The paused leader has stops in hand; its successor ends the loan, and the lender's work runs
-// again. None of the old orders may take effect on that.
+// The paused leader still has stop orders to send when its successor ends the loan and the lender's tasks run
+// again. None of those orders may stop these tasks.
 #[test]
-fn a_leader_that_was_paused_stops_nothing_that_began_after_its_successor_ended_the_loan() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
+fn a_resumed_leader_stops_no_task_that_began_after_its_successor_ended_the_loan() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         let old = sim.leader().expect("there is a leader");
         sim.pause(old, true);
-        run_at_floor(sim, s(15)).await;
-        sim.cancel(&desk, &others(old));
-        returned(sim).await;
+        run_checking_floor(sim, seconds(15)).await;
+        sim.cancel(&serving_job, &others(old));
+        loan_is_returned(sim).await;
         let before = stopped(sim);
         sim.pause(old, false);
-        run_at_floor(sim, s(20)).await;
+        run_checking_floor(sim, seconds(20)).await;
         assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
     });
 }
 
-/// What is cut, and whether for the leader alone.
-type CutOf = fn(&Sim, usize) -> Vec<(IpAddr, IpAddr)>;
+/// Function that returns the pairs of addresses between which the network is cut for a leader.
+type CutPairs = fn(&Sim, usize) -> Vec<(IpAddr, IpAddr)>;
 
+/// Cuts the controller off from its state service.
 fn from_state(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     vec![(controller(node), state_of(node))]
 }
 
+/// Cuts the controller off from all other controllers.
 fn from_peers(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     others(node).into_iter().map(|other| (controller(node), controller(other))).collect()
 }
 
+/// Cuts the controller off from the machines of zone `a`.
 fn from_machines_of_a_zone(sim: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     let world = sim.g.w.lock().unwrap();
     let in_zone = world.machines.values().filter(|machine| machine.zone == "a");
     in_zone.map(|machine| (controller(node), machine.addr.ip())).collect()
 }
 
-/// The leader is cut off for so long at this step of a loan.
-async fn cut_at(sim: &mut Sim, step: &str, cut: CutOf, kind: Cut, time: Duration) {
-    full(sim).await;
-    let desk = burst(sim, 4);
+/// Cuts the leader off for this time at the step `stops`, `starts` or `return` of a loan, and waits until the loan
+/// completes.
+async fn cut_at(sim: &mut Sim, step: &str, pairs_of: CutPairs, kind: Cut, time: Duration) {
+    fill_all_cards(sim).await;
+    let serving_job = submit_burst(sim, 4);
     match step {
         "stops" => until_recorded(sim, "open").await,
-        "starts" => until_at_floor(sim, "something is stopped", GAIN, |sim| stopped(sim) > 0).await,
+        "starts" => until_checking_floor(sim, "a task is stopped", GAIN_LIMIT, |sim| stopped(sim) > 0).await,
         _ => {
-            until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-            sim.cancel(&desk, &[0, 1, 2]);
+            until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
+            sim.cancel(&serving_job, &[0, 1, 2]);
             until_recorded(sim, "returning").await;
         }
     }
     let leader = sim.leader().expect("there is a leader");
-    let pairs = cut(sim, leader);
-    pairs.iter().for_each(|(a, b)| sim.cut(*a, *b, Some(kind)));
-    run_at_floor(sim, time).await;
-    pairs.iter().for_each(|(a, b)| sim.cut(*a, *b, None));
-    if step == "return" { returned(sim).await } else { ends_well(sim, &desk).await }
+    let pairs = pairs_of(sim, leader);
+    pairs.iter().for_each(|(from, to)| sim.cut(*from, *to, Some(kind)));
+    run_checking_floor(sim, time).await;
+    pairs.iter().for_each(|(from, to)| sim.cut(*from, *to, None));
+    if step == "return" { loan_is_returned(sim).await } else { loan_completes(sim, &serving_job).await }
 }
 
 #[test]
-fn the_leader_is_cut_from_the_state_store_in_each_step() {
+fn a_loan_completes_though_the_leader_is_cut_off_from_the_state_service_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        days(async |sim| cut_at(sim, step, from_state, Cut::Hold, s(6)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, from_state, Cut::Hold, seconds(6)).await);
     }
 }
 
 #[test]
-fn the_leader_is_cut_from_the_other_controllers_in_each_step() {
+fn a_loan_completes_though_the_leader_is_cut_off_from_the_other_controllers_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        days(async |sim| cut_at(sim, step, from_peers, Cut::Refuse, s(6)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, from_peers, Cut::Refuse, seconds(6)).await);
     }
 }
 
-// For so short that the machines are not released as silent ones.
+// The cut is too short for the machines to be released as silent.
 #[test]
-fn the_leader_is_cut_from_the_machines_of_a_zone_in_each_step() {
+fn a_loan_completes_though_the_leader_is_cut_off_from_a_zone_of_machines_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        days(async |sim| cut_at(sim, step, from_machines_of_a_zone, Cut::Hold, s(1)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, from_machines_of_a_zone, Cut::Hold, seconds(1)).await);
     }
 }
 
-// Nothing is lent that can't be recorded.
+// A loan that cannot be recorded must not begin.
 #[test]
-fn without_the_state_store_nothing_is_stopped_for_another_team() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
-        // Accepted, and not yet decided about.
-        sim.until("the burst is accepted", s(10), |w| w.jobs[&desk].accepted.is_some()).await;
+fn no_task_is_stopped_for_a_loan_while_the_state_service_is_unavailable() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
+        // The burst is accepted, but usually not decided yet.
+        sim.until("the burst is accepted", seconds(10), |world| world.jobs[&serving_job].accepted.is_some()).await;
         if stopped(sim) > 0 || !recorded_loans(sim).is_empty() {
-            sim.cancel(&desk, &[0, 1, 2]);
+            sim.cancel(&serving_job, &[0, 1, 2]);
             return;
         }
         sim.state_down(true);
-        run_at_floor(sim, s(8)).await;
+        run_checking_floor(sim, seconds(8)).await;
         assert_eq!(stopped(sim), 0, "seed {}", sim.g.seed);
         sim.state_down(false);
-        ends_well(sim, &desk).await;
+        loan_completes(sim, &serving_job).await;
     });
 }
 
 #[test]
 fn commits_without_an_answer_that_apply_late_or_at_once_lend_nothing_twice() {
     for (late, lost) in [(0.5, 0.0), (0.0, 0.5)] {
-        days(async |sim| {
-            full(sim).await;
+        run_with_seeds(async |sim| {
+            fill_all_cards(sim).await;
             sim.late_writes(late);
             sim.lost_answers(lost);
-            let desk = burst(sim, 4);
-            run_at_floor(sim, s(25)).await;
+            let serving_job = submit_burst(sim, 4);
+            run_checking_floor(sim, seconds(25)).await;
             sim.late_writes(0.0);
             sim.lost_answers(0.0);
-            ends_well(sim, &desk).await;
+            loan_completes(sim, &serving_job).await;
         });
     }
 }
 
 #[test]
-fn controllers_are_upgraded_and_downgraded_with_loans_open() {
-    days(async |sim| {
-        full(sim).await;
-        let desk = burst(sim, 4);
-        until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
+fn upgrades_and_downgrades_of_controllers_stop_no_tasks_while_loans_are_open() {
+    run_with_seeds(async |sim| {
+        fill_all_cards(sim).await;
+        let serving_job = submit_burst(sim, 4);
+        until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
         let before = stopped(sim);
         for downgrade in [true, false] {
             for node in 0..NODES {
@@ -237,13 +253,13 @@
                 } else {
                     sim.kill_to_upgrade(node);
                 }
-                run_at_floor(sim, s(2)).await;
+                run_checking_floor(sim, seconds(2)).await;
                 sim.start(node);
-                run_at_floor(sim, s(7)).await;
+                run_checking_floor(sim, seconds(7)).await;
             }
         }
         assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
-        sim.cancel(&desk, &[0, 1, 2]);
-        returned(sim).await;
+        sim.cancel(&serving_job, &[0, 1, 2]);
+        loan_is_returned(sim).await;
     });
 }
--- a/tests/fault_combinations/borrowing/mod.rs
+++ b/tests/fault_combinations/borrowing/mod.rs
@@ -1,5 +1,5 @@
-//! Loans between teams in whole controllers. What teams use is read from what the machines run, not
-//! from what a controller believes.
+//! Loans between teams in whole deployments. What teams use is read from the machines, not from the state of a
+//! controller.
 
 mod deployment;
 mod faults;
--- a/tests/fault_combinations/borrowing/shares.rs
+++ b/tests/fault_combinations/borrowing/shares.rs
@@ -1,59 +1,64 @@
-//! What teams use while time passes, as the machines run it.
+//! Checks, while time passes, of what teams use on the machines.
 
-use super::deployment::{CHECKPOINT_S, NIGHT, NIGHT_GUARANTEE, cards, recorded_loans};
+use super::deployment::{BATCH_GUARANTEE, BATCH_TEAM, CHECKPOINT_S, cards_used, recorded_loans};
 use badgerdrift_stand_ins::Sim;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often shares are looked at.
-const SAMPLE: Duration = Duration::from_millis(50);
+/// Interval between checks.
+const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Lets time pass; the night team's share never falls below its guarantee, and nothing of it is
-/// stopped before a record tells of the loan.
-pub async fn run_at_floor(sim: &mut Sim, time: Duration) {
+/// Lets time pass, and asserts that the batch team never uses less than its guarantee and that no task is stopped
+/// before a loan is recorded.
+pub async fn run_checking_floor(sim: &mut Sim, time: Duration) {
     let end = Instant::now() + time;
     while Instant::now() < end {
-        sim.run(SAMPLE).await;
-        check_floor(sim);
+        sim.run(INTERVAL).await;
+        assert_floor(sim);
     }
 }
 
-/// The same until something holds.
-pub async fn until_at_floor(sim: &mut Sim, what: &str, most: Duration, holds: impl Fn(&Sim) -> bool) {
-    let end = Instant::now() + most;
+/// Waits until `holds`, with the checks of [`run_checking_floor`]. Panics after `limit`.
+pub async fn until_checking_floor(sim: &mut Sim, what: &str, limit: Duration, holds: impl Fn(&Sim) -> bool) {
+    let end = Instant::now() + limit;
     while !holds(sim) {
-        assert!(Instant::now() < end, "seed {}: not in {most:?}: {what}; {}", sim.g.seed, told(sim));
-        sim.run(SAMPLE).await;
-        check_floor(sim);
+        assert!(Instant::now() < end, "seed {}: not reached in {limit:?}: {what}; {}", sim.g.seed, describe_loans(sim));
+        sim.run(INTERVAL).await;
+        assert_floor(sim);
     }
 }
 
-fn check_floor(sim: &Sim) {
-    let night = cards(sim, NIGHT);
-    assert!(night >= NIGHT_GUARANTEE, "seed {}: the night team has {night} cards: {}", sim.g.seed, told(sim));
+fn assert_floor(sim: &Sim) {
+    let used = cards_used(sim, BATCH_TEAM);
+    assert!(
+        used >= BATCH_GUARANTEE,
+        "seed {}: the batch team uses {used} accelerators, below its guarantee: {}",
+        sim.g.seed,
+        describe_loans(sim)
+    );
     let stopped = sim.g.w.lock().unwrap().stopped.len();
     assert!(
         stopped == 0 || !recorded_loans(sim).is_empty(),
-        "seed {}: stopped, and no record: {}",
+        "seed {}: tasks were stopped before a loan was recorded: {}",
         sim.g.seed,
-        told(sim)
+        describe_loans(sim)
     );
 }
 
-/// No stop has lost more than what was done since the last checkpoint.
-pub fn check_lost_work(sim: &Sim) {
+/// Asserts that no stop has lost more than the work since the last checkpoint.
+pub fn assert_lost_work_bounded(sim: &Sim) {
     for lost in sim.g.w.lock().unwrap().lost_work.iter().filter(|lost| lost.checkpoint_s > 0.0) {
         assert!(lost.lost_s <= CHECKPOINT_S + 0.1, "seed {}: {lost:?}", sim.g.seed);
     }
 }
 
-/// Tasks that were stopped so far.
+/// Number of tasks that were stopped so far.
 pub fn stopped(sim: &Sim) -> usize {
     sim.g.w.lock().unwrap().stopped.len()
 }
 
-/// What is known, for a test that fails.
-pub fn told(sim: &Sim) -> String {
+/// Describes the recorded loans and the latest events, for a failed test.
+pub fn describe_loans(sim: &Sim) -> String {
     let recent = sim.g.w.lock().unwrap().recent("");
     format!("{:#?}\n{recent}", recorded_loans(sim))
 }
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -1,33 +1,35 @@
-//! Jobs are cancelled while their machines or their leader are out of reach.
+//! Jobs that are cancelled while their machines or their leader are unreachable.
 
-use crate::scenario::{days, long_jobs, machines, others, s};
+use crate::scenario::{long_jobs, machines, others, run_with_seeds, seconds};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::{NODES, world};
 use std::time::Duration;
 
+// The state service refuses only the leader, the other nodes take the cancellations, and then the state
+// service fails for all of them.
 #[test]
-fn cancelled_while_the_leader_alone_is_refused_and_an_outage_follows() {
+fn jobs_are_cancelled_though_the_state_service_refuses_the_leader_and_then_fails() {
     for seed in seeds(1..=3) {
         simulate(seed, async |mut sim| {
             let ids: Vec<String> = ["service", "batch", "group"]
                 .into_iter()
                 .map(|shape| {
-                    let mut j = sim.job(shape, 2);
-                    j.run_s = 300.0;
-                    sim.submit(j)
+                    let mut job = sim.job(shape, 2);
+                    job.run_s = 300.0;
+                    sim.submit(job)
                 })
                 .collect();
-            sim.run(s(15)).await;
+            sim.run(seconds(15)).await;
             let leader = sim.leader().expect("there is a leader");
-            let others: Vec<usize> = (0..NODES).filter(|n| *n != leader).collect();
+            let others: Vec<usize> = (0..NODES).filter(|node| *node != leader).collect();
             sim.refuse_state(leader, true);
-            sim.run(s(1)).await;
+            sim.run(seconds(1)).await;
             for id in &ids {
                 sim.cancel(id, &others);
             }
-            sim.run(s(1 + 2 * seed)).await;
+            sim.run(seconds(1 + 2 * seed)).await;
             sim.state_down(true);
-            sim.run(s(25)).await;
+            sim.run(seconds(25)).await;
             sim.state_down(false);
             sim.refuse_state(leader, false);
             sim.settle().await;
@@ -35,68 +37,68 @@
     }
 }
 
-// Machines hang or are cut off while their jobs are cancelled, the leader is refused and
-// ends, and the state service is out for longer than `cancel_s`.
+// Machines hang or are cut off while their jobs are cancelled. The state service refuses the leader, which
+// then ends, and is unavailable for longer than `cancel_s`.
 #[test]
-fn machines_hang_while_their_jobs_are_cancelled_in_the_gap() {
-    days(async |sim| {
+fn jobs_are_cancelled_though_machines_hang_and_the_leader_ends_in_an_outage() {
+    run_with_seeds(async |sim| {
         let ids = long_jobs(sim, 300.0).await;
         let leader = sim.leader().expect("there is a leader");
-        let until = tokio::time::Instant::now() + s(18);
+        let until = tokio::time::Instant::now() + seconds(18);
         machines(sim, 2, |m| m.hang = until);
         machines(sim, 3, |m| m.deaf = until);
         sim.refuse_state(leader, true);
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
-        sim.run(s(4)).await;
+        sim.run(seconds(4)).await;
         sim.state_down(true);
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         sim.kill(leader);
-        sim.run(s(1)).await;
+        sim.run(seconds(1)).await;
         sim.start(leader);
-        sim.run(s(18)).await;
+        sim.run(seconds(18)).await;
         sim.state_down(false);
         sim.refuse_state(leader, false);
     });
 }
 
-// Cancelled in the very seconds in which the work changes hands, while some machines can't
-// be reached.
+// The cancellations arrive during the seconds of the takeover, while some machines are unreachable.
 #[test]
 fn jobs_are_cancelled_during_a_failover() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
             let ids = long_jobs(&mut sim, 300.0).await;
-            let until = tokio::time::Instant::now() + s(8);
+            let until = tokio::time::Instant::now() + seconds(8);
             machines(&sim, 2, |m| m.deaf = until);
             let leader = sim.leader().expect("there is a leader");
             sim.kill(leader);
             sim.run(Duration::from_millis(500 * seed)).await;
             ids.iter().for_each(|id| sim.cancel(id, &others(leader)));
-            sim.run(s(2)).await;
+            sim.run(seconds(2)).await;
             sim.start(leader);
             sim.settle().await;
         });
     }
 }
 
-// A cancellation or a repeated submission meets the end of a job's last task.
+// A cancellation and a repeated submission arrive within milliseconds of the end of a job's last task. The
+// job must be reported as either done or cancelled, never as both.
 #[test]
-fn a_cancellation_meets_the_end_of_the_last_task() {
-    days(async |sim| {
-        sim.run(s(5)).await;
-        for n in 0..20 {
-            let mut j = sim.job(["batch", "group"][n % 2], 2);
-            j.run_s = 2.0;
-            let id = sim.submit(j);
+fn a_cancellation_racing_with_the_end_of_the_last_task_has_one_outcome() {
+    run_with_seeds(async |sim| {
+        sim.run(seconds(5)).await;
+        for index in 0..20 {
+            let mut job = sim.job(["batch", "group"][index % 2], 2);
+            job.run_s = 2.0;
+            let id = sim.submit(job);
             let done = id.clone();
-            let ended = |w: &world::SimulationState| w.jobs[&done].all_done();
+            let ended = |world: &world::SimulationState| world.jobs[&done].all_done();
             while !ended(&sim.g.w.lock().unwrap()) {
-                sim.run(Duration::from_millis(5 + n as u64)).await;
+                sim.run(Duration::from_millis(5 + index as u64)).await;
             }
-            sim.cancel(&id, &[n % NODES]);
+            sim.cancel(&id, &[index % NODES]);
             sim.submit_again(&id);
             sim.ask_all(&id);
         }
-        sim.run(s(5)).await;
+        sim.run(seconds(5)).await;
     });
 }
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -1,22 +1,22 @@
-//! The leader of the jobs is cut off, refused or ends.
+//! Leaders that end, are cut off or are refused by the state service.
 
-use crate::scenario::{days, long_jobs, machines, others, s};
+use crate::scenario::{long_jobs, machines, others, run_with_seeds, seconds};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::net::Cut;
 use badgerdrift_stand_ins::{NODES, controller, state_of, world};
 use std::time::Duration;
 
 #[test]
-fn leaders_change_ten_times_with_an_outage_inside() {
+fn ten_failovers_around_an_outage_of_the_state_service_break_no_rule() {
     for seed in seeds(1..=3) {
         simulate(seed, async |mut sim| {
             for shape in ["batch", "group", "service", "batch", "group"] {
-                let mut j = sim.job(shape, 2);
-                (j.run_s, j.checkpoint_s, j.flush_s) = (20.0, 5.0, 1.0);
-                sim.submit(j);
+                let mut job = sim.job(shape, 2);
+                (job.run_s, job.checkpoint_s, job.flush_s) = (20.0, 5.0, 1.0);
+                sim.submit(job);
             }
             for change in 0..10 {
-                sim.run(s(10)).await;
+                sim.run(seconds(10)).await;
                 let leader = sim.leader().unwrap_or(change % NODES);
                 sim.kill(leader);
                 if change == 4 {
@@ -33,11 +33,11 @@
     }
 }
 
-// The reads of a failover fail, and are tried again until the outage is over: each try
-// must not ask for two more, and the partition must not begin twice.
+// The reads of a takeover fail and are retried until the outage is over. A retry must not cause two more
+// reads, and the partition must not be started twice.
 #[test]
-fn an_outage_begins_between_acquiring_the_partition_and_reading_its_records() {
-    days(async |sim| {
+fn an_outage_between_acquiring_a_partition_and_reading_its_records_multiplies_no_reads() {
+    run_with_seeds(async |sim| {
         long_jobs(sim, 60.0).await;
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
@@ -45,134 +45,135 @@
             tokio::time::sleep(Duration::from_micros(200)).await;
         }
         sim.state_down(true);
-        // A storm of requests fails the day, too.
-        sim.run(s(20)).await;
+        // The simulation also fails if too many requests reach the state service.
+        sim.run(seconds(20)).await;
         sim.state_down(false);
         sim.start(leader);
     });
 }
 
-// The old leader is cut from the state service and the other controllers; its workers and
-// users still reach it. Jobs are cancelled through the new one, and then all lose the service.
+// The old leader is cut off from the state service and the other controllers, while its workers and users
+// still reach it. Jobs are cancelled through the new leader, and then the state service fails for all.
 #[test]
-fn a_leader_cut_off_with_its_workers_while_jobs_are_cancelled_elsewhere() {
-    days(async |sim| {
+fn jobs_are_cancelled_by_a_new_leader_while_the_old_one_still_reaches_its_workers() {
+    run_with_seeds(async |sim| {
         let ids = long_jobs(sim, 300.0).await;
         let leader = sim.leader().expect("there is a leader");
         sim.cut(controller(leader), state_of(leader), Some(Cut::Hold));
-        others(leader).into_iter().for_each(|o| sim.cut(controller(leader), controller(o), Some(Cut::Hold)));
-        sim.run(s(1)).await;
+        others(leader).into_iter().for_each(|other| sim.cut(controller(leader), controller(other), Some(Cut::Hold)));
+        sim.run(seconds(1)).await;
         ids.iter().for_each(|id| sim.cancel(id, &others(leader)));
-        sim.run(s(3)).await;
+        sim.run(seconds(3)).await;
         sim.state_down(true);
-        sim.run(s(25)).await;
+        sim.run(seconds(25)).await;
         sim.state_down(false);
-        sim.run(s(5)).await;
+        sim.run(seconds(5)).await;
         sim.g.network.mend();
     });
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    days(async |sim| {
+fn jobs_continue_after_all_controllers_were_down_for_longer_than_a_lease() {
+    run_with_seeds(async |sim| {
         let ids = long_jobs(sim, 30.0).await;
         sim.late_reports(0.5);
-        (0..NODES).for_each(|n| sim.kill(n));
-        sim.run(s(14)).await;
-        (0..NODES).for_each(|n| sim.start(n));
+        (0..NODES).for_each(|node| sim.kill(node));
+        sim.run(seconds(14)).await;
+        (0..NODES).for_each(|node| sim.start(node));
         sim.run(Duration::from_millis(800)).await;
         sim.cancel(&ids[0], &[0, 1, 2]);
-        sim.run(s(10)).await;
+        sim.run(seconds(10)).await;
     });
 }
 
-// A zone with a controller and machines is cut off from everything for longer than a lease,
-// and the jobs there are cancelled from outside.
+// A zone with a controller and machines is cut off from the rest for longer than a lease, while its jobs are
+// cancelled through controllers outside.
 #[test]
-fn a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease() {
-    days(async |sim| {
+fn jobs_are_cancelled_in_a_zone_cut_off_for_longer_than_a_lease() {
+    run_with_seeds(async |sim| {
         let ids = long_jobs(sim, 300.0).await;
         let inside = sim.leader().expect("there is a leader");
         let zone: Vec<_> = {
-            let w = sim.g.w.lock().unwrap();
-            w.machines.values().filter(|m| m.zone == world::ZONES[inside % 2]).map(|m| m.addr.ip()).collect()
+            let world = sim.g.w.lock().unwrap();
+            world.machines.values().filter(|m| m.zone == world::ZONES[inside % 2]).map(|m| m.addr.ip()).collect()
         };
         sim.cut(controller(inside), state_of(inside), Some(Cut::Hold));
-        for o in others(inside) {
-            sim.cut(controller(inside), controller(o), Some(Cut::Hold));
-            zone.iter().for_each(|m| sim.cut(controller(o), *m, Some(Cut::Hold)));
+        for other in others(inside) {
+            sim.cut(controller(inside), controller(other), Some(Cut::Hold));
+            zone.iter().for_each(|m| sim.cut(controller(other), *m, Some(Cut::Hold)));
         }
-        sim.run(s(4)).await;
+        sim.run(seconds(4)).await;
         ids.iter().for_each(|id| sim.cancel(id, &others(inside)));
-        sim.run(s(22)).await;
+        sim.run(seconds(22)).await;
         sim.g.network.mend();
     });
 }
 
-// Workers reach no controller while direct commands reach them, and the reverse.
+// Some workers receive direct commands but reach no controller, and others the reverse.
 #[test]
-fn machines_are_mute_or_unreachable_while_the_leader_ends() {
-    days(async |sim| {
+fn one_way_cuts_of_machines_during_a_failover_break_no_rule() {
+    run_with_seeds(async |sim| {
         let ids = long_jobs(sim, 40.0).await;
-        let until = tokio::time::Instant::now() + s(16);
+        let until = tokio::time::Instant::now() + seconds(16);
         machines(sim, 2, |m| m.mute = until);
         machines(sim, 3, |m| m.deaf = until);
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         sim.cancel(&ids[0], &others(leader));
-        sim.run(s(12)).await;
+        sim.run(seconds(12)).await;
         sim.start(leader);
     });
 }
 
-// Jobs of several tasks that end far apart, across changes of the leader.
+// The ends of some tasks are reported to one leader and those of others to its successors, with late
+// heartbeats in between.
 #[test]
-fn tasks_end_far_apart_across_changes_of_the_leader() {
-    days(async |sim| {
+fn jobs_of_different_lengths_finish_across_failovers() {
+    run_with_seeds(async |sim| {
         let mut ids = Vec::new();
-        for n in 0..4 {
-            let mut j = sim.job("batch", 3);
-            j.run_s = 4.0 + 6.0 * f64::from(n);
-            ids.push(sim.submit(j));
+        for index in 0..4 {
+            let mut job = sim.job("batch", 3);
+            job.run_s = 4.0 + 6.0 * f64::from(index);
+            ids.push(sim.submit(job));
         }
         for _ in 0..4 {
-            sim.run(s(6)).await;
+            sim.run(seconds(6)).await;
             let leader = sim.leader().unwrap_or(0);
             sim.kill(leader);
             sim.late_reports(0.4);
-            sim.run(s(3)).await;
+            sim.run(seconds(3)).await;
             sim.start(leader);
         }
         sim.late_reports(0.0);
     });
 }
 
-// The former leader, cut off, is succeeded by another, which reports jobs as done and cancelled;
-// during an outage that one ends, the cut ends, and all others would give pledges to the former
-// leader again, whose state is out of date.
+// A leader is cut off, and its successor reports jobs as done and cancelled. The successor ends during an
+// outage of the state service and the cut is repaired. If the other controllers gave pledges to the former
+// leader again, it would act on outdated state.
 #[test]
-fn a_former_leader_has_no_lease_again_after_its_successor_ended_in_an_outage() {
+fn a_former_leader_regains_no_lease_after_its_successor_ended_in_an_outage() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
             let mut ids = long_jobs(&mut sim, 300.0).await;
             for _ in 0..3 {
-                let mut j = sim.job("batch", 2);
-                (j.cards, j.run_s) = (0.5, 5.0);
-                ids.push(sim.submit(j));
+                let mut job = sim.job("batch", 2);
+                (job.cards, job.run_s) = (0.5, 5.0);
+                ids.push(sim.submit(job));
             }
-            let all = |w: &world::SimulationState| w.jobs.values().all(|j| j.accepted.is_some());
-            sim.until("all are accepted", s(10), all).await;
+            let all = |world: &world::SimulationState| world.jobs.values().all(|job| job.accepted.is_some());
+            sim.until("all are accepted", seconds(10), all).await;
             let old = sim.leader().expect("there is a leader");
             sim.cut(controller(old), state_of(old), Some(Cut::Hold));
-            others(old).into_iter().for_each(|o| sim.cut(controller(old), controller(o), Some(Cut::Hold)));
-            sim.run(s(4)).await;
+            others(old).into_iter().for_each(|other| sim.cut(controller(old), controller(other), Some(Cut::Hold)));
+            sim.run(seconds(4)).await;
             ids[..2].to_vec().iter().for_each(|id| sim.cancel(id, &others(old)));
-            sim.run(s(3 + seed)).await;
-            let third = ids[2].clone();
+            sim.run(seconds(3 + seed)).await;
+            let gang = ids[2].clone();
             let next = sim.leader().expect("there is a next leader");
             sim.state_down(true);
-            sim.run(s(2)).await;
+            sim.run(seconds(2)).await;
             sim.kill(next);
             sim.run(Duration::from_millis(400)).await;
             sim.start(next);
@@ -181,10 +182,10 @@
                 ids.iter().for_each(|id| sim.ask_all(id));
                 sim.run(Duration::from_millis(200)).await;
             }
-            let on =
-                sim.g.w.lock().unwrap().machines.values().any(|m| m.copies.keys().any(|k| k.0.starts_with(&third)));
-            assert!(on, "seed {seed}: the gang's lease ran out, as nobody kept it alive");
-            sim.cancel(&third, &[0, 1, 2]);
+            let runs =
+                sim.g.w.lock().unwrap().machines.values().any(|m| m.copies.keys().any(|k| k.0.starts_with(&gang)));
+            assert!(runs, "seed {seed}: the gang's leases expired because no controller renewed them");
+            sim.cancel(&gang, &[0, 1, 2]);
             sim.state_down(false);
             sim.settle().await;
         });
--- a/tests/fault_combinations/main.rs
+++ b/tests/fault_combinations/main.rs
@@ -1,5 +1,5 @@
-//! Combinations of faults: whole deployments in simulated time. A failed day prints
-//! its seed; `BADGERDRIFT_SEED=7 cargo test --test fault_combinations random` runs it again.
+//! Combinations of faults in whole deployments in simulated time. A failed scenario prints its seed;
+//! `BADGERDRIFT_SEED=7 cargo test --test fault_combinations random` runs it again.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
--- a/tests/fault_combinations/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -1,97 +1,100 @@
-//! Jobs that were submitted with a mistake: they fail on every machine, until they are
-//! cancelled.
+//! Jobs with an error in their specification, which fail on every machine until they are cancelled.
 
-use crate::scenario::{days_without_headroom, s};
+use crate::scenario::{run_without_headroom, seconds};
 use badgerdrift_stand_ins::Sim;
 use badgerdrift_stand_ins::world::{SimulationState, secs};
 use tokio::time::Instant;
 
-/// Starts of each task while its job fails for a minute: with pauses that double they are few.
-const STARTS_OF_A_TASK: u32 = 6;
-/// Puts and deletes a second, beside those for the jobs that succeed.
-const WRITES_PER_S: f64 = 0.5;
-/// Puts and deletes for a job of two tasks that succeeds.
-const WRITES_OF_A_JOB: u64 = 3;
+/// Maximum number of starts of each task while its job fails for a minute. The delay between starts doubles.
+const MAX_STARTS_PER_TASK: u32 = 6;
+/// Maximum puts and deletes per second, in addition to those for the jobs that succeed.
+const MAX_WRITES_PER_S: f64 = 0.5;
+/// Maximum puts and deletes for a job of two tasks that succeeds.
+const MAX_WRITES_PER_JOB: u64 = 3;
+/// Time, in seconds, for which the failing jobs are left to fail.
 const FAILING_S: u64 = 60;
-/// Work without mistakes begins in this time.
-const START_S: f64 = 15.0;
+/// Maximum time, in seconds, from the acceptance of a job without errors to its start.
+const MAX_START_S: f64 = 15.0;
 
-fn submit_mistaken(sim: &mut Sim) -> Vec<String> {
+/// Submits jobs that fail on every machine, and returns their identifiers.
+fn submit_failing(sim: &mut Sim) -> Vec<String> {
     let mut ids = Vec::new();
     for (shape, tasks) in [("batch", 3), ("group", 2), ("service", 2), ("batch", 1), ("batch", 1)] {
-        let mut j = sim.job(shape, tasks);
-        (j.cards, j.run_s, j.mistaken) = (0.5, 1.0, true);
-        ids.push(sim.submit(j));
+        let mut job = sim.job(shape, tasks);
+        (job.cards, job.run_s, job.mistaken) = (0.5, 1.0, true);
+        ids.push(sim.submit(job));
     }
     ids
 }
 
-/// A job that does not fail, of another team.
-fn submit_sound(sim: &mut Sim, n: usize) -> String {
-    let mut j = sim.job(["batch", "group"][n % 2], 2);
-    (j.team, j.cards, j.run_s) = ("blue", 1.0, 3.0);
-    sim.submit(j)
+/// Submits a job of another team that does not fail, and returns its identifier.
+fn submit_valid(sim: &mut Sim, index: usize) -> String {
+    let mut job = sim.job(["batch", "group"][index % 2], 2);
+    (job.team, job.cards, job.run_s) = ("blue", 1.0, 3.0);
+    sim.submit(job)
 }
 
-fn charged(w: &SimulationState) -> Vec<String> {
-    w.machines.values().filter(|m| m.exists()).map(|m| m.id.clone()).collect()
+fn charged(world: &SimulationState) -> Vec<String> {
+    world.machines.values().filter(|m| m.exists()).map(|m| m.id.clone()).collect()
 }
 
+// Unlimited retries of such jobs would flood the state service, and machines on which only they failed would
+// be taken for faulty and terminated.
 #[test]
-fn jobs_that_fail_everywhere_disturb_nobody_until_they_are_cancelled() {
-    days_without_headroom(async |sim| {
-        // Something runs on machines for as long as the day lasts.
+fn jobs_that_fail_on_every_machine_delay_no_others_and_cost_no_machine() {
+    run_without_headroom(async |sim| {
+        // A job that keeps machines in use for the whole scenario.
         let mut lasting = sim.job("group", 2);
         (lasting.team, lasting.apart, lasting.run_s) = ("blue", true, 200.0);
         let lasting = sim.submit(lasting);
-        sim.run(s(12)).await;
+        sim.run(seconds(12)).await;
         let kept = charged(&sim.g.w.lock().unwrap());
-        let mistaken = submit_mistaken(sim);
-        sim.run(s(5)).await;
+        let failing = submit_failing(sim);
+        sim.run(seconds(5)).await;
         let writes = sim.g.w.lock().unwrap().store.writes;
-        let mut sound = Vec::new();
+        let mut valid = Vec::new();
         let began = Instant::now();
-        while began.elapsed() < s(FAILING_S) {
-            sound.push(submit_sound(sim, sound.len()));
-            sim.run(s(4)).await;
+        while began.elapsed() < seconds(FAILING_S) {
+            valid.push(submit_valid(sim, valid.len()));
+            sim.run(seconds(4)).await;
         }
         {
-            let w = sim.g.w.lock().unwrap();
-            let written = w.store.writes - writes;
-            let most = WRITES_OF_A_JOB * sound.len() as u64 + (WRITES_PER_S * FAILING_S as f64) as u64;
-            let starts: Vec<u32> = mistaken.iter().map(|id| w.jobs[id].starts).collect();
-            println!("seed {}: {written} writes, starts of the mistaken jobs: {starts:?}", sim.g.seed);
+            let world = sim.g.w.lock().unwrap();
+            let written = world.store.writes - writes;
+            let most = MAX_WRITES_PER_JOB * valid.len() as u64 + (MAX_WRITES_PER_S * FAILING_S as f64) as u64;
+            let starts: Vec<u32> = failing.iter().map(|id| world.jobs[id].starts).collect();
+            println!("seed {}: {written} writes, starts of the failing jobs: {starts:?}", sim.g.seed);
             assert!(written <= most, "seed {}: {written} writes in {FAILING_S} s", sim.g.seed);
-            for id in &mistaken {
-                let job = &w.jobs[id];
-                let most = STARTS_OF_A_TASK * job.shards;
+            for id in &failing {
+                let job = &world.jobs[id];
+                let most = MAX_STARTS_PER_TASK * job.shards;
                 assert!(job.starts >= job.shards, "seed {}: {id} never began", sim.g.seed);
                 assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.g.seed, job.starts);
             }
-            // A machine that is called faulty is emptied and returned.
-            let returned: Vec<&String> = kept.iter().filter(|id| !w.machines[*id].exists()).collect();
-            assert!(returned.is_empty(), "seed {}: returned, though in use: {returned:?}", sim.g.seed);
-            assert_eq!(w.jobs[&lasting].starts, 2, "seed {}: lasting work was moved", sim.g.seed);
+            // A machine that is classified as faulty is drained and terminated.
+            let terminated: Vec<&String> = kept.iter().filter(|id| !world.machines[*id].exists()).collect();
+            assert!(terminated.is_empty(), "seed {}: machines in use were terminated: {terminated:?}", sim.g.seed);
+            assert_eq!(world.jobs[&lasting].starts, 2, "seed {}: a task of the long job was started again", sim.g.seed);
         }
-        let failing: Vec<String> = {
-            let w = sim.g.w.lock().unwrap();
-            sound.retain(|id| w.jobs[id].accepted.is_some_and(|at| at.elapsed() > secs(START_S)));
+        let begun_late: Vec<String> = {
+            let world = sim.g.w.lock().unwrap();
+            valid.retain(|id| world.jobs[id].accepted.is_some_and(|at| at.elapsed() > secs(MAX_START_S)));
             let late = |id: &&String| {
-                let job = &w.jobs[*id];
-                job.accepted.zip(job.began).is_none_or(|(accepted, began)| began - accepted > secs(START_S))
+                let job = &world.jobs[*id];
+                job.accepted.zip(job.began).is_none_or(|(accepted, began)| began - accepted > secs(MAX_START_S))
             };
-            sound.iter().filter(late).cloned().collect()
+            valid.iter().filter(late).cloned().collect()
         };
-        assert!(failing.is_empty(), "seed {}: begun late: {failing:?}", sim.g.seed);
-        mistaken.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
-        let cancelled = |w: &SimulationState| mistaken.iter().all(|id| w.jobs[id].cancelled.is_some());
-        sim.until("all are cancelled", s(10), cancelled).await;
-        // Where they failed others still run.
+        assert!(begun_late.is_empty(), "seed {}: jobs that began late: {begun_late:?}", sim.g.seed);
+        failing.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
+        let cancelled = |world: &SimulationState| failing.iter().all(|id| world.jobs[id].cancelled.is_some());
+        sim.until("all are cancelled", seconds(10), cancelled).await;
+        // Other jobs still run on the machines on which these jobs failed.
         let before = sim.g.w.lock().unwrap().machines.len();
-        let last = submit_sound(sim, 0);
-        sim.until("it runs", s(8), |w| w.jobs[&last].began.is_some()).await;
-        let rented = sim.g.w.lock().unwrap().machines.len() - before;
-        assert_eq!(rented, 0, "seed {}: no machine with room was used", sim.g.seed);
+        let last = submit_valid(sim, 0);
+        sim.until("the last job runs", seconds(8), |world| world.jobs[&last].began.is_some()).await;
+        let launched = sim.g.w.lock().unwrap().machines.len() - before;
+        assert_eq!(launched, 0, "seed {}: machines launched although others had free resources", sim.g.seed);
         sim.cancel(&lasting, &[0, 1, 2]);
     });
 }
--- a/tests/fault_combinations/pipelines.rs
+++ b/tests/fault_combinations/pipelines.rs
@@ -1,16 +1,17 @@
-//! Jobs that wait for others, cancelled in the midst of other faults.
+//! Jobs with dependencies that are cancelled during other faults.
 
-use crate::scenario::{ask_closely, days, others, s};
+use crate::scenario::{others, poll_frequently, run_with_seeds, seconds};
 use badgerdrift_stand_ins::world::CANCEL_S;
 use badgerdrift_stand_ins::{NEXT_LIMITS, Sim, controller, net::Cut};
 use std::time::Duration;
 
-/// Long enough for what runs first to be still running.
+/// Run time, in seconds, of a first job that is still running when the scenario cancels it.
 const LONG_S: f64 = 60.0;
 
-/// A chain of four jobs, accepted, the first of which runs for so long.
+/// Submits a chain of four jobs, the first of which runs for `run_s` seconds, and waits until all are accepted.
+/// Returns their identifiers in order.
 async fn chain(sim: &mut Sim, run_s: f64) -> Vec<String> {
-    sim.run(s(4)).await;
+    sim.run(seconds(4)).await;
     let mut jobs = vec![sim.waiting_job(&[])];
     jobs[0].run_s = run_s;
     for _ in 0..3 {
@@ -18,194 +19,199 @@
         jobs.push(sim.waiting_job(&[&last]));
     }
     let ids = sim.submit_pipeline(jobs);
-    all_accepted(sim, &ids).await;
+    until_accepted(sim, &ids).await;
     ids
 }
 
-pub async fn all_accepted(sim: &Sim, ids: &[String]) {
-    let accepted = |id: &String, w: &badgerdrift_stand_ins::world::SimulationState| {
-        w.jobs.get(id).is_some_and(|job| job.accepted.is_some())
+/// Waits until all of these jobs are accepted.
+pub async fn until_accepted(sim: &Sim, ids: &[String]) {
+    let accepted = |id: &String, world: &badgerdrift_stand_ins::world::SimulationState| {
+        world.jobs.get(id).is_some_and(|job| job.accepted.is_some())
     };
-    sim.until("all are accepted", s(120), |w| ids.iter().all(|id| accepted(id, w))).await;
+    sim.until("all are accepted", seconds(120), |world| ids.iter().all(|id| accepted(id, world))).await;
 }
 
-async fn until_cancelled(sim: &Sim, ids: &[String], most: Duration) {
-    sim.until("all are cancelled", most, |w| ids.iter().all(|id| w.jobs[id].cancelled.is_some())).await;
+async fn until_cancelled(sim: &Sim, ids: &[String], limit: Duration) {
+    sim.until("all are cancelled", limit, |world| ids.iter().all(|id| world.jobs[id].cancelled.is_some())).await;
 }
 
 #[test]
 fn a_chain_runs_in_order_while_leaders_change() {
-    days(async |sim| {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, 4.0).await;
         for _ in 0..4 {
             if let Some(leader) = sim.leader() {
                 sim.kill(leader);
-                sim.run(s(5)).await;
+                sim.run(seconds(5)).await;
                 sim.start(leader);
             }
         }
-        sim.until("the last is done", s(120), |w| w.jobs[&ids[3]].done_told.is_some()).await;
+        sim.until("the last is done", seconds(120), |world| world.jobs[&ids[3]].done_told.is_some()).await;
     });
 }
 
 #[test]
 fn all_nodes_report_a_cancellation_of_all_dependents_at_once() {
-    days(async |sim| {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         sim.cancel(&ids[0], &[0, 1, 2]);
-        ask_closely(sim, &ids, s(4)).await;
-        until_cancelled(sim, &ids, s(10)).await;
+        poll_frequently(sim, &ids, seconds(4)).await;
+        until_cancelled(sim, &ids, seconds(10)).await;
     });
 }
 
-// Half the answers to writes are lost, so that whether the first is cancelled is unclear.
+// Half of the answers to commits are lost or late, so the leader cannot tell whether the cancellation of the
+// dependency is recorded.
 #[test]
-fn answers_are_lost_or_late_as_the_first_job_is_cancelled() {
-    days(async |sim| {
+fn dependents_are_cancelled_though_answers_to_commits_are_lost_or_late() {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
         sim.lost_answers(0.5);
         sim.cancel(&ids[0], &[0, 1, 2]);
-        ask_closely(sim, &ids, s(6)).await;
+        poll_frequently(sim, &ids, seconds(6)).await;
         sim.lost_answers(0.0);
         sim.late_writes(0.5);
-        let more = chain(sim, LONG_S).await;
-        sim.cancel(&more[1], &[0, 1, 2]);
-        ask_closely(sim, &more, s(10)).await;
+        let second_chain = chain(sim, LONG_S).await;
+        sim.cancel(&second_chain[1], &[0, 1, 2]);
+        poll_frequently(sim, &second_chain, seconds(10)).await;
         sim.late_writes(0.0);
-        until_cancelled(sim, &ids, s(60)).await;
+        until_cancelled(sim, &ids, seconds(60)).await;
     });
 }
 
+// The next leader must find the dependents of a job that is recorded as cancelled and cancel them.
 #[test]
-fn a_leader_ends_between_the_first_cancellation_and_the_records_of_a_wide_fan() {
-    days(async |sim| {
+fn dependents_are_cancelled_though_the_leader_ends_before_it_records_them() {
+    run_with_seeds(async |sim| {
         sim.limit_state(NEXT_LIMITS);
-        sim.run(s(4)).await;
-        let mut root = sim.waiting_job(&[]);
-        root.run_s = 2.0 * LONG_S;
-        let fan: Vec<_> = (0..120).map(|_| sim.waiting_job(&[&root.id])).collect();
-        let first = sim.submit_pipeline(vec![root]);
-        let ids = sim.submit_pipeline(fan);
-        all_accepted(sim, &ids).await;
-        sim.until("the first runs", s(30), |w| w.starts > 0).await;
+        sim.run(seconds(4)).await;
+        let mut first = sim.waiting_job(&[]);
+        first.run_s = 2.0 * LONG_S;
+        let dependents: Vec<_> = (0..120).map(|_| sim.waiting_job(&[&first.id])).collect();
+        let first = sim.submit_pipeline(vec![first]);
+        let ids = sim.submit_pipeline(dependents);
+        until_accepted(sim, &ids).await;
+        sim.until("the first runs", seconds(30), |world| world.starts > 0).await;
         sim.cancel(&first[0], &[0, 1, 2]);
-        sim.until("the first is cancelled", s(30), |w| w.jobs[&first[0]].cancelled.is_some()).await;
+        sim.until("the first is cancelled", seconds(30), |world| world.jobs[&first[0]].cancelled.is_some()).await;
         if let Some(leader) = sim.leader() {
             sim.kill(leader);
-            ask_closely(sim, &ids[..10], s(5)).await;
+            poll_frequently(sim, &ids[..10], seconds(5)).await;
             sim.start(leader);
         }
-        until_cancelled(sim, &ids, s(60)).await;
+        until_cancelled(sim, &ids, seconds(60)).await;
     });
 }
 
 #[test]
-fn the_state_store_is_out_for_longer_than_cancel_s_right_after_a_cancellation() {
-    days(async |sim| {
+fn dependents_are_cancelled_though_an_outage_longer_than_cancel_s_follows() {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         sim.cancel(&ids[1], &[0, 1, 2]);
-        sim.until("it is cancelled", s(10), |w| w.jobs[&ids[1]].cancelled.is_some()).await;
+        sim.until("it is cancelled", seconds(10), |world| world.jobs[&ids[1]].cancelled.is_some()).await;
         sim.state_down(true);
-        ask_closely(sim, &ids, Duration::from_secs_f64(CANCEL_S + 5.0)).await;
+        poll_frequently(sim, &ids, Duration::from_secs_f64(CANCEL_S + 5.0)).await;
         sim.state_down(false);
-        until_cancelled(sim, &ids[1..], s(30)).await;
+        until_cancelled(sim, &ids[1..], seconds(30)).await;
     });
 }
 
-// It goes on to be asked by users who do not reach the next one.
+// Users who do not reach its successor keep polling the old leader.
 #[test]
 fn a_leader_that_is_cut_off_reports_no_dependent_as_pending_after_its_successor_has_cancelled() {
-    days(async |sim| {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         let leader = sim.leader().expect("there is a leader");
         sim.refuse_state(leader, true);
         for node in others(leader) {
             sim.cut(controller(leader), controller(node), Some(Cut::Hold));
         }
         sim.cancel(&ids[0], &others(leader));
-        ask_closely(sim, &ids, s(15)).await;
+        poll_frequently(sim, &ids, seconds(15)).await;
         for node in others(leader) {
             sim.cut(controller(leader), controller(node), None);
         }
         sim.refuse_state(leader, false);
-        until_cancelled(sim, &ids, s(40)).await;
+        until_cancelled(sim, &ids, seconds(40)).await;
     });
 }
 
-// Its end is reported, and the write of that end meets the cancellation.
+// The write of the job's end and the cancellation are concurrent.
 #[test]
-fn a_cancellation_meets_the_end_of_the_first_job_of_a_chain() {
-    days(async |sim| {
-        for n in 0..4 {
+fn a_cancellation_racing_with_the_end_of_the_first_job_of_a_chain_has_one_outcome() {
+    run_with_seeds(async |sim| {
+        for index in 0..4 {
             let ids = chain(sim, 3.0).await;
-            let ended = |w: &badgerdrift_stand_ins::world::SimulationState| w.jobs[&ids[0]].all_done();
-            sim.until("the tasks of the first have ended", s(60), ended).await;
-            sim.run(Duration::from_millis(20 * n)).await;
+            let ended = |world: &badgerdrift_stand_ins::world::SimulationState| world.jobs[&ids[0]].all_done();
+            sim.until("the tasks of the first have ended", seconds(60), ended).await;
+            sim.run(Duration::from_millis(20 * index)).await;
             sim.cancel(&ids[0], &[0, 1, 2]);
-            ask_closely(sim, &ids, s(1)).await;
+            poll_frequently(sim, &ids, seconds(1)).await;
         }
     });
 }
 
-// A new dependent comes at another node just as the first job is cancelled.
+// New dependents arrive at other nodes in the moment in which the first job is cancelled.
 #[test]
-fn dependents_are_submitted_as_their_dependency_is_cancelled() {
-    days(async |sim| {
+fn dependents_submitted_while_their_dependency_is_cancelled_are_cancelled_too() {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
-        sim.until("the first runs", s(30), |w| w.jobs[&ids[0]].starts > 0).await;
+        sim.until("the first runs", seconds(30), |world| world.jobs[&ids[0]].starts > 0).await;
         sim.cancel(&ids[0], &[0, 1, 2]);
-        let late: Vec<_> = (0..6).map(|n| sim.waiting_job(&[&ids[n % 4]])).collect();
+        let late: Vec<_> = (0..6).map(|index| sim.waiting_job(&[&ids[index % 4]])).collect();
         let late = sim.submit_pipeline(late);
-        sim.run(s(5)).await;
-        until_cancelled(sim, &late, s(30)).await;
+        sim.run(seconds(5)).await;
+        until_cancelled(sim, &late, seconds(30)).await;
     });
 }
 
-// No leader answers the submission: the accepting node checks what it names by reads.
+// No leader can answer the submission, so the accepting node reads the records of the dependencies.
 #[test]
 fn a_job_with_dependencies_is_accepted_while_no_node_leads_their_partition() {
-    days(async |sim| {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, LONG_S).await;
         let leader = sim.leader().expect("there is a leader");
         sim.cancel(&ids[2], &[0, 1, 2]);
-        sim.until("it is cancelled", s(10), |w| w.jobs[&ids[2]].cancelled.is_some()).await;
+        sim.until("it is cancelled", seconds(10), |world| world.jobs[&ids[2]].cancelled.is_some()).await;
         sim.kill(leader);
-        let late: Vec<_> = (1..=3).map(|n| sim.waiting_job(&[&ids[n]])).collect();
+        let late: Vec<_> = (1..=3).map(|index| sim.waiting_job(&[&ids[index]])).collect();
         let late = sim.submit_pipeline(late);
-        sim.run(s(6)).await;
+        sim.run(seconds(6)).await;
         sim.start(leader);
-        until_cancelled(sim, &late[1..], s(40)).await;
+        until_cancelled(sim, &late[1..], seconds(40)).await;
     });
 }
 
-// The tasks of the first job are done, and the leader ends before that is recorded.
+// The tasks of the first job are done, and the leader ends before it records that. The next leader must learn
+// it from the workers.
 #[test]
-fn the_leader_ends_before_the_end_of_a_dependency_is_recorded() {
-    days(async |sim| {
+fn a_chain_finishes_though_the_leader_ends_before_it_records_the_end_of_a_dependency() {
+    run_with_seeds(async |sim| {
         for _ in 0..3 {
             let ids = chain(sim, 3.0).await;
-            let ended = |w: &badgerdrift_stand_ins::world::SimulationState| w.jobs[&ids[0]].all_done();
-            sim.until("the tasks of the first have ended", s(60), ended).await;
+            let ended = |world: &badgerdrift_stand_ins::world::SimulationState| world.jobs[&ids[0]].all_done();
+            sim.until("the tasks of the first have ended", seconds(60), ended).await;
             let leader = sim.leader().expect("there is a leader");
             sim.kill(leader);
-            sim.run(s(5)).await;
+            sim.run(seconds(5)).await;
             sim.start(leader);
-            sim.until("the last is done", s(120), |w| w.jobs[&ids[3]].done_told.is_some()).await;
+            sim.until("the last is done", seconds(120), |world| world.jobs[&ids[3]].done_told.is_some()).await;
         }
     });
 }
 
-// The last job of a pipeline comes when all that it needs is over.
+// The last job of a pipeline is submitted after all of its dependencies have ended.
 #[test]
-fn a_late_last_job_begins_at_once() {
-    days(async |sim| {
+fn a_job_submitted_after_its_dependencies_are_done_begins_at_once() {
+    run_with_seeds(async |sim| {
         let ids = chain(sim, 3.0).await;
-        sim.until("the chain is done", s(120), |w| w.jobs[&ids[3]].done_told.is_some()).await;
+        sim.until("the chain is done", seconds(120), |world| world.jobs[&ids[3]].done_told.is_some()).await;
         let last = sim.waiting_job(&[&ids[3], &ids[0]]);
         let last = sim.submit_pipeline(vec![last]);
-        sim.until("it has begun", s(12), |w| w.jobs.get(&last[0]).is_some_and(|job| job.began.is_some())).await;
+        sim.until("it has begun", seconds(12), |world| world.jobs.get(&last[0]).is_some_and(|job| job.began.is_some()))
+            .await;
     });
 }
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -1,69 +1,77 @@
-//! Users ask about their jobs eight times as often as usual, while the leader is paused.
+//! Users who poll their jobs eight times as often as usual while the leader is paused.
 
-use crate::scenario::{ask_closely, days, long_jobs, others, s, short_jobs};
+use crate::scenario::{long_jobs, others, poll_frequently, run_with_seeds, seconds, short_jobs};
 use badgerdrift_stand_ins::Sim;
 use std::time::Duration;
 use tokio::time::Instant;
 
-const STORM: f64 = 8.0;
+/// Factor by which users poll more often than usual.
+const STORM_FACTOR: f64 = 8.0;
+/// Run time, in seconds, of jobs that outlast the polls of a scenario.
 const LONG_S: f64 = 120.0;
 
-/// Everybody who asks about an accepted job is answered by some node now and then.
+/// Asserts that polls of every job accepted at least `time` ago were answered by some node within the last `time`.
 fn assert_answered_within(sim: &Sim, time: Duration) {
     let now = Instant::now();
-    let w = sim.g.w.lock().unwrap();
-    let unanswered: Vec<&String> = w
+    let world = sim.g.w.lock().unwrap();
+    let unanswered: Vec<&String> = world
         .jobs
         .values()
-        .filter(|j| j.accepted.is_some_and(|at| at + time < now) && j.answered.is_none_or(|at| at + time < now))
-        .map(|j| &j.id)
+        .filter(|job| job.accepted.is_some_and(|at| at + time < now) && job.answered.is_none_or(|at| at + time < now))
+        .map(|job| &job.id)
         .collect();
-    assert!(unanswered.is_empty(), "seed {}: nobody answers about {unanswered:?}", sim.g.seed);
+    assert!(
+        unanswered.is_empty(),
+        "seed {}: no node answered polls of these jobs within {time:?}: {unanswered:?}",
+        sim.g.seed
+    );
 }
 
+// Polls of running, ended, cancelled and unknown jobs must be answered while the leader, which knows the jobs, is
+// paused.
 #[test]
-fn a_poll_storm_about_ended_unknown_and_cancelled_jobs_as_the_leader_is_paused() {
-    days(async |sim| {
+fn polls_are_answered_in_a_poll_storm_while_the_leader_is_paused() {
+    run_with_seeds(async |sim| {
         let mut ids = long_jobs(sim, LONG_S).await;
         ids.extend(short_jobs(sim));
         sim.cancel(&ids[0], &[0, 1, 2]);
-        sim.run(s(12)).await;
-        sim.poll_rate(STORM);
+        sim.run(seconds(12)).await;
+        sim.poll_rate(STORM_FACTOR);
         sim.ask_about_unknown_jobs();
         let leader = sim.leader().expect("there is a leader");
         sim.pause(leader, true);
-        ask_closely(sim, &ids, s(4)).await;
+        poll_frequently(sim, &ids, seconds(4)).await;
         sim.cancel(&ids[1], &others(leader));
         ids.extend(short_jobs(sim));
-        ask_closely(sim, &ids, s(8 + 9 * sim.g.seed)).await;
-        assert_answered_within(sim, s(6));
+        poll_frequently(sim, &ids, seconds(8 + 9 * sim.g.seed)).await;
+        assert_answered_within(sim, seconds(6));
         sim.pause(leader, false);
-        ask_closely(sim, &ids, s(10)).await;
-        assert_answered_within(sim, s(6));
+        poll_frequently(sim, &ids, seconds(10)).await;
+        assert_answered_within(sim, seconds(6));
         sim.poll_rate(1.0);
     });
 }
 
 #[test]
-fn a_poll_storm_as_one_leader_after_the_other_is_paused_for_a_while() {
-    days(async |sim| {
-        sim.run(s(5)).await;
-        sim.poll_rate(STORM);
+fn polls_are_answered_in_a_poll_storm_while_leaders_are_paused_in_turn() {
+    run_with_seeds(async |sim| {
+        sim.run(seconds(5)).await;
+        sim.poll_rate(STORM_FACTOR);
         sim.ask_about_unknown_jobs();
         let mut ids = Vec::new();
-        for n in 0..5 {
+        for index in 0..5 {
             ids.extend(short_jobs(sim));
             let mut service = sim.job("service", 2);
             service.cards = 0.5;
             ids.push(sim.submit(service));
-            sim.run(s(3)).await;
+            sim.run(seconds(3)).await;
             let leader = sim.leader().unwrap_or(0);
             sim.pause(leader, true);
-            sim.cancel(&ids[3 * n + 2], &others(leader));
-            ask_closely(sim, &ids, Duration::from_millis(2000 + 800 * (n as u64 + sim.g.seed))).await;
+            sim.cancel(&ids[3 * index + 2], &others(leader));
+            poll_frequently(sim, &ids, Duration::from_millis(2000 + 800 * (index as u64 + sim.g.seed))).await;
             sim.pause(leader, false);
-            ask_closely(sim, &ids, s(6)).await;
-            assert_answered_within(sim, s(6));
+            poll_frequently(sim, &ids, seconds(6)).await;
+            assert_answered_within(sim, seconds(6));
         }
         sim.poll_rate(1.0);
     });
--- a/tests/fault_combinations/random_days.rs
+++ b/tests/fault_combinations/random_days.rs
@@ -1,20 +1,20 @@
-//! Days with random faults; the seeds that failed are printed.
+//! Scenarios with random faults. The seeds that fail are printed.
 
 use crate::simulation::{seeds, simulate, simulate_with};
 use badgerdrift_stand_ins::{RandomDay, Setup};
 
-/// On the day of this seed one of two machines is faulty, and a gang needs both zones.
+/// Seed with which one of two machines is faulty and a gang needs both zones.
 const FAULTY_MACHINE_OF_TWO: u64 = 497;
 
-/// Runs a day for each of the seeds, and names those that failed.
-fn run_all(seeds: &[u64], day: impl Fn(u64) + Sync + std::panic::RefUnwindSafe) {
+/// Runs a scenario for each of the seeds on four threads, and fails with those seeds that failed.
+fn run_all(seeds: &[u64], scenario: impl Fn(u64) + Sync + std::panic::RefUnwindSafe) {
     let failed = std::sync::Mutex::new(Vec::new());
     let next = std::sync::atomic::AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
-                    if std::panic::catch_unwind(|| day(*seed)).is_err() {
+                    if std::panic::catch_unwind(|| scenario(*seed)).is_err() {
                         failed.lock().unwrap().push(*seed);
                     }
                 }
@@ -44,7 +44,8 @@
     });
 }
 
-// Paused controllers, poll storms, boots that fail, mistaken jobs and guests among the others.
+// Adds paused controllers, poll storms, failed boots, jobs that fail on every machine and guests to the other
+// faults.
 #[test]
 fn random_faults_of_all_kinds_break_no_rule() {
     run_all(&seeds(1..=12), |seed| {
@@ -55,7 +56,7 @@
     });
 }
 
-// Pipelines, some of whose jobs are cancelled, and limits of the state service that shrink.
+// Adds pipelines, some of whose jobs are cancelled, and lower limits of the state service.
 #[test]
 fn random_faults_break_no_rule_of_pipelines() {
     run_all(&seeds(1..=16), |seed| {
@@ -68,7 +69,7 @@
     });
 }
 
-// The version in production serves at first, and is replaced while faults come.
+// Controllers begin as the version in production and are replaced while faults occur.
 #[test]
 fn random_faults_break_no_rule_while_controllers_are_upgraded() {
     run_all(&seeds(1..=16), |seed| {
@@ -82,7 +83,7 @@
     });
 }
 
-// Jobs wait for others that belong to another partition.
+// Jobs depend on jobs of other partitions.
 #[test]
 fn random_faults_break_no_rule_of_pipelines_over_several_partitions() {
     run_all(&seeds(1..=8), |seed| {
--- a/tests/fault_combinations/scenario.rs
+++ b/tests/fault_combinations/scenario.rs
@@ -1,4 +1,4 @@
-//! Steps that several scripted days share.
+//! Steps that several scenarios share.
 
 use crate::simulation::{seeds, simulate, simulate_with};
 use badgerdrift_stand_ins::world::Machine;
@@ -6,75 +6,79 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-pub fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+/// Duration of this many seconds.
+pub fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
-/// A few seeds of a scripted day; each ends settled.
-pub fn days(day: impl AsyncFn(&mut Sim) + Sync) {
+/// Runs a scenario with a few seeds. Each run ends with `settle`, which checks that all work ends.
+pub fn run_with_seeds(scenario: impl AsyncFn(&mut Sim) + Sync) {
     for seed in seeds(1..=3) {
         simulate(seed, async |mut sim| {
-            day(&mut sim).await;
+            scenario(&mut sim).await;
             sim.settle().await;
         });
     }
 }
 
-/// Days on which nothing is rented for jobs that may come: what is rented is needed.
-pub fn days_without_headroom(day: impl AsyncFn(&mut Sim) + Sync) {
+/// Runs a scenario like [`run_with_seeds`], without machines kept ready for future jobs: each machine that is launched is
+/// needed.
+pub fn run_without_headroom(scenario: impl AsyncFn(&mut Sim) + Sync) {
     for seed in seeds(1..=3) {
         simulate_with(Setup::without_headroom(), seed, async |mut sim| {
-            day(&mut sim).await;
+            scenario(&mut sim).await;
             sim.settle().await;
         });
     }
 }
 
-/// Jobs of every shape that run for so long, accepted and placed.
+/// Submits a job of every shape that runs for `run_s` seconds, and waits until they are placed. Returns their
+/// identifiers.
 pub async fn long_jobs(sim: &mut Sim, run_s: f64) -> Vec<String> {
     let mut ids = Vec::new();
     for shape in ["service", "batch", "group"] {
-        let mut j = sim.job(shape, 2);
-        j.run_s = run_s;
-        ids.push(sim.submit(j));
+        let mut job = sim.job(shape, 2);
+        job.run_s = run_s;
+        ids.push(sim.submit(job));
     }
-    sim.run(s(15)).await;
+    sim.run(seconds(15)).await;
     ids
 }
 
+/// Returns all controllers except this one.
 pub fn others(node: usize) -> Vec<usize> {
-    (0..NODES).filter(|n| *n != node).collect()
+    (0..NODES).filter(|index| *index != node).collect()
 }
 
-/// Of the machines that are up every `step`th is troubled until then.
-pub fn machines(sim: &Sim, step: usize, put: impl Fn(&mut Machine)) {
+/// Applies a change to every `step`th of the machines that are up.
+pub fn machines(sim: &Sim, step: usize, change: impl Fn(&mut Machine)) {
     let now = Instant::now();
-    let mut w = sim.g.w.lock().unwrap();
-    w.machines.values_mut().filter(|m| m.alive(now)).step_by(step).for_each(put);
+    let mut world = sim.g.w.lock().unwrap();
+    world.machines.values_mut().filter(|m| m.alive(now)).step_by(step).for_each(change);
 }
 
-/// Users ask about these jobs at all nodes, again and again.
-pub async fn ask_closely(sim: &Sim, ids: &[String], time: Duration) {
-    const PAUSE: Duration = Duration::from_millis(150);
+/// Polls these jobs at all nodes every 150 ms for this time.
+pub async fn poll_frequently(sim: &Sim, ids: &[String], time: Duration) {
+    const INTERVAL: Duration = Duration::from_millis(150);
     let end = Instant::now() + time;
     while Instant::now() < end {
         ids.iter().for_each(|id| sim.ask_all(id));
-        sim.run(PAUSE).await;
+        sim.run(INTERVAL).await;
     }
 }
 
-/// Short jobs of both shapes that end by themselves.
+/// Submits short jobs of both shapes that end by themselves, and returns their identifiers.
 pub fn short_jobs(sim: &mut Sim) -> Vec<String> {
     let mut ids = Vec::new();
     for shape in ["batch", "group"] {
-        let mut j = sim.job(shape, 2);
-        (j.cards, j.run_s) = (0.5, 4.0);
-        ids.push(sim.submit(j));
+        let mut job = sim.job(shape, 2);
+        (job.cards, job.run_s) = (0.5, 4.0);
+        ids.push(sim.submit(job));
     }
     ids
 }
 
-/// Machines that are charged now.
+/// Number of machines that are charged now.
 pub fn charged(sim: &Sim) -> usize {
     sim.g.w.lock().unwrap().machines.values().filter(|m| m.exists()).count()
 }
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -1,128 +1,134 @@
-//! Machines that are rented come up late, or never, while they are charged.
+//! Machines that boot late or never while they are charged.
 
-use crate::scenario::{charged, days_without_headroom, s};
+use crate::scenario::{charged, run_without_headroom, seconds};
 use crate::simulation::{seeds, simulate_with};
 use badgerdrift_stand_ins::world::{BootFaults, Job, SimulationState, secs};
 use badgerdrift_stand_ins::{Setup, Sim};
 use tokio::time::Instant;
 
-/// Machines that the work of these days takes.
+/// Number of machines that the jobs of these scenarios need.
 const NEEDED: usize = 3;
-/// Within this time a machine that does not come up is returned, another is rented
-/// instead, and that one is up.
+/// Maximum time, in seconds, until a machine that does not boot is terminated and a replacement has booted.
 const REPLACED_S: u64 = 25;
-/// Within this time machines without work are returned.
-const RETURNED_S: u64 = 40;
+/// Maximum time, in seconds, until machines without work are terminated.
+const TERMINATED_S: u64 = 40;
 
-/// A gang and an array that take three machines with accelerators.
+/// Submits a gang and an array job that together need three machines with accelerators.
 fn submit_work(sim: &mut Sim) {
     for (shape, tasks) in [("group", 2), ("batch", 1)] {
-        let mut j = sim.job(shape, tasks);
-        (j.cards, j.run_s) = (2.5, 30.0);
-        sim.submit(j);
+        let mut job = sim.job(shape, tasks);
+        (job.cards, job.run_s) = (2.5, 30.0);
+        sim.submit(job);
     }
 }
 
-fn all_began(w: &SimulationState) -> bool {
-    w.jobs.values().all(|j| j.began.is_some())
+fn all_began(world: &SimulationState) -> bool {
+    world.jobs.values().all(|job| job.began.is_some())
 }
 
-/// Until all jobs have begun no more than so many machines are charged at once.
-async fn until_all_began(sim: &Sim, most_machines: usize) {
-    let end = Instant::now() + s(REPLACED_S);
+/// Waits until all jobs have begun, and asserts that at most `max_machines` machines are charged at once.
+async fn until_all_began(sim: &Sim, max_machines: usize) {
+    let end = Instant::now() + seconds(REPLACED_S);
     while !all_began(&sim.g.w.lock().unwrap()) {
-        assert!(Instant::now() < end, "seed {}: work waits for machines that are not up", sim.g.seed);
+        assert!(Instant::now() < end, "seed {}: jobs have not begun in {REPLACED_S} s", sim.g.seed);
         let charged = charged(sim);
-        assert!(charged <= most_machines, "seed {}: {charged} machines are charged", sim.g.seed);
+        assert!(
+            charged <= max_machines,
+            "seed {}: {charged} machines are charged, expected at most {max_machines}",
+            sim.g.seed
+        );
         sim.run(secs(0.5)).await;
     }
 }
 
-async fn until_all_are_returned(sim: &Sim) {
-    sim.until("all work is done", s(120), |w| w.jobs.values().all(Job::over)).await;
-    let none = |w: &SimulationState| w.machines.values().all(|m| !m.exists());
-    sim.until("all machines are returned", s(RETURNED_S), none).await;
+async fn until_all_are_terminated(sim: &Sim) {
+    sim.until("all work is done", seconds(120), |world| world.jobs.values().all(Job::over)).await;
+    let none = |world: &SimulationState| world.machines.values().all(|m| !m.exists());
+    sim.until("all machines are terminated", seconds(TERMINATED_S), none).await;
 }
 
 #[test]
-fn machines_that_never_come_up_are_returned_and_replaced() {
-    days_without_headroom(async |sim| {
-        sim.run(s(5)).await;
+fn machines_that_never_boot_are_terminated_and_replaced() {
+    run_without_headroom(async |sim| {
+        sim.run(seconds(5)).await;
         sim.boot_faults(BootFaults { never: 1.0, ..BootFaults::default() });
         submit_work(sim);
-        sim.until("machines are rented", s(5), |w| w.machines.len() >= NEEDED).await;
+        sim.until("machines are launched", seconds(5), |world| world.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
-        let never_up: Vec<String> = sim.g.w.lock().unwrap().machines.keys().cloned().collect();
+        let never_booted: Vec<String> = sim.g.w.lock().unwrap().machines.keys().cloned().collect();
         until_all_began(sim, 2 * NEEDED).await;
-        let returned = |w: &SimulationState| never_up.iter().all(|id| !w.machines[id].exists());
-        sim.until("what never comes up is returned", s(REPLACED_S), returned).await;
-        let rented = sim.g.w.lock().unwrap().machines.len();
-        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.g.seed);
-        until_all_are_returned(sim).await;
+        let terminated = |world: &SimulationState| never_booted.iter().all(|id| !world.machines[id].exists());
+        sim.until("machines that never boot are terminated", seconds(REPLACED_S), terminated).await;
+        let launched = sim.g.w.lock().unwrap().machines.len();
+        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.g.seed);
+        until_all_are_terminated(sim).await;
     });
 }
 
-// They come up just before or after they are given up.
+// The machines boot shortly before or shortly after the time at which they are given up.
 #[test]
-fn machines_come_up_late_and_the_surplus_is_returned() {
+fn surplus_machines_that_boot_late_are_terminated() {
     const LATE_BY: [f64; 3] = [3.0, 4.0, 5.5];
-    days_without_headroom(async |sim| {
-        sim.run(s(5)).await;
+    run_without_headroom(async |sim| {
+        sim.run(seconds(5)).await;
         let late_by = LATE_BY[sim.g.seed as usize % LATE_BY.len()];
         sim.boot_faults(BootFaults { late: 1.0, late_by, ..BootFaults::default() });
         submit_work(sim);
-        sim.until("machines are rented", s(5), |w| w.machines.len() >= NEEDED).await;
+        sim.until("machines are launched", seconds(5), |world| world.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
         until_all_began(sim, 2 * NEEDED).await;
-        until_all_are_returned(sim).await;
-        let rented = sim.g.w.lock().unwrap().machines.len();
-        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.g.seed);
+        until_all_are_terminated(sim).await;
+        let launched = sim.g.w.lock().unwrap().machines.len();
+        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.g.seed);
     });
 }
 
-// A third of all machines never comes up, and half of the others are late. Each wave of jobs
-// finds the machines of the last one returned, and needs four.
+// A third of all machines never boots, and half of the others boot late. The machines of the previous wave of
+// jobs are terminated before the next wave, which needs four.
 #[test]
-fn work_goes_on_while_most_boots_fail() {
+fn most_jobs_begin_while_most_boots_fail_or_are_late() {
     const WAVES: usize = 6;
     const MAX_CHARGED: usize = 12;
-    days_without_headroom(async |sim| {
+    run_without_headroom(async |sim| {
         sim.boot_faults(BootFaults { never: 0.33, late: 0.5, late_by: 3.5 });
-        sim.run(s(5)).await;
-        let mut most = 0;
-        for n in 0..WAVES {
+        sim.run(seconds(5)).await;
+        let mut max_charged = 0;
+        for index in 0..WAVES {
             for team in ["red", "blue"] {
-                let mut j = sim.job(["batch", "group"][n % 2], 2);
-                (j.team, j.cards, j.run_s) = (team, 2.5, 6.0);
-                sim.submit(j);
+                let mut job = sim.job(["batch", "group"][index % 2], 2);
+                (job.team, job.cards, job.run_s) = (team, 2.5, 6.0);
+                sim.submit(job);
             }
             for _ in 0..25 {
-                sim.run(s(1)).await;
-                most = most.max(charged(sim));
+                sim.run(seconds(1)).await;
+                max_charged = max_charged.max(charged(sim));
             }
         }
-        sim.run(s(REPLACED_S)).await;
-        let (begun, all, rented) = {
-            let w = sim.g.w.lock().unwrap();
-            (w.jobs.values().filter(|j| j.began.is_some()).count(), w.jobs.len(), w.machines.len())
+        sim.run(seconds(REPLACED_S)).await;
+        let (begun, all, launched) = {
+            let world = sim.g.w.lock().unwrap();
+            (world.jobs.values().filter(|job| job.began.is_some()).count(), world.jobs.len(), world.machines.len())
         };
-        println!("seed {}: {begun} of {all} jobs have begun; {rented} machines, {most} at once", sim.g.seed);
-        assert!(most <= MAX_CHARGED, "seed {}: {most} machines were charged", sim.g.seed);
+        println!(
+            "seed {}: {begun} of {all} jobs have begun; {launched} machines launched, at most {max_charged} at once",
+            sim.g.seed
+        );
+        assert!(max_charged <= MAX_CHARGED, "seed {}: {max_charged} machines were charged at once", sim.g.seed);
         assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.g.seed);
     });
 }
 
-// Between its first report and the one that shows the token a machine is neither expected nor in use; a
-// plan that is made then must not rent another one in its place.
+// Between its first heartbeat and the one that shows the fencing token a machine counts neither as booting nor
+// as usable. A plan made in that interval must not launch another machine in its place.
 #[test]
-fn nothing_is_rented_beside_machines_that_have_just_come_up() {
+fn no_machine_is_launched_in_place_of_one_that_has_just_booted() {
     for seed in seeds(1..=12) {
         simulate_with(Setup::without_headroom(), seed, async |mut sim| {
-            sim.run(s(5)).await;
+            sim.run(seconds(5)).await;
             submit_work(&mut sim);
-            sim.until("all work is done", s(120), |w| w.jobs.values().all(Job::over)).await;
-            let w = sim.g.w.lock().unwrap();
-            assert_eq!(w.machines.len(), NEEDED, "seed {seed}: machines that were rented\n{}", w.recent(""));
+            sim.until("all work is done", seconds(120), |world| world.jobs.values().all(Job::over)).await;
+            let world = sim.g.w.lock().unwrap();
+            assert_eq!(world.machines.len(), NEEDED, "seed {seed}: machines that were launched\n{}", world.recent(""));
         });
     }
 }
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -1,6 +1,6 @@
-//! Warm pools in whole controllers, with workers that load models.
+//! Warm pools in whole deployments, with workers that load models.
 
-use crate::scenario::s;
+use crate::scenario::seconds;
 use crate::simulation::{seeds, simulate_with};
 use badgerdrift::control::node::Subsystems;
 use badgerdrift_stand_ins::world::SimulationState;
@@ -8,7 +8,8 @@
 use badgerdrift_warm_pools::PoolSettings;
 use tokio::time::Instant;
 
-/// Two pools of images that random jobs use, one of loaded models and one of rooms.
+/// Setup with two pools for images that random jobs use: one keeps models loaded, the other only reserves
+/// resources.
 fn setup() -> Setup {
     let pools: PoolSettings = serde_json::from_str(
         r#"{"bill_every_s": 20,
@@ -27,20 +28,20 @@
     }
 }
 
-/// Runs until so many models are ready.
+/// Waits until this many slots are ready.
 async fn until_ready(sim: &mut Sim, count: usize) {
-    sim.until("the pool is warm", s(120), |world| world.ready_slots() >= count).await;
+    sim.until("the slots are ready", seconds(120), |world| world.ready_slots() >= count).await;
 }
 
-/// A service of one replica of the model that is kept loaded.
-fn replica(sim: &mut Sim) -> String {
+/// Submits a service of one replica of the model that is kept loaded, and returns its identifier.
+fn submit_replica(sim: &mut Sim) -> String {
     let mut job = sim.job("service", 1);
     (job.team, job.bundle, job.cores, job.cards, job.mem_gb) = ("blue", 0, 2.0, 1.0, 1.0);
     sim.submit(job)
 }
 
-// Found here: nothing but what the rules of the stand-ins check. One claimant a slot, no team over
-// its limit, no task twice, whatever fails at the same time.
+// The rules of the stand-ins check that each slot has at most one claimant, no team exceeds its limit and no
+// task runs twice, whatever fails at the same time.
 #[test]
 fn random_faults_break_no_rule_with_warm_pools() {
     for seed in seeds(1..=8) {
@@ -53,18 +54,20 @@
     }
 }
 
+// The leader ends shortly after three replicas were submitted for two ready slots.
 #[test]
-fn a_leader_that_ends_in_a_burst_leaves_every_job_one_replica() {
+fn every_replica_runs_after_the_leader_ends_during_a_burst() {
     for seed in seeds(1..=3) {
         simulate_with(setup(), seed, async |mut sim| {
             until_ready(&mut sim, 2).await;
-            let jobs: Vec<String> = (0..3).map(|_| replica(&mut sim)).collect();
+            let jobs: Vec<String> = (0..3).map(|_| submit_replica(&mut sim)).collect();
             sim.run(std::time::Duration::from_millis(40 * seed)).await;
             let leader = sim.leader().expect("there is a leader");
             sim.kill(leader);
-            sim.run(s(20)).await;
+            sim.run(seconds(20)).await;
             sim.start(leader);
-            sim.until("all replicas run", s(60), |world| jobs.iter().all(|id| world.jobs[id].began.is_some())).await;
+            sim.until("all replicas run", seconds(60), |world| jobs.iter().all(|id| world.jobs[id].began.is_some()))
+                .await;
             until_ready(&mut sim, 2).await;
             sim.settle().await;
         });
@@ -72,12 +75,12 @@
 }
 
 #[test]
-fn half_of_the_machines_die_while_the_cloud_is_out() {
+fn pools_recover_after_half_of_the_machines_die_in_an_outage_of_the_cloud() {
     for seed in seeds(1..=3) {
         simulate_with(setup(), seed, async |mut sim| {
             until_ready(&mut sim, 2).await;
-            let job = replica(&mut sim);
-            sim.run(s(5)).await;
+            let job = submit_replica(&mut sim);
+            sim.run(seconds(5)).await;
             sim.g.w.lock().unwrap().cloud_down = true;
             let now = Instant::now();
             let alive = |world: &SimulationState| {
@@ -85,9 +88,9 @@
             };
             let alive: Vec<String> = alive(&sim.g.w.lock().unwrap());
             alive.iter().step_by(2).for_each(|id| machines::die(&sim.g, id));
-            sim.run(s(20)).await;
+            sim.run(seconds(20)).await;
             sim.g.w.lock().unwrap().cloud_down = false;
-            sim.until("the replica runs", s(120), |world| world.jobs[&job].began.is_some()).await;
+            sim.until("the replica runs", seconds(120), |world| world.jobs[&job].began.is_some()).await;
             until_ready(&mut sim, 2).await;
             sim.settle().await;
         });
--- a/tests/fault_combinations/writes.rs
+++ b/tests/fault_combinations/writes.rs
@@ -1,32 +1,32 @@
-//! Writes lag or are carried out late, and there are many of them.
+//! Commits that the state service applies late, and high rates of commits.
 
-use crate::scenario::{days, s};
+use crate::scenario::{run_with_seeds, seconds};
 use crate::simulation::simulate;
 use badgerdrift_stand_ins::NODES;
 use std::time::Duration;
 
-// Transactions without an answer are carried out at once or after newer ones, while the
-// leader ends and returns, some of them within a second.
+// Commits without an answer are applied at once or after newer ones, while leaders end and restart, some within
+// a second.
 #[test]
-fn late_writes_while_leaders_change() {
-    days(async |sim| {
-        sim.run(s(5)).await;
+fn commits_that_apply_late_during_failovers_break_no_rule() {
+    run_with_seeds(async |sim| {
+        sim.run(seconds(5)).await;
         sim.late_writes(0.25);
         sim.lost_answers(0.25);
-        for n in 0..8 {
+        for index in 0..8 {
             for shape in ["batch", "service"] {
-                let mut j = sim.job(shape, 2);
-                j.run_s = 3.0;
-                let id = sim.submit(j);
+                let mut job = sim.job(shape, 2);
+                job.run_s = 3.0;
+                let id = sim.submit(job);
                 if shape == "service" {
-                    sim.cancel_later(&id, s(8));
+                    sim.cancel_later(&id, seconds(8));
                 }
             }
-            sim.run(s(5)).await;
-            if n % 2 == 1 {
+            sim.run(seconds(5)).await;
+            if index % 2 == 1 {
                 let leader = sim.leader().unwrap_or(0);
                 sim.kill(leader);
-                sim.run(Duration::from_millis(if n % 4 == 1 { 400 } else { 5000 })).await;
+                sim.run(Duration::from_millis(if index % 4 == 1 { 400 } else { 5000 })).await;
                 sim.start(leader);
             }
         }
@@ -35,26 +35,26 @@
     });
 }
 
-// New machines are up at once and get work while writes lag; the leader ends meanwhile.
+// New machines boot at once and get tasks while commits apply late and the leader ends.
 #[test]
-fn new_machines_get_work_while_writes_lag_and_the_leader_ends() {
-    days(async |sim| {
-        sim.run(s(5)).await;
+fn tasks_on_new_machines_break_no_rule_while_commits_apply_late_and_leaders_end() {
+    run_with_seeds(async |sim| {
+        sim.run(seconds(5)).await;
         sim.late_writes(0.4);
-        for n in 0..6 {
+        for index in 0..6 {
             for shape in ["service", "group"] {
-                let mut j = sim.job(shape, 2);
-                (j.cards, j.run_s) = (1.0, 6.0);
-                let id = sim.submit(j);
+                let mut job = sim.job(shape, 2);
+                (job.cards, job.run_s) = (1.0, 6.0);
+                let id = sim.submit(job);
                 if shape == "service" {
-                    sim.cancel_later(&id, s(9));
+                    sim.cancel_later(&id, seconds(9));
                 }
             }
             sim.run(Duration::from_millis(2300)).await;
-            if n % 2 == 0 {
-                let leader = sim.leader().unwrap_or(n % NODES);
+            if index % 2 == 0 {
+                let leader = sim.leader().unwrap_or(index % NODES);
                 sim.kill(leader);
-                sim.run(s(4)).await;
+                sim.run(seconds(4)).await;
                 sim.start(leader);
             }
         }
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn one_task_jobs_at_four_a_second_through_failovers() {
+fn four_one_task_jobs_per_second_finish_through_failovers() {
     simulate(1, async |mut sim| {
-        sim.run(s(5)).await;
-        for n in 0..240 {
-            let mut j = sim.job("batch", 1);
-            (j.cores, j.cards, j.run_s) = (0.5, 0.0, 1.0);
-            let id = sim.submit(j);
-            if n % 4 == 0 {
-                sim.cancel_later(&id, Duration::from_millis(700 + 10 * n));
+        sim.run(seconds(5)).await;
+        for index in 0..240 {
+            let mut job = sim.job("batch", 1);
+            (job.cores, job.cards, job.run_s) = (0.5, 0.0, 1.0);
+            let id = sim.submit(job);
+            if index % 4 == 0 {
+                sim.cancel_later(&id, Duration::from_millis(700 + 10 * index));
             }
-            if n % 80 == 60 {
+            if index % 80 == 60 {
                 let leader = sim.leader().unwrap_or(0);
                 sim.kill(leader);
-                sim.run(s(1)).await;
+                sim.run(seconds(1)).await;
                 sim.start(leader);
             }
             sim.run(Duration::from_millis(250)).await;
--- a/tests/fleet_configuration/changes.rs
+++ b/tests/fleet_configuration/changes.rs
@@ -1,21 +1,22 @@
-//! Changes without troubles.
+//! Changes of the shared configuration without faults.
 
-use crate::fleet::{FIRST_SHARE, Fleet, IN_FORCE_S, REGIONS, day};
+use crate::fleet::{FIRST_SHARE, Fleet, IN_FORCE_S, REGIONS, simulate};
 use badgerdrift::configuration::{ConfigurationRequest, ConfigurationResponse, RegionCondition};
 use badgerdrift_fleet_config::{ChangeOutcome, DocumentName};
 
-fn all_obey(fleet: &Fleet, version: u64) -> bool {
-    (0..REGIONS).all(|region| fleet.obeyed(region).version >= version)
+/// Whether the leaders of all regions apply at least this version.
+fn all_regions_apply(fleet: &Fleet, version: u64) -> bool {
+    (0..REGIONS).all(|region| fleet.applied(region).version >= version)
 }
 
 #[test]
 fn a_change_is_in_force_everywhere_within_five_seconds() {
-    day(1, true, async |mut fleet| {
+    simulate(1, true, async |mut fleet| {
         fleet.begin().await;
-        assert_eq!(fleet.limit(2, "red"), FIRST_SHARE, "version 0 is what the settings tell");
+        assert_eq!(fleet.limit(2, "red"), FIRST_SHARE, "version 0 holds the values of the settings");
         let version = fleet.take(0, "red", [4.0, 6.0, 8.0]).await;
-        let took = fleet.until("in force", IN_FORCE_S, || all_obey(&fleet, version)).await;
-        assert!(took < IN_FORCE_S, "{took}");
+        let took = fleet.until("in force", IN_FORCE_S, || all_regions_apply(&fleet, version)).await;
+        assert!(took < IN_FORCE_S, "the change was in force after {took} s, expected less than {IN_FORCE_S} s");
         let limits: Vec<f64> = (0..REGIONS).map(|region| fleet.limit(region, "red")).collect();
         assert_eq!(limits, [4.0, 6.0, 8.0]);
         fleet.run(3.0).await;
@@ -25,20 +26,21 @@
     });
 }
 
+// A region that raises its limit before another has lowered its own would let the team exceed the total.
 #[test]
-fn what_one_region_gives_up_another_gets_after_the_first_has_confirmed() {
-    day(2, true, async |mut fleet| {
+fn a_region_gets_what_another_gives_up_only_after_the_other_has_confirmed() {
+    simulate(2, true, async |mut fleet| {
         fleet.begin().await;
         fleet.take(1, "red", [2.0, 26.0, 2.0]).await;
-        // `check_limits` looks at each step on the way.
-        fleet.until("division moved", 10.0, || fleet.limit(1, "red") == 26.0).await;
+        // `until` calls `check_limits` at each step.
+        fleet.until("shares moved", 10.0, || fleet.limit(1, "red") == 26.0).await;
         assert_eq!((fleet.limit(0, "red"), fleet.limit(2, "red")), (2.0, 2.0));
     });
 }
 
 #[test]
 fn of_two_concurrent_changes_of_one_team_one_is_refused_as_a_conflict() {
-    day(3, true, async |mut fleet| {
+    simulate(3, true, async |mut fleet| {
         fleet.begin().await;
         let first = fleet.team_change(0, "red", [1.0, 1.0, 1.0]);
         let second = fleet.team_change(1, "red", [2.0, 2.0, 2.0]);
@@ -55,9 +57,10 @@
     });
 }
 
+// A client that has received no answer sends the same change again, possibly to another region.
 #[test]
-fn asking_again_applies_nothing_twice() {
-    day(4, true, async |mut fleet| {
+fn a_repeated_change_is_applied_once() {
+    simulate(4, true, async |mut fleet| {
         fleet.begin().await;
         let change = fleet.team_change(0, "blue", [3.0, 3.0, 3.0]);
         let first = fleet.apply(0, 0, &change).await;
@@ -71,31 +74,31 @@
 
 #[test]
 fn two_hundred_changes_in_a_second_are_all_answered() {
-    day(5, true, async |mut fleet| {
+    simulate(5, true, async |mut fleet| {
         fleet.begin().await;
-        let mut waiting = Vec::new();
+        let mut changes = Vec::new();
         for number in 0..200 {
-            waiting.push(fleet.team_change(
+            changes.push(fleet.team_change(
                 number % REGIONS,
                 if number % 2 == 0 { "red" } else { "blue" },
                 [1.0; REGIONS],
             ));
         }
-        let asked = waiting.iter().enumerate().map(|(number, change)| fleet.apply(number % REGIONS, 0, change));
+        let requests = changes.iter().enumerate().map(|(number, change)| fleet.apply(number % REGIONS, 0, change));
         let mut answered = 0;
-        for answer in futures(asked).await {
+        for answer in join_all(requests).await {
             answered += usize::from(answer.is_some());
         }
         assert_eq!(answered, 200);
         fleet.run(5.0).await;
         let taken =
             fleet.state(0).unwrap().history.iter().filter(|r| matches!(r.outcome, ChangeOutcome::Taken { .. })).count();
-        assert!(taken >= 2, "one change of each team at least");
+        assert!(taken >= 2, "{taken} changes were taken, expected at least one of each team");
     });
 }
 
-/// Waits for all of these at once.
-async fn futures<F: Future>(all: impl Iterator<Item = F>) -> Vec<F::Output> {
+/// Runs all of these futures concurrently, and returns their outputs in order.
+async fn join_all<F: Future>(all: impl Iterator<Item = F>) -> Vec<F::Output> {
     let mut all: Vec<_> = all.map(Box::pin).collect();
     let mut done: Vec<Option<F::Output>> = all.iter().map(|_| None).collect();
     std::future::poll_fn(|context| {
@@ -111,8 +114,8 @@
 }
 
 #[test]
-fn a_new_team_is_known_and_a_removed_one_is_marked_everywhere() {
-    day(6, true, async |mut fleet| {
+fn a_new_team_is_known_in_all_regions() {
+    simulate(6, true, async |mut fleet| {
         fleet.begin().await;
         fleet.take(0, "green", [5.0, 0.0, 5.0]).await;
         fleet.until("green is known", IN_FORCE_S, || fleet.limit(2, "green") == 5.0).await;
@@ -122,14 +125,14 @@
     });
 }
 
-// Off by default: nothing of it is stored or asked for.
+// The shared configuration is off by default. A deployment without it must not write its records.
 #[test]
-fn without_a_fleet_file_nothing_of_it_is_stored_and_requests_are_refused() {
-    day(7, false, async |fleet| {
+fn without_a_fleet_file_no_configuration_is_stored_and_requests_are_refused() {
+    simulate(7, false, async |fleet| {
         fleet.run(20.0).await;
         for region in 0..REGIONS {
             assert_eq!(fleet.keys(region, "config"), Vec::<String>::new());
-            assert!(fleet.owner(region).is_some(), "the controllers are at work");
+            assert!(fleet.leader(region).is_some(), "region {region} has no leader");
             assert_eq!(fleet.ask(region, 0, ConfigurationRequest::Status).await, None);
         }
     });
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -1,4 +1,4 @@
-//! Three regions with two controllers each.
+//! The deployment of these tests: three regions with two controllers and a state service each.
 
 use badgerdrift::configuration::{
     AppliedConfiguration, ConfigurationRequest, ConfigurationResponse, FleetSettings, LogEntry, RegionAddresses,
@@ -25,31 +25,36 @@
 
 pub const REGIONS: usize = 3;
 pub const CONTROLLERS: usize = 2;
-/// CPUs that each region lets each team use at first.
+/// CPUs that each team may use in each region at first.
 pub const FIRST_SHARE: f64 = 10.0;
-/// A change is in force everywhere within this time.
+/// Maximum time, in seconds, until a change is in force in all regions.
 pub const IN_FORCE_S: f64 = 5.0;
 const TEAMS: [&str; 2] = ["red", "blue"];
-const PATIENCE: Duration = Duration::from_secs(60);
-const MORNING_MS: u64 = 1_800_000_000_000;
+/// Request timeout of the state services.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Wall clock time at which each scenario starts, in milliseconds since the Unix epoch.
+const START_WALL_MS: u64 = 1_800_000_000_000;
+/// Amounts of the configuration are in thousandths of a CPU.
 const MILLI: f64 = 1000.0;
 
-/// Whole controllers of several regions, and their state services.
+/// Controllers of several regions, and their state services.
 pub struct Fleet {
     network: SimulatedNetwork,
     stores: Vec<Arc<Mutex<Store>>>,
-    lives: Vec<[Option<u64>; CONTROLLERS]>,
+    processes: Vec<[Option<u64>; CONTROLLERS]>,
     pauses: Vec<[Arc<Pause>; CONTROLLERS]>,
     operators: Vec<Vec<Peer>>,
+    /// Number of changes made so far, from which their identifiers follow.
     changes: u64,
+    /// Whether the controllers share a configuration between regions.
     pub shared: bool,
     known: Mutex<KnownHistory>,
 }
 
-/// What was read of the regions' logs so far.
+/// Entries of the regions' logs that were read so far.
 struct KnownHistory {
     logs: Vec<Vec<LogEntry>>,
-    /// The configuration in each version.
+    /// Configuration of each version, indexed by version.
     states: Vec<ConfigState>,
 }
 
@@ -60,13 +65,16 @@
         KnownHistory { logs: vec![Vec::new(); REGIONS], states: vec![ConfigState::initial(names, documents)] }
     }
 
-    /// Adds an entry of a region's log; there is one history.
+    /// Adds an entry of a region's log, and asserts that no version is left out and that all regions have the same
+    /// entries.
     fn add(&mut self, region: usize, entry: LogEntry) {
         self.logs[region].push(entry.clone());
         let version = self.logs[region].len();
-        assert_eq!(entry.version, version as u64, "region {region} has left a version out");
+        assert_eq!(entry.version, version as u64, "the log of region {region} skips a version");
         match self.logs.iter().find_map(|log| log.get(version - 1)) {
-            Some(known) if *known != entry => panic!("region {region} has another version {version}"),
+            Some(known) if *known != entry => panic!(
+                "version {version} in region {region} differs from that of another region: {entry:?}, expected {known:?}"
+            ),
             _ if version == self.states.len() => {
                 let mut state = self.states[version - 1].clone();
                 state.apply(&entry.batch);
@@ -77,8 +85,9 @@
     }
 }
 
-fn host(region: usize, part: u8, number: usize) -> IpAddr {
-    IpAddr::V4(Ipv4Addr::new(10, 20 + region as u8, part, number as u8 + 1))
+/// Address of a host: `kind` is 0 for controllers, 1 for the state service and 2 for the cloud.
+fn host(region: usize, kind: u8, number: usize) -> IpAddr {
+    IpAddr::V4(Ipv4Addr::new(10, 20 + region as u8, kind, number as u8 + 1))
 }
 
 pub fn region_name(region: usize) -> String {
@@ -90,7 +99,8 @@
 }
 
 fn fleet_settings(region: usize) -> FleetSettings {
-    let addresses = |region| RegionAddresses { controllers: (0..CONTROLLERS).map(|n| internal(region, n)).collect() };
+    let addresses =
+        |region| RegionAddresses { controllers: (0..CONTROLLERS).map(|number| internal(region, number)).collect() };
     FleetSettings {
         region: region_name(region),
         regions: (0..REGIONS).map(|region| (region_name(region), addresses(region))).collect(),
@@ -132,8 +142,8 @@
     }
 }
 
-/// Runs a scripted day of a fleet in simulated time.
-pub fn day<F: Future<Output = ()>>(seed: u64, shared: bool, script: impl FnOnce(Fleet) -> F + Send) {
+/// Runs a scenario of a fleet in simulated time. `shared` says whether the regions share a configuration.
+pub fn simulate<F: Future<Output = ()>>(seed: u64, shared: bool, script: impl FnOnce(Fleet) -> F + Send) {
     let run = || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
         runtime.block_on(async { script(Fleet::new(seed, shared)).await });
@@ -145,17 +155,20 @@
 
 impl Fleet {
     fn new(seed: u64, shared: bool) -> Fleet {
-        clock::simulate_wall(MORNING_MS, true);
+        clock::simulate_wall(START_WALL_MS, true);
         let network = SimulatedNetwork::new(seed);
         let stores: Vec<Arc<Mutex<Store>>> = (0..REGIONS).map(|_| Arc::default()).collect();
         let operator_net = network.process(IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))).0;
         let limits = PeerTimeouts::for_leader_lease(5000);
-        let way = |region, n| Peer::start_on(operator_net.clone(), "operator".into(), internal(region, n), limits);
+        let peer =
+            |region, number| Peer::start_on(operator_net.clone(), "operator".into(), internal(region, number), limits);
         let mut fleet = Fleet {
-            operators: (0..REGIONS).map(|region| (0..CONTROLLERS).map(|n| way(region, n)).collect()).collect(),
+            operators: (0..REGIONS)
+                .map(|region| (0..CONTROLLERS).map(|number| peer(region, number)).collect())
+                .collect(),
             network,
             stores,
-            lives: vec![[None; CONTROLLERS]; REGIONS],
+            processes: vec![[None; CONTROLLERS]; REGIONS],
             pauses: (0..REGIONS).map(|_| Default::default()).collect(),
             changes: 0,
             shared,
@@ -169,22 +182,23 @@
     }
 
     fn start_state_service(&self, region: usize) {
-        let at = host(region, 1, 0);
-        let (net, store) = (self.network.process(at).0, self.stores[region].clone());
+        let address = host(region, 1, 0);
+        let (net, store) = (self.network.process(address).0, self.stores[region].clone());
         tokio::spawn(async move {
-            let listener = net.bind(SocketAddr::new(at, 80)).await.unwrap();
-            http::serve(listener, 500, PATIENCE, move |request| state_service(store.clone(), request)).await;
+            let listener = net.bind(SocketAddr::new(address, 80)).await.unwrap();
+            http::serve(listener, 500, REQUEST_TIMEOUT, move |request| state_service(store.clone(), request)).await;
         });
     }
 
-    // ---- what can be done ----
+    // ---- actions and faults ----
 
+    /// Starts a controller, unless it runs.
     pub fn start(&mut self, region: usize, controller: usize) {
-        if self.lives[region][controller].is_some() {
+        if self.processes[region][controller].is_some() {
             return;
         }
-        let (net, life) = self.network.process(host(region, 0, controller));
-        self.lives[region][controller] = Some(life);
+        let (net, process) = self.network.process(host(region, 0, controller));
+        self.processes[region][controller] = Some(process);
         self.pauses[region][controller] = Arc::default();
         let fleet = self.shared.then(|| fleet_settings(region));
         let subsystems = Subsystems { fleet, ..Subsystems::default() };
@@ -192,9 +206,10 @@
         tokio::spawn(task::behind(self.pauses[region][controller].clone(), controller_task));
     }
 
+    /// Ends a controller, if it runs.
     pub fn kill(&mut self, region: usize, controller: usize) {
-        if let Some(life) = self.lives[region][controller].take() {
-            self.network.kill(life);
+        if let Some(process) = self.processes[region][controller].take() {
+            self.network.kill(process);
             self.pauses[region][controller].set(false);
         }
     }
@@ -207,7 +222,7 @@
         self.stores[region].lock().unwrap().set_down(down);
     }
 
-    /// Cuts a region off from all others, or mends that.
+    /// Cuts a region off from all others, or repairs that cut if `cut` is `None`.
     pub fn cut_off(&self, region: usize, cut: Option<Cut>) {
         for other in (0..REGIONS).filter(|other| *other != region) {
             for (from, to) in (0..CONTROLLERS).flat_map(|from| (0..CONTROLLERS).map(move |to| (from, to))) {
@@ -220,6 +235,7 @@
         self.network.mend();
     }
 
+    /// Lets time pass, with [`Fleet::check_limits`] every 100 ms.
     pub async fn run(&self, seconds: f64) {
         let end = Instant::now() + Duration::from_secs_f64(seconds);
         while Instant::now() < end {
@@ -228,24 +244,28 @@
         }
     }
 
-    /// Lets time pass until all regions have begun.
+    /// Waits until all regions have stored an initial configuration, and 3 s more.
     pub async fn begin(&self) {
         self.until("all regions begin", 30.0, || (0..REGIONS).all(|region| self.has_begun(region))).await;
         self.run(3.0).await;
     }
 
-    pub async fn until(&self, what: &str, most_s: f64, holds: impl Fn() -> bool) -> f64 {
+    /// Waits until `holds`, with [`Fleet::check_limits`] every 50 ms, and returns the time it took in seconds. Panics
+    /// after `limit_s`.
+    pub async fn until(&self, what: &str, limit_s: f64, holds: impl Fn() -> bool) -> f64 {
         let began = Instant::now();
         while !holds() {
-            assert!(began.elapsed().as_secs_f64() < most_s, "not in {most_s} s: {what}; {}", self.describe());
+            assert!(began.elapsed().as_secs_f64() < limit_s, "not reached in {limit_s} s: {what}; {}", self.describe());
             self.check_limits();
             sleep(Duration::from_millis(50)).await;
         }
         began.elapsed().as_secs_f64()
     }
 
-    // ---- what can be asked ----
+    // ---- requests and observations ----
 
+    /// Sends a request to a controller, as an operator does. Returns `None` if it gives no answer within 20 s or
+    /// refuses.
     pub async fn ask(
         &self,
         region: usize,
@@ -259,7 +279,7 @@
         }
     }
 
-    /// A change of a team's limit and division, made from what a region has now.
+    /// Builds a change of a team's limit and its shares, based on the version that a region has now.
     pub fn team_change(&mut self, region: usize, team: &str, shares: [f64; REGIONS]) -> Change {
         self.changes += 1;
         let name = DocumentName::Team(team.into());
@@ -278,28 +298,29 @@
         self.ask(region, controller, ConfigurationRequest::Apply(change.clone())).await
     }
 
-    /// Makes a change that has to be taken; its version.
+    /// Makes a change and returns the version in which it is taken. Panics if it is not taken.
     pub async fn take(&mut self, region: usize, team: &str, shares: [f64; REGIONS]) -> u64 {
         let change = self.team_change(region, team, shares);
         let answer = self.apply(region, 0, &change).await;
         match answer {
             Some(ConfigurationResponse::Outcome(Some(ChangeOutcome::Taken { version }))) => version,
-            other => panic!("{other:?}; {}", self.describe()),
+            other => panic!("the change of {team} was not taken: {other:?}; {}", self.describe()),
         }
     }
 
     pub async fn status(&self, region: usize) -> Vec<RegionStatus> {
         match self.ask(region, 0, ConfigurationRequest::Status).await {
             Some(ConfigurationResponse::Status(status)) => status,
-            other => panic!("{other:?}"),
+            other => panic!("region {region} answered a status request with {other:?}"),
         }
     }
 
-    pub async fn condition(&self, at: usize, of: usize) -> RegionCondition {
-        self.status(at).await[of].condition
+    /// Condition of a region, as the region `reporter` reports it.
+    pub async fn condition(&self, reporter: usize, region: usize) -> RegionCondition {
+        self.status(reporter).await[region].condition
     }
 
-    /// The values that a region's state service keeps under a prefix, after a key.
+    /// Keys and values in a region's state service under a prefix, after the key `after`.
     fn values(&self, region: usize, prefix: &str, after: &str) -> BTreeMap<String, serde_json::Value> {
         let path = format!("/store?under={prefix}&from={after}&most=1000");
         let request = Request { method: "GET".into(), path, body: Vec::new() };
@@ -317,13 +338,13 @@
         self.values(region, prefix, "").into_keys().collect()
     }
 
-    /// The region's log, from version 1 on.
+    /// Log of a region, from version 1 on.
     pub fn log(&self, region: usize) -> Vec<LogEntry> {
         self.read_log(region);
         self.known.lock().unwrap().logs[region].clone()
     }
 
-    /// Reads what is new in a region's log.
+    /// Reads the new entries of a region's log.
     fn read_log(&self, region: usize) {
         let mut known = self.known.lock().unwrap();
         let last = format!("config/log/{:012}", known.logs[region].len());
@@ -336,29 +357,29 @@
         self.value(region, "config/region").is_some()
     }
 
-    /// The configuration that a region has applied; `None` if it has not begun.
+    /// Configuration that a region has stored, or `None` if it has none yet.
     pub fn state(&self, region: usize) -> Option<ConfigState> {
         let record = self.value(region, "config/region")?;
         self.read_log(region);
         Some(self.known.lock().unwrap().states[record["acceptor"]["applied"].as_u64().unwrap() as usize].clone())
     }
 
-    /// What a region's leader obeys, as recorded.
-    pub fn obeyed(&self, region: usize) -> AppliedConfiguration {
+    /// Configuration that a region's leader applies, as recorded.
+    pub fn applied(&self, region: usize) -> AppliedConfiguration {
         let record = self.value(region, "config/obeyed");
         record.map_or_else(AppliedConfiguration::default, |record| serde_json::from_value(record).unwrap())
     }
 
-    /// CPUs that the leader of a region lets a team use, by the version that it has recorded.
+    /// CPUs that a team may use in a region, in the version that the region's leader has recorded.
     pub fn limit(&self, region: usize, team: &str) -> f64 {
         self.read_log(region);
         let known = self.known.lock().unwrap();
-        let state = &known.states[self.obeyed(region).version as usize];
+        let state = &known.states[self.applied(region).version as usize];
         state.allowance(team, &region_name(region)).map_or(0.0, |allowance| allowance.limit.cpus.0 as f64 / MILLI)
     }
 
-    /// All regions have one history, and let no team use more than the largest limit since the
-    /// oldest version that a region has confirmed.
+    /// Asserts that all regions have the same history, and that together they let no team use more than its largest
+    /// limit since the oldest version that a region has confirmed.
     pub fn check_limits(&self) {
         if !(0..REGIONS).all(|region| self.has_begun(region)) {
             return;
@@ -370,25 +391,30 @@
             let last = known.states.last().unwrap();
             let oldest = *last.confirmations.values().min().unwrap() as usize;
             let most = known.states[oldest..].iter().map(|state| fleet_limit(state, team)).fold(0.0, f64::max);
-            assert!(used <= most + 1e-6, "{team} may use {used} of {most}");
+            assert!(
+                used <= most + 1e-6,
+                "team {team} may use {used} CPUs in all regions together, expected at most {most}"
+            );
         }
     }
 
+    /// Describes the versions of all regions, for a failed test.
     pub fn describe(&self) -> String {
         let region = |region: usize| {
-            let versions = (self.log(region).len(), self.obeyed(region));
+            let versions = (self.log(region).len(), self.applied(region));
             format!("region {region}: {} versions, {:?}", versions.0, versions.1)
         };
         (0..REGIONS).map(region).collect::<Vec<_>>().join("; ")
     }
 
-    /// The controller that holds a region's jobs.
-    pub fn owner(&self, region: usize) -> Option<usize> {
+    /// Number of the controller that leads a region's partition, or `None`.
+    pub fn leader(&self, region: usize) -> Option<usize> {
         let record = self.value(region, "part/0")?;
         record["holder"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 }
 
+/// Limit of a team in all regions together, in CPUs.
 fn fleet_limit(state: &ConfigState, team: &str) -> f64 {
     match state.documents.get(&DocumentName::Team(team.into())).map(|versioned| &versioned.document) {
         Some(Document::Team(team)) => team.limit.cpus.0 as f64 / MILLI,
@@ -396,7 +422,7 @@
     }
 }
 
-/// A team's document with these CPUs for each region.
+/// Document of a team with these CPUs for each region.
 pub fn team_document(team: &str, shares: [f64; REGIONS]) -> Document {
     let cpus = |cpus: f64| Amounts { cpus: Amount((cpus * MILLI) as u64), gpus: Amount(0) };
     let share = |limit: f64| Share { guarantee: cpus(0.0), limit: cpus(limit) };
--- a/tests/fleet_configuration/main.rs
+++ b/tests/fleet_configuration/main.rs
@@ -1,5 +1,5 @@
-//! The configuration that several regions share: whole controllers of three regions in simulated
-//! time, over a network in memory, with a state service for each region.
+//! The configuration that several regions share: controllers of three regions in simulated time, over a network in
+//! memory, with a state service for each region.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
--- a/tests/fleet_configuration/random_faults.rs
+++ b/tests/fleet_configuration/random_faults.rs
@@ -1,11 +1,11 @@
-//! Random faults, with changes among them.
+//! Changes during random faults.
 
-use crate::fleet::{CONTROLLERS, Fleet, REGIONS, day};
+use crate::fleet::{CONTROLLERS, Fleet, REGIONS, simulate};
 use badgerdrift_stand_ins::net::Cut;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// The seeds to run: these, or those that the environment names.
+/// Returns the seeds to run: those of the environment variable `BADGERDRIFT_SEED` if it is set, otherwise 1 to 6.
 fn seeds() -> Vec<u64> {
     match std::env::var("BADGERDRIFT_SEED") {
         Ok(seeds) => seeds.split(',').map(|seed| seed.trim().parse().unwrap()).collect(),
@@ -13,8 +13,8 @@
     }
 }
 
-/// One thing that goes wrong, or is over.
-fn fault(fleet: &mut Fleet, rng: &mut StdRng) {
+/// Begins or ends one random fault.
+fn inject_fault(fleet: &mut Fleet, rng: &mut StdRng) {
     let (region, controller) = (rng.random_range(0..REGIONS), rng.random_range(0..CONTROLLERS));
     match rng.random_range(0..9) {
         0 => fleet.cut_off(region, Some(Cut::Hold)),
@@ -31,11 +31,11 @@
 #[test]
 fn random_faults_break_no_limit_and_leave_one_history() {
     for seed in seeds() {
-        day(seed, true, async move |mut fleet| {
+        simulate(seed, true, async move |mut fleet| {
             let mut rng = StdRng::seed_from_u64(seed);
             fleet.begin().await;
             for _ in 0..40 {
-                fault(&mut fleet, &mut rng);
+                inject_fault(&mut fleet, &mut rng);
                 let region = rng.random_range(0..REGIONS);
                 let shares = [(); REGIONS].map(|()| f64::from(rng.random_range(0..20)));
                 let team = if rng.random_bool(0.5) { "red" } else { "blue" };
@@ -55,9 +55,11 @@
             fleet.mend();
             fleet.run(30.0).await;
             let version = fleet.take(0, "red", [1.0, 2.0, 3.0]).await;
-            fleet.until("in force", 20.0, || (0..REGIONS).all(|region| fleet.obeyed(region).version >= version)).await;
+            fleet.until("in force", 20.0, || (0..REGIONS).all(|region| fleet.applied(region).version >= version)).await;
             fleet
-                .until("divided", 30.0, || (0..REGIONS).all(|region| fleet.limit(region, "red") == 1.0 + region as f64))
+                .until("all shares moved", 30.0, || {
+                    (0..REGIONS).all(|region| fleet.limit(region, "red") == 1.0 + region as f64)
+                })
                 .await;
         });
     }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The check of the list of tests that may fail (`.ci/known-red`), on lists of its own.
+//! Tests of the script `.ci/known-red`, which checks the list of tests that are known to fail, on sample lists.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -6,12 +6,13 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// As `cargo test -- --list` prints the tests of several programs.
+/// Output of `cargo test -- --list` for several test programs.
 const TESTS: &str = "a::tests::one: test\na::tests::one_more: test\nb::tests::two: test\nb::tests::twice: test\n\
                      b::tests::speed: benchmark\n\n4 tests, 1 benchmark\nthree: test\nb::tests::twice: test\n\n\
                      2 tests, 0 benchmarks\nsrc/lib.rs - thing (line 3): test\n\n1 test, 0 benchmarks\n";
 
-/// What the check prints on a list (none: there is no such file), or the line it refuses it with.
+/// Runs the script on a list, or without the file if `list` is `None`. Returns what it prints, or the line with which
+/// it refuses the list as an error.
 fn check(case: &str, list: Option<&str>) -> Result<String, String> {
     let dir = std::env::temp_dir().join(format!("badgerdrift-known-red-{}-{case}", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
@@ -23,22 +24,22 @@
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     let out = Command::new(script).arg(&file).stdin(Stdio::from(File::open(&tests).unwrap())).output().unwrap();
     fs::remove_dir_all(dir).unwrap();
-    let (said, refused) = (String::from_utf8(out.stdout).unwrap(), String::from_utf8(out.stderr).unwrap());
+    let (printed, refused) = (String::from_utf8(out.stdout).unwrap(), String::from_utf8(out.stderr).unwrap());
     match out.status.code() {
         Some(0) => {
             assert_eq!(refused, "", "{case}");
-            Ok(said)
+            Ok(printed)
         }
         code => {
-            assert_eq!((code, said.as_str()), (Some(1), ""), "{case}");
-            assert_eq!(refused.matches('\n').count(), 1, "{case}: one line: {refused}");
+            assert_eq!((code, printed.as_str()), (Some(1), ""), "{case}");
+            assert_eq!(refused.matches('\n').count(), 1, "{case}: the refusal must be one line: {refused}");
             Err(refused.trim_end().to_string())
         }
     }
 }
 
 #[test]
-fn a_good_list_is_printed() {
+fn a_valid_list_is_printed() {
     let three = "a::tests::one | it's late, by 2 s; see x::y | 13\nb::tests::two | c | 7\nthree | c d | 8\n";
     assert_eq!(check("three", Some(three)).as_deref(), Ok(three));
     assert_eq!(check("unended", Some(three.trim_end())).as_deref(), Ok(three));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn no_list_and_an_empty_one_have_no_entries() {
+fn a_missing_or_empty_list_has_no_entries() {
     assert_eq!(check("none", None).as_deref(), Ok(""));
     assert_eq!(check("empty", Some("")).as_deref(), Ok(""));
 }
@@ -58,8 +59,8 @@
 }
 
 #[test]
-fn lines_of_another_form_are_refused() {
-    for (n, line) in [
+fn malformed_lines_are_refused() {
+    for (index, line) in [
         "",
         " ",
         "# three | c | 1",
@@ -83,13 +84,13 @@
     .into_iter()
     .enumerate()
     {
-        let refused = check(&format!("form-{n}"), Some(&format!("a::tests::one | c | 1\n{line}\n"))).unwrap_err();
+        let refused = check(&format!("form-{index}"), Some(&format!("a::tests::one | c | 1\n{line}\n"))).unwrap_err();
         assert_eq!(refused, "KNOWN-RED.txt: line 2 is not 'test | cause | issue number'", "{line:?}");
     }
 }
 
 #[test]
-fn a_name_must_be_that_of_exactly_one_test() {
+fn a_name_that_is_not_exactly_one_test_or_is_repeated_is_refused() {
     for (case, name, found) in [
         ("unknown", "a::tests::three", 0),
         ("part", "a::tests::on", 0),
@@ -101,6 +102,6 @@
         let refused = check(case, Some(&format!("{name} | c | 1\n"))).unwrap_err();
         assert_eq!(refused, format!("KNOWN-RED.txt: line 1 names {name}, of which there are {found} tests, not one"));
     }
-    let again = check("again", Some("three | c | 1\nthree | d | 2\n")).unwrap_err();
-    assert_eq!(again, "KNOWN-RED.txt: line 2 names three again");
+    let refused = check("again", Some("three | c | 1\nthree | d | 2\n")).unwrap_err();
+    assert_eq!(refused, "KNOWN-RED.txt: line 2 names three again");
 }
