--- a/tests/outputs/command_line.rs
+++ b/tests/outputs/command_line.rs
@@ -1,8 +1,8 @@
-//! The command line: its help, and what is said of bad usage and bad files.
+//! Output of the command line: help, and errors about wrong usage and invalid files.
 
 use crate::{golden, program};
 
-/// The program's commands.
+/// Commands of the program.
 const COMMANDS: [&str; 14] = [
     "",
     "serve",
@@ -39,26 +39,27 @@
     "config --controller 127.0.0.1:1 get group/red",
 ];
 
-/// The directory of the settings in command lines.
+/// Placeholder for the directory of the sample settings in command lines and outputs.
 const DATA: &str = "DATA";
-/// Stands for the version of the program.
+/// Placeholder for the version of the program.
 const VERSION: &str = "VERSION";
 
-fn run(line: &str, last: &[&str]) -> String {
+/// Runs a command line with further arguments, and returns the transcript.
+fn run(line: &str, further: &[&str]) -> String {
     let data = golden::path("settings").display().to_string();
     let line = line.replace(DATA, &data);
-    let arguments: Vec<&str> = line.split_whitespace().chain(last.iter().copied()).collect();
+    let arguments: Vec<&str> = line.split_whitespace().chain(further.iter().copied()).collect();
     program::transcript(&arguments, &[(&data, DATA), (env!("CARGO_PKG_VERSION"), VERSION)])
 }
 
 #[test]
-fn help_of_every_command_is_as_ever() {
+fn help_of_every_command_matches_the_golden_file() {
     let text: String = COMMANDS.iter().map(|command| run(command, &["--help"])).collect();
     golden::assert_same("help.txt", &(text + &run("", &["--version"])));
 }
 
 #[test]
-fn bad_usage_is_told_as_ever() {
+fn errors_about_wrong_usage_match_the_golden_file() {
     let text: String = BAD_USAGE.iter().map(|line| run(line, &[])).collect();
     golden::assert_same("bad-usage.txt", &text);
 }
--- a/tests/outputs/commands.rs
+++ b/tests/outputs/commands.rs
@@ -1,4 +1,4 @@
-//! What the commands ask a controller, and what they print of its answer, as JSON and as tables.
+//! Requests that the commands send to a controller, and what they print of its answers, as JSON and as tables.
 
 use crate::fake_controller::FakeController;
 use crate::{golden, program};
@@ -6,17 +6,17 @@
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Stands for the path of the file with changes.
+/// Placeholder for the path of the file with changes.
 const CHANGES: &str = "CHANGES";
 
-/// A command, and the answers that it gets.
+/// A command and the answers that the controller gives it.
 #[derive(Deserialize)]
 struct Case {
     arguments: Vec<String>,
     answers: Vec<Value>,
 }
 
-/// Runs a command; its requests and what it prints.
+/// Runs a command, and returns a transcript followed by its requests.
 fn run(arguments: &[String], answers: &[Value]) -> String {
     let controller = FakeController::start(answers.to_vec());
     let address = controller.address.to_string();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn commands_ask_and_print_as_ever() {
+fn requests_and_output_of_commands_match_the_golden_file() {
     let cases: Vec<Case> = serde_json::from_str(&golden::read("answers.json")).unwrap();
     let mut text = String::new();
     for Case { arguments, answers } in &cases {
@@ -48,9 +48,11 @@
 }
 
 #[test]
-fn printed_json_is_what_the_controller_answered() {
+fn printed_json_equals_the_answer_of_the_controller() {
     let cases: Vec<Case> = serde_json::from_str(&golden::read("answers.json")).unwrap();
-    for Case { arguments, answers } in cases.iter().filter(|case| case.arguments.iter().any(|a| a == "--json")) {
+    for Case { arguments, answers } in
+        cases.iter().filter(|case| case.arguments.iter().any(|argument| argument == "--json"))
+    {
         let kinds = ["/Loans/Status", "/Pools/Status", "/Pools/Bill"];
         let Some(answer) = kinds.iter().find_map(|kind| answers[0].pointer(kind)) else { continue };
         let text = run(arguments, answers);
--- a/tests/outputs/fake_controller.rs
+++ b/tests/outputs/fake_controller.rs
@@ -1,5 +1,5 @@
-//! A controller that gives prepared answers over the protocol between controllers: frames of four
-//! bytes with the length, and a numbered message in CBOR.
+//! A controller that gives prepared answers over the protocol between controllers. A frame is a length of four bytes
+//! followed by a numbered message in CBOR.
 
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -13,31 +13,31 @@
 }
 
 impl FakeController {
-    /// Answers the requests on each connection with these, in order.
+    /// Starts a controller that answers the requests on each connection with these values, in order.
     pub fn start(answers: Vec<Value>) -> FakeController {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let requests = Arc::new(Mutex::new(Vec::new()));
-        let heard = requests.clone();
+        let received = requests.clone();
         std::thread::spawn(move || {
             for connection in listener.incoming().flatten() {
-                // An error is the end of the connection.
-                let _ = serve(connection, &answers, &heard);
+                // An error means that the client has closed the connection.
+                let _ = serve(connection, &answers, &received);
             }
         });
         FakeController { address, requests }
     }
 
-    /// The requests so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<Value> {
         self.requests.lock().unwrap().clone()
     }
 }
 
-fn serve(mut connection: TcpStream, answers: &[Value], heard: &Mutex<Vec<Value>>) -> std::io::Result<()> {
+fn serve(mut connection: TcpStream, answers: &[Value], received: &Mutex<Vec<Value>>) -> std::io::Result<()> {
     for answer in answers {
         let request = read_frame(&mut connection)?;
-        heard.lock().unwrap().push(request["body"].clone());
+        received.lock().unwrap().push(request["body"].clone());
         let mut body = Vec::new();
         ciborium::into_writer(&json!({"n": request["n"], "body": answer, "format": 1}), &mut body).unwrap();
         connection.write_all(&(body.len() as u32).to_be_bytes())?;
--- a/tests/outputs/labels.rs
+++ b/tests/outputs/labels.rs
@@ -1,11 +1,11 @@
-//! Values of labels in metrics that only rare events show.
+//! Label values of metrics that appear only after rare events.
 
 use badgerdrift::api::refusal::RefusalReason;
 use badgerdrift_borrowing::{EndCause, LoanState, Refusal};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Labels of refusals, with the status of the answer.
+/// Labels of refusals, each with the status of the answer.
 const REFUSALS: [(&str, u16); 23] = [
     ("end_being_recorded", 503),
     ("owner_unreachable", 503),
@@ -32,11 +32,12 @@
     ("too_many_submissions", 429),
 ];
 
+/// Returns the variant of `T` that is serialized under this name.
 fn named<T: DeserializeOwned>(name: &str) -> T {
-    serde_json::from_value(Value::from(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+    serde_json::from_value(Value::from(name)).unwrap_or_else(|error| panic!("there is no variant {name}: {error}"))
 }
 
-/// The names that a type says it expects, from its error about another one.
+/// Returns the names of all variants of a type, from its error about an unknown name.
 fn expected_names<T: DeserializeOwned>() -> Vec<String> {
     let error = serde_json::from_value::<T>(Value::from("no such name")).err().unwrap().to_string();
     let list = error.split("expected one of ").nth(1).unwrap();
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn refusals_have_the_same_labels_and_statuses_as_ever() {
+fn refusals_keep_their_labels_and_statuses() {
     assert_eq!(expected_names::<RefusalReason>().len(), REFUSALS.len());
     for (label, status) in REFUSALS {
         let reason: RefusalReason = named(label);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn labels_of_refused_loans_are_as_ever() {
+fn refused_loans_keep_their_labels() {
     let labels = [
         "not_a_borrower",
         "not_a_lender",
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn labels_of_loans_are_as_ever() {
+fn loan_states_and_end_causes_keep_their_labels() {
     let causes = ["returned", "replaced", "lender_over", "within_guarantee", "not_recorded", "not_carried_out"];
     assert_eq!(expected_names::<EndCause>(), causes);
     causes.iter().for_each(|label| assert_eq!(named::<EndCause>(label).label(), *label));
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn labels_of_warm_slots_are_as_ever() {
+fn warm_slot_states_and_end_causes_keep_their_labels() {
     use badgerdrift_warm_pools::EndCause as Cause;
     use badgerdrift_warm_pools::{Claim, SlotState};
     let causes = [
--- a/tests/outputs/main.rs
+++ b/tests/outputs/main.rs
@@ -1,5 +1,5 @@
-//! Pins what the program shows to the outside: metrics, the command line, the answers of its
-//! commands and the names of its settings. Golden data is under `tests/data/v0.2.0/outputs`.
+//! Checks that external output does not change: metrics, the command line, the output of commands and the names of
+//! settings. The golden files are in `tests/data/v0.2.0/outputs`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
--- a/tests/outputs/metrics.rs
+++ b/tests/outputs/metrics.rs
@@ -1,4 +1,4 @@
-//! Names and labels of `GET /metrics`, as whole controllers print them in simulated time.
+//! Names and labels of the metrics that whole deployments print in simulated time (`GET /metrics`).
 
 use crate::{golden, regions};
 use badgerdrift::control::node::Subsystems;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Metrics whose labels name what the deployment calls so: classes, teams, regions, partitions.
+/// Metrics whose label values are names of the deployment: classes, teams, regions and partitions.
 const FREE_LABELS: [&str; 17] = [
     "boots_failed_total",
     "boots_late_total",
@@ -30,13 +30,14 @@
     "tasks_preempted_total",
     "warm_claims_given_up_total",
 ];
-/// Most changes in a commit while the state service takes least.
+/// Maximum changes in a commit under the lowest limits of the state service.
 const LEAST_CHANGES: usize = 2;
-/// Interval between two looks at the metrics.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two reads of the metrics.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Names and labels that were seen.
 type Names = Arc<Mutex<BTreeSet<String>>>;
 
-/// A line without its figure, and without the values of labels that are not fixed.
+/// Returns a line of the metrics without its value and without label values that depend on the deployment.
 fn name_of(line: &str) -> String {
     let (name, _) = line.rsplit_once(' ').unwrap();
     let Some((metric, labels)) = name.split_once('{') else { return name.to_string() };
@@ -48,41 +49,41 @@
     format!("{metric}{{{label}=*{rest}")
 }
 
-/// Looks at the metrics of all controllers for ever.
-async fn look(context: SimulationContext, names: Names) {
+/// Reads the metrics of all controllers until it is cancelled.
+async fn read_metrics(context: SimulationContext, names: Names) {
     loop {
         for door in context.doors.iter() {
-            if let Ok((200, body)) = context.user.call(*door, "GET", "/metrics", None, LOOK_EVERY).await {
+            if let Ok((200, body)) = context.user.call(*door, "GET", "/metrics", None, READ_INTERVAL).await {
                 let text = String::from_utf8(body.to_vec()).unwrap();
                 names.lock().unwrap().extend(text.lines().map(name_of));
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
 
-/// Runs a scripted day in simulated time, with looks at the metrics all the while.
-fn watch<F: Future<Output = ()>>(setup: Setup, seed: u64, names: &Names, script: impl FnOnce(Sim) -> F + Send) {
+/// Runs a scenario in simulated time and collects the names of metrics meanwhile.
+fn collect_names<F: Future<Output = ()>>(setup: Setup, seed: u64, names: &Names, script: impl FnOnce(Sim) -> F + Send) {
     let names = names.clone();
-    let day = async || {
+    let scenario = async || {
         let sim = Sim::new(seed, setup);
         let context = sim.g.clone();
         tokio::select! {
             () = script(sim) => {}
-            () = look(context, names) => {}
+            () = read_metrics(context, names) => {}
         }
     };
     let run = || {
         let builder = &mut tokio::runtime::Builder::new_current_thread();
-        builder.enable_all().start_paused(true).build().unwrap().block_on(day());
+        builder.enable_all().start_paused(true).build().unwrap().block_on(scenario());
     };
     std::thread::scope(|scope| scope.spawn(run).join()).unwrap();
 }
 
-/// Runs random days with faults.
-fn watch_random_days(setup: impl Fn() -> Setup, seeds: std::ops::RangeInclusive<u64>, names: &Names) {
+/// Runs random scenarios with faults and collects the names of metrics.
+fn collect_names_of_random_days(setup: impl Fn() -> Setup, seeds: std::ops::RangeInclusive<u64>, names: &Names) {
     for seed in seeds {
-        watch(setup(), seed, names, async |mut sim: Sim| {
+        collect_names(setup(), seed, names, async |mut sim: Sim| {
             let faults = 2 + (seed % 4) as usize;
             let day = RandomDay { day_s: 90.0, faults, later: 1, pipelines: 2, rollout: false };
             sim.random_day_of(day).await;
@@ -91,7 +92,7 @@
     }
 }
 
-/// A deployment with warm pools.
+/// Setup with warm pools.
 fn with_pools() -> Setup {
     let pools = json!({"bill_every_s": 20,
         "model": {"zero": {"version": 1, "image": "img-0", "size_gb": 1},
@@ -103,7 +104,7 @@
     Setup { subsystems: Subsystems { warm_pools, ..Subsystems::default() }, loads_models: true, ..Setup::default() }
 }
 
-/// A deployment with borrowing.
+/// Setup with borrowing.
 fn with_borrowing() -> Setup {
     let borrowing = json!({"quiet_s": 3600, "return_after_s": 8,
         "lender": {"blue": {"to": ["red"], "up_to": "standard"}, "guest": {"to": ["red"], "up_to": "standard"}},
@@ -116,11 +117,11 @@
     }
 }
 
-/// A night run takes all cards; replicas borrow some of them, and give them back.
-async fn day_of_a_loan(mut sim: Sim) {
-    let mut night = sim.job("batch", 8);
-    (night.team, night.run_s, night.checkpoint_s, night.flush_s) = ("blue", 120.0, 5.0, 1.0);
-    sim.submit(night);
+/// A batch job uses all accelerators. Replicas of another team borrow some of them and return them.
+async fn run_loan(mut sim: Sim) {
+    let mut batch_job = sim.job("batch", 8);
+    (batch_job.team, batch_job.run_s, batch_job.checkpoint_s, batch_job.flush_s) = ("blue", 120.0, 5.0, 1.0);
+    sim.submit(batch_job);
     sim.run(Duration::from_secs(40)).await;
     let mut burst = sim.job("service", 3);
     (burst.team, burst.urgency) = ("red", "urgent");
@@ -130,8 +131,8 @@
     sim.run(Duration::from_secs(60)).await;
 }
 
-/// The state service takes less, then is away; the leader stands still for long.
-async fn day_of_outages(mut sim: Sim, limits: Limits) {
+/// The limits of the state service are lowered, the leader is paused, and then the state service is unavailable.
+async fn run_outages(mut sim: Sim, limits: Limits) {
     sim.run(Duration::from_secs(10)).await;
     let jobs: Vec<_> = (0..60).map(|_| sim.job("batch", 1)).collect();
     sim.submit_pipeline(jobs);
@@ -149,21 +150,21 @@
 }
 
 #[test]
-fn names_and_labels_of_metrics_are_as_ever() {
+fn names_and_labels_of_metrics_match_the_golden_file() {
     let names = Names::default();
-    watch_random_days(Setup::default, 1..=6, &names);
-    watch_random_days(with_pools, 1..=4, &names);
-    watch_random_days(with_borrowing, 1..=3, &names);
-    watch(Setup { capacity: Some(1), ..with_borrowing() }, 1, &names, day_of_a_loan);
+    collect_names_of_random_days(Setup::default, 1..=6, &names);
+    collect_names_of_random_days(with_pools, 1..=4, &names);
+    collect_names_of_random_days(with_borrowing, 1..=3, &names);
+    collect_names(Setup { capacity: Some(1), ..with_borrowing() }, 1, &names, run_loan);
     for limits in [NEXT_LIMITS, Limits { changes: LEAST_CHANGES, ..PRESENT_LIMITS }] {
-        (1..=2).for_each(|seed| watch(Setup::default(), seed, &names, |sim| day_of_outages(sim, limits)));
+        (1..=2).for_each(|seed| collect_names(Setup::default(), seed, &names, |sim| run_outages(sim, limits)));
     }
     let text: String = names.lock().unwrap().iter().map(|name| name.clone() + "\n").collect();
     golden::assert_same("metrics.txt", &text);
 }
 
 #[test]
-fn names_of_the_configurations_metrics_are_as_ever() {
+fn names_of_configuration_metrics_match_the_golden_file() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().unwrap();
     let text = runtime.block_on(regions::metrics_after_changes());
     let names: BTreeSet<String> = text.lines().map(name_of).filter(|name| name.contains("configuration")).collect();
--- a/tests/outputs/program.rs
+++ b/tests/outputs/program.rs
@@ -1,9 +1,9 @@
-//! Runs the program, and writes down what it shows.
+//! Runs the program and records its output.
 
 use std::process::{Command, Stdio};
 
-/// Exit status, standard output and standard error of a run, as text. Each of `replaced` is
-/// written as its second part, so that paths and ports do not show.
+/// Runs the program, and returns its exit status, standard output and standard error as text. The first text of each
+/// pair in `replaced` is replaced by the second, so that the transcript has no paths and ports.
 pub fn transcript(arguments: &[&str], replaced: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerdrift"));
     let output = command.args(arguments).env_remove("LOG_LEVEL").stdin(Stdio::null()).output().unwrap();
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -1,4 +1,4 @@
-//! Two regions with one controller each and a state service each, on a network in memory.
+//! Two regions with one controller and one state service each, on a network in memory.
 
 use badgerdrift::control::node::{self, Subsystems};
 use badgerdrift::settings::{Operator, Settings};
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Most connections to a stand-in, and how long an idle one is kept.
+/// Maximum number of connections to a stand-in, and its request timeout.
 const CONNECTIONS: (usize, Duration) = (100, Duration::from_secs(60));
-/// Life of a lease from which the limits of a connection follow.
-const GRANT_MS: u64 = 20_000;
-/// Time of the state service for an answer.
-const STATE_ANSWER: Duration = Duration::from_millis(10);
-/// How long an answer is waited for.
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+/// Duration of a leader's lease, in milliseconds, from which the timeouts of a connection follow.
+const LEADER_LEASE_MS: u64 = 20_000;
+/// Response time of the state service.
+const STATE_RESPONSE_TIME: Duration = Duration::from_millis(10);
+/// Maximum time to wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn address(region: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([10, region, 0, 1], port))
@@ -55,7 +55,7 @@
     let answer = move |request: Request| {
         let store = store.clone();
         async move {
-            sleep(STATE_ANSWER).await;
+            sleep(STATE_RESPONSE_TIME).await;
             let mut store = store.lock().unwrap();
             match request.path.starts_with("/changes") {
                 true => store.changes(&query(&request.path), true).unwrap_or_else(|| Response::error(503, "none")),
@@ -69,7 +69,7 @@
     });
 }
 
-/// Starts a region; the number by which its controller is killed.
+/// Starts a region, and returns the process number of its controller, by which it can be killed.
 fn start_region(network: &SimulatedNetwork, region: u8) -> u64 {
     start_state_service(network, region);
     let regions = json!({
@@ -79,36 +79,36 @@
     let name = if region == 1 { "north" } else { "south" };
     let fleet = Some(serde_json::from_value(json!({"region": name, "regions": regions})).unwrap());
     let subsystems = Subsystems { fleet, ..Subsystems::default() };
-    let (net, life) = network.process(address(region, 81).ip());
+    let (net, process) = network.process(address(region, 81).ip());
     tokio::spawn(node::run_on(net, settings(region), Operator::default(), subsystems));
-    life
+    process
 }
 
-/// A change of the operators' figures made from this version.
+/// Request for a change of the operator document, based on this version of it.
 fn change(version: u64) -> PeerRequest {
-    let figures = json!({"bin_width_s": 6.5, "default_deadline_s": 601.5, "idle_keep": 2.5, "headroom": 0.75});
+    let values = json!({"bin_width_s": 6.5, "default_deadline_s": 601.5, "idle_keep": 2.5, "headroom": 0.75});
     let change = json!({"id": format!("change-{version}"), "author": "operator", "reason": "season", "at_ms": 0,
-        "reads": [{"document": "Operator", "version": version}], "writes": [{"Operator": figures}]});
+        "reads": [{"document": "Operator", "version": version}], "writes": [{"Operator": values}]});
     serde_json::from_value(json!({"Configuration": {"Apply": change}})).unwrap()
 }
 
-/// The metrics of a region after a change that is taken, one that is refused, made from a version
-/// that never was, and one that is unclear, as the other region is gone.
+/// Returns the metrics of a region after three changes: one is taken, one is refused because it is based on a version
+/// that never existed, and the outcome of one is unclear because the other region is down.
 pub async fn metrics_after_changes() -> String {
     let network = SimulatedNetwork::new(1);
     start_region(&network, 1);
     let south = start_region(&network, 2);
     sleep(Duration::from_secs(30)).await;
     let net = network.process([10, 9, 0, 1].into()).0;
-    let limits = PeerTimeouts::for_leader_lease(GRANT_MS);
+    let limits = PeerTimeouts::for_leader_lease(LEADER_LEASE_MS);
     let peer = Peer::start_on(net.clone(), "north".into(), address(1, 81), limits);
     for version in [0, 77] {
-        peer.request(change(version), ANSWER_LIMIT).await.expect("an answer");
+        peer.request(change(version), ANSWER_TIMEOUT).await.expect("an answer");
     }
     network.kill(south);
-    // Whether it is answered does not matter: its outcome is counted.
-    let _ = peer.request(change(1), ANSWER_LIMIT).await;
-    sleep(ANSWER_LIMIT).await;
-    let answer = Client::on(&net, 1).call(address(1, 80), "GET", "/metrics", None, ANSWER_LIMIT).await;
+    // Only the count of the outcome matters, not the answer.
+    let _ = peer.request(change(1), ANSWER_TIMEOUT).await;
+    sleep(ANSWER_TIMEOUT).await;
+    let answer = Client::on(&net, 1).call(address(1, 80), "GET", "/metrics", None, ANSWER_TIMEOUT).await;
     String::from_utf8(answer.unwrap().1.to_vec()).unwrap()
 }
--- a/tests/pages/citation.rs
+++ b/tests/pages/citation.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// What a text has in back quotes; a citation may go on over the end of a line.
+/// Returns all texts in back quotes. A citation may span lines.
 pub fn quoted(page: &str, text: &str) -> Vec<Citation> {
     let mut citations = Vec::new();
     let mut line = 1;
--- a/tests/pages/log_table.rs
+++ b/tests/pages/log_table.rs
@@ -1,4 +1,4 @@
-//! The table of log lines and what the code logs.
+//! Checks of the table of log lines against the log calls of the code.
 
 use super::citation::quoted;
 use super::project::{assert_none, is_identifier_char, line_after, read, root, rust_files};
@@ -6,7 +6,7 @@
 
 /// The page with the table of log lines.
 const OPERATIONS: &str = "docs/operations.md";
-/// The levels whose messages the table has.
+/// Levels whose messages are listed in the table.
 const LOGGED_LEVELS: [&str; 3] = ["info", "warn", "error"];
 
 /// A call of a logging macro.
@@ -14,9 +14,9 @@
 struct LogCall {
     level: &'static str,
     message: String,
-    /// All that is between the macro's parentheses.
+    /// Text between the macro's parentheses.
     arguments: String,
-    /// The file, relative to `src/`.
+    /// Path of the file, relative to `src/`.
     module: String,
     line: usize,
 }
@@ -44,12 +44,13 @@
 }
 
 impl LogRow {
+    /// Whether the row has the level and message of the call.
     fn describes(&self, call: &LogCall) -> bool {
         self.level == call.level && self.message == call.message
     }
 }
 
-/// What is between the parentheses of a macro, of which `text` begins after the first one.
+/// Returns the text between the parentheses of a macro. `text` begins after the opening one.
 fn macro_arguments(text: &str) -> &str {
     let (mut depth, mut in_string, mut escaped) = (1, false, false);
     for (index, c) in text.char_indices() {
@@ -68,7 +69,7 @@
     text
 }
 
-/// The calls of one level in a file. The message is the last string of the macro.
+/// Returns the log calls of one level in a file. The message is the last string literal of the macro.
 fn log_calls_of(level: &'static str, module: &str, text: &str) -> Vec<LogCall> {
     let call = format!("tracing::{level}!(");
     let calls = text.match_indices(&call).map(|(start, _)| {
@@ -86,14 +87,14 @@
         let module = path.strip_prefix(root().join("src")).unwrap_or(&path).to_string_lossy().to_string();
         assert!(
             !text.contains("use tracing::"),
-            "{module}: log macros are called with their path, so that all are found"
+            "{module}: log macros must be called with their full path, otherwise this test does not find them"
         );
         calls.extend(LOGGED_LEVELS.iter().flat_map(|level| log_calls_of(level, &module, &text)));
     }
     calls
 }
 
-/// The row of the table of log lines that this line is, if it is one.
+/// Parses a line of the table, or returns `None` if it is not a row with a log level.
 fn log_row(line: usize, text: &str) -> Option<LogRow> {
     let cells: Vec<&str> = text.split('|').map(str::trim).collect();
     let [_, level, message, fields, modules, ..] = cells[..] else { return None };
@@ -119,10 +120,10 @@
     assert_none(&format!("log messages without a row with their level and module in {OPERATIONS}"), &found);
 }
 
-/// Does the file log this row, with all of its fields?
+/// Whether the file has a log call with the level, message and fields of this row.
 fn logs_row(calls: &[LogCall], row: &LogRow, module: &str) -> bool {
     let has_field =
-        |call: &LogCall, field: &String| call.arguments.split(|c| !is_identifier_char(c)).any(|w| w == field);
+        |call: &LogCall, field: &String| call.arguments.split(|c| !is_identifier_char(c)).any(|word| word == field);
     let logs = |call: &&LogCall| row.describes(call) && call.module == module;
     calls.iter().filter(logs).any(|call| row.fields.iter().all(|field| has_field(call, field)))
 }
@@ -130,7 +131,7 @@
 #[test]
 fn each_row_of_the_log_table_is_logged() {
     let (calls, rows) = (log_calls(), log_rows());
-    assert!(rows.len() > 30, "the table was not read: {rows:?}");
+    assert!(rows.len() > 30, "too few rows of the table were found: {rows:?}");
     let mut found = Vec::new();
     for row in rows {
         if row.modules.is_empty() {
--- a/tests/pages/main.rs
+++ b/tests/pages/main.rs
@@ -1,7 +1,7 @@
-//! The pages name what the code has: source files, identifiers, log messages and tests.
+//! Checks that names cited on the pages exist in the code: source files, identifiers, log messages and tests.
 //!
-//! A page that cites a name in back quotes promises a reader that a search for it succeeds. Each
-//! test here collects all citations that do not keep that and lists them by page and line.
+//! A search of the code for a name in back quotes must succeed. Each test collects all citations for which it does
+//! not, and lists them by page and line.
 
 #![allow(clippy::expect_used, clippy::panic, reason = "a test ends at the first wrong assumption")]
 
@@ -12,7 +12,7 @@
 use citation::{Citation, quoted};
 use project::{Words, assert_none, is_identifier_char, line_after, read, root, rust_files, rust_files_of};
 
-/// The pages whose names are checked, relative to the root.
+/// Paths of the checked pages, relative to the root.
 const PAGES: [&str; 8] = [
     "README.md",
     "CONTRIBUTING.md",
@@ -25,12 +25,12 @@
 ];
 /// The page with the glossary.
 const ARCHITECTURE: &str = "docs/architecture.md";
-/// First words of commands, which are no texts that the program prints.
+/// First words of commands, which are not texts that the program prints.
 const COMMANDS: [&str; 6] = ["badgerdrift", "cargo", "config", "loans", "pools", "serve"];
-/// Folders of the root in which a cited path is that of a file or folder there.
+/// Folders of the root: a citation that begins with one of them is a path.
 const FOLDERS: [&str; 7] = ["crates/", "deploy/", "docs/", "examples/", "journal/", "src/", "tests/"];
 
-/// All citations of a page that are one word: commands and examples have several.
+/// Returns the citations of a page that are one word. Commands and examples have several words.
 fn citations(page: &str) -> Vec<Citation> {
     let mut found = quoted(page, &read(&root().join(page)));
     found.retain(|citation| !citation.text.contains(char::is_whitespace));
@@ -41,22 +41,23 @@
     PAGES.iter().flat_map(|page| citations(page)).collect()
 }
 
-/// Is it made of identifiers, with `::` between them if there are several?
+/// Whether a text is an identifier, or several with `::` between them.
 fn is_rust_name(text: &str) -> bool {
     text.split("::").all(|part| !part.is_empty() && part.chars().all(is_identifier_char))
 }
 
-/// Is it the path of a source file, of a folder, or of anything in a folder of the root? Patterns are none.
+/// Whether a text is the path of a source file, of a folder, or of anything in a folder of the root. Patterns with
+/// `*` are not paths.
 fn is_path(text: &str) -> bool {
-    let path = text.ends_with(".rs") || (text.ends_with('/') && !text.starts_with('/'));
-    (path || FOLDERS.iter().any(|folder| text.starts_with(folder))) && !text.contains('*')
+    let has_path_form = text.ends_with(".rs") || (text.ends_with('/') && !text.starts_with('/'));
+    (has_path_form || FOLDERS.iter().any(|folder| text.starts_with(folder))) && !text.contains('*')
 }
 
 fn path_exists(path: &str) -> bool {
     ["", "src"].iter().any(|base| root().join(base).join(path).exists())
 }
 
-/// The pages give paths relative to the root or to `src/`.
+/// The pages cite paths relative to the root or to `src/`.
 #[test]
 fn cited_source_paths_exist() {
     let missing = |citation: &Citation| is_path(&citation.text) && !path_exists(&citation.text);
@@ -64,7 +65,7 @@
     assert_none("paths that do not exist, from the root or from src/", &found);
 }
 
-/// The identifiers in the third column of the glossary.
+/// Returns the identifiers in the third column of the glossary.
 fn glossary_identifiers() -> Vec<Citation> {
     let text = read(&root().join(ARCHITECTURE));
     let (before, glossary) = text.split_once("## Glossary").expect("a glossary");
@@ -82,24 +83,24 @@
 fn identifiers_of_the_glossary_exist() {
     let words = Words::of(&["src", "crates"]);
     let identifiers = glossary_identifiers();
-    assert!(identifiers.len() > 50, "the glossary was not read: {identifiers:?}");
+    assert!(identifiers.len() > 50, "too few identifiers of the glossary were found: {identifiers:?}");
     let unknown = |citation: &&Citation| !words.have_path(&citation.text);
     let found: Vec<String> = identifiers.iter().filter(unknown).map(Citation::to_string).collect();
     assert_none("identifiers of the glossary that neither src nor crates have", &found);
 }
 
-/// Is it clearly a name from the code: a path of identifiers, or one in snake case?
+/// Whether a text is certainly a name from the code: a path of identifiers, or an identifier in snake case.
 fn is_code_name(text: &str) -> bool {
     is_rust_name(text) && text.contains(['_', ':'])
 }
 
-/// Metrics are printed with a prefix, counters with an ending; the code may have the name without.
+/// Returns the spellings of a metric in the code, which may lack the printed prefix and the suffix of counters.
 fn metric_spellings(name: &str) -> [String; 2] {
     let bare = name.strip_prefix("badgerdrift_").unwrap_or(name);
     [format!("badgerdrift_{bare}"), bare.strip_suffix("_total").unwrap_or(bare).to_string()]
 }
 
-/// Also names of settings, metrics and tests: all of them are words of some source file.
+/// Includes names of settings, metrics and tests: each is a word of some source file.
 #[test]
 fn cited_names_exist() {
     let words = Words::of(&["src", "crates", "tests", "examples"]);
@@ -109,14 +110,14 @@
     assert_none("names that no source file has", &found);
 }
 
-/// Is it several words in lower case, as a log message, a reason or a state that is printed?
+/// Whether a text is several words in lower case, like a log message or a reason that the program prints.
 fn is_printed_text(text: &str) -> bool {
     let is_plain = |c: char| c.is_ascii_lowercase() || " ,'".contains(c);
     let first = text.split(' ').next().unwrap_or_default();
     text.contains(' ') && text.chars().all(is_plain) && !COMMANDS.contains(&first)
 }
 
-/// Also in the prose: a message that is to be searched for is a whole string of the code.
+/// A message that is cited anywhere on a page must be a whole string literal of the code, so that a search finds it.
 #[test]
 fn cited_messages_exist() {
     let code: String = rust_files(&root().join("src")).iter().map(|path| read(path)).collect();
@@ -127,16 +128,16 @@
             found.push(citation.to_string());
         }
     }
-    assert_none("messages that are no string of src", &found);
+    assert_none("messages that are not a string literal in src", &found);
 }
 
-/// The name of the function that a line begins, if it begins one.
+/// Returns the name of the function that begins on this line, or `None`.
 fn function_name(line: &str) -> Option<&str> {
     let line = line.trim_start().trim_start_matches("pub ").trim_start_matches("async ");
     line.strip_prefix("fn ")?.split(|c| !is_identifier_char(c)).next()
 }
 
-/// The names of the functions of a file that have an attribute of a test.
+/// Returns the names of the functions of a file that have a test attribute.
 fn test_names_of(text: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut is_test = false;
@@ -154,16 +155,16 @@
     names
 }
 
-/// A name that ends in `...` is the beginning of a test's name.
+/// A citation that ends in `...` is the beginning of the name of a test.
 #[test]
 fn cited_tests_exist() {
     let files = rust_files_of(&["src", "crates", "tests"]);
     let tests: Vec<String> = files.iter().flat_map(|path| test_names_of(&read(path))).collect();
-    assert!(tests.len() > 300, "the tests were not found: {}", tests.len());
+    assert!(tests.len() > 300, "too few tests were found: {}", tests.len());
     let is_unknown = |citation: &&Citation| {
         let prefix = citation.text.strip_suffix("...").map(|name| name.rsplit("::").next().unwrap_or(name));
         prefix.is_some_and(|prefix| is_rust_name(prefix) && !tests.iter().any(|test| test.starts_with(prefix)))
     };
     let found: Vec<String> = all_citations().iter().filter(is_unknown).map(Citation::to_string).collect();
-    assert_none("beginnings of tests' names that no test has", &found);
+    assert_none("beginnings of test names that no test has", &found);
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,5 +1,5 @@
-//! The whole service against stand-ins, on loopback. Each controller runs on a
-//! runtime of its own, so that it can be killed.
+//! The whole service against stand-ins, on loopback. Each controller runs on a runtime of its own, so that it can be
+//! killed.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
@@ -10,34 +10,35 @@
 use badgerdrift::settings::{Operator, Settings};
 use badgerdrift::transport::http::Client;
 use serde_json::{Value, json};
-use stand_ins::{LEASE, REPORT, Shared};
+use stand_ins::{HEARTBEAT_INTERVAL, LEASE, Shared};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
+/// Returns an address on the loopback network that no other test uses. A port found to be free on a shared address
+/// could be taken by a connection of another test before it is bound.
 fn free_addr() -> SocketAddr {
-    // An address of its own on the loopback network: a port that was free a moment ago may
-    // meanwhile serve a connection of another test.
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let (n, pid) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let byte = |v: u32| (1 + v % 250) as u8;
-    SocketAddr::from(([127, byte(pid / 250), byte(pid), byte(n)], 20_000 + (n / 250) as u16))
+    let (number, pid) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
+    let byte = |value: u32| (1 + value % 250) as u8;
+    SocketAddr::from(([127, byte(pid / 250), byte(pid), byte(number)], 20_000 + (number / 250) as u16))
 }
 
-/// One controller, which dies when this is dropped.
+/// A controller, which is killed when this is dropped.
 struct Node {
     _kill: oneshot::Sender<()>,
 }
 
-fn settings(i: usize, addrs: &[(SocketAddr, SocketAddr)], state: SocketAddr, cloud: SocketAddr) -> Settings {
+/// Settings of the controller with this index in `addrs`, the pairs of user and internal addresses.
+fn settings(index: usize, addrs: &[(SocketAddr, SocketAddr)], state: SocketAddr, cloud: SocketAddr) -> Settings {
     let seeds: String = (0..addrs.len())
-        .filter(|j| *j != i)
-        .map(|j| format!("[[seeds]]\nnode = \"n{j}\"\nsite = \"a\"\nendpoint = \"{}\"\n", addrs[j].1))
+        .filter(|other| *other != index)
+        .map(|other| format!("[[seeds]]\nnode = \"n{other}\"\nsite = \"a\"\nendpoint = \"{}\"\n", addrs[other].1))
         .collect();
     let text = format!(
         r#"
-node = "n{i}"
+node = "n{index}"
 site = "a"
 serve_on = "{}"
 internal_addr = "{}"
@@ -67,90 +68,115 @@
 [params.limits]
 max_sockets = 400
 "#,
-        addrs[i].0,
-        addrs[i].1,
-        REPORT.as_secs_f64(),
+        addrs[index].0,
+        addrs[index].1,
+        HEARTBEAT_INTERVAL.as_secs_f64(),
         LEASE.as_secs_f64()
     );
     toml::from_str(&text).unwrap()
 }
 
-fn spawn(s: Settings, partitions: u32) -> Node {
-    let (kill, dead) = oneshot::channel::<()>();
+/// Starts a controller on a thread of its own.
+fn spawn(settings: Settings, partitions: u32) -> Node {
+    let (kill, killed) = oneshot::channel::<()>();
     std::thread::spawn(move || {
-        let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        rt.block_on(async {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        runtime.block_on(async {
             tokio::select! {
-                r = node::run(s, Operator { partitions, idle_keep: 60.0, ..Operator::default() }, Default::default()) => r.unwrap(),
-                _ = dead => {}
+                result = node::run(settings, Operator { partitions, idle_keep: 60.0, ..Operator::default() }, Default::default()) => result.unwrap(),
+                _ = killed => {}
             }
         });
     });
     Node { _kill: kill }
 }
 
+/// Controllers and the stand-ins that they use.
 struct Fleet {
+    /// User and internal address of each controller.
     addrs: Vec<(SocketAddr, SocketAddr)>,
-    outside: (SocketAddr, SocketAddr),
+    /// Addresses of the state service and the cloud.
+    services: (SocketAddr, SocketAddr),
     world: Shared,
+    /// The controllers, `None` for those that are killed.
     nodes: Vec<Option<Node>>,
     client: Client,
     partitions: u32,
 }
 
 impl Fleet {
-    async fn start(n: usize, partitions: u32) -> Fleet {
-        let addrs: Vec<_> = (0..n).map(|_| (free_addr(), free_addr())).collect();
-        let (world, state, cloud) = stand_ins::start(addrs.iter().map(|a| a.0).collect()).await;
-        let mut f =
-            Fleet { addrs, outside: (state, cloud), world, nodes: Vec::new(), client: Client::default(), partitions };
-        for i in 0..n {
-            f.nodes.push(None);
-            f.restart(i);
+    /// Starts this many controllers.
+    async fn start(count: usize, partitions: u32) -> Fleet {
+        let addrs: Vec<_> = (0..count).map(|_| (free_addr(), free_addr())).collect();
+        let (world, state, cloud) = stand_ins::start(addrs.iter().map(|addr| addr.0).collect()).await;
+        let mut fleet =
+            Fleet { addrs, services: (state, cloud), world, nodes: Vec::new(), client: Client::default(), partitions };
+        for index in 0..count {
+            fleet.nodes.push(None);
+            fleet.restart(index);
         }
-        f
+        fleet
     }
 
-    fn restart(&mut self, i: usize) {
-        let s = settings(i, &self.addrs, self.outside.0, self.outside.1);
-        self.nodes[i] = Some(spawn(s, self.partitions));
+    /// Starts a controller that is not running.
+    fn restart(&mut self, index: usize) {
+        let settings = settings(index, &self.addrs, self.services.0, self.services.1);
+        self.nodes[index] = Some(spawn(settings, self.partitions));
     }
 
-    async fn call(&self, i: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
+    /// Sends a request to a controller. Returns the status and the body of the answer, or 0 and null if there is no
+    /// answer.
+    async fn call(&self, index: usize, method: &str, path: &str, body: &str) -> (u16, Value) {
         let body = (!body.is_empty()).then_some(body.as_bytes());
-        match self.client.call(self.addrs[i].0, method, path, body, Duration::from_secs(3)).await {
-            Ok((s, b)) => (s, serde_json::from_slice(&b).unwrap_or_default()),
+        match self.client.call(self.addrs[index].0, method, path, body, Duration::from_secs(3)).await {
+            Ok((status, body)) => (status, serde_json::from_slice(&body).unwrap_or_default()),
             Err(_) => (0, Value::Null),
         }
     }
 
-    /// Calls until `wanted` is the status and the answer satisfies `ok`.
-    async fn until(&self, i: usize, method: &str, path: &str, body: &str, ok: impl Fn(u16, &Value) -> bool) -> Value {
+    /// Repeats a request until `accepted` returns true for the status and the body, and returns the body. Panics after
+    /// 30 s.
+    async fn until(
+        &self,
+        index: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+        accepted: impl Fn(u16, &Value) -> bool,
+    ) -> Value {
         let began = Instant::now();
         loop {
-            let (status, v) = self.call(i, method, path, body).await;
-            if ok(status, &v) {
-                return v;
+            let (status, answer) = self.call(index, method, path, body).await;
+            if accepted(status, &answer) {
+                return answer;
             }
-            assert!(began.elapsed() < Duration::from_secs(30), "{method} {path}: {status} {v}");
+            assert!(
+                began.elapsed() < Duration::from_secs(30),
+                "{method} {path} was still answered with {status} {answer} after 30 s"
+            );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    async fn submit(&self, i: usize, id: &str, shape: &str, tasks: u32) {
+    /// Submits a job until it is accepted.
+    async fn submit(&self, index: usize, id: &str, shape: &str, tasks: u32) {
         let body = job(id, shape, tasks);
-        self.until(i, "POST", "/v1/jobs", &body, |s, _| s == 201 || s == 200).await;
+        self.until(index, "POST", "/v1/jobs", &body, |status, _| status == 201 || status == 200).await;
     }
 
-    async fn phase(&self, i: usize, id: &str, phase: &str) -> Value {
-        self.until(i, "GET", &format!("/v1/jobs/{id}"), "", |s, v| s == 200 && v["phase"] == phase).await
+    /// Polls a job until it is in this phase.
+    async fn until_phase(&self, index: usize, id: &str, phase: &str) -> Value {
+        self.until(index, "GET", &format!("/v1/jobs/{id}"), "", |status, job| status == 200 && job["phase"] == phase)
+            .await
     }
 
-    fn check(&self) {
-        assert_eq!(self.world.lock().unwrap().broken, Vec::<String>::new());
+    /// Asserts that no rule of the stand-ins was broken.
+    fn assert_no_broken_rules(&self) {
+        assert_eq!(self.world.lock().unwrap().broken_rules, Vec::<String>::new());
     }
 }
 
+/// Body of a submission.
 fn job(id: &str, shape: &str, tasks: u32) -> String {
     json!({"id": id, "jobclass": "c", "owner": "red", "shape": shape, "urgency": "standard", "shards": tasks,
         "cores": 1.0, "cards": 1.0, "mem_gb": 1.0, "bundle": "i", "size_gb": 1.0, "flavors": null, "region": null,
@@ -161,32 +187,36 @@
 
 #[tokio::test]
 async fn jobs_of_each_shape_run_finish_and_are_cancelled() {
-    let f = Fleet::start(2, 1).await;
-    f.until(0, "GET", "/ready", "", |s, _| s == 200).await;
-    f.submit(0, "run-000001", "batch", 3).await;
-    f.submit(1, "run-000002", "group", 2).await;
-    f.submit(1, "run-000003", "service", 2).await;
+    let fleet = Fleet::start(2, 1).await;
+    fleet.until(0, "GET", "/ready", "", |status, _| status == 200).await;
+    fleet.submit(0, "run-000001", "batch", 3).await;
+    fleet.submit(1, "run-000002", "group", 2).await;
+    fleet.submit(1, "run-000003", "service", 2).await;
     for id in ["run-000001", "run-000002", "run-000003"] {
-        f.phase(0, id, "running").await;
+        fleet.until_phase(0, id, "running").await;
     }
-    f.until(1, "POST", "/v1/jobs/run-000003/withdraw", "", |s, v| s == 200 && v["phase"] == "cancelled").await;
-    f.world.lock().unwrap().finish = true;
+    fleet
+        .until(1, "POST", "/v1/jobs/run-000003/withdraw", "", |status, job| {
+            status == 200 && job["phase"] == "cancelled"
+        })
+        .await;
+    fleet.world.lock().unwrap().finish = true;
     for id in ["run-000001", "run-000002"] {
-        f.phase(1, id, "done").await;
+        fleet.until_phase(1, id, "done").await;
     }
-    f.phase(0, "run-000003", "cancelled").await;
-    let (s, v) = f.call(0, "POST", "/v1/jobs", &job("run-000001", "batch", 3)).await;
-    assert_eq!((s, &v["phase"]), (200, &json!("done")));
-    f.check();
+    fleet.until_phase(0, "run-000003", "cancelled").await;
+    let (status, answer) = fleet.call(0, "POST", "/v1/jobs", &job("run-000001", "batch", 3)).await;
+    assert_eq!((status, &answer["phase"]), (200, &json!("done")));
+    fleet.assert_no_broken_rules();
 }
 
 #[tokio::test]
-async fn bad_requests_get_the_answers_of_the_protocol() {
-    let f = Fleet::start(1, 1).await;
-    f.until(0, "GET", "/ready", "", |s, _| s == 200).await;
-    f.submit(0, "run-000001", "batch", 1).await;
+async fn invalid_requests_get_the_statuses_of_the_protocol() {
+    let fleet = Fleet::start(1, 1).await;
+    fleet.until(0, "GET", "/ready", "", |status, _| status == 200).await;
+    fleet.submit(0, "run-000001", "batch", 1).await;
     let team = job("run-000009", "batch", 1).replace("red", "green");
-    for (method, path, body, status) in [
+    for (method, path, body, expected) in [
         ("POST", "/v1/jobs", "no json", 400),
         ("POST", "/v1/jobs", "[]", 400),
         ("POST", "/v1/jobs", "{\"id\":\"run-000005\"}", 400),
@@ -200,89 +230,95 @@
         ("POST", "/agent/beat", "{}", 400),
         ("GET", "/nowhere", "", 404),
     ] {
-        let (s, v) = f.call(0, method, path, body).await;
-        assert_eq!(s, status, "{method} {path} {body}: {v}");
+        let (status, answer) = fleet.call(0, method, path, body).await;
+        assert_eq!(status, expected, "{method} {path} {body}: {answer}");
     }
     let big = "x".repeat(70 * 1024);
-    let (status, v) = f.call(0, "POST", "/v1/jobs", &big).await;
-    assert!(status == 400 && v["error"].as_str().unwrap().starts_with("body:"), "{status} {v}");
+    let (status, answer) = fleet.call(0, "POST", "/v1/jobs", &big).await;
+    assert!(status == 400 && answer["error"].as_str().unwrap().starts_with("body:"), "{status} {answer}");
 }
 
 #[tokio::test]
-async fn accepted_jobs_outlive_the_crash_of_every_controller() {
-    let mut f = Fleet::start(2, 1).await;
-    f.submit(0, "run-000001", "service", 2).await;
-    f.submit(1, "run-000002", "batch", 4).await;
-    f.phase(0, "run-000001", "running").await;
-    f.nodes[0] = None;
-    f.phase(1, "run-000001", "running").await;
-    f.nodes[1] = None;
-    tokio::time::sleep(REPORT).await;
-    f.addrs = f.addrs.iter().map(|a| (a.0, free_addr())).collect();
-    f.restart(0);
-    f.restart(1);
-    f.phase(1, "run-000001", "running").await;
-    f.world.lock().unwrap().finish = true;
-    f.phase(0, "run-000002", "done").await;
-    f.check();
+async fn accepted_jobs_survive_a_crash_of_every_controller() {
+    let mut fleet = Fleet::start(2, 1).await;
+    fleet.submit(0, "run-000001", "service", 2).await;
+    fleet.submit(1, "run-000002", "batch", 4).await;
+    fleet.until_phase(0, "run-000001", "running").await;
+    fleet.nodes[0] = None;
+    fleet.until_phase(1, "run-000001", "running").await;
+    fleet.nodes[1] = None;
+    tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+    fleet.addrs = fleet.addrs.iter().map(|addr| (addr.0, free_addr())).collect();
+    fleet.restart(0);
+    fleet.restart(1);
+    fleet.until_phase(1, "run-000001", "running").await;
+    fleet.world.lock().unwrap().finish = true;
+    fleet.until_phase(0, "run-000002", "done").await;
+    fleet.assert_no_broken_rules();
 }
 
 #[tokio::test]
-async fn running_work_outlives_an_outage_of_the_state_store() {
-    let f = Fleet::start(3, 1).await;
-    f.submit(0, "run-000001", "service", 2).await;
-    f.phase(1, "run-000001", "running").await;
-    let before = f.world.lock().unwrap().on.clone();
-    f.world.lock().unwrap().store.set_down(true);
+async fn running_tasks_survive_an_outage_of_the_state_service() {
+    let fleet = Fleet::start(3, 1).await;
+    fleet.submit(0, "run-000001", "service", 2).await;
+    fleet.until_phase(1, "run-000001", "running").await;
+    let before = fleet.world.lock().unwrap().running_tasks.clone();
+    fleet.world.lock().unwrap().store.set_down(true);
     tokio::time::sleep(LEASE * 2).await;
-    assert_eq!(f.world.lock().unwrap().on, before, "no lease ran out");
+    assert_eq!(fleet.world.lock().unwrap().running_tasks, before, "tasks were stopped or started during the outage");
     let began = Instant::now();
-    let (s, _) = f.call(0, "POST", "/v1/jobs", &job("run-000002", "batch", 1)).await;
-    assert_eq!(s, 503);
-    assert!(began.elapsed() < Duration::from_secs(2), "refused, and not held back");
-    assert_eq!(f.call(0, "GET", "/ready", "").await.0, 503);
-    f.world.lock().unwrap().store.set_down(false);
-    f.submit(0, "run-000002", "batch", 1).await;
-    f.phase(2, "run-000001", "running").await;
-    assert!(before.keys().all(|k| f.world.lock().unwrap().on.contains_key(k)));
-    f.check();
+    let (status, _) = fleet.call(0, "POST", "/v1/jobs", &job("run-000002", "batch", 1)).await;
+    assert_eq!(status, 503);
+    assert!(
+        began.elapsed() < Duration::from_secs(2),
+        "the submission must be refused without waiting for the state service"
+    );
+    assert_eq!(fleet.call(0, "GET", "/ready", "").await.0, 503);
+    fleet.world.lock().unwrap().store.set_down(false);
+    fleet.submit(0, "run-000002", "batch", 1).await;
+    fleet.until_phase(2, "run-000001", "running").await;
+    assert!(before.keys().all(|key| fleet.world.lock().unwrap().running_tasks.contains_key(key)));
+    fleet.assert_no_broken_rules();
 }
 
-// Found on days of our own at the next size: all leases ran out in an outage in which
-// every controller had ended, as nobody could know who held the partition.
+// When every controller ended during an outage of the state service, none could learn which one led the partition,
+// and all leases expired.
 #[tokio::test]
-async fn running_work_outlives_a_crash_of_every_controller_in_an_outage() {
-    let mut f = Fleet::start(3, 1).await;
-    f.submit(0, "run-000001", "service", 2).await;
-    f.phase(1, "run-000001", "running").await;
-    let before = f.world.lock().unwrap().on.clone();
-    f.world.lock().unwrap().store.set_down(true);
-    f.nodes.iter_mut().for_each(|n| *n = None);
-    tokio::time::sleep(REPORT).await;
-    f.addrs = f.addrs.iter().map(|a| (a.0, free_addr())).collect();
-    for i in 0..3 {
-        f.restart(i);
+async fn running_tasks_survive_a_crash_of_every_controller_in_an_outage_of_the_state_service() {
+    let mut fleet = Fleet::start(3, 1).await;
+    fleet.submit(0, "run-000001", "service", 2).await;
+    fleet.until_phase(1, "run-000001", "running").await;
+    let before = fleet.world.lock().unwrap().running_tasks.clone();
+    fleet.world.lock().unwrap().store.set_down(true);
+    fleet.nodes.iter_mut().for_each(|node| *node = None);
+    tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+    fleet.addrs = fleet.addrs.iter().map(|addr| (addr.0, free_addr())).collect();
+    for index in 0..3 {
+        fleet.restart(index);
     }
     tokio::time::sleep(LEASE * 2).await;
-    assert_eq!(f.world.lock().unwrap().on, before, "no lease ran out");
-    f.world.lock().unwrap().store.set_down(false);
-    f.phase(2, "run-000001", "running").await;
-    assert_eq!(f.world.lock().unwrap().on, before, "nor is anything started anew");
+    assert_eq!(fleet.world.lock().unwrap().running_tasks, before, "tasks were stopped or started during the outage");
+    fleet.world.lock().unwrap().store.set_down(false);
+    fleet.until_phase(2, "run-000001", "running").await;
+    assert_eq!(fleet.world.lock().unwrap().running_tasks, before, "tasks were stopped or started after the outage");
     let withdraw = "/v1/jobs/run-000001/withdraw";
-    f.until(0, "POST", withdraw, "", |s, v| s == 200 && v["phase"] == "cancelled").await;
-    assert!(f.world.lock().unwrap().on.is_empty(), "cancelled is said once all tasks are gone");
-    f.check();
+    fleet.until(0, "POST", withdraw, "", |status, job| status == 200 && job["phase"] == "cancelled").await;
+    assert!(
+        fleet.world.lock().unwrap().running_tasks.is_empty(),
+        "the job was reported as cancelled before all of its tasks were gone"
+    );
+    fleet.assert_no_broken_rules();
 }
 
 #[tokio::test]
 async fn three_partitions_are_led_and_fail_over() {
-    let mut f = Fleet::start(3, 3).await;
-    f.until(0, "GET", "/ready", "", |s, _| s == 200).await;
-    f.submit(0, "run-000001", "service", 2).await;
-    f.phase(2, "run-000001", "running").await;
-    f.nodes[0] = None;
-    f.phase(1, "run-000001", "running").await;
-    f.submit(2, "run-000002", "service", 1).await;
-    f.phase(1, "run-000002", "running").await;
-    f.check();
+    let mut fleet = Fleet::start(3, 3).await;
+    fleet.until(0, "GET", "/ready", "", |status, _| status == 200).await;
+    fleet.submit(0, "run-000001", "service", 2).await;
+    fleet.until_phase(2, "run-000001", "running").await;
+    fleet.nodes[0] = None;
+    fleet.until_phase(1, "run-000001", "running").await;
+    fleet.submit(2, "run-000002", "service", 1).await;
+    fleet.until_phase(1, "run-000002", "running").await;
+    fleet.assert_no_broken_rules();
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the outside world, written from the protocol: a state service,
-//! a cloud whose machines are up at once, and their workers.
+//! Stand-ins for the external services on loopback, written from the protocol: a state service, a cloud whose
+//! machines boot at once, and their workers.
 
 use badgerdrift::transport::http::{self, Client, Request, Response};
 use badgerdrift_stand_ins::store::{Store, query};
@@ -11,15 +11,19 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
+/// Lease of a worker on its tasks.
 pub const LEASE: Duration = Duration::from_secs(3);
-pub const REPORT: Duration = Duration::from_millis(100);
+/// Interval between the heartbeats of a worker.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Binds a free port on loopback.
 async fn listen() -> (TcpListener, SocketAddr) {
-    let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let a = l.local_addr().unwrap();
-    (l, a)
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let addr = listener.local_addr().unwrap();
+    (listener, addr)
 }
 
+/// A machine that the cloud has launched.
 struct Machine {
     addr: SocketAddr,
     flavor: String,
@@ -27,127 +31,142 @@
     spot: bool,
 }
 
+/// State that the stand-ins share.
 #[derive(Default)]
 pub struct SimulationState {
     pub store: Store,
     machines: BTreeMap<String, Machine>,
+    /// Machines of each launch request, by the request's name.
     rentals: HashMap<String, Vec<String>>,
-    /// Tasks that are on machines now, and rules that were seen broken.
-    pub on: BTreeMap<(String, String), &'static str>,
-    pub broken: Vec<String>,
-    /// Tasks that may end with success.
+    /// States of the tasks that run now, by task and machine.
+    pub running_tasks: BTreeMap<(String, String), &'static str>,
+    /// Descriptions of rules that were broken.
+    pub broken_rules: Vec<String>,
+    /// Whether running tasks end with success.
     pub finish: bool,
 }
 
+/// Shared state of the stand-ins.
 pub type Shared = Arc<Mutex<SimulationState>>;
 
-async fn state(w: Shared, req: Request) -> Response {
-    if !req.path.starts_with("/changes") {
-        return w.lock().unwrap().store.handle(&req);
+/// Answers a request to the state service.
+async fn state(world: Shared, request: Request) -> Response {
+    if !request.path.starts_with("/changes") {
+        return world.lock().unwrap().store.handle(&request);
     }
-    let q = query(&req.path);
-    let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
+    let parameters = query(&request.path);
+    let until = Instant::now() + Duration::from_millis(parameters["hold_ms"].parse().unwrap());
     loop {
-        if let Some(r) = w.lock().unwrap().store.changes(&q, Instant::now() > until) {
-            return r;
+        if let Some(response) = world.lock().unwrap().store.changes(&parameters, Instant::now() > until) {
+            return response;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn cloud(w: Shared, nodes: Vec<SocketAddr>, req: Request) -> Response {
-    let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
-    match (req.method.as_str(), req.path.split('?').next().unwrap()) {
+/// Answers a request to the cloud.
+async fn cloud(world: Shared, nodes: Vec<SocketAddr>, request: Request) -> Response {
+    let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+    match (request.method.as_str(), request.path.split('?').next().unwrap()) {
         ("GET", "/flavors") => Response::json(
             200,
             &json!({"flavors": [{"sku": "g8", "cores": 32.0, "cards": 8.0, "mem_gb": 256.0, "cache_gb": 100.0,
                 "fetch_gb_per_s": 50.0, "rate": 10.0, "low_price": 4.0, "startup_s": 1.0, "regions": ["a"]}]}),
         ),
         ("GET", _) => {
-            let w = w.lock().unwrap();
-            let hosts: Vec<Value> = w
+            let world = world.lock().unwrap();
+            let hosts: Vec<Value> = world
                 .machines
                 .iter()
-                .map(|(id, m)| {
-                    json!({"id": id, "addr": m.addr, "flavor": m.flavor, "region": m.region,
-                    "preemptible": m.spot, "phase": "running", "held_s": 1.0})
+                .map(|(id, machine)| {
+                    json!({"id": id, "addr": machine.addr, "flavor": machine.flavor, "region": machine.region,
+                    "preemptible": machine.spot, "phase": "running", "held_s": 1.0})
                 })
                 .collect();
             Response::json(200, &json!({"hosts": hosts, "more": false}))
         }
         (_, "/hosts") => {
             let name = body["rental"].as_str().unwrap().to_string();
-            if let Some(known) = w.lock().unwrap().rentals.get(&name) {
+            if let Some(known) = world.lock().unwrap().rentals.get(&name) {
                 return Response::json(200, &json!({"hosts": known}));
             }
             let mut ids = Vec::new();
             for _ in 0..body["number"].as_u64().unwrap().min(2) {
                 let (listener, addr) = listen().await;
                 let id = {
-                    let mut w = w.lock().unwrap();
-                    let id = format!("host-{:06}", w.machines.len());
+                    let mut world = world.lock().unwrap();
+                    let id = format!("host-{:06}", world.machines.len());
                     let (flavor, region) = (body["flavor"].as_str().unwrap(), body["region"].as_str().unwrap());
                     let spot = body["preemptible"].as_bool().unwrap();
-                    let m = Machine { addr, flavor: flavor.into(), region: region.into(), spot };
-                    w.machines.insert(id.clone(), m);
+                    let machine = Machine { addr, flavor: flavor.into(), region: region.into(), spot };
+                    world.machines.insert(id.clone(), machine);
                     id
                 };
-                worker(w.clone(), id.clone(), listener, nodes.clone());
+                worker(world.clone(), id.clone(), listener, nodes.clone());
                 ids.push(id);
             }
-            w.lock().unwrap().rentals.insert(name, ids.clone());
+            world.lock().unwrap().rentals.insert(name, ids.clone());
             Response::json(200, &json!({"hosts": ids}))
         }
         _ => {
-            let mut w = w.lock().unwrap();
+            let mut world = world.lock().unwrap();
             for id in body["hosts"].as_array().unwrap().iter().filter_map(Value::as_str) {
-                w.machines.remove(id);
-                w.on.retain(|(_, h), _| h != id);
+                world.machines.remove(id);
+                world.running_tasks.retain(|(_, host), _| host != id);
             }
             Response::json(200, &json!({}))
         }
     }
 }
 
-/// What one worker knows.
+/// State of one worker.
 struct Worker {
     id: String,
     serial: u64,
+    /// Number of the worker's current session.
     tenure: u64,
+    /// Highest fencing token seen.
     seen_token: u64,
-    began: Instant,
+    /// Start of the worker's current lease.
+    lease_start: Instant,
+    /// State and exit reason of each attempt, by task and attempt number.
     tasks: BTreeMap<(String, u64), (&'static str, Option<&'static str>)>,
 }
 
 impl Worker {
-    fn report(&mut self, w: &SimulationState) -> Value {
+    /// Builds the next heartbeat.
+    fn report(&mut self, world: &SimulationState) -> Value {
         self.serial += 1;
-        let m = &w.machines[&self.id];
+        let machine = &world.machines[&self.id];
         let tasks: Vec<Value> = self
             .tasks
             .iter()
-            .map(|((t, a), (p, why))| json!({"shard": t, "try_no": a, "phase": p, "exit_reason": why}))
+            .map(|((task, attempt), (phase, reason))| {
+                json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason})
+            })
             .collect();
-        json!({"host": self.id, "addr": m.addr, "flavor": m.flavor, "region": m.region, "preemptible": m.spot,
+        json!({"host": self.id, "addr": machine.addr, "flavor": machine.flavor, "region": machine.region, "preemptible": machine.spot,
             "tenure": self.tenure, "serial": self.serial, "fence": self.seen_token, "warning_s": null, "shards": tasks})
     }
 
-    fn execute(&mut self, w: &mut SimulationState, orders: &Value) {
-        for o in orders.as_array().into_iter().flatten() {
-            let task = o["shard"].as_str().unwrap().to_string();
-            let key = (task.clone(), o["try_no"].as_u64().unwrap());
-            match o["verb"].as_str().unwrap() {
+    /// Carries out the orders of a reply or a direct command. A task that is started while it runs elsewhere breaks a
+    /// rule.
+    fn execute(&mut self, world: &mut SimulationState, orders: &Value) {
+        for order in orders.as_array().into_iter().flatten() {
+            let task = order["shard"].as_str().unwrap().to_string();
+            let key = (task.clone(), order["try_no"].as_u64().unwrap());
+            match order["verb"].as_str().unwrap() {
                 "run" if !self.tasks.contains_key(&key) => {
-                    if w.on.keys().any(|(t, _)| *t == task) {
-                        w.broken.push(format!("{task} runs twice"));
+                    if world.running_tasks.keys().any(|(running, _)| *running == task) {
+                        world.broken_rules.push(format!("{task} runs twice"));
                     }
-                    w.on.insert((task, self.id.clone()), "running");
+                    world.running_tasks.insert((task, self.id.clone()), "running");
                     self.tasks.insert(key, ("running", None));
                 }
                 "stop" => {
-                    if let Some(t) = self.tasks.get_mut(&key).filter(|t| t.0 == "running") {
-                        *t = ("ended", Some("halted"));
-                        w.on.remove(&(task, self.id.clone()));
+                    if let Some(attempt) = self.tasks.get_mut(&key).filter(|attempt| attempt.0 == "running") {
+                        *attempt = ("ended", Some("halted"));
+                        world.running_tasks.remove(&(task, self.id.clone()));
                     }
                 }
                 "reap" => {
@@ -158,84 +177,89 @@
         }
     }
 
-    fn end_all(&mut self, w: &mut SimulationState) {
+    /// Ends all tasks, as the lease has expired, and begins a new session.
+    fn end_all(&mut self, world: &mut SimulationState) {
         self.tasks.clear();
-        w.on.retain(|(_, h), _| *h != self.id);
+        world.running_tasks.retain(|(_, host), _| *host != self.id);
         self.tenure += 1;
-        self.began = Instant::now();
+        self.lease_start = Instant::now();
     }
 }
 
-fn worker(w: Shared, id: String, listener: TcpListener, nodes: Vec<SocketAddr>) {
-    let me = Worker { id, serial: 0, tenure: 1, seen_token: 0, began: Instant::now(), tasks: BTreeMap::new() };
-    let me = Arc::new(Mutex::new(me));
-    let (w2, me2) = (w.clone(), me.clone());
-    tokio::spawn(http::serve(listener, 100, Duration::from_secs(5), move |req| {
-        let (w, me) = (w2.clone(), me2.clone());
+/// Starts a worker, which receives direct commands and sends heartbeats to one of the nodes.
+fn worker(world: Shared, id: String, listener: TcpListener, nodes: Vec<SocketAddr>) {
+    let state = Worker { id, serial: 0, tenure: 1, seen_token: 0, lease_start: Instant::now(), tasks: BTreeMap::new() };
+    let state = Arc::new(Mutex::new(state));
+    let (command_world, command_state) = (world.clone(), state.clone());
+    tokio::spawn(http::serve(listener, 100, Duration::from_secs(5), move |request| {
+        let (world, state) = (command_world.clone(), command_state.clone());
         async move {
-            let body: Value = serde_json::from_slice(&req.body).unwrap();
-            let (mut w, mut me) = (w.lock().unwrap(), me.lock().unwrap());
-            if !w.machines.contains_key(&me.id) {
+            let body: Value = serde_json::from_slice(&request.body).unwrap();
+            let (mut world, mut state) = (world.lock().unwrap(), state.lock().unwrap());
+            if !world.machines.contains_key(&state.id) {
                 return Response::error(503, "gone");
             }
             let seen_token = body["fence"].as_u64().unwrap();
-            let ok = seen_token >= me.seen_token && body["tenure"].as_u64() == Some(me.tenure);
-            if ok {
-                me.seen_token = seen_token;
-                me.execute(&mut w, &body["orders"]);
+            let accepted = seen_token >= state.seen_token && body["tenure"].as_u64() == Some(state.tenure);
+            if accepted {
+                state.seen_token = seen_token;
+                state.execute(&mut world, &body["orders"]);
             }
-            Response::json(if ok { 200 } else { 409 }, &me.report(&w))
+            Response::json(if accepted { 200 } else { 409 }, &state.report(&world))
         }
     }));
     tokio::spawn(async move {
         let client = Client::default();
-        let mut at = 0;
+        let mut node = 0;
         loop {
-            tokio::time::sleep(REPORT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             let (sent, body) = {
-                let (mut w, mut me) = (w.lock().unwrap(), me.lock().unwrap());
-                if !w.machines.contains_key(&me.id) {
+                let (mut world, mut state) = (world.lock().unwrap(), state.lock().unwrap());
+                if !world.machines.contains_key(&state.id) {
                     return;
                 }
-                if me.began.elapsed() > LEASE {
-                    me.end_all(&mut w);
+                if state.lease_start.elapsed() > LEASE {
+                    state.end_all(&mut world);
                 }
-                if w.finish {
-                    let id = me.id.clone();
-                    for ((task, _), t) in me.tasks.iter_mut().filter(|(_, t)| t.0 == "running") {
-                        *t = ("ended", Some("done"));
-                        w.on.remove(&(task.clone(), id.clone()));
+                if world.finish {
+                    let id = state.id.clone();
+                    for ((task, _), attempt) in state.tasks.iter_mut().filter(|(_, attempt)| attempt.0 == "running") {
+                        *attempt = ("ended", Some("done"));
+                        world.running_tasks.remove(&(task.clone(), id.clone()));
                     }
                 }
-                (Instant::now(), me.report(&w).to_string())
+                (Instant::now(), state.report(&world).to_string())
             };
-            let r = client.call(nodes[at], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(1)).await;
-            match r {
+            let result =
+                client.call(nodes[node], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(1)).await;
+            match result {
                 Ok((200, body)) => {
-                    let v: Value = serde_json::from_slice(&body).unwrap();
-                    let (mut w, mut me) = (w.lock().unwrap(), me.lock().unwrap());
-                    let seen_token = v["fence"].as_u64().unwrap();
-                    if seen_token >= me.seen_token && w.machines.contains_key(&me.id) {
-                        me.seen_token = seen_token;
-                        me.began = sent;
-                        me.execute(&mut w, &v["orders"]);
+                    let reply: Value = serde_json::from_slice(&body).unwrap();
+                    let (mut world, mut state) = (world.lock().unwrap(), state.lock().unwrap());
+                    let seen_token = reply["fence"].as_u64().unwrap();
+                    if seen_token >= state.seen_token && world.machines.contains_key(&state.id) {
+                        state.seen_token = seen_token;
+                        state.lease_start = sent;
+                        state.execute(&mut world, &reply["orders"]);
                     }
                 }
-                _ => at = (at + 1) % nodes.len(),
+                _ => node = (node + 1) % nodes.len(),
             }
         }
     });
 }
 
-/// Starts the state service and the cloud; returns their addresses.
+/// Starts the state service and the cloud. Returns their shared state and the addresses of both.
 pub async fn start(nodes: Vec<SocketAddr>) -> (Shared, SocketAddr, SocketAddr) {
-    let w: Shared = Arc::default();
-    let patience = Duration::from_secs(5);
-    let (l, state_addr) = listen().await;
-    let w2 = w.clone();
-    tokio::spawn(http::serve(l, 500, patience, move |req| state(w2.clone(), req)));
-    let (l, cloud_addr) = listen().await;
-    let w2 = w.clone();
-    tokio::spawn(http::serve(l, 500, patience, move |req| cloud(w2.clone(), nodes.clone(), req)));
-    (w, state_addr, cloud_addr)
+    let world: Shared = Arc::default();
+    let timeout = Duration::from_secs(5);
+    let (listener, state_addr) = listen().await;
+    let state_world = world.clone();
+    tokio::spawn(http::serve(listener, 500, timeout, move |request| state(state_world.clone(), request)));
+    let (listener, cloud_addr) = listen().await;
+    let cloud_world = world.clone();
+    tokio::spawn(http::serve(listener, 500, timeout, move |request| {
+        cloud(cloud_world.clone(), nodes.clone(), request)
+    }));
+    (world, state_addr, cloud_addr)
 }
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -1,7 +1,7 @@
-//! Records of the shared configuration, as the configuration actor of version 0.2.0 wrote them.
+//! Records of the shared configuration, as version 0.2.0 wrote them.
 //!
-//! Two regions of one controller each begin, agree on a change, and store it: keys, values, and the
-//! number that stands for version 0 (`genesis`) have to be the same as then.
+//! Two regions of one controller each start, agree on a change and store it. Keys, values and the number that
+//! identifies version 0 (`genesis`) must be the same as in 0.2.0.
 
 use badgerdrift::clients::StateStore;
 use badgerdrift::configuration::{self, ConfigurationHandle, FleetSettings};
@@ -21,18 +21,18 @@
 
 const RECORDS: &str = include_str!("../data/v0.2.0/configuration_records.txt");
 
-/// The regions by name, with the second part of the addresses of their machines.
+/// Name of each region and second byte of the addresses of its hosts.
 const REGIONS: [(&str, u8); 2] = [("north", 20), ("south", 21)];
 const HTTP_PORT: u16 = 80;
 const INTERNAL_PORT: u16 = 81;
 const REGION_KEY: &str = "config/region";
 const FIRST_LOG_KEY: &str = "config/log/000000000001";
 const PREFIX: &str = "config/";
-const MOST_CONNECTIONS: usize = 500;
+const MAX_CONNECTIONS: usize = 500;
 const SEED: u64 = 1;
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 const STEP: Duration = Duration::from_millis(20);
-const MOST_STEPS: usize = 1000;
+const MAX_STEPS: usize = 1000;
 
 const SETTINGS: &str = r#"
 node = "n0"
@@ -66,7 +66,7 @@
 max_sockets = 400
 "#;
 
-/// Keys and values that were recorded.
+/// Returns the recorded keys and values.
 fn recorded() -> Vec<(&'static str, &'static str)> {
     RECORDS.lines().map(|line| line.split_once(' ').unwrap()).collect()
 }
@@ -76,12 +76,12 @@
     serde_json::from_str(text).unwrap()
 }
 
-/// The change that was taken in version 1, as operators send it.
+/// Returns the change that was taken in version 1, as operators send it.
 fn recorded_change() -> Value {
     recorded_value(FIRST_LOG_KEY)["batch"]["entries"][0]["Change"].clone()
 }
 
-/// Answers requests to the state service, those that wait for changes as well.
+/// Answers a request to the state service, including one that waits for changes.
 async fn answer(store: Arc<Mutex<Store>>, request: http::Request) -> http::Response {
     if !request.path.starts_with("/changes") {
         return store.lock().unwrap().handle(&request);
@@ -103,7 +103,7 @@
     IpAddr::V4(Ipv4Addr::new(10, network, 1, 1))
 }
 
-/// The regions as the one of this name knows them.
+/// Returns the fleet settings of this region.
 fn fleet_settings(region: &str) -> FleetSettings {
     let address = |network| SocketAddr::new(controller_host(network), INTERNAL_PORT).to_string();
     let regions: BTreeMap<&str, Value> =
@@ -111,15 +111,15 @@
     serde_json::from_value(json!({"region": region, "regions": regions})).unwrap()
 }
 
-fn start_state_service(fabric: &SimulatedNetwork, network: u8, store: Arc<Mutex<Store>>) {
-    let net = fabric.process(state_host(network)).0;
+fn start_state_service(simulated_network: &SimulatedNetwork, network: u8, store: Arc<Mutex<Store>>) {
+    let net = simulated_network.process(state_host(network)).0;
     tokio::spawn(async move {
         let listener = net.bind(SocketAddr::new(state_host(network), HTTP_PORT)).await.unwrap();
-        http::serve(listener, MOST_CONNECTIONS, PATIENCE, move |request| answer(store.clone(), request)).await;
+        http::serve(listener, MAX_CONNECTIONS, REQUEST_TIMEOUT, move |request| answer(store.clone(), request)).await;
     });
 }
 
-/// Answers the other region.
+/// Answers requests of the other region.
 fn serve_peers(net: Net, network: u8, handle: ConfigurationHandle) {
     tokio::spawn(async move {
         let listener = net.bind(SocketAddr::new(controller_host(network), INTERNAL_PORT)).await.unwrap();
@@ -128,7 +128,7 @@
             async move {
                 match request {
                     PeerRequest::Configuration(request) => PeerResponse::Configuration(handle.answer(request).await),
-                    other => panic!("no request about the configuration: {other:?}"),
+                    other => panic!("expected a request about the configuration, got {other:?}"),
                 }
             }
         })
@@ -136,16 +136,16 @@
     });
 }
 
-/// Starts a region of one controller over this state service.
+/// Starts a region of one controller with this state service.
 fn start_region(
-    fabric: &SimulatedNetwork,
+    simulated_network: &SimulatedNetwork,
     (region, network): (&str, u8),
     store: &Arc<Mutex<Store>>,
 ) -> ConfigurationHandle {
-    start_state_service(fabric, network, store.clone());
+    start_state_service(simulated_network, network, store.clone());
     let state_address = SocketAddr::new(state_host(network), HTTP_PORT).to_string();
     let settings: Settings = toml::from_str(&SETTINGS.replace("STATE_SERVICE", &state_address)).unwrap();
-    let net = fabric.process(controller_host(network)).0;
+    let net = simulated_network.process(controller_host(network)).0;
     let state = StateStore::on(&net, &settings);
     let (operator, fleet) = (Operator::default(), fleet_settings(region));
     let handle = configuration::start(&net, &settings, &operator, fleet, state, &[], SharedMetrics::default());
@@ -153,32 +153,33 @@
     handle
 }
 
-/// Starts all regions over these state services; the way to the first one.
+/// Starts all regions with these state services, and returns the handle of the first one.
 fn start_regions(stores: &[Arc<Mutex<Store>>; REGIONS.len()]) -> ConfigurationHandle {
-    let fabric = SimulatedNetwork::new(SEED);
-    let handles = REGIONS.into_iter().zip(stores).map(|(region, store)| start_region(&fabric, region, store));
+    let simulated_network = SimulatedNetwork::new(SEED);
+    let handles =
+        REGIONS.into_iter().zip(stores).map(|(region, store)| start_region(&simulated_network, region, store));
     handles.collect::<Vec<_>>().swap_remove(0)
 }
 
-/// Asks in the spelling of frames, and tells the response in it.
+/// Sends a request given in its serialized form, and returns the response in its serialized form.
 async fn ask(handle: &ConfigurationHandle, request: Value) -> Value {
     let request = serde_json::from_value(request).unwrap();
     serde_json::to_value(handle.answer(request).await).unwrap()
 }
 
-/// Lets time pass until the region knows this version.
+/// Waits until the region has this version. Panics after `MAX_STEPS` steps.
 async fn until_version(handle: &ConfigurationHandle, version: u64) {
-    for _ in 0..MOST_STEPS {
+    for _ in 0..MAX_STEPS {
         if ask(handle, json!("Digest")).await["Digest"]["version"] == json!(version) {
             return;
         }
         sleep(STEP).await;
     }
-    panic!("version {version} is not reached");
+    panic!("version {version} was not reached in {MAX_STEPS} steps");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_region_stores_the_records_of_0_2_0() {
+async fn a_region_stores_the_same_records_as_0_2_0() {
     let stores: [Arc<Mutex<Store>>; REGIONS.len()] = Default::default();
     let handle = start_regions(&stores);
     until_version(&handle, 0).await;
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between controllers.
+//! Frames exchanged with controllers of the version in production.
 
 use badgerdrift::api::refusal::RefusalReason;
 use badgerdrift::model::FencingToken;
@@ -19,7 +19,7 @@
 
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// Frames that the version in production sent, by name.
+/// Returns the frames that the version in production sent, in the order of the file.
 fn recorded(text: &str) -> Vec<Vec<u8>> {
     let byte = |hex: &[u8]| u8::from_str_radix(std::str::from_utf8(hex).unwrap(), 16).unwrap();
     text.lines().map(|line| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(byte).collect()).collect()
@@ -29,7 +29,7 @@
     Machines { instance_type: "g8".into(), zone: "a".into(), spot, count }
 }
 
-/// The requests that were recorded.
+/// Returns the requests that were recorded.
 fn requests() -> Vec<PeerRequest> {
     let user = |call| PeerRequest::User { partition: 0, call };
     vec![
@@ -60,7 +60,7 @@
     PeerResponse::User { status: 503, body, retry_after_s: Some(1), refusal: Some(reason) }
 }
 
-/// The responses that were recorded.
+/// Returns the responses that were recorded.
 fn responses() -> Vec<PeerResponse> {
     let body = b"{\"id\":\"run-000412\",\"phase\":\"pending\"}".to_vec();
     vec![
@@ -72,7 +72,7 @@
     ]
 }
 
-/// The next frame: its length and what it holds.
+/// Reads the next frame, and returns its content without the length.
 async fn next_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.unwrap();
@@ -81,7 +81,7 @@
     body
 }
 
-/// A frame that holds this value.
+/// Returns the frame of this value.
 fn encoded(value: &Value) -> Vec<u8> {
     let mut body = Vec::new();
     ciborium::into_writer(value, &mut body).unwrap();
@@ -92,7 +92,8 @@
     ciborium::from_reader(body).unwrap()
 }
 
-/// A controller of this version that gives these responses in turn; what it is asked is told.
+/// Starts a controller of this version that gives these responses in turn. Returns a connection to it and the requests
+/// that it receives.
 async fn serving(responses: Vec<PeerResponse>) -> (TcpStream, mpsc::UnboundedReceiver<(PeerRequest, FrameFormat)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -106,7 +107,8 @@
     (TcpStream::connect(addr).await.unwrap(), asked_rx)
 }
 
-/// Asks a peer at this address once for each response in `answers`, which is what it sends.
+/// Sends one request for each of these answers to a peer that gives them. Returns the peer and the responses read from
+/// the answers.
 async fn asking(answers: Vec<Vec<u8>>) -> (Peer, Vec<Option<PeerResponse>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
@@ -129,9 +131,10 @@
     (peer, received)
 }
 
-/// A response of the version in production to the request of this number.
+/// Returns a recorded response with the number of its request replaced.
 fn renumbered(frame: &[u8], number: u8) -> Vec<u8> {
-    // A map of two entries, the first of which is "n": the number is the fourth byte.
+    // The frame is a map of two entries, the first of which is `n`. Its number follows the four bytes of the length and
+    // three bytes of the map.
     assert_eq!(&frame[4..7], b"\xa2\x61n");
     let mut frame = frame.to_vec();
     frame[7] = number;
@@ -162,7 +165,7 @@
 async fn the_version_in_production_reads_the_requests_of_this_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerTimeouts::for_leader_lease(4000));
-    assert!(!peer.format.is_old(), "a peer that is silent is not known to be old");
+    assert!(!peer.format.is_old(), "a peer that has not answered must not count as old");
     let asked = peer.clone();
     tokio::spawn(async move {
         for request in requests() {
@@ -188,7 +191,7 @@
     }
 }
 
-// The version in production closes a connection on which a reason comes that it does not know.
+// The version in production closes a connection on which it receives an unknown reason.
 #[tokio::test]
 async fn a_new_reason_is_sent_only_to_peers_that_know_it() {
     let new =
@@ -232,5 +235,5 @@
     let (peer, received) = asking(answers).await;
     let expected = PeerResponse::User { status: 503, body: b"{}".to_vec(), retry_after_s: Some(1), refusal: None };
     assert_eq!(received, [Some(expected), Some(PeerResponse::Rejected)]);
-    assert!(peer.format.is_current(), "a later version knows all that this one says");
+    assert!(peer.format.is_current(), "a later version must count as current");
 }
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -1,8 +1,8 @@
 //! Frames between controllers as version 0.2.0 wrote them, byte for byte.
 //!
-//! Each recorded frame is read by this version, which then sends the message anew over a socket:
-//! the bytes have to be the same, those of the length included. So a field, a variant or a name
-//! of a reason that is spelled differently is found, however it is called in Rust.
+//! This version reads each recorded frame and sends the message again over a socket. The bytes must be the same,
+//! including those of the length. This finds each field, variant or reason that is spelled differently on the wire,
+//! whatever its name in Rust.
 
 use badgerdrift::model::FencingToken;
 use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts, serve};
@@ -21,29 +21,29 @@
 
 const REQUEST_COUNT: usize = 27;
 const RESPONSE_COUNT: usize = 64;
-/// Reasons that a controller of the version before does not know: it is told none.
-const REASONS_KEPT_FROM_UNNAMED: [&str; 4] = [
+/// Reasons that a controller of the previous version does not know. They are left out of responses to it.
+const REASONS_LEFT_OUT_FOR_UNNAMED: [&str; 4] = [
     "user_refused_configuration_behind",
     "user_refused_controller_outdated",
     "user_refused_predecessor_elsewhere",
     "user_refused_predecessor_unclear",
 ];
 
-/// Longest time that a frame may take on a local connection.
+/// Maximum time for a frame on a local connection.
 const LIMIT: Duration = Duration::from_secs(10);
 const LENGTH_BYTES: usize = 4;
 
-/// Whose request is answered.
+/// Controller whose requests are answered.
 #[derive(Clone, Copy)]
 pub enum Asker {
     /// A controller of this version.
     Current,
-    /// One that names no format in its frames.
+    /// A controller whose frames name no format.
     Unnamed,
 }
 
 impl Asker {
-    /// A request of the asker, with this number.
+    /// Returns a request of this controller with this number.
     fn request(self, number: u64) -> Vec<u8> {
         let body = json!({"Release": {"partition": 0, "term": 1}});
         let message = match self {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Names and bytes of recorded frames. They are numbered by their lines, from 1 on.
+/// Returns names and bytes of recorded frames. Their message numbers are their line numbers, from 1.
 fn recorded(text: &str) -> Vec<(String, Vec<u8>)> {
     let frame = |line: &str| {
         let (name, digits) = line.split_once(' ').unwrap();
@@ -74,7 +74,7 @@
     frame.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The next frame, with its length in front.
+/// Reads the next frame, and returns it including its length.
 async fn next_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut frame = vec![0; LENGTH_BYTES];
     stream.read_exact(&mut frame).await.unwrap();
@@ -84,15 +84,15 @@
     frame
 }
 
-/// A peer, and the connection that it opens once it is asked.
+/// Returns a peer and the listener to which it connects at its first request.
 async fn listened_peer() -> (Peer, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     (Peer::start("worker-1".into(), addr, PeerTimeouts::for_leader_lease(LIMIT.as_millis() as u64)), listener)
 }
 
-/// The frames in which a controller of this version asks these requests, one after the other.
-pub async fn asked_over_a_socket(requests: Vec<PeerRequest>) -> Vec<Vec<u8>> {
+/// Returns the frames in which a controller of this version sends these requests, one after the other.
+pub async fn request_frames_on_socket(requests: Vec<PeerRequest>) -> Vec<Vec<u8>> {
     let (peer, listener) = listened_peer().await;
     let count = requests.len();
     let asking = tokio::spawn(async move {
@@ -110,14 +110,15 @@
     frames
 }
 
-/// A refusal of the request with this number.
+/// Returns the frame of a refusal of the request with this number.
 fn answer_no(number: usize) -> Vec<u8> {
     let mut encoded = Vec::new();
     ciborium::into_writer(&json!({"n": number, "body": "No", "format": 1}), &mut encoded).unwrap();
     [&(encoded.len() as u32).to_be_bytes()[..], &encoded].concat()
 }
 
-/// A controller of this version that gives these responses in turn, and what it is asked.
+/// Starts a controller of this version that gives these responses in turn. Returns a connection to it and the requests
+/// that it receives.
 async fn serving(responses: Vec<PeerResponse>) -> (TcpStream, mpsc::UnboundedReceiver<PeerRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -131,8 +132,8 @@
     (TcpStream::connect(addr).await.unwrap(), asked_rx)
 }
 
-/// The frames in which a controller of this version answers the asker with these responses.
-pub async fn answered_over_a_socket(responses: Vec<PeerResponse>, asker: Asker) -> Vec<Vec<u8>> {
+/// Returns the frames in which a controller of this version sends these responses to the asker.
+pub async fn response_frames_on_socket(responses: Vec<PeerResponse>, asker: Asker) -> Vec<Vec<u8>> {
     let count = responses.len() as u64;
     let (mut stream, _asked) = serving(responses).await;
     let mut frames = Vec::new();
@@ -143,20 +144,20 @@
     frames
 }
 
-/// What a controller of this version reads in these requests.
+/// Returns the requests that a controller of this version reads from these frames.
 async fn read_requests(frames: &[(String, Vec<u8>)]) -> Vec<PeerRequest> {
     let (mut stream, mut asked) = serving(vec![PeerResponse::Rejected; frames.len()]).await;
     let mut requests = Vec::new();
     for (name, frame) in frames {
         stream.write_all(frame).await.unwrap();
-        // A request of an unknown kind is answered without being handed on.
+        // A request of an unknown kind is answered, but not passed to the handler.
         next_frame(&mut stream).await;
-        requests.push(asked.try_recv().unwrap_or_else(|_| panic!("{name} is not read")));
+        requests.push(asked.try_recv().unwrap_or_else(|_| panic!("the frame {name} was not read")));
     }
     requests
 }
 
-/// What a controller of this version reads in these responses.
+/// Returns the responses that a controller of this version reads from these frames.
 async fn read_responses(frames: &[(String, Vec<u8>)]) -> Vec<PeerResponse> {
     let (peer, listener) = listened_peer().await;
     let script: Vec<Vec<u8>> = frames.iter().map(|(_, frame)| frame.clone()).collect();
@@ -172,12 +173,12 @@
     for (name, _) in frames {
         let response =
             peer.request(PeerRequest::ReleasePledge { partition: 0, fencing_token: FencingToken(1) }, LIMIT).await;
-        responses.push(response.unwrap_or_else(|| panic!("{name} is not read")));
+        responses.push(response.unwrap_or_else(|| panic!("the frame {name} was not read")));
     }
     responses
 }
 
-/// Compares frames with what was recorded, name by name.
+/// Asserts that these frames equal the recorded ones.
 fn assert_same(sent: &[Vec<u8>], expected: &[(String, Vec<u8>)]) {
     assert_eq!(sent.len(), expected.len());
     for (frame, (name, recorded)) in sent.iter().zip(expected) {
@@ -189,28 +190,28 @@
 async fn requests_of_0_2_0_are_read_and_sent_again_byte_for_byte() {
     let frames = recorded(REQUESTS);
     assert_eq!(frames.len(), REQUEST_COUNT);
-    assert_same(&asked_over_a_socket(read_requests(&frames).await).await, &frames);
+    assert_same(&request_frames_on_socket(read_requests(&frames).await).await, &frames);
 }
 
 #[tokio::test]
 async fn responses_of_0_2_0_are_read_and_sent_again_byte_for_byte() {
     let frames = recorded(RESPONSES);
     assert_eq!(frames.len(), RESPONSE_COUNT);
-    assert_same(&answered_over_a_socket(read_responses(&frames).await, Asker::Current).await, &frames);
+    assert_same(&response_frames_on_socket(read_responses(&frames).await, Asker::Current).await, &frames);
 }
 
 #[tokio::test]
 async fn responses_to_a_controller_that_names_no_format_are_those_of_0_2_0() {
     let responses = read_responses(&recorded(RESPONSES)).await;
-    assert_same(&answered_over_a_socket(responses, Asker::Unnamed).await, &recorded(RESPONSES_TO_UNNAMED));
+    assert_same(&response_frames_on_socket(responses, Asker::Unnamed).await, &recorded(RESPONSES_TO_UNNAMED));
 }
 
 #[test]
-fn only_unknown_reasons_are_kept_from_a_controller_that_names_no_format() {
+fn only_unknown_reasons_are_left_out_for_a_controller_that_names_no_format() {
     let (current, unnamed) = (recorded(RESPONSES), recorded(RESPONSES_TO_UNNAMED));
     let differing = current.iter().zip(&unnamed).filter(|(current, unnamed)| current != unnamed);
     let names: BTreeSet<&str> = differing.map(|(current, _)| current.0.as_str()).collect();
-    assert_eq!(names, BTreeSet::from(REASONS_KEPT_FROM_UNNAMED));
+    assert_eq!(names, BTreeSet::from(REASONS_LEFT_OUT_FOR_UNNAMED));
 }
 
 #[test]
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -1,4 +1,4 @@
-//! Records in the state service.
+//! Records in the state service that the version in production and this one write and read.
 
 use badgerdrift::control::membership::{FencingTokenRecord, PartitionRecord};
 use badgerdrift::model::{Dependencies, HostRecord, InstanceType, Job, JobEnd, JobRecord};
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Keys and values that the version in production wrote.
+/// Returns keys and values that the version in production wrote.
 fn production_records() -> Vec<(String, Value)> {
     let lines = include_str!("../data/production/records.txt").lines();
     let record = |line: &str| {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn records_of_the_version_in_production_are_written_again_as_they_were() {
+fn records_of_the_version_in_production_are_rewritten_unchanged() {
     let records = production_records();
     for (key, value) in &records {
         let again = match key.split('/').next().unwrap() {
@@ -32,7 +32,7 @@
             "part" => rewritten::<PartitionRecord>(value),
             "term" => rewritten::<FencingTokenRecord>(value),
             "flavors" => rewritten::<Vec<InstanceType>>(value),
-            other => panic!("no such record: {other}"),
+            other => panic!("unknown kind of record: {other}"),
         };
         assert_eq!(&again, value, "{key}");
     }
@@ -41,6 +41,7 @@
     assert!(ends.contains(&&Value::from("Cancelled")) && ends.contains(&&Value::Null), "{ends:?}");
 }
 
+/// Returns the record of a job with dependencies.
 fn waiting_record() -> JobRecord {
     let (_, value) = production_records().into_iter().find(|(key, _)| key == "job/run-000004").unwrap();
     let mut record: JobRecord = serde_json::from_value(value).unwrap();
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn a_job_that_waits_is_recorded_compactly_and_its_order_kept() {
+fn dependencies_of_a_job_are_recorded_compactly_and_in_order() {
     let value = serde_json::to_value(waiting_record()).unwrap();
     assert_eq!(value["spec"]["waits_on"], "run-000001 run-000002");
     let record: JobRecord = serde_json::from_value(value).unwrap();
@@ -77,7 +78,7 @@
     record.spec.image = "i".repeat(2500);
     record.spec.class = "c".repeat(2500);
     let job: Job = record.into_job(1, 0);
-    assert_eq!(JobRecord::of(&job, None, 1920), None, "there is no room for its progress");
+    assert_eq!(JobRecord::of(&job, None, 1920), None, "the record with the progress exceeds the limit");
     let ended = serde_json::to_value(JobRecord::of(&job, Some(JobEnd::Done), 1920)).unwrap();
     assert!(ended.to_string().len() <= 1920, "{ended}");
     let old: production::JobRecord = serde_json::from_value(ended.clone()).unwrap();
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -1,8 +1,7 @@
 //! Records in the state service as version 0.2.0 wrote them, byte for byte.
 //!
-//! Each recorded value is read as its type and written again: the text has to be the same. So a
-//! field or a variant that is spelled differently is found, however it is called in Rust. Keys
-//! are compared with literal spellings.
+//! Each recorded value is read as its type and written again, and the text must be the same. This finds each field or
+//! variant that is spelled differently in the record, whatever its name in Rust. Keys are compared with literals.
 
 use badgerdrift::configuration::{AppliedConfiguration, LogEntry, applied_configuration_change};
 use badgerdrift::control::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
@@ -19,7 +18,7 @@
 
 const RECORDS: &str = include_str!("../data/v0.2.0/records.txt");
 
-/// How many records of each kind there are, by the beginning of their keys.
+/// Number of records of each kind, by the beginning of their keys.
 const RECORD_COUNTS: [(&str, usize); 11] = [
     ("config/doc", 2),
     ("config/log", 1),
@@ -35,17 +34,17 @@
 ];
 const TERM_RECORD_COUNT: usize = 1;
 
-/// Keys and the texts of their values.
+/// Returns the recorded keys and the texts of their values.
 fn recorded() -> Vec<(&'static str, &'static str)> {
     RECORDS.lines().map(|line| line.split_once(' ').unwrap()).collect()
 }
 
-/// The text of the record under this key.
+/// Returns the text of the record under this key.
 fn text_of(key: &str) -> &'static str {
     recorded().into_iter().find(|(recorded, _)| *recorded == key).unwrap().1
 }
 
-/// Which kind of record a key belongs to.
+/// Returns the kind of record that a key belongs to.
 fn kind_of(key: &str) -> String {
     let parts = if key.starts_with("config/") || key.starts_with("pool/") { 2 } else { 1 };
     key.split('/').take(parts).collect::<Vec<_>>().join("/")
@@ -83,14 +82,14 @@
             "config/log" => rewritten::<LogEntry>(text),
             "config/obeyed" => rewritten::<AppliedConfiguration>(text),
             "config/region" => rewritten_region(text),
-            other => panic!("no such record: {other}"),
+            other => panic!("unknown kind of record: {other}"),
         };
         assert_eq!(again, text, "{key}");
     }
 }
 
 #[test]
-fn each_kind_of_record_is_there() {
+fn each_kind_of_record_is_recorded() {
     let mut counts = BTreeMap::<String, usize>::new();
     for (key, _) in recorded() {
         *counts.entry(kind_of(key)).or_default() += 1;
