--- a/tests/fault_combinations/borrowing/leaders.rs
+++ b/tests/fault_combinations/borrowing/leaders.rs
@@ -142,18 +142,18 @@
 /// Function that returns the pairs of addresses between which the network is cut for a leader.
 type CutPairs = fn(&Sim, usize) -> Vec<(IpAddr, IpAddr)>;
 
-/// Cuts the controller off from its state service.
-fn from_state(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
+/// Pairs of addresses that cut the controller off from its state service.
+fn pairs_to_state_service(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     vec![(controller(node), state_of(node))]
 }
 
-/// Cuts the controller off from all other controllers.
-fn from_peers(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
+/// Pairs of addresses that cut the controller off from all other controllers.
+fn pairs_to_peers(_: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     others(node).into_iter().map(|other| (controller(node), controller(other))).collect()
 }
 
-/// Cuts the controller off from the machines of zone `a`.
-fn from_machines_of_a_zone(sim: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
+/// Pairs of addresses that cut the controller off from the machines of zone `a`.
+fn pairs_to_machines_of_a_zone(sim: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
     let world = sim.g.w.lock().unwrap();
     let in_zone = world.machines.values().filter(|machine| machine.zone == "a");
     in_zone.map(|machine| (controller(node), machine.addr.ip())).collect()
@@ -161,7 +161,7 @@
 
 /// Cuts the leader off for this time at the step `stops`, `starts` or `return` of a loan, and waits until the loan
 /// completes.
-async fn cut_at(sim: &mut Sim, step: &str, pairs_of: CutPairs, kind: Cut, time: Duration) {
+async fn cut_at(sim: &mut Sim, step: &str, pairs: CutPairs, kind: Cut, time: Duration) {
     fill_all_cards(sim).await;
     let serving_job = submit_burst(sim, 4);
     match step {
@@ -174,7 +174,7 @@
         }
     }
     let leader = sim.leader().expect("there is a leader");
-    let pairs = pairs_of(sim, leader);
+    let pairs = pairs(sim, leader);
     pairs.iter().for_each(|(from, to)| sim.cut(*from, *to, Some(kind)));
     run_checking_floor(sim, time).await;
     pairs.iter().for_each(|(from, to)| sim.cut(*from, *to, None));
@@ -184,14 +184,14 @@
 #[test]
 fn a_loan_completes_though_the_leader_is_cut_off_from_the_state_service_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        run_with_seeds(async |sim| cut_at(sim, step, from_state, Cut::Hold, seconds(6)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, pairs_to_state_service, Cut::Hold, seconds(6)).await);
     }
 }
 
 #[test]
 fn a_loan_completes_though_the_leader_is_cut_off_from_the_other_controllers_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        run_with_seeds(async |sim| cut_at(sim, step, from_peers, Cut::Refuse, seconds(6)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, pairs_to_peers, Cut::Refuse, seconds(6)).await);
     }
 }
 
@@ -199,7 +199,7 @@
 #[test]
 fn a_loan_completes_though_the_leader_is_cut_off_from_a_zone_of_machines_at_any_step() {
     for step in ["stops", "starts", "return"] {
-        run_with_seeds(async |sim| cut_at(sim, step, from_machines_of_a_zone, Cut::Hold, seconds(1)).await);
+        run_with_seeds(async |sim| cut_at(sim, step, pairs_to_machines_of_a_zone, Cut::Hold, seconds(1)).await);
     }
 }
 
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -1,6 +1,6 @@
 //! Jobs that are cancelled while their machines or their leader are unreachable.
 
-use crate::scenario::{long_jobs, machines, others, run_with_seeds, seconds};
+use crate::scenario::{machines, others, run_with_seeds, seconds, submit_long_jobs};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::{NODES, world};
 use std::time::Duration;
@@ -42,7 +42,7 @@
 #[test]
 fn jobs_are_cancelled_though_machines_hang_and_the_leader_ends_in_an_outage() {
     run_with_seeds(async |sim| {
-        let ids = long_jobs(sim, 300.0).await;
+        let ids = submit_long_jobs(sim, 300.0).await;
         let leader = sim.leader().expect("there is a leader");
         let until = tokio::time::Instant::now() + seconds(18);
         machines(sim, 2, |m| m.hang = until);
@@ -66,7 +66,7 @@
 fn jobs_are_cancelled_during_a_failover() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
-            let ids = long_jobs(&mut sim, 300.0).await;
+            let ids = submit_long_jobs(&mut sim, 300.0).await;
             let until = tokio::time::Instant::now() + seconds(8);
             machines(&sim, 2, |m| m.deaf = until);
             let leader = sim.leader().expect("there is a leader");
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -1,6 +1,6 @@
 //! Leaders that end, are cut off or are refused by the state service.
 
-use crate::scenario::{long_jobs, machines, others, run_with_seeds, seconds};
+use crate::scenario::{machines, others, run_with_seeds, seconds, submit_long_jobs};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::net::Cut;
 use badgerdrift_stand_ins::{NODES, controller, state_of, world};
@@ -38,7 +38,7 @@
 #[test]
 fn an_outage_between_acquiring_a_partition_and_reading_its_records_multiplies_no_reads() {
     run_with_seeds(async |sim| {
-        long_jobs(sim, 60.0).await;
+        submit_long_jobs(sim, 60.0).await;
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
         while sim.leader().is_none_or(|l| l == leader) {
@@ -57,7 +57,7 @@
 #[test]
 fn jobs_are_cancelled_by_a_new_leader_while_the_old_one_still_reaches_its_workers() {
     run_with_seeds(async |sim| {
-        let ids = long_jobs(sim, 300.0).await;
+        let ids = submit_long_jobs(sim, 300.0).await;
         let leader = sim.leader().expect("there is a leader");
         sim.cut(controller(leader), state_of(leader), Some(Cut::Hold));
         others(leader).into_iter().for_each(|other| sim.cut(controller(leader), controller(other), Some(Cut::Hold)));
@@ -75,7 +75,7 @@
 #[test]
 fn jobs_continue_after_all_controllers_were_down_for_longer_than_a_lease() {
     run_with_seeds(async |sim| {
-        let ids = long_jobs(sim, 30.0).await;
+        let ids = submit_long_jobs(sim, 30.0).await;
         sim.late_reports(0.5);
         (0..NODES).for_each(|node| sim.kill(node));
         sim.run(seconds(14)).await;
@@ -91,7 +91,7 @@
 #[test]
 fn jobs_are_cancelled_in_a_zone_cut_off_for_longer_than_a_lease() {
     run_with_seeds(async |sim| {
-        let ids = long_jobs(sim, 300.0).await;
+        let ids = submit_long_jobs(sim, 300.0).await;
         let inside = sim.leader().expect("there is a leader");
         let zone: Vec<_> = {
             let world = sim.g.w.lock().unwrap();
@@ -113,7 +113,7 @@
 #[test]
 fn one_way_cuts_of_machines_during_a_failover_break_no_rule() {
     run_with_seeds(async |sim| {
-        let ids = long_jobs(sim, 40.0).await;
+        let ids = submit_long_jobs(sim, 40.0).await;
         let until = tokio::time::Instant::now() + seconds(16);
         machines(sim, 2, |m| m.mute = until);
         machines(sim, 3, |m| m.deaf = until);
@@ -156,7 +156,7 @@
 fn a_former_leader_regains_no_lease_after_its_successor_ended_in_an_outage() {
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
-            let mut ids = long_jobs(&mut sim, 300.0).await;
+            let mut ids = submit_long_jobs(&mut sim, 300.0).await;
             for _ in 0..3 {
                 let mut job = sim.job("batch", 2);
                 (job.cards, job.run_s) = (0.5, 5.0);
--- a/tests/fault_combinations/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -34,7 +34,8 @@
     sim.submit(job)
 }
 
-fn charged(world: &SimulationState) -> Vec<String> {
+/// Identifiers of the machines that are charged now.
+fn charged_machines(world: &SimulationState) -> Vec<String> {
     world.machines.values().filter(|m| m.exists()).map(|m| m.id.clone()).collect()
 }
 
@@ -44,11 +45,11 @@
 fn jobs_that_fail_on_every_machine_delay_no_others_and_cost_no_machine() {
     run_without_headroom(async |sim| {
         // A job that keeps machines in use for the whole scenario.
-        let mut lasting = sim.job("group", 2);
-        (lasting.team, lasting.apart, lasting.run_s) = ("blue", true, 200.0);
-        let lasting = sim.submit(lasting);
+        let mut long_job = sim.job("group", 2);
+        (long_job.team, long_job.apart, long_job.run_s) = ("blue", true, 200.0);
+        let long_job = sim.submit(long_job);
         sim.run(seconds(12)).await;
-        let kept = charged(&sim.g.w.lock().unwrap());
+        let in_use = charged_machines(&sim.g.w.lock().unwrap());
         let failing = submit_failing(sim);
         sim.run(seconds(5)).await;
         let writes = sim.g.w.lock().unwrap().store.writes;
@@ -72,9 +73,13 @@
                 assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.g.seed, job.starts);
             }
             // A machine that is classified as faulty is drained and terminated.
-            let terminated: Vec<&String> = kept.iter().filter(|id| !world.machines[*id].exists()).collect();
+            let terminated: Vec<&String> = in_use.iter().filter(|id| !world.machines[*id].exists()).collect();
             assert!(terminated.is_empty(), "seed {}: machines in use were terminated: {terminated:?}", sim.g.seed);
-            assert_eq!(world.jobs[&lasting].starts, 2, "seed {}: a task of the long job was started again", sim.g.seed);
+            assert_eq!(
+                world.jobs[&long_job].starts, 2,
+                "seed {}: a task of the long job was started again",
+                sim.g.seed
+            );
         }
         let begun_late: Vec<String> = {
             let world = sim.g.w.lock().unwrap();
@@ -95,6 +100,6 @@
         sim.until("the last job runs", seconds(8), |world| world.jobs[&last].began.is_some()).await;
         let launched = sim.g.w.lock().unwrap().machines.len() - before;
         assert_eq!(launched, 0, "seed {}: machines launched although others had free resources", sim.g.seed);
-        sim.cancel(&lasting, &[0, 1, 2]);
+        sim.cancel(&long_job, &[0, 1, 2]);
     });
 }
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -1,6 +1,6 @@
 //! Controllers that are paused. They send nothing, and later resume with the messages that arrived meanwhile.
 
-use crate::scenario::{long_jobs, others, poll_frequently, run_with_seeds, seconds, short_jobs};
+use crate::scenario::{others, poll_frequently, run_with_seeds, seconds, submit_long_jobs, submit_short_jobs};
 use crate::simulation::{seeds, simulate};
 use badgerdrift_stand_ins::{NODES, Sim};
 use std::time::Duration;
@@ -21,14 +21,14 @@
     for seed in seeds(1..=6) {
         simulate(seed, async |mut sim| {
             check_fencing_tokens(&sim);
-            let mut ids = long_jobs(&mut sim, LONG_S).await;
-            ids.extend(short_jobs(&mut sim));
+            let mut ids = submit_long_jobs(&mut sim, LONG_S).await;
+            ids.extend(submit_short_jobs(&mut sim));
             sim.run(Duration::from_millis(700 * seed)).await;
             let leader = sim.leader().expect("there is a leader");
             sim.pause(leader, true);
             sim.run(seconds(4)).await;
             ids[..2].iter().for_each(|id| sim.cancel(id, &others(leader)));
-            ids.extend(short_jobs(&mut sim));
+            ids.extend(submit_short_jobs(&mut sim));
             sim.run(seconds(PAUSES_S[seed as usize % PAUSES_S.len()] - 4)).await;
             sim.pause(leader, false);
             poll_frequently(&sim, &ids, seconds(5)).await;
@@ -42,10 +42,10 @@
 fn leaders_paused_in_turn_send_no_orders_after_their_successors_take_over() {
     run_with_seeds(async |sim| {
         check_fencing_tokens(sim);
-        let mut ids = long_jobs(sim, LONG_S).await;
+        let mut ids = submit_long_jobs(sim, LONG_S).await;
         let step = sim.g.seed;
         for index in 0..6 {
-            ids.extend(short_jobs(sim));
+            ids.extend(submit_short_jobs(sim));
             let leader = sim.leader().unwrap_or(index % NODES);
             sim.pause(leader, true);
             sim.run(Duration::from_millis(2500 + 700 * (index as u64 + step))).await;
@@ -61,13 +61,13 @@
 #[test]
 fn a_leader_that_resumes_in_an_outage_with_its_successor_paused_breaks_no_rule() {
     run_with_seeds(async |sim| {
-        let mut ids = long_jobs(sim, LONG_S).await;
+        let mut ids = submit_long_jobs(sim, LONG_S).await;
         let first = sim.leader().expect("there is a leader");
         sim.pause(first, true);
         sim.run(seconds(6)).await;
         let next = sim.leader().expect("there is a next leader");
         sim.cancel(&ids[0], &others(first));
-        ids.extend(short_jobs(sim));
+        ids.extend(submit_short_jobs(sim));
         sim.run(seconds(8)).await;
         sim.state_down(true);
         sim.pause(next, true);
@@ -84,8 +84,8 @@
 #[test]
 fn jobs_continue_after_all_controllers_were_paused_for_longer_than_a_lease() {
     run_with_seeds(async |sim| {
-        let mut ids = long_jobs(sim, 40.0).await;
-        ids.extend(short_jobs(sim));
+        let mut ids = submit_long_jobs(sim, 40.0).await;
+        ids.extend(submit_short_jobs(sim));
         (0..NODES).for_each(|node| sim.pause(node, true));
         sim.run(seconds(7 + 9 * sim.g.seed)).await;
         (0..NODES).for_each(|node| sim.pause(node, false));
@@ -98,13 +98,13 @@
 #[test]
 fn jobs_continue_after_an_outage_with_all_controllers_but_the_leader_paused() {
     run_with_seeds(async |sim| {
-        let mut ids = long_jobs(sim, LONG_S).await;
+        let mut ids = submit_long_jobs(sim, LONG_S).await;
         let leader = sim.leader().expect("there is a leader");
         others(leader).into_iter().for_each(|node| sim.pause(node, true));
         sim.state_down(true);
         sim.run(seconds(4 + sim.g.seed)).await;
         sim.cancel(&ids[0], &[leader]);
-        ids.extend(short_jobs(sim));
+        ids.extend(submit_short_jobs(sim));
         others(leader).into_iter().for_each(|node| sim.pause(node, false));
         poll_frequently(sim, &ids, seconds(6)).await;
         sim.state_down(false);
--- a/tests/fault_combinations/pipelines.rs
+++ b/tests/fault_combinations/pipelines.rs
@@ -10,7 +10,7 @@
 
 /// Submits a chain of four jobs, the first of which runs for `run_s` seconds, and waits until all are accepted.
 /// Returns their identifiers in order.
-async fn chain(sim: &mut Sim, run_s: f64) -> Vec<String> {
+async fn submit_chain(sim: &mut Sim, run_s: f64) -> Vec<String> {
     sim.run(seconds(4)).await;
     let mut jobs = vec![sim.waiting_job(&[])];
     jobs[0].run_s = run_s;
@@ -31,14 +31,16 @@
     sim.until("all are accepted", seconds(120), |world| ids.iter().all(|id| accepted(id, world))).await;
 }
 
+/// Waits until all of these jobs are reported as cancelled. Panics after `limit`.
 async fn until_cancelled(sim: &Sim, ids: &[String], limit: Duration) {
     sim.until("all are cancelled", limit, |world| ids.iter().all(|id| world.jobs[id].cancelled.is_some())).await;
 }
 
+// A new leader that starts a dependent before it knows that the dependency has ended breaks the order.
 #[test]
 fn a_chain_runs_in_order_while_leaders_change() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, 4.0).await;
+        let ids = submit_chain(sim, 4.0).await;
         for _ in 0..4 {
             if let Some(leader) = sim.leader() {
                 sim.kill(leader);
@@ -53,7 +55,7 @@
 #[test]
 fn all_nodes_report_a_cancellation_of_all_dependents_at_once() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         sim.run(seconds(6)).await;
         sim.cancel(&ids[0], &[0, 1, 2]);
         poll_frequently(sim, &ids, seconds(4)).await;
@@ -66,13 +68,13 @@
 #[test]
 fn dependents_are_cancelled_though_answers_to_commits_are_lost_or_late() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         sim.lost_answers(0.5);
         sim.cancel(&ids[0], &[0, 1, 2]);
         poll_frequently(sim, &ids, seconds(6)).await;
         sim.lost_answers(0.0);
         sim.late_writes(0.5);
-        let second_chain = chain(sim, LONG_S).await;
+        let second_chain = submit_chain(sim, LONG_S).await;
         sim.cancel(&second_chain[1], &[0, 1, 2]);
         poll_frequently(sim, &second_chain, seconds(10)).await;
         sim.late_writes(0.0);
@@ -104,10 +106,11 @@
     });
 }
 
+// The outage begins right after the cancellation is recorded, when its dependents may not be recorded yet.
 #[test]
 fn dependents_are_cancelled_though_an_outage_longer_than_cancel_s_follows() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         sim.run(seconds(6)).await;
         sim.cancel(&ids[1], &[0, 1, 2]);
         sim.until("it is cancelled", seconds(10), |world| world.jobs[&ids[1]].cancelled.is_some()).await;
@@ -122,7 +125,7 @@
 #[test]
 fn a_leader_that_is_cut_off_reports_no_dependent_as_pending_after_its_successor_has_cancelled() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         sim.run(seconds(6)).await;
         let leader = sim.leader().expect("there is a leader");
         sim.refuse_state(leader, true);
@@ -144,7 +147,7 @@
 fn a_cancellation_racing_with_the_end_of_the_first_job_of_a_chain_has_one_outcome() {
     run_with_seeds(async |sim| {
         for index in 0..4 {
-            let ids = chain(sim, 3.0).await;
+            let ids = submit_chain(sim, 3.0).await;
             let ended = |world: &badgerdrift_stand_ins::world::SimulationState| world.jobs[&ids[0]].all_done();
             sim.until("the tasks of the first have ended", seconds(60), ended).await;
             sim.run(Duration::from_millis(20 * index)).await;
@@ -158,7 +161,7 @@
 #[test]
 fn dependents_submitted_while_their_dependency_is_cancelled_are_cancelled_too() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         sim.until("the first runs", seconds(30), |world| world.jobs[&ids[0]].starts > 0).await;
         sim.cancel(&ids[0], &[0, 1, 2]);
         let late: Vec<_> = (0..6).map(|index| sim.waiting_job(&[&ids[index % 4]])).collect();
@@ -172,7 +175,7 @@
 #[test]
 fn a_job_with_dependencies_is_accepted_while_no_node_leads_their_partition() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, LONG_S).await;
+        let ids = submit_chain(sim, LONG_S).await;
         let leader = sim.leader().expect("there is a leader");
         sim.cancel(&ids[2], &[0, 1, 2]);
         sim.until("it is cancelled", seconds(10), |world| world.jobs[&ids[2]].cancelled.is_some()).await;
@@ -191,7 +194,7 @@
 fn a_chain_finishes_though_the_leader_ends_before_it_records_the_end_of_a_dependency() {
     run_with_seeds(async |sim| {
         for _ in 0..3 {
-            let ids = chain(sim, 3.0).await;
+            let ids = submit_chain(sim, 3.0).await;
             let ended = |world: &badgerdrift_stand_ins::world::SimulationState| world.jobs[&ids[0]].all_done();
             sim.until("the tasks of the first have ended", seconds(60), ended).await;
             let leader = sim.leader().expect("there is a leader");
@@ -207,7 +210,7 @@
 #[test]
 fn a_job_submitted_after_its_dependencies_are_done_begins_at_once() {
     run_with_seeds(async |sim| {
-        let ids = chain(sim, 3.0).await;
+        let ids = submit_chain(sim, 3.0).await;
         sim.until("the chain is done", seconds(120), |world| world.jobs[&ids[3]].done_told.is_some()).await;
         let last = sim.waiting_job(&[&ids[3], &ids[0]]);
         let last = sim.submit_pipeline(vec![last]);
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -1,6 +1,6 @@
 //! Users who poll their jobs eight times as often as usual while the leader is paused.
 
-use crate::scenario::{long_jobs, others, poll_frequently, run_with_seeds, seconds, short_jobs};
+use crate::scenario::{others, poll_frequently, run_with_seeds, seconds, submit_long_jobs, submit_short_jobs};
 use badgerdrift_stand_ins::Sim;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -32,8 +32,8 @@
 #[test]
 fn polls_are_answered_in_a_poll_storm_while_the_leader_is_paused() {
     run_with_seeds(async |sim| {
-        let mut ids = long_jobs(sim, LONG_S).await;
-        ids.extend(short_jobs(sim));
+        let mut ids = submit_long_jobs(sim, LONG_S).await;
+        ids.extend(submit_short_jobs(sim));
         sim.cancel(&ids[0], &[0, 1, 2]);
         sim.run(seconds(12)).await;
         sim.poll_rate(STORM_FACTOR);
@@ -42,7 +42,7 @@
         sim.pause(leader, true);
         poll_frequently(sim, &ids, seconds(4)).await;
         sim.cancel(&ids[1], &others(leader));
-        ids.extend(short_jobs(sim));
+        ids.extend(submit_short_jobs(sim));
         poll_frequently(sim, &ids, seconds(8 + 9 * sim.g.seed)).await;
         assert_answered_within(sim, seconds(6));
         sim.pause(leader, false);
@@ -60,7 +60,7 @@
         sim.ask_about_unknown_jobs();
         let mut ids = Vec::new();
         for index in 0..5 {
-            ids.extend(short_jobs(sim));
+            ids.extend(submit_short_jobs(sim));
             let mut service = sim.job("service", 2);
             service.cards = 0.5;
             ids.push(sim.submit(service));
--- a/tests/fault_combinations/rollouts.rs
+++ b/tests/fault_combinations/rollouts.rs
@@ -1,6 +1,6 @@
 //! Rolling upgrades, with controllers of two versions at once.
 
-use crate::scenario::{long_jobs, seconds};
+use crate::scenario::{seconds, submit_long_jobs};
 use crate::simulation::{seeds, simulate_with};
 use badgerdrift_stand_ins::{NODES, Setup, Sim};
 use std::time::Duration;
@@ -17,6 +17,7 @@
     }
 }
 
+/// Replaces a controller by one of this version.
 async fn upgrade(sim: &mut Sim, node: usize) {
     sim.kill_to_upgrade(node);
     sim.run(seconds(2)).await;
@@ -27,7 +28,7 @@
 #[test]
 fn an_upgrade_stops_no_task_and_loses_no_lease() {
     run_rollouts(async |sim| {
-        let ids = long_jobs(sim, 200.0).await;
+        let ids = submit_long_jobs(sim, 200.0).await;
         let starts = |sim: &Sim| -> u32 { ids.iter().map(|id| sim.g.w.lock().unwrap().jobs[id].starts).sum() };
         let (before, summary) = (starts(sim), sim.g.w.lock().unwrap().summary());
         for node in 0..NODES {
@@ -61,10 +62,11 @@
     });
 }
 
+// All controllers but the first are upgraded while the state service is unavailable.
 #[test]
 fn a_rollout_continues_through_an_outage_of_the_state_service() {
     run_rollouts(async |sim| {
-        let ids = long_jobs(sim, 30.0).await;
+        let ids = submit_long_jobs(sim, 30.0).await;
         upgrade(sim, 0).await;
         sim.state_down(true);
         sim.run(seconds(3)).await;
@@ -81,7 +83,7 @@
 #[test]
 fn failovers_between_controllers_of_two_versions_break_no_rule() {
     run_rollouts(async |sim| {
-        let ids = long_jobs(sim, 40.0).await;
+        let ids = submit_long_jobs(sim, 40.0).await;
         upgrade(sim, 0).await;
         for _ in 0..5 {
             if let Some(leader) = sim.leader() {
--- a/tests/fault_combinations/scenario.rs
+++ b/tests/fault_combinations/scenario.rs
@@ -34,7 +34,7 @@
 
 /// Submits a job of every shape that runs for `run_s` seconds, and waits until they are placed. Returns their
 /// identifiers.
-pub async fn long_jobs(sim: &mut Sim, run_s: f64) -> Vec<String> {
+pub async fn submit_long_jobs(sim: &mut Sim, run_s: f64) -> Vec<String> {
     let mut ids = Vec::new();
     for shape in ["service", "batch", "group"] {
         let mut job = sim.job(shape, 2);
@@ -68,7 +68,7 @@
 }
 
 /// Submits short jobs of both shapes that end by themselves, and returns their identifiers.
-pub fn short_jobs(sim: &mut Sim) -> Vec<String> {
+pub fn submit_short_jobs(sim: &mut Sim) -> Vec<String> {
     let mut ids = Vec::new();
     for shape in ["batch", "group"] {
         let mut job = sim.job(shape, 2);
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -22,6 +22,7 @@
     }
 }
 
+/// Whether all jobs have begun.
 fn all_began(world: &SimulationState) -> bool {
     world.jobs.values().all(|job| job.began.is_some())
 }
@@ -41,12 +42,14 @@
     }
 }
 
+/// Waits until all jobs have ended and then until all machines are terminated.
 async fn until_all_are_terminated(sim: &Sim) {
     sim.until("all work is done", seconds(120), |world| world.jobs.values().all(Job::over)).await;
     let none = |world: &SimulationState| world.machines.values().all(|m| !m.exists());
     sim.until("all machines are terminated", seconds(TERMINATED_S), none).await;
 }
 
+// A machine that never boots must neither keep its work waiting nor be charged for ever.
 #[test]
 fn machines_that_never_boot_are_terminated_and_replaced() {
     run_without_headroom(async |sim| {
@@ -93,9 +96,9 @@
         sim.boot_faults(BootFaults { never: 0.33, late: 0.5, late_by: 3.5 });
         sim.run(seconds(5)).await;
         let mut max_charged = 0;
-        for index in 0..WAVES {
+        for wave in 0..WAVES {
             for team in ["red", "blue"] {
-                let mut job = sim.job(["batch", "group"][index % 2], 2);
+                let mut job = sim.job(["batch", "group"][wave % 2], 2);
                 (job.team, job.cards, job.run_s) = (team, 2.5, 6.0);
                 sim.submit(job);
             }
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -23,12 +23,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Number of regions.
 pub const REGIONS: usize = 3;
+/// Number of controllers in each region.
 pub const CONTROLLERS: usize = 2;
 /// CPUs that each team may use in each region at first.
 pub const FIRST_SHARE: f64 = 10.0;
 /// Maximum time, in seconds, until a change is in force in all regions.
 pub const IN_FORCE_S: f64 = 5.0;
+/// Teams of the settings.
 const TEAMS: [&str; 2] = ["red", "blue"];
 /// Request timeout of the state services.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -41,13 +44,17 @@
 pub struct Fleet {
     network: SimulatedNetwork,
     stores: Vec<Arc<Mutex<Store>>>,
+    /// Process number of each controller, `None` for those that do not run.
     processes: Vec<[Option<u64>; CONTROLLERS]>,
+    /// Handles by which controllers are paused.
     pauses: Vec<[Arc<Pause>; CONTROLLERS]>,
+    /// Operators' connections to each controller.
     operators: Vec<Vec<Peer>>,
     /// Number of changes made so far, from which their identifiers follow.
     changes: u64,
     /// Whether the controllers share a configuration between regions.
     pub shared: bool,
+    /// Log entries read so far.
     known: Mutex<KnownHistory>,
 }
 
