--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -73,7 +73,9 @@
     for team in TEAMS {
         let gpus = machines as f64 * GPUS / 6.0;
         let guarantee = Demand { cpus: 0.0, gpus, mem: f64::INFINITY };
-        policy.teams.insert(team.into(), TeamRule { guarantee, limit: unlimited, settled: true, removed: false });
+        policy
+            .teams
+            .insert(team.into(), TeamRule { guarantee, limit: unlimited, limit_is_final: true, removed: false });
     }
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
     let instance_type = InstanceType {
--- a/src/configuration/region_policy.rs
+++ b/src/configuration/region_policy.rs
@@ -63,7 +63,7 @@
     TeamRule {
         guarantee: to_demand(share.guarantee),
         limit: to_demand(allowance.map(|allowance| allowance.limit).unwrap_or_default()),
-        settled: allowance.is_some_and(|allowance| allowance.complete),
+        limit_is_final: allowance.is_some_and(|allowance| allowance.complete),
         removed: team.removed,
     }
 }
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -42,7 +42,7 @@
         for stop in &outcome.stops {
             if let StopCause::Loan(kind) = stop.cause {
                 let guaranteed = kind == LoanKind::Guaranteed;
-                let parties = LoanParties { lending_job: stop.key.job, borrowing_job: stop.by, guaranteed };
+                let parties = LoanParties { lending_job: stop.key.job, borrowing_job: stop.preempting_job, guaranteed };
                 stops.entry(parties).or_default().push(stop);
             }
         }
@@ -83,7 +83,7 @@
     fn count_lost_work(&mut self, outcome: &CycleDecisions) {
         for stop in outcome.stops.iter().filter(|stop| matches!(stop.cause, StopCause::Loan(_) | StopCause::Reclaim)) {
             let team = &self.cluster.jobs[stop.key.job].spec.team;
-            self.metrics.add("loan_work_lost_s", team, stop.lost_s.ceil() as u64);
+            self.metrics.add("loan_work_lost_s", team, stop.lost_work_s.ceil() as u64);
         }
     }
 
--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -106,7 +106,7 @@
 /// Returns the kinds of the usable machines, without duplicates.
 fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<InstanceKind> {
     let mut kinds = Vec::new();
-    for (_, host) in cluster.each_host().filter(|(_, host)| scheduling::usable(host, now)) {
+    for (_, host) in cluster.each_host().filter(|(_, host)| scheduling::is_usable(host, now)) {
         let kind = InstanceKind { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
         if !kinds.contains(&kind) {
             kinds.push(kind);
--- a/src/control/partition/heartbeat_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -1,6 +1,6 @@
 //! Rate at which attempts are listed in heartbeats, which determines the cost of tracking them.
 
-use crate::settings::bounds::{AttemptBounds, MOST_ENTRIES_PER_S};
+use crate::settings::bounds::{AttemptBounds, MAX_ENTRIES_PER_S};
 
 /// Number of heartbeat intervals over which a rate is measured.
 const RATE_WINDOW_HEARTBEATS: u64 = 3;
@@ -27,7 +27,7 @@
             heartbeat_interval_ms: heartbeat_interval_ms.max(1),
             window_start_ms: 0,
             entries: 0,
-            entries_per_attempt_s: MOST_ENTRIES_PER_S,
+            entries_per_attempt_s: MAX_ENTRIES_PER_S,
         }
     }
 
@@ -45,7 +45,7 @@
             self.window_start_ms = now;
             self.entries = 0;
         }
-        bounds.most(self.entries_per_attempt_s)
+        bounds.max_attempts(self.entries_per_attempt_s)
     }
 
     /// Updates the rate from the entries of the last window. Each attempt is listed at least once per
@@ -54,6 +54,6 @@
         let min_rate = MS_PER_S / self.heartbeat_interval_ms as f64;
         let entries_per_s = self.entries as f64 * MS_PER_S / window_ms as f64;
         let rate = entries_per_s / attempts.max(1) as f64;
-        self.entries_per_attempt_s = rate.max(min_rate).min(MOST_ENTRIES_PER_S);
+        self.entries_per_attempt_s = rate.max(min_rate).min(MAX_ENTRIES_PER_S);
     }
 }
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -49,8 +49,8 @@
     }
 
     /// Reserves capacity for work that is expected to arrive at these rates.
-    pub fn reserve_for_flows(&mut self, flows: &[scheduling::ClassFlow]) {
-        self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, flows);
+    pub fn reserve_for_flows(&mut self, arrivals: &[scheduling::ClassArrivals]) {
+        self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, arrivals);
     }
 
     /// Replaces the list of instance types that cannot be rented at present.
@@ -99,7 +99,7 @@
     /// Records a preemption in metrics and log, and queues its host for dispatch.
     fn record_preemption(&mut self, stop: &Preemption) {
         let spec = &self.cluster.jobs[stop.key.job].spec;
-        let preemptor = &self.cluster.jobs[stop.by].spec;
+        let preemptor = &self.cluster.jobs[stop.preempting_job].spec;
         tracing::debug!(
             job = spec.id,
             class = spec.class,
@@ -130,7 +130,7 @@
     /// Returns whether all teams are within their limits, including everything that unreconciled hosts
     /// may hold.
     pub fn teams_within_limits(&self, now: u64) -> bool {
-        let mut used = scheduling::Index::new(&self.cluster, now).usage;
+        let mut used = scheduling::CapacityIndex::new(&self.cluster, now).usage;
         for (team, unlocated) in self.cluster.unlocated_demand() {
             used.entry(team).or_default().add(&unlocated);
         }
@@ -141,7 +141,7 @@
     /// Returns the lowest deadline bin among the pending jobs; `None` if no jobs are pending.
     pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
         let deadline_bin = |job_index: &JobIndex| {
-            self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
+            self.policy.deadline_bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
         self.scheduling_triggers.pending_jobs().iter().map(deadline_bin).min()
     }
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -111,9 +111,9 @@
     // A limit that is about to grow may soon allow the job.
     partition.conditions.configuration_up_to_date = true;
     let red = partition.policy.teams.get_mut("red").unwrap();
-    (red.limit.gpus, red.settled) = (4.0, false);
+    (red.limit.gpus, red.limit_is_final) = (4.0, false);
     assert_eq!(answer(&mut partition, "red", "group"), for_now);
-    partition.policy.teams.get_mut("red").unwrap().settled = true;
+    partition.policy.teams.get_mut("red").unwrap().limit_is_final = true;
     assert!(matches!(answer(&mut partition, "red", "group"), Ok(UserAnswer::Unschedulable(_))));
     // A removed team takes no new jobs.
     partition.policy.teams.get_mut("red").unwrap().removed = true;
--- a/src/control/partition/tests/silence.rs
+++ b/src/control/partition/tests/silence.rs
@@ -88,7 +88,7 @@
             }
         }
         if round == 4 {
-            assert!(!scheduling::usable(partition.cluster.host(0).unwrap(), now));
+            assert!(!scheduling::is_usable(partition.cluster.host(0).unwrap(), now));
         }
     }
     assert_eq!(terminated, ["h1"]);
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -4,7 +4,7 @@
 use super::{PartitionWarmPools, amounts, demand};
 use crate::control::partition::Partition;
 use crate::model::{Host, HostIndex, Shape, Spec, Urgency};
-use crate::scheduling::Index;
+use crate::scheduling::CapacityIndex;
 use badgerdrift_warm_pools::{HoldKind, Pool, SlotPlace, price_of};
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
         let Some(warm_pools) = &self.warm_pools else { return };
         let pools: Vec<(String, Pool)> =
             warm_pools.pools.settings().pools.iter().map(|(name, pool)| (name.clone(), pool.clone())).collect();
-        let mut index = Index::new(&self.cluster, now);
+        let mut index = CapacityIndex::new(&self.cluster, now);
         for (name, pool) in pools {
             while let Some(host_index) = self.find_host_for_slot(&index, &name, &pool, now) {
                 self.begin_slot(host_index, &name, &pool, now);
@@ -52,7 +52,7 @@
 
     /// Returns the machine for the next slot of a pool, or `None` if none is wanted or no machine has capacity
     /// for it.
-    fn find_host_for_slot(&self, index: &Index, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
+    fn find_host_for_slot(&self, index: &CapacityIndex, name: &str, pool: &Pool, now: u64) -> Option<HostIndex> {
         let warm_pools = self.warm_pools.as_ref()?;
         if !self.payer_may_hold_another(warm_pools, index, pool) {
             return None;
@@ -100,7 +100,7 @@
     /// Returns whether the payer's tasks and idle replicas stay within its limit with one more replica. Beyond the
     /// payer's guarantee, a replica is allowed only if no jobs are pending, because they would take its capacity
     /// at once.
-    fn payer_may_hold_another(&self, warm_pools: &PartitionWarmPools, index: &Index, pool: &Pool) -> bool {
+    fn payer_may_hold_another(&self, warm_pools: &PartitionWarmPools, index: &CapacityIndex, pool: &Pool) -> bool {
         let Some(team) = self.policy.teams.get(&pool.payer) else { return false };
         let mut payer_usage = index.usage.get(&pool.payer).copied().unwrap_or_default();
         let held = warm_pools.pools.slots().filter(|slot| slot.payer == pool.payer && slot.holds_room());
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -30,7 +30,7 @@
         }
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
-        for slot in &outcome.warm_reservations_given_up {
+        for slot in &outcome.released_warm_reservations {
             warm_pools.pools.drain(*slot, EndCause::RoomNeeded, moment);
             if let Some(host) = warm_pools.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -4,7 +4,7 @@
 use super::{CloudRequest, Provisioner, frame_sizes};
 use crate::control::partition::Partition;
 use crate::model::{ClusterState, Host, HostIndex, InstanceOffering, Spec};
-use crate::scheduling::{self, Availability, CapacityPlan, ClassFlow, ExpectedWork, ScaleOut};
+use crate::scheduling::{self, Availability, CapacityPlan, ClassArrivals, ExpectedWork, ScaleOut};
 use crate::transport::peer::{CapacityReport, Machines};
 use std::collections::BTreeMap;
 
@@ -37,10 +37,10 @@
         for (name, label) in self.pending_counts.drain(..) {
             partition.metrics_mut().count(name, &label);
         }
-        let flows = flows(partition, wall);
+        let arrivals = class_arrivals(partition, wall);
         let exhausted = self.exhausted_instance_types(partition.cluster(), now);
         partition.set_exhausted(exhausted);
-        partition.reserve_for_flows(&flows);
+        partition.reserve_for_flows(&arrivals);
         let mut report = CapacityReport {
             partition: partition.id(),
             lowest_bin: partition.lowest_bin(wall),
@@ -51,7 +51,7 @@
         if partition.cluster().instance_types.is_empty() || !partition.is_inventory_known(now) {
             return (report, Vec::new());
         }
-        let plan = self.plan_capacity(partition, &flows, pending_machines, now);
+        let plan = self.plan_capacity(partition, &arrivals, pending_machines, now);
         report.wanted = plan.scale_out.into_iter().map(|request| to_machines(partition.cluster(), request)).collect();
         let (spare, terminable) = spare_and_terminable(partition, plan.unneeded, now);
         report.spare = frame_sizes::truncate_names_to_frame(spare);
@@ -77,7 +77,7 @@
     fn plan_capacity(
         &self,
         partition: &Partition,
-        flows: &[ClassFlow],
+        arrivals: &[ClassArrivals],
         pending_machines: &[InstanceOffering],
         now: u64,
     ) -> CapacityPlan {
@@ -85,8 +85,8 @@
         let work = ExpectedWork {
             pending_jobs: partition.pending_jobs(),
             pool_replicas: &partition.pool_replicas_without_machine(now),
-            upcoming: &partition.upcoming(longest_boot_ms(cluster), now),
-            flows,
+            upcoming_jobs: &partition.upcoming(longest_boot_ms(cluster), now),
+            arrivals,
         };
         let availability = self.availability(partition, now);
         scheduling::plan_capacity(cluster, partition.policy(), now, &work, pending_machines, &availability)
@@ -144,7 +144,7 @@
 }
 
 /// Returns the arrivals of each class, computed from the jobs that were accepted within the window.
-fn flows(partition: &Partition, wall: u64) -> Vec<ClassFlow> {
+fn class_arrivals(partition: &Partition, wall: u64) -> Vec<ClassArrivals> {
     let instance_types = partition.cluster().instance_types.iter();
     let boot_s = instance_types.map(|instance_type| instance_type.boot_s).fold(MIN_BOOT_S, f64::max);
     let window_s = ARRIVAL_WINDOW_BOOTS * boot_s;
@@ -159,10 +159,10 @@
         arrivals.tasks += tasks;
         arrivals.squared_tasks += tasks * tasks;
     }
-    let flow = |arrivals: ArrivalSums| ClassFlow {
+    let to_class_arrivals = |arrivals: ArrivalSums| ClassArrivals {
         spec: arrivals.spec.clone(),
         rate: arrivals.tasks / span_s,
-        burst: arrivals.squared_tasks / arrivals.tasks,
+        mean_burst: arrivals.squared_tasks / arrivals.tasks,
     };
-    by_class.into_values().map(flow).collect()
+    by_class.into_values().map(to_class_arrivals).collect()
 }
--- a/src/scheduling/admission.rs
+++ b/src/scheduling/admission.rs
@@ -15,8 +15,8 @@
     BeyondLimit {
         /// Name of the team.
         team: String,
-        /// False if the limit may grow soon, as [`TeamRule::settled`](super::TeamRule::settled) is false.
-        settled: bool,
+        /// False if the limit may grow soon, as [`TeamRule::limit_is_final`](super::TeamRule::limit_is_final) is false.
+        limit_is_final: bool,
     },
 }
 
@@ -29,7 +29,7 @@
     /// Returns whether the refusal is temporary. `up_to_date` says whether the configuration is known to be
     /// the latest one.
     pub fn is_temporary(&self, up_to_date: bool) -> bool {
-        let limit_may_grow = matches!(self, Unschedulable::BeyondLimit { settled: false, .. });
+        let limit_may_grow = matches!(self, Unschedulable::BeyondLimit { limit_is_final: false, .. });
         limit_may_grow || (self.depends_on_configuration() && !up_to_date)
     }
 }
@@ -61,7 +61,7 @@
     }
     let tasks_at_once = if spec.shape == Shape::Batch { 1.0 } else { f64::from(spec.tasks) };
     if !spec.demand.times(tasks_at_once).fits(&team.limit) {
-        return Some(Unschedulable::BeyondLimit { team: spec.team.clone(), settled: team.settled });
+        return Some(Unschedulable::BeyondLimit { team: spec.team.clone(), limit_is_final: team.limit_is_final });
     }
     None
 }
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -19,7 +19,7 @@
     /// Preemption for more urgent work or for a guarantee, without a loan.
     Preemption,
     /// Migration to another machine.
-    Move,
+    Migration,
     /// A loan by the team of the attempt. The loan is recorded before the stop is ordered.
     Loan(LoanKind),
     /// Return of borrowed capacity that the lender needs to reach its floor.
@@ -304,7 +304,7 @@
     }
 
     /// Returns the seconds of work that are lost if the attempt is stopped.
-    pub(super) fn lost_s(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
+    pub(super) fn lost_work_s(&self, attempt: &TaskAttempt, host_index: HostIndex) -> f64 {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
         let instance_type = &self.cluster.instance_types[self.index.hosts[host_index].instance_type];
         let rate = instance_type.fetch_gb_per_s;
@@ -324,7 +324,7 @@
         let lease_s = self.policy.lease_ms as f64 / 1000.0;
         let recent_preemption_cost =
             if self.recently_preempted_for_loan(attempt.key.job) { RECENTLY_PREEMPTED_COST } else { 0.0 };
-        recent_preemption_cost + self.lost_s(attempt, host_index) / lease_s
+        recent_preemption_cost + self.lost_work_s(attempt, host_index) / lease_s
     }
 
     /// Returns how many more tasks of this kind the limit of the team allows in addition to usage and
--- a/src/scheduling/cycle/candidates.rs
+++ b/src/scheduling/cycle/candidates.rs
@@ -17,7 +17,8 @@
 impl SchedulingCycle<'_> {
     /// Returns the machines that have capacity for a task of the job, with their costs.
     pub(super) fn candidates(&mut self, request: &PlacementRequest) -> Vec<Candidate> {
-        let is_exhausted = || self.exhausted_requirements.iter().any(|known| known.like(&request.requirements));
+        let is_exhausted =
+            || self.exhausted_requirements.iter().any(|known| known.same_requirements_as(&request.requirements));
         if !request.has_reservation && is_exhausted() {
             return Vec::new();
         }
--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -36,7 +36,7 @@
         if self.is_known_blocked(request, scope) {
             return;
         }
-        let mut counts = self.index.counts(request.job_index);
+        let mut counts = self.index.tasks_by_zone(request.job_index);
         let pending = self.pending_tasks(request);
         let mut remaining = pending.saturating_sub(self.keep_usable_reservations(request, &mut counts));
         if self.cluster.borrowing.is_some() {
@@ -86,7 +86,7 @@
                 && blocked.team == job.spec.team
                 && blocked.scope >= scope
                 && blocked.image.as_ref().is_none_or(|image| *image == request.image)
-                && blocked.requirements.like(&request.requirements)
+                && blocked.requirements.same_requirements_as(&request.requirements)
         })
     }
 
--- a/src/scheduling/cycle/gang_reservations.rs
+++ b/src/scheduling/cycle/gang_reservations.rs
@@ -36,16 +36,16 @@
 
     /// Returns the time until which capacity is reserved for a gang, or `None` while other work may use it.
     fn reservation_end(&mut self, request: &PlacementRequest) -> Option<u64> {
-        let (now, hold_ms) = (self.now, self.policy.hold_ms);
+        let (now, gang_reservation_ms) = (self.now, self.policy.gang_reservation_ms);
         let job = &mut self.cluster.jobs[request.job_index];
         if now < job.gang_backoff_until_ms {
             return None;
         }
         if job.gang_reserved_until_ms == 0 {
-            job.gang_reserved_until_ms = now + hold_ms;
+            job.gang_reserved_until_ms = now + gang_reservation_ms;
         } else if now >= job.gang_reserved_until_ms {
             job.gang_reserved_until_ms = 0;
-            job.gang_backoff_until_ms = now + hold_ms;
+            job.gang_backoff_until_ms = now + gang_reservation_ms;
             self.release_reservations(request.job_index);
             return None;
         }
@@ -121,7 +121,7 @@
     fn reserves_before_preempting(&self, request: &PlacementRequest, until_ms: u64) -> bool {
         let wants_quick_start =
             self.policy.start_objectives.contains_key(&self.cluster.jobs[request.job_index].spec.class);
-        !wants_quick_start && self.now + self.policy.hold_ms / 4 < until_ms
+        !wants_quick_start && self.now + self.policy.gang_reservation_ms / 4 < until_ms
     }
 
     /// Reserves capacity for all tasks of a gang on the cheapest of these machines. Preempts for it if all
--- a/src/scheduling/cycle/limits.rs
+++ b/src/scheduling/cycle/limits.rs
@@ -35,7 +35,7 @@
         if !team.guarantees(&spec.demand) {
             return false;
         }
-        let mut total = self.index.staying.get(&spec.team).copied().unwrap_or_default();
+        let mut total = self.index.usage_after_stops.get(&spec.team).copied().unwrap_or_default();
         total.add(&spec.demand.times(f64::from(tasks)));
         total.gpus <= team.guarantee.gpus + ROUNDING
             && (team.guarantee.cpus <= 0.0 || total.cpus <= team.guarantee.cpus + ROUNDING)
@@ -49,7 +49,7 @@
         if !team.guarantees(&spec.demand) {
             return 0;
         }
-        let mut taken = self.index.staying.get(&spec.team).copied().unwrap_or_default();
+        let mut taken = self.index.usage_after_stops.get(&spec.team).copied().unwrap_or_default();
         taken.add(&self.reserved_by_team(&spec.team));
         let tasks = |guaranteed: f64, taken: f64, each: f64| {
             let remaining = guaranteed + ROUNDING - taken;
@@ -94,7 +94,7 @@
         }
         let victim = &self.cluster.jobs[victim_job].spec;
         let Some(team) = self.policy.teams.get(&victim.team) else { return false };
-        let mut kept = self.index.staying.get(&victim.team).copied().unwrap_or_default();
+        let mut kept = self.index.usage_after_stops.get(&victim.team).copied().unwrap_or_default();
         kept.sub(&planned.taken_from(self.cluster, &victim.team));
         kept.sub(&demand_lost_by_stop(self.cluster, victim_job));
         let guarantee = &team.guarantee;
--- a/src/scheduling/cycle/migration.rs
+++ b/src/scheduling/cycle/migration.rs
@@ -26,11 +26,11 @@
             free.sub(&host.reserved);
             host.usable && host_index != from && spec.demand.fits(&planned.free_after_earmarks(free, host_index))
         };
-        let warm = self.index.warm(self.cluster, &spec.image);
-        let mut targets = warm.iter().copied().filter(|host_index| has_capacity(*host_index)).peekable();
+        let hosts_with_image = self.index.hosts_with_image(self.cluster, &spec.image);
+        let mut targets = hosts_with_image.iter().copied().filter(|host_index| has_capacity(*host_index)).peekable();
         targets.peek()?;
         let request = self.request(job_index);
-        let mut counts = self.index.counts(job_index);
+        let mut counts = self.index.tasks_by_zone(job_index);
         counts.sub(self.index.hosts[from].zone);
         let mut best: Option<Candidate> = None;
         for host_index in targets {
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -28,7 +28,7 @@
 mod warm_reservations;
 
 use super::Policy;
-use super::index::Index;
+use super::index::CapacityIndex;
 use super::task_requirements::TaskRequirements;
 use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, Shape, TaskKey, Urgency, WarmReservationClaim};
 use badgerdrift_borrowing::Refusal;
@@ -69,11 +69,11 @@
     /// Seconds that the attempt has to save its state; 0 if it saves none.
     pub grace_s: f64,
     /// Job that receives the capacity.
-    pub by: JobIndex,
+    pub preempting_job: JobIndex,
     /// Reason for the stop.
     pub cause: StopCause,
     /// Seconds of work that the stop discards, as far as known.
-    pub lost_s: f64,
+    pub lost_work_s: f64,
 }
 
 /// A pending job that may not take capacity from another team.
@@ -95,7 +95,7 @@
     /// Starts that use a warm reservation; each of them is also in `starts`.
     pub warm_claims: Vec<WarmReservationClaim>,
     /// Pool slots whose warm reservations are released for other work.
-    pub warm_reservations_given_up: Vec<u64>,
+    pub released_warm_reservations: Vec<u64>,
     /// Jobs with tasks for which no capacity was found.
     pub pending_jobs: Vec<JobIndex>,
     /// Jobs of `pending_jobs` that may not take capacity from another team; empty without borrowing.
@@ -114,7 +114,7 @@
     wall: u64,
     /// Number of attempts on all machines at the beginning of the cycle, ended ones included.
     attempts_before: usize,
-    index: Index,
+    index: CapacityIndex,
     /// Classes that can use one instance type only and for which it has hardly more capacity than expected
     /// to be needed.
     scarce_classes: HashSet<String>,
@@ -168,7 +168,7 @@
     wall: u64,
     min_urgency: Urgency,
     mut next_attempt: impl FnMut() -> u64,
-) -> (CycleDecisions, Index) {
+) -> (CycleDecisions, CapacityIndex) {
     expire_reservations(cluster, now);
     let mut cycle = SchedulingCycle::new(cluster, policy, now, wall);
     cycle.place_all(min_urgency, &mut next_attempt);
@@ -177,7 +177,7 @@
 
 /// Returns the classes that can run on one instance type only and for which that type has hardly any
 /// capacity left.
-fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
+fn scarce_classes(cluster: &ClusterState, index: &CapacityIndex) -> HashSet<String> {
     let task_capacity = |reserve: &Reserve| -> f64 {
         let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
         hosts.map(|host| host.free.tasks_that_fit(&reserve.demand)).sum()
@@ -188,7 +188,7 @@
 
 impl<'a> SchedulingCycle<'a> {
     fn new(cluster: &'a mut ClusterState, policy: &'a Policy, now: u64, wall: u64) -> SchedulingCycle<'a> {
-        let index = Index::new(cluster, now);
+        let index = CapacityIndex::new(cluster, now);
         SchedulingCycle {
             now,
             wall,
@@ -208,7 +208,7 @@
     }
 
     /// Completes the decisions and records in the cluster state what the next cycle needs.
-    fn finish(mut self) -> (CycleDecisions, Index) {
+    fn finish(mut self) -> (CycleDecisions, CapacityIndex) {
         self.borrowing.store_refusal();
         if !self.decisions.pending_jobs.is_empty() {
             self.cluster.last_pending_ms = self.now;
--- a/src/scheduling/cycle/preemption_eligibility.rs
+++ b/src/scheduling/cycle/preemption_eligibility.rs
@@ -36,7 +36,7 @@
         let started_together = if job.spec.shape == Shape::Gang { job.spec.tasks } else { 1 };
         if !self.within_guarantee(&job.spec, started_together) {
             PreemptionScope::None
-        } else if self.wall.saturating_sub(job.ready_ms) >= self.policy.hold_ms {
+        } else if self.wall.saturating_sub(job.ready_ms) >= self.policy.gang_reservation_ms {
             PreemptionScope::Any
         } else if request.guarantee_left_s.is_some() {
             PreemptionScope::RecentlyStarted
--- a/src/scheduling/cycle/preemption_orders.rs
+++ b/src/scheduling/cycle/preemption_orders.rs
@@ -12,7 +12,7 @@
 /// Properties shared by all stops of one eviction.
 struct StopOrder {
     /// Job that receives the capacity.
-    by: JobIndex,
+    preempting_job: JobIndex,
     grace_s: f64,
     cause: StopCause,
 }
@@ -31,7 +31,7 @@
                 self.reserve(*destination_host, Reservation::of_job(attempt.key.job, attempt.demand, until_ms));
             }
             let cause = match destination {
-                Some(_) => Ok(StopCause::Move),
+                Some(_) => Ok(StopCause::Migration),
                 None => self.stop_cause(request.job_index, attempt, &PlannedStops::default()),
             };
             // The plan was checked as a whole. An attempt that may no longer be stopped keeps running.
@@ -40,7 +40,7 @@
                 StopCause::Loan(_) | StopCause::Reclaim => self.cluster.jobs[attempt.key.job].spec.grace_s(),
                 _ => self.stop_grace_s(request, host_index, &self.cluster.jobs[attempt.key.job].spec),
             };
-            self.stop(host_index, attempt, &StopOrder { by: request.job_index, grace_s, cause });
+            self.stop(host_index, attempt, &StopOrder { preempting_job: request.job_index, grace_s, cause });
         }
     }
 
@@ -67,26 +67,26 @@
             if whole_gang { self.index.hosts_of(job_index).collect() } else { vec![host_index] };
         hosts.sort_unstable();
         hosts.dedup();
-        let lost_s = self.lost_s(attempt, host_index) / f64::from(tasks_stopped_together);
+        let lost_work_s = self.lost_work_s(attempt, host_index) / f64::from(tasks_stopped_together);
         let mut stopped = 0;
         for host in hosts {
             let is_this_attempt = |other: &TaskAttempt| {
                 host == host_index && other.key == attempt.key && other.attempt == attempt.attempt
             };
             let is_stopped = |other: &TaskAttempt| is_this_attempt(other) || (whole_gang && other.key.job == job_index);
-            stopped += self.stop_on_host(host, is_stopped, order, lost_s);
+            stopped += self.stop_on_host(host, is_stopped, order, lost_work_s);
         }
         self.borrowing.record_stop(job_index, demand_per_task, stopped, order.cause);
     }
 
-    /// Orders the stops of the matching attempts on a machine and returns their number. Each loses `lost_s`
+    /// Orders the stops of the matching attempts on a machine and returns their number. Each loses `lost_work_s`
     /// seconds of work.
     fn stop_on_host(
         &mut self,
         host_index: HostIndex,
         is_stopped: impl Fn(&TaskAttempt) -> bool,
         order: &StopOrder,
-        lost_s: f64,
+        lost_work_s: f64,
     ) -> u32 {
         let Some(host) = self.cluster.hosts[host_index].as_mut() else { return 0 };
         let mut stopped = 0;
@@ -97,15 +97,15 @@
             attempt.stop = Some(order.grace_s);
             attempt.stop_awaits_record = matches!(order.cause, StopCause::Loan(_));
             stopped += 1;
-            self.index.stop(&self.cluster.jobs[attempt.key.job].spec);
+            self.index.record_stop(&self.cluster.jobs[attempt.key.job].spec);
             self.decisions.stops.push(Preemption {
                 host: host_index,
                 key: attempt.key,
                 attempt: attempt.attempt,
                 grace_s: order.grace_s,
-                by: order.by,
+                preempting_job: order.preempting_job,
                 cause: order.cause,
-                lost_s,
+                lost_work_s,
             });
         }
         stopped
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -69,7 +69,7 @@
     /// Returns one rank for each tier that applies to the job.
     fn queue_ranks(&self, job_index: JobIndex) -> impl Iterator<Item = QueueRank> {
         let job = &self.cluster.jobs[job_index];
-        let deadline_bin = self.policy.bin(self.policy.effective_deadline_ms(job, self.wall));
+        let deadline_bin = self.policy.deadline_bin(self.policy.effective_deadline_ms(job, self.wall));
         let shortfall = self.floor_shortfall(job_index);
         let rank = move |tier: QueueTier| QueueRank {
             returned: Reverse(tier == QueueTier::Returned),
@@ -89,7 +89,7 @@
     fn in_guaranteed_tier(&self, job: &Job) -> bool {
         let waited_ms = self.wall.saturating_sub(job.ready_ms);
         let in_time = self.policy.guarantee_s.is_some_and(|within_s| (waited_ms as f64) < within_s * 1000.0);
-        let may_stop_equals = in_time || waited_ms >= self.policy.hold_ms;
+        let may_stop_equals = in_time || waited_ms >= self.policy.gang_reservation_ms;
         job.spec.shape == Shape::Batch && may_stop_equals && self.within_guarantee(&job.spec, 1)
     }
 }
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -34,7 +34,7 @@
         task.place = Place::On(host_index, attempt);
         task.located = true;
         job.image_wait_until_ms = 0;
-        self.index.start(&job.spec, key.job, host_index);
+        self.index.record_start(&job.spec, key.job, host_index);
         self.borrowing.record_start(key.job, job.spec.demand);
         let (image, image_gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
@@ -67,7 +67,7 @@
     /// them.
     pub(super) fn place_tasks(&mut self, request: &PlacementRequest, next_attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
-        let mut state = PlacementState { counts: self.index.counts(job_index), candidates: None };
+        let mut state = PlacementState { counts: self.index.tasks_by_zone(job_index), candidates: None };
         let placeable = self.cluster.placeable_tasks(&self.cluster.jobs[job_index]);
         let stray_tasks = self.cluster.tasks_with_stray_attempts(job_index, self.index.hosts_of(job_index));
         let mut tasks_examined = 0;
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -3,7 +3,7 @@
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::scheduling::Policy;
-use crate::scheduling::index::Index;
+use crate::scheduling::index::CapacityIndex;
 use badgerdrift_borrowing::{Amounts, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
@@ -34,7 +34,7 @@
 
 impl TeamTable {
     /// Computes what teams use, lend and borrow. The table is empty without borrowing.
-    pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
+    pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &CapacityIndex) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
         let mut team_indices: HashMap<&str, TeamIndex> = HashMap::new();
         let mut teams = Vec::new();
@@ -83,10 +83,10 @@
     }
 }
 
-fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
+fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &CapacityIndex) -> TeamEntry {
     let amounts_of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
     let guarantee = policy.teams.get(name).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default();
-    let in_use = index.staying.get(name).copied().map(Amounts::from).unwrap_or_default();
+    let in_use = index.usage_after_stops.get(name).copied().map(Amounts::from).unwrap_or_default();
     TeamEntry {
         name: name.to_string(),
         share: TeamShare { guarantee, runnable: amounts_of(&borrowing.runnable), in_use },
--- a/src/scheduling/cycle/victims.rs
+++ b/src/scheduling/cycle/victims.rs
@@ -194,7 +194,7 @@
     /// Sorts the victims by the work they lose, the smallest loss first; recently preempted ones come last.
     fn sort_by_loss(&self, victims: &mut Vec<Victim>, host_index: HostIndex) {
         let loss = |victim: &Victim| {
-            (self.recently_preempted_for_loan(victim.attempt.key.job), self.lost_s(victim.attempt, host_index))
+            (self.recently_preempted_for_loan(victim.attempt.key.job), self.lost_work_s(victim.attempt, host_index))
         };
         let mut losses: Vec<((bool, f64), Victim)> = victims.drain(..).map(|victim| (loss(&victim), victim)).collect();
         losses.sort_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -152,8 +152,8 @@
             let Some(offer) = &reservation.offer else { continue };
             let rule = self.policy.teams.get(&offer.payer);
             let Some(team) = rule.filter(|team| team.guarantees(&reservation.demand)) else { continue };
-            let staying = || self.index.staying.get(&offer.payer).copied().unwrap_or_default();
-            let taken = taken.entry(&offer.payer).or_insert_with(staying);
+            let usage_after_stops = || self.index.usage_after_stops.get(&offer.payer).copied().unwrap_or_default();
+            let taken = taken.entry(&offer.payer).or_insert_with(usage_after_stops);
             let mut with_reservation = *taken;
             with_reservation.add(&reservation.demand);
             let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
@@ -173,7 +173,7 @@
         };
         while let Some(position) = next(self) {
             let reservation = self.remove_warm_reservation(position);
-            self.decisions.warm_reservations_given_up.push(reservation.slot);
+            self.decisions.released_warm_reservations.push(reservation.slot);
         }
         if !slots.is_empty() {
             // Tasks that fitted nowhere before may fit now.
--- a/src/scheduling/host_eligibility.rs
+++ b/src/scheduling/host_eligibility.rs
@@ -4,7 +4,7 @@
 
 /// Returns whether the machine is new and has reported, so that it becomes usable once it is registered and
 /// has confirmed the fencing token of the leader. The capacity plan need not request its capacity again.
-pub fn joining(host: &Host) -> bool {
+pub fn is_joining(host: &Host) -> bool {
     !host.registered
         && host.addr.is_some()
         && !host.preemption_notice
@@ -18,7 +18,7 @@
 /// Invariant: the machine is registered, so that the next leader knows that it may hold tasks, and its
 /// agent has confirmed the fencing token of this leader, so that it no longer carries out delayed orders
 /// of an earlier leader.
-pub fn usable(host: &Host, now: u64) -> bool {
+pub fn is_usable(host: &Host, now: u64) -> bool {
     host.registered
         && !host.has_unknown_tasks
         && !host.preemption_notice
--- a/src/scheduling/index.rs
+++ b/src/scheduling/index.rs
@@ -7,8 +7,8 @@
 //! Invariant: after each decision the index equals a newly computed one (the property tests check this),
 //! except for the machines with an image, which are computed on first use and not updated.
 
+use super::is_usable;
 use super::task_requirements::ZoneCounts;
-use super::usable;
 use crate::model::{ClusterState, Demand, Host, HostIndex, JobIndex, Reservation, Spec};
 use std::cell::OnceCell;
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
     pub usable: bool,
     /// Index of the instance type; 0 if the type is not known.
     pub instance_type: usize,
-    /// Index of the zone in [`Index`].
+    /// Index of the zone in [`CapacityIndex`].
     pub zone: usize,
     /// True for a spot machine.
     pub spot: bool,
@@ -42,7 +42,7 @@
 
 /// Capacity of each machine and locations of the attempts of each job.
 #[derive(Debug, Default)]
-pub struct Index {
+pub struct CapacityIndex {
     /// Machines, by [`HostIndex`].
     pub hosts: Vec<HostInfo>,
     zones: Vec<String>,
@@ -55,15 +55,15 @@
     /// Capacity taken by the attempts of each team, including attempts that still fetch their image.
     pub usage: HashMap<String, Demand>,
     /// Capacity taken by the attempts of each team, without the attempts that are being stopped.
-    pub staying: HashMap<String, Demand>,
-    /// Machines that have each image ready, as of the first call of `warm`.
-    warm: OnceCell<HashMap<String, Vec<HostIndex>>>,
+    pub usage_after_stops: HashMap<String, Demand>,
+    /// Machines that have each image ready, as of the first call of `hosts_with_image`.
+    hosts_with_image: OnceCell<HashMap<String, Vec<HostIndex>>>,
 }
 
-impl Index {
+impl CapacityIndex {
     /// Computes the index of the cluster state at `now`, in milliseconds of the steady clock.
-    pub fn new(cluster: &ClusterState, now: u64) -> Index {
-        let mut index = Index { hosts: Vec::with_capacity(cluster.hosts.len()), ..Index::default() };
+    pub fn new(cluster: &ClusterState, now: u64) -> CapacityIndex {
+        let mut index = CapacityIndex { hosts: Vec::with_capacity(cluster.hosts.len()), ..CapacityIndex::default() };
         for zone in cluster.instance_types.iter().flat_map(|instance_type| &instance_type.zones) {
             index.zone_or_insert(zone);
         }
@@ -91,7 +91,7 @@
     /// Adds the attempts and reservations of a machine to the index and returns its capacity.
     fn count_host(&mut self, cluster: &ClusterState, host_index: HostIndex, host: &Host, now: u64) -> HostInfo {
         let mut host_info = HostInfo {
-            usable: host.instance_type.is_some() && usable(host, now),
+            usable: host.instance_type.is_some() && is_usable(host, now),
             instance_type: host.instance_type.unwrap_or(0),
             zone: self.zone_or_insert(&host.zone),
             spot: host.spot,
@@ -104,7 +104,7 @@
             host_info.free.sub(&attempt.demand);
             self.attempts.push(IndexedAttempt { job, host: host_index });
             if attempt.stop.is_some() {
-                add_to_team(&mut self.staying, &cluster.jobs[job].spec.team, &attempt.demand.times(-1.0));
+                add_to_team(&mut self.usage_after_stops, &cluster.jobs[job].spec.team, &attempt.demand.times(-1.0));
             }
         }
         for reservation in &host.reservations {
@@ -120,7 +120,7 @@
             let spec = &cluster.jobs[attempts[0].job].spec;
             let job_usage = spec.demand.times(attempts.len() as f64);
             add_to_team(&mut self.usage, &spec.team, &job_usage);
-            add_to_team(&mut self.staying, &spec.team, &job_usage);
+            add_to_team(&mut self.usage_after_stops, &spec.team, &job_usage);
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Returns the number of tasks of the job on machines, by zone.
-    pub fn counts(&self, job: JobIndex) -> ZoneCounts {
+    pub fn tasks_by_zone(&self, job: JobIndex) -> ZoneCounts {
         let mut counts = ZoneCounts::default();
         self.hosts_of(job).for_each(|host| counts.add(self.hosts[host].zone));
         counts
@@ -172,16 +172,16 @@
     }
 
     /// Records the placement of a task.
-    pub fn start(&mut self, spec: &Spec, job: JobIndex, host_index: HostIndex) {
+    pub fn record_start(&mut self, spec: &Spec, job: JobIndex, host_index: HostIndex) {
         self.hosts[host_index].free.sub(&spec.demand);
         self.placed.entry(job).or_default().push(host_index);
         add_to_team(&mut self.usage, &spec.team, &spec.demand);
-        add_to_team(&mut self.staying, &spec.team, &spec.demand);
+        add_to_team(&mut self.usage_after_stops, &spec.team, &spec.demand);
     }
 
     /// Records that the stop of an attempt with this description was ordered.
-    pub fn stop(&mut self, spec: &Spec) {
-        add_to_team(&mut self.staying, &spec.team, &spec.demand.times(-1.0));
+    pub fn record_stop(&mut self, spec: &Spec) {
+        add_to_team(&mut self.usage_after_stops, &spec.team, &spec.demand.times(-1.0));
     }
 
     /// Records that the reservations on a machine changed from `before` to `after`.
@@ -201,22 +201,22 @@
     }
 
     /// Returns the machines that have the image ready, as of the first call for any image.
-    pub fn warm(&self, cluster: &ClusterState, image: &str) -> &[HostIndex] {
-        let warm = self.warm.get_or_init(|| {
-            let mut warm: HashMap<String, Vec<HostIndex>> = HashMap::new();
+    pub fn hosts_with_image(&self, cluster: &ClusterState, image: &str) -> &[HostIndex] {
+        let hosts_with_image = self.hosts_with_image.get_or_init(|| {
+            let mut hosts_with_image: HashMap<String, Vec<HostIndex>> = HashMap::new();
             for (host_index, host) in cluster.each_host() {
                 for image in host.images.iter().filter(|image| image.ready) {
-                    match warm.get_mut(&image.name) {
+                    match hosts_with_image.get_mut(&image.name) {
                         Some(hosts) => hosts.push(host_index),
                         None => {
-                            warm.insert(image.name.clone(), vec![host_index]);
+                            hosts_with_image.insert(image.name.clone(), vec![host_index]);
                         }
                     }
                 }
             }
-            warm
+            hosts_with_image
         });
-        warm.get(image).map_or(&[], Vec::as_slice)
+        hosts_with_image.get(image).map_or(&[], Vec::as_slice)
     }
 }
 
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -23,10 +23,10 @@
 
 pub use admission::{Unschedulable, unschedulable_reason};
 pub use cycle::{Assignment, CycleDecisions, Preemption, RefusedLoan, StopCause, schedule};
-pub use host_eligibility::{joining, usable};
-pub use index::Index;
+pub use host_eligibility::{is_joining, is_usable};
+pub use index::CapacityIndex;
 pub use plan::{
-    Availability, AvailabilityFn, CapacityPlan, ClassFlow, Drain, ExpectedWork, Migration, ScaleOut, plan_capacity,
+    Availability, AvailabilityFn, CapacityPlan, ClassArrivals, Drain, ExpectedWork, Migration, ScaleOut, plan_capacity,
     reserves,
 };
 pub use policy::{Policy, StartObjective, TeamRule};
--- a/src/scheduling/plan/bin_packing.rs
+++ b/src/scheduling/plan/bin_packing.rs
@@ -2,7 +2,7 @@
 
 use super::{Availability, AvailabilityFn};
 use crate::model::{ClusterState, Demand, HostIndex, InstanceOffering, Reserve, Spec};
-use crate::scheduling::index::Index;
+use crate::scheduling::index::CapacityIndex;
 use crate::scheduling::task_requirements::{TaskRequirements, ZoneCounts};
 use std::collections::HashSet;
 
@@ -26,7 +26,7 @@
 /// Packs tasks into bins and opens new bins where needed.
 pub(super) struct BinPacker<'a> {
     cluster: &'a ClusterState,
-    index: &'a Index,
+    index: &'a CapacityIndex,
     availability: &'a AvailabilityFn<'a>,
     bins: Vec<Bin>,
     /// Number of bins of existing or pending machines; the bins after them would be requested.
@@ -62,7 +62,7 @@
 impl<'a> BinPacker<'a> {
     pub(super) fn new(
         cluster: &'a ClusterState,
-        index: &'a Index,
+        index: &'a CapacityIndex,
         availability: &'a AvailabilityFn<'a>,
         bins: Vec<Bin>,
     ) -> BinPacker<'a> {
@@ -169,7 +169,7 @@
     /// or the task is not allowed there.
     fn offer(&self, spec: &Spec, counts: &ZoneCounts, offering: &InstanceOffering) -> Option<Offer> {
         let zone = self.index.zone(&offering.zone)?;
-        let tasks_in_zone = counts.of(zone);
+        let tasks_in_zone = counts.in_zone(zone);
         if tasks_in_zone >= spec.zone_limit() || (offering.spot && !spec.spot) {
             return None;
         }
--- a/src/scheduling/plan/drain.rs
+++ b/src/scheduling/plan/drain.rs
@@ -2,7 +2,7 @@
 
 use super::Bin;
 use crate::model::{ClusterState, Demand, Host, HostIndex, InstanceType, Shape, Spec, TaskAttempt, TaskKey};
-use crate::scheduling::index::Index;
+use crate::scheduling::index::CapacityIndex;
 use std::collections::HashMap;
 
 /// A machine is drained only if its work would cost less than this share of its price on other machines.
@@ -51,7 +51,7 @@
 
 /// Returns drains of the least used machines whose replicas all fit on better used machines that have their
 /// images ready. `bins` holds the capacity that is left after all pending and expected work.
-pub(super) fn consolidate(cluster: &ClusterState, index: &Index, bins: &[Bin]) -> Vec<Drain> {
+pub(super) fn consolidate(cluster: &ClusterState, index: &CapacityIndex, bins: &[Bin]) -> Vec<Drain> {
     let under_way = cluster.each_host().filter(|(_, host)| host.draining && !host.attempts.is_empty()).count();
     let max_drains = cluster.host_index.len().div_ceil(HOSTS_PER_DRAIN).saturating_sub(under_way);
     if max_drains == 0 {
@@ -96,7 +96,7 @@
 /// Plans several drains that do not use the same capacity.
 struct DrainPlanner<'a> {
     cluster: &'a ClusterState,
-    index: &'a Index,
+    index: &'a CapacityIndex,
     bins: &'a [Bin],
     /// Capacity taken by the migrations planned so far.
     planned: Vec<PlannedCapacity>,
@@ -149,7 +149,7 @@
     ) -> Option<(usize, HostIndex)> {
         let spec = &self.cluster.jobs[attempt.key.job].spec;
         let requirements = self.index.requirements(self.cluster, spec);
-        let mut counts = self.index.counts(attempt.key.job);
+        let mut counts = self.index.tasks_by_zone(attempt.key.job);
         counts.sub(self.index.hosts[from].zone);
         self.bins.iter().enumerate().find_map(|(position, bin)| {
             let to = bin.host?;
--- a/src/scheduling/plan/headroom.rs
+++ b/src/scheduling/plan/headroom.rs
@@ -1,6 +1,6 @@
 //! Headroom: capacity that is kept free for arrivals while a machine boots.
 
-use super::ClassFlow;
+use super::ClassArrivals;
 use crate::model::{ClusterState, Reserve};
 use crate::scheduling::Policy;
 
@@ -8,26 +8,31 @@
 const DEFAULT_SHARE: f64 = 0.9;
 
 /// Returns the reserves, one per class, that follow from the observed arrivals.
-pub fn reserves(cluster: &ClusterState, policy: &Policy, flows: &[ClassFlow]) -> Vec<Reserve> {
-    let reserve = |flow: &ClassFlow| Reserve {
-        class: flow.spec.class.clone(),
-        instance_types: cluster.instance_types.iter().map(|kind| flow.spec.allows_instance_type(kind)).collect(),
-        demand: flow.spec.demand,
-        tasks: headroom_tasks(cluster, policy, flow) as f64,
+pub fn reserves(cluster: &ClusterState, policy: &Policy, arrivals: &[ClassArrivals]) -> Vec<Reserve> {
+    let reserve = |class_arrivals: &ClassArrivals| Reserve {
+        class: class_arrivals.spec.class.clone(),
+        instance_types: cluster
+            .instance_types
+            .iter()
+            .map(|kind| class_arrivals.spec.allows_instance_type(kind))
+            .collect(),
+        demand: class_arrivals.spec.demand,
+        tasks: headroom_tasks(cluster, policy, class_arrivals) as f64,
     };
-    flows.iter().map(reserve).collect()
+    arrivals.iter().map(reserve).collect()
 }
 
 /// Returns the number of tasks of a class for which capacity is kept free. It covers the variation of both
 /// arrivals and departures during a boot, as far as the start objective of the class requires.
-pub(super) fn headroom_tasks(cluster: &ClusterState, policy: &Policy, flow: &ClassFlow) -> usize {
-    let allowed = cluster.instance_types.iter().filter(|kind| flow.spec.allows_instance_type(kind));
+pub(super) fn headroom_tasks(cluster: &ClusterState, policy: &Policy, class_arrivals: &ClassArrivals) -> usize {
+    let allowed = cluster.instance_types.iter().filter(|kind| class_arrivals.spec.allows_instance_type(kind));
     let boot_s = allowed.map(|instance_type| instance_type.boot_s).reduce(f64::min).unwrap_or(0.0);
-    let share = policy.start_objectives.get(&flow.spec.class).map_or(DEFAULT_SHARE, |objective| objective.share);
+    let share =
+        policy.start_objectives.get(&class_arrivals.spec.class).map_or(DEFAULT_SHARE, |objective| objective.share);
     // Jobs that can wait need capacity in advance only if a boot takes longer than their slack.
-    let slack_s = flow.spec.due_s.map_or(0.0, |due_s| due_s - flow.spec.expected_s);
-    let mean_tasks = flow.rate * (boot_s - slack_s).max(0.0);
-    let deviation = (2.0 * mean_tasks * flow.burst).sqrt();
+    let slack_s = class_arrivals.spec.due_s.map_or(0.0, |due_s| due_s - class_arrivals.spec.expected_s);
+    let mean_tasks = class_arrivals.rate * (boot_s - slack_s).max(0.0);
+    let deviation = (2.0 * mean_tasks * class_arrivals.mean_burst).sqrt();
     (policy.headroom * z_score(share) * deviation).ceil() as usize
 }
 
--- a/src/scheduling/plan/mod.rs
+++ b/src/scheduling/plan/mod.rs
@@ -9,8 +9,8 @@
 pub use drain::{Drain, Migration};
 pub use headroom::reserves;
 
-use super::index::Index;
-use super::{Policy, joining};
+use super::index::CapacityIndex;
+use super::{Policy, is_joining};
 use crate::model::{ClusterState, HostIndex, InstanceOffering, JobIndex, Spec};
 use bin_packing::{Bin, BinPacker};
 use drain::consolidate;
@@ -43,13 +43,13 @@
 
 /// Observed arrivals of a class.
 #[derive(Debug, Clone)]
-pub struct ClassFlow {
+pub struct ClassArrivals {
     /// Description of a recent job of the class, used for the arrivals to come.
     pub spec: Spec,
     /// Number of tasks that arrive per second.
     pub rate: f64,
-    /// Burst size: the mean of the squared job sizes divided by the mean job size, in tasks.
-    pub burst: f64,
+    /// Mean burst size: the mean of the squared job sizes divided by the mean job size, in tasks.
+    pub mean_burst: f64,
 }
 
 /// Pending and expected work that needs capacity.
@@ -60,9 +60,9 @@
     /// Replicas of warm pools without a machine, as a description and the number of such replicas.
     pub pool_replicas: &'a [(Spec, usize)],
     /// Jobs that wait for other jobs and may start before a machine requested now is up.
-    pub upcoming: &'a [JobIndex],
+    pub upcoming_jobs: &'a [JobIndex],
     /// Arrivals of each class.
-    pub flows: &'a [ClassFlow],
+    pub arrivals: &'a [ClassArrivals],
 }
 
 /// Machines to request, to release and to drain.
@@ -90,7 +90,7 @@
     pending_machines: &[InstanceOffering],
     availability: &AvailabilityFn,
 ) -> CapacityPlan {
-    let index = Index::new(cluster, now);
+    let index = CapacityIndex::new(cluster, now);
     let mut bins = existing_bins(cluster, &index);
     bins.extend(pending_bins(cluster, &index, pending_machines));
     let mut packer = BinPacker::new(cluster, &index, availability, bins);
@@ -107,14 +107,14 @@
 
 /// Packs all work that needs capacity, the most certain first.
 fn pack_expected_work(packer: &mut BinPacker, cluster: &ClusterState, policy: &Policy, now: u64, work: &ExpectedWork) {
-    for job_index in work.pending_jobs.iter().chain(work.upcoming) {
+    for job_index in work.pending_jobs.iter().chain(work.upcoming_jobs) {
         let job = &cluster.jobs[*job_index];
         let placeable = cluster.placeable_tasks(job);
         let tasks = job.tasks.iter().filter(|task| placeable.includes(task)).count();
         packer.pack(&job.spec, tasks, job.avoided_hosts(cluster, now));
     }
-    for flow in work.flows {
-        packer.pack(&flow.spec, headroom_tasks(cluster, policy, flow), &HashSet::new());
+    for class_arrivals in work.arrivals {
+        packer.pack(&class_arrivals.spec, headroom_tasks(cluster, policy, class_arrivals), &HashSet::new());
     }
     for (spec, replicas) in work.pool_replicas {
         packer.pack(spec, *replicas, &HashSet::new());
@@ -122,7 +122,7 @@
 }
 
 /// Returns the requests for new machines, one per offering.
-fn requests_by_offering(index: &Index, new: &[Bin]) -> Vec<ScaleOut> {
+fn requests_by_offering(index: &CapacityIndex, new: &[Bin]) -> Vec<ScaleOut> {
     let mut requests: Vec<ScaleOut> = Vec::new();
     for bin in new {
         let zone = index.zone_name(bin.zone).to_string();
@@ -143,7 +143,7 @@
 }
 
 /// Returns a bin for each machine that tasks may be placed on.
-fn existing_bins(cluster: &ClusterState, index: &Index) -> Vec<Bin> {
+fn existing_bins(cluster: &ClusterState, index: &CapacityIndex) -> Vec<Bin> {
     let with_warm_reservations: HashSet<HostIndex> =
         cluster.warm_reservations.iter().map(|reservation| reservation.host).collect();
     let usable = cluster.each_host().filter(|(host_index, _)| index.hosts[*host_index].usable);
@@ -166,8 +166,8 @@
 }
 
 /// Returns a bin for each machine that was requested, or that is up and not yet usable.
-fn pending_bins(cluster: &ClusterState, index: &Index, pending_machines: &[InstanceOffering]) -> Vec<Bin> {
-    let joining = cluster.each_host().filter(|(_, host)| joining(host));
+fn pending_bins(cluster: &ClusterState, index: &CapacityIndex, pending_machines: &[InstanceOffering]) -> Vec<Bin> {
+    let joining = cluster.each_host().filter(|(_, host)| is_joining(host));
     let joining = joining.filter_map(|(_, host)| Some((host.instance_type?, host.zone.as_str(), host.spot)));
     let pending = pending_machines.iter().map(|machine| (machine.instance_type, machine.zone.as_str(), machine.spot));
     pending
--- a/src/scheduling/policy.rs
+++ b/src/scheduling/policy.rs
@@ -2,7 +2,7 @@
 //! from them.
 
 use crate::model::{Demand, Job};
-use crate::settings::bounds::{AttemptBounds, Bounds, MOST_ENTRIES_PER_S};
+use crate::settings::bounds::{AttemptBounds, Bounds, MAX_ENTRIES_PER_S};
 use crate::settings::{Operator, Settings};
 use std::collections::HashMap;
 
@@ -27,7 +27,7 @@
     /// Time in seconds within which work within a guarantee is to start; `None` without such an objective.
     pub guarantee_s: Option<f64>,
     /// Time for which capacity is reserved for the first gang in the queue, in milliseconds.
-    pub hold_ms: u64,
+    pub gang_reservation_ms: u64,
     /// Lifetime of the lease of a worker, in milliseconds.
     pub lease_ms: u64,
     /// Interval between two reports of a worker, in milliseconds.
@@ -63,7 +63,7 @@
     pub limit: Demand,
     /// True if the limit is the full share of this region. The limit is lower than that while another region
     /// has not yet confirmed that it gave up a part of its share.
-    pub settled: bool,
+    pub limit_is_final: bool,
     /// True if the team takes no new jobs; its present jobs continue.
     pub removed: bool,
 }
@@ -96,7 +96,7 @@
             let rule = TeamRule {
                 guarantee: Demand { cpus: team.cpus, gpus: team.gpus, mem: f64::INFINITY },
                 limit: Demand { cpus: limit(team.cpus_max), gpus: limit(team.gpus_max), mem: f64::INFINITY },
-                settled: true,
+                limit_is_final: true,
                 removed: false,
             };
             (team.name.clone(), rule)
@@ -116,13 +116,13 @@
             teams: teams.collect(),
             start_objectives: start_objectives.collect(),
             guarantee_s: guarantee.and_then(|objective| objective.within_s),
-            hold_ms: (params.workers.gang_wait_s * 1000.0) as u64,
+            gang_reservation_ms: (params.workers.gang_wait_s * 1000.0) as u64,
             lease_ms: settings.lease_ms(),
             report_ms: settings.report_ms(),
             react_ms: settings.react_ms(),
             writes_per_s: settings.write_limits().changes_per_s,
             attempt_bounds,
-            max_attempts: attempt_bounds.most(MOST_ENTRIES_PER_S),
+            max_attempts: attempt_bounds.max_attempts(MAX_ENTRIES_PER_S),
             start_ms,
         }
     }
@@ -158,7 +158,7 @@
     }
 
     /// Returns the number of the bin that contains a deadline, given in milliseconds of wall time.
-    pub fn bin(&self, deadline_ms: u64) -> u64 {
+    pub fn deadline_bin(&self, deadline_ms: u64) -> u64 {
         let width_ms = (self.bin_width_s * 1000.0).max(1.0) as u64;
         deadline_ms.saturating_sub(self.start_ms) / width_ms
     }
--- a/src/scheduling/task_requirements.rs
+++ b/src/scheduling/task_requirements.rs
@@ -1,6 +1,6 @@
 //! Placement constraints of the tasks of a job, as given in its description.
 
-use super::index::{HostInfo, Index};
+use super::index::{CapacityIndex, HostInfo};
 use crate::model::{ClusterState, Demand, Spec};
 
 /// Number of tasks of a job in each zone.
@@ -29,7 +29,7 @@
     }
 
     /// Returns the number of tasks in a zone.
-    pub fn of(&self, zone: usize) -> u32 {
+    pub fn in_zone(&self, zone: usize) -> u32 {
         self.by_zone.get(zone).copied().unwrap_or(0)
     }
 }
@@ -77,8 +77,8 @@
         self.instance_types[instance_type]
             && (self.spot || !spot)
             && self.zone.allows(zone)
-            && counts.of(zone) < self.zone_limit
-            && (!self.one_zone || counts.total == 0 || counts.of(zone) > 0)
+            && counts.in_zone(zone) < self.zone_limit
+            && (!self.one_zone || counts.total == 0 || counts.in_zone(zone) > 0)
     }
 
     /// Returns whether one more task may be placed on the machine by the rules of [`TaskRequirements::allows`];
@@ -89,7 +89,7 @@
 
     /// Returns whether both have the same demand and allow the same machines, apart from the limits that
     /// depend on tasks placed already.
-    pub fn like(&self, other: &TaskRequirements) -> bool {
+    pub fn same_requirements_as(&self, other: &TaskRequirements) -> bool {
         self.instance_types == other.instance_types
             && self.demand == other.demand
             && self.spot == other.spot
@@ -97,7 +97,7 @@
     }
 }
 
-impl Index {
+impl CapacityIndex {
     /// Returns the placement constraints of the tasks of a job.
     pub fn requirements(&self, cluster: &ClusterState, spec: &Spec) -> TaskRequirements {
         TaskRequirements {
--- a/src/scheduling/tests/borrowing.rs
+++ b/src/scheduling/tests/borrowing.rs
@@ -83,7 +83,7 @@
         let unlimited = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
         for (team, gpus) in TEAMS.into_iter().zip(guarantees) {
             let guarantee = Demand { cpus: 0.0, gpus: f64::from(gpus), mem: f64::INFINITY };
-            let rule = TeamRule { guarantee, limit: unlimited, settled: true, removed: false };
+            let rule = TeamRule { guarantee, limit: unlimited, limit_is_final: true, removed: false };
             policy.teams.insert(team.into(), rule);
         }
         let mut cluster = cluster(&vec![("a", false); hosts]);
@@ -156,7 +156,7 @@
         });
         for stop in &outcome.stops {
             let lender = self.cluster.jobs[stop.key.job].spec.team.clone();
-            let borrower = self.cluster.jobs[stop.by].spec.team.clone();
+            let borrower = self.cluster.jobs[stop.preempting_job].spec.team.clone();
             let amounts = Amounts::from(self.cluster.jobs[stop.key.job].spec.demand);
             if stop.cause == StopCause::Loan(LoanKind::Borrowed) {
                 let lent = self.lent.entry(lender.clone()).or_default();
@@ -210,7 +210,7 @@
                 let of_team = |job: JobIndex| fleet.cluster.jobs[job].spec.team == team;
                 let stopped = |by_others: bool| -> f64 {
                     let stops =
-                        outcome.stops.iter().filter(|stop| of_team(stop.key.job) && of_team(stop.by) != by_others);
+                        outcome.stops.iter().filter(|stop| of_team(stop.key.job) && of_team(stop.preempting_job) != by_others);
                     stops.map(|stop| fleet.cluster.jobs[stop.key.job].spec.demand.gpus).sum()
                 };
                 // Starts of the same cycle count as left; preemptions within the team do not count as taken.
@@ -231,8 +231,8 @@
                     !lends || stop.grace_s >= spec.grace_s(),
                     "a task that can save a checkpoint gets the time for it"
                 );
-                let same_team = spec.team == fleet.cluster.jobs[stop.by].spec.team;
-                prop_assert!(lends != same_team || matches!(stop.cause, StopCause::Reclaim | StopCause::Move),
+                let same_team = spec.team == fleet.cluster.jobs[stop.preempting_job].spec.team;
+                prop_assert!(lends != same_team || matches!(stop.cause, StopCause::Reclaim | StopCause::Migration),
                     "{:?} between teams: {}", stop.cause, !same_team);
             }
             fleet.carry_out(&outcome.stops);
@@ -267,8 +267,9 @@
     let desk = fleet.add(&work(0, Shape::Service, Urgency::High, 4, 1), 3);
     let night = fleet.add(&work(1, Shape::Service, Urgency::High, 4, 1), 4);
     let outcome = fleet.schedule(5);
-    let between_teams =
-        |stop: &&Preemption| fleet.cluster.jobs[stop.key.job].spec.team != fleet.cluster.jobs[stop.by].spec.team;
+    let between_teams = |stop: &&Preemption| {
+        fleet.cluster.jobs[stop.key.job].spec.team != fleet.cluster.jobs[stop.preempting_job].spec.team
+    };
     assert_eq!(outcome.stops.iter().filter(between_teams).count(), 0);
     // Within a team urgency decides, so that nothing is refused. A third team finds no lender.
     assert_eq!(outcome.stops.len(), 8);
@@ -332,7 +333,9 @@
         let outcome = fleet.schedule(round * ROUND_MS);
         let reclaims: Vec<&Preemption> = outcome.stops.iter().filter(|stop| stop.cause == StopCause::Reclaim).collect();
         assert!(
-            reclaims.iter().all(|stop| stop.key.job == service && fleet.cluster.jobs[stop.by].spec.team == "night")
+            reclaims
+                .iter()
+                .all(|stop| stop.key.job == service && fleet.cluster.jobs[stop.preempting_job].spec.team == "night")
         );
         (reclaimed, max_at_once) = (reclaimed + reclaims.len(), max_at_once.max(reclaims.len()));
         fleet.carry_out(&outcome.stops);
--- a/src/scheduling/tests/guarantees.rs
+++ b/src/scheduling/tests/guarantees.rs
@@ -22,7 +22,9 @@
     let unlimited = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
     for (team, tasks) in guaranteed_tasks.iter().enumerate() {
         let guarantee = Demand { cpus: TASK_CPUS * f64::from(*tasks), gpus: 0.0, mem: f64::INFINITY };
-        policy.teams.insert(team_name(team), TeamRule { guarantee, limit: unlimited, settled: true, removed: false });
+        policy
+            .teams
+            .insert(team_name(team), TeamRule { guarantee, limit: unlimited, limit_is_final: true, removed: false });
     }
     policy
 }
@@ -165,7 +167,7 @@
     fleet.add(&Work { team: 0, shape: Shape::Batch, tasks: 64, accepted_round: 0 }, 1);
     assert_eq!(fleet.schedule(1).starts.len(), 64);
     fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 60, accepted_round: 0 }, 2);
-    assert_eq!(fleet.schedule(2 + fleet.policy.hold_ms).stops.len(), 5);
+    assert_eq!(fleet.schedule(2 + fleet.policy.gang_reservation_ms).stops.len(), 5);
 }
 
 // Work beyond a guarantee in an earlier deadline bin was started first and preempted in the same cycle.
@@ -202,7 +204,7 @@
     fleet.add(&Work { team: 0, shape: Shape::Gang, tasks: 64, accepted_round: 0 }, 1);
     assert_eq!(fleet.schedule(1).starts.len(), 64);
     fleet.add(&Work { team: 1, shape: Shape::Batch, tasks: 60, accepted_round: 0 }, 2);
-    assert!(fleet.schedule(2 + fleet.policy.hold_ms).stops.is_empty());
+    assert!(fleet.schedule(2 + fleet.policy.gang_reservation_ms).stops.is_empty());
 }
 
 // A gang of five that was not the first gang in the queue preempted an array of four tasks again and again. A gang
--- a/src/scheduling/tests/mod.rs
+++ b/src/scheduling/tests/mod.rs
@@ -64,7 +64,7 @@
 
 /// Returns expected work that consists of pending jobs only.
 pub(super) fn pending_jobs(jobs: &[JobIndex]) -> ExpectedWork<'_> {
-    ExpectedWork { pending_jobs: jobs, pool_replicas: &[], upcoming: &[], flows: &[] }
+    ExpectedWork { pending_jobs: jobs, pool_replicas: &[], upcoming_jobs: &[], arrivals: &[] }
 }
 
 /// Returns a reconciled cluster with one usable machine of type `g8` per entry, given as zone and spot flag.
--- a/src/scheduling/tests/ordering.rs
+++ b/src/scheduling/tests/ordering.rs
@@ -5,7 +5,10 @@
 #[test]
 fn deadlines_follow_the_settings_and_bins_count_from_the_start() {
     let policy = policy();
-    assert_eq!((policy.bin(0), policy.bin(4999), policy.bin(5000), policy.bin(12_000)), (0, 0, 1, 2));
+    assert_eq!(
+        (policy.deadline_bin(0), policy.deadline_bin(4999), policy.deadline_bin(5000), policy.deadline_bin(12_000)),
+        (0, 0, 1, 2)
+    );
     let mut job_spec = spec("run-000001", Shape::Batch, 1, 1.0);
     let deadline = |spec: &Spec| policy.soft_deadline_ms(&Job::new(spec.clone(), 1000, 0));
     assert_eq!(deadline(&job_spec), 3000, "the start objective of the class");
@@ -48,8 +51,8 @@
     add_job(&mut state, spec("run-000003", Shape::Batch, 4, 1.0), 5000);
     assert!(run_cycle(&mut state, 3).starts.is_empty());
     // The reservation is limited in time, so that no other job starves.
-    let hold_ms = policy().hold_ms;
-    assert!(run_cycle(&mut state, 4 + hold_ms).starts.iter().any(|start| start.key.job == 2));
+    let gang_reservation_ms = policy().gang_reservation_ms;
+    assert!(run_cycle(&mut state, 4 + gang_reservation_ms).starts.iter().any(|start| start.key.job == 2));
 }
 
 #[test]
@@ -77,8 +80,8 @@
 fn a_cycle_works_if_an_instance_type_became_known_after_the_plan() {
     let mut state = cluster(&[("a", false)]);
     let instance_types = std::mem::take(&mut state.instance_types);
-    let flow = ClassFlow { spec: spec("run-000001", Shape::Service, 1, 1.0), rate: 1.0, burst: 1.0 };
-    state.reserves = reserves(&state, &policy(), &[flow]);
+    let class_arrivals = ClassArrivals { spec: spec("run-000001", Shape::Service, 1, 1.0), rate: 1.0, mean_burst: 1.0 };
+    state.reserves = reserves(&state, &policy(), &[class_arrivals]);
     state.instance_types = instance_types;
     let mut other = spec("run-000002", Shape::Service, 1, 0.0);
     other.class = "other".into();
--- a/src/scheduling/tests/preemption.rs
+++ b/src/scheduling/tests/preemption.rs
@@ -32,7 +32,7 @@
     run_cycle(&mut state, 1);
     add_job(&mut state, spec("run-000002", Shape::Batch, 8, 1.0), 0);
     assert!(run_cycle(&mut state, 2).stops.is_empty(), "running tasks are not stopped at once");
-    let later = policy().hold_ms + 2;
+    let later = policy().gang_reservation_ms + 2;
     assert_eq!(run_cycle(&mut state, later).stops.len(), 4, "blue keeps its four guaranteed accelerators");
     assert!(run_cycle(&mut state, later + 1).stops.is_empty());
 }
@@ -60,7 +60,7 @@
     of_guest.team = "guest".into();
     of_guest.demand.cpus = 16.0;
     add_job(&mut cluster, of_guest.clone(), 2);
-    let waited_long = 3 + policy.hold_ms;
+    let waited_long = 3 + policy.gang_reservation_ms;
     assert!(run_cycle(&mut cluster, waited_long).stops.is_empty(), "the guest team has no guarantee");
 
     // In the opposite case the guest team is preempted by a guaranteed team.
--- a/src/scheduling/tests/properties.rs
+++ b/src/scheduling/tests/properties.rs
@@ -24,7 +24,7 @@
 
 /// Returns a description of the first difference between the index that a cycle updated and a newly computed
 /// one; `None` if they are equal.
-fn index_difference(kept: &Index, computed: &Index, jobs: usize) -> Option<String> {
+fn index_difference(kept: &CapacityIndex, computed: &CapacityIndex, jobs: usize) -> Option<String> {
     let near = |left: &Demand, right: &Demand| {
         (left.cpus - right.cpus).abs() + (left.gpus - right.gpus).abs() + (left.mem - right.mem).abs() < 1e-6
     };
@@ -36,9 +36,10 @@
             return Some(format!("machine {host_index}: {kept:?}, computed {computed:?}"));
         }
     }
-    for (name, kept, computed) in
-        [("usage", &kept.usage, &computed.usage), ("staying", &kept.staying, &computed.staying)]
-    {
+    for (name, kept, computed) in [
+        ("usage", &kept.usage, &computed.usage),
+        ("usage_after_stops", &kept.usage_after_stops, &computed.usage_after_stops),
+    ] {
         for team in kept.keys().chain(computed.keys()) {
             let of_team = |totals: &HashMap<String, Demand>| totals.get(team).copied().unwrap_or_default();
             if !near(&of_team(kept), &of_team(computed)) {
@@ -47,10 +48,11 @@
         }
     }
     let differs = |job: &usize| {
-        kept.counts(*job) != computed.counts(*job) || kept.reservations_of(*job) != computed.reservations_of(*job)
+        kept.tasks_by_zone(*job) != computed.tasks_by_zone(*job)
+            || kept.reservations_of(*job) != computed.reservations_of(*job)
     };
     let job = (0..jobs).find(differs)?;
-    Some(format!("job {job}: {:?}, computed {:?}", kept.counts(job), computed.counts(job)))
+    Some(format!("job {job}: {:?}, computed {:?}", kept.tasks_by_zone(job), computed.tasks_by_zone(job)))
 }
 
 proptest! {
@@ -79,7 +81,7 @@
                 attempt += 1;
                 attempt
             });
-            let computed = Index::new(&state, now);
+            let computed = CapacityIndex::new(&state, now);
             prop_assert!(
                 index_difference(&kept, &computed, state.jobs.len()).is_none(),
                 "{:?}",
@@ -94,7 +96,7 @@
             for free in computed.hosts.iter().map(|host_info| host_info.free) {
                 prop_assert!(free.cpus > -1e-6 && free.gpus > -1e-6 && free.mem > -1e-6);
             }
-            for (team, used) in Index::new(&state, 0).usage {
+            for (team, used) in CapacityIndex::new(&state, 0).usage {
                 prop_assert!(used.fits(&policy.teams[&team].limit), "{} uses {:?}", team, used);
             }
             for (job_index, job) in state.jobs.iter().enumerate() {
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -32,7 +32,7 @@
 
 /// Number of times per second that an attempt is listed in heartbeats: the initial value while the actual rate
 /// is unknown, and the maximum. Workers with short tasks send heartbeats more often than required.
-pub const MOST_ENTRIES_PER_S: f64 = 1.0;
+pub const MAX_ENTRIES_PER_S: f64 = 1.0;
 
 /// Capacity of the message queue of the leader of a partition; further messages are refused at once. It does
 /// not grow with the fleet: the reply to a heartbeat is useless once its worker has timed out, and with a longer
@@ -117,7 +117,7 @@
     }
 
     /// Returns the maximum number of attempts while each one is listed `entries_per_attempt_s` times per second.
-    pub fn most(&self, entries_per_attempt_s: f64) -> usize {
+    pub fn max_attempts(&self, entries_per_attempt_s: f64) -> usize {
         match self.entries_per_s {
             Some(entries) => self.by_memory.min((entries as f64 / entries_per_attempt_s) as usize),
             None => self.by_memory,
--- a/src/settings/bounds/tests.rs
+++ b/src/settings/bounds/tests.rs
@@ -13,11 +13,11 @@
 #[test]
 fn attempts_are_bounded_by_memory_and_processor() {
     let bounds = Bounds::new(&large_deployment()).attempts;
-    assert_eq!(bounds.most(MOST_ENTRIES_PER_S), 24_000);
+    assert_eq!(bounds.max_attempts(MAX_ENTRIES_PER_S), 24_000);
     // A long task is listed in one heartbeat every 4 s.
-    assert_eq!(bounds.most(0.25), 96_000);
-    assert!(bounds.most(0.25) >= 16 * 6000);
-    assert_eq!(bounds.most(1e-9), bounds.by_memory, "memory bounds the attempts at any rate of entries");
+    assert_eq!(bounds.max_attempts(0.25), 96_000);
+    assert!(bounds.max_attempts(0.25) >= 16 * 6000);
+    assert_eq!(bounds.max_attempts(1e-9), bounds.by_memory, "memory bounds the attempts at any rate of entries");
 }
 
 #[test]
@@ -35,7 +35,7 @@
     settings.params.limits = Limits { max_sockets: 16, memory_mb: None, core_share: None };
     let bounds = Bounds::new(&settings);
     assert!(bounds.ended_jobs > 0 && bounds.ended_jobs < 1_000_000);
-    assert_eq!(bounds.attempts.most(MOST_ENTRIES_PER_S), bounds.attempts.by_memory);
+    assert_eq!(bounds.attempts.max_attempts(MAX_ENTRIES_PER_S), bounds.attempts.by_memory);
     assert!(bounds.worker_connections >= 1 && bounds.direct_commands >= 1);
 }
 
