--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -61,7 +61,7 @@
             host.succeeded_elsewhere = false;
         }
         let job = &self.cluster.jobs[key.job];
-        let failed = job.spec.shape == Shape::Gang || job.tasks[key.task as usize].fails > 0;
+        let failed = job.spec.shape == Shape::Gang || job.tasks[key.task as usize].failures > 0;
         for host_index in job.failed_on.iter().filter(|_| failed) {
             if let Some(host) =
                 self.cluster.hosts[*host_index].as_mut().filter(|host| host.failed_jobs.contains(&key.job))
@@ -75,7 +75,7 @@
     fn clear_place(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64) -> bool {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
-        if task.place != Place::On(host_index, attempt) {
+        if task.place != Place::OnHost(host_index, attempt) {
             return false;
         }
         task.place = Place::Idle;
@@ -94,11 +94,11 @@
     /// failure with an error is attributed to the host or to the job.
     fn task_failed(&mut self, host_index: HostIndex, key: TaskKey, reason: ExitReason, now: u64) {
         let task = &mut self.cluster.jobs[key.job].tasks[key.task as usize];
-        task.fails = task.fails.saturating_add(1);
-        if task.fails >= FAILURES_BEFORE_PAUSE {
+        task.failures = task.failures.saturating_add(1);
+        if task.failures >= FAILURES_BEFORE_PAUSE {
             // The task fails on every host: exponential pauses keep it from taking capacity again in
             // each cycle.
-            task.retry_ms = now + self.policy.react_ms * (1 << task.fails.min(MAX_PAUSE_FAILURES));
+            task.retry_after_ms = now + self.policy.react_ms * (1 << task.failures.min(MAX_PAUSE_FAILURES));
         }
         if reason == ExitReason::Error {
             self.attribute_failure(host_index, key.job, now);
@@ -197,7 +197,7 @@
     pub(super) fn attempt_lost(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, ended: bool) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
-        if task.place == Place::On(host_index, attempt) {
+        if task.place == Place::OnHost(host_index, attempt) {
             task.place = Place::Idle;
             self.scheduling_triggers.request_cycle_for(job.urgency);
             self.metrics.count("tasks_lost", &job.spec.class);
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -133,7 +133,7 @@
     fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> BorrowingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
-        let closed = if !self.settled || !cluster.all_reconciled {
+        let refusal = if !self.settled || !cluster.all_reconciled {
             Some(Refusal::MachinesUnaccounted)
         } else if !partition.conditions.reservations_recordable {
             Some(Refusal::NotRecordable)
@@ -142,24 +142,24 @@
         };
         BorrowingState {
             settings: self.settings.clone(),
-            closed,
+            refusal,
             runnable: demands.shares.iter().map(|(team, share)| (team.clone(), share.runnable)).collect(),
-            lent: self.loans.lent(),
-            owed: self.loans.owed(),
-            quiet: self.loans.quiet_jobs(wall).filter_map(index).collect(),
+            lent_by_team: self.loans.lent(),
+            owed_by_pair: self.loans.owed(),
+            recently_preempted: self.loans.quiet_jobs(wall).filter_map(index).collect(),
             reserves_for_teams: false,
-            returning: self.returning(index),
+            returning_tasks: self.returning_tasks(index),
         }
     }
 
     /// Returns, for each job that gets lent capacity back, the number of tasks that are placed first.
-    fn returning(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
-        let mut returning = std::collections::HashMap::new();
+    fn returning_tasks(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
+        let mut returning_tasks = std::collections::HashMap::new();
         for (job, tasks) in self.loans.returning() {
             if let Some(job_index) = index(job) {
-                *returning.entry(job_index).or_default() += tasks;
+                *returning_tasks.entry(job_index).or_default() += tasks;
             }
         }
-        returning
+        returning_tasks
     }
 }
--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -44,7 +44,7 @@
             let share = demands.shares.entry(spec.team.clone()).or_default();
             share.in_use = share.in_use.plus(Amounts::from(spec.demand).times(f64::from(attempts.running)));
         }
-        for job_index in &cluster.live {
+        for job_index in &cluster.runnable_jobs {
             let job = &cluster.jobs[*job_index];
             let attempts = attempts.get(job_index).copied().unwrap_or_default();
             let amounts = job_demand(cluster, job, attempts, &kinds, now).amounts();
@@ -75,7 +75,7 @@
 pub(super) fn missing_tasks(cluster: &ClusterState, job_index: JobIndex) -> u32 {
     let job = &cluster.jobs[job_index];
     let is_running = |place: Place, task: usize| {
-        let Place::On(host, attempt) = place else { return false };
+        let Place::OnHost(host, attempt) = place else { return false };
         let attempts = cluster.host(host).map_or(&[][..], |host| &host.attempts);
         let is_own = |candidate: &&crate::model::TaskAttempt| {
             candidate.attempt == attempt && candidate.key.job == job_index && candidate.key.task as usize == task
@@ -126,7 +126,7 @@
     };
     let may_start = job.active() && kinds.iter().any(fits);
     let placeable = cluster.placeable_tasks(job);
-    let idle = || job.tasks.iter().filter(|task| task.retry_ms <= now && placeable.includes(task)).count() as u32;
+    let idle = || job.tasks.iter().filter(|task| task.retry_after_ms <= now && placeable.includes(task)).count() as u32;
     let waiting = if may_start { idle() + attempts.stopping } else { 0 };
     JobDemand {
         each: Amounts::from(spec.demand),
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -214,7 +214,7 @@
         job.retire();
         self.cancelling.remove(&job_index);
         if !job.waiting {
-            self.cluster.live.retain(|live| *live != job_index);
+            self.cluster.runnable_jobs.retain(|runnable| *runnable != job_index);
             self.stop_all_attempts(job_index);
         }
         let open = self.dependencies.remove_waiting(job_index);
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -157,7 +157,7 @@
         if job.end.is_some() || !std::mem::replace(&mut job.waiting, false) {
             return;
         }
-        self.cluster.live.push(job_index);
+        self.cluster.runnable_jobs.push(job_index);
         self.dependencies.ready.push(job_index);
         self.scheduling_triggers.request_cycle();
         self.scheduling_triggers.request_cycle_for(job.urgency);
@@ -179,7 +179,7 @@
         }
         let open = self.dependencies.remove_waiting(job_index);
         self.release_dependencies(&open);
-        self.cluster.live.retain(|live| *live != job_index);
+        self.cluster.runnable_jobs.retain(|runnable| *runnable != job_index);
         let job = &mut self.cluster.jobs[job_index];
         job.spec.dependencies = recorded;
         job.waiting = true;
--- a/src/control/partition/direct_commands.rs
+++ b/src/control/partition/direct_commands.rs
@@ -18,7 +18,7 @@
     /// Returns whether the host must wait before its next command, because one is in flight or a pause
     /// has not elapsed.
     pub fn is_command_delayed(&self, host_index: HostIndex, now: u64) -> bool {
-        self.cluster.host(host_index).is_some_and(|host| host.do_in_flight || now < host.do_after_ms)
+        self.cluster.host(host_index).is_some_and(|host| host.command_in_flight || now < host.next_command_ms)
     }
 
     /// Returns the direct command that is due for a host, or `None`. With `probe`, the command is sent
@@ -29,7 +29,7 @@
         let slot_orders = self.slot_orders(host_index);
         let host = self.cluster.hosts.get_mut(host_index)?.as_mut()?;
         let addr = host.addr?;
-        if host.do_in_flight || now < host.do_after_ms {
+        if host.command_in_flight || now < host.next_command_ms {
             return None;
         }
         // A host that has not confirmed this leader's token is sent the token, and its tasks are read
@@ -49,7 +49,7 @@
         if orders.is_empty() && !probe {
             return None;
         }
-        host.do_in_flight = true;
+        host.command_in_flight = true;
         Some(DirectCommand {
             host: host_index,
             id: host.id.clone(),
@@ -64,7 +64,7 @@
     pub fn direct_command_done(&mut self, command: &DirectCommand, result: DirectCommandOutcome, now: u64) {
         let retry_at_ms = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(host) = self.cluster.host_mut(command.host).filter(|host| host.id == command.id) else { return };
-        host.do_in_flight = false;
+        host.command_in_flight = false;
         for attempt in host.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
             attempt.in_flight = false;
             if matches!(result, DirectCommandOutcome::Indeterminate) {
@@ -81,7 +81,7 @@
                 self.queue_follow_up_command(command.host, now);
             }
             DirectCommandOutcome::NotSent | DirectCommandOutcome::Indeterminate => {
-                host.do_after_ms = retry_at_ms;
+                host.next_command_ms = retry_at_ms;
                 host.unanswered_probes = host.unanswered_probes.saturating_add(1);
             }
         }
@@ -94,7 +94,7 @@
         if let Some(host) = self.cluster.host_mut(host_index)
             && (!host.token_confirmed() || host.attempts.iter().any(task_orders::is_start_or_stop_due))
         {
-            host.do_after_ms = now + pause;
+            host.next_command_ms = now + pause;
             self.dispatch_queue.insert(host_index);
         }
     }
--- a/src/control/partition/host_routing.rs
+++ b/src/control/partition/host_routing.rs
@@ -68,8 +68,10 @@
         let transfer_indeterminate = self.is_transfer_indeterminate();
         let Some(&host_index) = self.cluster.host_index.get(id) else { return false };
         let Some(host) = self.cluster.host_mut(host_index) else { return false };
-        let unused =
-            host.attempts.is_empty() && host.reservations.is_empty() && !host.do_in_flight && !host.has_unknown_tasks;
+        let unused = host.attempts.is_empty()
+            && host.reservations.is_empty()
+            && !host.command_in_flight
+            && !host.has_unknown_tasks;
         if !unused
             || transfer_indeterminate
             || !host.registered
--- a/src/control/partition/next_commit.rs
+++ b/src/control/partition/next_commit.rs
@@ -46,7 +46,7 @@
                 _ => None,
             };
             let key = job_key(&job.spec.id);
-            let Some(record) = JobRecord::of(job, end, self.commit_queue.limits().value_bytes) else {
+            let Some(record) = JobRecord::from_job(job, end, self.commit_queue.limits().value_bytes) else {
                 // The job was accepted under a larger size limit: its progress no longer fits, but its
                 // end will.
                 job.unsaved = UnsavedChange::Nothing;
--- a/src/control/partition/running_counts.rs
+++ b/src/control/partition/running_counts.rs
@@ -40,7 +40,7 @@
 /// Counts the running tasks of one job.
 pub(super) fn count_running(cluster: &ClusterState, job_index: JobIndex) -> u32 {
     let runs = |task_number: usize, task: &Task| match task.place {
-        Place::On(host_index, number) => cluster.host(host_index).is_some_and(|host| {
+        Place::OnHost(host_index, number) => cluster.host(host_index).is_some_and(|host| {
             host.attempts.iter().any(|attempt| {
                 let same_task = attempt.key.job == job_index && attempt.key.task as usize == task_number;
                 same_task && attempt.attempt == number && attempt.running()
@@ -57,5 +57,5 @@
     let job = &cluster.jobs[attempt.key.job];
     job.spec.tasks > SMALL_JOB_TASKS
         && attempt.running()
-        && job.tasks[attempt.key.task as usize].place == Place::On(host_index, attempt.attempt)
+        && job.tasks[attempt.key.task as usize].place == Place::OnHost(host_index, attempt.attempt)
 }
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -50,12 +50,12 @@
 
     /// Reserves capacity for work that is expected to arrive at these rates.
     pub fn reserve_for_flows(&mut self, arrivals: &[scheduling::ClassArrivals]) {
-        self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, arrivals);
+        self.cluster.expected_demands = scheduling::expected_demands(&self.cluster, &self.policy, arrivals);
     }
 
     /// Replaces the list of instance types that cannot be rented at present.
     pub fn set_exhausted(&mut self, exhausted: Vec<usize>) {
-        self.cluster.exhausted = exhausted;
+        self.cluster.exhausted_instance_types = exhausted;
     }
 
     /// Limits the number of attempts by the measured cost of tracking the current ones.
--- a/src/control/partition/task_orders.rs
+++ b/src/control/partition/task_orders.rs
@@ -12,7 +12,7 @@
         (TaskPhase::Saving, Some(grace_s)) if grace_s > 0.0 => None,
         (_, Some(_)) if attempt.stop_awaits_record => None,
         (_, Some(grace_s)) => Some(Order::stop(job_id, attempt, grace_s)),
-        (TaskPhase::Sent, None) if attempt.awaits_record => None,
+        (TaskPhase::Sent, None) if attempt.start_awaits_record => None,
         (TaskPhase::Sent, None) => Some(Order::run(job_id, attempt)),
         _ => None,
     }
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -239,7 +239,7 @@
     harness.now += STEP_MS;
     harness.partition.maintain_loans(harness.now, harness.now);
     harness.partition.schedule(harness.now, harness.now);
-    assert!(harness.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
+    assert!(harness.partition.cluster.borrowing.as_ref().unwrap().refusal.is_some());
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
     harness.steps(6);
     // Tasks that were not stopped do not count as lent, and a new loan meets the need.
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -203,7 +203,7 @@
 #[test]
 fn a_waiting_job_is_neither_live_nor_active() {
     let partition = chain();
-    assert_eq!(partition.cluster.live, [partition.cluster.job_index[FIRST]]);
+    assert_eq!(partition.cluster.runnable_jobs, [partition.cluster.job_index[FIRST]]);
     assert_eq!(partition.cluster.jobs.iter().filter(|job| job.active()).count(), 1);
     assert_eq!(phase(partition.status(THIRD)), Ok(JobPhase::Pending));
 }
@@ -213,7 +213,7 @@
     let mut second = record(SECOND, "batch", "red", None, 51);
     second.value["spec"]["waits_on"] = json!(FIRST);
     let open = partition_of(2, vec![record(FIRST, "batch", "red", None, 50), second.clone()], vec![]);
-    assert!(job(&open, SECOND).waiting && open.cluster.live.len() == 1);
+    assert!(job(&open, SECOND).waiting && open.cluster.runnable_jobs.len() == 1);
     // The result does not depend on the order of the records.
     let done = record(FIRST, "batch", "red", Some(JobEnd::Done), 50);
     for jobs in [vec![done.clone(), second.clone()], vec![second.clone(), done]] {
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -25,7 +25,7 @@
         partition.dispatch_queue.hosts().is_empty() && partition.cluster.all_reconciled,
         "the task is already running"
     );
-    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(_, placed) if placed == attempt));
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(_, placed) if placed == attempt));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     // The first job's replica ends on h1, and so does not run on h2.
     partition.heartbeat(&first_job("ended", 11), StatusSource::Heartbeat, 1200);
     partition.schedule(1300, 1300);
-    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)));
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(..)));
     assert_eq!(partition.cluster.jobs[1].tasks[0].place, Place::Idle, "the second job's replica may run on h2");
     let mut rx = request_cancellation(&mut partition, "run-000001", 1000, true);
     assert!(
@@ -162,7 +162,7 @@
         partition.detect_failures(now, now);
     }
     assert!(
-        matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(..)),
+        matches!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(..)),
         "another controller could renew the lease until now"
     );
     for now in (end..=end + LEASE_MS + 1500).step_by(500) {
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -81,7 +81,7 @@
     report_done_on_h1(&mut partition, 1100);
     partition.next_commit(1100, 32).unwrap();
     partition.committed(CommitOutcome::Indeterminate).unwrap();
-    let value = serde_json::to_value(JobRecord::of(&partition.cluster.jobs[0], None, MAX_RECORD_BYTES)).unwrap();
+    let value = serde_json::to_value(JobRecord::from_job(&partition.cluster.jobs[0], None, MAX_RECORD_BYTES)).unwrap();
     let item = |version| Item { key: "job/run-000001".into(), value: value.clone(), version };
     partition.reread(item(100));
     assert_eq!(answered_phase(&partition), None, "the write may still be applied");
@@ -177,7 +177,7 @@
         1200,
     );
     assert!(orders.is_empty());
-    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, attempt));
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(0, attempt));
     // The same with an old heartbeat of the machine that runs the task, with an older attempt.
     let mut partition = partition_of(5, stored_records(&mut old).0, stored_records(&mut old).1);
     partition.heartbeat(
@@ -190,7 +190,7 @@
         StatusSource::DirectCommandReply,
         1200,
     );
-    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, attempt));
+    assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(0, attempt));
 }
 
 // A new machine must see this leader's fencing token before it gets tasks, and is probed at once to save time.
@@ -212,7 +212,7 @@
     );
     complete_all_commits(&mut partition, 1020, 101);
     partition.schedule(1030, 1030);
-    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, _)));
+    assert!(matches!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(0, _)));
 }
 
 // A task has two attempts, one of which is being stopped. When the other one is lost, the task still runs on a machine
@@ -233,10 +233,10 @@
     let place = |partition: &Partition, task: usize| partition.cluster.jobs[0].tasks[task].place;
     partition.schedule(1200, 1200);
     assert_eq!(place(&partition, 0), Place::Idle, "its attempt on h2 is still being stopped");
-    assert!(matches!(place(&partition, 1), Place::On(..)), "the other task has no attempt");
+    assert!(matches!(place(&partition, 1), Place::OnHost(..)), "the other task has no attempt");
     partition.heartbeat(&heartbeat("h2", 1, 2, 5, vec![]), StatusSource::Heartbeat, 1300);
     partition.schedule(1300, 1300);
-    assert!(matches!(place(&partition, 0), Place::On(..)));
+    assert!(matches!(place(&partition, 0), Place::OnHost(..)));
 }
 
 // A late increase of the fencing token makes the next commit fail on the partition's key. The changes of that commit
@@ -271,7 +271,7 @@
     assert_eq!(second(&partition), Place::Idle, "the cancelled job may still run on h1");
     partition.host_terminated("h1");
     partition.schedule(1300, 1300);
-    assert!(matches!(second(&partition), Place::On(..)), "it no longer counts against the limit");
+    assert!(matches!(second(&partition), Place::OnHost(..)), "it no longer counts against the limit");
 }
 
 // A creation was found recorded while another write of it was in flight. It was written once more, and its answer, 201,
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -237,12 +237,12 @@
             let (capacity_report, mut ops) =
                 self.provisioner.plan_partition(&mut self.partition, &pending_machines, now, now);
             self.provisioner.process_list(&[], &self.partition, now);
-            ops.extend(self.provisioner.distribute(capacity_report, &self.partition, now, 5000));
+            ops.extend(self.provisioner.distribute_machines(capacity_report, &self.partition, now, 5000));
             for op in ops {
                 if let CloudRequest::ScaleOut { name, .. } = op {
                     self.rentals += 1;
                     // This cloud has no capacity beyond the machines that are up.
-                    self.provisioner.scale_out_answered(&name, RentResult::NoCapacity, now);
+                    self.provisioner.apply_scale_out_result(&name, RentResult::NoCapacity, now);
                 }
             }
         }
--- a/src/control/partition/tests/followed_cancellations.rs
+++ b/src/control/partition/tests/followed_cancellations.rs
@@ -165,10 +165,10 @@
 fn a_thousand_dependents_become_active_with_one_end() {
     let (mut partition, ids) = thousand_dependents();
     partition.schedule(1001, 1001);
-    assert_eq!(partition.cluster.live.len(), 1);
+    assert_eq!(partition.cluster.runnable_jobs.len(), 1);
     report_ended(&mut partition, FIRST, 2);
     commit_all(&mut partition, 2000);
-    assert_eq!(partition.cluster.live.len(), 1000);
+    assert_eq!(partition.cluster.runnable_jobs.len(), 1000);
     assert!(ids.iter().all(|id| job(&partition, id).active()));
     assert_eq!(partition.waiting_jobs(), 0);
 }
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -162,7 +162,11 @@
 pub fn stored_records(partition: &mut Partition) -> (Vec<Item>, Vec<Item>) {
     let item = |key, value, version| Item { key, value, version };
     let job = |job: &Job| {
-        item(job_key(&job.spec.id), serde_json::to_value(JobRecord::of(job, None, MAX_RECORD_BYTES)).unwrap(), 100)
+        item(
+            job_key(&job.spec.id),
+            serde_json::to_value(JobRecord::from_job(job, None, MAX_RECORD_BYTES)).unwrap(),
+            100,
+        )
     };
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
     let host = |(_, host): (HostIndex, &Host)| item(host_key(&host.id), serde_json::to_value(&record).unwrap(), 90);
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -34,7 +34,7 @@
                 && host.images.iter().all(|image| image.name != slot.image)
             {
                 let ready = slot.state == badgerdrift_warm_pools::SlotState::Idle;
-                host.images.push(CachedImage { name: slot.image.clone(), gb: slot.size_gb, used_ms: now, ready });
+                host.images.push(CachedImage { name: slot.image.clone(), size_gb: slot.size_gb, used_ms: now, ready });
             }
         }
     }
@@ -109,7 +109,7 @@
     fn claim_recorded(&mut self, attempt: u64) {
         let attempts = self.cluster.hosts.iter_mut().flatten().flat_map(|host| host.attempts.iter_mut());
         for candidate in attempts.filter(|candidate| candidate.attempt == attempt) {
-            candidate.awaits_record = false;
+            candidate.start_awaits_record = false;
         }
     }
 }
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -46,7 +46,7 @@
     fn remove_unordered_attempt(&mut self, attempt: u64) {
         let found = self.cluster.each_host().find_map(|(host_index, host)| {
             let candidate =
-                host.attempts.iter().find(|candidate| candidate.attempt == attempt && candidate.awaits_record)?;
+                host.attempts.iter().find(|candidate| candidate.attempt == attempt && candidate.start_awaits_record)?;
             Some((host_index, candidate.key))
         });
         if let Some((host_index, key)) = found {
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -58,7 +58,7 @@
         let host = self.cluster.host_mut(placed.host);
         let Some(attempt) = host.and_then(|host| host.attempt_mut(placed.key, placed.attempt)) else { return };
         // If the claim failed, the task starts as usual in the capacity that the slot held.
-        attempt.awaits_record = claimed.is_ok();
+        attempt.start_awaits_record = claimed.is_ok();
         attempt.slot = (claimed.is_ok() && loaded).then_some(placed.slot);
     }
 }
@@ -73,7 +73,7 @@
             demand: demand(&slot.amounts),
             offer,
             warm: slot.state == SlotState::Idle,
-            may_yield: slot.is_available(),
+            releasable: slot.is_available(),
         }
     }
 
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -247,7 +247,7 @@
         leadership.loaded = true;
         tracing::info!(
             %fencing_token,
-            jobs = leadership.partition.cluster().live.len(),
+            jobs = leadership.partition.cluster().runnable_jobs.len(),
             hosts = leadership.partition.cluster().host_index.len(),
             "partition records loaded"
         );
--- a/src/control/partition_leader/cloud.rs
+++ b/src/control/partition_leader/cloud.rs
@@ -68,7 +68,7 @@
 
     /// Handles the outcome of a scale-out request.
     pub(super) fn scale_out_ended(&self, leadership: &mut Leadership, name: &str, result: RentResult, now: u64) {
-        if let Some(request) = leadership.provisioner.scale_out_answered(name, result, now) {
+        if let Some(request) = leadership.provisioner.apply_scale_out_result(name, result, now) {
             self.send_cloud_request(leadership, request);
         }
     }
@@ -80,7 +80,7 @@
             self.send_cloud_request(leadership, CloudRequest::Terminate(hosts));
             return;
         }
-        leadership.provisioner.hosts_terminated(&hosts);
+        leadership.provisioner.confirm_termination(&hosts);
         for id in &hosts {
             if let Some(addr) = leadership
                 .partition
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -77,7 +77,7 @@
             wall_ms,
         );
         if self.id == PROVISIONER_PARTITION {
-            requests.extend(leadership.provisioner.distribute(
+            requests.extend(leadership.provisioner.distribute_machines(
                 capacity_report,
                 &leadership.partition,
                 now,
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -45,7 +45,7 @@
         capacity_report: CapacityReport,
         now: u64,
     ) -> PeerResponse {
-        let (pending_machines, refused) = leadership.provisioner.answer_capacity_report(
+        let (pending_machines, refused) = leadership.provisioner.handle_capacity_report(
             capacity_report,
             &leadership.partition,
             now,
@@ -69,7 +69,7 @@
             Some(std::iter::repeat_n(machine, machines.count))
         });
         leadership.pending_machines = pending.flatten().collect();
-        leadership.provisioner.set_refused(refused, &leadership.partition, now + self.report_validity_ms());
+        leadership.provisioner.set_refused_offerings(refused, &leadership.partition, now + self.report_validity_ms());
     }
 
     /// Handles a user's request. A submission that cannot be recorded now is refused at once.
--- a/src/model/borrowing.rs
+++ b/src/model/borrowing.rs
@@ -11,20 +11,20 @@
     /// Settings of borrowing, among them which team may lend to which.
     pub settings: Arc<BorrowingSettings>,
     /// Reason why no loan can be made at present; `None` if loans can be made.
-    pub closed: Option<Refusal>,
+    pub refusal: Option<Refusal>,
     /// Amounts that the runnable jobs of each team could use now, by team.
     pub runnable: BTreeMap<String, Amounts>,
     /// Amounts that each team lends to others, by lender.
-    pub lent: BTreeMap<String, Amounts>,
+    pub lent_by_team: BTreeMap<String, Amounts>,
     /// Amounts of the outstanding loans, by lender and borrower.
-    pub owed: BTreeMap<(String, String), Amounts>,
+    pub owed_by_pair: BTreeMap<(String, String), Amounts>,
     /// Jobs that were recently preempted for a loan; other jobs are preempted before them.
-    pub quiet: HashSet<JobIndex>,
+    pub recently_preempted: HashSet<JobIndex>,
     /// True if capacity is reserved for whole teams. A job may then fit where a job of another team with
     /// the same requirements does not.
     pub reserves_for_teams: bool,
     /// Number of tasks, by job, that are placed first because lent capacity is being returned to them.
-    pub returning: HashMap<JobIndex, u32>,
+    pub returning_tasks: HashMap<JobIndex, u32>,
 }
 
 /// Converts a demand into the amounts that team guarantees cover: CPU cores and accelerators.
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -5,7 +5,7 @@
 
 /// Capacity that future jobs of a class are expected to need.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reserve {
+pub struct ExpectedDemand {
     /// Name of the job class.
     pub class: String,
     /// Whether the class can run on an instance type, by index in `ClusterState::instance_types`.
@@ -16,7 +16,7 @@
     pub tasks: f64,
 }
 
-impl Reserve {
+impl ExpectedDemand {
     /// Returns whether the class can run on exactly one instance type.
     pub fn single_instance_type(&self) -> bool {
         self.instance_types.iter().filter(|allowed| **allowed).count() == 1
@@ -47,7 +47,7 @@
 
 /// State of one partition, as its leader knows it.
 ///
-/// Invariants: indices of jobs and machines are never reused; `live`, `job_index` and `host_index` are
+/// Invariants: indices of jobs and machines are never reused; `runnable_jobs`, `job_index` and `host_index` are
 /// consistent with `jobs` and `hosts`.
 #[derive(Debug, Default)]
 pub struct ClusterState {
@@ -62,17 +62,17 @@
     /// Instance types that the cloud offers.
     pub instance_types: Vec<InstanceType>,
     /// Jobs that have not ended and do not wait for other jobs.
-    pub live: Vec<JobIndex>,
+    pub runnable_jobs: Vec<JobIndex>,
     /// Warm reservations of the pools; empty if no pools are configured.
     pub warm_reservations: Vec<WarmReservation>,
     /// Loans between teams; `None` if borrowing is disabled.
     pub borrowing: Option<BorrowingState>,
     /// Capacity that future jobs are expected to need, by class.
-    pub reserves: Vec<Reserve>,
+    pub expected_demands: Vec<ExpectedDemand>,
     /// Indices of the instance types of which the cloud has no machines left.
-    pub exhausted: Vec<usize>,
+    pub exhausted_instance_types: Vec<usize>,
     /// True if the last cycle found no capacity for a job that uses accelerators and may not wait long.
-    pub accelerators_short: bool,
+    pub accelerators_insufficient: bool,
     /// Steady time, in milliseconds, of the last scheduling cycle that left a job pending.
     pub last_pending_ms: u64,
     /// Total capacity of the unreconciled machines.
@@ -89,7 +89,7 @@
         let job_index = self.jobs.len();
         self.job_index.insert(job.spec.id.clone(), job_index);
         if job.end.is_none() && !job.waiting {
-            self.live.push(job_index);
+            self.runnable_jobs.push(job_index);
         }
         self.jobs.push(job);
         job_index
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -97,10 +97,10 @@
     /// Number of consecutive direct commands without an answer.
     pub unanswered_probes: u32,
     /// True while a direct command to the machine is in flight.
-    pub do_in_flight: bool,
+    pub command_in_flight: bool,
     /// Steady time, in milliseconds, before which no further direct command is sent (retry after); 0 if
     /// there is no delay.
-    pub do_after_ms: u64,
+    pub next_command_ms: u64,
     /// Steady time, in milliseconds, before which no task is placed on the machine because it refused one;
     /// 0 if it refused none.
     pub blocked_until_ms: u64,
@@ -112,7 +112,7 @@
     /// it became known.
     pub idle_since_ms: u64,
     /// Steady time, in milliseconds, at which the machine became known to this leader.
-    pub up_ms: u64,
+    pub known_since_ms: u64,
     /// Task attempts that are, or may be, on the machine.
     pub attempts: Vec<TaskAttempt>,
     /// Capacity on the machine that is reserved for jobs and teams.
@@ -146,13 +146,13 @@
             loads_models: false,
             draining: false,
             unanswered_probes: 0,
-            do_in_flight: false,
-            do_after_ms: 0,
+            command_in_flight: false,
+            next_command_ms: 0,
             blocked_until_ms: 0,
             failed_jobs: HashSet::new(),
             succeeded_elsewhere: false,
             idle_since_ms: now,
-            up_ms: now,
+            known_since_ms: now,
             attempts: Vec::new(),
             reservations: Vec::new(),
             images: Vec::new(),
--- a/src/model/image_cache.rs
+++ b/src/model/image_cache.rs
@@ -14,7 +14,7 @@
     /// Name of the image.
     pub name: String,
     /// Size in gigabytes.
-    pub gb: f64,
+    pub size_gb: f64,
     /// Steady time, in milliseconds, at which a task last needed the image.
     pub used_ms: u64,
     /// False while the image is being fetched.
@@ -26,7 +26,7 @@
     /// fetches `rate` gigabytes per second.
     pub fn fetch_s(&self, image: &str, gb: f64, rate: f64) -> f64 {
         let rate = rate.max(MIN_FETCH_GB_PER_S);
-        let in_progress_gb: f64 = self.images.iter().filter(|cached| !cached.ready).map(|cached| cached.gb).sum();
+        let in_progress_gb: f64 = self.images.iter().filter(|cached| !cached.ready).map(|cached| cached.size_gb).sum();
         match self.images.iter().find(|cached| cached.name == image) {
             Some(cached) if cached.ready => 0.0,
             Some(_) => in_progress_gb / rate * REMAINING_FETCH_SHARE,
@@ -39,13 +39,13 @@
     pub fn use_image(&mut self, image: &str, gb: f64, cache_gb: f64, now: u64) {
         match self.images.iter_mut().find(|cached| cached.name == image) {
             Some(cached) => cached.used_ms = now,
-            None => self.images.push(CachedImage { name: image.into(), gb, used_ms: now, ready: false }),
+            None => self.images.push(CachedImage { name: image.into(), size_gb: gb, used_ms: now, ready: false }),
         }
-        let mut total_gb: f64 = self.images.iter().map(|cached| cached.gb).sum();
+        let mut total_gb: f64 = self.images.iter().map(|cached| cached.size_gb).sum();
         while total_gb > cache_gb && self.images.len() > 1 {
             let others = (0..self.images.len()).filter(|position| self.images[*position].name != image);
             let Some(oldest) = others.min_by_key(|position| self.images[*position].used_ms) else { return };
-            total_gb -= self.images.remove(oldest).gb;
+            total_gb -= self.images.remove(oldest).size_gb;
         }
     }
 
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -123,7 +123,10 @@
     /// Creates a job none of whose tasks is placed. `accepted_ms` is wall time, `now` is steady time, both in
     /// milliseconds.
     pub fn new(spec: Spec, accepted_ms: u64, now: u64) -> Job {
-        let tasks = vec![Task { place: Place::Idle, located: false, fails: 0, retry_ms: 0 }; spec.tasks as usize];
+        let tasks = vec![
+            Task { place: Place::Idle, located_by_leader: false, failures: 0, retry_after_ms: 0 };
+            spec.tasks as usize
+        ];
         Job {
             waiting: !spec.dependencies.is_empty(),
             urgency: spec.urgency,
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -21,14 +21,14 @@
 mod warm_reservation;
 
 pub use borrowing::BorrowingState;
-pub use cluster::{ClusterState, InstanceKind, Reserve};
+pub use cluster::{ClusterState, ExpectedDemand, InstanceKind};
 pub use dependencies::Dependencies;
 pub use fencing_token::FencingToken;
 pub use host::{Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
 pub use image_cache::CachedImage;
 pub use instance_type::{InstanceOffering, InstanceType};
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
-pub use records::{HostRecord, JobRecord, ranges};
+pub use records::{HostRecord, JobRecord, done_ranges};
 pub use resources::Demand;
 pub use spec::{Shape, Spec, Urgency};
 pub use task::{ExitReason, Place, Task, TaskAttempt, TaskKey, TaskPhase};
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -20,12 +20,12 @@
 
 impl JobRecord {
     /// Creates the record of `job` for a stored value of at most `max_bytes` bytes, with as many of the
-    /// widest_ranges ranges of done tasks as fit. The tasks of an omitted range may run once more, but their results
+    /// widest ranges of done tasks as fit. The tasks of an omitted range may run once more, but their results
     /// are kept.
     ///
     /// Returns `None` if the description of a job that has not ended is too large by itself, because it was
     /// accepted under a larger limit. A too large description of a job that has ended is abridged.
-    pub fn of(job: &Job, end: Option<JobEnd>, max_bytes: usize) -> Option<JobRecord> {
+    pub fn from_job(job: &Job, end: Option<JobEnd>, max_bytes: usize) -> Option<JobRecord> {
         let mut record = JobRecord { spec: job.spec.clone(), accepted_ms: job.accepted_ms, end, done: Vec::new() };
         if end.is_some() {
             if json_bytes(&record) > max_bytes {
@@ -34,7 +34,8 @@
             return Some(record);
         }
         let left_bytes = max_bytes.checked_sub(json_bytes(&record))?;
-        record.done = widest_ranges(ranges(job), (left_bytes / RANGE_BYTES).min((max_bytes / 2 / RANGE_BYTES).max(1)));
+        record.done =
+            widest_ranges(done_ranges(job), (left_bytes / RANGE_BYTES).min((max_bytes / 2 / RANGE_BYTES).max(1)));
         Some(record)
     }
 
@@ -86,7 +87,7 @@
 }
 
 /// Returns the numbers of the done tasks as ordered ranges of the first number and one past the last.
-pub fn ranges(job: &Job) -> Vec<(u32, u32)> {
+pub fn done_ranges(job: &Job) -> Vec<(u32, u32)> {
     let mut out: Vec<(u32, u32)> = Vec::new();
     for (number, task) in (0u32..).zip(&job.tasks) {
         if task.place == Place::Done {
--- a/src/model/task.rs
+++ b/src/model/task.rs
@@ -18,7 +18,7 @@
     /// The task is on no machine.
     Idle,
     /// The task is on this machine, as the attempt with this number.
-    On(HostIndex, u64),
+    OnHost(HostIndex, u64),
     /// The task is completed.
     Done,
 }
@@ -29,11 +29,11 @@
     /// Placement of the task.
     pub place: Place,
     /// True if this leader has started the task or seen it run. It is then on no unreconciled machine.
-    pub located: bool,
+    pub located_by_leader: bool,
     /// Number of failures so far, saturating at the largest value of the type.
-    pub fails: u16,
+    pub failures: u16,
     /// Steady time, in milliseconds, before which the task is not placed again; 0 if there is no delay.
-    pub retry_ms: u64,
+    pub retry_after_ms: u64,
 }
 
 /// Reason why an attempt ended, as its worker reports it.
@@ -101,7 +101,7 @@
     pub listed_sequence: u64,
     /// True while the attempt's claim of a warm reservation is not stored. The attempt must not be ordered
     /// before.
-    pub awaits_record: bool,
+    pub start_awaits_record: bool,
     /// Number of the pool slot whose loaded model the attempt takes over; `None` if it takes over none.
     pub slot: Option<u64>,
     /// True while the loan for which the attempt is to be stopped is not stored. The stop must not be
@@ -124,7 +124,7 @@
             indeterminate_order_token: None,
             in_flight: false,
             listed_sequence: 0,
-            awaits_record: false,
+            start_awaits_record: false,
             slot: None,
             stop_awaits_record: false,
         }
--- a/src/model/warm_reservation.rs
+++ b/src/model/warm_reservation.rs
@@ -40,7 +40,7 @@
     /// True if the model is loaded or the image is ready.
     pub warm: bool,
     /// True if the reservation may be released for other work.
-    pub may_yield: bool,
+    pub releasable: bool,
 }
 
 /// Start of a task on a warm reservation. The reservation ends with the claim.
--- a/src/provisioning/provisioner.rs
+++ b/src/provisioning/provisioner.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that the cloud has confirmed the return of these machines.
-    pub fn hosts_terminated(&mut self, ids: &[String]) {
+    pub fn confirm_termination(&mut self, ids: &[String]) {
         for id in ids {
             self.offering_by_host.remove(id);
             self.terminating.remove(id);
--- a/src/provisioning/provisioner/distribution.rs
+++ b/src/provisioning/provisioner/distribution.rs
@@ -36,7 +36,7 @@
 impl Provisioner {
     /// Processes the capacity report of another partition. Returns its pending machines and the offerings
     /// that the cloud refuses. Reports and transfers are valid for `report_ttl_ms`.
-    pub fn answer_capacity_report(
+    pub fn handle_capacity_report(
         &mut self,
         mut report: CapacityReport,
         partition: &Partition,
@@ -62,7 +62,7 @@
 
     /// Replaces the refused offerings by those that the provisioner of partition 0 has sent. They count as
     /// refused until `until_ms`.
-    pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
+    pub fn set_refused_offerings(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
         self.refused_offerings.clear();
         for machines in refused {
             if let Some(offering) = resolve_offering(partition.cluster(), machines) {
@@ -77,7 +77,7 @@
     ///
     /// Invariant: nothing is requested before a list was read that shows the requests of the previous leader,
     /// whose machines may still be booting.
-    pub fn distribute(
+    pub fn distribute_machines(
         &mut self,
         own: CapacityReport,
         partition: &Partition,
--- a/src/provisioning/provisioner/scale_out.rs
+++ b/src/provisioning/provisioner/scale_out.rs
@@ -45,7 +45,7 @@
 impl Provisioner {
     /// Processes the outcome of a request for machines. Returns the request if it is to be repeated; `None` if
     /// not, or if no request with this name is pending.
-    pub fn scale_out_answered(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudRequest> {
+    pub fn apply_scale_out_result(&mut self, name: &str, result: RentResult, now: u64) -> Option<CloudRequest> {
         let request = self.pending_scale_outs.get(name)?.clone();
         let scale_out = &request.scale_out;
         self.pending_counts.push(("rentals", outcome_label(&result, scale_out).to_string()));
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -43,7 +43,7 @@
     }
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
-    let (pending_machines, refused) = simulation.provisioner.answer_capacity_report(
+    let (pending_machines, refused) = simulation.provisioner.handle_capacity_report(
         capacity_report,
         &simulation.partition,
         simulation.now,
@@ -62,7 +62,7 @@
     simulation.provisioner.pending_scale_outs.insert("r-1-1".into(), PendingScaleOut::new(1, request));
     let capacity_report =
         CapacityReport { partition: 1, lowest_bin: None, assumed: 0, wanted: Vec::new(), spare: Vec::new() };
-    let (pending_machines, _) = simulation.provisioner.answer_capacity_report(
+    let (pending_machines, _) = simulation.provisioner.handle_capacity_report(
         capacity_report,
         &simulation.partition,
         simulation.now,
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -156,7 +156,12 @@
         let pending_machines = self.provisioner.pending_machines(0, &self.partition, self.now, REPORT_TTL_MS);
         let (capacity_report, mut requests) =
             self.provisioner.plan_partition(&mut self.partition, &pending_machines, self.now, self.now);
-        requests.extend(self.provisioner.distribute(capacity_report, &self.partition, self.now, REPORT_TTL_MS));
+        requests.extend(self.provisioner.distribute_machines(
+            capacity_report,
+            &self.partition,
+            self.now,
+            REPORT_TTL_MS,
+        ));
         requests
     }
 
@@ -170,11 +175,11 @@
                     let ids: Vec<String> =
                         (0..scale_out.count).map(|_| self.add_machine(&scale_out.offering.zone)).collect();
                     self.requested_ids.extend(ids.clone());
-                    self.provisioner.scale_out_answered(&name, RentResult::Rented(ids), self.now);
+                    self.provisioner.apply_scale_out_result(&name, RentResult::Rented(ids), self.now);
                 }
                 CloudRequest::Terminate(ids) => {
                     ids.iter().for_each(|id| drop(self.machines.remove(id)));
-                    self.provisioner.hosts_terminated(&ids);
+                    self.provisioner.confirm_termination(&ids);
                     ids.iter().for_each(|id| self.partition.host_terminated(id));
                 }
                 CloudRequest::TransferHost { .. } => panic!("there is only one partition"),
@@ -192,7 +197,7 @@
             .map(|request| request.1.clone())
             .collect();
         for name in sent {
-            let repeated = self.provisioner.scale_out_answered(&name, RentResult::Again, now);
+            let repeated = self.provisioner.apply_scale_out_result(&name, RentResult::Again, now);
             self.execute(repeated.into_iter().collect());
         }
     }
@@ -236,7 +241,7 @@
         let request = scale_out(zone, 1);
         let name = format!("of-{id}");
         self.provisioner.pending_scale_outs.insert(name.clone(), PendingScaleOut::new(0, request));
-        self.provisioner.scale_out_answered(&name, RentResult::Rented(vec![id.into()]), self.now);
+        self.provisioner.apply_scale_out_result(&name, RentResult::Rented(vec![id.into()]), self.now);
     }
 
     pub(super) fn report_up(&mut self, id: &str) {
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -173,7 +173,7 @@
         victim: JobIndex,
         planned: &PlannedStops,
     ) -> Result<LoanKind, Refusal> {
-        if let Some(refusal) = borrowing.closed {
+        if let Some(refusal) = borrowing.refusal {
             return Err(refusal);
         }
         if !self.keeps_floor(victim, planned) {
@@ -295,12 +295,12 @@
     /// Returns how many tasks of the job are placed first because their lent capacity is being returned.
     pub(super) fn returning_tasks(&self, job_index: JobIndex) -> u32 {
         let borrowing = self.cluster.borrowing.as_ref();
-        borrowing.and_then(|borrowing| borrowing.returning.get(&job_index)).copied().unwrap_or(0)
+        borrowing.and_then(|borrowing| borrowing.returning_tasks.get(&job_index)).copied().unwrap_or(0)
     }
 
     /// Returns whether the job was recently preempted for a loan.
     pub(super) fn recently_preempted_for_loan(&self, job_index: JobIndex) -> bool {
-        self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.quiet.contains(&job_index))
+        self.cluster.borrowing.as_ref().is_some_and(|borrowing| borrowing.recently_preempted.contains(&job_index))
     }
 
     /// Returns the seconds of work that are lost if the attempt is stopped.
--- a/src/scheduling/cycle/cost.rs
+++ b/src/scheduling/cycle/cost.rs
@@ -61,7 +61,7 @@
         let taken = request
             .reserve_penalties
             .iter()
-            .filter(|penalty| penalty.reserve.loses(host_info.instance_type, &before, &after));
+            .filter(|penalty| penalty.expected_demand.loses(host_info.instance_type, &before, &after));
         cost += taken.map(|penalty| penalty.cost).fold(0.0, f64::max);
         cost += self.market_cost(request, host);
         cost += self.sharing_cost(request, host_index);
--- a/src/scheduling/cycle/expected_releases.rs
+++ b/src/scheduling/cycle/expected_releases.rs
@@ -46,7 +46,7 @@
     fn expected_releases_by_size(&self) -> Vec<ExpectedReleases> {
         let react_s = self.policy.react_ms as f64 / 1000.0;
         let mut releases: Vec<ExpectedReleases> = Vec::new();
-        for job_index in &self.cluster.live {
+        for job_index in &self.cluster.runnable_jobs {
             let spec = &self.cluster.jobs[*job_index].spec;
             if spec.shape != Shape::Batch || spec.expected_s <= 0.0 {
                 continue;
--- a/src/scheduling/cycle/free_capacity.rs
+++ b/src/scheduling/cycle/free_capacity.rs
@@ -109,7 +109,7 @@
     pub(super) fn pending_tasks(&self, request: &PlacementRequest) -> usize {
         let job = &self.cluster.jobs[request.job_index];
         let placeable = self.cluster.placeable_tasks(job);
-        let pending = |task: &&Task| task.retry_ms <= self.now && placeable.includes(task);
+        let pending = |task: &&Task| task.retry_after_ms <= self.now && placeable.includes(task);
         job.tasks.iter().filter(pending).count()
     }
 
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -30,7 +30,9 @@
 use super::Policy;
 use super::index::CapacityIndex;
 use super::task_requirements::TaskRequirements;
-use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, Shape, TaskKey, Urgency, WarmReservationClaim};
+use crate::model::{
+    ClusterState, Demand, ExpectedDemand, HostIndex, JobIndex, Shape, TaskKey, Urgency, WarmReservationClaim,
+};
 use badgerdrift_borrowing::Refusal;
 use borrowing::BorrowingDecisions;
 pub use borrowing::StopCause;
@@ -147,7 +149,7 @@
     expire_reservations(cluster, now);
     if !queue::any_pending(cluster, now, min_urgency) {
         // With an empty queue, neither the index nor the sums by team are needed.
-        cluster.accelerators_short = false;
+        cluster.accelerators_insufficient = false;
         return CycleDecisions::default();
     }
     schedule_with_index(cluster, policy, now, wall, min_urgency, next_attempt).0
@@ -178,12 +180,13 @@
 /// Returns the classes that can run on one instance type only and for which that type has hardly any
 /// capacity left.
 fn scarce_classes(cluster: &ClusterState, index: &CapacityIndex) -> HashSet<String> {
-    let task_capacity = |reserve: &Reserve| -> f64 {
-        let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
-        hosts.map(|host| host.free.tasks_that_fit(&reserve.demand)).sum()
+    let task_capacity = |expected: &ExpectedDemand| -> f64 {
+        let hosts = index.hosts.iter().filter(|host| host.usable && expected.allows(host.instance_type));
+        hosts.map(|host| host.free.tasks_that_fit(&expected.demand)).sum()
     };
-    let scarce = cluster.reserves.iter().filter(|reserve| task_capacity(reserve) <= SCARCITY_RATIO * reserve.tasks);
-    scarce.map(|reserve| reserve.class.clone()).collect()
+    let scarce =
+        cluster.expected_demands.iter().filter(|expected| task_capacity(expected) <= SCARCITY_RATIO * expected.tasks);
+    scarce.map(|expected| expected.class.clone()).collect()
 }
 
 impl<'a> SchedulingCycle<'a> {
@@ -217,7 +220,7 @@
             let job = &self.cluster.jobs[*job_index];
             job.spec.demand.gpus > 0.0 && job.urgency >= Urgency::High
         };
-        self.cluster.accelerators_short = self.decisions.pending_jobs.iter().any(lacks_accelerators);
+        self.cluster.accelerators_insufficient = self.decisions.pending_jobs.iter().any(lacks_accelerators);
         self.decisions.hosts_examined = self.hosts_examined.get();
         let refused_loan = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: self.borrowing.refusal(*job)? });
         self.decisions.refused_loans = self.decisions.pending_jobs.iter().filter_map(refused_loan).collect();
--- a/src/scheduling/cycle/queue.rs
+++ b/src/scheduling/cycle/queue.rs
@@ -40,7 +40,10 @@
 
 /// Returns whether any job of at least this urgency has tasks to place.
 pub(super) fn any_pending(cluster: &ClusterState, now: u64, min_urgency: Urgency) -> bool {
-    cluster.live.iter().any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, min_urgency))
+    cluster
+        .runnable_jobs
+        .iter()
+        .any(|job_index| has_pending_tasks(cluster, &cluster.jobs[*job_index], now, min_urgency))
 }
 
 /// Returns whether the job has at least this urgency and tasks to place.
@@ -51,15 +54,15 @@
     // A task that an unreconciled machine may run is not placed. A task located since then is certain to
     // run on no other machine.
     let placeable = cluster.placeable_tasks(job);
-    job.tasks.iter().any(|task| task.retry_ms <= now && placeable.includes(task))
+    job.tasks.iter().any(|task| task.retry_after_ms <= now && placeable.includes(task))
 }
 
 impl SchedulingCycle<'_> {
     /// Returns the jobs with tasks to place. Higher urgency comes first, since preemption would reverse any
     /// other order; then work within guarantees, then the lowest deadline bin, then the oldest job.
     pub(super) fn queue(&self, min_urgency: Urgency) -> Vec<QueuedJob> {
-        let live = self.cluster.live.iter().copied();
-        let pending = live
+        let runnable = self.cluster.runnable_jobs.iter().copied();
+        let pending = runnable
             .filter(|job_index| has_pending_tasks(self.cluster, &self.cluster.jobs[*job_index], self.now, min_urgency));
         let mut queue: Vec<QueueRank> = pending.flat_map(|job_index| self.queue_ranks(job_index)).collect();
         queue.sort_unstable();
--- a/src/scheduling/cycle/request.rs
+++ b/src/scheduling/cycle/request.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::queue::QueueTier;
-use crate::model::{HostIndex, InstanceType, Job, JobIndex, Reserve, Shape, Spec};
+use crate::model::{ExpectedDemand, HostIndex, InstanceType, Job, JobIndex, Shape, Spec};
 use crate::scheduling::task_requirements::TaskRequirements;
 use std::collections::HashSet;
 
@@ -15,7 +15,7 @@
 
 /// Cost of taking capacity that a class is expected to need.
 pub(super) struct ReservePenalty {
-    pub(super) reserve: Reserve,
+    pub(super) expected_demand: ExpectedDemand,
     pub(super) cost: f64,
 }
 
@@ -99,22 +99,27 @@
     /// it.
     fn reserve_penalties(&self, spec: &Spec) -> Vec<ReservePenalty> {
         let without_gpus = spec.demand.gpus <= 0.0;
-        let affects = |reserve: &&Reserve| {
-            reserve.class != spec.class
-                && (reserve.single_instance_type() || (without_gpus && reserve.demand.gpus > 0.0))
+        let affects = |expected_demand: &&ExpectedDemand| {
+            expected_demand.class != spec.class
+                && (expected_demand.single_instance_type() || (without_gpus && expected_demand.demand.gpus > 0.0))
         };
-        let cost = |reserve: &Reserve| {
-            if self.scarce_classes.contains(&reserve.class) { SCARCE_RESERVE_PENALTY } else { RESERVE_PENALTY }
+        let cost = |expected_demand: &ExpectedDemand| {
+            if self.scarce_classes.contains(&expected_demand.class) { SCARCE_RESERVE_PENALTY } else { RESERVE_PENALTY }
         };
-        let reserves = self.cluster.reserves.iter().filter(affects);
-        reserves.map(|reserve| ReservePenalty { reserve: reserve.clone(), cost: cost(reserve) }).collect()
+        let expected_demands = self.cluster.expected_demands.iter().filter(affects);
+        expected_demands
+            .map(|expected_demand| ReservePenalty {
+                expected_demand: expected_demand.clone(),
+                cost: cost(expected_demand),
+            })
+            .collect()
     }
 
     /// Returns whether the job must leave machines with accelerators to work that needs them.
     fn must_avoid_accelerators(&self, job: &Job) -> bool {
         let spec = &job.spec;
         spec.demand.gpus <= 0.0
-            && self.cluster.accelerators_short
+            && self.cluster.accelerators_insufficient
             && self.wall < job.ready_ms + self.boot_ms(spec)
             && self.cpu_host_may_become_available(spec)
     }
@@ -124,7 +129,7 @@
         let available = |(index, instance_type): (usize, &InstanceType)| {
             instance_type.cap.gpus <= 0.0
                 && spec.allows_instance_type(instance_type)
-                && !self.cluster.exhausted.contains(&index)
+                && !self.cluster.exhausted_instance_types.contains(&index)
         };
         self.cluster.instance_types.iter().enumerate().any(available)
     }
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -31,8 +31,8 @@
     pub(super) fn start(&mut self, key: TaskKey, host_index: HostIndex, attempt: u64) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
-        task.place = Place::On(host_index, attempt);
-        task.located = true;
+        task.place = Place::OnHost(host_index, attempt);
+        task.located_by_leader = true;
         job.image_wait_until_ms = 0;
         self.index.record_start(&job.spec, key.job, host_index);
         self.borrowing.record_start(key.job, job.spec.demand);
@@ -73,7 +73,7 @@
         let mut tasks_examined = 0;
         for task_number in 0..self.cluster.jobs[job_index].tasks.len() as u32 {
             let task = self.cluster.jobs[job_index].tasks[task_number as usize];
-            if task.retry_ms > self.now || !placeable.includes(&task) || stray_tasks.contains(&task_number) {
+            if task.retry_after_ms > self.now || !placeable.includes(&task) || stray_tasks.contains(&task_number) {
                 continue;
             }
             if self.must_wait(request, tasks_examined) {
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -47,7 +47,7 @@
                 })
             })
             .collect();
-        for ((lender, borrower), owed) in &borrowing.owed {
+        for ((lender, borrower), owed) in &borrowing.owed_by_pair {
             let (Some(lender), Some(borrower)) =
                 (team_indices.get(lender.as_str()), team_indices.get(borrower.as_str()))
             else {
@@ -90,7 +90,7 @@
     TeamEntry {
         name: name.to_string(),
         share: TeamShare { guarantee, runnable: amounts_of(&borrowing.runnable), in_use },
-        lent: amounts_of(&borrowing.lent),
+        lent: amounts_of(&borrowing.lent_by_team),
         max_lent_gpus: borrowing.settings.most_gpus(name, guarantee),
         borrowed: Amounts::default(),
         debtors: Vec::new(),
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -55,7 +55,7 @@
     /// or within the guarantee of its team. Reservations within the guarantee of their payer are kept.
     /// Returns whether capacity was released.
     pub(super) fn release_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
-        if !self.cluster.warm_reservations.iter().any(|reservation| reservation.may_yield) {
+        if !self.cluster.warm_reservations.iter().any(|reservation| reservation.releasable) {
             return false;
         }
         let job = &self.cluster.jobs[request.job_index];
@@ -88,7 +88,8 @@
         let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
         let reservations = self.cluster.warm_reservations.iter();
-        for reservation in reservations.filter(|reservation| reservation.may_yield && !kept.contains(&reservation.slot))
+        for reservation in
+            reservations.filter(|reservation| reservation.releasable && !kept.contains(&reservation.slot))
         {
             by_host.entry(reservation.host).or_default().push(reservation);
         }
--- a/src/scheduling/plan/bin_packing.rs
+++ b/src/scheduling/plan/bin_packing.rs
@@ -1,7 +1,7 @@
 //! Bin packing: tasks are packed into existing and pending machines, and the rest into new ones.
 
 use super::{Availability, AvailabilityFn};
-use crate::model::{ClusterState, Demand, HostIndex, InstanceOffering, Reserve, Spec};
+use crate::model::{ClusterState, Demand, ExpectedDemand, HostIndex, InstanceOffering, Spec};
 use crate::scheduling::index::CapacityIndex;
 use crate::scheduling::task_requirements::{TaskRequirements, ZoneCounts};
 use std::collections::HashSet;
@@ -197,6 +197,7 @@
     }
     let mut after = *free;
     after.sub(&spec.demand);
-    let loses_place = |reserve: &Reserve| reserve.demand.gpus > 0.0 && reserve.loses(instance_type, free, &after);
-    cluster.reserves.iter().any(loses_place)
+    let loses_place =
+        |expected: &ExpectedDemand| expected.demand.gpus > 0.0 && expected.loses(instance_type, free, &after);
+    cluster.expected_demands.iter().any(loses_place)
 }
--- a/src/scheduling/plan/headroom.rs
+++ b/src/scheduling/plan/headroom.rs
@@ -1,15 +1,15 @@
 //! Headroom: capacity that is kept free for arrivals while a machine boots.
 
 use super::ClassArrivals;
-use crate::model::{ClusterState, Reserve};
+use crate::model::{ClusterState, ExpectedDemand};
 use crate::scheduling::Policy;
 
 /// Share of starts that must be met for a class without a start objective.
 const DEFAULT_SHARE: f64 = 0.9;
 
-/// Returns the reserves, one per class, that follow from the observed arrivals.
-pub fn reserves(cluster: &ClusterState, policy: &Policy, arrivals: &[ClassArrivals]) -> Vec<Reserve> {
-    let reserve = |class_arrivals: &ClassArrivals| Reserve {
+/// Returns the expected demands, one per class, that follow from the observed arrivals.
+pub fn expected_demands(cluster: &ClusterState, policy: &Policy, arrivals: &[ClassArrivals]) -> Vec<ExpectedDemand> {
+    let expected_demand = |class_arrivals: &ClassArrivals| ExpectedDemand {
         class: class_arrivals.spec.class.clone(),
         instance_types: cluster
             .instance_types
@@ -19,7 +19,7 @@
         demand: class_arrivals.spec.demand,
         tasks: headroom_tasks(cluster, policy, class_arrivals) as f64,
     };
-    arrivals.iter().map(reserve).collect()
+    arrivals.iter().map(expected_demand).collect()
 }
 
 /// Returns the number of tasks of a class for which capacity is kept free. It covers the variation of both
--- a/src/scheduling/plan/mod.rs
+++ b/src/scheduling/plan/mod.rs
@@ -7,7 +7,7 @@
 
 pub use bin_packing::strands_accelerators;
 pub use drain::{Drain, Migration};
-pub use headroom::reserves;
+pub use headroom::expected_demands;
 
 use super::index::CapacityIndex;
 use super::{Policy, is_joining};
--- a/src/scheduling/task_locations.rs
+++ b/src/scheduling/task_locations.rs
@@ -24,7 +24,7 @@
         task.place == Place::Idle
             && match self {
                 PlaceableTasks::All => true,
-                PlaceableTasks::Located => task.located,
+                PlaceableTasks::Located => task.located_by_leader,
                 PlaceableTasks::None => false,
             }
     }
@@ -53,7 +53,7 @@
             return PlaceableTasks::All;
         }
         let has_zone_constraints = job.spec.spread || job.spec.one_zone;
-        if has_zone_constraints && !job.tasks.iter().all(|task| task.located || task.place == Place::Done) {
+        if has_zone_constraints && !job.tasks.iter().all(|task| task.located_by_leader || task.place == Place::Done) {
             return PlaceableTasks::None;
         }
         PlaceableTasks::Located
@@ -90,8 +90,8 @@
         let reconciled = self.reconciled_for(job);
         !on_machines.contains(&job_index)
             && job.tasks.iter().all(|task| match task.place {
-                Place::On(..) => false,
-                Place::Idle => reconciled || task.located,
+                Place::OnHost(..) => false,
+                Place::Idle => reconciled || task.located_by_leader,
                 Place::Done => true,
             })
     }
@@ -103,9 +103,10 @@
         if self.all_reconciled {
             return by_team;
         }
-        let live = self.live.iter().map(|job_index| &self.jobs[*job_index]);
-        for job in live.filter(|job| !self.reconciled_for(job)) {
-            let unlocated = job.tasks.iter().filter(|task| task.place == Place::Idle && !task.located).count();
+        let runnable = self.runnable_jobs.iter().map(|job_index| &self.jobs[*job_index]);
+        for job in runnable.filter(|job| !self.reconciled_for(job)) {
+            let unlocated =
+                job.tasks.iter().filter(|task| task.place == Place::Idle && !task.located_by_leader).count();
             by_team.entry(job.spec.team.clone()).or_default().add(&job.spec.demand.times(unlocated as f64));
         }
         let capacity = self.unreconciled;
--- a/src/scheduling/tests/borrowing.rs
+++ b/src/scheduling/tests/borrowing.rs
@@ -66,13 +66,13 @@
     policy: Policy,
     settings: Arc<BorrowingSettings>,
     /// Amounts lent, by lender.
-    lent: BTreeMap<String, Amounts>,
+    lent_by_team: BTreeMap<String, Amounts>,
     /// Amounts owed, by lender and borrower.
-    owed: BTreeMap<(String, String), Amounts>,
+    owed_by_pair: BTreeMap<(String, String), Amounts>,
     /// Jobs that were preempted for a loan recently.
-    quiet: Vec<JobIndex>,
+    recently_preempted: Vec<JobIndex>,
     /// Jobs whose capacity is being returned, with the number of tasks to place first.
-    returning: Vec<(JobIndex, u32)>,
+    returning_tasks: Vec<(JobIndex, u32)>,
     reserves_for_teams: bool,
     next_attempt: u64,
 }
@@ -92,10 +92,10 @@
             cluster,
             policy,
             settings: Arc::new(mutual_lending()),
-            lent: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            quiet: Vec::new(),
-            returning: Vec::new(),
+            lent_by_team: BTreeMap::new(),
+            owed_by_pair: BTreeMap::new(),
+            recently_preempted: Vec::new(),
+            returning_tasks: Vec::new(),
             reserves_for_teams: false,
             next_attempt: 0,
         }
@@ -141,13 +141,13 @@
         let runnable = TEAMS.map(|team| (team.to_string(), Amounts::new(0.0, self.wanted(team))));
         self.cluster.borrowing = Some(crate::model::BorrowingState {
             settings: self.settings.clone(),
-            closed: None,
+            refusal: None,
             runnable: runnable.into(),
-            lent: self.lent.clone(),
-            owed: self.owed.clone(),
+            lent_by_team: self.lent_by_team.clone(),
+            owed_by_pair: self.owed_by_pair.clone(),
             reserves_for_teams: self.reserves_for_teams,
-            quiet: self.quiet.iter().copied().collect(),
-            returning: self.returning.iter().copied().collect(),
+            recently_preempted: self.recently_preempted.iter().copied().collect(),
+            returning_tasks: self.returning_tasks.iter().copied().collect(),
         });
         let next_attempt = &mut self.next_attempt;
         let outcome = schedule(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
@@ -159,9 +159,9 @@
             let borrower = self.cluster.jobs[stop.preempting_job].spec.team.clone();
             let amounts = Amounts::from(self.cluster.jobs[stop.key.job].spec.demand);
             if stop.cause == StopCause::Loan(LoanKind::Borrowed) {
-                let lent = self.lent.entry(lender.clone()).or_default();
+                let lent = self.lent_by_team.entry(lender.clone()).or_default();
                 *lent = lent.plus(amounts);
-                let owed = self.owed.entry((lender, borrower)).or_default();
+                let owed = self.owed_by_pair.entry((lender, borrower)).or_default();
                 *owed = owed.plus(amounts);
             }
         }
@@ -300,7 +300,7 @@
     let mut fleet = Fleet::new(2, [0, 0, 0]);
     let first = fleet.run(&work(1, Shape::Batch, Urgency::Normal, 8, 1), 1);
     let second = fleet.run(&Work { checkpoint_s: 0.0, ..work(1, Shape::Batch, Urgency::Normal, 8, 1) }, 2);
-    fleet.quiet = vec![first];
+    fleet.recently_preempted = vec![first];
     fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 60_000);
     let outcome = fleet.schedule(60_001);
     assert!(outcome.stops.len() == 8 && outcome.stops.iter().all(|stop| stop.key.job == second));
@@ -411,7 +411,7 @@
     let mut fleet = Fleet::new(1, [0, 0, 0]);
     let night = fleet.add(&work(1, Shape::Batch, Urgency::Low, 8, 1), 1);
     let urgent = fleet.add(&work(2, Shape::Service, Urgency::Production, 8, 1), 2);
-    fleet.returning = vec![(night, 3)];
+    fleet.returning_tasks = vec![(night, 3)];
     let outcome = fleet.schedule(3);
     let started = |job: JobIndex| outcome.starts.iter().filter(|start| start.key.job == job).count();
     assert_eq!((started(night), started(urgent)), (3, 5));
--- a/src/scheduling/tests/ordering.rs
+++ b/src/scheduling/tests/ordering.rs
@@ -81,7 +81,7 @@
     let mut state = cluster(&[("a", false)]);
     let instance_types = std::mem::take(&mut state.instance_types);
     let class_arrivals = ClassArrivals { spec: spec("run-000001", Shape::Service, 1, 1.0), rate: 1.0, mean_burst: 1.0 };
-    state.reserves = reserves(&state, &policy(), &[class_arrivals]);
+    state.expected_demands = expected_demands(&state, &policy(), &[class_arrivals]);
     state.instance_types = instance_types;
     let mut other = spec("run-000002", Shape::Service, 1, 0.0);
     other.class = "other".into();
@@ -154,10 +154,10 @@
     assert_eq!(run_cycle(&mut state, 1).starts.len(), 1);
     let reservation = |until_ms| Reservation::of_job(job, Demand::default(), until_ms);
     state.host_mut(0).unwrap().reservations = vec![reservation(5), reservation(9)];
-    state.accelerators_short = true;
+    state.accelerators_insufficient = true;
     let decisions = run_cycle(&mut state, 5);
     assert!(decisions.starts.is_empty() && decisions.stops.is_empty() && decisions.pending_jobs.is_empty());
     let left: Vec<u64> = state.host(0).unwrap().reservations.iter().map(|reservation| reservation.until_ms).collect();
     assert_eq!(left, [9]);
-    assert!(!state.accelerators_short, "no work with accelerators waits");
+    assert!(!state.accelerators_insufficient, "no work with accelerators waits");
 }
--- a/src/scheduling/tests/replicas.rs
+++ b/src/scheduling/tests/replicas.rs
@@ -84,7 +84,7 @@
     assert_eq!(zones(&state), ["a", "b"]);
     // A reservation that has become useless is removed.
     let key = TaskKey { job: job_index, task: 0 };
-    state.jobs[job_index].tasks[0].place = Place::On(1, 9);
+    state.jobs[job_index].tasks[0].place = Place::OnHost(1, 9);
     let demand = state.jobs[job_index].spec.demand;
     state.hosts[1].as_mut().unwrap().attempts = vec![TaskAttempt::sent(key, 9, demand, 12)];
     run_cycle(&mut state, 12);
@@ -130,7 +130,7 @@
     let settled = 1_000_000;
     for (host, job) in replicas.iter().enumerate() {
         let key = TaskKey { job: *job, task: 0 };
-        state.jobs[*job].tasks[0].place = Place::On(host, 1 + host as u64);
+        state.jobs[*job].tasks[0].place = Place::OnHost(host, 1 + host as u64);
         let mut attempt = TaskAttempt::sent(key, 1 + host as u64, state.jobs[*job].spec.demand, 0);
         attempt.phase = TaskPhase::Running;
         state.host_mut(host).unwrap().attempts.push(attempt);
@@ -143,7 +143,7 @@
     let mut filler = spec("run-000007", Shape::Service, 1, 6.0);
     filler.urgency = Urgency::Production;
     let filler = add_job(&mut state, filler, 0);
-    state.jobs[filler].tasks[0].place = Place::On(2, 9);
+    state.jobs[filler].tasks[0].place = Place::OnHost(2, 9);
     let mut attempt = TaskAttempt::sent(TaskKey { job: filler, task: 0 }, 9, state.jobs[filler].spec.demand, settled);
     attempt.phase = TaskPhase::Running;
     state.host_mut(2).unwrap().attempts.push(attempt);
--- a/tests/versions/records.rs
+++ b/tests/versions/records.rs
@@ -64,7 +64,7 @@
     for (key, value) in production_records().iter().filter(|(key, _)| key.starts_with("job/")) {
         let job = serde_json::from_value::<JobRecord>(value.clone()).unwrap().into_job(1, 0);
         for end in [None, Some(JobEnd::Done), Some(JobEnd::Cancelled)] {
-            let record = JobRecord::of(&job, end, 4096).unwrap();
+            let record = JobRecord::from_job(&job, end, 4096).unwrap();
             let old: production::JobRecord = serde_json::from_value(serde_json::to_value(record).unwrap()).unwrap();
             assert_eq!(old.end.is_some(), end.is_some(), "{key}");
         }
@@ -77,8 +77,8 @@
     record.spec.image = "i".repeat(2500);
     record.spec.class = "c".repeat(2500);
     let job: Job = record.into_job(1, 0);
-    assert_eq!(JobRecord::of(&job, None, 1920), None, "there is no room for its progress");
-    let ended = serde_json::to_value(JobRecord::of(&job, Some(JobEnd::Done), 1920)).unwrap();
+    assert_eq!(JobRecord::from_job(&job, None, 1920), None, "there is no room for its progress");
+    let ended = serde_json::to_value(JobRecord::from_job(&job, Some(JobEnd::Done), 1920)).unwrap();
     assert!(ended.to_string().len() <= 1920, "{ended}");
     let old: production::JobRecord = serde_json::from_value(ended.clone()).unwrap();
     assert_eq!((old.end, old.spec.tasks), (Some(production::JobEnd::Done), 40));
@@ -92,7 +92,7 @@
     record.spec.tasks = 4000;
     record.done = (0..1000).map(|n| (4 * n, 4 * n + 1 + u32::from(n % 100 == 0))).collect();
     let job = record.into_job(1, 0);
-    let small = JobRecord::of(&job, None, 1920).unwrap();
+    let small = JobRecord::from_job(&job, None, 1920).unwrap();
     assert!(serde_json::to_vec(&small).unwrap().len() <= 1920);
     assert!(small.done.len() > 30 && small.done.contains(&(0, 2)), "the widest ranges are kept: {:?}", small.done);
 }
