--- a/crates/borrowing/src/amounts.rs
+++ b/crates/borrowing/src/amounts.rs
@@ -22,7 +22,7 @@
 
     /// Returns the sum of both amounts, resource by resource.
     #[must_use]
-    pub fn plus(self, other: Amounts) -> Amounts {
+    pub fn sum_with(self, other: Amounts) -> Amounts {
         Amounts::new(self.cpus + other.cpus, self.gpus + other.gpus)
     }
 
@@ -34,7 +34,7 @@
 
     /// Returns these amounts less `other`, with 0 in place of a negative result.
     #[must_use]
-    pub fn beyond(self, other: Amounts) -> Amounts {
+    pub fn saturating_sub(self, other: Amounts) -> Amounts {
         let left = self.minus(other);
         Amounts::new(left.cpus.max(0.0), left.gpus.max(0.0))
     }
@@ -47,7 +47,7 @@
 
     /// Returns the smaller amount of each resource.
     #[must_use]
-    pub fn least(self, other: Amounts) -> Amounts {
+    pub fn min(self, other: Amounts) -> Amounts {
         Amounts::new(self.cpus.min(other.cpus), self.gpus.min(other.gpus))
     }
 
@@ -59,12 +59,12 @@
     /// Returns whether these amounts are at least `other` in the resource that decides for a task which
     /// takes `each`. For a task with accelerators only accelerators are compared, as its CPU cores come
     /// with them; for any other task only CPU cores.
-    pub fn covers_for(self, other: Amounts, each: Amounts) -> bool {
+    pub fn covers_task(self, other: Amounts, each: Amounts) -> bool {
         if exceeds_rounding(each.gpus) { covers(self.gpus, other.gpus) } else { covers(self.cpus, other.cpus) }
     }
 
     /// Returns whether both amounts are at most 0, apart from rounding.
-    pub fn is_nothing(self) -> bool {
+    pub fn is_zero(self) -> bool {
         self.cpus <= ROUNDING_TOLERANCE && self.gpus <= ROUNDING_TOLERANCE
     }
 }
--- a/crates/borrowing/src/floor.rs
+++ b/crates/borrowing/src/floor.rs
@@ -15,21 +15,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JobDemand {
     /// Amounts that one task takes.
-    pub each: Amounts,
+    pub per_task: Amounts,
     /// Number of tasks that are on a machine and are not being stopped.
     pub running: u32,
     /// Number of tasks that could start if there were free capacity.
     pub waiting: u32,
     /// Number of tasks of a gang, which run together or not at all; `None` for other jobs.
-    pub gang_of: Option<u32>,
+    pub gang_size: Option<u32>,
 }
 
 impl JobDemand {
     /// Returns the amounts that the job could use now; 0 for a gang that is incomplete.
     pub fn amounts(&self) -> Amounts {
         let tasks = self.running + self.waiting;
-        let can_run = self.gang_of.is_none_or(|size| tasks >= size);
-        self.each.times(f64::from(if can_run { tasks } else { 0 }))
+        let can_run = self.gang_size.is_none_or(|size| tasks >= size);
+        self.per_task.times(f64::from(if can_run { tasks } else { 0 }))
     }
 }
 
@@ -49,12 +49,12 @@
     /// Returns the amounts that other teams must leave the team: for each resource, the smaller of
     /// its guarantee and its demand that could be met now.
     pub fn floor(&self) -> Amounts {
-        self.guarantee.least(self.runnable)
+        self.guarantee.min(self.runnable)
     }
 
     /// Returns the amounts by which the team's use is below its floor.
     pub fn shortfall(&self) -> Amounts {
-        self.floor().beyond(self.in_use)
+        self.floor().saturating_sub(self.in_use)
     }
 
     /// Returns whether the team stays at or above its floor in each resource of `stopped` once work
@@ -73,6 +73,6 @@
 
     /// Returns the amounts of the team's demand that exceed its guarantee.
     pub fn need_beyond_guarantee(&self) -> Amounts {
-        self.runnable.beyond(self.guarantee)
+        self.runnable.saturating_sub(self.guarantee)
     }
 }
--- a/crates/borrowing/src/lib.rs
+++ b/crates/borrowing/src/lib.rs
@@ -19,9 +19,9 @@
 pub use badgerdrift_common::{FieldError, Moment};
 pub use check::KnownTeam;
 pub use floor::{JobDemand, TeamShare};
-pub use loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
+pub use loan::{JobLoans, Loan, LoanEndCause, LoanId, LoanKind, LoanState};
 pub use loans::{LendingJob, LoanEvent, LoanTransition, Loans, Proposal, RecordWrite};
-pub use loss::StoppedWork;
+pub use loss::PreemptibleWork;
 pub use refusal::Refusal;
 pub use settings::{Borrower, BorrowingSettings, Lender, Priority};
 
--- a/crates/borrowing/src/loan.rs
+++ b/crates/borrowing/src/loan.rs
@@ -19,7 +19,7 @@
 /// Reason for which a loan ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EndCause {
+pub enum LoanEndCause {
     /// The lender's tasks run again after the borrower no longer needed the capacity, or after the
     /// lender reclaimed it.
     Returned,
@@ -36,16 +36,16 @@
     NotCarriedOut,
 }
 
-impl EndCause {
+impl LoanEndCause {
     /// Returns the name that logs and metrics use.
     pub fn label(self) -> &'static str {
         match self {
-            EndCause::Returned => "returned",
-            EndCause::Replaced => "replaced",
-            EndCause::LenderEnded => "lender_over",
-            EndCause::WithinGuarantee => "within_guarantee",
-            EndCause::NotRecorded => "not_recorded",
-            EndCause::NotCarriedOut => "not_carried_out",
+            LoanEndCause::Returned => "returned",
+            LoanEndCause::Replaced => "replaced",
+            LoanEndCause::LenderEnded => "lender_over",
+            LoanEndCause::WithinGuarantee => "within_guarantee",
+            LoanEndCause::NotRecorded => "not_recorded",
+            LoanEndCause::NotCarriedOut => "not_carried_out",
         }
     }
 }
@@ -64,7 +64,7 @@
     /// The borrower no longer needs the capacity: the lender's tasks are placed first.
     Returning,
     /// The loan has ended, for this cause.
-    Ended(EndCause),
+    Ended(LoanEndCause),
 }
 
 impl LoanState {
@@ -121,7 +121,10 @@
 
     /// Returns whether tasks were stopped for the loan, as far as is known.
     pub fn took_effect(&self) -> bool {
-        !matches!(self.state, LoanState::Proposed | LoanState::Ended(EndCause::NotRecorded | EndCause::NotCarriedOut))
+        !matches!(
+            self.state,
+            LoanState::Proposed | LoanState::Ended(LoanEndCause::NotRecorded | LoanEndCause::NotCarriedOut)
+        )
     }
 }
 
--- a/crates/borrowing/src/loans/follow.rs
+++ b/crates/borrowing/src/loans/follow.rs
@@ -2,13 +2,18 @@
 
 use super::{LendingJob, Loans, MS_PER_S, Moment};
 use crate::amounts::Amounts;
-use crate::loan::{EndCause, LoanKind, LoanState};
+use crate::loan::{LoanEndCause, LoanKind, LoanState};
 use std::collections::BTreeMap;
 
 impl Loans {
-    /// Updates the loans from the states of the lending jobs and the needs of the borrowers. `needs` has
-    /// the amounts that each borrower could use beyond its guarantee, by its name.
-    pub fn follow(&mut self, lending: impl Fn(&str) -> LendingJob, needs: &BTreeMap<String, Amounts>, now: Moment) {
+    /// Updates the loans to the present demand: the states of the lending jobs and the needs of the
+    /// borrowers. `needs` has the amounts that each borrower could use beyond its guarantee, by its name.
+    pub fn update_demand(
+        &mut self,
+        lending: impl Fn(&str) -> LendingJob,
+        needs: &BTreeMap<String, Amounts>,
+        now: Moment,
+    ) {
         self.apply_lender_states(lending);
         self.return_unneeded_loans(needs, now);
     }
@@ -28,7 +33,7 @@
             let LendingJob { over, missing } = lending(&job);
             if over {
                 for index in open {
-                    self.end_loan(&job, index, EndCause::LenderEnded);
+                    self.end_loan(&job, index, LoanEndCause::LenderEnded);
                 }
                 continue;
             }
@@ -53,7 +58,7 @@
         ledger.dirty = true;
         if loan.tasks == 0 {
             let returned = loan.state == LoanState::Returning;
-            self.end_loan(job, index, if returned { EndCause::Returned } else { EndCause::Replaced });
+            self.end_loan(job, index, if returned { LoanEndCause::Returned } else { LoanEndCause::Replaced });
         }
         taken
     }
@@ -69,7 +74,7 @@
             let need = needs.get(&entry.loan.borrower).copied().unwrap_or_default();
             let Some(sum) = open_by_borrower.get_mut(&entry.loan.borrower) else { continue };
             let remaining = sum.minus(entry.loan.amounts());
-            if !remaining.covers_for(need, entry.loan.each) {
+            if !remaining.covers_task(need, entry.loan.each) {
                 entry.unneeded_since_ms = None;
                 continue;
             }
@@ -86,7 +91,7 @@
         let mut sums: BTreeMap<String, Amounts> = BTreeMap::new();
         for (_, _, loan) in self.loans().filter(|(_, _, loan)| loan.state == LoanState::Open) {
             let sum = sums.entry(loan.borrower.clone()).or_default();
-            *sum = sum.plus(loan.amounts());
+            *sum = sum.sum_with(loan.amounts());
         }
         sums
     }
--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -5,7 +5,7 @@
 mod restore;
 
 use crate::amounts::Amounts;
-use crate::loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
+use crate::loan::{JobLoans, Loan, LoanEndCause, LoanId, LoanKind, LoanState};
 use crate::settings::BorrowingSettings;
 use badgerdrift_common::Moment;
 use std::collections::BTreeMap;
@@ -142,7 +142,7 @@
         let Some((job, index)) = self.find_loan(id) else { return };
         let entry = &self.ledgers[&job].entries[index];
         if entry.loan.state == LoanState::Proposed {
-            self.end_loan(&job, index, EndCause::NotRecorded);
+            self.end_loan(&job, index, LoanEndCause::NotRecorded);
             self.remove_unrecorded(&job);
         }
     }
@@ -171,24 +171,24 @@
     }
 
     /// Returns the amounts that are owed to each lending team, by its name.
-    pub fn lent(&self) -> BTreeMap<String, Amounts> {
+    pub fn lent_by_team(&self) -> BTreeMap<String, Amounts> {
         self.sum_owed_by(|lender, _| lender.to_string())
     }
 
     /// Returns the amounts that each borrowing team owes, by its name.
-    pub fn borrowed(&self) -> BTreeMap<String, Amounts> {
+    pub fn borrowed_by_team(&self) -> BTreeMap<String, Amounts> {
         self.sum_owed_by(|_, loan| loan.borrower.clone())
     }
 
     /// Returns the amounts of a team's open loans, which it need not return yet.
-    pub fn open_to(&self, borrower: &str) -> Amounts {
+    pub fn open_amounts_of(&self, borrower: &str) -> Amounts {
         let open = |loan: &Loan| loan.state == LoanState::Open && loan.borrower == borrower;
         let loans = self.loans().filter(|(_, _, loan)| open(loan));
-        loans.fold(Amounts::default(), |sum, (_, _, loan)| sum.plus(loan.amounts()))
+        loans.fold(Amounts::default(), |sum, (_, _, loan)| sum.sum_with(loan.amounts()))
     }
 
     /// Returns the amounts owed, by (lender, borrower).
-    pub fn owed(&self) -> BTreeMap<(String, String), Amounts> {
+    pub fn owed_by_pair(&self) -> BTreeMap<(String, String), Amounts> {
         self.sum_owed_by(|lender, loan| (lender.to_string(), loan.borrower.clone()))
     }
 
@@ -197,14 +197,14 @@
         let mut sums: BTreeMap<K, Amounts> = BTreeMap::new();
         for (_, lender, loan) in self.loans().filter(|(_, _, loan)| loan.is_owed()) {
             let sum = sums.entry(key(lender, loan)).or_default();
-            *sum = sum.plus(loan.amounts());
+            *sum = sum.sum_with(loan.amounts());
         }
         sums
     }
 
     /// Returns the jobs whose tasks were stopped less than `quiet_s` ago; they are spared as long as
     /// other jobs can be stopped.
-    pub fn quiet_jobs(&self, wall_ms: u64) -> impl Iterator<Item = &str> {
+    pub fn recently_preempted_jobs(&self, wall_ms: u64) -> impl Iterator<Item = &str> {
         let quiet = move |entry: &&Entry| entry.loan.took_effect() && self.within_quiet_time(&entry.loan, wall_ms);
         let ledgers = self.ledgers.iter().filter(move |(_, ledger)| ledger.entries.iter().any(|entry| quiet(&entry)));
         ledgers.map(|(job, _)| job.as_str())
@@ -212,7 +212,7 @@
 
     /// Returns the lending jobs with the number of tasks to place first, one entry for each loan that is
     /// being returned.
-    pub fn returning(&self) -> impl Iterator<Item = (&str, u32)> {
+    pub fn returning_tasks(&self) -> impl Iterator<Item = (&str, u32)> {
         let loans = self.loans().filter(|(_, _, loan)| loan.state == LoanState::Returning);
         loans.map(|(job, _, loan)| (job, loan.tasks))
     }
@@ -235,7 +235,7 @@
         })
     }
 
-    fn end_loan(&mut self, job: &str, index: usize, cause: EndCause) {
+    fn end_loan(&mut self, job: &str, index: usize, cause: LoanEndCause) {
         self.set_state(job, index, LoanState::Ended(cause));
     }
 
--- a/crates/borrowing/src/loans/records.rs
+++ b/crates/borrowing/src/loans/records.rs
@@ -5,7 +5,7 @@
 //! only one of the two writes can succeed. Until then no task is stopped for the loans in them.
 
 use super::{Entry, LoanLedger, Loans};
-use crate::loan::{EndCause, JobLoans, Loan, LoanId, LoanKind, LoanState};
+use crate::loan::{JobLoans, Loan, LoanEndCause, LoanId, LoanKind, LoanState};
 use crate::loan_key;
 
 /// Conditional write of a record.
@@ -68,7 +68,7 @@
 
     /// Updates the loans after the commit in flight was applied under `revision`, which becomes the
     /// version of its records. Returns the loans whose tasks may be stopped now.
-    pub fn written(&mut self, revision: u64) -> Vec<LoanEvent> {
+    pub fn commit_succeeded(&mut self, revision: u64) -> Vec<LoanEvent> {
         let mut events = Vec::new();
         let jobs: Vec<String> = self.jobs_in_flight();
         for job in jobs {
@@ -96,7 +96,7 @@
         let id = entry.loan.id;
         entry.loan.state = match entry.loan.kind {
             LoanKind::Borrowed => LoanState::Open,
-            LoanKind::Guaranteed => LoanState::Ended(EndCause::WithinGuarantee),
+            LoanKind::Guaranteed => LoanState::Ended(LoanEndCause::WithinGuarantee),
         };
         self.push_transition(job, index);
         Some(LoanEvent::Recorded(id))
@@ -123,13 +123,13 @@
     }
 
     /// Marks the records of the commit in flight for another write; the commit certainly was not applied.
-    pub fn not_written(&mut self) {
+    pub fn commit_failed(&mut self) {
         self.fail_writes(false);
     }
 
     /// Marks the records of the commit in flight for a read before their next write, as the commit had
     /// no answer or a condition did not hold.
-    pub fn indeterminate(&mut self) {
+    pub fn commit_indeterminate(&mut self) {
         self.fail_writes(true);
     }
 
@@ -155,7 +155,7 @@
 
     /// Sets the version under which a record was read; 0 if there is none. The record may then be written
     /// again.
-    pub fn reread(&mut self, key: &str, version: u64) {
+    pub fn set_read_version(&mut self, key: &str, version: u64) {
         let ledger = self.ledgers.iter_mut().find(|(job, _)| loan_key(job) == key);
         if let Some((_, ledger)) = ledger.filter(|(_, ledger)| ledger.indeterminate) {
             (ledger.indeterminate, ledger.version) = (false, version);
--- a/crates/borrowing/src/loans/restore.rs
+++ b/crates/borrowing/src/loans/restore.rs
@@ -1,7 +1,7 @@
 //! Loans after a failover: restored from their records, then reconciled with the reports of the machines.
 
 use super::{Entry, LendingJob, LoanLedger, Loans};
-use crate::loan::{EndCause, JobLoans, LoanKind, LoanState};
+use crate::loan::{JobLoans, LoanEndCause, LoanKind, LoanState};
 
 impl Loans {
     /// Restores the loans from the records of an earlier leader, each as (lending job, record, version).
@@ -10,7 +10,7 @@
             let entries = record.loans.into_iter().map(|mut loan| {
                 loan.state = match (loan.state, loan.kind) {
                     (LoanState::Open | LoanState::Proposed, LoanKind::Guaranteed) => {
-                        LoanState::Ended(EndCause::WithinGuarantee)
+                        LoanState::Ended(LoanEndCause::WithinGuarantee)
                     }
                     (LoanState::Open | LoanState::Proposed, LoanKind::Borrowed) => LoanState::Unsettled,
                     (state, _) => state,
@@ -32,7 +32,7 @@
     /// Reconciles restored loans with the tasks that do not run. Must be called only once all machines
     /// are accounted for, when no order of an earlier leader can take effect any more. Tasks that were
     /// not stopped are not lent.
-    pub fn settle(&mut self, lending: impl Fn(&str) -> LendingJob) {
+    pub fn reconcile_restored(&mut self, lending: impl Fn(&str) -> LendingJob) {
         let jobs: Vec<String> = self.ledgers.keys().cloned().collect();
         for job in jobs {
             let mut missing = lending(&job).missing;
@@ -52,7 +52,7 @@
         }
         loan.tasks = loan.tasks.min(missing);
         let tasks = loan.tasks;
-        let state = if tasks == 0 { LoanState::Ended(EndCause::NotCarriedOut) } else { LoanState::Open };
+        let state = if tasks == 0 { LoanState::Ended(LoanEndCause::NotCarriedOut) } else { LoanState::Open };
         self.set_state(job, index, state);
         tasks
     }
--- a/crates/borrowing/src/refusal.rs
+++ b/crates/borrowing/src/refusal.rs
@@ -13,7 +13,8 @@
     /// The stop would leave the other team below its floor.
     LenderAtFloor,
     /// The other team already lends as much as its settings allow.
-    LendsItsMost,
+    #[serde(rename = "lends_its_most")]
+    LenderAtLimit,
     /// The loan cannot be recorded, as the state service does not answer.
     NotRecordable,
     /// Machines of the previous leader are not accounted for yet after a failover.
@@ -27,7 +28,7 @@
             Refusal::NotABorrower => "not_a_borrower",
             Refusal::NotALender => "not_a_lender",
             Refusal::LenderAtFloor => "lender_at_floor",
-            Refusal::LendsItsMost => "lends_its_most",
+            Refusal::LenderAtLimit => "lends_its_most",
             Refusal::NotRecordable => "not_recordable",
             Refusal::MachinesUnaccounted => "machines_unaccounted",
         }
--- a/crates/borrowing/src/settings.rs
+++ b/crates/borrowing/src/settings.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns [`Refusal::NotABorrower`] or [`Refusal::NotALender`] if the settings allow no such loan.
-    pub fn permits(
+    pub fn check_permitted(
         &self,
         lender: &str,
         lender_priority: Priority,
--- a/crates/borrowing/tests/floors.rs
+++ b/crates/borrowing/tests/floors.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
 use badgerdrift_borrowing::{
-    Amounts, BorrowingSettings, JobDemand, KnownTeam, Priority, Refusal, StoppedWork, TeamShare,
+    Amounts, BorrowingSettings, JobDemand, KnownTeam, PreemptibleWork, Priority, Refusal, TeamShare,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 // Counting an incomplete gang would raise the floor by capacity that the team cannot use.
 #[test]
 fn demand_counts_running_and_startable_tasks_and_only_complete_gangs() {
-    let job = |running, waiting, gang_of| JobDemand { each: gpus(2.0), running, waiting, gang_of };
+    let job = |running, waiting, gang_size| JobDemand { per_task: gpus(2.0), running, waiting, gang_size };
     assert_eq!(job(3, 4, None).amounts(), gpus(14.0));
     // One task of a gang of four is in back-off: none of its tasks could run.
     assert_eq!(job(0, 3, Some(4)).amounts(), gpus(0.0));
@@ -70,7 +70,7 @@
         let before = team_share(guarantee, in_use + waiting, in_use);
         let after = team_share(guarantee, in_use + waiting, in_use - taken);
         if taken > 0.0 {
-            prop_assert_eq!(before.keeps_floor_without(gpus(taken)), after.shortfall().is_nothing());
+            prop_assert_eq!(before.keeps_floor_without(gpus(taken)), after.shortfall().is_zero());
         }
     }
 }
@@ -78,10 +78,10 @@
 // An underestimated loss would select work whose stop costs more than that of other work.
 #[test]
 fn lost_work_counts_time_since_the_last_checkpoint_for_every_task_of_a_gang() {
-    let work = StoppedWork { ran_s: 75.0, checkpoint_every_s: 30.0, flush_s: 4.0, fetch_s: 6.0, tasks: 1 };
-    assert_eq!(work.lost_s(), 15.0 + 4.0 + 6.0);
-    assert_eq!(StoppedWork { tasks: 16, ..work }.lost_s(), 16.0 * 25.0);
-    assert_eq!(StoppedWork { checkpoint_every_s: 0.0, ..work }.lost_s(), 75.0 + 6.0);
+    let work = PreemptibleWork { ran_s: 75.0, checkpoint_every_s: 30.0, flush_s: 4.0, fetch_s: 6.0, tasks: 1 };
+    assert_eq!(work.lost_work_s(), 15.0 + 4.0 + 6.0);
+    assert_eq!(PreemptibleWork { tasks: 16, ..work }.lost_work_s(), 16.0 * 25.0);
+    assert_eq!(PreemptibleWork { checkpoint_every_s: 0.0, ..work }.lost_work_s(), 75.0 + 6.0);
 }
 
 fn settings() -> BorrowingSettings {
@@ -96,7 +96,7 @@
 #[test]
 fn loan_is_permitted_only_between_declared_teams_within_their_priorities() {
     let settings = settings();
-    let permits = |lender, gives, borrower, takes| settings.permits(lender, gives, borrower, takes);
+    let permits = |lender, gives, borrower, takes| settings.check_permitted(lender, gives, borrower, takes);
     assert_eq!(permits("night", Priority::Standard, "desk", Priority::Urgent), Ok(()));
     assert_eq!(permits("night", Priority::BestEffort, "desk", Priority::Production), Ok(()));
     assert_eq!(permits("night", Priority::Urgent, "desk", Priority::Production), Err(Refusal::NotALender));
--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
 use badgerdrift_borrowing::{
-    Amounts, BorrowingSettings, EndCause, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans, Moment,
-    Proposal,
+    Amounts, BorrowingSettings, JobLoans, LendingJob, LoanEndCause, LoanEvent, LoanId, LoanKind, LoanState, Loans,
+    Moment, Proposal,
 };
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
 }
 
 fn lent_gpus(loans: &Loans) -> f64 {
-    loans.lent().values().map(|amounts| amounts.gpus).sum()
+    loans.lent_by_team().values().map(|amounts| amounts.gpus).sum()
 }
 
 /// Returns a job that lends, with `tasks` tasks that neither run nor are done.
@@ -55,7 +55,7 @@
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, tasks), at(0));
     assert_eq!(loans.next_writes(8, at(0).wall_ms).len(), 1);
-    assert_eq!(loans.written(10), [LoanEvent::Recorded(1)]);
+    assert_eq!(loans.commit_succeeded(10), [LoanEvent::Recorded(1)]);
     loans
 }
 
@@ -80,7 +80,7 @@
     );
     assert_eq!(state(&loans, 1), Some(LoanState::Proposed));
     assert!(loans.next_writes(8, at(0).wall_ms).is_empty(), "a record is in one commit at a time");
-    assert_eq!(loans.written(10), [LoanEvent::Recorded(1)]);
+    assert_eq!(loans.commit_succeeded(10), [LoanEvent::Recorded(1)]);
     assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Open), 2.0));
 }
 
@@ -102,23 +102,23 @@
     let mut loans = Loans::new(settings());
     loans.propose(proposal(1, 2), at(0));
     loans.next_writes(8, at(0).wall_ms);
-    loans.indeterminate();
+    loans.commit_indeterminate();
     assert_eq!(loans.keys_to_read(), ["loan/run-1"]);
     assert!(loans.next_writes(8, at(1).wall_ms).is_empty(), "the record has to be read first");
     loans.abandon(1);
-    loans.reread("loan/run-1", 0);
+    loans.set_read_version("loan/run-1", 0);
     let write = loans.next_writes(8, at(2).wall_ms).pop().unwrap();
     assert_eq!(write.version, 0);
     let recorded_state =
         write.value.expect("the record must not be deleted: the condition of the delayed write would still hold").loans
             [0]
         .state;
-    assert_eq!(recorded_state, LoanState::Ended(EndCause::NotRecorded));
-    assert!(loans.written(12).is_empty(), "no task is stopped for the abandoned loan");
+    assert_eq!(recorded_state, LoanState::Ended(LoanEndCause::NotRecorded));
+    assert!(loans.commit_succeeded(12).is_empty(), "no task is stopped for the abandoned loan");
     // Its end is recorded, so the record is deleted.
     let write = loans.next_writes(8, at(3).wall_ms).pop().unwrap();
     assert_eq!((write.version, write.value), (12, None));
-    loans.written(13);
+    loans.commit_succeeded(13);
     assert!(loans.loans().next().is_none());
 }
 
@@ -129,10 +129,10 @@
     loans.propose(proposal(1, 2), at(0));
     loans.next_writes(8, at(0).wall_ms);
     loans.propose(proposal(2, 3), at(1));
-    loans.not_written();
+    loans.commit_failed();
     let record = next_record(&mut loans, at(2)).unwrap();
     assert_eq!(record.loans.len(), 2);
-    assert_eq!(loans.written(10).len(), 2);
+    assert_eq!(loans.commit_succeeded(10).len(), 2);
     assert_eq!(lent_gpus(&loans), 5.0, "both are merged into one loan to the same team");
     assert_eq!(loans.loans().count(), 1);
 }
@@ -141,20 +141,20 @@
 #[test]
 fn loan_is_returned_after_the_need_is_gone_for_the_return_time() {
     let mut loans = loans_with_one_open(2);
-    loans.follow(with_missing_tasks(2), &needs(2.0), at(1000));
+    loans.update_demand(with_missing_tasks(2), &needs(2.0), at(1000));
     // A need that comes back starts the time again.
-    loans.follow(with_missing_tasks(2), &needs(0.0), at(2000));
-    loans.follow(with_missing_tasks(2), &needs(2.0), at(9000));
-    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000));
-    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
+    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(2000));
+    loans.update_demand(with_missing_tasks(2), &needs(2.0), at(9000));
+    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000));
+    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
     assert_eq!(state(&loans, 1), Some(LoanState::Open));
-    loans.follow(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
+    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
     assert_eq!(state(&loans, 1), Some(LoanState::Returning));
-    assert_eq!(loans.returning().collect::<Vec<_>>(), [("run-1", 2)]);
-    loans.follow(with_missing_tasks(1), &needs(0.0), at(22_000));
+    assert_eq!(loans.returning_tasks().collect::<Vec<_>>(), [("run-1", 2)]);
+    loans.update_demand(with_missing_tasks(1), &needs(0.0), at(22_000));
     assert_eq!(lent_gpus(&loans), 1.0);
-    loans.follow(with_missing_tasks(0), &needs(0.0), at(23_000));
-    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(EndCause::Returned)), 0.0));
+    loans.update_demand(with_missing_tasks(0), &needs(0.0), at(23_000));
+    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(LoanEndCause::Returned)), 0.0));
 }
 
 // Returning every loan at the first surplus would take capacity that the borrower still uses.
@@ -163,9 +163,9 @@
     let mut loans = loans_with_one_open(2);
     loans.propose(Proposal { lending_job: "run-9".into(), ..proposal(2, 3) }, at(10));
     loans.next_writes(8, at(10).wall_ms);
-    loans.written(11);
+    loans.commit_succeeded(11);
     for ms in [1000, 1000 + RETURN_AFTER_MS] {
-        loans.follow(with_missing_tasks(3), &needs(3.0), at(ms));
+        loans.update_demand(with_missing_tasks(3), &needs(3.0), at(ms));
     }
     assert_eq!((state(&loans, 1), state(&loans, 2)), (Some(LoanState::Returning), Some(LoanState::Open)));
 }
@@ -174,11 +174,11 @@
 #[test]
 fn loan_ends_when_the_lender_runs_again_or_its_job_ends() {
     let mut loans = loans_with_one_open(2);
-    loans.follow(with_missing_tasks(0), &needs(2.0), at(1000));
-    assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::Replaced)));
+    loans.update_demand(with_missing_tasks(0), &needs(2.0), at(1000));
+    assert_eq!(state(&loans, 1), Some(LoanState::Ended(LoanEndCause::Replaced)));
     let mut loans = loans_with_one_open(2);
-    loans.follow(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
-    assert_eq!(state(&loans, 1), Some(LoanState::Ended(EndCause::LenderEnded)));
+    loans.update_demand(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
+    assert_eq!(state(&loans, 1), Some(LoanState::Ended(LoanEndCause::LenderEnded)));
 }
 
 // Without the quiet time the same job would be stopped again and again. Without the deletion the records
@@ -186,11 +186,11 @@
 #[test]
 fn stopped_job_is_spared_for_the_quiet_time_and_its_record_is_deleted_afterwards() {
     let mut loans = loans_with_one_open(2);
-    loans.follow(with_missing_tasks(0), &needs(0.0), at(1000));
-    assert_eq!(loans.quiet_jobs(at(QUIET_MS - 1).wall_ms).collect::<Vec<_>>(), ["run-1"]);
+    loans.update_demand(with_missing_tasks(0), &needs(0.0), at(1000));
+    assert_eq!(loans.recently_preempted_jobs(at(QUIET_MS - 1).wall_ms).collect::<Vec<_>>(), ["run-1"]);
     assert!(next_record(&mut loans, at(1000)).is_some(), "the end of the loan is recorded and kept");
-    loans.written(20);
-    assert_eq!(loans.quiet_jobs(at(QUIET_MS).wall_ms).count(), 0);
+    loans.commit_succeeded(20);
+    assert_eq!(loans.recently_preempted_jobs(at(QUIET_MS).wall_ms).count(), 0);
     let write = loans.next_writes(8, at(QUIET_MS).wall_ms).pop().unwrap();
     assert_eq!((write.version, write.value), (20, None));
 }
@@ -201,9 +201,13 @@
     let mut loans = Loans::new(settings());
     loans.propose(Proposal { kind: LoanKind::Guaranteed, ..proposal(1, 2) }, at(0));
     loans.next_writes(8, at(0).wall_ms);
-    assert_eq!(loans.written(10), [LoanEvent::Recorded(1)]);
-    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(EndCause::WithinGuarantee)), 0.0));
-    assert_eq!(loans.quiet_jobs(at(1).wall_ms).count(), 1, "the tasks of the job were stopped nevertheless");
+    assert_eq!(loans.commit_succeeded(10), [LoanEvent::Recorded(1)]);
+    assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(LoanEndCause::WithinGuarantee)), 0.0));
+    assert_eq!(
+        loans.recently_preempted_jobs(at(1).wall_ms).count(),
+        1,
+        "the tasks of the job were stopped nevertheless"
+    );
 }
 
 // A successor finds records of stops that the previous leader ordered in part or not at all. Lending more
@@ -217,10 +221,10 @@
         let mut loans = Loans::new(settings());
         loans.restore([("run-1".to_string(), record, 10)]);
         assert_eq!(state(&loans, 1), Some(LoanState::Unsettled));
-        loans.settle(with_missing_tasks(tasks_missing));
+        loans.reconcile_restored(with_missing_tasks(tasks_missing));
         (state(&loans, 1).unwrap(), lent_gpus(&loans))
     };
-    assert_eq!(successor(0), (LoanState::Ended(EndCause::NotCarriedOut), 0.0));
+    assert_eq!(successor(0), (LoanState::Ended(LoanEndCause::NotCarriedOut), 0.0));
     assert_eq!(successor(1), (LoanState::Open, 1.0));
     assert_eq!(successor(7), (LoanState::Open, 3.0));
 }
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -134,21 +134,21 @@
         match outcome {
             CommitOutcome::Applied if conditions_hold => {
                 self.apply_writes(writes);
-                let events = self.loans.written(self.revision);
+                let events = self.loans.commit_succeeded(self.revision);
                 events.into_iter().for_each(|LoanEvent::Recorded(id)| self.stop_recorded_tasks(id));
             }
             // A condition did not hold, so the records must be read.
-            CommitOutcome::Applied => self.loans.indeterminate(),
-            CommitOutcome::Refused => self.loans.not_written(),
+            CommitOutcome::Applied => self.loans.commit_indeterminate(),
+            CommitOutcome::Refused => self.loans.commit_failed(),
             CommitOutcome::AppliedWithoutAnswer => {
                 if conditions_hold {
                     self.apply_writes(writes);
                 }
-                self.loans.indeterminate();
+                self.loans.commit_indeterminate();
             }
             CommitOutcome::Delayed => {
                 self.late_commits.push(writes);
-                self.loans.indeterminate();
+                self.loans.commit_indeterminate();
             }
         }
     }
@@ -168,13 +168,17 @@
         let need = Amounts::new(0.0, f64::from(self.need));
         let needs = BORROWERS.iter().map(|team| (team.to_string(), need)).collect();
         let now = self.moment();
-        self.loans.settle(lending);
-        self.loans.follow(lending, &needs, now);
+        self.loans.reconcile_restored(lending);
+        self.loans.update_demand(lending, &needs, now);
     }
 
     fn check(&self) {
         let sum = |sums: BTreeMap<String, Amounts>| sums.values().map(|amounts| amounts.gpus).sum::<f64>();
-        assert_eq!(sum(self.loans.lent()), sum(self.loans.borrowed()), "the amounts lent equal the amounts borrowed");
+        assert_eq!(
+            sum(self.loans.lent_by_team()),
+            sum(self.loans.borrowed_by_team()),
+            "the amounts lent equal the amounts borrowed"
+        );
         let mut lent: BTreeMap<&str, u32> = BTreeMap::new();
         for (job, _, loan) in self.loans.loans() {
             if matches!(loan.state, LoanState::Open | LoanState::Returning) {
@@ -235,14 +239,18 @@
             let abandoned = self.loans.unrecorded_before(self.moment().wall_ms);
             abandoned.into_iter().for_each(|id| self.loans.abandon(id));
             for key in self.loans.keys_to_read() {
-                self.loans.reread(&key, self.store.get(&key).map_or(0, |stored| stored.1));
+                self.loans.set_read_version(&key, self.store.get(&key).map_or(0, |stored| stored.1));
             }
             self.stopped.clear();
             self.follow();
             self.commit(CommitOutcome::Applied);
             self.commit(CommitOutcome::Applied);
         }
-        assert!(self.loans.lent().is_empty(), "all loans are returned: {:?}", self.loans.loans().collect::<Vec<_>>());
+        assert!(
+            self.loans.lent_by_team().is_empty(),
+            "all loans are returned: {:?}",
+            self.loans.loans().collect::<Vec<_>>()
+        );
         assert!(self.loans.loans().next().is_none(), "all loans are removed");
     }
 }
@@ -275,7 +283,7 @@
             Transition::Commit(outcome) => harness.commit(outcome),
             Transition::ReadRecords => {
                 for key in harness.loans.keys_to_read() {
-                    harness.loans.reread(&key, harness.store.get(&key).map_or(0, |stored| stored.1));
+                    harness.loans.set_read_version(&key, harness.store.get(&key).map_or(0, |stored| stored.1));
                 }
             }
             Transition::ApplyDelayedCommit => {
--- a/crates/fleet-config/src/acceptor.rs
+++ b/crates/fleet-config/src/acceptor.rs
@@ -34,7 +34,8 @@
     /// The region lacks versions before the requested one.
     Behind,
     /// The acceptor has promised this larger ballot.
-    Outbid(Ballot),
+    #[serde(rename = "Outbid")]
+    BallotTooLow(Ballot),
     /// The region may have lost a vote on this version.
     NotVoting,
 }
@@ -82,7 +83,7 @@
             return Err(Rejection::NotVoting);
         }
         match &self.promised {
-            Some(promised) if promised > ballot => Err(Rejection::Outbid(promised.clone())),
+            Some(promised) if promised > ballot => Err(Rejection::BallotTooLow(promised.clone())),
             _ => Ok(()),
         }
     }
--- a/crates/fleet-config/src/allowance.rs
+++ b/crates/fleet-config/src/allowance.rs
@@ -69,7 +69,7 @@
     ) -> TeamAllowance {
         let allocations = self.allocations(team, confirmations);
         let previous = |(region, allocation): (&RegionName, &RegionAllocation)| {
-            let retained = allocation.usable.zip(share_limit(next, region), Amount::min);
+            let retained = allocation.usable.zip_with(share_limit(next, region), Amount::min);
             (region.clone(), PreviousAllocation { until_confirmed: allocation.reserved, retained })
         };
         TeamAllowance { changed_at: version, previous: allocations.iter().map(previous).collect() }
@@ -92,13 +92,13 @@
             allocations.insert(region.clone(), RegionAllocation { reserved, usable: previous.retained });
         }
         let sum = Amounts::sum(allocations.values().map(|allocation| allocation.reserved));
-        let mut free = team.limit.zip(sum, Amount::less);
+        let mut free = team.limit.zip_with(sum, Amount::saturating_sub);
         for (region, allocation) in &mut allocations {
-            let missing = share_limit(team, region).zip(allocation.usable, Amount::less);
-            let granted = missing.zip(free, Amount::min);
-            allocation.reserved = allocation.reserved.zip(granted, Amount::plus);
-            allocation.usable = allocation.usable.zip(granted, Amount::plus);
-            free = free.zip(granted, Amount::less);
+            let missing = share_limit(team, region).zip_with(allocation.usable, Amount::saturating_sub);
+            let granted = missing.zip_with(free, Amount::min);
+            allocation.reserved = allocation.reserved.zip_with(granted, Amount::sum_with);
+            allocation.usable = allocation.usable.zip_with(granted, Amount::sum_with);
+            free = free.zip_with(granted, Amount::saturating_sub);
         }
         allocations
     }
@@ -106,7 +106,7 @@
     /// Returns the amounts that a region may let the team use; 0 for a region without an allocation.
     pub fn for_region(&self, team: &TeamDocument, confirmations: &Confirmations, region: &str) -> Allowance {
         let allocation = self.allocations(team, confirmations).get(region).copied().unwrap_or_default();
-        let complete = share_limit(team, region).within(&allocation.usable);
+        let complete = share_limit(team, region).is_within(&allocation.usable);
         Allowance { limit: allocation.usable, complete }
     }
 
@@ -121,5 +121,5 @@
 fn share_limit(team: &TeamDocument, region: &str) -> Amounts {
     let share = team.shares.get(region).map(|share| share.limit).unwrap_or_default();
     let limit_or_share = |fleet: Amount, share: Amount| if fleet == Amount::UNLIMITED { fleet } else { share };
-    team.limit.zip(share, limit_or_share)
+    team.limit.zip_with(share, limit_or_share)
 }
--- a/crates/fleet-config/src/document.rs
+++ b/crates/fleet-config/src/document.rs
@@ -17,13 +17,13 @@
 
     /// Returns the sum; unlimited if either amount is.
     #[must_use]
-    pub fn plus(self, other: Amount) -> Amount {
+    pub fn sum_with(self, other: Amount) -> Amount {
         Amount(self.0.saturating_add(other.0)).min(Amount::UNLIMITED)
     }
 
     /// Returns the difference, or 0 if `other` is larger. An unlimited amount stays unlimited.
     #[must_use]
-    pub fn less(self, other: Amount) -> Amount {
+    pub fn saturating_sub(self, other: Amount) -> Amount {
         if self == Amount::UNLIMITED { self } else { Amount(self.0.saturating_sub(other.0)) }
     }
 }
@@ -43,18 +43,18 @@
 
     /// Combines these amounts with `other`, resource by resource.
     #[must_use]
-    pub fn zip(self, other: Amounts, combine: fn(Amount, Amount) -> Amount) -> Amounts {
+    pub fn zip_with(self, other: Amounts, combine: fn(Amount, Amount) -> Amount) -> Amounts {
         Amounts { cpus: combine(self.cpus, other.cpus), gpus: combine(self.gpus, other.gpus) }
     }
 
     /// Returns whether both amounts are at most those of `other`.
-    pub fn within(&self, other: &Amounts) -> bool {
+    pub fn is_within(&self, other: &Amounts) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 
     /// Returns the sum of all `amounts`.
     pub fn sum(amounts: impl IntoIterator<Item = Amounts>) -> Amounts {
-        amounts.into_iter().fold(Amounts::default(), |sum, next| sum.zip(next, Amount::plus))
+        amounts.into_iter().fold(Amounts::default(), |sum, next| sum.zip_with(next, Amount::sum_with))
     }
 }
 
@@ -166,18 +166,18 @@
         if let Some(unknown) = self.shares.keys().find(|region| !regions.contains(region)) {
             return invalid_field("shares", format!("no region {unknown}"));
         }
-        if !self.guarantee.within(&self.limit) {
+        if !self.guarantee.is_within(&self.limit) {
             return invalid_field("guarantee", "above the limit");
         }
         let limits = Amounts::sum(self.shares.values().map(|share| share.limit));
-        if !limits.within(&self.limit) {
+        if !limits.is_within(&self.limit) {
             return invalid_field("shares", "the regions' limits add up to more than the team's");
         }
         let guarantees = Amounts::sum(self.shares.values().map(|share| share.guarantee));
-        if !guarantees.within(&self.guarantee) {
+        if !guarantees.is_within(&self.guarantee) {
             return invalid_field("shares", "the regions' guarantees add up to more than the team's");
         }
-        match self.shares.iter().find(|(_, share)| !share.guarantee.within(&share.limit)) {
+        match self.shares.iter().find(|(_, share)| !share.guarantee.is_within(&share.limit)) {
             Some((region, _)) => invalid_field("shares", format!("the guarantee of {region} is above its limit")),
             None => Ok(()),
         }
--- a/crates/fleet-config/src/proposer.rs
+++ b/crates/fleet-config/src/proposer.rs
@@ -53,7 +53,7 @@
     /// Records the promise of a region, with the batch that it had accepted before. At a majority of
     /// promises the batch with the largest ballot is proposed, as it may already be agreed on; if no
     /// region had accepted one, the proposer's own batch is.
-    pub fn promised(&mut self, region: RegionName, accepted: Option<Accepted>) -> Step {
+    pub fn handle_promise(&mut self, region: RegionName, accepted: Option<Accepted>) -> Step {
         let Phase::Preparing { promises } = &mut self.phase else { return Step::Wait };
         promises.insert(region, accepted);
         if promises.len() < self.majority {
@@ -66,7 +66,7 @@
     }
 
     /// Records that a region has accepted the batch under this ballot.
-    pub fn accepted(&mut self, region: RegionName) -> Step {
+    pub fn handle_acceptance(&mut self, region: RegionName) -> Step {
         let Phase::Accepting { batch, accepted } = &mut self.phase else { return Step::Wait };
         accepted.insert(region);
         if accepted.len() == self.majority { Step::Decided(batch.clone()) } else { Step::Wait }
--- a/crates/fleet-config/src/region.rs
+++ b/crates/fleet-config/src/region.rs
@@ -116,7 +116,7 @@
     /// version that any of a majority of the other regions has applied. The last version agreed on is at
     /// most the one after `latest`, as one region of that majority has at least accepted it. The lost
     /// votes are at most for the version after that one, which is the second after `latest`.
-    pub fn rejoin(state: ConfigState, latest: u64) -> RegionRecord {
+    pub fn recover(state: ConfigState, latest: u64) -> RegionRecord {
         let acceptor = Acceptor { applied: state.version, votes_from: latest + 3, promised: None, accepted: None };
         RegionRecord { acceptor, state: Arc::new(state) }
     }
--- a/crates/fleet-config/src/state.rs
+++ b/crates/fleet-config/src/state.rs
@@ -126,11 +126,11 @@
             }
             ChangeOutcome::Taken { version: self.version }
         };
-        self.remember(RecordedChange { change: change.clone(), outcome, before });
+        self.push_history(RecordedChange { change: change.clone(), outcome, before });
     }
 
     /// Adds a change with its outcome to the history.
-    pub fn remember(&mut self, recorded: RecordedChange) {
+    pub fn push_history(&mut self, recorded: RecordedChange) {
         self.history.push_back(recorded);
         self.history_count += 1;
         if self.history.len() > HISTORY_LENGTH {
@@ -193,9 +193,9 @@
         Some(allowance.for_region(team, &self.confirmations, region))
     }
 
-    /// Returns whether more is reserved for a region than it may use for some team, so that other regions
-    /// wait for its confirmation.
-    pub fn waits_for(&self, region: &str) -> bool {
+    /// Returns whether a region has yet to confirm a reduction: for some team more is reserved for it than it
+    /// may use, so that other regions wait for its confirmation.
+    pub fn has_unconfirmed_reduction(&self, region: &str) -> bool {
         let teams = self.documents.keys().filter_map(|name| self.team_allowance(name));
         let mut has_excess =
             teams.map(|(team, allowance)| allowance.has_excess_reservation(team, &self.confirmations, region));
--- a/crates/fleet-config/tests/agreement.rs
+++ b/crates/fleet-config/tests/agreement.rs
@@ -324,5 +324,5 @@
     };
     state.apply(&Batch { entries: vec![Entry::Change(change)] });
     assert_eq!(state.allowance("t", "a").unwrap().limit.cpus, Amount(10));
-    assert!(state.waits_for("a"), "an unlimited amount stays reserved until the region confirms");
+    assert!(state.has_unconfirmed_reduction("a"), "an unlimited amount stays reserved until the region confirms");
 }
--- a/crates/fleet-config/tests/fleet/mod.rs
+++ b/crates/fleet-config/tests/fleet/mod.rs
@@ -247,7 +247,7 @@
         let latest = reachable.iter().max_by_key(|other| self.stores[**other].record.acceptor.applied).unwrap();
         let state = ConfigState::clone(&self.stores[*latest].record.state);
         let version = state.version;
-        self.stores[region].record = RegionRecord::rejoin(state, version);
+        self.stores[region].record = RegionRecord::recover(state, version);
         self.stores[region].version += 1;
         self.restart_controller(region);
     }
@@ -328,8 +328,8 @@
         };
         let version = attempt.proposer.version();
         let step = match reply {
-            Reply::Promised(accepted) => attempt.proposer.promised(region_name(from), accepted),
-            Reply::Accepted => attempt.proposer.accepted(region_name(from)),
+            Reply::Promised(accepted) => attempt.proposer.handle_promise(region_name(from), accepted),
+            Reply::Accepted => attempt.proposer.handle_acceptance(region_name(from)),
             Reply::Learned => Step::Wait,
             Reply::Rejected { rejection, .. } => return self.rejected(from, to, &rejection),
         };
@@ -350,7 +350,7 @@
         match rejection {
             Rejection::Decided => self.catch_up(to),
             Rejection::Behind => self.catch_up(from),
-            Rejection::Outbid(_) | Rejection::NotVoting => {}
+            Rejection::BallotTooLow(_) | Rejection::NotVoting => {}
         }
     }
 }
--- a/src/configuration/entries.rs
+++ b/src/configuration/entries.rs
@@ -69,11 +69,11 @@
         let Some(StoredRecord { record, .. }) = &self.stored else { return };
         let confirmed = record.state.confirmations.get(&self.fleet.region).copied().unwrap_or(0);
         let (version, is_current) =
-            (self.recorded_by_this_node.kept, self.recorded_by_this_node == self.applied_configuration);
+            (self.recorded_by_this_node.enforced_version, self.recorded_by_this_node == self.applied_configuration);
         if !is_current
             || version <= confirmed
             || now < self.next_confirmation_ms
-            || !record.state.waits_for(&self.fleet.region)
+            || !record.state.has_unconfirmed_reduction(&self.fleet.region)
         {
             return;
         }
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -177,10 +177,10 @@
         let mut conflict_found = false;
         while let Some((region, reply)) = replies.recv().await {
             let step = match reply {
-                Reply::Promised(accepted) => proposer.promised(region, accepted),
-                Reply::Accepted => proposer.accepted(region),
+                Reply::Promised(accepted) => proposer.handle_promise(region, accepted),
+                Reply::Accepted => proposer.handle_acceptance(region),
                 Reply::Learned => Step::Wait,
-                Reply::Rejected { rejection: Rejection::Outbid(ballot), .. } => {
+                Reply::Rejected { rejection: Rejection::BallotTooLow(ballot), .. } => {
                     self.round = self.round.max(ballot.round);
                     conflict_found = true;
                     Step::Wait
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -39,7 +39,8 @@
     /// Version under which the leader starts tasks.
     pub version: u64,
     /// Version whose limits all teams keep to: tasks in excess of them have ended.
-    pub kept: u64,
+    #[serde(rename = "kept")]
+    pub enforced_version: u64,
     /// Fencing token of the leader.
     #[serde(rename = "term")]
     pub fencing_token: FencingToken,
@@ -117,7 +118,7 @@
         }
         for item in state.list(LOG_PREFIX).await? {
             let entry: LogEntry = serde_json::from_value(item.value).map_err(|_| RecordError::Unreadable)?;
-            entry.recorded.into_iter().for_each(|recorded| config.remember(recorded));
+            entry.recorded.into_iter().for_each(|recorded| config.push_history(recorded));
         }
         // Another version may have been written between the reads: they are repeated until the record's key
         // has not changed.
--- a/src/configuration/stored.rs
+++ b/src/configuration/stored.rs
@@ -94,7 +94,7 @@
         let record = if self.contacts.len() == others && untouched {
             RegionRecord::new(self.initial.clone())
         } else if !untouched && self.contacts.len() > others / 2 {
-            RegionRecord::rejoin(self.initial.clone(), self.latest_version(0))
+            RegionRecord::recover(self.initial.clone(), self.latest_version(0))
         } else {
             return;
         };
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -37,7 +37,7 @@
     /// records may now be ordered.
     pub(in crate::control::partition) fn loans_written(&mut self, revision: u64) {
         let Some(borrowing) = &mut self.borrowing else { return };
-        for LoanEvent::Recorded(id) in borrowing.loans.written(revision) {
+        for LoanEvent::Recorded(id) in borrowing.loans.commit_succeeded(revision) {
             self.order_waiting_stops(id);
         }
         self.report_loan_transitions();
@@ -47,8 +47,8 @@
     pub(in crate::control::partition) fn loans_not_written(&mut self, failure: WriteFailure) {
         let Some(borrowing) = &mut self.borrowing else { return };
         match failure {
-            WriteFailure::Indeterminate => borrowing.loans.indeterminate(),
-            WriteFailure::NotCarriedOut => borrowing.loans.not_written(),
+            WriteFailure::Indeterminate => borrowing.loans.commit_indeterminate(),
+            WriteFailure::NotCarriedOut => borrowing.loans.commit_failed(),
         }
     }
 
@@ -60,7 +60,7 @@
     /// Applies a fresh read of a loan record's key. `item` is `None` if the key does not exist.
     pub(in crate::control::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
         if let Some(borrowing) = &mut self.borrowing {
-            borrowing.loans.reread(key, item.map_or(0, |item| item.version));
+            borrowing.loans.set_read_version(key, item.map_or(0, |item| item.version));
         }
     }
 
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -144,9 +144,9 @@
             settings: self.settings.clone(),
             refusal,
             runnable: demands.shares.iter().map(|(team, share)| (team.clone(), share.runnable)).collect(),
-            lent_by_team: self.loans.lent(),
-            owed_by_pair: self.loans.owed(),
-            recently_preempted: self.loans.quiet_jobs(wall).filter_map(index).collect(),
+            lent_by_team: self.loans.lent_by_team(),
+            owed_by_pair: self.loans.owed_by_pair(),
+            recently_preempted: self.loans.recently_preempted_jobs(wall).filter_map(index).collect(),
             reserves_for_teams: false,
             returning_tasks: self.returning_tasks(index),
         }
@@ -155,7 +155,7 @@
     /// Returns, for each job that gets lent capacity back, the number of tasks that are placed first.
     fn returning_tasks(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
         let mut returning_tasks = std::collections::HashMap::new();
-        for (job, tasks) in self.loans.returning() {
+        for (job, tasks) in self.loans.returning_tasks() {
             if let Some(job_index) = index(job) {
                 *returning_tasks.entry(job_index).or_default() += tasks;
             }
--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -42,7 +42,7 @@
         for (job_index, attempts) in &attempts {
             let spec = &cluster.jobs[*job_index].spec;
             let share = demands.shares.entry(spec.team.clone()).or_default();
-            share.in_use = share.in_use.plus(Amounts::from(spec.demand).times(f64::from(attempts.running)));
+            share.in_use = share.in_use.sum_with(Amounts::from(spec.demand).times(f64::from(attempts.running)));
         }
         for job_index in &cluster.runnable_jobs {
             let job = &cluster.jobs[*job_index];
@@ -52,7 +52,7 @@
         }
         for (team, need) in &mut demands.needs {
             let guarantee = demands.shares.get(team).map(|share| share.guarantee).unwrap_or_default();
-            *need = need.beyond(guarantee);
+            *need = need.saturating_sub(guarantee);
         }
         demands
     }
@@ -62,10 +62,10 @@
     fn add_runnable(&mut self, job: &Job, amounts: Amounts, settings: &BorrowingSettings) {
         let team = &job.spec.team;
         let share = self.shares.entry(team.clone()).or_default();
-        share.runnable = share.runnable.plus(amounts);
+        share.runnable = share.runnable.sum_with(amounts);
         if settings.borrowers.get(team).is_some_and(|borrower| Priority::from(job.urgency) >= borrower.from) {
             let need = self.needs.entry(team.clone()).or_default();
-            *need = need.plus(amounts);
+            *need = need.sum_with(amounts);
         }
     }
 }
@@ -129,10 +129,10 @@
     let idle = || job.tasks.iter().filter(|task| task.retry_after_ms <= now && placeable.includes(task)).count() as u32;
     let waiting = if may_start { idle() + attempts.stopping } else { 0 };
     JobDemand {
-        each: Amounts::from(spec.demand),
+        per_task: Amounts::from(spec.demand),
         running: attempts.running,
         // The task of an attempt that is being stopped may already be placed on another machine.
         waiting: waiting.min(spec.tasks.saturating_sub(attempts.running)),
-        gang_of: (spec.shape == Shape::Gang).then_some(spec.tasks),
+        gang_size: (spec.shape == Shape::Gang).then_some(spec.tasks),
     }
 }
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -22,13 +22,13 @@
         let cluster = &self.cluster;
         if !borrowing.settled && cluster.all_reconciled {
             borrowing.settled = true;
-            borrowing.loans.settle(|job| lending_job(cluster, job));
+            borrowing.loans.reconcile_restored(|job| lending_job(cluster, job));
             self.scheduling_triggers.request_cycle();
         }
         if borrowing.settled {
             let demands = TeamDemands::count(cluster, &self.policy.teams, &borrowing.settings, now);
             let moment = Moment { steady_ms: now, wall_ms: wall };
-            borrowing.loans.follow(|job| lending_job(cluster, job), &demands.needs, moment);
+            borrowing.loans.update_demand(|job| lending_job(cluster, job), &demands.needs, moment);
         }
         self.report_loan_transitions();
     }
--- a/src/control/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -50,7 +50,7 @@
     pub fn loans_status(&self, now: u64) -> Option<LoansStatus> {
         let borrowing = self.borrowing.as_ref()?;
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
-        let (lent, borrowed) = (borrowing.loans.lent(), borrowing.loans.borrowed());
+        let (lent, borrowed) = (borrowing.loans.lent_by_team(), borrowing.loans.borrowed_by_team());
         let amount = |sums: &BTreeMap<String, Amounts>, team: &str| sums.get(team).copied().unwrap_or_default();
         let team_status = |(team, share): (&String, &TeamShare)| TeamStatus {
             team: team.clone(),
--- a/src/control/partition/borrowing/team_reservations.rs
+++ b/src/control/partition/borrowing/team_reservations.rs
@@ -52,8 +52,8 @@
         let Some(borrowing) = &self.borrowing else { return };
         let job = &self.cluster.jobs[job_index];
         let each = Amounts::from(job.spec.demand);
-        let reserved = self.reserved_for_team(&job.spec.team).plus(each);
-        if !self.max_reserved_for_team(&job.spec.team).covers_for(reserved, each) {
+        let reserved = self.reserved_for_team(&job.spec.team).sum_with(each);
+        if !self.max_reserved_for_team(&job.spec.team).covers_task(reserved, each) {
             return;
         }
         // Lasts until the loan is returned, which one of the next plans takes into account.
@@ -68,11 +68,11 @@
     /// guarantee, because it would stop other teams' tasks for the guaranteed part again. Empty without such loans.
     fn max_reserved_for_team(&self, team: &str) -> Amounts {
         let Some(borrowing) = &self.borrowing else { return Amounts::default() };
-        let open = borrowing.loans.open_to(team);
-        if open.is_nothing() {
+        let open = borrowing.loans.open_amounts_of(team);
+        if open.is_zero() {
             return open;
         }
-        open.plus(self.policy.teams.get(team).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default())
+        open.sum_with(self.policy.teams.get(team).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default())
     }
 
     /// Returns the capacity that is reserved for all jobs of a team.
@@ -80,22 +80,22 @@
         let reservations = self.cluster.each_host().flat_map(|(_, host)| &host.reservations);
         let of_team = reservations
             .filter(|reservation| reservation.for_team && self.cluster.jobs[reservation.job].spec.team == team);
-        of_team.fold(Amounts::default(), |sum, reservation| sum.plus(Amounts::from(reservation.demand)))
+        of_team.fold(Amounts::default(), |sum, reservation| sum.sum_with(Amounts::from(reservation.demand)))
     }
 
     /// Releases the capacity reserved for borrowers whose loans are returned, and for borrowers that owe capacity
     /// to a lender below its floor, which does not have to wait for the return.
     pub(super) fn release_team_reservations(&mut self, demands: &TeamDemands) {
         let Some(borrowing) = &self.borrowing else { return };
-        let has_shortfall = |team: &str| demands.shares.get(team).is_some_and(|share| !share.shortfall().is_nothing());
+        let has_shortfall = |team: &str| demands.shares.get(team).is_some_and(|share| !share.shortfall().is_zero());
         let owing_borrowers = borrowing
             .loans
-            .owed()
+            .owed_by_pair()
             .into_keys()
             .filter(|(lender, _)| has_shortfall(lender))
             .map(|(_, borrower)| borrower);
         let borrowers_without_loans =
-            borrowing.settings.borrowers.keys().filter(|team| borrowing.loans.open_to(team).is_nothing()).cloned();
+            borrowing.settings.borrowers.keys().filter(|team| borrowing.loans.open_amounts_of(team).is_zero()).cloned();
         let released_teams: Vec<String> = owing_borrowers.chain(borrowers_without_loans).collect();
         let jobs = &self.cluster.jobs;
         let is_released = |reservation: &Reservation| {
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -307,7 +307,7 @@
     assert_eq!(harness.running_tasks("run-000001"), 8);
     assert!(harness.loan_states().iter().all(|state| state.contains("ended")), "{:?}", harness.loan_states());
     let status = harness.partition.loans_status(harness.now).unwrap();
-    assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_nothing()));
+    assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_zero()));
     let text = harness.partition.metrics.text() + &harness.partition.loan_gauges(harness.now);
     for figure in [
         "loans_total{of=\"open\"}",
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -46,7 +46,7 @@
     fn record_applied_version(&self, leadership: &mut Leadership, version: u64, now: u64) {
         let recorded = leadership.configuration.recorded;
         let already_recorded = recorded.version == version
-            && recorded.kept == version
+            && recorded.enforced_version == version
             && recorded.fencing_token == leadership.partition.fencing_token();
         if already_recorded || leadership.configuration.recording || now < leadership.configuration.next_record_ms {
             return;
@@ -54,15 +54,15 @@
         let pause_ms =
             if recorded.version == version { self.settings.react_ms() } else { self.settings.react_ms() / 8 };
         leadership.configuration.next_record_ms = now + pause_ms;
-        let kept = if !leadership.configuration.suspended && leadership.partition.teams_within_limits(now) {
+        let enforced_version = if !leadership.configuration.suspended && leadership.partition.teams_within_limits(now) {
             version
         } else if recorded.fencing_token == leadership.partition.fencing_token() {
-            recorded.kept
+            recorded.enforced_version
         } else {
             0
         };
         let applied_configuration =
-            AppliedConfiguration { version, kept, fencing_token: leadership.partition.fencing_token() };
+            AppliedConfiguration { version, enforced_version, fencing_token: leadership.partition.fencing_token() };
         if applied_configuration == recorded || leadership.write_budget.available_tokens(now) == 0 {
             return;
         }
--- a/src/scheduling/cycle/borrowing.rs
+++ b/src/scheduling/cycle/borrowing.rs
@@ -5,7 +5,7 @@
 use super::planned_stops::{PlannedStops, demand_lost_by_stop};
 use super::team_table::{TeamEntry, TeamTable};
 use crate::model::{BorrowingState, Demand, HostIndex, JobIndex, Shape, Spec, TaskAttempt, Urgency};
-use badgerdrift_borrowing::{Amounts, LoanKind, Refusal, StoppedWork};
+use badgerdrift_borrowing::{Amounts, LoanKind, PreemptibleWork, Refusal};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
@@ -83,7 +83,7 @@
     pub(super) fn record_start(&mut self, job: JobIndex, demand: Demand) {
         self.record_change();
         if let Some(team) = self.teams.team_mut(job) {
-            team.share.in_use = team.share.in_use.plus(Amounts::from(demand));
+            team.share.in_use = team.share.in_use.sum_with(Amounts::from(demand));
         }
     }
 
@@ -95,7 +95,7 @@
         let Some(team) = self.teams.team_mut(job) else { return };
         team.share.in_use = team.share.in_use.minus(amounts);
         match cause {
-            StopCause::Loan(LoanKind::Borrowed) => team.lent = team.lent.plus(amounts),
+            StopCause::Loan(LoanKind::Borrowed) => team.lent = team.lent.sum_with(amounts),
             StopCause::Reclaim => team.borrowed = team.borrowed.minus(amounts),
             _ => {}
         }
@@ -184,9 +184,9 @@
         }
         self.check_permission(borrowing, job_index, victim)?;
         let lender = self.borrowing.teams.team(victim);
-        let lent = lender.lent.plus(self.taken_if_stopped(victim, planned));
+        let lent = lender.lent.sum_with(self.taken_if_stopped(victim, planned));
         let within_max = Amounts::new(f64::INFINITY, lender.max_lent_gpus).covers(lent);
-        if within_max { Ok(LoanKind::Borrowed) } else { Err(Refusal::LendsItsMost) }
+        if within_max { Ok(LoanKind::Borrowed) } else { Err(Refusal::LenderAtLimit) }
     }
 
     /// Checks whether the settings allow work of `victim` to be stopped for the job. Answers are cached by
@@ -211,7 +211,7 @@
         let permission = &mut permissions.by_team[self.borrowing.teams.team_index(victim)][victim_urgency as usize];
         *permission.get_or_insert_with(|| {
             let lender = &self.borrowing.teams.team(victim).name;
-            borrowing.settings.permits(lender, victim_urgency.into(), &job.spec.team, job.urgency.into())
+            borrowing.settings.check_permitted(lender, victim_urgency.into(), &job.spec.team, job.urgency.into())
         })
     }
 
@@ -249,7 +249,7 @@
         }
         let borrower = teams.team(victim);
         let returned = Amounts::from(planned.taken_from(self.cluster, &borrower.name));
-        let still_owes = !borrower.borrowed.beyond(returned).is_nothing();
+        let still_owes = !borrower.borrowed.saturating_sub(returned).is_zero();
         let is_service = self.cluster.jobs[victim].spec.shape == Shape::Service;
         still_owes
             && self.starts_within_guarantee(job_index)
@@ -284,7 +284,7 @@
             return 0;
         }
         let team = self.borrowing.teams.team(job_index);
-        if team.lent.is_nothing() {
+        if team.lent.is_zero() {
             return 0;
         }
         let shortfall = team.share.shortfall();
@@ -308,14 +308,14 @@
         let spec = &self.cluster.jobs[attempt.key.job].spec;
         let instance_type = &self.cluster.instance_types[self.index.hosts[host_index].instance_type];
         let rate = instance_type.fetch_gb_per_s;
-        StoppedWork {
+        PreemptibleWork {
             ran_s: self.now.saturating_sub(attempt.since_ms) as f64 / 1000.0,
             checkpoint_every_s: spec.checkpoint_s,
             flush_s: spec.save_s,
             fetch_s: if rate > 0.0 { spec.image_gb / rate } else { 0.0 },
             tasks: if spec.shape == Shape::Gang { spec.tasks } else { 1 },
         }
-        .lost_s()
+        .lost_work_s()
     }
 
     /// Returns the cost of the work that is lost if an attempt of another team is stopped. Work of the
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -53,9 +53,9 @@
             else {
                 continue;
             };
-            if !owed.is_nothing() {
+            if !owed.is_zero() {
                 teams[*lender].debtors.push(*borrower);
-                teams[*borrower].borrowed = teams[*borrower].borrowed.plus(*owed);
+                teams[*borrower].borrowed = teams[*borrower].borrowed.sum_with(*owed);
             }
         }
         TeamTable { teams, team_of_job }
--- a/src/scheduling/tests/borrowing.rs
+++ b/src/scheduling/tests/borrowing.rs
@@ -160,9 +160,9 @@
             let amounts = Amounts::from(self.cluster.jobs[stop.key.job].spec.demand);
             if stop.cause == StopCause::Loan(LoanKind::Borrowed) {
                 let lent = self.lent_by_team.entry(lender.clone()).or_default();
-                *lent = lent.plus(amounts);
+                *lent = lent.sum_with(amounts);
                 let owed = self.owed_by_pair.entry((lender, borrower)).or_default();
-                *owed = owed.plus(amounts);
+                *owed = owed.sum_with(amounts);
             }
         }
         outcome
@@ -365,7 +365,7 @@
     fleet.add(&work(0, Shape::Service, Urgency::High, 5, 1), 4);
     let outcome = fleet.schedule(5);
     assert_eq!(outcome.stops.len(), 3);
-    assert_eq!(outcome.refused_loans.last().unwrap().reason, Refusal::LendsItsMost);
+    assert_eq!(outcome.refused_loans.last().unwrap().reason, Refusal::LenderAtLimit);
 }
 
 #[test]
--- a/tests/outputs/labels.rs
+++ b/tests/outputs/labels.rs
@@ -1,7 +1,7 @@
 //! Values of labels in metrics that only rare events show.
 
 use badgerdrift::api::refusal::RefusalReason;
-use badgerdrift_borrowing::{EndCause, LoanState, Refusal};
+use badgerdrift_borrowing::{LoanEndCause, LoanState, Refusal};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -69,8 +69,8 @@
 #[test]
 fn labels_of_loans_are_as_ever() {
     let causes = ["returned", "replaced", "lender_over", "within_guarantee", "not_recorded", "not_carried_out"];
-    assert_eq!(expected_names::<EndCause>(), causes);
-    causes.iter().for_each(|label| assert_eq!(named::<EndCause>(label).label(), *label));
+    assert_eq!(expected_names::<LoanEndCause>(), causes);
+    causes.iter().for_each(|label| assert_eq!(named::<LoanEndCause>(label).label(), *label));
     assert_eq!(expected_names::<LoanState>(), ["proposed", "unsettled", "open", "returning", "ended"]);
     for label in ["proposed", "unsettled", "open", "returning"] {
         assert_eq!(named::<LoanState>(label).label(), label);
