--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -42,7 +42,7 @@
         for stop in &outcome.stops {
             if let StopCause::Loan(kind) = stop.cause {
                 let guaranteed = kind == LoanKind::Guaranteed;
-                let parties = LoanParties { lending_job: stop.key.job, borrowing_job: stop.by, guaranteed };
+                let parties = LoanParties { lending_job: stop.key.job, borrowing_job: stop.preempting_job, guaranteed };
                 stops.entry(parties).or_default().push(stop);
             }
         }
@@ -83,7 +83,7 @@
     fn count_lost_work(&mut self, outcome: &CycleDecisions) {
         for stop in outcome.stops.iter().filter(|stop| matches!(stop.cause, StopCause::Loan(_) | StopCause::Reclaim)) {
             let team = &self.cluster.jobs[stop.key.job].spec.team;
-            self.metrics.add("loan_work_lost_s", team, stop.lost_s.ceil() as u64);
+            self.metrics.add("loan_work_lost_s", team, stop.lost_work_s.ceil() as u64);
         }
     }
 
@@ -133,7 +133,7 @@
     fn lending_state(&self, partition: &Partition, demands: &TeamDemands, wall: u64) -> BorrowingState {
         let cluster = &partition.cluster;
         let index = |id: &str| cluster.job_index.get(id).copied();
-        let closed = if !self.settled || !cluster.all_reconciled {
+        let refusal = if !self.settled || !cluster.all_reconciled {
             Some(Refusal::MachinesUnaccounted)
         } else if !partition.conditions.reservations_recordable {
             Some(Refusal::NotRecordable)
@@ -142,24 +142,24 @@
         };
         BorrowingState {
             settings: self.settings.clone(),
-            closed,
+            refusal,
             runnable: demands.shares.iter().map(|(team, share)| (team.clone(), share.runnable)).collect(),
-            lent: self.loans.lent(),
-            owed: self.loans.owed(),
-            quiet: self.loans.quiet_jobs(wall).filter_map(index).collect(),
+            lent_by_team: self.loans.lent_by_team(),
+            owed_by_pair: self.loans.owed_by_pair(),
+            recently_preempted: self.loans.recently_preempted_jobs(wall).filter_map(index).collect(),
             reserves_for_teams: false,
-            returning: self.returning(index),
+            returning_tasks: self.returning_tasks(index),
         }
     }
 
     /// Returns, for each job that gets lent capacity back, the number of tasks that are placed first.
-    fn returning(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
-        let mut returning = std::collections::HashMap::new();
-        for (job, tasks) in self.loans.returning() {
+    fn returning_tasks(&self, index: impl Fn(&str) -> Option<JobIndex>) -> std::collections::HashMap<JobIndex, u32> {
+        let mut returning_tasks = std::collections::HashMap::new();
+        for (job, tasks) in self.loans.returning_tasks() {
             if let Some(job_index) = index(job) {
-                *returning.entry(job_index).or_default() += tasks;
+                *returning_tasks.entry(job_index).or_default() += tasks;
             }
         }
-        returning
+        returning_tasks
     }
 }
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -239,7 +239,7 @@
     harness.now += STEP_MS;
     harness.partition.maintain_loans(harness.now, harness.now);
     harness.partition.schedule(harness.now, harness.now);
-    assert!(harness.partition.cluster.borrowing.as_ref().unwrap().closed.is_some());
+    assert!(harness.partition.cluster.borrowing.as_ref().unwrap().refusal.is_some());
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
     harness.steps(6);
     // Tasks that were not stopped do not count as lent, and a new loan meets the need.
@@ -307,7 +307,7 @@
     assert_eq!(harness.running_tasks("run-000001"), 8);
     assert!(harness.loan_states().iter().all(|state| state.contains("ended")), "{:?}", harness.loan_states());
     let status = harness.partition.loans_status(harness.now).unwrap();
-    assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_nothing()));
+    assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_zero()));
     let text = harness.partition.metrics.text() + &harness.partition.loan_gauges(harness.now);
     for figure in [
         "loans_total{of=\"open\"}",
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -30,7 +30,7 @@
         }
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
-        for slot in &outcome.warm_reservations_given_up {
+        for slot in &outcome.released_warm_reservations {
             warm_pools.pools.drain(*slot, EndCause::CapacityNeeded, moment);
             if let Some(host) = warm_pools.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
@@ -58,7 +58,7 @@
         let host = self.cluster.host_mut(placed.host);
         let Some(attempt) = host.and_then(|host| host.attempt_mut(placed.key, placed.attempt)) else { return };
         // If the claim failed, the task starts as usual in the capacity that the slot held.
-        attempt.awaits_record = claimed.is_ok();
+        attempt.start_awaits_record = claimed.is_ok();
         attempt.slot = (claimed.is_ok() && loaded).then_some(placed.slot);
     }
 }
@@ -73,7 +73,7 @@
             demand: demand(&slot.amounts),
             offer,
             warm: slot.state == SlotState::Idle,
-            may_yield: slot.is_available(),
+            releasable: slot.is_available(),
         }
     }
 
--- a/src/scheduling/cycle/mod.rs
+++ b/src/scheduling/cycle/mod.rs
@@ -28,9 +28,11 @@
 mod warm_reservations;
 
 use super::Policy;
-use super::index::Index;
+use super::index::CapacityIndex;
 use super::task_requirements::TaskRequirements;
-use crate::model::{ClusterState, Demand, HostIndex, JobIndex, Reserve, Shape, TaskKey, Urgency, WarmReservationClaim};
+use crate::model::{
+    ClusterState, Demand, ExpectedDemand, HostIndex, JobIndex, Shape, TaskKey, Urgency, WarmReservationClaim,
+};
 use badgerdrift_borrowing::Refusal;
 use borrowing::BorrowingDecisions;
 pub use borrowing::StopCause;
@@ -69,11 +71,11 @@
     /// Seconds that the attempt has to save its state; 0 if it saves none.
     pub grace_s: f64,
     /// Job that receives the capacity.
-    pub by: JobIndex,
+    pub preempting_job: JobIndex,
     /// Reason for the stop.
     pub cause: StopCause,
     /// Seconds of work that the stop discards, as far as known.
-    pub lost_s: f64,
+    pub lost_work_s: f64,
 }
 
 /// A pending job that may not take capacity from another team.
@@ -95,7 +97,7 @@
     /// Starts that use a warm reservation; each of them is also in `starts`.
     pub warm_claims: Vec<WarmReservationClaim>,
     /// Pool slots whose warm reservations are released for other work.
-    pub warm_reservations_given_up: Vec<u64>,
+    pub released_warm_reservations: Vec<u64>,
     /// Jobs with tasks for which no capacity was found.
     pub pending_jobs: Vec<JobIndex>,
     /// Jobs of `pending_jobs` that may not take capacity from another team; empty without borrowing.
@@ -114,7 +116,7 @@
     wall: u64,
     /// Number of attempts on all machines at the beginning of the cycle, ended ones included.
     attempts_before: usize,
-    index: Index,
+    index: CapacityIndex,
     /// Classes that can use one instance type only and for which it has hardly more capacity than expected
     /// to be needed.
     scarce_classes: HashSet<String>,
@@ -147,7 +149,7 @@
     expire_reservations(cluster, now);
     if !queue::any_pending(cluster, now, min_urgency) {
         // With an empty queue, neither the index nor the sums by team are needed.
-        cluster.accelerators_short = false;
+        cluster.accelerators_insufficient = false;
         return CycleDecisions::default();
     }
     schedule_with_index(cluster, policy, now, wall, min_urgency, next_attempt).0
@@ -168,7 +170,7 @@
     wall: u64,
     min_urgency: Urgency,
     mut next_attempt: impl FnMut() -> u64,
-) -> (CycleDecisions, Index) {
+) -> (CycleDecisions, CapacityIndex) {
     expire_reservations(cluster, now);
     let mut cycle = SchedulingCycle::new(cluster, policy, now, wall);
     cycle.place_all(min_urgency, &mut next_attempt);
@@ -177,18 +179,19 @@
 
 /// Returns the classes that can run on one instance type only and for which that type has hardly any
 /// capacity left.
-fn scarce_classes(cluster: &ClusterState, index: &Index) -> HashSet<String> {
-    let task_capacity = |reserve: &Reserve| -> f64 {
-        let hosts = index.hosts.iter().filter(|host| host.usable && reserve.allows(host.instance_type));
-        hosts.map(|host| host.free.tasks_that_fit(&reserve.demand)).sum()
+fn scarce_classes(cluster: &ClusterState, index: &CapacityIndex) -> HashSet<String> {
+    let task_capacity = |expected: &ExpectedDemand| -> f64 {
+        let hosts = index.hosts.iter().filter(|host| host.usable && expected.allows(host.instance_type));
+        hosts.map(|host| host.free.tasks_that_fit(&expected.demand)).sum()
     };
-    let scarce = cluster.reserves.iter().filter(|reserve| task_capacity(reserve) <= SCARCITY_RATIO * reserve.tasks);
-    scarce.map(|reserve| reserve.class.clone()).collect()
+    let scarce =
+        cluster.expected_demands.iter().filter(|expected| task_capacity(expected) <= SCARCITY_RATIO * expected.tasks);
+    scarce.map(|expected| expected.class.clone()).collect()
 }
 
 impl<'a> SchedulingCycle<'a> {
     fn new(cluster: &'a mut ClusterState, policy: &'a Policy, now: u64, wall: u64) -> SchedulingCycle<'a> {
-        let index = Index::new(cluster, now);
+        let index = CapacityIndex::new(cluster, now);
         SchedulingCycle {
             now,
             wall,
@@ -208,7 +211,7 @@
     }
 
     /// Completes the decisions and records in the cluster state what the next cycle needs.
-    fn finish(mut self) -> (CycleDecisions, Index) {
+    fn finish(mut self) -> (CycleDecisions, CapacityIndex) {
         self.borrowing.store_refusal();
         if !self.decisions.pending_jobs.is_empty() {
             self.cluster.last_pending_ms = self.now;
@@ -217,7 +220,7 @@
             let job = &self.cluster.jobs[*job_index];
             job.spec.demand.gpus > 0.0 && job.urgency >= Urgency::High
         };
-        self.cluster.accelerators_short = self.decisions.pending_jobs.iter().any(lacks_accelerators);
+        self.cluster.accelerators_insufficient = self.decisions.pending_jobs.iter().any(lacks_accelerators);
         self.decisions.hosts_examined = self.hosts_examined.get();
         let refused_loan = |job: &JobIndex| Some(RefusedLoan { job: *job, reason: self.borrowing.refusal(*job)? });
         self.decisions.refused_loans = self.decisions.pending_jobs.iter().filter_map(refused_loan).collect();
--- a/src/scheduling/cycle/tasks.rs
+++ b/src/scheduling/cycle/tasks.rs
@@ -31,10 +31,10 @@
     pub(super) fn start(&mut self, key: TaskKey, host_index: HostIndex, attempt: u64) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
-        task.place = Place::On(host_index, attempt);
-        task.located = true;
+        task.place = Place::OnHost(host_index, attempt);
+        task.located_by_leader = true;
         job.image_wait_until_ms = 0;
-        self.index.start(&job.spec, key.job, host_index);
+        self.index.record_start(&job.spec, key.job, host_index);
         self.borrowing.record_start(key.job, job.spec.demand);
         let (image, image_gb, demand) = (job.spec.image.clone(), job.spec.image_gb, job.spec.demand);
         let now = self.now;
@@ -67,13 +67,13 @@
     /// them.
     pub(super) fn place_tasks(&mut self, request: &PlacementRequest, next_attempt: &mut impl FnMut() -> u64) -> bool {
         let job_index = request.job_index;
-        let mut state = PlacementState { counts: self.index.counts(job_index), candidates: None };
+        let mut state = PlacementState { counts: self.index.tasks_by_zone(job_index), candidates: None };
         let placeable = self.cluster.placeable_tasks(&self.cluster.jobs[job_index]);
         let stray_tasks = self.cluster.tasks_with_stray_attempts(job_index, self.index.hosts_of(job_index));
         let mut tasks_examined = 0;
         for task_number in 0..self.cluster.jobs[job_index].tasks.len() as u32 {
             let task = self.cluster.jobs[job_index].tasks[task_number as usize];
-            if task.retry_ms > self.now || !placeable.includes(&task) || stray_tasks.contains(&task_number) {
+            if task.retry_after_ms > self.now || !placeable.includes(&task) || stray_tasks.contains(&task_number) {
                 continue;
             }
             if self.must_wait(request, tasks_examined) {
--- a/src/scheduling/cycle/team_table.rs
+++ b/src/scheduling/cycle/team_table.rs
@@ -3,7 +3,7 @@
 
 use crate::model::{BorrowingState, ClusterState, JobIndex};
 use crate::scheduling::Policy;
-use crate::scheduling::index::Index;
+use crate::scheduling::index::CapacityIndex;
 use badgerdrift_borrowing::{Amounts, TeamShare};
 use std::collections::{BTreeMap, HashMap};
 
@@ -34,7 +34,7 @@
 
 impl TeamTable {
     /// Computes what teams use, lend and borrow. The table is empty without borrowing.
-    pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &Index) -> TeamTable {
+    pub(super) fn new(cluster: &ClusterState, policy: &Policy, index: &CapacityIndex) -> TeamTable {
         let Some(borrowing) = &cluster.borrowing else { return TeamTable::default() };
         let mut team_indices: HashMap<&str, TeamIndex> = HashMap::new();
         let mut teams = Vec::new();
@@ -47,15 +47,15 @@
                 })
             })
             .collect();
-        for ((lender, borrower), owed) in &borrowing.owed {
+        for ((lender, borrower), owed) in &borrowing.owed_by_pair {
             let (Some(lender), Some(borrower)) =
                 (team_indices.get(lender.as_str()), team_indices.get(borrower.as_str()))
             else {
                 continue;
             };
-            if !owed.is_nothing() {
+            if !owed.is_zero() {
                 teams[*lender].debtors.push(*borrower);
-                teams[*borrower].borrowed = teams[*borrower].borrowed.plus(*owed);
+                teams[*borrower].borrowed = teams[*borrower].borrowed.sum_with(*owed);
             }
         }
         TeamTable { teams, team_of_job }
@@ -83,14 +83,14 @@
     }
 }
 
-fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &Index) -> TeamEntry {
+fn team_entry(name: &str, borrowing: &BorrowingState, policy: &Policy, index: &CapacityIndex) -> TeamEntry {
     let amounts_of = |sums: &BTreeMap<String, Amounts>| sums.get(name).copied().unwrap_or_default();
     let guarantee = policy.teams.get(name).map(|rule| Amounts::from(rule.guarantee)).unwrap_or_default();
-    let in_use = index.staying.get(name).copied().map(Amounts::from).unwrap_or_default();
+    let in_use = index.usage_after_stops.get(name).copied().map(Amounts::from).unwrap_or_default();
     TeamEntry {
         name: name.to_string(),
         share: TeamShare { guarantee, runnable: amounts_of(&borrowing.runnable), in_use },
-        lent: amounts_of(&borrowing.lent),
+        lent: amounts_of(&borrowing.lent_by_team),
         max_lent_gpus: borrowing.settings.most_gpus(name, guarantee),
         borrowed: Amounts::default(),
         debtors: Vec::new(),
--- a/src/scheduling/cycle/warm_reservations.rs
+++ b/src/scheduling/cycle/warm_reservations.rs
@@ -55,7 +55,7 @@
     /// or within the guarantee of its team. Reservations within the guarantee of their payer are kept.
     /// Returns whether capacity was released.
     pub(super) fn release_warm_reservations(&mut self, request: &PlacementRequest) -> bool {
-        if !self.cluster.warm_reservations.iter().any(|reservation| reservation.may_yield) {
+        if !self.cluster.warm_reservations.iter().any(|reservation| reservation.releasable) {
             return false;
         }
         let job = &self.cluster.jobs[request.job_index];
@@ -88,7 +88,8 @@
         let kept = self.reservations_within_guarantees();
         let mut by_host: BTreeMap<HostIndex, Vec<&WarmReservation>> = BTreeMap::new();
         let reservations = self.cluster.warm_reservations.iter();
-        for reservation in reservations.filter(|reservation| reservation.may_yield && !kept.contains(&reservation.slot))
+        for reservation in
+            reservations.filter(|reservation| reservation.releasable && !kept.contains(&reservation.slot))
         {
             by_host.entry(reservation.host).or_default().push(reservation);
         }
@@ -152,8 +153,8 @@
             let Some(offer) = &reservation.offer else { continue };
             let rule = self.policy.teams.get(&offer.payer);
             let Some(team) = rule.filter(|team| team.guarantees(&reservation.demand)) else { continue };
-            let staying = || self.index.staying.get(&offer.payer).copied().unwrap_or_default();
-            let taken = taken.entry(&offer.payer).or_insert_with(staying);
+            let usage_after_stops = || self.index.usage_after_stops.get(&offer.payer).copied().unwrap_or_default();
+            let taken = taken.entry(&offer.payer).or_insert_with(usage_after_stops);
             let mut with_reservation = *taken;
             with_reservation.add(&reservation.demand);
             let within = |amount: f64, guaranteed: f64| guaranteed <= 0.0 || amount <= guaranteed;
@@ -173,7 +174,7 @@
         };
         while let Some(position) = next(self) {
             let reservation = self.remove_warm_reservation(position);
-            self.decisions.warm_reservations_given_up.push(reservation.slot);
+            self.decisions.released_warm_reservations.push(reservation.slot);
         }
         if !slots.is_empty() {
             // Tasks that fitted nowhere before may fit now.
--- a/src/scheduling/tests/borrowing.rs
+++ b/src/scheduling/tests/borrowing.rs
@@ -66,13 +66,13 @@
     policy: Policy,
     settings: Arc<BorrowingSettings>,
     /// Amounts lent, by lender.
-    lent: BTreeMap<String, Amounts>,
+    lent_by_team: BTreeMap<String, Amounts>,
     /// Amounts owed, by lender and borrower.
-    owed: BTreeMap<(String, String), Amounts>,
+    owed_by_pair: BTreeMap<(String, String), Amounts>,
     /// Jobs that were preempted for a loan recently.
-    quiet: Vec<JobIndex>,
+    recently_preempted: Vec<JobIndex>,
     /// Jobs whose capacity is being returned, with the number of tasks to place first.
-    returning: Vec<(JobIndex, u32)>,
+    returning_tasks: Vec<(JobIndex, u32)>,
     reserves_for_teams: bool,
     next_attempt: u64,
 }
@@ -83,7 +83,7 @@
         let unlimited = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
         for (team, gpus) in TEAMS.into_iter().zip(guarantees) {
             let guarantee = Demand { cpus: 0.0, gpus: f64::from(gpus), mem: f64::INFINITY };
-            let rule = TeamRule { guarantee, limit: unlimited, settled: true, removed: false };
+            let rule = TeamRule { guarantee, limit: unlimited, limit_is_final: true, removed: false };
             policy.teams.insert(team.into(), rule);
         }
         let mut cluster = cluster(&vec![("a", false); hosts]);
@@ -92,10 +92,10 @@
             cluster,
             policy,
             settings: Arc::new(mutual_lending()),
-            lent: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            quiet: Vec::new(),
-            returning: Vec::new(),
+            lent_by_team: BTreeMap::new(),
+            owed_by_pair: BTreeMap::new(),
+            recently_preempted: Vec::new(),
+            returning_tasks: Vec::new(),
             reserves_for_teams: false,
             next_attempt: 0,
         }
@@ -141,13 +141,13 @@
         let runnable = TEAMS.map(|team| (team.to_string(), Amounts::new(0.0, self.wanted(team))));
         self.cluster.borrowing = Some(crate::model::BorrowingState {
             settings: self.settings.clone(),
-            closed: None,
+            refusal: None,
             runnable: runnable.into(),
-            lent: self.lent.clone(),
-            owed: self.owed.clone(),
+            lent_by_team: self.lent_by_team.clone(),
+            owed_by_pair: self.owed_by_pair.clone(),
             reserves_for_teams: self.reserves_for_teams,
-            quiet: self.quiet.iter().copied().collect(),
-            returning: self.returning.iter().copied().collect(),
+            recently_preempted: self.recently_preempted.iter().copied().collect(),
+            returning_tasks: self.returning_tasks.iter().copied().collect(),
         });
         let next_attempt = &mut self.next_attempt;
         let outcome = schedule(&mut self.cluster, &self.policy, now, now, Urgency::Low, || {
@@ -156,13 +156,13 @@
         });
         for stop in &outcome.stops {
             let lender = self.cluster.jobs[stop.key.job].spec.team.clone();
-            let borrower = self.cluster.jobs[stop.by].spec.team.clone();
+            let borrower = self.cluster.jobs[stop.preempting_job].spec.team.clone();
             let amounts = Amounts::from(self.cluster.jobs[stop.key.job].spec.demand);
             if stop.cause == StopCause::Loan(LoanKind::Borrowed) {
-                let lent = self.lent.entry(lender.clone()).or_default();
-                *lent = lent.plus(amounts);
-                let owed = self.owed.entry((lender, borrower)).or_default();
-                *owed = owed.plus(amounts);
+                let lent = self.lent_by_team.entry(lender.clone()).or_default();
+                *lent = lent.sum_with(amounts);
+                let owed = self.owed_by_pair.entry((lender, borrower)).or_default();
+                *owed = owed.sum_with(amounts);
             }
         }
         outcome
@@ -210,7 +210,7 @@
                 let of_team = |job: JobIndex| fleet.cluster.jobs[job].spec.team == team;
                 let stopped = |by_others: bool| -> f64 {
                     let stops =
-                        outcome.stops.iter().filter(|stop| of_team(stop.key.job) && of_team(stop.by) != by_others);
+                        outcome.stops.iter().filter(|stop| of_team(stop.key.job) && of_team(stop.preempting_job) != by_others);
                     stops.map(|stop| fleet.cluster.jobs[stop.key.job].spec.demand.gpus).sum()
                 };
                 // Starts of the same cycle count as left; preemptions within the team do not count as taken.
@@ -231,8 +231,8 @@
                     !lends || stop.grace_s >= spec.grace_s(),
                     "a task that can save a checkpoint gets the time for it"
                 );
-                let same_team = spec.team == fleet.cluster.jobs[stop.by].spec.team;
-                prop_assert!(lends != same_team || matches!(stop.cause, StopCause::Reclaim | StopCause::Move),
+                let same_team = spec.team == fleet.cluster.jobs[stop.preempting_job].spec.team;
+                prop_assert!(lends != same_team || matches!(stop.cause, StopCause::Reclaim | StopCause::Migration),
                     "{:?} between teams: {}", stop.cause, !same_team);
             }
             fleet.carry_out(&outcome.stops);
@@ -267,8 +267,9 @@
     let desk = fleet.add(&work(0, Shape::Service, Urgency::High, 4, 1), 3);
     let night = fleet.add(&work(1, Shape::Service, Urgency::High, 4, 1), 4);
     let outcome = fleet.schedule(5);
-    let between_teams =
-        |stop: &&Preemption| fleet.cluster.jobs[stop.key.job].spec.team != fleet.cluster.jobs[stop.by].spec.team;
+    let between_teams = |stop: &&Preemption| {
+        fleet.cluster.jobs[stop.key.job].spec.team != fleet.cluster.jobs[stop.preempting_job].spec.team
+    };
     assert_eq!(outcome.stops.iter().filter(between_teams).count(), 0);
     // Within a team urgency decides, so that nothing is refused. A third team finds no lender.
     assert_eq!(outcome.stops.len(), 8);
@@ -299,7 +300,7 @@
     let mut fleet = Fleet::new(2, [0, 0, 0]);
     let first = fleet.run(&work(1, Shape::Batch, Urgency::Normal, 8, 1), 1);
     let second = fleet.run(&Work { checkpoint_s: 0.0, ..work(1, Shape::Batch, Urgency::Normal, 8, 1) }, 2);
-    fleet.quiet = vec![first];
+    fleet.recently_preempted = vec![first];
     fleet.add(&work(0, Shape::Service, Urgency::High, 8, 1), 60_000);
     let outcome = fleet.schedule(60_001);
     assert!(outcome.stops.len() == 8 && outcome.stops.iter().all(|stop| stop.key.job == second));
@@ -332,7 +333,9 @@
         let outcome = fleet.schedule(round * ROUND_MS);
         let reclaims: Vec<&Preemption> = outcome.stops.iter().filter(|stop| stop.cause == StopCause::Reclaim).collect();
         assert!(
-            reclaims.iter().all(|stop| stop.key.job == service && fleet.cluster.jobs[stop.by].spec.team == "night")
+            reclaims
+                .iter()
+                .all(|stop| stop.key.job == service && fleet.cluster.jobs[stop.preempting_job].spec.team == "night")
         );
         (reclaimed, max_at_once) = (reclaimed + reclaims.len(), max_at_once.max(reclaims.len()));
         fleet.carry_out(&outcome.stops);
@@ -362,7 +365,7 @@
     fleet.add(&work(0, Shape::Service, Urgency::High, 5, 1), 4);
     let outcome = fleet.schedule(5);
     assert_eq!(outcome.stops.len(), 3);
-    assert_eq!(outcome.refused_loans.last().unwrap().reason, Refusal::LendsItsMost);
+    assert_eq!(outcome.refused_loans.last().unwrap().reason, Refusal::LenderAtLimit);
 }
 
 #[test]
@@ -408,7 +411,7 @@
     let mut fleet = Fleet::new(1, [0, 0, 0]);
     let night = fleet.add(&work(1, Shape::Batch, Urgency::Low, 8, 1), 1);
     let urgent = fleet.add(&work(2, Shape::Service, Urgency::Production, 8, 1), 2);
-    fleet.returning = vec![(night, 3)];
+    fleet.returning_tasks = vec![(night, 3)];
     let outcome = fleet.schedule(3);
     let started = |job: JobIndex| outcome.starts.iter().filter(|start| start.key.job == job).count();
     assert_eq!((started(night), started(urgent)), (3, 5));
--- a/tests/outputs/labels.rs
+++ b/tests/outputs/labels.rs
@@ -1,7 +1,7 @@
 //! Label values of metrics that appear only after rare events.
 
 use badgerdrift::api::refusal::RefusalReason;
-use badgerdrift_borrowing::{EndCause, LoanState, Refusal};
+use badgerdrift_borrowing::{LoanEndCause, LoanState, Refusal};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -70,8 +70,8 @@
 #[test]
 fn loan_states_and_end_causes_keep_their_labels() {
     let causes = ["returned", "replaced", "lender_over", "within_guarantee", "not_recorded", "not_carried_out"];
-    assert_eq!(expected_names::<EndCause>(), causes);
-    causes.iter().for_each(|label| assert_eq!(named::<EndCause>(label).label(), *label));
+    assert_eq!(expected_names::<LoanEndCause>(), causes);
+    causes.iter().for_each(|label| assert_eq!(named::<LoanEndCause>(label).label(), *label));
     assert_eq!(expected_names::<LoanState>(), ["proposed", "unsettled", "open", "returning", "ended"]);
     for label in ["proposed", "unsettled", "open", "returning"] {
         assert_eq!(named::<LoanState>(label).label(), label);
