--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -86,7 +86,7 @@
         boot_s: 30.0,
         zones: vec!["a".into()],
     };
-    partition.begin(FencingToken(1), 1, Vec::new(), Vec::new(), vec![instance_type], 0);
+    partition.begin_leadership(FencingToken(1), 1, Vec::new(), Vec::new(), vec![instance_type], 0);
     for number in 0..machines {
         let mut host = Host::new(format!("host-{number:06}"), "a".into(), false, Some(0), 0);
         (host.registered, host.reconciled) = (true, true);
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -37,7 +37,7 @@
         if let Some(ended) = self.ended_jobs.get(&spec.id) {
             return ended.response(&spec.id);
         }
-        if !spec.dependencies.is_empty() && self.router.has_old_peer() {
+        if !spec.dependencies.is_empty() && self.router.has_outdated_peer() {
             return self.known_job_or_refusal(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
         let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -65,7 +65,7 @@
 
     /// Stores the record of a job with two tasks.
     fn put_job(&self, id: &str, end: Option<JobEnd>, dependencies: &[&str]) {
-        let mut spec = wire::parse_submission(&partition::tests::body(id, "batch", 2)).unwrap();
+        let mut spec = wire::parse_submission(&partition::tests::job_submission(id, "batch", 2)).unwrap();
         spec.dependencies = Dependencies::new(dependencies.iter().map(|id| id.to_string()));
         let record = JobRecord { spec, accepted_ms: 0, end, done: Vec::new() };
         self.records.lock().unwrap().insert(id.to_string(), record);
@@ -89,7 +89,7 @@
 }
 
 fn submission() -> Vec<u8> {
-    partition::tests::body(ID, "batch", 2)
+    partition::tests::job_submission(ID, "batch", 2)
 }
 
 /// Returns the interface of a node that knows no leader and uses this state service.
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -12,7 +12,7 @@
 
 /// Submits a job with this value of `waits_on`.
 async fn submit_with_dependencies(api: &Api, id: &str, dependencies: Value) -> Response {
-    let mut body: Value = serde_json::from_slice(&partition::tests::body(id, "batch", 2)).unwrap();
+    let mut body: Value = serde_json::from_slice(&partition::tests::job_submission(id, "batch", 2)).unwrap();
     body["waits_on"] = dependencies;
     call(api, "POST", "/v1/jobs".to_string(), body.to_string().into_bytes()).await
 }
@@ -127,7 +127,7 @@
         200,
         "a known job is answered as such"
     );
-    let without_dependencies = partition::tests::body(SECOND, "batch", 2);
+    let without_dependencies = partition::tests::job_submission(SECOND, "batch", 2);
     assert_eq!(
         call(&api, "POST", "/v1/jobs".to_string(), without_dependencies).await.status,
         201,
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -149,7 +149,7 @@
                 .map_or(CommitOutcome::Indeterminate, |conflict| CommitOutcome::Conflict { failed: conflict.failed }),
             Ok((status, answer)) => {
                 tracing::error!(status, body = %String::from_utf8_lossy(&answer), "state service rejected the commit");
-                CommitOutcome::NotTaken
+                CommitOutcome::Rejected
             }
             Err(RequestError::Indeterminate) => CommitOutcome::Indeterminate,
             Err(RequestError::Throttled) => CommitOutcome::Throttled,
--- a/src/clients/write_limits/tests.rs
+++ b/src/clients/write_limits/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the limits of writes.
 
 use super::*;
-use crate::control::partition::tests::body;
+use crate::control::partition::tests::job_submission;
 use crate::model::Dependencies;
 use crate::settings::tests::settings;
 use crate::settings::{NextStateLimits, StateLimits};
@@ -18,7 +18,7 @@
 
 /// Returns a job without dependencies.
 fn spec() -> Spec {
-    wire::parse_submission(&body("run-000001", "batch", 4)).unwrap()
+    wire::parse_submission(&job_submission("run-000001", "batch", 4)).unwrap()
 }
 
 #[test]
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -22,7 +22,7 @@
 
 impl Partition {
     /// Restores the loans from the records of the previous leader.
-    pub fn begin_loans(&mut self, items: Vec<Item>) {
+    pub fn restore_loans(&mut self, items: Vec<Item>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.restore(items.into_iter().filter_map(record));
         }
@@ -35,7 +35,7 @@
 
     /// Handles a commit that wrote the pending loan records at `revision`: the stops that wait for these
     /// records may now be ordered.
-    pub(in crate::control::partition) fn loans_written(&mut self, revision: u64) {
+    pub(in crate::control::partition) fn loans_write_succeeded(&mut self, revision: u64) {
         let Some(borrowing) = &mut self.borrowing else { return };
         for LoanEvent::Recorded(id) in borrowing.loans.written(revision) {
             self.order_waiting_stops(id);
@@ -44,7 +44,7 @@
     }
 
     /// Handles a commit with loan records that failed or whose result is unknown.
-    pub(in crate::control::partition) fn loans_not_written(&mut self, failure: WriteFailure) {
+    pub(in crate::control::partition) fn loans_write_failed(&mut self, failure: WriteFailure) {
         let Some(borrowing) = &mut self.borrowing else { return };
         match failure {
             WriteFailure::Indeterminate => borrowing.loans.indeterminate(),
@@ -58,7 +58,7 @@
     }
 
     /// Applies a fresh read of a loan record's key. `item` is `None` if the key does not exist.
-    pub(in crate::control::partition) fn loan_key_read(&mut self, key: &str, item: Option<&Item>) {
+    pub(in crate::control::partition) fn apply_loan_record(&mut self, key: &str, item: Option<&Item>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.reread(key, item.map_or(0, |item| item.version));
         }
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -18,7 +18,7 @@
 
 impl Partition {
     /// Updates the scheduler's view of which tasks may be stopped for other teams.
-    pub(in crate::control::partition) fn describe_borrowing(&mut self, now: u64, wall: u64) {
+    pub(in crate::control::partition) fn update_borrowing_state(&mut self, now: u64, wall: u64) {
         let Some(borrowing) = &self.borrowing else { return };
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
         let lending = borrowing.lending_state(self, &demands, wall);
--- a/src/control/partition/borrowing/status.rs
+++ b/src/control/partition/borrowing/status.rs
@@ -47,7 +47,7 @@
 
 impl Partition {
     /// Returns the status of the loans, or `None` if borrowing is disabled.
-    pub fn loans_status(&self, now: u64) -> Option<LoansStatus> {
+    pub fn loan_status(&self, now: u64) -> Option<LoansStatus> {
         let borrowing = self.borrowing.as_ref()?;
         let demands = TeamDemands::count(&self.cluster, &self.policy.teams, &borrowing.settings, now);
         let (lent, borrowed) = (borrowing.loans.lent(), borrowing.loans.borrowed());
@@ -75,7 +75,7 @@
     /// Returns the number of open loans and each team's lent, borrowed and missing accelerators as metrics in
     /// text format. Empty if borrowing is disabled.
     pub fn loan_gauges(&self, now: u64) -> String {
-        let Some(status) = self.loans_status(now) else { return String::new() };
+        let Some(status) = self.loan_status(now) else { return String::new() };
         let open = status.loans.iter().filter(|loan| loan.loan.state != LoanState::Proposed).count();
         let mut text = crate::runtime::metrics::gauge_line("loans_open", open);
         for team in &status.teams {
--- a/src/control/partition/commit_queue.rs
+++ b/src/control/partition/commit_queue.rs
@@ -18,7 +18,7 @@
     /// The creation of a job.
     Creation,
     /// A cancellation that already follows from the record of another job.
-    FollowedEnd,
+    PropagatedCancellation,
     /// Tasks that are done.
     Progress,
 }
@@ -118,7 +118,7 @@
         let progress_after_ms = PROGRESS_HEARTBEATS * heartbeat_interval_ms;
         let priority = |job: &Job| match job.unsaved {
             _ if now < job.write_after_ms => None,
-            UnsavedChange::End(_) if job.end.is_some() => Some(WritePriority::FollowedEnd),
+            UnsavedChange::End(_) if job.end.is_some() => Some(WritePriority::PropagatedCancellation),
             UnsavedChange::End(_) => Some(WritePriority::End),
             UnsavedChange::Creation => Some(WritePriority::Creation),
             UnsavedChange::Progress if now >= job.unsaved_since_ms + progress_after_ms => Some(WritePriority::Progress),
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -37,7 +37,7 @@
     ///
     /// [`Superseded`] if the version of the partition's key has changed, so that another node may lead
     /// the partition.
-    pub fn committed(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
+    pub fn apply_commit_outcome(&mut self, result: CommitOutcome) -> Result<Vec<String>, Superseded> {
         let pending = self.commit_queue.take_in_flight();
         // After a conflict, the records of pools and loans are read again, as after a commit without an
         // answer.
@@ -50,7 +50,7 @@
                 return Ok(Vec::new());
             }
             CommitOutcome::Conflict { failed } => failed,
-            CommitOutcome::NotTaken => {
+            CommitOutcome::Rejected => {
                 self.handle_rejected_commit(&pending);
                 Vec::new()
             }
@@ -84,19 +84,19 @@
     }
 
     /// Returns the keys of pools and loans that must be read before their records are written again.
-    pub fn indeterminate_keys(&self) -> Vec<String> {
+    pub fn reservation_keys_to_read(&self) -> Vec<String> {
         let mut keys = self.pool_keys_to_read();
         keys.extend(self.loan_keys_to_read());
         keys
     }
 
     /// Applies the current values of these keys of pools and loans.
-    pub fn indeterminate_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
+    pub fn apply_reservation_records(&mut self, found: Vec<(String, Option<Item>)>) {
         let (loans, pools): (Vec<_>, Vec<_>) = found.into_iter().partition(|(key, _)| key.starts_with(LOAN_PREFIX));
         for (key, item) in &loans {
-            self.loan_key_read(key, item.as_ref());
+            self.apply_loan_record(key, item.as_ref());
         }
-        self.pool_keys_read(pools);
+        self.apply_pool_records(pools);
     }
 
     /// Applies a change that was carried out.
@@ -118,8 +118,8 @@
                     self.host_directory.assign(host.id, to);
                 }
             }
-            PendingWrite::Pools => self.pools_written(revision),
-            PendingWrite::Loans => self.loans_written(revision),
+            PendingWrite::Pools => self.pools_write_succeeded(revision),
+            PendingWrite::Loans => self.loans_write_succeeded(revision),
             PendingWrite::DeletedKey(_) => {}
         }
     }
@@ -131,8 +131,8 @@
             PendingWrite::Host(host_index) | PendingWrite::TransferredHost { host: host_index, .. } => {
                 self.host_write_failed(host_index, failure);
             }
-            PendingWrite::Pools => self.pools_not_written(failure),
-            PendingWrite::Loans => self.loans_not_written(failure),
+            PendingWrite::Pools => self.pools_write_failed(failure),
+            PendingWrite::Loans => self.loans_write_failed(failure),
             PendingWrite::DeletedKey(key) => {
                 self.commit_queue.mark_obsolete(key);
             }
@@ -243,7 +243,7 @@
 
     /// Applies a job's record that was read again after a conflict. Its contents are authoritative;
     /// unsaved changes that it lacks remain to be written.
-    pub fn reread(&mut self, item: Item) {
+    pub fn apply_reread_record(&mut self, item: Item) {
         let Some(&job_index) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.cluster.job_index.get(id)) else {
             return;
         };
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -134,7 +134,7 @@
 
     /// Returns the waiting jobs that may start within `horizon_ms`, for which capacity may be needed by
     /// then.
-    pub fn upcoming(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
+    pub fn jobs_starting_within(&self, horizon_ms: u64, now: u64) -> Vec<JobIndex> {
         if self.dependencies.graph().is_empty() {
             return Vec::new();
         }
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -90,7 +90,7 @@
             return;
         };
         if self.teams.owns_team(&record.spec.team) {
-            self.add_job_of_other_node(item, now);
+            self.add_job_accepted_elsewhere(item, now);
             return;
         }
         if let Some(end) = self.dependencies.external.update(id, record.spec.shape, record.end) {
@@ -100,7 +100,7 @@
 
     /// Returns the dependencies of other partitions without a known end. Their records are to be
     /// watched.
-    pub fn external_dependencies(&self) -> Vec<String> {
+    pub fn external_dependency_ids(&self) -> Vec<String> {
         self.dependencies.external.open()
     }
 
--- a/src/control/partition/dependency_lookups.rs
+++ b/src/control/partition/dependency_lookups.rs
@@ -78,7 +78,7 @@
 
     /// Applies the records found by a lookup, or `None` if it failed, and then answers the submission or
     /// continues with it.
-    pub fn dependencies_read(
+    pub fn complete_dependency_lookup(
         &mut self,
         submission: u64,
         found: Option<Vec<(String, Option<Item>)>>,
--- a/src/control/partition/direct_commands.rs
+++ b/src/control/partition/direct_commands.rs
@@ -61,7 +61,7 @@
     }
 
     /// Applies the outcome of a direct command.
-    pub fn direct_command_done(&mut self, command: &DirectCommand, result: DirectCommandOutcome, now: u64) {
+    pub fn apply_direct_command_outcome(&mut self, command: &DirectCommand, result: DirectCommandOutcome, now: u64) {
         let retry_at_ms = now + self.policy.react_ms / RETRY_DIVISOR;
         let Some(host) = self.cluster.host_mut(command.host).filter(|host| host.id == command.id) else { return };
         host.do_in_flight = false;
--- a/src/control/partition/external_conditions.rs
+++ b/src/control/partition/external_conditions.rs
@@ -5,7 +5,7 @@
 pub(super) struct ExternalConditions {
     /// Whether a controller is known to run a version that does not support dependencies between jobs.
     /// No job with dependencies is accepted then.
-    pub(super) has_old_peer: bool,
+    pub(super) has_outdated_peer: bool,
     /// Whether no configuration newer than the policy's teams is known. Always `true` without a shared
     /// configuration.
     pub(super) configuration_up_to_date: bool,
@@ -16,6 +16,6 @@
 
 impl Default for ExternalConditions {
     fn default() -> ExternalConditions {
-        ExternalConditions { has_old_peer: false, configuration_up_to_date: true, reservations_recordable: true }
+        ExternalConditions { has_outdated_peer: false, configuration_up_to_date: true, reservations_recordable: true }
     }
 }
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -11,7 +11,7 @@
     /// Starts the leadership with this fencing token and the records of the state service. The state of
     /// the hosts is unknown until they report under this token. Until then, nothing is placed that an
     /// unreconciled host may hold or may still start.
-    pub fn begin(
+    pub fn begin_leadership(
         &mut self,
         fencing_token: FencingToken,
         version: u64,
@@ -74,7 +74,7 @@
 
     /// Adds a job that another node accepted while it could not reach this one. Its record did not exist
     /// when this leader read the records, so no earlier leader has started any of its tasks.
-    pub fn add_job_of_other_node(&mut self, item: Item, now: u64) {
+    pub fn add_job_accepted_elsewhere(&mut self, item: Item, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
         if !self.cluster.job_index.contains_key(&record.spec.id) {
@@ -100,7 +100,7 @@
     }
 
     /// Recounts the unreconciled hosts if one was reconciled since the last count.
-    pub fn refresh_unreconciled(&mut self) {
+    pub fn recount_unreconciled(&mut self) {
         if self.reconciliation.is_count_due() {
             self.count_unreconciled();
         }
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -190,7 +190,7 @@
             }
             self.reconciliation.request_count();
         }
-        self.refresh_unreconciled();
+        self.recount_unreconciled();
     }
 
     /// Marks unreachable hosts for termination, except in partitioned zones. Returns their ids.
--- a/src/control/partition/heartbeat_load.rs
+++ b/src/control/partition/heartbeat_load.rs
@@ -38,7 +38,7 @@
 
     /// Returns the maximum number of attempts that the leader can track. `attempts` is the current
     /// number, `now` is in milliseconds.
-    pub(super) fn most_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
+    pub(super) fn max_attempts(&mut self, bounds: &AttemptBounds, attempts: usize, now: u64) -> usize {
         let window_ms = now.saturating_sub(self.window_start_ms);
         if window_ms >= RATE_WINDOW_HEARTBEATS * self.heartbeat_interval_ms {
             self.measure(attempts, window_ms);
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -62,9 +62,9 @@
         }
         self.mark_reconciled(host_index, heartbeat);
         let mut orders = Vec::new();
-        orders.extend(self.unknown_slots(heartbeat));
+        orders.extend(self.orders_for_unknown_slots(heartbeat));
         self.apply_task_statuses(host_index, heartbeat, &mut orders, now);
-        self.missing_tasks(host_index, heartbeat, source);
+        self.remove_unlisted_attempts(host_index, heartbeat, source);
         self.apply_slot_statuses(host_index, heartbeat, now);
         self.release_ended_claims(now);
         if let Some(remaining_s) = change.notice_s {
@@ -271,7 +271,12 @@
     }
 
     /// Removes attempts that are known here but not listed in the heartbeat.
-    pub(super) fn missing_tasks(&mut self, host_index: HostIndex, heartbeat: &Heartbeat, source: StatusSource) {
+    pub(super) fn remove_unlisted_attempts(
+        &mut self,
+        host_index: HostIndex,
+        heartbeat: &Heartbeat,
+        source: StatusSource,
+    ) {
         let Some(host) = self.cluster.host(host_index) else { return };
         let unlisted: Vec<(TaskKey, u64)> = host
             .attempts
--- a/src/control/partition/host_routing.rs
+++ b/src/control/partition/host_routing.rs
@@ -36,7 +36,7 @@
     }
 
     /// Applies the current registry record of a host that reported here; `None` if it has no record.
-    pub fn host_record_read(&mut self, id: &str, record: Option<HostRecord>, now: u64) {
+    pub fn apply_host_record(&mut self, id: &str, record: Option<HostRecord>, now: u64) {
         match record {
             // The host is looked up again with its next heartbeat.
             Some(record) if record.partition == self.id() && self.is_transfer_indeterminate() => {}
--- a/src/control/partition/leadership_epoch.rs
+++ b/src/control/partition/leadership_epoch.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the number that the next call of `next_number` will return.
-    pub(super) fn upcoming_number(&self) -> u64 {
+    pub(super) fn peek_next_number(&self) -> u64 {
         self.last_number + 1
     }
 
--- a/src/control/partition/mod.rs
+++ b/src/control/partition/mod.rs
@@ -185,8 +185,8 @@
 
     /// Sets whether a controller is known to run a version that does not support dependencies between
     /// jobs. No job with dependencies is accepted then.
-    pub fn set_has_old_peer(&mut self, has_old_peer: bool) {
-        self.conditions.has_old_peer = has_old_peer;
+    pub fn set_has_outdated_peer(&mut self, has_outdated_peer: bool) {
+        self.conditions.has_outdated_peer = has_outdated_peer;
     }
 
     /// Sets whether no configuration newer than the policy's teams is known.
--- a/src/control/partition/next_commit.rs
+++ b/src/control/partition/next_commit.rs
@@ -20,7 +20,8 @@
         self.record_completed_cancellations();
         self.commit_queue.begin_commit(now);
         let due = self.commit_queue.due_records(&self.cluster.jobs, self.policy.report_ms, now);
-        let (urgent, rest) = due.split_at(due.partition_point(|record| record.priority < WritePriority::FollowedEnd));
+        let (urgent, rest) =
+            due.split_at(due.partition_point(|record| record.priority < WritePriority::PropagatedCancellation));
         let max_changes = max_changes.min(self.commit_queue.max_changes());
         let mut builder = CommitBuilder::new(self.epoch.condition(), max_changes);
         self.add_job_records(urgent, &mut builder);
--- a/src/control/partition/scheduling.rs
+++ b/src/control/partition/scheduling.rs
@@ -18,13 +18,13 @@
     /// Runs a scheduling cycle for work of at least this urgency.
     fn run_scheduling_cycle(&mut self, min_urgency: Urgency, now: u64, wall: u64) {
         self.scheduling_triggers.begin_cycle(min_urgency);
-        self.refresh_unreconciled();
+        self.recount_unreconciled();
         self.set_ready_times(wall);
         self.stop_attempts_of_done_tasks();
         self.limit_attempts(now);
         self.wall_ms = wall;
         self.reserve_warm_capacity();
-        self.describe_borrowing(now, wall);
+        self.update_borrowing_state(now, wall);
         let epoch = &mut self.epoch;
         let decisions =
             scheduling::schedule(&mut self.cluster, &self.policy, now, wall, min_urgency, || epoch.next_number());
@@ -49,19 +49,19 @@
     }
 
     /// Reserves capacity for work that is expected to arrive at these rates.
-    pub fn reserve_for_flows(&mut self, flows: &[scheduling::ClassFlow]) {
+    pub fn reserve_expected_demand(&mut self, flows: &[scheduling::ClassFlow]) {
         self.cluster.reserves = scheduling::reserves(&self.cluster, &self.policy, flows);
     }
 
     /// Replaces the list of instance types that cannot be rented at present.
-    pub fn set_exhausted(&mut self, exhausted: Vec<usize>) {
+    pub fn set_exhausted_instance_types(&mut self, exhausted: Vec<usize>) {
         self.cluster.exhausted = exhausted;
     }
 
     /// Limits the number of attempts by the measured cost of tracking the current ones.
     fn limit_attempts(&mut self, now: u64) {
         let attempts = self.cluster.each_host().map(|(_, host)| host.attempts.len()).sum();
-        self.policy.max_attempts = self.heartbeat_load.most_attempts(&self.policy.attempt_bounds, attempts, now);
+        self.policy.max_attempts = self.heartbeat_load.max_attempts(&self.policy.attempt_bounds, attempts, now);
     }
 
     /// Records a start in metrics and log, and queues its host for dispatch.
@@ -139,7 +139,7 @@
     }
 
     /// Returns the lowest deadline bin among the pending jobs; `None` if no jobs are pending.
-    pub fn lowest_bin(&self, wall: u64) -> Option<u64> {
+    pub fn lowest_deadline_bin(&self, wall: u64) -> Option<u64> {
         let deadline_bin = |job_index: &JobIndex| {
             self.policy.bin(self.policy.effective_deadline_ms(&self.cluster.jobs[*job_index], wall))
         };
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -42,7 +42,7 @@
 
 /// Returns the submission of a job of this team.
 fn submission_of(id: &str, team: &str, shape: &str, urgency: &str, tasks: u32) -> Vec<u8> {
-    let mut body: Value = serde_json::from_slice(&body(id, shape, tasks)).unwrap();
+    let mut body: Value = serde_json::from_slice(&job_submission(id, shape, tasks)).unwrap();
     (body["owner"], body["urgency"]) = (team.into(), urgency.into());
     (body["checkpoint_every_s"], body["flush_s"], body["expected_s"]) = (5.0.into(), 1.0.into(), 600.0.into());
     body.to_string().into_bytes()
@@ -74,7 +74,7 @@
     }
 
     fn submit(&mut self, body: &[u8]) {
-        let _answer = submit(&mut self.partition, body, self.now);
+        let _answer = submit_job(&mut self.partition, body, self.now);
         self.finish_commit(true);
     }
 
@@ -89,9 +89,9 @@
         let Some(commit) = self.partition.next_commit(self.now, 32) else { return };
         if succeeds {
             self.apply_commit(&commit);
-            let _ = self.partition.committed(CommitOutcome::Done { revision: self.revision });
+            let _ = self.partition.apply_commit_outcome(CommitOutcome::Done { revision: self.revision });
         } else {
-            let _ = self.partition.committed(CommitOutcome::Refused);
+            let _ = self.partition.apply_commit_outcome(CommitOutcome::Refused);
         }
     }
 
@@ -187,11 +187,11 @@
     let mut harness = Harness::new();
     harness.burst(4);
     let indeterminate = harness.partition.next_commit(harness.now, 32).unwrap();
-    let _ = harness.partition.committed(CommitOutcome::Indeterminate);
+    let _ = harness.partition.apply_commit_outcome(CommitOutcome::Indeterminate);
     assert_eq!(count_stops(&harness.heartbeat()), 0, "the loan may not be recorded");
     assert!(harness.partition.next_commit(harness.now, 32).is_none(), "the keys must be read first");
     harness.apply_commit(&indeterminate);
-    let found = harness.partition.indeterminate_keys().into_iter().map(|key| {
+    let found = harness.partition.reservation_keys_to_read().into_iter().map(|key| {
         let item = harness.records.get(&key).map(|(value, version)| Item {
             key: key.clone(),
             value: value.clone(),
@@ -200,7 +200,7 @@
         (key, item)
     });
     let found: Vec<(String, Option<Item>)> = found.collect();
-    harness.partition.indeterminate_keys_read(found);
+    harness.partition.apply_reservation_records(found);
     let retry = harness.partition.next_commit(harness.now, 32).unwrap();
     assert_eq!(
         retry.conditions.last().unwrap().version,
@@ -208,7 +208,7 @@
         "the retry is conditional on the version that was read"
     );
     harness.apply_commit(&retry);
-    let _ = harness.partition.committed(CommitOutcome::Done { revision: harness.revision });
+    let _ = harness.partition.apply_commit_outcome(CommitOutcome::Done { revision: harness.revision });
     assert_eq!(count_stops(&harness.heartbeat()), 4);
     harness.steps(3);
     assert_eq!((harness.running_tasks("run-000001"), harness.running_tasks("run-000002")), (4, 4));
@@ -224,9 +224,9 @@
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
     let hosts = self::stored_records(&mut harness.partition).1;
-    harness.partition = partition_of(harness.partition.fencing_token().0 + 1, jobs, hosts);
+    harness.partition = partition_with_records(harness.partition.fencing_token().0 + 1, jobs, hosts);
     harness.configure_borrowing();
-    harness.partition.begin_loans(loans);
+    harness.partition.restore_loans(loans);
 }
 
 #[test]
@@ -243,7 +243,7 @@
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
     harness.steps(6);
     // Tasks that were not stopped do not count as lent, and a new loan meets the need.
-    let status = harness.partition.loans_status(harness.now).unwrap();
+    let status = harness.partition.loan_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
     assert_eq!((harness.running_tasks("run-000001"), harness.running_tasks("run-000002"), lent), (4, 4, 3));
 }
@@ -263,7 +263,7 @@
             harness.running.iter().filter(|(task, _)| task.starts_with("run-000001") && !harness.saving.contains(task));
         assert!(kept.count() >= 2, "the lender keeps its guarantee: {:?}", harness.running);
     }
-    let status = harness.partition.loans_status(harness.now).unwrap();
+    let status = harness.partition.loan_status(harness.now).unwrap();
     let lent: u32 = status.loans.iter().map(|entry| entry.loan.tasks).sum();
     assert_eq!(lent, 3, "the restored loan is open, and the fourth task is within the borrower's guarantee");
 }
@@ -279,7 +279,7 @@
     guarantee(&mut harness.partition, LENDER, 5.0);
     let shortfall = harness
         .partition
-        .loans_status(harness.now)
+        .loan_status(harness.now)
         .unwrap()
         .teams
         .iter()
@@ -306,7 +306,7 @@
     harness.steps(20);
     assert_eq!(harness.running_tasks("run-000001"), 8);
     assert!(harness.loan_states().iter().all(|state| state.contains("ended")), "{:?}", harness.loan_states());
-    let status = harness.partition.loans_status(harness.now).unwrap();
+    let status = harness.partition.loan_status(harness.now).unwrap();
     assert!(status.loans.is_empty() && status.teams.iter().all(|team| team.lent.is_nothing()));
     let text = harness.partition.metrics.text() + &harness.partition.loan_gauges(harness.now);
     for figure in [
@@ -328,7 +328,7 @@
     assert!(harness.partition.next_commit(harness.now, 32).is_none());
     assert_eq!(count_stops(&harness.heartbeat()), 4);
     assert!(
-        harness.partition.loans_status(harness.now).is_none() && harness.partition.loan_gauges(harness.now).is_empty()
+        harness.partition.loan_status(harness.now).is_none() && harness.partition.loan_gauges(harness.now).is_empty()
     );
     assert_eq!(harness.partition.cluster.jobs[0].spec.urgency, Urgency::Normal);
 }
@@ -340,7 +340,7 @@
     harness.burst(4);
     let attempts = harness.partition.cluster.each_host().flat_map(|(_, host)| &host.attempts);
     assert_eq!(attempts.filter(|attempt| attempt.stop.is_some()).count(), 0);
-    assert!(harness.partition.loans_status(harness.now).unwrap().loans.is_empty());
+    assert!(harness.partition.loan_status(harness.now).unwrap().loans.is_empty());
 }
 
 /// Returns the number of reservations for the borrowing team.
--- a/src/control/partition/tests/parts.rs
+++ b/src/control/partition/tests/components.rs
@@ -16,7 +16,7 @@
 /// Returns accepted jobs with these unsaved changes and urgencies.
 fn jobs(changes: &[(UnsavedChange, Urgency)]) -> Vec<Job> {
     let job = |(change, urgency): &(UnsavedChange, Urgency)| {
-        let mut job = Job::new(wire::parse_submission(&body("run-000001", "batch", 1)).unwrap(), 0, 0);
+        let mut job = Job::new(wire::parse_submission(&job_submission("run-000001", "batch", 1)).unwrap(), 0, 0);
         // A version marks the job as accepted; only accepted jobs are active.
         job.version = 1;
         (job.unsaved, job.urgency, job.spec.urgency) = (*change, *urgency, *urgency);
@@ -55,7 +55,7 @@
     jobs[0].end = Some(JobEnd::Cancelled);
     let due = commit_queue(&jobs).due_records(&jobs, 500, 0);
     assert_eq!(due.iter().map(|record| record.job).collect::<Vec<_>>(), [1, 0]);
-    assert_eq!(due[1].priority, WritePriority::FollowedEnd);
+    assert_eq!(due[1].priority, WritePriority::PropagatedCancellation);
 }
 
 #[test]
@@ -104,7 +104,7 @@
     assert_eq!((epoch.partition_version(), epoch.fencing_token()), (0, FencingToken::NONE));
     epoch.begin(FencingToken(3), 77, 1000);
     let first = epoch.next_number();
-    assert_eq!(epoch.upcoming_number(), first + 1);
+    assert_eq!(epoch.peek_next_number(), first + 1);
     epoch.set_fencing_token(FencingToken(3), 78);
     assert_eq!((epoch.next_number(), epoch.condition().version), (first + 1, 78));
     epoch.set_fencing_token(FencingToken(4), 79);
@@ -209,10 +209,10 @@
 fn more_entries_in_heartbeats_allow_fewer_attempts() {
     let bounds = partition().policy.attempt_bounds;
     let mut load = HeartbeatLoad::new(1000);
-    let unmeasured = load.most_attempts(&bounds, 10, 0);
+    let unmeasured = load.max_attempts(&bounds, 10, 0);
     load.record(30);
-    let once_a_heartbeat = load.most_attempts(&bounds, 10, 3000);
+    let once_a_heartbeat = load.max_attempts(&bounds, 10, 3000);
     load.record(120);
-    let four_times = load.most_attempts(&bounds, 10, 6000);
+    let four_times = load.max_attempts(&bounds, 10, 6000);
     assert!(unmeasured <= four_times && four_times <= once_a_heartbeat);
 }
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -41,7 +41,7 @@
     };
     let mut records = vec![record(FIRST, "batch", "red", None, 49), waits(SECOND, FIRST, None)];
     records.push(waits(THIRD, SECOND, Some(100.0)));
-    let due = |jobs: Vec<Item>| job(&partition_of(2, jobs, vec![]), FIRST).due_ms().unwrap();
+    let due = |jobs: Vec<Item>| job(&partition_with_records(2, jobs, vec![]), FIRST).due_ms().unwrap();
     let forwards = due(records.clone());
     records.reverse();
     assert_eq!((forwards, due(records)), (900 + 100_000 - 36_000, forwards));
@@ -53,11 +53,11 @@
     let index = |id: &str| partition.cluster.job_index[id];
     let (second, third) = (index(SECOND), index(THIRD));
     // Each job takes 12 s in all.
-    assert_eq!(partition.upcoming(11_000, 1000), [] as [usize; 0]);
-    assert_eq!(partition.upcoming(12_000, 1000), [second]);
-    assert_eq!(partition.upcoming(24_000, 1000), [second, third]);
+    assert_eq!(partition.jobs_starting_within(11_000, 1000), [] as [usize; 0]);
+    assert_eq!(partition.jobs_starting_within(12_000, 1000), [second]);
+    assert_eq!(partition.jobs_starting_within(24_000, 1000), [second, third]);
     partition.schedule(1000, 1000);
-    assert_eq!(partition.upcoming(7_000, 6000), [second], "the first has run for five seconds");
+    assert_eq!(partition.jobs_starting_within(7_000, 6000), [second], "the first has run for five seconds");
     cancel(&mut partition, FIRST);
-    assert_eq!(partition.upcoming(60_000, 6000), [] as [usize; 0], "nothing is rented for cancelled jobs");
+    assert_eq!(partition.jobs_starting_within(60_000, 6000), [] as [usize; 0], "nothing is rented for cancelled jobs");
 }
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -15,7 +15,7 @@
 
 /// Returns the submission of an array of two tasks with these dependencies and further fields.
 pub(super) fn waiting_body(id: &str, dependencies: &[&str], fields: Value) -> Vec<u8> {
-    let mut value: Value = serde_json::from_slice(&body(id, "batch", 2)).unwrap();
+    let mut value: Value = serde_json::from_slice(&job_submission(id, "batch", 2)).unwrap();
     value["waits_on"] = json!(dependencies);
     for (name, field) in fields.as_object().unwrap() {
         value[name] = field.clone();
@@ -25,7 +25,7 @@
 
 /// Submits such an array and completes all due commits. Returns the answer to the submission.
 pub(super) fn accept_waiting(partition: &mut Partition, id: &str, dependencies: &[&str], fields: Value) -> UserAnswer {
-    let mut rx = submit(partition, &waiting_body(id, dependencies, fields), 1000);
+    let mut rx = submit_job(partition, &waiting_body(id, dependencies, fields), 1000);
     commit_all(partition, 1000);
     rx.try_recv().expect("the submission must be answered")
 }
@@ -35,7 +35,7 @@
     let mut revision = partition.cluster.jobs.iter().map(|job| job.version).max().unwrap_or(0).max(100);
     while partition.next_commit(now, 32).is_some() {
         revision += 1;
-        partition.committed(CommitOutcome::Done { revision }).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Done { revision }).unwrap();
     }
 }
 
@@ -91,7 +91,7 @@
 
 /// Returns the stored record of a job of two tasks with this end.
 pub(super) fn record(id: &str, shape: &str, team: &str, end: Option<JobEnd>, version: u64) -> Item {
-    let mut spec = wire::parse_submission(&body(id, shape, 2)).unwrap();
+    let mut spec = wire::parse_submission(&job_submission(id, shape, 2)).unwrap();
     spec.team = team.into();
     let record = JobRecord { spec, accepted_ms: 900, end, done: vec![] };
     Item { key: job_key(id), value: serde_json::to_value(record).unwrap(), version }
@@ -102,27 +102,27 @@
 #[test]
 fn a_dependency_is_refused_as_unknown_only_after_a_fresh_read() {
     let mut partition = partition();
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookups = partition.take_lookups();
     assert_eq!((lookups.len(), lookups[0].ids.as_slice()), (1, &[FIRST.to_string()][..]));
     assert!(rx.try_recv().is_err(), "no answer before the read");
-    partition.dependencies_read(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    partition.complete_dependency_lookup(lookups[0].submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(reason)) if reason.contains(FIRST)));
     assert!(partition.next_commit(1000, 32).is_none());
     // A failed read leaves it open whether the job exists.
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
-    partition.dependencies_read(lookup.submission, None, 1000, 1000);
+    partition.complete_dependency_lookup(lookup.submission, None, 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::StateServiceSilent)));
 }
 
 #[test]
 fn a_job_may_depend_on_one_that_another_node_just_accepted() {
     let mut partition = partition();
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "red", None, 50);
-    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    partition.complete_dependency_lookup(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
     commit_all(&mut partition, 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
     assert!(!job(&partition, FIRST).waiting && job(&partition, SECOND).waiting);
@@ -131,39 +131,39 @@
 #[test]
 fn a_dependency_with_an_indeterminate_creation_is_refused_as_retryable() {
     let mut partition = partition();
-    let _rx = submit(&mut partition, &body(FIRST, "batch", 2), 1000);
+    let _rx = submit_job(&mut partition, &job_submission(FIRST, "batch", 2), 1000);
     partition.next_commit(1000, 32).unwrap();
-    partition.committed(CommitOutcome::Indeterminate).unwrap();
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
-    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
+    partition.complete_dependency_lookup(lookup.submission, Some(vec![(FIRST.into(), None)]), 1000, 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::DependencyIndeterminate)));
 }
 
 #[test]
 fn a_job_that_depends_on_itself_or_a_service_is_refused() {
     let mut partition = partition();
-    let mut rx = submit(&mut partition, &waiting_body(FIRST, &[FIRST], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(FIRST, &[FIRST], json!({})), 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
-    let _rx = submit(&mut partition, &body(FIRST, "service", 1), 1000);
+    let _rx = submit_job(&mut partition, &job_submission(FIRST, "service", 1), 1000);
     commit_all(&mut partition, 1000);
     assert!(matches!(accept_waiting(&mut partition, SECOND, &[FIRST], json!({})), UserAnswer::Unschedulable(_)));
     // The same applies to a service that is found by a read.
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &[THIRD], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
     let found = record(THIRD, "service", "red", None, 50);
-    partition.dependencies_read(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
+    partition.complete_dependency_lookup(lookup.submission, Some(vec![(THIRD.into(), Some(found))]), 1000, 1000);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Unschedulable(_))));
 }
 
 #[test]
 fn no_waiting_job_is_accepted_while_an_old_controller_is_known() {
     let mut partition = chain();
-    partition.conditions.has_old_peer = true;
-    let mut rx = submit(&mut partition, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
+    partition.conditions.has_outdated_peer = true;
+    let mut rx = submit_job(&mut partition, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::ControllerOutdated)));
     // A known job is answered, whatever the repeated submission contains.
-    let mut rx = submit(&mut partition, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
+    let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
 }
 
@@ -190,7 +190,7 @@
     assert_eq!(placed(&partition), [FIRST], "a heartbeat alone starts no dependent");
     partition.next_commit(2000, 32).unwrap();
     partition.schedule(2001, 2001);
-    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
     partition.schedule(2002, 2002);
     assert_eq!(placed(&partition), [FIRST], "a write in flight or with an unknown result starts no dependent either");
     commit_all(&mut partition, 2100);
@@ -212,12 +212,12 @@
 fn after_a_failover_a_job_waits_for_dependencies_not_recorded_as_done() {
     let mut second = record(SECOND, "batch", "red", None, 51);
     second.value["spec"]["waits_on"] = json!(FIRST);
-    let open = partition_of(2, vec![record(FIRST, "batch", "red", None, 50), second.clone()], vec![]);
+    let open = partition_with_records(2, vec![record(FIRST, "batch", "red", None, 50), second.clone()], vec![]);
     assert!(job(&open, SECOND).waiting && open.cluster.live.len() == 1);
     // The result does not depend on the order of the records.
     let done = record(FIRST, "batch", "red", Some(JobEnd::Done), 50);
     for jobs in [vec![done.clone(), second.clone()], vec![second.clone(), done]] {
-        let partition = partition_of(2, jobs, vec![]);
+        let partition = partition_with_records(2, jobs, vec![]);
         assert!(job(&partition, SECOND).active(), "a task of the job that is already running must not be stopped");
     }
 }
@@ -231,13 +231,13 @@
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
     let mut partition = Partition::new(policy, 0, teams, settings.write_limits());
     let instance_types = super::partition().cluster.instance_types;
-    partition.begin(FencingToken(1), 77, vec![], vec![], instance_types, 1000);
-    let _rx = submit(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
+    partition.begin_leadership(FencingToken(1), 77, vec![], vec![], instance_types, 1000);
+    let _rx = submit_job(&mut partition, &waiting_body(SECOND, &[FIRST], json!({})), 1000);
     let lookup = partition.take_lookups().pop().unwrap();
     let found = record(FIRST, "batch", "blue", None, 50);
-    partition.dependencies_read(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
+    partition.complete_dependency_lookup(lookup.submission, Some(vec![(FIRST.into(), Some(found))]), 1000, 1000);
     commit_all(&mut partition, 1000);
-    assert_eq!(partition.external_dependencies(), [FIRST]);
+    assert_eq!(partition.external_dependency_ids(), [FIRST]);
     partition
 }
 
@@ -252,7 +252,7 @@
     partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", None, 60), 2000);
     assert!(job(&partition, SECOND).waiting);
     partition.add_dependency_record(FIRST, record(FIRST, "batch", "blue", Some(JobEnd::Done), 61), 2000);
-    assert!(job(&partition, SECOND).active() && partition.external_dependencies().is_empty());
+    assert!(job(&partition, SECOND).active() && partition.external_dependency_ids().is_empty());
     assert_eq!(phase(partition.status(SECOND)), Ok(JobPhase::Pending));
 }
 
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -7,10 +7,10 @@
     let mut old = partition_with_running_job("service", 1);
     let attempt = attempt_number(&old, 0);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     // A new machine has free capacity.
     partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
-    commit(&mut partition, 1100, 101);
+    complete_next_commit(&mut partition, 1100, 101);
     partition.schedule(1100, 1100);
     assert!(partition.dispatch_queue.hosts().is_empty());
     // The heartbeat shows an older token, so a command of the previous leader may still arrive.
@@ -33,7 +33,7 @@
     for gone in [true, false] {
         let mut old = partition_with_running_job("service", 1);
         let (jobs, hosts) = stored_records(&mut old);
-        let mut partition = partition_of(5, jobs, hosts);
+        let mut partition = partition_with_records(5, jobs, hosts);
         partition.detect_failures(1000 + LEASE_MS, 0);
         assert!(!partition.cluster.all_reconciled, "its lease may still be valid");
         if gone {
@@ -52,11 +52,11 @@
     let mut old = partition();
     for (number, host) in ["h1", "h2"].iter().enumerate() {
         old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-        let _rx = submit(&mut old, &body(&format!("run-00000{number}"), "service", 1), 1000);
+        let _rx = submit_job(&mut old, &job_submission(&format!("run-00000{number}"), "service", 1), 1000);
     }
-    commit(&mut old, 1000, 100);
+    complete_next_commit(&mut old, 1000, 100);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     let first_job =
         |phase, sequence| heartbeat("h1", 1, sequence, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
     partition.heartbeat(&first_job("running", 10), StatusSource::Heartbeat, 1100);
@@ -85,7 +85,7 @@
         let attempt = attempt_number(&old, 0);
         old.cluster.jobs[0].spec.spread = spread;
         let (jobs, hosts) = stored_records(&mut old);
-        let mut partition = partition_of(5, jobs, hosts);
+        let mut partition = partition_with_records(5, jobs, hosts);
         let second_task = |phase, sequence| {
             heartbeat("h2", 1, sequence, 5, vec![reported("run-000001/0", attempt, phase, Some("halted"))])
         };
@@ -105,7 +105,7 @@
 fn a_late_heartbeat_from_a_terminated_machine_locates_no_task() {
     let mut old = partition_with_running_job("service", 1);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     partition.heartbeat(
         &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
         StatusSource::Heartbeat,
@@ -125,7 +125,7 @@
     let mut old = partition_with_running_job("service", 1);
     let attempt = attempt_number(&old, 0);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     let react = partition.policy.react_ms;
     let with_old_token =
         |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", attempt, "running", None)]);
@@ -136,7 +136,7 @@
     partition.heartbeat(&with_old_token(8), StatusSource::Heartbeat, 1100 + react);
     assert!(partition.dispatch_queue.hosts().contains(&0), "the answer did not reach the machine");
     partition.heartbeat(&heartbeat("h1", 1, 9, 5, vec![]), StatusSource::Heartbeat, 1200 + react);
-    partition.refresh_unreconciled();
+    partition.recount_unreconciled();
     assert!(partition.cluster.all_reconciled);
 }
 
@@ -147,7 +147,7 @@
         old.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     assert_eq!(partition.detect_failures(1000, 0).to_probe, [0, 1, 2]);
     partition.cluster.host_mut(0).unwrap().unanswered_probes = 1;
     assert_eq!(partition.detect_failures(1100, 0).to_probe, [1, 2, 0]);
@@ -175,10 +175,10 @@
 fn new_jobs_need_not_wait_for_unreconciled_machines() {
     let mut old = partition_with_running_job("service", 1);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     partition.heartbeat(&heartbeat("h2", 1, 1, 5, vec![]), StatusSource::Heartbeat, 1100);
-    let _rx = submit(&mut partition, &body("run-000002", "service", 1), 1100);
-    commit(&mut partition, 1100, 101);
+    let _rx = submit_job(&mut partition, &job_submission("run-000002", "service", 1), 1100);
+    complete_next_commit(&mut partition, 1100, 101);
     partition.schedule(1100, 1100);
     assert!(partition.cluster.jobs[1].tasks[0].place != Place::Idle);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
--- a/src/control/partition/tests/silence.rs
+++ b/src/control/partition/tests/failure_detection.rs
@@ -19,7 +19,7 @@
         for host_index in to_probe {
             if let Some(command) = partition.next_direct_command(host_index, now, true) {
                 probes += 1;
-                partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now + 200);
+                partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now + 200);
             }
         }
         assert!(
@@ -76,7 +76,7 @@
 fn a_machine_that_no_order_reaches_is_unusable_and_then_terminated() {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    commit(&mut partition, 1000, 99);
+    complete_next_commit(&mut partition, 1000, 99);
     let mut terminated = Vec::new();
     for (round, now) in (1000..40_000).step_by(500).enumerate() {
         partition.heartbeat(&heartbeat("h1", 1, 2 + round as u64, 1, vec![]), StatusSource::Heartbeat, now);
@@ -84,7 +84,7 @@
         terminated.extend(to_terminate);
         for host_index in to_probe.into_iter().chain((round == 0).then_some(0)) {
             if let Some(command) = partition.next_direct_command(host_index, now, true) {
-                partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now);
+                partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now);
             }
         }
         if round == 4 {
@@ -134,7 +134,7 @@
         value: serde_json::to_value(host(0)).unwrap(),
         version: number,
     };
-    let mut partition = partition_of(5, vec![], (1..6).map(item).collect());
+    let mut partition = partition_with_records(5, vec![], (1..6).map(item).collect());
     assert!(!partition.is_isolated(9000), "after a failover the machines may not have reported to this leader yet");
     // A leader that is isolated from the start is detected by its unanswered probes.
     partition.cluster.hosts.iter_mut().flatten().for_each(|host| host.unanswered_probes = UNREACHABLE_AFTER_MISSES);
--- a/src/control/partition/tests/failures.rs
+++ b/src/control/partition/tests/failures.rs
@@ -8,8 +8,8 @@
     for host in ["h1", "h2"] {
         partition.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 1), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 1), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     let mut now = 1000;
     for round in 0..4 {
         partition.cluster.jobs[0].tasks[0].retry_ms = 0;
@@ -33,8 +33,8 @@
     for host in ["h1", "h2"] {
         partition.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 1), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 1), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     let failed = end_task(&mut partition, "error", 1000);
     (partition, failed)
 }
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -35,28 +35,30 @@
         assert_eq!(answered_phase(&partition), Some(JobPhase::Pending), "the end was not sent yet");
         partition.next_commit(1100, 32).unwrap();
         assert_eq!(answered_phase(&partition), None, "the write is in flight");
-        let mut again = submit(&mut partition, &body("run-000001", "batch", 1), 1100);
+        let mut again = submit_job(&mut partition, &job_submission("run-000001", "batch", 1), 1100);
         assert!(
             matches!(again.try_recv(), Ok(UserAnswer::RetryLater(_))),
             "a repeated submission is not answered either"
         );
-        partition.committed(CommitOutcome::Indeterminate).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
         assert_eq!(answered_phase(&partition), None, "the write may have been applied");
         // A later write that is certainly refused does not decide the result of the first.
         partition.next_commit(1200, 32).unwrap();
-        partition.committed(CommitOutcome::Refused).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Refused).unwrap();
         assert_eq!(answered_phase(&partition), None);
         let commit = partition.next_commit(1300, 32).unwrap();
         if at_once {
-            let keys = partition.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+            let keys = partition
+                .apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] })
+                .unwrap();
             assert_eq!((keys.len(), answered_phase(&partition)), (1, None));
-            partition.reread(Item {
+            partition.apply_reread_record(Item {
                 key: "job/run-000001".into(),
                 value: commit.writes[0].to_json()["data"].clone(),
                 version: 101,
             });
         } else {
-            partition.committed(CommitOutcome::Done { revision: 102 }).unwrap();
+            partition.apply_commit_outcome(CommitOutcome::Done { revision: 102 }).unwrap();
         }
         assert_eq!(answered_phase(&partition), Some(JobPhase::Done));
     }
@@ -68,7 +70,7 @@
         let mut partition = partition_with_running_job("batch", 1);
         report_done_on_h1(&mut partition, 1100);
         partition.next_commit(1100, 32).unwrap();
-        partition.committed(result).unwrap();
+        partition.apply_commit_outcome(result).unwrap();
         assert_eq!(answered_phase(&partition), Some(JobPhase::Pending));
     }
 }
@@ -80,14 +82,14 @@
     let mut partition = partition_with_running_job("batch", 1);
     report_done_on_h1(&mut partition, 1100);
     partition.next_commit(1100, 32).unwrap();
-    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
     let value = serde_json::to_value(JobRecord::of(&partition.cluster.jobs[0], None, MAX_RECORD_BYTES)).unwrap();
     let item = |version| Item { key: "job/run-000001".into(), value: value.clone(), version };
-    partition.reread(item(100));
+    partition.apply_reread_record(item(100));
     assert_eq!(answered_phase(&partition), None, "the write may still be applied");
-    partition.reread(item(103));
+    partition.apply_reread_record(item(103));
     assert_eq!(answered_phase(&partition), Some(JobPhase::Pending), "the write's condition can't hold any more");
-    partition.reread(item(101));
+    partition.apply_reread_record(item(101));
     assert_eq!(partition.cluster.jobs[0].version, 103, "the older read is ignored");
 }
 
@@ -135,7 +137,7 @@
     let mut old = partition_with_running_job("service", 1);
     let attempt = attempt_number(&old, 0);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     let mut rx = request_cancellation(&mut partition, "run-000001", 1100, true);
     assert!(partition.next_commit(1100, 32).is_none() && rx.try_recv().is_err(), "the task may be on h1");
     let running_task = heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", attempt, "running", None)]);
@@ -158,7 +160,7 @@
     let mut old = partition_with_running_job("service", 1);
     let attempt = attempt_number(&old, 0);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     partition.heartbeat(
         &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
         StatusSource::Heartbeat,
@@ -179,7 +181,7 @@
     assert!(orders.is_empty());
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, attempt));
     // The same with an old heartbeat of the machine that runs the task, with an older attempt.
-    let mut partition = partition_of(5, stored_records(&mut old).0, stored_records(&mut old).1);
+    let mut partition = partition_with_records(5, stored_records(&mut old).0, stored_records(&mut old).1);
     partition.heartbeat(
         &heartbeat("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]),
         StatusSource::Heartbeat,
@@ -197,7 +199,7 @@
 #[test]
 fn a_new_machine_is_probed_at_once_and_used_when_it_answers() {
     let mut partition = partition();
-    let _rx = submit(&mut partition, &body("run-000001", "service", 1), 1000);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "service", 1), 1000);
     partition.heartbeat(&heartbeat("h1", 1, 1, 0, vec![]), StatusSource::Heartbeat, 1000);
     complete_all_commits(&mut partition, 1000, 100);
     partition.schedule(1000, 1000);
@@ -205,7 +207,7 @@
     assert!(partition.dispatch_queue.hosts().contains(&0));
     let command = partition.next_direct_command(0, 1010, false).unwrap();
     assert!(command.orders.is_empty());
-    partition.direct_command_done(
+    partition.apply_direct_command_outcome(
         &command,
         DirectCommandOutcome::Answered(Box::new(heartbeat("h1", 1, 2, 1, vec![]))),
         1020,
@@ -221,7 +223,7 @@
 fn a_task_with_another_attempt_still_stopping_is_not_started_again() {
     let mut old = partition_with_running_job("service", 2);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     let on = |host: &str, sequence, attempt| {
         heartbeat(host, 1, sequence, 5, vec![reported("run-000001/0", attempt, "running", None)])
     };
@@ -246,11 +248,14 @@
     let mut partition = partition_with_running_job("batch", 1);
     report_done_on_h1(&mut partition, 1100);
     partition.next_commit(1100, 32).unwrap();
-    assert_eq!(partition.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
+    assert_eq!(
+        partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["part/0".into()] }),
+        Err(Superseded)
+    );
     partition.set_fencing_token(FencingToken(2), 90);
     let commit = partition.next_commit(1200, 32).unwrap();
     assert_eq!(commit.conditions[0], wire::condition("part/0", 90));
-    partition.committed(CommitOutcome::Done { revision: 101 }).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Done { revision: 101 }).unwrap();
     assert_eq!(answered_phase(&partition), Some(JobPhase::Done));
 }
 
@@ -260,11 +265,11 @@
 fn a_team_at_its_limit_waits_for_what_unreconciled_machines_may_hold() {
     let mut old = partition_with_running_job("service", 8);
     let (jobs, hosts) = stored_records(&mut old);
-    let mut partition = partition_of(5, jobs, hosts);
+    let mut partition = partition_with_records(5, jobs, hosts);
     partition.policy.teams.get_mut("red").unwrap().limit.gpus = 8.0;
     partition.heartbeat(&heartbeat("h2", 1, 2, 5, vec![]), StatusSource::Heartbeat, 1100);
     let _rx = request_cancellation(&mut partition, "run-000001", 1100, true);
-    let _rx = submit(&mut partition, &body("run-000002", "service", 1), 1100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000002", "service", 1), 1100);
     complete_all_commits(&mut partition, 1100, 101);
     let second = |partition: &Partition| partition.cluster.jobs[1].tasks[0].place;
     partition.schedule(1200, 1200);
@@ -279,25 +284,25 @@
 #[test]
 fn a_job_found_to_exist_is_not_created_again() {
     let mut partition = partition();
-    let mut first = submit(&mut partition, &body("run-000001", "batch", 1), 1000);
+    let mut first = submit_job(&mut partition, &job_submission("run-000001", "batch", 1), 1000);
     let commit = partition.next_commit(1000, 32).unwrap();
-    partition.committed(CommitOutcome::Indeterminate).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
     for _ in 0..2 {
         partition.next_commit(1100, 32).unwrap();
-        partition.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     }
     partition.next_commit(1200, 32).unwrap();
-    partition.reread(Item {
+    partition.apply_reread_record(Item {
         key: "job/run-000001".into(),
         value: commit.writes[0].to_json()["data"].clone(),
         version: 101,
     });
     assert!(matches!(first.try_recv(), Ok(UserAnswer::Accepted { .. })));
     let mut rx = request_cancellation(&mut partition, "run-000001", 1200, true);
-    partition.committed(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     let commit = partition.next_commit(1300, 32).unwrap();
     assert_eq!(commit.writes[0].to_json()["data"]["end"], "Cancelled");
-    partition.committed(CommitOutcome::Done { revision: 103 }).unwrap();
+    partition.apply_commit_outcome(CommitOutcome::Done { revision: 103 }).unwrap();
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
@@ -313,7 +318,7 @@
         partition.teams = team_assignment::TeamAssignment::new(0, teams);
         partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
         partition.next_commit(1000, 32).unwrap();
-        partition.committed(CommitOutcome::Indeterminate).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
         complete_all_commits(&mut partition, 1100, 101);
         assert_eq!(partition.needs_higher_token(), partitions > 1);
         if partitions > 1 {
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -131,7 +131,7 @@
         });
         let policy = Policy::new(&settings, &Operator::default(), 0);
         let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
-        partition.begin(FencingToken(1), 77, vec![], vec![], instance_types(), 1000);
+        partition.begin_leadership(FencingToken(1), 77, vec![], vec![], instance_types(), 1000);
         Fleet {
             partition,
             provisioner: Provisioner::new(10.0),
@@ -209,12 +209,16 @@
             let Some(command) = self.partition.next_direct_command(host_index, now, false) else { continue };
             let machine = self.machines.get_mut(&command.id).unwrap();
             if machine.next_ms == u64::MAX {
-                self.partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now);
+                self.partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now);
                 continue;
             }
             machine.carry_out(&command.orders, now, 60_000);
             let heartbeat = machine.heartbeat(&command.id, now);
-            self.partition.direct_command_done(&command, DirectCommandOutcome::Answered(Box::new(heartbeat)), now);
+            self.partition.apply_direct_command_outcome(
+                &command,
+                DirectCommandOutcome::Answered(Box::new(heartbeat)),
+                now,
+            );
         }
         if now >= self.next_commit
             && let Some(commit) = self.partition.next_commit(now, 32)
@@ -228,7 +232,7 @@
                     Write::Delete { key } => _ = self.stored.remove(&key),
                 }
             }
-            self.partition.committed(CommitOutcome::Done { revision: now }).unwrap();
+            self.partition.apply_commit_outcome(CommitOutcome::Done { revision: now }).unwrap();
         }
         if now >= self.next_plan {
             self.next_plan = now + 1100;
@@ -271,7 +275,7 @@
         let teams = self.partition.teams.clone();
         self.partition = Partition::new(policy, 0, HashMap::new(), settings().write_limits());
         self.partition.teams = teams;
-        self.partition.begin(FencingToken(fencing_token), 78, jobs, hosts, instance_types(), self.now);
+        self.partition.begin_leadership(FencingToken(fencing_token), 78, jobs, hosts, instance_types(), self.now);
     }
 }
 
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -11,9 +11,10 @@
         Some(NextStateLimits { value_kb: Some(2.0), txn_ops: Some(4), ..NextStateLimits::default() });
     let policy = Policy::new(&settings, &Operator::default(), 0);
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
-    partition.begin(FencingToken(1), 77, vec![], vec![], super::partition().cluster.instance_types, 1000);
-    let _waiters: Vec<_> =
-        (1..10).map(|number| submit(&mut partition, &body(&format!("run-{number:06}"), "batch", 1), 1000)).collect();
+    partition.begin_leadership(FencingToken(1), 77, vec![], vec![], super::partition().cluster.instance_types, 1000);
+    let _waiters: Vec<_> = (1..10)
+        .map(|number| submit_job(&mut partition, &job_submission(&format!("run-{number:06}"), "batch", 1), 1000))
+        .collect();
     let commit = partition.next_commit(1000, 32).unwrap();
     assert_eq!(commit.writes.len(), 4);
 }
@@ -21,17 +22,18 @@
 #[test]
 fn a_rejected_commit_is_divided_until_the_faulty_record_is_isolated() {
     let mut partition = partition();
-    let _waiters: Vec<_> =
-        (1..=4).map(|number| submit(&mut partition, &body(&format!("run-{number:06}"), "batch", 1), 1000)).collect();
+    let _waiters: Vec<_> = (1..=4)
+        .map(|number| submit_job(&mut partition, &job_submission(&format!("run-{number:06}"), "batch", 1), 1000))
+        .collect();
     let mut recorded = 0;
     let mut commits = 0;
     while let Some(commit) = partition.next_commit(1000, 32) {
         commits += 1;
         assert!(commits < 12, "the commit is repeated endlessly");
         let at_fault = commit.writes.iter().any(|write| write.to_json()["put"] == "job/run-000001");
-        let result = if at_fault { CommitOutcome::NotTaken } else { CommitOutcome::Done { revision: 100 + commits } };
+        let result = if at_fault { CommitOutcome::Rejected } else { CommitOutcome::Done { revision: 100 + commits } };
         recorded += if at_fault { 0 } else { commit.writes.len() };
-        partition.committed(result).unwrap();
+        partition.apply_commit_outcome(result).unwrap();
     }
     assert_eq!(recorded, 3, "the other records are written");
     assert!(partition.next_commit(1000 + partition.policy.lease_ms, 32).is_some(), "the faulty record is retried");
@@ -52,7 +54,7 @@
     assert!(machines.is_none_or(|commit| commit.writes.iter().all(|write| write.to_json()["put"] != "job/run-000001")));
     partition.tasks_done(0, &[0, 1], 61_000);
     if partition.is_committing() {
-        partition.committed(CommitOutcome::Done { revision: 150 }).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Done { revision: 150 }).unwrap();
     }
     let end = partition.next_commit(61_000, 32).unwrap();
     assert_eq!(end.writes[0].to_json()["data"]["end"], "Done");
@@ -72,11 +74,12 @@
         settings.partitions_of_teams(1),
         settings.write_limits(),
     );
-    partition.begin(FencingToken(1), 77, vec![], vec![], vec![instance_type()], 1000);
-    let mut submission: serde_json::Value = serde_json::from_slice(&body("run-000001", "batch", 1000)).unwrap();
+    partition.begin_leadership(FencingToken(1), 77, vec![], vec![], vec![instance_type()], 1000);
+    let mut submission: serde_json::Value =
+        serde_json::from_slice(&job_submission("run-000001", "batch", 1000)).unwrap();
     submission["urgency"] = json!("best_effort");
-    let _rx = submit(&mut partition, submission.to_string().as_bytes(), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, submission.to_string().as_bytes(), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     partition
 }
 
@@ -106,8 +109,8 @@
 fn more_long_tasks_than_short_ones_may_run() {
     let mut partition = partition_with_a_large_array();
     report_all(&mut partition, 1, 1000);
-    commit(&mut partition, 1000, 101);
-    commit(&mut partition, 1000, 102);
+    complete_next_commit(&mut partition, 1000, 101);
+    complete_next_commit(&mut partition, 1000, 102);
     partition.schedule(1001, 1001);
     assert_eq!(attempt_total(&partition), 48, "no heartbeat load is measured yet");
     // With one heartbeat in 4 s, four times as many attempts are allowed.
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -2,18 +2,18 @@
 
 mod acceptance;
 mod borrowing;
+mod components;
 mod critical_path;
 mod dependencies;
 mod failover;
+mod failure_detection;
 mod failures;
 mod fault_combinations;
 mod fleet;
-mod followed_cancellations;
 mod limits;
 mod orders;
-mod parts;
+mod propagated_cancellations;
 mod recording;
-mod silence;
 mod warm_pools;
 
 use super::*;
@@ -51,17 +51,17 @@
 }
 
 /// Returns a partition whose new leader has read these job and machine records.
-pub fn partition_of(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
+pub fn partition_with_records(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
     let settings = settings();
     let policy = Policy::new(&settings, &Operator::default(), 0);
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
-    partition.begin(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
+    partition.begin_leadership(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
     partition
 }
 
 /// Returns a new partition without jobs and machines.
 pub fn partition() -> Partition {
-    partition_of(1, vec![], vec![])
+    partition_with_records(1, vec![], vec![])
 }
 
 /// Returns a heartbeat of a machine with these tasks.
@@ -81,7 +81,7 @@
 }
 
 /// Returns the body of a job submission.
-pub fn body(id: &str, shape: &str, tasks: u32) -> Vec<u8> {
+pub fn job_submission(id: &str, shape: &str, tasks: u32) -> Vec<u8> {
     json!({"id": id, "jobclass": "chat", "owner": "red", "shape": shape, "urgency": "standard", "shards": tasks,
         "cores": 2.0, "cards": 1.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0, "flavors": null, "region": null,
         "same_place": false, "apart": false, "preemptible": false, "expected_s": 10.0,
@@ -91,22 +91,22 @@
 }
 
 /// Submits a job. The returned receiver gets the answer.
-pub fn submit(partition: &mut Partition, submission: &[u8], now: u64) -> oneshot::Receiver<UserAnswer> {
+pub fn submit_job(partition: &mut Partition, submission: &[u8], now: u64) -> oneshot::Receiver<UserAnswer> {
     let (tx, rx) = oneshot::channel();
     partition.submit(submission, now, now, tx);
     rx
 }
 
 /// Completes the next commit, which must be due, at this revision.
-pub fn commit(partition: &mut Partition, now: u64, revision: u64) {
+pub fn complete_next_commit(partition: &mut Partition, now: u64, revision: u64) {
     assert!(partition.next_commit(now, 32).is_some());
-    assert_eq!(partition.committed(CommitOutcome::Done { revision }), Ok(vec![]));
+    assert_eq!(partition.apply_commit_outcome(CommitOutcome::Done { revision }), Ok(vec![]));
 }
 
 /// Completes all due commits at this revision.
 pub(super) fn complete_all_commits(partition: &mut Partition, now: u64, revision: u64) {
     while partition.next_commit(now, 32).is_some() {
-        partition.committed(CommitOutcome::Done { revision }).unwrap();
+        partition.apply_commit_outcome(CommitOutcome::Done { revision }).unwrap();
     }
 }
 
@@ -136,8 +136,8 @@
 pub fn partition_with_running_job(shape: &str, tasks: u32) -> Partition {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    let _rx = submit(&mut partition, &body("run-000001", shape, tasks), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", shape, tasks), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     partition.schedule(1001, 1001);
     assert_eq!(partition.dispatch_queue.hosts().len(), 1);
     partition
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -33,7 +33,7 @@
     );
     partition.schedule(1300, 1300);
     assert!(partition.cluster.host(0).unwrap().attempts.iter().all(TaskAttempt::ended), "no task is started again");
-    commit(&mut partition, 1300, 101);
+    complete_next_commit(&mut partition, 1300, 101);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Status { phase: JobPhase::Cancelled, .. })));
 }
 
@@ -41,7 +41,7 @@
 fn an_unanswered_direct_command_blocks_its_tasks_until_a_higher_token() {
     let mut partition = partition_with_running_job("service", 1);
     let command = partition.next_direct_command(0, 1001, false).unwrap();
-    partition.direct_command_done(&command, DirectCommandOutcome::Indeterminate, 2000);
+    partition.apply_direct_command_outcome(&command, DirectCommandOutcome::Indeterminate, 2000);
     // The machine does not list the task, but the order may still arrive.
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
     assert_eq!(count_runs(&orders), 1, "the same attempt is ordered again");
@@ -55,7 +55,7 @@
     partition.set_fencing_token(FencingToken(2), 78);
     partition.heartbeat(&heartbeat("h1", 1, 4, 2, vec![]), StatusSource::Heartbeat, 2400);
     assert!(partition.cluster.host(0).unwrap().attempts.is_empty());
-    commit(&mut partition, 2500, 101);
+    complete_next_commit(&mut partition, 2500, 101);
 }
 
 #[test]
@@ -69,7 +69,7 @@
         0,
         "a direct command is in flight"
     );
-    partition.direct_command_done(&command, DirectCommandOutcome::Indeterminate, 2000);
+    partition.apply_direct_command_outcome(&command, DirectCommandOutcome::Indeterminate, 2000);
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 3, 1, ended()), StatusSource::Heartbeat, 2100)), 0);
     partition.set_fencing_token(FencingToken(2), 78);
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 4, 2, ended()), StatusSource::Heartbeat, 2200)), 1);
@@ -94,11 +94,11 @@
 fn attempt_numbers_never_repeat_across_fencing_tokens() {
     let mut partition = partition_with_running_job("batch", 3);
     let last = partition.cluster.host(0).unwrap().attempts.iter().map(|attempt| attempt.attempt).max().unwrap();
-    let next = partition.epoch.upcoming_number();
+    let next = partition.epoch.peek_next_number();
     partition.set_fencing_token(partition.fencing_token(), 78);
-    assert_eq!(partition.epoch.upcoming_number(), next, "rereading the key with an unchanged token changes no number");
+    assert_eq!(partition.epoch.peek_next_number(), next, "rereading the key with an unchanged token changes no number");
     partition.set_fencing_token(FencingToken(2), 79);
-    assert!(partition.epoch.upcoming_number() > last + 1);
+    assert!(partition.epoch.peek_next_number() > last + 1);
 }
 
 // A task kept running on a machine with a preemption notice until the machine was taken, and its loss was certain only
@@ -142,8 +142,8 @@
     for host in ["h1", "h2"] {
         partition.heartbeat(&heartbeat(host, 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 1), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 1), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     partition.schedule(1000, 1000);
     let Place::On(first, attempt) = partition.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let id = partition.cluster.host(first).unwrap().id.clone();
@@ -165,8 +165,8 @@
     for number in 0..12 {
         partition.heartbeat(&heartbeat(&format!("h{number}"), 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     }
-    let _rx = submit(&mut partition, &body("run-000001", "batch", TASKS), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", TASKS), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     partition.schedule(1000, 1000);
     let mut counts = Vec::new();
     for (sequence, phase) in [(2, "running"), (3, "ended")] {
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -5,24 +5,27 @@
 #[test]
 fn a_superseded_leader_is_detected_by_its_commit() {
     let mut partition = partition();
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 2), 1000);
     let commit = partition.next_commit(1000, 32).unwrap();
     assert_eq!(
         commit.conditions[0],
         wire::condition("part/0", 77),
         "every commit is conditional on the partition's key"
     );
-    assert_eq!(partition.committed(CommitOutcome::Conflict { failed: vec!["part/0".into()] }), Err(Superseded));
+    assert_eq!(
+        partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["part/0".into()] }),
+        Err(Superseded)
+    );
 }
 
 #[test]
 fn a_machine_is_used_once_it_is_registered() {
     let mut partition = partition();
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 2), 1000);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 2), 1000);
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
     partition.schedule(1000, 1000);
     assert!(partition.dispatch_queue.hosts().is_empty());
-    commit(&mut partition, 1000, 100);
+    complete_next_commit(&mut partition, 1000, 100);
     partition.schedule(1001, 1001);
     assert_eq!(partition.dispatch_queue.hosts().len(), 1);
 }
@@ -34,7 +37,7 @@
     let done = || vec![reported("run-000001/0", attempt, "ended", Some("done"))];
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, done()), StatusSource::Heartbeat, 1100)), 0);
     assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Pending, .. }));
-    commit(&mut partition, 1100, 101);
+    complete_next_commit(&mut partition, 1100, 101);
     assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Done, done: 1, .. }));
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 3, 1, done()), StatusSource::Heartbeat, 1200)), 1);
     // A cancellation after the end changes nothing.
@@ -46,10 +49,10 @@
 #[test]
 fn a_large_job_fits_into_its_record() {
     let mut partition = partition();
-    let mut submission: Value = serde_json::from_slice(&body("run-000001", "batch", 100_000)).unwrap();
+    let mut submission: Value = serde_json::from_slice(&job_submission("run-000001", "batch", 100_000)).unwrap();
     submission["cards"] = json!(0.0);
-    let _rx = submit(&mut partition, submission.to_string().as_bytes(), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, submission.to_string().as_bytes(), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     let every_other: Vec<u32> = (0..100_000).step_by(2).collect();
     partition.tasks_done(0, &every_other, 1100);
     let commit = partition.next_commit(1100 + 60_000, 32).unwrap();
@@ -62,8 +65,8 @@
 fn recorded_tasks_are_reaped_while_others_keep_ending() {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    let _rx = submit(&mut partition, &body("run-000001", "batch", 3), 1000);
-    commit(&mut partition, 1000, 100);
+    let _rx = submit_job(&mut partition, &job_submission("run-000001", "batch", 3), 1000);
+    complete_next_commit(&mut partition, 1000, 100);
     partition.schedule(1000, 1000);
     let attempts: Vec<u64> = (0..3).map(|number| attempt_number(&partition, number)).collect();
     let listed = |ended: usize| -> Vec<wire::TaskStatus> {
@@ -76,7 +79,7 @@
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, listed(1)), StatusSource::Heartbeat, 2000);
     assert_eq!(reap_count(&orders), 0, "the end is not recorded yet");
     let progress_due = 2000 + 10 * partition.policy.report_ms;
-    commit(&mut partition, progress_due, 101);
+    complete_next_commit(&mut partition, progress_due, 101);
     let orders = partition.heartbeat(&heartbeat("h1", 1, 3, 1, listed(2)), StatusSource::Heartbeat, progress_due + 1);
     assert_eq!(reap_count(&orders), 1, "only the first end is recorded");
 }
@@ -87,13 +90,13 @@
     assert!(!partition.transfer_host("h1", 1), "a task runs on the machine");
     partition.heartbeat(&heartbeat("h2", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1100);
     assert!(!partition.transfer_host("h2", 1), "the machine is not registered yet");
-    commit(&mut partition, 1100, 101);
+    complete_next_commit(&mut partition, 1100, 101);
     assert!(partition.transfer_host("h2", 1));
-    commit(&mut partition, 1200, 102);
+    complete_next_commit(&mut partition, 1200, 102);
     assert_eq!(partition.route_heartbeat(&heartbeat("h2", 1, 2, 1, vec![])), HostRouting::OtherPartition(1));
     // A machine from a partition with a higher fencing token requires a higher token here.
     let record = HostRecord { addr: None, instance_type: "g8".into(), zone: "a".into(), spot: false, partition: 0 };
-    partition.host_record_read("h3", Some(record), 1300);
+    partition.apply_host_record("h3", Some(record), 1300);
     assert_eq!(partition.route_heartbeat(&heartbeat("h3", 1, 5, 4, vec![])), HostRouting::AwaitsHigherToken);
     assert!(partition.needs_higher_token());
 }
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -157,7 +157,7 @@
         let teams = self.settings.partitions_of_teams(1);
         let mut partition = Partition::new(policy, 0, teams, self.settings.write_limits());
         partition.enable_pools(self.pools.clone(), self.now, INITIAL_WALL_MS + self.now);
-        partition.begin(
+        partition.begin_leadership(
             FencingToken(self.fencing_token),
             self.fencing_token,
             items("job/"),
@@ -165,7 +165,7 @@
             vec![instance_type()],
             self.now,
         );
-        partition.begin_pools(items("pool/"), self.now);
+        partition.restore_pools(items("pool/"), self.now);
         self.partition = partition;
     }
 
@@ -207,12 +207,16 @@
             let Some(command) = self.partition.next_direct_command(host_index, self.now, false) else { continue };
             let worker = self.workers.get_mut(&command.id).unwrap();
             if worker.silent {
-                self.partition.direct_command_done(&command, DirectCommandOutcome::NotSent, self.now);
+                self.partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, self.now);
                 continue;
             }
             worker.carry_out(&command.orders);
             let heartbeat = worker.heartbeat(&command.id);
-            self.partition.direct_command_done(&command, DirectCommandOutcome::Answered(Box::new(heartbeat)), self.now);
+            self.partition.apply_direct_command_outcome(
+                &command,
+                DirectCommandOutcome::Answered(Box::new(heartbeat)),
+                self.now,
+            );
         }
     }
 
@@ -232,10 +236,10 @@
             }
             CommitBehaviour::Refused => CommitOutcome::Refused,
         };
-        let keys_to_read = self.partition.committed(result).unwrap();
+        let keys_to_read = self.partition.apply_commit_outcome(result).unwrap();
         for key in keys_to_read {
             if let Some((value, version)) = self.store.get(&key).cloned() {
-                self.partition.reread(Item { key, value, version });
+                self.partition.apply_reread_record(Item { key, value, version });
             }
         }
     }
@@ -267,20 +271,20 @@
             (key.clone(), found.map(|(value, version)| Item { key: key.clone(), value, version }))
         };
         let found = keys.iter().map(item).collect();
-        self.partition.pool_keys_read(found);
+        self.partition.apply_pool_records(found);
     }
 
     /// Submits a service of one replica and completes its commits.
     fn submit(&mut self, team: &str, image: &str) -> String {
         self.jobs += 1;
         let id = format!("run-{:06}", self.jobs);
-        let mut submission: serde_json::Value = serde_json::from_slice(&body(&id, "service", 1)).unwrap();
+        let mut submission: serde_json::Value = serde_json::from_slice(&job_submission(&id, "service", 1)).unwrap();
         (submission["owner"], submission["bundle"]) = (json!(team), json!(image));
-        let _rx = submit(&mut self.partition, submission.to_string().as_bytes(), self.now);
+        let _rx = submit_job(&mut self.partition, submission.to_string().as_bytes(), self.now);
         let commits = std::mem::replace(&mut self.commits, CommitBehaviour::Committed);
         while self.partition.next_commit(self.now, 1).is_some_and(|commit| {
             let result = self.apply_commit(&commit);
-            self.partition.committed(result).unwrap();
+            self.partition.apply_commit_outcome(result).unwrap();
             true
         }) {}
         self.commits = commits;
--- a/src/control/partition/types.rs
+++ b/src/control/partition/types.rs
@@ -107,7 +107,7 @@
     Throttled,
     /// Nothing was changed: the state service rejects this commit permanently. One of its values, or the
     /// commit as a whole, may be too large.
-    NotTaken,
+    Rejected,
     /// The changes may have been carried out, or may still be.
     Indeterminate,
 }
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -34,7 +34,7 @@
         }
         let refusal = match spec {
             Ok(spec) if spec.dependencies.is_empty() => return self.accept(spec, now, wall, waiter),
-            Ok(spec) if !self.conditions.has_old_peer => return self.submit_waiting(spec, now, wall, waiter),
+            Ok(spec) if !self.conditions.has_outdated_peer => return self.submit_waiting(spec, now, wall, waiter),
             Ok(_) => UserAnswer::RetryLater(RefusalReason::ControllerOutdated),
             Err(message) => UserAnswer::InvalidSubmission(message),
         };
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -24,7 +24,7 @@
 impl Partition {
     /// Restores the pools from the stored records of the previous leader. They are the only source for the images
     /// that slots hold on workers which do not load models.
-    pub fn begin_pools(&mut self, items: Vec<Item>, now: u64) {
+    pub fn restore_pools(&mut self, items: Vec<Item>, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
         warm_pools.pools.restore(items.into_iter().filter_map(record), moment);
@@ -43,21 +43,21 @@
     /// if there are none that fit.
     pub(in crate::control::partition) fn next_pool_changes(&mut self, max_changes: usize) -> Option<RecordChanges> {
         let warm_pools = self.warm_pools.as_mut()?;
-        let changes = warm_pools.pools.next_changes(self.epoch.upcoming_number(), max_changes)?;
+        let changes = warm_pools.pools.next_changes(self.epoch.peek_next_number(), max_changes)?;
         // Consumes the number, so that no attempt gets the number of this commit.
         self.epoch.next_number();
         Some(changes)
     }
 
     /// Handles a commit that wrote the pending warm-pool records at `revision`.
-    pub(in crate::control::partition) fn pools_written(&mut self, revision: u64) {
+    pub(in crate::control::partition) fn pools_write_succeeded(&mut self, revision: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let events = warm_pools.pools.written(revision);
         self.handle_pool_events(events);
     }
 
     /// Handles a commit with warm-pool records that failed or whose result is unknown.
-    pub(in crate::control::partition) fn pools_not_written(&mut self, failure: WriteFailure) {
+    pub(in crate::control::partition) fn pools_write_failed(&mut self, failure: WriteFailure) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         match failure {
             WriteFailure::Indeterminate => warm_pools.pools.indeterminate(),
@@ -72,7 +72,7 @@
     }
 
     /// Applies fresh reads of warm-pool records' keys. An item is `None` if its key does not exist.
-    pub fn pool_keys_read(&mut self, found: Vec<(String, Option<Item>)>) {
+    pub fn apply_pool_records(&mut self, found: Vec<(String, Option<Item>)>) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let found = found.into_iter().filter_map(|(key, item)| {
             let item = item.and_then(record).map(|(_, record, version)| (record, version));
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns orders to unload the reported slots that are unknown, on another machine's record, or ended.
-    pub(in crate::control::partition) fn unknown_slots(&self, heartbeat: &Heartbeat) -> Vec<Order> {
+    pub(in crate::control::partition) fn orders_for_unknown_slots(&self, heartbeat: &Heartbeat) -> Vec<Order> {
         let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
         let is_known = |id: SlotId| {
             warm_pools
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -166,7 +166,7 @@
                 let _ = reply.send(if serving { self.pool_status(leadership) } else { POOLS_RETRY_LATER });
             }
             Message::LoanStatus(reply) => {
-                let _ = reply.send(if serving { self.loans_status(leadership, now) } else { LOANS_RETRY_LATER });
+                let _ = reply.send(if serving { self.loan_status(leadership, now) } else { LOANS_RETRY_LATER });
             }
             Message::Metrics(reply) => {
                 let _ = reply.send(self.metrics_text(leadership, now));
@@ -195,21 +195,21 @@
                 self.pending_machines(leadership, pending_machines, &refused, now);
             }
             BackgroundEvent::HostRecordRead { host, record } => {
-                leadership.partition.host_record_read(&host, record, now);
+                leadership.partition.apply_host_record(&host, record, now);
             }
             BackgroundEvent::RecordsLoaded(records) => self.records_loaded(leadership, records, now),
             BackgroundEvent::DirectCommandEnded { command, result } => {
-                leadership.partition.direct_command_done(&command, result, now);
+                leadership.partition.apply_direct_command_outcome(&command, result, now);
             }
             BackgroundEvent::CommitEnded(result) => self.commit_ended(leadership, result, now),
             BackgroundEvent::RecordsReread(items) => {
-                items.into_iter().for_each(|item| leadership.partition.reread(item));
+                items.into_iter().for_each(|item| leadership.partition.apply_reread_record(item));
             }
             BackgroundEvent::InboxRead(items) => {
-                items.into_iter().for_each(|item| leadership.partition.add_job_of_other_node(item, now));
+                items.into_iter().for_each(|item| leadership.partition.add_job_accepted_elsewhere(item, now));
             }
             BackgroundEvent::DependenciesRead { submission, found } => {
-                leadership.partition.dependencies_read(submission, found, now, clock::wall_ms());
+                leadership.partition.complete_dependency_lookup(submission, found, now, clock::wall_ms());
             }
             BackgroundEvent::ExternalDependenciesRead(read) => self.external_dependencies_read(leadership, read, now),
             BackgroundEvent::IndeterminateRecordsRead(found) => self.indeterminate_read(leadership, found),
@@ -241,9 +241,16 @@
             return;
         }
         let (fencing_token, version) = (leadership.partition.fencing_token(), leadership.key_version);
-        leadership.partition.begin(fencing_token, version, records.jobs, records.hosts, records.instance_types, now);
-        leadership.partition.begin_pools(records.pool_records, now);
-        leadership.partition.begin_loans(records.loan_records);
+        leadership.partition.begin_leadership(
+            fencing_token,
+            version,
+            records.jobs,
+            records.hosts,
+            records.instance_types,
+            now,
+        );
+        leadership.partition.restore_pools(records.pool_records, now);
+        leadership.partition.restore_loans(records.loan_records);
         leadership.loaded = true;
         tracing::info!(
             %fencing_token,
--- a/src/control/partition_leader/borrowing.rs
+++ b/src/control/partition_leader/borrowing.rs
@@ -14,7 +14,7 @@
     }
 
     /// Returns the status of the loans.
-    pub(super) fn loans_status(&self, leadership: &Leadership, now: u64) -> BorrowingResponse {
-        leadership.partition.loans_status(now).map_or(BorrowingResponse::NoBorrowing, BorrowingResponse::Status)
+    pub(super) fn loan_status(&self, leadership: &Leadership, now: u64) -> BorrowingResponse {
+        leadership.partition.loan_status(now).map_or(BorrowingResponse::NoBorrowing, BorrowingResponse::Status)
     }
 }
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -67,7 +67,7 @@
         if matches!(result, CommitOutcome::Throttled) {
             self.apply_lower_write_rate(leadership, now);
         }
-        match leadership.partition.committed(result) {
+        match leadership.partition.apply_commit_outcome(result) {
             Ok(keys) if !keys.is_empty() => self.reread(leadership.epoch, keys),
             Ok(_) => {}
             // The cause may be a raise of the fencing token by this leadership that was applied late.
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -31,7 +31,7 @@
         if now < *next_read_ms {
             return;
         }
-        let ids = leadership.partition.external_dependencies();
+        let ids = leadership.partition.external_dependency_ids();
         if ids.is_empty() {
             *known = None;
             return;
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -45,7 +45,7 @@
     /// Starts a read of the indeterminate records of pools and loans, which is retried until it
     /// succeeds or leadership ends.
     pub(super) fn read_indeterminate_records(&self, leadership: &mut Leadership) {
-        let keys = leadership.partition.indeterminate_keys();
+        let keys = leadership.partition.reservation_keys_to_read();
         if leadership.reading_indeterminate || keys.is_empty() {
             return;
         }
@@ -65,7 +65,7 @@
     /// Handles the indeterminate records that were read.
     pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
         leadership.reading_indeterminate = false;
-        leadership.partition.indeterminate_keys_read(found);
+        leadership.partition.apply_reservation_records(found);
     }
 
     /// Reads the record of a machine that may now belong to another partition.
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -20,7 +20,7 @@
         if now >= leadership.timers.next_failure_detection_ms {
             self.detect_failures(leadership, now);
         }
-        leadership.partition.refresh_unreconciled();
+        leadership.partition.recount_unreconciled();
         self.sync_configuration(leadership, now);
         self.look_up_dependencies(leadership);
         self.read_external_dependencies(leadership, now);
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -80,7 +80,7 @@
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => {
-                leadership.partition.set_has_old_peer(self.router.has_old_peer());
+                leadership.partition.set_has_outdated_peer(self.router.has_outdated_peer());
                 leadership.partition.submit(&body, now, clock::wall_ms(), reply);
             }
             UserCall::Status(id) => {
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether any of the other controllers is known to be of an earlier version.
-    pub fn has_old_peer(&self) -> bool {
+    pub fn has_outdated_peer(&self) -> bool {
         self.peers.iter().any(|peer| peer.format.is_old())
     }
 
--- a/src/control/router/tests.rs
+++ b/src/control/router/tests.rs
@@ -81,7 +81,7 @@
     let (peer, _accepted) = scripted_peer(Some(Duration::ZERO));
     let (router, _leader_messages) = router(Some(peer), LEASE_TTL_MS);
     let versions =
-        |router: &Router| (router.has_old_peer(), router.leader_is_current(0), router.peer_versions().unknown);
+        |router: &Router| (router.has_outdated_peer(), router.leader_is_current(0), router.peer_versions().unknown);
     assert_eq!(versions(&router), (false, false, 1), "nothing was received from the peer yet");
     let pledge = || PeerRequest::Pledge {
         partition: 0,
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -39,11 +39,11 @@
         }
         let flows = flows(partition, wall);
         let exhausted = self.exhausted_instance_types(partition.cluster(), now);
-        partition.set_exhausted(exhausted);
-        partition.reserve_for_flows(&flows);
+        partition.set_exhausted_instance_types(exhausted);
+        partition.reserve_expected_demand(&flows);
         let mut report = CapacityReport {
             partition: partition.id(),
-            lowest_bin: partition.lowest_bin(wall),
+            lowest_bin: partition.lowest_deadline_bin(wall),
             assumed: pending_machines.len(),
             wanted: Vec::new(),
             spare: Vec::new(),
@@ -85,7 +85,7 @@
         let work = ExpectedWork {
             pending_jobs: partition.pending_jobs(),
             pool_replicas: &partition.pool_replicas_without_machine(now),
-            upcoming: &partition.upcoming(longest_boot_ms(cluster), now),
+            upcoming: &partition.jobs_starting_within(longest_boot_ms(cluster), now),
             flows,
         };
         let availability = self.availability(partition, now);
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -17,7 +17,7 @@
         simulation.partition.heartbeat(&heartbeat(&id, 1, 1, 1, vec![]), StatusSource::Heartbeat, simulation.now);
     }
     while simulation.partition.next_commit(simulation.now, 1000).is_some() {
-        simulation.partition.committed(CommitOutcome::Done { revision: simulation.now }).unwrap();
+        simulation.partition.apply_commit_outcome(CommitOutcome::Done { revision: simulation.now }).unwrap();
     }
     simulation
 }
--- a/src/provisioning/provisioner/tests/late_boots.rs
+++ b/src/provisioning/provisioner/tests/late_boots.rs
@@ -175,8 +175,8 @@
     assert_eq!(simulation.provisioner.expected_boot_ms(&simulation.partition, simulation.now), BOOT_MS);
     simulation.boot_ms = |_| Some(2 * BOOT_MS);
     // A job that fills ten machines, of a team without a limit.
-    let job = String::from_utf8(crate::control::partition::tests::body("run-000001", "service", 80)).unwrap();
-    let _answer = submit(&mut simulation.partition, job.replace("\"red\"", "\"blue\"").as_bytes(), simulation.now);
+    let job = String::from_utf8(crate::control::partition::tests::job_submission("run-000001", "service", 80)).unwrap();
+    let _answer = submit_job(&mut simulation.partition, job.replace("\"red\"", "\"blue\"").as_bytes(), simulation.now);
     simulation.run(6 * BOOT_MS);
     assert!(simulation.provisioner.expected_boot_ms(&simulation.partition, simulation.now) > BOOT_MS);
 }
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -2,11 +2,13 @@
 
 mod frame_sizes;
 mod late_boots;
-mod rental_requests;
+mod scale_out_requests;
 
 use super::*;
 use crate::clients::RentResult;
-use crate::control::partition::tests::{commit, heartbeat, partition, partition_of, submit};
+use crate::control::partition::tests::{
+    complete_next_commit, heartbeat, partition, partition_with_records, submit_job,
+};
 use crate::control::partition::{CommitOutcome, Partition, StatusSource};
 use crate::wire::tests::reported;
 use crate::wire::{ListedInstance, Order};
@@ -99,7 +101,7 @@
             self.now += ROUND_MS;
             self.heartbeat();
             if self.partition.next_commit(self.now, 32).is_some() {
-                self.partition.committed(CommitOutcome::Done { revision: self.now }).unwrap();
+                self.partition.apply_commit_outcome(CommitOutcome::Done { revision: self.now }).unwrap();
             }
             let requests = self.round();
             self.execute(requests);
@@ -211,8 +213,8 @@
             "shards": machines, "cores": 2.0, "cards": 8.0, "mem_gb": 8.0, "bundle": "i", "size_gb": 1.0,
             "flavors": null, "region": null, "same_place": false, "apart": false, "preemptible": false,
             "expected_s": 1000.0, "checkpoint_every_s": 0.0, "flush_s": 0.0, "due_s": null});
-        submit(&mut self.partition, body.to_string().as_bytes(), self.now);
-        commit(&mut self.partition, self.now, 5);
+        submit_job(&mut self.partition, body.to_string().as_bytes(), self.now);
+        complete_next_commit(&mut self.partition, self.now, 5);
     }
 
     pub(super) fn zones(&self) -> Vec<&str> {
--- a/src/provisioning/provisioner/tests/rental_requests.rs
+++ b/src/provisioning/provisioner/tests/scale_out_requests.rs
@@ -5,7 +5,7 @@
 // Machines of the previous leader may be booting and not listed yet; they would be requested a second time.
 #[test]
 fn a_new_leader_requests_nothing_before_a_list_shows_the_requests_of_the_previous_one() {
-    let mut simulation = Simulation::of(partition_of(2, vec![], vec![]));
+    let mut simulation = Simulation::of(partition_with_records(2, vec![], vec![]));
     // Machines that the previous leader requested just before it ended. The first lists do not show them.
     (0..3).for_each(|_| drop(simulation.add_machine("a")));
     simulation.submit("run-000001", 4);
