--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -39,7 +39,7 @@
             LocalAnswer::Response(response) => return response,
             LocalAnswer::BelongsTo(partition) => partition,
         };
-        if self.router.is_self(partition) {
+        if self.router.leads_locally(partition) {
             return RefusalReason::NotLeaseHolder.response();
         }
         match self.router.leader(partition) {
@@ -53,13 +53,13 @@
     /// machine belongs.
     async fn ask_leaders_on_this_node(&self, heartbeat: Arc<Heartbeat>, hint: Option<u32>) -> LocalAnswer {
         let partitions = 0..self.router.partitions.len() as u32;
-        let mut local: Vec<u32> = partitions.filter(|partition| self.router.is_self(*partition)).collect();
+        let mut local: Vec<u32> = partitions.filter(|partition| self.router.leads_locally(*partition)).collect();
         local.sort_by_key(|partition| (Some(*partition) != hint, *partition));
         let mut belongs_to = 0;
         for partition in local {
             let (reply, answer) = oneshot::channel();
-            let message = partition_leader::Message::Heartbeat { heartbeat: heartbeat.clone(), reply };
-            if self.router.partitions[partition as usize].leader.try_send(message).is_err() {
+            let message = partition_leader::PartitionMessage::Heartbeat { heartbeat: heartbeat.clone(), reply };
+            if self.router.partitions[partition as usize].leader_mailbox.try_send(message).is_err() {
                 return LocalAnswer::Response(RefusalReason::TooManyReports.response());
             }
             match answer.await {
@@ -67,7 +67,7 @@
                     lock(&self.route_hints).remember_host(&heartbeat.host, partition);
                     return LocalAnswer::Response(Response::json(200, &wire::orders(fencing_token, &orders)));
                 }
-                Ok(HeartbeatReply::Elsewhere(other)) => belongs_to = other,
+                Ok(HeartbeatReply::OtherPartition(other)) => belongs_to = other,
                 Ok(HeartbeatReply::Unknown) => {}
                 _ => return LocalAnswer::Response(RefusalReason::NotLeaseHolder.response()),
             }
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -58,7 +58,7 @@
             hint.into_iter().chain(all_partitions.filter(|partition| Some(*partition) != hint)).collect();
         let mut answer = PartitionLeadersAnswer::Unknown;
         for partition in order {
-            match self.router.user(partition, call.clone()).await {
+            match self.router.forward_user_call(partition, call.clone()).await {
                 Some(response) if response.status == 404 => {}
                 Some(response) if response.status == 200 => {
                     lock(&self.route_hints).remember_job(id, partition);
--- a/src/api/node_status.rs
+++ b/src/api/node_status.rs
@@ -17,7 +17,7 @@
         let state_ok = last_answer_ms > 0 && now.saturating_sub(last_answer_ms) < self.router.leader_lease_ttl_ms;
         let every_partition_has_leader = self.router.partitions.iter().all(|partition| {
             let leader_status = partition.leader_status.borrow();
-            if leader_status.is_self { partition.leader_lease.holds(now) } else { leader_status.leader.is_some() }
+            if leader_status.is_local { partition.leader_lease.holds(now) } else { leader_status.leader.is_some() }
         });
         if state_ok && every_partition_has_leader {
             Response::json(200, &serde_json::json!({ "ready": true }))
@@ -41,7 +41,7 @@
         }
         for handle in self.router.partitions.iter() {
             let (reply, metrics) = oneshot::channel();
-            if handle.leader.try_send(partition_leader::Message::Metrics(reply)).is_ok() {
+            if handle.leader_mailbox.try_send(partition_leader::PartitionMessage::Metrics(reply)).is_ok() {
                 text.push_str(&metrics.await.unwrap_or_default());
             }
         }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -58,7 +58,7 @@
         if !spec.dependencies.is_empty() && !self.router.leader_is_current(partition) {
             return None;
         }
-        self.router.user(partition, UserCall::Submit(body)).await
+        self.router.forward_user_call(partition, UserCall::Submit(body)).await
     }
 
     /// Returns the leader's answer, or the answer of this node if the leader gave none or could not
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -117,7 +117,7 @@
         metrics: UserMetrics::default(),
         node_metrics: Default::default(),
         router: Router {
-            bills: None,
+            bill_store: None,
             configuration: None,
             partitions: Default::default(),
             peers: Default::default(),
@@ -150,19 +150,19 @@
 /// Adds a leader of partition 0 on this node that gives this answer to one user. Returns the sender of
 /// its leader status, and the task of its mailbox, which is closed once the task has ended.
 fn add_local_leader(api: &mut Api, answer: UserAnswer) -> (watch::Sender<LeaderStatus>, tokio::task::JoinHandle<()>) {
-    let (leader, mut messages) = mpsc::channel(1);
-    let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_self: true, ..LeaderStatus::default() });
-    let election = mpsc::channel(1).0;
+    let (leader_mailbox, mut messages) = mpsc::channel(1);
+    let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_local: true, ..LeaderStatus::default() });
+    let election_mailbox = mpsc::channel(1).0;
     let handle = PartitionHandle {
         leader_status,
         leader_lease: Default::default(),
         pledge_status: Default::default(),
-        leader,
-        election,
+        leader_mailbox,
+        election_mailbox,
     };
     api.router.partitions = Arc::new(vec![handle]);
     let mailbox = task::spawn(async move {
-        let Some(partition_leader::Message::User { reply, .. }) = messages.recv().await else {
+        let Some(partition_leader::PartitionMessage::User { reply, .. }) = messages.recv().await else {
             panic!("the leader is asked")
         };
         reply.send(answer).unwrap();
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -159,7 +159,7 @@
     service.put_first_job(None);
     let (leader_status, _mailbox) = add_local_leader(&mut api, UserAnswer::Unknown);
     assert!(api.router.leader_is_current(0), "the leader is this node");
-    let led_by_peer = LeaderStatus { is_self: false, leader: Some("worker-1".into()) };
+    let led_by_peer = LeaderStatus { is_local: false, leader: Some("worker-1".into()) };
     leader_status.send(led_by_peer).unwrap();
     assert!(api.router.leader_is_current(0));
     let peer_of_unknown_version = crate::transport::peer::Peer::start(
--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -5,7 +5,9 @@
 use super::election::{Election, Role};
 use super::failover_order::FailoverOrder;
 use super::leader_lease::{LeaderLease, PledgeStatus};
-use super::messages::{AcquiredLeadership, EarlierPledges, LeaderStatus, LeadershipChange, Message, PledgeRequest};
+use super::messages::{
+    AcquiredLeadership, EarlierPledges, ElectionMessage, LeaderStatus, LeadershipChange, PledgeRequest,
+};
 use super::partition_watch::watch_partition;
 use super::records::PartitionRecord;
 use crate::clients::{RequestError, StateStore};
@@ -60,7 +62,7 @@
 impl ElectionActor {
     /// Runs the actor until all senders of `messages` are dropped. `own_messages` is a sender to
     /// `messages`, for background tasks.
-    pub async fn run(self, own_messages: mpsc::Sender<Message>, mut messages: mpsc::Receiver<Message>) {
+    pub async fn run(self, own_messages: mpsc::Sender<ElectionMessage>, mut messages: mpsc::Receiver<ElectionMessage>) {
         let mut election = Election::new(&self.node, self.leader_lease_ttl_ms, self.peers.len(), clock::now_ms());
         election.startup_read_done = false;
         self.pledge_status.publish(&election);
@@ -83,7 +85,7 @@
     /// Starts the tasks that read and watch the partition's record. The actor gives pledges without
     /// waiting for them: during an outage of the state store the first read takes as long as the
     /// outage.
-    fn start_reads(&self, own_messages: &mpsc::Sender<Message>) {
+    fn start_reads(&self, own_messages: &mpsc::Sender<ElectionMessage>) {
         task::spawn(read_previous_leader(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
         task::spawn(watch_partition(
             self.state.clone(),
@@ -103,7 +105,7 @@
     }
 
     /// Starts a campaign if this node may campaign now.
-    fn campaign_if_due(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
+    fn campaign_if_due(&self, election: &mut Election, own_messages: &mpsc::Sender<ElectionMessage>) {
         if election.may_campaign(clock::now_ms()) {
             election.role = Role::Candidate;
             task::spawn(campaign(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
@@ -115,18 +117,18 @@
         self.leader_lease.set_valid_until(election.lease_valid_until());
         election.update_latest_token();
         self.pledge_status.publish(election);
-        let is_self = election.is_leader();
-        let leader = if is_self {
+        let is_local = election.is_leader();
+        let leader = if is_local {
             Some(self.node.clone())
         } else {
             election.record.as_ref().map(|record| record.leader.clone())
         };
-        let leader_status = LeaderStatus { leader, is_self };
+        let leader_status = LeaderStatus { leader, is_local };
         self.leader_status.send_if_modified(|last| std::mem::replace(last, leader_status.clone()) != leader_status);
     }
 
     /// Renews the lease and the pledges if this node leads.
-    fn renew(&self, election: &mut Election, own_messages: &mpsc::Sender<Message>) {
+    fn renew(&self, election: &mut Election, own_messages: &mpsc::Sender<ElectionMessage>) {
         let sent_ms = clock::now_ms();
         election.record_lapse(sent_ms);
         let Some(leader) = election.leader() else { return };
@@ -139,17 +141,17 @@
     }
 
     /// Renews the lease. Its duration counts from `sent_ms`, an instant before the request is sent.
-    fn renew_lease(&self, lease_id: u64, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
+    fn renew_lease(&self, lease_id: u64, sent_ms: u64, own_messages: &mpsc::Sender<ElectionMessage>) {
         let (state, ttl_ms, own_messages) = (self.state.clone(), self.leader_lease_ttl_ms, own_messages.clone());
         task::spawn(async move {
             let result = state.renew_lease(lease_id, ttl_ms).await;
             // Sending fails only while the node stops.
-            let _ = own_messages.send(Message::LeaseRenewalEnded { lease_id, sent_ms, result }).await;
+            let _ = own_messages.send(ElectionMessage::LeaseRenewalEnded { lease_id, sent_ms, result }).await;
         });
     }
 
     /// Requests pledges from all peers. Their duration counts from `sent_ms`, like that of the lease.
-    fn request_pledges(&self, fencing_token: FencingToken, sent_ms: u64, own_messages: &mpsc::Sender<Message>) {
+    fn request_pledges(&self, fencing_token: FencingToken, sent_ms: u64, own_messages: &mpsc::Sender<ElectionMessage>) {
         let request = PeerRequest::Pledge {
             partition: self.partition,
             leader: self.node.clone(),
@@ -162,8 +164,8 @@
             let (peer, request, own_messages) = (peer.clone(), request.clone(), own_messages.clone());
             task::spawn(async move {
                 let answer = match peer.request(request, timeout).await {
-                    Some(PeerResponse::Accepted) => Message::PledgeReceived { peer: index, sent_ms },
-                    _ => Message::PledgeNotReceived,
+                    Some(PeerResponse::Accepted) => ElectionMessage::PledgeReceived { peer: index, sent_ms },
+                    _ => ElectionMessage::PledgeNotReceived,
                 };
                 // Sending fails only while the node stops.
                 let _ = own_messages.send(answer).await;
@@ -177,36 +179,36 @@
     }
 
     /// Handles a message.
-    async fn handle(&self, election: &mut Election, message: Message) {
+    async fn handle(&self, election: &mut Election, message: ElectionMessage) {
         let now_ms = clock::now_ms();
         match message {
-            Message::Pledge { request, reply } => {
+            ElectionMessage::Pledge { request, reply } => {
                 let given = self.pledge(election, now_ms, request).await;
                 // If the requester no longer waits, it does not rely on the pledge. The pledge still
                 // binds this node.
                 let _ = reply.send(given);
             }
-            Message::StartupRead(earlier_pledges) => self.startup_read(election, now_ms, earlier_pledges),
-            Message::RecordObserved(record) => self.record_observed(election, now_ms, record),
-            Message::LeaseRenewalEnded { lease_id, sent_ms, result: Ok(()) } => {
+            ElectionMessage::StartupRead(earlier_pledges) => self.startup_read(election, now_ms, earlier_pledges),
+            ElectionMessage::RecordObserved(record) => self.record_observed(election, now_ms, record),
+            ElectionMessage::LeaseRenewalEnded { lease_id, sent_ms, result: Ok(()) } => {
                 election.lease_renewed(lease_id, sent_ms, now_ms);
             }
-            Message::LeaseRenewalEnded { lease_id, result: Err(error), .. } => {
+            ElectionMessage::LeaseRenewalEnded { lease_id, result: Err(error), .. } => {
                 self.lease_not_renewed(election, lease_id, error).await;
             }
-            Message::PledgeReceived { peer, sent_ms } => election.pledge_received(peer, sent_ms, now_ms),
-            Message::PledgeNotReceived => {}
-            Message::ReleasePledge { fencing_token } => election.release_pledge(now_ms, fencing_token),
-            Message::YieldLeadership => self.yield_leadership(election, now_ms).await,
-            Message::LeadershipLost => {
+            ElectionMessage::PledgeReceived { peer, sent_ms } => election.pledge_received(peer, sent_ms, now_ms),
+            ElectionMessage::PledgeNotReceived => {}
+            ElectionMessage::ReleasePledge { fencing_token } => election.release_pledge(now_ms, fencing_token),
+            ElectionMessage::YieldLeadership => self.yield_leadership(election, now_ms).await,
+            ElectionMessage::LeadershipLost => {
                 if election.is_leader() {
                     self.step_down(election, "superseded").await;
                 }
             }
-            Message::CampaignEnded { sent_ms, acquired: Some(acquired) } => {
+            ElectionMessage::CampaignEnded { sent_ms, acquired: Some(acquired) } => {
                 self.leadership_acquired(election, acquired, sent_ms).await;
             }
-            Message::CampaignEnded { acquired: None, .. } => {
+            ElectionMessage::CampaignEnded { acquired: None, .. } => {
                 election.role = Role::Follower;
                 election.next_campaign_ms = now_ms + self.leader_lease_ttl_ms / 10;
             }
--- a/src/control/membership/campaign.rs
+++ b/src/control/membership/campaign.rs
@@ -1,7 +1,7 @@
 //! Requests to the state store that acquire the leadership of a partition, or raise the fencing
 //! token of a leader.
 
-use super::messages::{AcquiredLeadership, EarlierPledges, Message};
+use super::messages::{AcquiredLeadership, EarlierPledges, ElectionMessage};
 use super::records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 use crate::clients::{RequestError, StateStore};
 use crate::control::partition::CommitOutcome;
@@ -28,7 +28,7 @@
 /// Fencing token that a leader has raised its leadership to, and the resulting version of the
 /// partition's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RaisedToken {
+pub struct RaisedFencingToken {
     /// New fencing token.
     pub fencing_token: FencingToken,
     /// Version of the partition's key.
@@ -83,7 +83,7 @@
 pub(super) async fn read_previous_leader(
     state: StateStore,
     parameters: CampaignParameters,
-    election: mpsc::Sender<Message>,
+    election: mpsc::Sender<ElectionMessage>,
 ) {
     let CampaignParameters { partition, node, leader_lease_ttl_ms } = parameters;
     let retry_delay = Duration::from_millis(leader_lease_ttl_ms / 5);
@@ -100,7 +100,7 @@
     };
     let earlier_pledges = if none_binding { EarlierPledges::NoneBinding } else { EarlierPledges::MayBind { record } };
     // Sending fails only while the node stops.
-    let _ = election.send(Message::StartupRead(earlier_pledges)).await;
+    let _ = election.send(ElectionMessage::StartupRead(earlier_pledges)).await;
 }
 
 /// Reads the partition's record and the counter of fencing tokens, and retries until both reads
@@ -123,14 +123,18 @@
 }
 
 /// Tries to acquire the leadership of a partition that has no leader, and reports the outcome.
-pub(super) async fn campaign(state: StateStore, parameters: CampaignParameters, election: mpsc::Sender<Message>) {
+pub(super) async fn campaign(
+    state: StateStore,
+    parameters: CampaignParameters,
+    election: mpsc::Sender<ElectionMessage>,
+) {
     let sent_ms = clock::now_ms();
     let acquired = acquire_leadership(&state, &parameters)
         .await
         .inspect_err(|error| tracing::debug!(partition = parameters.partition, %error, "campaign failed"))
         .ok();
     // Sending fails only while the node stops.
-    let _ = election.send(Message::CampaignEnded { sent_ms, acquired }).await;
+    let _ = election.send(ElectionMessage::CampaignEnded { sent_ms, acquired }).await;
 }
 
 /// Creates a lease and commits the next fencing token and this node as the leader.
@@ -167,10 +171,10 @@
 pub async fn raise_fencing_token(
     state: &StateStore,
     update: &PartitionKeyUpdate<'_>,
-) -> Result<RaisedToken, AcquireError> {
+) -> Result<RaisedFencingToken, AcquireError> {
     let counter = read_counter(state).await?.ok_or(AcquireError::NoCounter)?;
     let acquired = commit_next_token(state, update, counter).await?;
-    Ok(RaisedToken { fencing_token: acquired.fencing_token, version: acquired.version })
+    Ok(RaisedFencingToken { fencing_token: acquired.fencing_token, version: acquired.version })
 }
 
 /// Reads the counter of fencing tokens; `None` if it does not exist yet.
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -11,7 +11,7 @@
     /// Name of the node that leads the partition, if known.
     pub leader: Option<String>,
     /// Whether this node is the leader.
-    pub is_self: bool,
+    pub is_local: bool,
 }
 
 /// Notification to the partition's actor that this node has become or ceased to be the leader.
@@ -51,7 +51,7 @@
 
 /// Message to the election actor. Times are milliseconds of the steady clock.
 #[derive(Debug)]
-pub enum Message {
+pub enum ElectionMessage {
     /// A leader requests a pledge.
     Pledge {
         /// Request for the pledge.
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -19,11 +19,13 @@
 mod records;
 
 pub use actor::ElectionActor;
-pub use campaign::{AcquireError, PartitionKeyUpdate, RaisedToken, raise_fencing_token};
+pub use campaign::{AcquireError, PartitionKeyUpdate, RaisedFencingToken, raise_fencing_token};
 pub use election::Election;
 pub use failover_order::FailoverOrder;
 pub use leader_lease::{LeaderLease, PledgeStatus};
-pub use messages::{AcquiredLeadership, EarlierPledges, LeaderStatus, LeadershipChange, Message, PledgeRequest};
+pub use messages::{
+    AcquiredLeadership, EarlierPledges, ElectionMessage, LeaderStatus, LeadershipChange, PledgeRequest,
+};
 pub use records::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
 
 #[cfg(test)]
--- a/src/control/membership/partition_watch.rs
+++ b/src/control/membership/partition_watch.rs
@@ -2,7 +2,7 @@
 //!
 //! Both tasks run until the election actor has ended, and thus as long as the node.
 
-use super::messages::Message;
+use super::messages::ElectionMessage;
 use super::records::{PartitionRecord, partition_key};
 use crate::clients::StateStore;
 use crate::runtime::task;
@@ -16,7 +16,7 @@
     state: StateStore,
     partition: u32,
     leader_lease_ttl_ms: u64,
-    election: mpsc::Sender<Message>,
+    election: mpsc::Sender<ElectionMessage>,
 ) {
     let key = partition_key(partition);
     task::spawn(probe(state.clone(), key.clone(), Duration::from_millis(leader_lease_ttl_ms / 4), election.clone()));
@@ -37,7 +37,7 @@
             Ok(changes) => {
                 // The watch is by prefix: a watch of "part/1" also reports changes of "part/10".
                 for change in changes.events.into_iter().filter(|change| change.key() == key) {
-                    if election.send(Message::RecordObserved(record_after_change(change))).await.is_err() {
+                    if election.send(ElectionMessage::RecordObserved(record_after_change(change))).await.is_err() {
                         return;
                     }
                 }
@@ -52,11 +52,11 @@
 }
 
 /// Reads the key periodically, also while the watch waits for a change, and reports the record.
-async fn probe(state: StateStore, key: String, period: Duration, election: mpsc::Sender<Message>) {
+async fn probe(state: StateStore, key: String, period: Duration, election: mpsc::Sender<ElectionMessage>) {
     loop {
         tokio::time::sleep(period).await;
         if let Ok((item, _)) = state.get(&key).await
-            && election.send(Message::RecordObserved(parse_record(item))).await.is_err()
+            && election.send(ElectionMessage::RecordObserved(parse_record(item))).await.is_err()
         {
             return;
         }
@@ -64,10 +64,10 @@
 }
 
 /// Reads the key, reports the record, and returns the revision of the read; `None` if the read failed.
-async fn report_current_record(state: &StateStore, key: &str, election: &mpsc::Sender<Message>) -> Option<u64> {
+async fn report_current_record(state: &StateStore, key: &str, election: &mpsc::Sender<ElectionMessage>) -> Option<u64> {
     let (item, revision) = state.get(key).await.ok()?;
     // If the actor has ended, the next report ends this task.
-    let _ = election.send(Message::RecordObserved(parse_record(item))).await;
+    let _ = election.send(ElectionMessage::RecordObserved(parse_record(item))).await;
     Some(revision)
 }
 
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -14,7 +14,7 @@
 use crate::runtime::metrics::SharedMetrics;
 use crate::runtime::{clock, task};
 use crate::scheduling::Policy;
-use crate::settings::bounds::{Bounds, QUEUED_FOR_LEADER};
+use crate::settings::bounds::{Bounds, LEADER_QUEUE_CAPACITY};
 use crate::settings::{Operator, Seed, Settings};
 use crate::transport::http;
 use crate::transport::network::{Listener, Net};
@@ -95,9 +95,9 @@
 /// Actors of a partition before they are started, with the receivers of their messages.
 struct PartitionActors {
     election: ElectionActor,
-    election_messages: mpsc::Receiver<membership::Message>,
+    election_messages: mpsc::Receiver<membership::ElectionMessage>,
     leadership_changes: mpsc::Receiver<LeadershipChange>,
-    leader_messages: mpsc::Receiver<partition_leader::Message>,
+    leader_messages: mpsc::Receiver<partition_leader::PartitionMessage>,
 }
 
 impl Node {
@@ -138,7 +138,7 @@
         let (leader_status_sender, leader_status) = watch::channel(LeaderStatus::default());
         let (leadership_changes_sender, leadership_changes) = mpsc::channel(LEADERSHIP_CHANGE_QUEUE_CAPACITY);
         let (election_sender, election_messages) = mpsc::channel(ELECTION_QUEUE_CAPACITY);
-        let (leader_sender, leader_messages) = mpsc::channel(QUEUED_FOR_LEADER);
+        let (leader_sender, leader_messages) = mpsc::channel(LEADER_QUEUE_CAPACITY);
         let has_other_preferred_leader = self.operator.partitions > 1 && !self.is_preferred_leader(partition);
         let election = ElectionActor {
             partition,
@@ -160,8 +160,8 @@
             leader_status,
             leader_lease,
             pledge_status,
-            leader: leader_sender,
-            election: election_sender,
+            leader_mailbox: leader_sender,
+            election_mailbox: election_sender,
         };
         (handle, PartitionActors { election, election_messages, leadership_changes, leader_messages })
     }
@@ -180,7 +180,7 @@
             peers: Arc::new(self.peers.clone()),
             leader_lease_ttl_ms: settings.leader_lease_ttl_ms(),
             configuration,
-            bills: has_pools.then(|| self.state.clone()),
+            bill_store: has_pools.then(|| self.state.clone()),
             last_pledge_request_ms,
         }
     }
@@ -195,7 +195,7 @@
     ) {
         let mut leaders = Vec::new();
         for (actors, handle) in actors.into_iter().zip(router.partitions.iter()) {
-            task::spawn(actors.election.run(handle.election.clone(), actors.election_messages));
+            task::spawn(actors.election.run(handle.election_mailbox.clone(), actors.election_messages));
             leaders.push((actors.leadership_changes, actors.leader_messages, handle));
         }
         for (id, (leadership_changes, messages, handle)) in (0..).zip(leaders) {
@@ -210,9 +210,9 @@
                 worker: Worker::on(&self.net, &self.settings),
                 leader_lease: handle.leader_lease.clone(),
                 pledge_status: handle.pledge_status.clone(),
-                election: handle.election.clone(),
+                election: handle.election_mailbox.clone(),
                 router: router.clone(),
-                own_messages: handle.leader.clone(),
+                own_messages: handle.leader_mailbox.clone(),
                 current_epoch: Arc::new(AtomicU64::new(0)),
             };
             task::spawn(leader.run(leadership_changes, messages));
--- a/src/control/partition_leader/actor.rs
+++ b/src/control/partition_leader/actor.rs
@@ -2,7 +2,7 @@
 
 use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PROVISIONER_PARTITION, PartitionLeader, WRITE_BURST_S};
 use super::leadership::{Leadership, NewLeadership};
-use super::messages::{BackgroundEvent, HeartbeatReply, Message};
+use super::messages::{BackgroundEvent, HeartbeatReply, PartitionMessage};
 use super::requests::handle_while_follower;
 use super::stored_records::StoredRecords;
 use crate::api::refusal::RefusalReason;
@@ -32,7 +32,7 @@
     pub async fn run(
         self,
         mut leadership_changes: mpsc::Receiver<LeadershipChange>,
-        mut messages: mpsc::Receiver<Message>,
+        mut messages: mpsc::Receiver<PartitionMessage>,
     ) {
         let mut active: Option<Leadership> = None;
         let mut last_epoch = 0;
@@ -74,8 +74,8 @@
     fn handle_batch(
         &self,
         mut active: Option<&mut Leadership>,
-        first: Message,
-        messages: &mut mpsc::Receiver<Message>,
+        first: PartitionMessage,
+        messages: &mut mpsc::Receiver<PartitionMessage>,
     ) {
         self.handle(active.as_deref_mut(), first);
         for _ in 0..MAX_FURTHER_MESSAGES_PER_BATCH {
@@ -131,7 +131,7 @@
 
     /// Handles a message. All answers except the metrics are given only while the lease is valid,
     /// because an answer of a former leader may be out of date.
-    fn handle(&self, active: Option<&mut Leadership>, message: Message) {
+    fn handle(&self, active: Option<&mut Leadership>, message: PartitionMessage) {
         let Some(leadership) = active else {
             handle_while_follower(message);
             return;
@@ -141,12 +141,12 @@
         let serving = lease_valid && leadership.loaded;
         // Failures to send a reply are ignored: the requester no longer waits for it.
         match message {
-            Message::Heartbeat { heartbeat, reply } => {
+            PartitionMessage::Heartbeat { heartbeat, reply } => {
                 let answer =
                     if lease_valid { self.heartbeat(leadership, &heartbeat, now) } else { HeartbeatReply::NotLeader };
                 let _ = reply.send(answer);
             }
-            Message::CapacityReport { capacity_report, reply } => {
+            PartitionMessage::CapacityReport { capacity_report, reply } => {
                 let answer = if serving && self.id == PROVISIONER_PARTITION {
                     self.capacity_report(leadership, capacity_report, now)
                 } else {
@@ -154,28 +154,28 @@
                 };
                 let _ = reply.send(answer);
             }
-            Message::TransferHost { host, to, reply } => {
+            PartitionMessage::TransferHost { host, to, reply } => {
                 let transferred = serving && leadership.partition.transfer_host(&host, to);
                 let _ = reply.send(if transferred { PeerResponse::Accepted } else { PeerResponse::Rejected });
             }
-            Message::User { call, reply } if serving => self.user(leadership, call, reply, now),
-            Message::User { reply, .. } => {
+            PartitionMessage::User { call, reply } if serving => self.user(leadership, call, reply, now),
+            PartitionMessage::User { reply, .. } => {
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::FailoverUnderWay));
             }
-            Message::PoolStatus(reply) => {
+            PartitionMessage::PoolStatus(reply) => {
                 let _ = reply.send(if serving { self.pool_status(leadership) } else { POOLS_RETRY_LATER });
             }
-            Message::LoanStatus(reply) => {
+            PartitionMessage::LoanStatus(reply) => {
                 let _ = reply.send(if serving { self.loan_status(leadership, now) } else { LOANS_RETRY_LATER });
             }
-            Message::Metrics(reply) => {
+            PartitionMessage::Metrics(reply) => {
                 let _ = reply.send(self.metrics_text(leadership, now));
             }
             // Reports of an earlier leadership are dropped.
-            Message::Background { leadership_epoch, event } if leadership_epoch == leadership.epoch => {
+            PartitionMessage::Background { leadership_epoch, event } if leadership_epoch == leadership.epoch => {
                 self.handle_event(leadership, event, now);
             }
-            Message::Background { .. } => {}
+            PartitionMessage::Background { .. } => {}
         }
     }
 
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -4,7 +4,7 @@
 use super::leadership::{Leadership, TokenRaise};
 use super::messages::BackgroundEvent;
 use crate::clients::{StateStore, TokenBucket};
-use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedToken};
+use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedFencingToken};
 use crate::control::partition::{CommitOutcome, Superseded};
 use crate::runtime::task;
 use tokio::time::sleep;
@@ -98,9 +98,9 @@
     }
 
     /// Handles the outcome of a raise of the fencing token.
-    pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
+    pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedFencingToken>, now: u64) {
         leadership.token_raise = TokenRaise::Idle { not_before_ms: now + self.settings.react_ms() };
-        if let Some(RaisedToken { fencing_token, version }) = raised {
+        if let Some(RaisedFencingToken { fencing_token, version }) = raised {
             tracing::info!(%fencing_token, "fencing token raised");
             leadership.partition.set_fencing_token(fencing_token, version);
             leadership.key_version = version;
@@ -113,7 +113,7 @@
         self.leader_lease.set_valid_until(0);
         // If its mailbox is full, the election actor steps down once a renewal shows that the lease has
         // ended.
-        let _ = self.election.try_send(membership::Message::LeadershipLost);
+        let _ = self.election.try_send(membership::ElectionMessage::LeadershipLost);
     }
 }
 
@@ -131,7 +131,7 @@
     let own_key = found.and_then(|item| {
         let record: PartitionRecord = serde_json::from_value(item.value).ok()?;
         (record.lease_id == lease_id)
-            .then_some(RaisedToken { fencing_token: record.fencing_token, version: item.version })
+            .then_some(RaisedFencingToken { fencing_token: record.fencing_token, version: item.version })
     });
     own_key.map_or(BackgroundEvent::LeadershipLost, |raised| BackgroundEvent::TokenRaiseEnded(Some(raised)))
 }
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -1,6 +1,6 @@
 //! Settings, clients and channels of the actor.
 
-use super::messages::{BackgroundSender, Message};
+use super::messages::{BackgroundSender, PartitionMessage};
 use crate::borrowing::BorrowingResponse;
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
@@ -46,11 +46,11 @@
     /// Pledges for the partition that this node has given and received.
     pub pledge_status: PledgeStatus,
     /// Mailbox of the partition's election actor.
-    pub election: mpsc::Sender<membership::Message>,
+    pub election: mpsc::Sender<membership::ElectionMessage>,
     /// Router for requests to the other partitions.
     pub router: Router,
     /// Mailbox of this actor, for the reports of its background tasks.
-    pub own_messages: mpsc::Sender<Message>,
+    pub own_messages: mpsc::Sender<PartitionMessage>,
     /// Epoch of the current leadership; 0 if there is none.
     pub current_epoch: Arc<AtomicU64>,
 }
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -4,7 +4,7 @@
 use crate::borrowing::BorrowingResponse;
 use crate::clients::RentResult;
 use crate::configuration::AppliedConfiguration;
-use crate::control::membership::RaisedToken;
+use crate::control::membership::RaisedFencingToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::model::{FencingToken, HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Message to the actor of a partition.
-pub enum Message {
+pub enum PartitionMessage {
     /// A worker sends a heartbeat.
     Heartbeat {
         /// Heartbeat of the worker.
@@ -105,7 +105,7 @@
     /// none.
     IndeterminateRecordsRead(Vec<(String, Option<Item>)>),
     /// A raise of the fencing token has ended; `None` if it failed.
-    TokenRaiseEnded(Option<RaisedToken>),
+    TokenRaiseEnded(Option<RaisedFencingToken>),
     /// A write of the applied configuration version has ended; `None` if it failed.
     ConfigurationRecorded(Option<AppliedConfiguration>),
     /// The partition's key no longer belongs to this leadership: another node leads the partition, or
@@ -146,7 +146,7 @@
     /// answer that it would have to discard.
     NotLeader,
     /// The machine belongs to the partition of this number.
-    Elsewhere(u32),
+    OtherPartition(u32),
     /// The machine does not belong to this partition, and no other partition of it is known.
     Unknown,
 }
@@ -155,14 +155,14 @@
 #[derive(Clone)]
 pub(super) struct BackgroundSender {
     pub(super) leadership_epoch: u64,
-    pub(super) actor: mpsc::Sender<Message>,
+    pub(super) actor: mpsc::Sender<PartitionMessage>,
     pub(super) current_epoch: Arc<AtomicU64>,
 }
 
 impl BackgroundSender {
     /// Sends a report to the actor; returns false if the actor has ended.
     pub(super) async fn send(&self, event: BackgroundEvent) -> bool {
-        self.actor.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
+        self.actor.send(PartitionMessage::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
     /// Returns whether the leadership is current. A task that repeats requests ends once it is not.
--- a/src/control/partition_leader/mod.rs
+++ b/src/control/partition_leader/mod.rs
@@ -23,5 +23,5 @@
 mod warm_pools;
 
 pub use leader::PartitionLeader;
-pub use messages::{BackgroundEvent, HeartbeatReply, Message};
+pub use messages::{BackgroundEvent, HeartbeatReply, PartitionMessage};
 pub use stored_records::{INSTANCE_TYPES_KEY, StoredRecords, stored_instance_types};
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -46,7 +46,7 @@
         leadership.timers.last_failure_detection_ms = now;
         if !stalled && leadership.partition.is_isolated(now) {
             // If the mailbox is full, the next failure detection tries again.
-            let _ = self.election.try_send(membership::Message::YieldLeadership);
+            let _ = self.election.try_send(membership::ElectionMessage::YieldLeadership);
         }
         let DetectedFailures { to_terminate, to_probe } =
             leadership.partition.detect_failures(now, self.pledge_status.last_gap_ms(now));
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -2,7 +2,7 @@
 
 use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PartitionLeader};
 use super::leadership::Leadership;
-use super::messages::{HeartbeatReply, Message};
+use super::messages::{HeartbeatReply, PartitionMessage};
 use crate::api::refusal::RefusalReason;
 use crate::control::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
 use crate::model::InstanceOffering;
@@ -33,7 +33,7 @@
                 leadership.token_check_due = true;
                 HeartbeatReply::NotLeader
             }
-            HostRouting::OtherPartition(partition) => HeartbeatReply::Elsewhere(partition),
+            HostRouting::OtherPartition(partition) => HeartbeatReply::OtherPartition(partition),
             HostRouting::Unknown => HeartbeatReply::Unknown,
         }
     }
@@ -93,26 +93,26 @@
 
 /// Refuses a message while this node does not lead the partition. Requesters go to the leader or
 /// retry.
-pub(super) fn handle_while_follower(message: Message) {
+pub(super) fn handle_while_follower(message: PartitionMessage) {
     match message {
-        Message::Heartbeat { reply, .. } => {
+        PartitionMessage::Heartbeat { reply, .. } => {
             let _ = reply.send(HeartbeatReply::NotLeader);
         }
-        Message::User { reply, .. } => {
+        PartitionMessage::User { reply, .. } => {
             let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotLeader));
         }
-        Message::PoolStatus(reply) => {
+        PartitionMessage::PoolStatus(reply) => {
             let _ = reply.send(POOLS_RETRY_LATER);
         }
-        Message::LoanStatus(reply) => {
+        PartitionMessage::LoanStatus(reply) => {
             let _ = reply.send(LOANS_RETRY_LATER);
         }
-        Message::Metrics(reply) => {
+        PartitionMessage::Metrics(reply) => {
             let _ = reply.send(String::new());
         }
-        Message::CapacityReport { reply, .. } | Message::TransferHost { reply, .. } => {
+        PartitionMessage::CapacityReport { reply, .. } | PartitionMessage::TransferHost { reply, .. } => {
             let _ = reply.send(PeerResponse::Rejected);
         }
-        Message::Background { .. } => {}
+        PartitionMessage::Background { .. } => {}
     }
 }
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -45,9 +45,9 @@
     /// Pledges for the partition that this node has given or received.
     pub pledge_status: PledgeStatus,
     /// Mailbox of the partition's actor, which does the partition's work while this node leads it.
-    pub leader: mpsc::Sender<partition_leader::Message>,
+    pub leader_mailbox: mpsc::Sender<partition_leader::PartitionMessage>,
     /// Mailbox of the partition's election actor.
-    pub election: mpsc::Sender<membership::Message>,
+    pub election_mailbox: mpsc::Sender<membership::ElectionMessage>,
 }
 
 /// Numbers of the other controllers, by their version.
@@ -72,8 +72,8 @@
     pub leader_lease_ttl_ms: u64,
     /// Shared configuration of the fleet; `None` if the controller is not part of one.
     pub configuration: Option<ConfigurationHandle>,
-    /// Client of the state store, for reads of the bills of warm pools; `None` without pools.
-    pub bills: Option<StateStore>,
+    /// Client of the state service, for reads of the bills of warm pools; `None` without pools.
+    pub bill_store: Option<StateStore>,
     /// Instant, in milliseconds of the steady clock, of the last request for a pledge from the leader
     /// of each partition; 0 if there was none.
     pub last_pledge_request_ms: Arc<Vec<AtomicU64>>,
@@ -81,8 +81,8 @@
 
 impl Router {
     /// Returns whether this node leads the partition.
-    pub fn is_self(&self, partition: u32) -> bool {
-        self.partitions.get(partition as usize).is_some_and(|handle| handle.leader_status.borrow().is_self)
+    pub fn leads_locally(&self, partition: u32) -> bool {
+        self.partitions.get(partition as usize).is_some_and(|handle| handle.leader_status.borrow().is_local)
     }
 
     /// Returns the name of the node that leads the partition; `None` if it is not known here.
@@ -93,7 +93,7 @@
     /// Sends a request to the leader of a partition, on this node or another. Returns `None` if the
     /// leader is unknown or does not answer in time.
     pub async fn request(&self, partition: u32, request: PeerRequest) -> Option<PeerResponse> {
-        if self.is_self(partition) {
+        if self.leads_locally(partition) {
             return Some(self.answer(request, FrameFormat::CURRENT).await);
         }
         let name = self.leader(partition)?;
@@ -143,7 +143,7 @@
     /// Returns whether the partition's leader is known to be of this version.
     pub fn leader_is_current(&self, partition: u32) -> bool {
         let peer_named = |name: String| self.peers.iter().find(|peer| peer.name == name);
-        self.is_self(partition)
+        self.leads_locally(partition)
             || self.leader(partition).and_then(peer_named).is_some_and(|peer| peer.format.is_current())
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Sends a user's request to the leader of a partition. Returns `None` if there is no answer.
-    pub async fn user(&self, partition: u32, call: UserCall) -> Option<Response> {
+    pub async fn forward_user_call(&self, partition: u32, call: UserCall) -> Option<Response> {
         match self.request(partition, PeerRequest::User { partition, call }).await? {
             PeerResponse::User { status, body, retry_after_s, refusal } => {
                 Some(Response { status, body, retry_after_s, allow: None, refusal, content_type: "application/json" })
--- a/src/control/router/answers.rs
+++ b/src/control/router/answers.rs
@@ -40,7 +40,8 @@
             PeerRequest::ReleasePledge { partition, fencing_token } => {
                 if let Some(handle) = self.handle(partition) {
                     // A pledge that is not released expires.
-                    let _ = handle.election.try_send(membership::Message::ReleasePledge { fencing_token });
+                    let _ =
+                        handle.election_mailbox.try_send(membership::ElectionMessage::ReleasePledge { fencing_token });
                 }
                 PeerResponse::Accepted
             }
@@ -60,11 +61,11 @@
             PeerRequest::Pools(request) => PeerResponse::Pools(self.pools(request).await),
             PeerRequest::Loans(request) => PeerResponse::Loans(self.loans(request).await),
             PeerRequest::CapacityReport(capacity_report) => {
-                let message = |reply| partition_leader::Message::CapacityReport { capacity_report, reply };
+                let message = |reply| partition_leader::PartitionMessage::CapacityReport { capacity_report, reply };
                 self.ask_actor(PROVISIONER_PARTITION, message).await.unwrap_or(PeerResponse::Rejected)
             }
             PeerRequest::TransferHost { partition, host, to } => {
-                let message = |reply| partition_leader::Message::TransferHost { host, to, reply };
+                let message = |reply| partition_leader::PartitionMessage::TransferHost { host, to, reply };
                 self.ask_actor(partition, message).await.unwrap_or(PeerResponse::Rejected)
             }
         }
@@ -87,19 +88,20 @@
             last_ms.store(clock::now_ms(), Ordering::Relaxed);
         }
         let (reply, given) = oneshot::channel();
-        let queued = handle.election.try_send(membership::Message::Pledge { request, reply }).is_ok();
+        let queued = handle.election_mailbox.try_send(membership::ElectionMessage::Pledge { request, reply }).is_ok();
         if queued && given.await == Ok(true) { PeerResponse::Accepted } else { PeerResponse::Rejected }
     }
 
     /// Answers a request about warm pools: bills from their records in the state store, the status from
     /// the leader, on this node or another.
     async fn pools(&self, request: WarmPoolsRequest) -> WarmPoolsResponse {
-        let Some(state) = &self.bills else { return WarmPoolsResponse::NoPools };
+        let Some(state) = &self.bill_store else { return WarmPoolsResponse::NoPools };
         match request {
             WarmPoolsRequest::Bill { from, to, team } => read_bills(state, &from, &to, team.as_deref()).await,
-            WarmPoolsRequest::Status if self.is_self(ONLY_PARTITION) => {
-                self.ask_actor(ONLY_PARTITION, partition_leader::Message::PoolStatus).await.unwrap_or(POOLS_RETRY_LATER)
-            }
+            WarmPoolsRequest::Status if self.leads_locally(ONLY_PARTITION) => self
+                .ask_actor(ONLY_PARTITION, partition_leader::PartitionMessage::PoolStatus)
+                .await
+                .unwrap_or(POOLS_RETRY_LATER),
             WarmPoolsRequest::Status => {
                 match self.ask_remote_leader(PeerRequest::Pools(WarmPoolsRequest::Status)).await {
                     Some(PeerResponse::Pools(response)) => response,
@@ -111,8 +113,8 @@
 
     /// Answers a request about loans from the leader, on this node or another.
     async fn loans(&self, request: BorrowingRequest) -> BorrowingResponse {
-        if self.is_self(ONLY_PARTITION) {
-            let answer = self.ask_actor(ONLY_PARTITION, partition_leader::Message::LoanStatus).await;
+        if self.leads_locally(ONLY_PARTITION) {
+            let answer = self.ask_actor(ONLY_PARTITION, partition_leader::PartitionMessage::LoanStatus).await;
             return answer.unwrap_or(LOANS_RETRY_LATER);
         }
         match self.ask_remote_leader(PeerRequest::Loans(request)).await {
@@ -135,9 +137,9 @@
     async fn ask_actor<T>(
         &self,
         partition: u32,
-        message: impl FnOnce(oneshot::Sender<T>) -> partition_leader::Message,
+        message: impl FnOnce(oneshot::Sender<T>) -> partition_leader::PartitionMessage,
     ) -> Option<T> {
-        let actor: &mpsc::Sender<partition_leader::Message> = &self.handle(partition)?.leader;
+        let actor: &mpsc::Sender<partition_leader::PartitionMessage> = &self.handle(partition)?.leader_mailbox;
         let (reply, answer) = oneshot::channel();
         actor.try_send(message(reply)).ok()?;
         answer.await.ok()
@@ -151,7 +153,7 @@
         let (reply, answer) = oneshot::channel();
         let is_submission = matches!(call, UserCall::Submit(_));
         let max_wait = if matches!(call, UserCall::Status(_)) { MAX_POLL_WAIT } else { MAX_COMMIT_WAIT };
-        if handle.leader.try_send(partition_leader::Message::User { call, reply }).is_err() {
+        if handle.leader_mailbox.try_send(partition_leader::PartitionMessage::User { call, reply }).is_err() {
             return RefusalReason::TooManyRequests.response();
         }
         // A commit that takes longer continues; the user gets its outcome on a retry.
--- a/src/control/router/tests.rs
+++ b/src/control/router/tests.rs
@@ -5,19 +5,22 @@
 
 /// A router to one partition, which is led by the given peer or else by this node, and the receiver
 /// of the messages to its actor.
-fn router(leader: Option<Peer>, leader_lease_ttl_ms: u64) -> (Router, mpsc::Receiver<partition_leader::Message>) {
+fn router(
+    leader: Option<Peer>,
+    leader_lease_ttl_ms: u64,
+) -> (Router, mpsc::Receiver<partition_leader::PartitionMessage>) {
     let (leader_tx, leader_messages) = mpsc::channel(64);
     let leader_status =
-        LeaderStatus { leader: leader.as_ref().map(|peer| peer.name.clone()), is_self: leader.is_none() };
+        LeaderStatus { leader: leader.as_ref().map(|peer| peer.name.clone()), is_local: leader.is_none() };
     let handle = PartitionHandle {
         leader_status: watch::channel(leader_status).1,
         leader_lease: LeaderLease::default(),
         pledge_status: PledgeStatus::default(),
-        leader: leader_tx,
-        election: mpsc::channel(1).0,
+        leader_mailbox: leader_tx,
+        election_mailbox: mpsc::channel(1).0,
     };
     let router = Router {
-        bills: None,
+        bill_store: None,
         configuration: None,
         partitions: Arc::new(vec![handle]),
         peers: Arc::new(leader.into_iter().collect()),
@@ -34,7 +37,7 @@
 /// Returns how many milliseconds the router takes to answer a user's request.
 async fn answer_time_ms(router: &Router, call: UserCall) -> u128 {
     let start = Instant::now();
-    router.user(0, call).await;
+    router.forward_user_call(0, call).await;
     start.elapsed().as_millis()
 }
 
@@ -102,7 +105,7 @@
 async fn leader_counts_as_active_for_a_quarter_lease_after_a_pledge_request() {
     let last_pledge_request_ms = Arc::new(vec![AtomicU64::new(0)]);
     let router = Router {
-        bills: None,
+        bill_store: None,
         partitions: Default::default(),
         peers: Default::default(),
         leader_lease_ttl_ms: 2500,
--- a/src/settings/bounds.rs
+++ b/src/settings/bounds.rs
@@ -37,7 +37,7 @@
 /// Capacity of the message queue of the leader of a partition; further messages are refused at once. It does
 /// not grow with the fleet: the reply to a heartbeat is useless once its worker has timed out, and with a longer
 /// queue a slow leader would answer no heartbeat in time.
-pub const QUEUED_FOR_LEADER: usize = 1024;
+pub const LEADER_QUEUE_CAPACITY: usize = 1024;
 
 /// Share of the sockets that the server may use, as numerator and denominator; the rest is for connections
 /// that this node opens.
