--- a/src/api/dependencies.rs
+++ b/src/api/dependencies.rs
@@ -4,7 +4,7 @@
 use super::Api;
 use crate::api::refusal::RefusalReason;
 use crate::clients::job_reads::{LiveJob, READ_TIMEOUT, RecordedJob};
-use crate::clients::request_budget::Purpose;
+use crate::clients::request_budget::RequestPurpose;
 use crate::model::{Dependencies, JobEnd, JobPhase, Spec};
 use crate::transport::http::Response;
 use std::collections::HashSet;
@@ -34,7 +34,7 @@
             if id == spec.id {
                 return Err(refuse(format!("{id} names itself")));
             }
-            match self.read_job(id, Purpose::Change, deadline).await.map_err(RefusalReason::response)? {
+            match self.read_job(id, RequestPurpose::Change, deadline).await.map_err(RefusalReason::response)? {
                 RecordedJob::Missing => return Err(refuse(format!("{id} was never accepted"))),
                 RecordedJob::Live(LiveJob { is_service: true, .. }) | RecordedJob::Ended { is_service: true, .. } => {
                     return Err(refuse(format!("{id} is a service")));
@@ -42,7 +42,8 @@
                 RecordedJob::Ended { ended, .. } if ended.end == JobEnd::Done => _ = done_ids.insert(id),
                 RecordedJob::Ended { .. } => checked.phase = JobPhase::Cancelled,
                 RecordedJob::Live(job) => {
-                    let cancelled = self.any_dependency_cancelled(&job.dependencies, Purpose::Change, deadline).await;
+                    let cancelled =
+                        self.any_dependency_cancelled(&job.dependencies, RequestPurpose::Change, deadline).await;
                     if cancelled.map_err(RefusalReason::response)? {
                         checked.phase = JobPhase::Cancelled;
                     }
@@ -64,7 +65,7 @@
     pub(super) async fn any_dependency_cancelled(
         &self,
         jobs: &Dependencies,
-        purpose: Purpose,
+        purpose: RequestPurpose,
         deadline: Instant,
     ) -> Result<bool, RefusalReason> {
         let mut seen: HashSet<String> = jobs.iter().map(String::from).collect();
@@ -93,7 +94,12 @@
     /// # Errors
     ///
     /// The reason for which the record can't be read.
-    async fn read_job(&self, id: &str, purpose: Purpose, deadline: Instant) -> Result<RecordedJob, RefusalReason> {
+    async fn read_job(
+        &self,
+        id: &str,
+        purpose: RequestPurpose,
+        deadline: Instant,
+    ) -> Result<RecordedJob, RefusalReason> {
         match self.ended_jobs.get(id).filter(|ended| ended.end == JobEnd::Done) {
             Some(ended) => Ok(RecordedJob::Ended { ended, is_service: false }),
             None => self.job_reads.read(id, purpose, deadline).await,
--- a/src/api/heartbeats.rs
+++ b/src/api/heartbeats.rs
@@ -33,7 +33,7 @@
         let heartbeat = Arc::new(heartbeat);
         let hint = lock(&self.route_hints).host(&heartbeat.host);
         if let Some(seen_token) = self.lease_renewal_token(&heartbeat) {
-            return Response::json(200, &wire::orders(seen_token, &[]));
+            return Response::json(200, &wire::heartbeat_reply(seen_token, &[]));
         }
         let partition = match self.ask_leaders_on_this_node(heartbeat, hint).await {
             LocalAnswer::Response(response) => return response,
@@ -65,7 +65,7 @@
             match answer.await {
                 Ok(HeartbeatReply::Orders { fencing_token, orders }) => {
                     lock(&self.route_hints).remember_host(&heartbeat.host, partition);
-                    return LocalAnswer::Response(Response::json(200, &wire::orders(fencing_token, &orders)));
+                    return LocalAnswer::Response(Response::json(200, &wire::heartbeat_reply(fencing_token, &orders)));
                 }
                 Ok(HeartbeatReply::OtherPartition(other)) => belongs_to = other,
                 Ok(HeartbeatReply::Unknown) => {}
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -4,7 +4,7 @@
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
 use crate::clients::job_reads::{READ_TIMEOUT, RecordedJob};
-use crate::clients::request_budget::Purpose;
+use crate::clients::request_budget::RequestPurpose;
 use crate::model::{JobEnd, JobPhase};
 use crate::runtime::sync::lock;
 use crate::transport::http::Response;
@@ -43,7 +43,7 @@
             PartitionLeadersAnswer::Indeterminate(response) if !is_poll => response,
             // Only a fresh read of the record can show that a job does not exist.
             PartitionLeadersAnswer::Indeterminate(_) | PartitionLeadersAnswer::Unknown => {
-                let purpose = if is_poll { Purpose::Poll } else { Purpose::Change };
+                let purpose = if is_poll { RequestPurpose::Poll } else { RequestPurpose::Change };
                 self.answer_from_record(id, is_poll, purpose).await
             }
         }
@@ -80,7 +80,7 @@
 
     /// Answers from a fresh read of the job's record. A job that has not ended can be polled
     /// (`is_poll`) without its leader, but not be cancelled.
-    pub(super) async fn answer_from_record(&self, id: &str, is_poll: bool, purpose: Purpose) -> Response {
+    pub(super) async fn answer_from_record(&self, id: &str, is_poll: bool, purpose: RequestPurpose) -> Response {
         let deadline = Instant::now() + 2 * READ_TIMEOUT;
         match self.job_reads.read(id, purpose, deadline).await {
             Ok(RecordedJob::Missing) => Response::error(404, "no such job"),
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether the previous version of the software knows the reason as well.
-    pub fn is_known_to_all(self) -> bool {
+    pub fn is_known_to_previous_version(self) -> bool {
         use RefusalReason::{ConfigurationBehind, ControllerOutdated, DependencyElsewhere, DependencyIndeterminate};
         !matches!(self, ConfigurationBehind | ControllerOutdated | DependencyElsewhere | DependencyIndeterminate)
     }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -3,7 +3,7 @@
 
 use super::Api;
 use crate::api::refusal::RefusalReason::{self, ConfigurationBehind, ControllerOutdated, DependencyIndeterminate};
-use crate::clients::request_budget::Purpose;
+use crate::clients::request_budget::RequestPurpose;
 use crate::control::partition::{CommitOutcome, inbox_key, job_key};
 use crate::control::partition_leader;
 use crate::model::{JobRecord, Spec};
@@ -85,7 +85,7 @@
             // because the job's end is being recorded.
             other => {
                 let retry_later = other.unwrap_or_else(|| RefusalReason::LeaderUnreachable.response());
-                match self.answer_from_record(&spec.id, true, Purpose::Change).await {
+                match self.answer_from_record(&spec.id, true, RequestPurpose::Change).await {
                     known if known.status == 200 => known,
                     over_budget if over_budget.status == 429 => over_budget,
                     unknown if unknown.status == 404 => self.accept(partition, spec).await.unwrap_or(retry_later),
@@ -101,7 +101,7 @@
         if let Some(ended) = self.ended_jobs.get(id) {
             return ended.response(id);
         }
-        match self.answer_from_record(id, true, Purpose::Change).await {
+        match self.answer_from_record(id, true, RequestPurpose::Change).await {
             unknown if unknown.status == 404 => refusal,
             known => known,
         }
@@ -122,7 +122,7 @@
     /// commit. The next leader reads the record; a present leader is notified by a key in its inbox.
     /// Returns `None` if the outcome is indeterminate or nothing was written.
     async fn accept(&self, partition: u32, spec: &Spec) -> Option<Response> {
-        if !self.request_budget.try_admit_all(REQUESTS_PER_ACCEPTANCE, Purpose::Change) {
+        if !self.request_budget.try_admit_all(REQUESTS_PER_ACCEPTANCE, RequestPurpose::Change) {
             return Some(RefusalReason::TooManySubmissions.response());
         }
         let instance_types = partition_leader::stored_instance_types(&self.state)
@@ -139,7 +139,7 @@
             Ok(checked) => checked,
             Err(refusal) => return Some(refusal),
         };
-        if let Some(why) = self.limits.refuses(&checked.spec) {
+        if let Some(why) = self.limits.job_refusal(&checked.spec) {
             return Some(Response::error(400, why));
         }
         let id = spec.id.clone();
@@ -151,7 +151,7 @@
         ];
         match self.state.commit(&[wire::condition(&job_key(&id), 0)], &writes).await {
             CommitOutcome::Done { .. } => Some(Response::json(201, &wire::job_answer(&id, checked.phase, 0, 0))),
-            CommitOutcome::Conflict { .. } => Some(self.answer_from_record(&id, true, Purpose::Change).await),
+            CommitOutcome::Conflict { .. } => Some(self.answer_from_record(&id, true, RequestPurpose::Change).await),
             _ => None,
         }
     }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -4,7 +4,7 @@
 mod dependencies;
 
 use super::*;
-use crate::clients::request_budget::Purpose;
+use crate::clients::request_budget::RequestPurpose;
 use crate::control::membership::LeaderStatus;
 use crate::control::partition;
 use crate::control::partition::{UserAnswer, job_key};
--- a/src/api/tests/answers.rs
+++ b/src/api/tests/answers.rs
@@ -55,11 +55,11 @@
 async fn requests_over_the_budget_are_refused_without_a_read_and_with_retry_after() {
     let service = SimulatedStateService::default();
     let api = api_without_leader(&service).await;
-    while api.request_budget.try_admit(Purpose::Poll) {}
+    while api.request_budget.try_admit(RequestPurpose::Poll) {}
     let poll = poll(&api).await;
     assert_eq!((poll.status, poll.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
-    while api.request_budget.try_admit(Purpose::Change) {}
+    while api.request_budget.try_admit(RequestPurpose::Change) {}
     let submission = call(&api, "POST", "/v1/jobs".to_string(), submission()).await;
     assert_eq!((submission.status, submission.retry_after_s), (429, Some(1)));
     assert_eq!(service.reads(), 0);
@@ -73,7 +73,7 @@
     let (first, concurrent) = tokio::join!(poll(&api), poll(&api));
     assert_eq!((first.status, concurrent.status), (200, 200));
     poll(&api).await;
-    while api.request_budget.try_admit(Purpose::Poll) {}
+    while api.request_budget.try_admit(RequestPurpose::Poll) {}
     call(&api, "GET", "/v1/jobs/run-000002".to_string(), Vec::new()).await;
     let text = call(&api, "GET", "/metrics".to_string(), Vec::new()).await.body;
     let expected = "\
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -36,7 +36,7 @@
     Malformed,
     /// The outcome is indeterminate. The request has to be repeated under the same name, so that no
     /// second set of machines is rented.
-    Again,
+    Indeterminate,
 }
 
 impl Cloud {
@@ -83,16 +83,18 @@
     pub async fn rent(&self, name: &str, instance_type: &str, zone: &str, spot: bool, count: usize) -> RentResult {
         let body = wire::rent_body(name, instance_type, zone, spot, count);
         match self.call("POST", "/hosts", Some(&body)).await {
-            Ok((200, answer)) => wire::parse_rented_machines(&answer).map_or(RentResult::Again, RentResult::Rented),
+            Ok((200, answer)) => {
+                wire::parse_rented_machines(&answer).map_or(RentResult::Indeterminate, RentResult::Rented)
+            }
             Ok((400, _)) => RentResult::Malformed,
             Ok((503, answer)) if String::from_utf8_lossy(&answer).contains("no capacity") => RentResult::NoCapacity,
-            _ => RentResult::Again,
+            _ => RentResult::Indeterminate,
         }
     }
 
     /// Requests the termination of machines and returns whether the cloud has confirmed it; without a
     /// confirmation the outcome is indeterminate.
-    pub async fn release(&self, hosts: &[String]) -> bool {
+    pub async fn terminate(&self, hosts: &[String]) -> bool {
         let body = wire::release_body(hosts);
         matches!(self.call("POST", "/hosts/release", Some(&body)).await, Ok((200, _)))
     }
--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -7,7 +7,7 @@
 use crate::api::ended_jobs::EndedJob;
 use crate::api::refusal::RefusalReason;
 use crate::clients::StateStore;
-use crate::clients::request_budget::{Purpose, RequestBudget};
+use crate::clients::request_budget::{RequestBudget, RequestPurpose};
 use crate::control::partition::job_key;
 use crate::model::{Dependencies, JobEnd, JobRecord, Shape};
 use crate::runtime::task;
@@ -174,7 +174,7 @@
     ///
     /// The reason of the refusal: the budget for reads is used up, the state service gave no answer
     /// before the deadline, or the record can't be parsed.
-    pub async fn read(&self, id: &str, purpose: Purpose, deadline: Instant) -> ReadResult {
+    pub async fn read(&self, id: &str, purpose: RequestPurpose, deadline: Instant) -> ReadResult {
         // The request is refused at once instead of after a timeout.
         if !self.state.is_responsive(self.leader_lease_ttl_ms) {
             return Err(RefusalReason::StateServiceSilent);
--- a/src/clients/request_budget.rs
+++ b/src/clients/request_budget.rs
@@ -22,7 +22,7 @@
 
 /// Purpose of a request that a user causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Purpose {
+pub enum RequestPurpose {
     /// Reading the status of a job.
     Poll,
     /// Submitting or cancelling a job.
@@ -51,15 +51,15 @@
     }
 
     /// Counts a request if it may be made now, and returns whether it may.
-    pub fn try_admit(&self, purpose: Purpose) -> bool {
+    pub fn try_admit(&self, purpose: RequestPurpose) -> bool {
         self.try_admit_all(1, purpose)
     }
 
     /// Counts this number of requests if all of them may be made now, and returns whether they may.
-    pub fn try_admit_all(&self, requests: usize, purpose: Purpose) -> bool {
+    pub fn try_admit_all(&self, requests: usize, purpose: RequestPurpose) -> bool {
         let bucket = match purpose {
-            Purpose::Poll => &self.polls,
-            Purpose::Change => &self.changes,
+            RequestPurpose::Poll => &self.polls,
+            RequestPurpose::Change => &self.changes,
         };
         let Ok(mut bucket) = bucket.lock() else { return false };
         let admitted = bucket.available_tokens(clock::now_ms()) >= requests;
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::transport::http::{Client, SMALL_IDLE_POOL};
 use crate::transport::network::Net;
-use crate::wire::{self, Changes, Condition, Item, LeaseReply, Page, RevisionReply, Write, store};
+use crate::wire::{self, Changes, Condition, KeyValue, LeaseReply, Page, RevisionReply, Write, store};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// The state service refused the request, or gave no answer within the timeout.
-    pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
+    pub async fn get(&self, key: &str) -> Result<(Option<KeyValue>, u64), RequestError> {
         self.get_with_timeout(key, self.timeout).await
     }
 
@@ -97,11 +97,15 @@
     /// # Errors
     ///
     /// As for [`StateStore::get`].
-    pub async fn get_with_timeout(&self, key: &str, timeout: Duration) -> Result<(Option<Item>, u64), RequestError> {
+    pub async fn get_with_timeout(
+        &self,
+        key: &str,
+        timeout: Duration,
+    ) -> Result<(Option<KeyValue>, u64), RequestError> {
         let (status, body) = self.call("GET", &store::key(key), None, timeout).await?;
         match status {
             200 => {
-                let item: Item = parse(&body)?;
+                let item: KeyValue = parse(&body)?;
                 let version = item.version;
                 Ok((Some(item), version))
             }
@@ -118,8 +122,8 @@
     /// # Errors
     ///
     /// As for [`StateStore::get`], on any page; the pages read before it are discarded.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, RequestError> {
-        let mut items: Vec<Item> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, RequestError> {
+        let mut items: Vec<KeyValue> = Vec::new();
         loop {
             let after = items.last().map_or("", |item| item.key.as_str());
             let path = store::page(prefix, after, PAGE_SIZE);
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -52,7 +52,7 @@
 
     /// Sends a direct command as soon as fewer than the maximum number are in flight, and returns its
     /// outcome.
-    pub async fn direct(&self, addr: SocketAddr, body: &[u8]) -> DirectCommandOutcome {
+    pub async fn send_direct_command(&self, addr: SocketAddr, body: &[u8]) -> DirectCommandOutcome {
         let Ok(_permit) = self.in_flight.acquire().await else { return DirectCommandOutcome::NotSent };
         match self.http.call(addr, "POST", wire::DIRECT_COMMAND_PATH, Some(body), self.timeout).await {
             Ok((200 | 409, answer)) => match serde_json::from_slice(&answer) {
@@ -65,12 +65,12 @@
     }
 
     /// Returns how many commands may be sent now.
-    pub fn capacity(&self) -> CommandCapacity {
+    pub fn command_capacity(&self) -> CommandCapacity {
         CommandCapacity { free: self.in_flight.available_permits(), reserved_for_orders: self.reserved_for_orders }
     }
 
     /// Closes the idle connections to a worker that no longer exists.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.http.forget(addr);
+    pub fn close_idle_connections(&self, addr: SocketAddr) {
+        self.http.close_idle_connections(addr);
     }
 }
--- a/src/clients/write_limits.rs
+++ b/src/clients/write_limits.rs
@@ -18,7 +18,7 @@
 /// Divisor of the present value limit that gives the maximum size of a job's description.
 const SPEC_SIZE_DIVISOR: usize = 3;
 /// Maximum number of bytes of a range of done tasks: two numbers of six digits and their punctuation.
-pub const RANGE_BYTES: usize = 18;
+pub const MAX_RANGE_BYTES: usize = 18;
 
 /// Limits of writes to the state service.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -59,13 +59,13 @@
     }
 
     /// Returns whether a value of this number of bytes may be written.
-    pub fn takes(&self, bytes: usize) -> bool {
+    pub fn fits_value(&self, bytes: usize) -> bool {
         bytes <= self.value_bytes
     }
 
     /// Returns why a job with its progress does not fit into a record, as a text that begins with the
     /// field at fault; `None` if it fits.
-    pub fn refuses(&self, spec: &Spec) -> Option<&'static str> {
+    pub fn job_refusal(&self, spec: &Spec) -> Option<&'static str> {
         if self.job_record_fits(spec) {
             return None;
         }
@@ -76,7 +76,7 @@
     /// Returns whether the record of the job fits into a value, with one range of done tasks.
     fn job_record_fits(&self, spec: &Spec) -> bool {
         let record = JobRecord { spec: spec.clone(), accepted_ms: WIDEST_TIMESTAMP_MS, end: None, done: Vec::new() };
-        json_bytes(spec) <= self.max_spec_bytes && self.takes(json_bytes(&record) + RANGE_BYTES)
+        json_bytes(spec) <= self.max_spec_bytes && self.fits_value(json_bytes(&record) + MAX_RANGE_BYTES)
     }
 }
 
--- a/src/clients/write_limits/tests.rs
+++ b/src/clients/write_limits/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn values_and_commits_respect_the_smaller_announced_limits_but_the_rate_is_the_present_one() {
     let limits = WriteLimits::new(&limits(Some(NEXT)));
-    assert!(limits.takes(1900) && !limits.takes(2048));
+    assert!(limits.fits_value(1900) && !limits.fits_value(2048));
     assert_eq!((limits.commit_changes, limits.changes_per_s, limits.lower_changes_per_s), (4, 18.0, 13.5));
 }
 
@@ -40,12 +40,12 @@
     let limits = WriteLimits::new(&limits(Some(NEXT)));
     let refusal_with = |count: u64| {
         let ids = (0..count).map(|number| format!("run-{number:020}"));
-        limits.refuses(&Spec { dependencies: Dependencies::new(ids), ..spec() })
+        limits.job_refusal(&Spec { dependencies: Dependencies::new(ids), ..spec() })
     };
     assert_eq!(refusal_with(32), None);
     assert!(refusal_with(2000).is_some_and(|refusal| refusal.starts_with("waits_on: ")));
     let long_image = Spec { image: "i".repeat(4000), ..spec() };
-    assert!(limits.refuses(&long_image).is_some_and(|refusal| refusal.starts_with("bundle: ")));
+    assert!(limits.job_refusal(&long_image).is_some_and(|refusal| refusal.starts_with("bundle: ")));
 }
 
 #[test]
--- a/src/configuration/records.rs
+++ b/src/configuration/records.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{RequestError, StateStore};
 use crate::model::FencingToken;
-use crate::wire::{self, Item};
+use crate::wire::{self, KeyValue};
 use badgerdrift_fleet_config::{
     Acceptor, Batch, ConfigState, Confirmations, DocumentName, RecordedChange, RegionRecord, VersionedDocument,
 };
@@ -157,7 +157,7 @@
 /// # Errors
 ///
 /// [`RecordError::Unreadable`] if the format is unknown or version 0 is of other settings.
-fn parse_region_value(item: &Item, genesis: u64) -> Result<RegionValue, RecordError> {
+fn parse_region_value(item: &KeyValue, genesis: u64) -> Result<RegionValue, RecordError> {
     let region: RegionValue = serde_json::from_value(item.value.clone()).map_err(|_| RecordError::Unreadable)?;
     if region.genesis == genesis { Ok(region) } else { Err(RecordError::Unreadable) }
 }
--- a/src/control/membership/partition_watch.rs
+++ b/src/control/membership/partition_watch.rs
@@ -6,7 +6,7 @@
 use super::records::{PartitionRecord, partition_key};
 use crate::clients::StateStore;
 use crate::runtime::task;
-use crate::wire::{Change, Item};
+use crate::wire::{Change, KeyValue};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -73,10 +73,10 @@
 
 /// Returns the record after a change; `None` if it was deleted or cannot be parsed.
 fn record_after_change(change: Change) -> Option<PartitionRecord> {
-    if change.deleted() { None } else { change.value.and_then(|value| serde_json::from_value(value).ok()) }
+    if change.is_deletion() { None } else { change.value.and_then(|value| serde_json::from_value(value).ok()) }
 }
 
 /// Parses the record of an item; `None` if there is no item or it cannot be parsed.
-fn parse_record(item: Option<Item>) -> Option<PartitionRecord> {
+fn parse_record(item: Option<KeyValue>) -> Option<PartitionRecord> {
     item.and_then(|item| serde_json::from_value(item.value).ok())
 }
--- a/src/control/partition/borrowing/commits.rs
+++ b/src/control/partition/borrowing/commits.rs
@@ -4,12 +4,12 @@
 use crate::control::partition::Partition;
 use crate::control::partition::commit_builder::ConditionalWrite;
 use crate::control::partition::commit_results::WriteFailure;
-use crate::wire::{self, Item};
+use crate::wire::{self, KeyValue};
 use badgerdrift_borrowing::{JobLoans, LOAN_PREFIX, LoanEvent, LoanId, RecordWrite};
 
 /// Decodes a loan record. Returns the id of the lending job, the record and the version of its key, or
 /// `None`, after logging an error, if the record can't be decoded.
-fn record(item: Item) -> Option<(String, JobLoans, u64)> {
+fn record(item: KeyValue) -> Option<(String, JobLoans, u64)> {
     let job = item.key.strip_prefix(LOAN_PREFIX)?.to_string();
     match serde_json::from_value(item.value) {
         Ok(record) => Some((job, record, item.version)),
@@ -22,7 +22,7 @@
 
 impl Partition {
     /// Restores the loans from the records of the previous leader.
-    pub fn restore_loans(&mut self, items: Vec<Item>) {
+    pub fn restore_loans(&mut self, items: Vec<KeyValue>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.restore(items.into_iter().filter_map(record));
         }
@@ -58,7 +58,7 @@
     }
 
     /// Applies a fresh read of a loan record's key. `item` is `None` if the key does not exist.
-    pub(in crate::control::partition) fn apply_loan_record(&mut self, key: &str, item: Option<&Item>) {
+    pub(in crate::control::partition) fn apply_loan_record(&mut self, key: &str, item: Option<&KeyValue>) {
         if let Some(borrowing) = &mut self.borrowing {
             borrowing.loans.reread(key, item.map_or(0, |item| item.version));
         }
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -7,7 +7,7 @@
 use super::waiting_clients::reply;
 use super::{CommitOutcome, JobWrite, Partition, PendingWrite, Superseded};
 use crate::model::{HostIndex, JobEnd, JobIndex, JobRecord, UnsavedChange};
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use badgerdrift_borrowing::LOAN_PREFIX;
 
 /// Reason why a change counts as not written.
@@ -91,7 +91,7 @@
     }
 
     /// Applies the current values of these keys of pools and loans.
-    pub fn apply_reservation_records(&mut self, found: Vec<(String, Option<Item>)>) {
+    pub fn apply_reservation_records(&mut self, found: Vec<(String, Option<KeyValue>)>) {
         let (loans, pools): (Vec<_>, Vec<_>) = found.into_iter().partition(|(key, _)| key.starts_with(LOAN_PREFIX));
         for (key, item) in &loans {
             self.apply_loan_record(key, item.as_ref());
@@ -243,7 +243,7 @@
 
     /// Applies a job's record that was read again after a conflict. Its contents are authoritative;
     /// unsaved changes that it lacks remain to be written.
-    pub fn apply_reread_record(&mut self, item: Item) {
+    pub fn apply_reread_record(&mut self, item: KeyValue) {
         let Some(&job_index) = item.key.strip_prefix(JOB_PREFIX).and_then(|id| self.cluster.job_index.get(id)) else {
             return;
         };
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -10,7 +10,7 @@
 use crate::api::refusal::RefusalReason;
 use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, UnsavedChange};
 use crate::scheduling::dependency_graph::DependencyGraph;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::collections::{BTreeSet, HashSet};
 
 /// Known state of a dependency.
@@ -81,7 +81,7 @@
 
     /// Adds the record of a dependency that this partition did not know: one of its own jobs that
     /// another node accepted, or a job of another partition.
-    pub fn add_dependency_record(&mut self, id: &str, item: Item, now: u64) {
+    pub fn add_dependency_record(&mut self, id: &str, item: KeyValue, now: u64) {
         if self.cluster.job_index.contains_key(id) {
             return;
         }
--- a/src/control/partition/dependency_lookups.rs
+++ b/src/control/partition/dependency_lookups.rs
@@ -5,7 +5,7 @@
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
 use crate::model::Spec;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::collections::BTreeMap;
 
 /// Records that must be read before a submission is decided.
@@ -81,7 +81,7 @@
     pub fn complete_dependency_lookup(
         &mut self,
         submission: u64,
-        found: Option<Vec<(String, Option<Item>)>>,
+        found: Option<Vec<(String, Option<KeyValue>)>>,
         now: u64,
         wall: u64,
     ) {
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -5,7 +5,7 @@
 use super::keys::{HOST_PREFIX, inbox_key};
 use crate::model::FencingToken;
 use crate::model::{Host, HostIndex, HostRecord, InstanceType, JobRecord};
-use crate::wire::Item;
+use crate::wire::KeyValue;
 
 impl Partition {
     /// Starts the leadership with this fencing token and the records of the state service. The state of
@@ -15,8 +15,8 @@
         &mut self,
         fencing_token: FencingToken,
         version: u64,
-        jobs: Vec<Item>,
-        hosts: Vec<Item>,
+        jobs: Vec<KeyValue>,
+        hosts: Vec<KeyValue>,
         instance_types: Vec<InstanceType>,
         now: u64,
     ) {
@@ -37,7 +37,7 @@
     }
 
     /// Loads a job of this partition from its record.
-    fn load_job(&mut self, item: Item, now: u64) {
+    fn load_job(&mut self, item: KeyValue, now: u64) {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
                 if self.teams.owns_team(&record.spec.team) {
@@ -49,7 +49,7 @@
     }
 
     /// Loads a host from its record, as one of this partition or of another.
-    fn load_host(&mut self, item: Item, now: u64) {
+    fn load_host(&mut self, item: KeyValue, now: u64) {
         let Some(id) = item.key.strip_prefix(HOST_PREFIX) else { return };
         match serde_json::from_value::<HostRecord>(item.value) {
             Ok(record) if record.partition == self.id() => {
@@ -74,7 +74,7 @@
 
     /// Adds a job that another node accepted while it could not reach this one. Its record did not exist
     /// when this leader read the records, so no earlier leader has started any of its tasks.
-    pub fn add_job_accepted_elsewhere(&mut self, item: Item, now: u64) {
+    pub fn add_job_accepted_elsewhere(&mut self, item: KeyValue, now: u64) {
         let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else { return };
         self.commit_queue.mark_obsolete(inbox_key(self.id(), &record.spec.id));
         if !self.cluster.job_index.contains_key(&record.spec.id) {
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -28,8 +28,10 @@
     let record = JobRecord { spec, accepted_ms: 900, end: None, done: vec![] };
     let value = serde_json::to_value(record).unwrap();
     for _ in 0..2 {
-        partition
-            .add_job_accepted_elsewhere(Item { key: "job/run-000005".into(), value: value.clone(), version: 50 }, 1000);
+        partition.add_job_accepted_elsewhere(
+            KeyValue { key: "job/run-000005".into(), value: value.clone(), version: 50 },
+            1000,
+        );
     }
     partition.schedule(1000, 1000);
     assert_eq!((partition.dispatch_queue.hosts().len(), partition.cluster.jobs.len()), (1, 1));
@@ -49,7 +51,7 @@
         partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     assert_eq!(keys, ["job/run-000001"]);
     let value = first.writes[0].to_json()["data"].clone();
-    partition.apply_reread_record(Item { key: "job/run-000001".into(), value, version: 99 });
+    partition.apply_reread_record(KeyValue { key: "job/run-000001".into(), value, version: 99 });
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::Accepted { .. })));
     assert!(partition.next_commit(1200, 32).is_none(), "nothing is left to write");
 }
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -105,7 +105,7 @@
     fn heartbeat(&mut self) -> Vec<Order> {
         self.sequence += 1;
         let phase = |task: &String| if self.saving.contains(task) { "flushing" } else { "running" };
-        let tasks = self.running.iter().map(|(task, attempt)| reported(task, *attempt, phase(task), None)).collect();
+        let tasks = self.running.iter().map(|(task, attempt)| task_status(task, *attempt, phase(task), None)).collect();
         let heartbeat = heartbeat("h1", 1, self.sequence, self.partition.fencing_token().0, tasks);
         let orders = self.partition.heartbeat(&heartbeat, StatusSource::Heartbeat, self.now);
         for order in &orders {
@@ -192,14 +192,14 @@
     assert!(harness.partition.next_commit(harness.now, 32).is_none(), "the keys must be read first");
     harness.apply_commit(&indeterminate);
     let found = harness.partition.reservation_keys_to_read().into_iter().map(|key| {
-        let item = harness.records.get(&key).map(|(value, version)| Item {
+        let item = harness.records.get(&key).map(|(value, version)| KeyValue {
             key: key.clone(),
             value: value.clone(),
             version: *version,
         });
         (key, item)
     });
-    let found: Vec<(String, Option<Item>)> = found.collect();
+    let found: Vec<(String, Option<KeyValue>)> = found.collect();
     harness.partition.apply_reservation_records(found);
     let retry = harness.partition.next_commit(harness.now, 32).unwrap();
     assert_eq!(
@@ -216,10 +216,10 @@
 
 /// Lets a new leader begin with the stored records. The machine has not reported to it yet.
 fn fail_over(harness: &mut Harness) {
-    let items = |prefix: &str| -> Vec<Item> {
+    let items = |prefix: &str| -> Vec<KeyValue> {
         let under = harness.records.iter().filter(|(key, _)| key.starts_with(prefix));
         under
-            .map(|(key, (value, version))| Item { key: key.clone(), value: value.clone(), version: *version })
+            .map(|(key, (value, version))| KeyValue { key: key.clone(), value: value.clone(), version: *version })
             .collect()
     };
     let (jobs, loans) = (items(JOB_PREFIX), items(LOAN_PREFIX));
--- a/src/control/partition/tests/critical_path.rs
+++ b/src/control/partition/tests/critical_path.rs
@@ -41,7 +41,7 @@
     };
     let mut records = vec![record(FIRST, "batch", "red", None, 49), waits(SECOND, FIRST, None)];
     records.push(waits(THIRD, SECOND, Some(100.0)));
-    let due = |jobs: Vec<Item>| job(&partition_with_records(2, jobs, vec![]), FIRST).due_ms().unwrap();
+    let due = |jobs: Vec<KeyValue>| job(&partition_with_records(2, jobs, vec![]), FIRST).due_ms().unwrap();
     let forwards = due(records.clone());
     records.reverse();
     assert_eq!((forwards, due(records)), (900 + 100_000 - 36_000, forwards));
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -5,8 +5,8 @@
 use crate::model::FencingToken;
 use crate::model::{JobEnd, JobPhase, JobRecord, UnsavedChange};
 use crate::settings::{Operator, tests::settings};
-use crate::wire::tests::reported;
-use crate::wire::{self, Item};
+use crate::wire::tests::task_status;
+use crate::wire::{self, KeyValue};
 use serde_json::{Value, json};
 
 pub(super) const FIRST: &str = "run-000001";
@@ -69,7 +69,7 @@
     let attempts = partition.cluster.host(0).unwrap().attempts.iter().filter(|attempt| attempt.key.job == index);
     let mut tasks = Vec::new();
     for attempt in attempts {
-        tasks.push(reported(&format!("{id}/{}", attempt.key.task), attempt.attempt, "ended", Some("done")));
+        tasks.push(task_status(&format!("{id}/{}", attempt.key.task), attempt.attempt, "ended", Some("done")));
     }
     assert_eq!(tasks.len(), 2, "both tasks of {id} were started");
     partition.heartbeat(&heartbeat("h1", 1, sequence, 1, tasks), StatusSource::Heartbeat, 2000);
@@ -90,11 +90,11 @@
 }
 
 /// Returns the stored record of a job of two tasks with this end.
-pub(super) fn record(id: &str, shape: &str, team: &str, end: Option<JobEnd>, version: u64) -> Item {
+pub(super) fn record(id: &str, shape: &str, team: &str, end: Option<JobEnd>, version: u64) -> KeyValue {
     let mut spec = wire::parse_submission(&job_submission(id, shape, 2)).unwrap();
     spec.team = team.into();
     let record = JobRecord { spec, accepted_ms: 900, end, done: vec![] };
-    Item { key: job_key(id), value: serde_json::to_value(record).unwrap(), version }
+    KeyValue { key: job_key(id), value: serde_json::to_value(record).unwrap(), version }
 }
 
 // ---- acceptance ----
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -14,7 +14,7 @@
     partition.schedule(1100, 1100);
     assert!(partition.dispatch_queue.hosts().is_empty());
     // The heartbeat shows an older token, so a command of the previous leader may still arrive.
-    let running = || vec![reported("run-000001/0", attempt, "running", None)];
+    let running = || vec![task_status("run-000001/0", attempt, "running", None)];
     partition.heartbeat(&heartbeat("h1", 1, 7, 1, vec![]), StatusSource::Heartbeat, 1200);
     partition.take_dispatch_queue();
     partition.schedule(1200, 1200);
@@ -58,7 +58,7 @@
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_with_records(5, jobs, hosts);
     let first_job =
-        |phase, sequence| heartbeat("h1", 1, sequence, 5, vec![reported("run-000000/0", 9, phase, Some("halted"))]);
+        |phase, sequence| heartbeat("h1", 1, sequence, 5, vec![task_status("run-000000/0", 9, phase, Some("halted"))]);
     partition.heartbeat(&first_job("running", 10), StatusSource::Heartbeat, 1100);
     assert!(!partition.cluster.all_reconciled);
     // The first job's replica ends on h1, and so does not run on h2.
@@ -87,7 +87,7 @@
         let (jobs, hosts) = stored_records(&mut old);
         let mut partition = partition_with_records(5, jobs, hosts);
         let second_task = |phase, sequence| {
-            heartbeat("h2", 1, sequence, 5, vec![reported("run-000001/0", attempt, phase, Some("halted"))])
+            heartbeat("h2", 1, sequence, 5, vec![task_status("run-000001/0", attempt, phase, Some("halted"))])
         };
         partition.heartbeat(&second_task("running", 1), StatusSource::Heartbeat, 1100);
         partition.heartbeat(&second_task("ended", 2), StatusSource::Heartbeat, 1200);
@@ -107,7 +107,7 @@
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_with_records(5, jobs, hosts);
     partition.heartbeat(
-        &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
+        &heartbeat("h0", 1, 9, 4, vec![task_status("run-000001/0", 3, "running", None)]),
         StatusSource::Heartbeat,
         1100,
     );
@@ -128,7 +128,7 @@
     let mut partition = partition_with_records(5, jobs, hosts);
     let react = partition.policy.react_ms;
     let with_old_token =
-        |sequence| heartbeat("h1", 1, sequence, 1, vec![reported("run-000001/0", attempt, "running", None)]);
+        |sequence| heartbeat("h1", 1, sequence, 1, vec![task_status("run-000001/0", attempt, "running", None)]);
     partition.heartbeat(&with_old_token(7), StatusSource::Heartbeat, 1100);
     assert!(partition.dispatch_queue.hosts().is_empty());
     assert!(partition.detect_failures(1100 + react - 1, 0).to_probe.is_empty(), "its next heartbeat may be on its way");
--- a/src/control/partition/tests/failure_detection.rs
+++ b/src/control/partition/tests/failure_detection.rs
@@ -7,7 +7,7 @@
     let mut partition = partition_with_running_job("service", 1);
     let attempt = attempt_number(&partition, 0);
     partition.heartbeat(
-        &heartbeat("h1", 1, 2, 1, vec![reported("run-000001/0", attempt, "running", None)]),
+        &heartbeat("h1", 1, 2, 1, vec![task_status("run-000001/0", attempt, "running", None)]),
         StatusSource::Heartbeat,
         2000,
     );
@@ -49,7 +49,7 @@
     partition.schedule(9001, 9001);
     let attempt = attempt_number(&partition, 0);
     partition.heartbeat(
-        &heartbeat("h1", 2, 4, 1, vec![reported("run-000001/0", attempt, "running", None)]),
+        &heartbeat("h1", 2, 4, 1, vec![task_status("run-000001/0", attempt, "running", None)]),
         StatusSource::DirectCommandReply,
         9100,
     );
@@ -129,7 +129,7 @@
         spot: false,
         partition: number,
     };
-    let item = |number: u64| Item {
+    let item = |number: u64| KeyValue {
         key: format!("host/h{number}"),
         value: serde_json::to_value(host(0)).unwrap(),
         version: number,
--- a/src/control/partition/tests/failures.rs
+++ b/src/control/partition/tests/failures.rs
@@ -19,7 +19,7 @@
         };
         let host = partition.cluster.host(host_index).unwrap().id.clone();
         now += 500;
-        let ended = vec![reported("run-000001/0", attempt, "ended", Some("error"))];
+        let ended = vec![task_status("run-000001/0", attempt, "ended", Some("error"))];
         partition.heartbeat(&heartbeat(&host, 1, now, 1, ended), StatusSource::Heartbeat, now);
         partition.cluster.host_mut(host_index).unwrap().blocked_until_ms = if round == 0 { now + 600 } else { 0 };
     }
@@ -44,7 +44,7 @@
     partition.schedule(now, now);
     let Place::On(host_index, attempt) = partition.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let host = partition.cluster.host(host_index).unwrap().id.clone();
-    let ended = vec![reported("run-000001/0", attempt, "ended", Some(reason))];
+    let ended = vec![task_status("run-000001/0", attempt, "ended", Some(reason))];
     partition.heartbeat(&heartbeat(&host, 1, now, 1, ended), StatusSource::Heartbeat, now);
     host_index
 }
@@ -80,8 +80,8 @@
     let attempt = attempt_number(&partition, 0);
     let tasks = |first_phase: &str, reason: Option<&str>, second_phase: &str| {
         vec![
-            reported("run-000001/0", attempt, first_phase, reason),
-            reported("run-000001/1", attempt, second_phase, None),
+            task_status("run-000001/0", attempt, first_phase, reason),
+            task_status("run-000001/1", attempt, second_phase, None),
         ]
     };
     partition.heartbeat(
@@ -92,8 +92,8 @@
     partition.schedule(1100, 1100);
     assert_eq!(partition.cluster.jobs[0].gang_attempt, attempt, "an attempt of the old gang is still running");
     let both = vec![
-        reported("run-000001/0", attempt, "ended", Some("mates_gone")),
-        reported("run-000001/1", attempt, "ended", Some("mates_gone")),
+        task_status("run-000001/0", attempt, "ended", Some("mates_gone")),
+        task_status("run-000001/1", attempt, "ended", Some("mates_gone")),
     ];
     partition.heartbeat(&heartbeat("h1", 1, 3, 1, both), StatusSource::Heartbeat, 1200);
     partition.schedule(1200, 1200);
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::model::FencingToken;
 use crate::model::{JobPhase, JobRecord, Place};
-use crate::wire::tests::reported;
-use crate::wire::{self, Item, Order};
+use crate::wire::tests::task_status;
+use crate::wire::{self, KeyValue, Order};
 
 /// Reports the first attempt on h1 as done.
 fn report_done_on_h1(partition: &mut Partition, now: u64) {
     let attempt = attempt_number(partition, 0);
     partition.heartbeat(
-        &heartbeat("h1", 1, now, 1, vec![reported("run-000001/0", attempt, "ended", Some("done"))]),
+        &heartbeat("h1", 1, now, 1, vec![task_status("run-000001/0", attempt, "ended", Some("done"))]),
         StatusSource::Heartbeat,
         now,
     );
@@ -52,7 +52,7 @@
                 .apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] })
                 .unwrap();
             assert_eq!((keys.len(), answered_phase(&partition)), (1, None));
-            partition.apply_reread_record(Item {
+            partition.apply_reread_record(KeyValue {
                 key: "job/run-000001".into(),
                 value: commit.writes[0].to_json()["data"].clone(),
                 version: 101,
@@ -84,7 +84,7 @@
     partition.next_commit(1100, 32).unwrap();
     partition.apply_commit_outcome(CommitOutcome::Indeterminate).unwrap();
     let value = serde_json::to_value(JobRecord::of(&partition.cluster.jobs[0], None, MAX_RECORD_BYTES)).unwrap();
-    let item = |version| Item { key: "job/run-000001".into(), value: value.clone(), version };
+    let item = |version| KeyValue { key: "job/run-000001".into(), value: value.clone(), version };
     partition.apply_reread_record(item(100));
     assert_eq!(answered_phase(&partition), None, "the write may still be applied");
     partition.apply_reread_record(item(103));
@@ -100,7 +100,7 @@
     let mut partition = partition_with_running_job("service", 1);
     let attempt = attempt_number(&partition, 0);
     partition.heartbeat(
-        &heartbeat("h1", 1, 2, 1, vec![reported("run-000001/0", attempt, "running", None)]),
+        &heartbeat("h1", 1, 2, 1, vec![task_status("run-000001/0", attempt, "running", None)]),
         StatusSource::Heartbeat,
         1100,
     );
@@ -109,7 +109,7 @@
     let command = partition.next_direct_command(0, 1200, false).unwrap();
     assert!(matches!(command.orders[..], [Order::Stop { .. }]));
     partition.heartbeat(
-        &heartbeat("h1", 1, 3, 1, vec![reported("run-000001/0", attempt, "ended", Some("halted"))]),
+        &heartbeat("h1", 1, 3, 1, vec![task_status("run-000001/0", attempt, "ended", Some("halted"))]),
         StatusSource::DirectCommandReply,
         1300,
     );
@@ -140,12 +140,12 @@
     let mut partition = partition_with_records(5, jobs, hosts);
     let mut rx = request_cancellation(&mut partition, "run-000001", 1100, true);
     assert!(partition.next_commit(1100, 32).is_none() && rx.try_recv().is_err(), "the task may be on h1");
-    let running_task = heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", attempt, "running", None)]);
+    let running_task = heartbeat("h1", 1, 7, 5, vec![task_status("run-000001/0", attempt, "running", None)]);
     let orders = partition.heartbeat(&running_task, StatusSource::Heartbeat, 1200);
     assert!(matches!(orders[..], [Order::Stop { .. }]));
     assert!(partition.next_commit(1200, 32).is_none());
     partition.heartbeat(
-        &heartbeat("h1", 1, 8, 5, vec![reported("run-000001/0", attempt, "ended", Some("halted"))]),
+        &heartbeat("h1", 1, 8, 5, vec![task_status("run-000001/0", attempt, "ended", Some("halted"))]),
         StatusSource::Heartbeat,
         1300,
     );
@@ -162,7 +162,7 @@
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_with_records(5, jobs, hosts);
     partition.heartbeat(
-        &heartbeat("h0", 1, 9, 4, vec![reported("run-000001/0", 3, "running", None)]),
+        &heartbeat("h0", 1, 9, 4, vec![task_status("run-000001/0", 3, "running", None)]),
         StatusSource::Heartbeat,
         1100,
     );
@@ -174,7 +174,7 @@
     assert_eq!(isolated_from(&partition), None, "machines known only from old heartbeats do not count as unreachable");
     // The task stays on the machine that runs it.
     let orders = partition.heartbeat(
-        &heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", attempt, "running", None)]),
+        &heartbeat("h1", 1, 7, 5, vec![task_status("run-000001/0", attempt, "running", None)]),
         StatusSource::Heartbeat,
         1200,
     );
@@ -183,12 +183,12 @@
     // The same with an old heartbeat of the machine that runs the task, with an older attempt.
     let mut partition = partition_with_records(5, stored_records(&mut old).0, stored_records(&mut old).1);
     partition.heartbeat(
-        &heartbeat("h1", 1, 5, 4, vec![reported("run-000001/0", 2, "running", None)]),
+        &heartbeat("h1", 1, 5, 4, vec![task_status("run-000001/0", 2, "running", None)]),
         StatusSource::Heartbeat,
         1100,
     );
     partition.heartbeat(
-        &heartbeat("h1", 1, 7, 5, vec![reported("run-000001/0", attempt, "running", None)]),
+        &heartbeat("h1", 1, 7, 5, vec![task_status("run-000001/0", attempt, "running", None)]),
         StatusSource::DirectCommandReply,
         1200,
     );
@@ -225,7 +225,7 @@
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_with_records(5, jobs, hosts);
     let on = |host: &str, sequence, attempt| {
-        heartbeat(host, 1, sequence, 5, vec![reported("run-000001/0", attempt, "running", None)])
+        heartbeat(host, 1, sequence, 5, vec![task_status("run-000001/0", attempt, "running", None)])
     };
     partition.heartbeat(&on("h1", 7, 8), StatusSource::Heartbeat, 1100);
     partition.heartbeat(&on("h2", 1, 9), StatusSource::Heartbeat, 1100);
@@ -292,7 +292,7 @@
         partition.apply_commit_outcome(CommitOutcome::Conflict { failed: vec!["job/run-000001".into()] }).unwrap();
     }
     partition.next_commit(1200, 32).unwrap();
-    partition.apply_reread_record(Item {
+    partition.apply_reread_record(KeyValue {
         key: "job/run-000001".into(),
         value: commit.writes[0].to_json()["data"].clone(),
         version: 101,
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -7,8 +7,8 @@
 use crate::model::{Demand, InstanceType};
 use crate::provisioning::provisioner::{CloudRequest, Provisioner};
 use crate::settings::{Objective, Operator, tests::settings};
-use crate::wire::tests::reported;
-use crate::wire::{self, Heartbeat, Item, Order};
+use crate::wire::tests::task_status;
+use crate::wire::{self, Heartbeat, KeyValue, Order};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -58,8 +58,8 @@
         let tasks = self.tasks.iter_mut().map(|(name, task)| {
             task.1 |= now >= task.2;
             match task.1 {
-                true => reported(name, task.0, "ended", Some(task.3)),
-                false => reported(name, task.0, "running", None),
+                true => task_status(name, task.0, "ended", Some(task.3)),
+                false => task_status(name, task.0, "running", None),
             }
         });
         let tasks = tasks.collect();
@@ -268,7 +268,7 @@
 
     /// Lets a new leader begin with the stored records.
     fn fail_over(&mut self, fencing_token: u64) {
-        let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
+        let item = |(key, value): (&String, &Value)| KeyValue { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(key, _)| key.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
         let policy = self.partition.policy.clone();
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -46,7 +46,7 @@
     let first = attempt_number(&partition, 0);
     let key = format!("run-000001/{}", partition.cluster.host(0).unwrap().attempts[0].key.task);
     partition.heartbeat(
-        &heartbeat("h1", 1, 2, 1, vec![reported(&key, first, "ended", Some("done"))]),
+        &heartbeat("h1", 1, 2, 1, vec![task_status(&key, first, "ended", Some("done"))]),
         StatusSource::Heartbeat,
         2000,
     );
@@ -88,9 +88,9 @@
     for host in 0..40 {
         let tasks = partition.cluster.host_index.get(&format!("h{host}")).map(|&index| {
             let attempts = partition.cluster.host(index).unwrap().attempts.clone();
-            let listed = attempts
-                .iter()
-                .map(|attempt| reported(&format!("run-000001/{}", attempt.key.task), attempt.attempt, "running", None));
+            let listed = attempts.iter().map(|attempt| {
+                task_status(&format!("run-000001/{}", attempt.key.task), attempt.attempt, "running", None)
+            });
             listed.collect()
         });
         let heartbeat = heartbeat(&format!("h{host}"), 1, sequence, 1, tasks.unwrap_or_default());
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -24,8 +24,8 @@
 };
 use crate::scheduling;
 use crate::settings::{Operator, tests::settings};
-use crate::wire::tests::reported;
-use crate::wire::{self, Heartbeat, Item, Order, Write};
+use crate::wire::tests::task_status;
+use crate::wire::{self, Heartbeat, KeyValue, Order, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
@@ -51,7 +51,7 @@
 }
 
 /// Returns a partition whose new leader has read these job and machine records.
-pub fn partition_with_records(fencing_token: u64, jobs: Vec<Item>, hosts: Vec<Item>) -> Partition {
+pub fn partition_with_records(fencing_token: u64, jobs: Vec<KeyValue>, hosts: Vec<KeyValue>) -> Partition {
     let settings = settings();
     let policy = Policy::new(&settings, &Operator::default(), 0);
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
@@ -159,8 +159,8 @@
 }
 
 /// Returns the job records and the machine records of a partition.
-pub fn stored_records(partition: &mut Partition) -> (Vec<Item>, Vec<Item>) {
-    let item = |key, value, version| Item { key, value, version };
+pub fn stored_records(partition: &mut Partition) -> (Vec<KeyValue>, Vec<KeyValue>) {
+    let item = |key, value, version| KeyValue { key, value, version };
     let job = |job: &Job| {
         item(job_key(&job.spec.id), serde_json::to_value(JobRecord::of(job, None, MAX_RECORD_BYTES)).unwrap(), 100)
     };
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -14,8 +14,8 @@
     partition.schedule(1200, 1200);
     // While one of the tasks may still run, the cancellation is not answered, because users measure time from the answer.
     let ended_task =
-        |number: usize| reported(&format!("run-000001/{number}"), attempts[number], "ended", Some("halted"));
-    let running_task = reported("run-000001/1", attempts[1], "running", None);
+        |number: usize| task_status(&format!("run-000001/{number}"), attempts[number], "ended", Some("halted"));
+    let running_task = task_status("run-000001/1", attempts[1], "running", None);
     assert_eq!(
         count_runs(&partition.heartbeat(
             &heartbeat("h1", 1, 2, 1, vec![ended_task(0), running_task]),
@@ -63,7 +63,7 @@
     let mut partition = partition_with_running_job("service", 1);
     let attempt = attempt_number(&partition, 0);
     let command = partition.next_direct_command(0, 1001, false).unwrap();
-    let ended = || vec![reported("run-000001/0", attempt, "ended", Some("error"))];
+    let ended = || vec![task_status("run-000001/0", attempt, "ended", Some("error"))];
     assert_eq!(
         count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, ended()), StatusSource::Heartbeat, 1100)),
         0,
@@ -79,7 +79,7 @@
 fn late_heartbeats_change_nothing() {
     let mut partition = partition_with_running_job("service", 1);
     let attempt = attempt_number(&partition, 0);
-    let running = || vec![reported("run-000001/0", attempt, "running", None)];
+    let running = || vec![task_status("run-000001/0", attempt, "running", None)];
     partition.heartbeat(&heartbeat("h1", 1, 9, 1, running()), StatusSource::Heartbeat, 1100);
     partition.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 1200);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::On(0, attempt));
@@ -109,7 +109,7 @@
         let mut partition = partition_with_running_job("batch", 2);
         let tasks = (0..2)
             .map(|number| {
-                reported(&format!("run-000001/{number}"), attempt_number(&partition, number), "running", None)
+                task_status(&format!("run-000001/{number}"), attempt_number(&partition, number), "running", None)
             })
             .collect();
         let mut heartbeat = heartbeat("h1", 1, 2, 1, tasks);
@@ -126,7 +126,7 @@
 #[test]
 fn unknown_tasks_are_stopped_and_then_reaped() {
     let mut partition = partition();
-    let tasks = |phase: &str| vec![reported("run-000077/0", 9, phase, None)];
+    let tasks = |phase: &str| vec![task_status("run-000077/0", 9, phase, None)];
     let orders = partition.heartbeat(&heartbeat("h1", 1, 1, 1, tasks("running")), StatusSource::Heartbeat, 1000);
     assert!(matches!(orders[..], [Order::Stop { .. }]));
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, tasks("ended")), StatusSource::Heartbeat, 1100);
@@ -148,11 +148,11 @@
     let Place::On(first, attempt) = partition.cluster.jobs[0].tasks[0].place else { panic!("not placed") };
     let id = partition.cluster.host(first).unwrap().id.clone();
     let other = if id == "h1" { "h2" } else { "h1" };
-    let late = vec![reported("run-000001/0", attempt + 1, "ended", Some("done"))];
+    let late = vec![task_status("run-000001/0", attempt + 1, "ended", Some("done"))];
     partition.heartbeat(&heartbeat(other, 1, 2, 1, late), StatusSource::Heartbeat, 1100);
     assert_eq!(partition.cluster.jobs[0].done, 1);
     partition.schedule(1100, 1100);
-    let running = vec![reported("run-000001/0", attempt, "running", None)];
+    let running = vec![task_status("run-000001/0", attempt, "running", None)];
     let orders = partition.heartbeat(&heartbeat(&id, 1, 2, 1, running), StatusSource::Heartbeat, 1200);
     assert!(orders.iter().any(|order| matches!(order, Order::Stop { .. })), "{orders:?}");
 }
@@ -176,7 +176,7 @@
             // Every other task of a machine keeps running.
             let phase = |index: usize| if sequence == 3 && index.is_multiple_of(2) { phase } else { "running" };
             let tasks = attempts.iter().enumerate().map(|(index, attempt)| {
-                reported(&format!("run-000001/{}", attempt.key.task), attempt.attempt, phase(index), Some("done"))
+                task_status(&format!("run-000001/{}", attempt.key.task), attempt.attempt, phase(index), Some("done"))
             });
             partition.heartbeat(
                 &heartbeat(&id, 1, sequence, 1, tasks.collect()),
--- a/src/control/partition/tests/recording.rs
+++ b/src/control/partition/tests/recording.rs
@@ -34,7 +34,7 @@
 fn a_done_task_is_answered_and_reaped_after_its_commit() {
     let mut partition = partition_with_running_job("batch", 1);
     let attempt = attempt_number(&partition, 0);
-    let done = || vec![reported("run-000001/0", attempt, "ended", Some("done"))];
+    let done = || vec![task_status("run-000001/0", attempt, "ended", Some("done"))];
     assert_eq!(count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, done()), StatusSource::Heartbeat, 1100)), 0);
     assert!(matches!(partition.status("run-000001"), UserAnswer::Status { phase: JobPhase::Pending, .. }));
     complete_next_commit(&mut partition, 1100, 101);
@@ -72,7 +72,7 @@
     let listed = |ended: usize| -> Vec<wire::TaskStatus> {
         let phase = |number: usize| if number < ended { "ended" } else { "running" };
         let task =
-            |number: usize| reported(&format!("run-000001/{number}"), attempts[number], phase(number), Some("done"));
+            |number: usize| task_status(&format!("run-000001/{number}"), attempts[number], phase(number), Some("done"));
         (0..3).map(task).collect()
     };
     let reap_count = |orders: &[Order]| orders.iter().filter(|order| matches!(order, Order::Reap { .. })).count();
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::model::FencingToken;
 use crate::settings::{Operator, Settings, tests::settings};
-use crate::wire::{Item, Order, SlotStatus};
+use crate::wire::{KeyValue, Order, SlotStatus};
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
 
@@ -73,8 +73,8 @@
 
     fn heartbeat(&mut self, host: &str) -> Heartbeat {
         self.sequence += 1;
-        let running = self.tasks.iter().map(|(task, (attempt, _))| reported(task, *attempt, "running", None));
-        let ended = self.ended.iter().map(|(task, attempt)| reported(task, *attempt, "ended", Some("halted")));
+        let running = self.tasks.iter().map(|(task, (attempt, _))| task_status(task, *attempt, "running", None));
+        let ended = self.ended.iter().map(|(task, attempt)| task_status(task, *attempt, "ended", Some("halted")));
         let mut heartbeat =
             heartbeat(host, self.agent_epoch, self.sequence, self.seen_token, running.chain(ended).collect());
         heartbeat.slots =
@@ -147,10 +147,10 @@
     fn fail_over(&mut self) {
         self.fencing_token += 1;
         self.late.clear();
-        let items = |prefix: &str| -> Vec<Item> {
+        let items = |prefix: &str| -> Vec<KeyValue> {
             let under = self.store.iter().filter(|(key, _)| key.starts_with(prefix));
             under
-                .map(|(key, (value, version))| Item { key: key.clone(), value: value.clone(), version: *version })
+                .map(|(key, (value, version))| KeyValue { key: key.clone(), value: value.clone(), version: *version })
                 .collect()
         };
         let policy = Policy::new(&self.settings, &Operator::default(), 0);
@@ -239,7 +239,7 @@
         let keys_to_read = self.partition.apply_commit_outcome(result).unwrap();
         for key in keys_to_read {
             if let Some((value, version)) = self.store.get(&key).cloned() {
-                self.partition.apply_reread_record(Item { key, value, version });
+                self.partition.apply_reread_record(KeyValue { key, value, version });
             }
         }
     }
@@ -268,7 +268,7 @@
         }
         let item = |key: &String| {
             let found = self.store.get(key).cloned();
-            (key.clone(), found.map(|(value, version)| Item { key: key.clone(), value, version }))
+            (key.clone(), found.map(|(value, version)| KeyValue { key: key.clone(), value, version }))
         };
         let found = keys.iter().map(item).collect();
         self.partition.apply_pool_records(found);
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -73,7 +73,7 @@
                 false => UserAnswer::Unschedulable(reason.to_string()),
             });
         }
-        if let Some(message) = self.commit_queue.limits().refuses(spec) {
+        if let Some(message) = self.commit_queue.limits().job_refusal(spec) {
             return Some(UserAnswer::InvalidSubmission(message.into()));
         }
         let backlog_s = self.backlog_s(spec.urgency);
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -5,12 +5,12 @@
 use crate::control::partition::commit_builder::ConditionalWrite;
 use crate::control::partition::commit_results::WriteFailure;
 use crate::model::{CachedImage, HostIndex};
-use crate::wire::{self, Item};
+use crate::wire::{self, KeyValue};
 use badgerdrift_warm_pools::{HoldKind, PoolEvent, RecordChanges, RecordKey, StoredRecord};
 
 /// Decodes a warm-pool record. Returns its key, the record and the version of the key, or `None` if the key is
 /// not of a warm-pool record or, after logging an error, if the record can't be decoded.
-fn record(item: Item) -> Option<(RecordKey, StoredRecord, u64)> {
+fn record(item: KeyValue) -> Option<(RecordKey, StoredRecord, u64)> {
     let key = RecordKey::parse(&item.key)?;
     match serde_json::from_value(item.value) {
         Ok(record) => Some((key, record, item.version)),
@@ -24,7 +24,7 @@
 impl Partition {
     /// Restores the pools from the stored records of the previous leader. They are the only source for the images
     /// that slots hold on workers which do not load models.
-    pub fn restore_pools(&mut self, items: Vec<Item>, now: u64) {
+    pub fn restore_pools(&mut self, items: Vec<KeyValue>, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let moment = warm_pools.moment(now);
         warm_pools.pools.restore(items.into_iter().filter_map(record), moment);
@@ -72,7 +72,7 @@
     }
 
     /// Applies fresh reads of warm-pool records' keys. An item is `None` if its key does not exist.
-    pub fn apply_pool_records(&mut self, found: Vec<(String, Option<Item>)>) {
+    pub fn apply_pool_records(&mut self, found: Vec<(String, Option<KeyValue>)>) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         let found = found.into_iter().filter_map(|(key, item)| {
             let item = item.and_then(record).map(|(_, record, version)| (record, version));
--- a/src/control/partition_leader/cloud.rs
+++ b/src/control/partition_leader/cloud.rs
@@ -53,7 +53,7 @@
             leadership.partition.mark_terminating(id);
         }
         task::spawn(async move {
-            let confirmed = cloud.release(&hosts).await;
+            let confirmed = cloud.terminate(&hosts).await;
             if !confirmed {
                 sleep(retry_delay).await;
             }
@@ -89,7 +89,7 @@
                 .get(id)
                 .and_then(|index| leadership.partition.cluster().host(*index)?.addr)
             {
-                self.worker.forget(addr);
+                self.worker.close_idle_connections(addr);
             }
             leadership.partition.host_terminated(id);
         }
--- a/src/control/partition_leader/dependencies.rs
+++ b/src/control/partition_leader/dependencies.rs
@@ -8,7 +8,7 @@
 use crate::clients::{RequestError, StateStore};
 use crate::control::partition::{DependencyLookup, JOB_PREFIX, job_key};
 use crate::runtime::task;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::collections::HashSet;
 
 impl PartitionLeader {
@@ -64,7 +64,7 @@
 }
 
 /// Reads the records of the jobs of a lookup; returns `None` if one could not be read.
-async fn read_lookup_records(state: &StateStore, lookup: DependencyLookup) -> Option<Vec<(String, Option<Item>)>> {
+async fn read_lookup_records(state: &StateStore, lookup: DependencyLookup) -> Option<Vec<(String, Option<KeyValue>)>> {
     let mut found = Vec::new();
     for id in lookup.ids {
         let (item, _) = state.get(&job_key(&id)).await.ok()?;
@@ -80,7 +80,7 @@
     state: &StateStore,
     ids: Vec<String>,
     known: Option<KnownExternalDependencies>,
-    records: &mut Vec<Item>,
+    records: &mut Vec<KeyValue>,
 ) -> Result<KnownExternalDependencies, RequestError> {
     let mut known = match known {
         Some(known) => known,
@@ -94,7 +94,7 @@
         if known.ids.contains(id)
             && let Some(value) = change.value.clone()
         {
-            records.push(Item { key: change.key().to_string(), value, version: change.version });
+            records.push(KeyValue { key: change.key().to_string(), value, version: change.version });
         }
     }
     known.revision = changes.revision;
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -12,7 +12,7 @@
     pub(super) fn probe(&self, leadership: &mut Leadership, hosts: impl IntoIterator<Item = HostIndex>, now: u64) {
         // No more probes are started than may be under way: a machine whose probe is queued here would
         // look unreachable.
-        let capacity = self.worker.capacity();
+        let capacity = self.worker.command_capacity();
         let capacity = capacity.free.saturating_sub(capacity.reserved_for_orders);
         let max_probes =
             leadership.probe_budget.as_mut().map_or(capacity, |budget| capacity.min(budget.available_tokens(now)));
@@ -30,7 +30,7 @@
 
     /// Sends new orders to their machines, as far as the number of open requests allows.
     pub(super) fn send_orders(&self, leadership: &mut Leadership, now: u64) {
-        let mut free = self.worker.capacity().free;
+        let mut free = self.worker.command_capacity().free;
         for host_index in leadership.partition.take_dispatch_queue() {
             if free == 0 || leadership.partition.is_command_delayed(host_index, now) {
                 leadership.partition.queue_dispatch(host_index);
@@ -46,10 +46,10 @@
     /// worker refuses it once it has seen the token of the next leader.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
         let Some(command) = leadership.partition.next_direct_command(host_index, now, probe) else { return false };
-        let body = wire::direct(command.fencing_token, command.agent_epoch, &command.orders);
+        let body = wire::direct_command_body(command.fencing_token, command.agent_epoch, &command.orders);
         let (worker, sender) = (self.worker.clone(), self.sender(leadership.epoch));
         task::spawn(async move {
-            let result = worker.direct(command.addr, &body).await;
+            let result = worker.send_direct_command(command.addr, &body).await;
             sender.send(BackgroundEvent::DirectCommandEnded { command, result }).await;
         });
         true
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -7,7 +7,7 @@
 use crate::clients::StateStore;
 use crate::control::partition;
 use crate::runtime::task;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -63,7 +63,7 @@
     }
 
     /// Handles the indeterminate records that were read.
-    pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
+    pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<KeyValue>)>) {
         leadership.reading_indeterminate = false;
         leadership.partition.apply_reservation_records(found);
     }
@@ -107,7 +107,7 @@
 }
 
 /// Reads the records of the jobs that are listed under the prefix; returns `None` if a read failed.
-async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<Item>> {
+async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<KeyValue>> {
     let mut items = Vec::new();
     for entry in state.list(prefix).await.ok()? {
         let id = entry.key.strip_prefix(prefix)?;
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -9,7 +9,7 @@
 use crate::model::{FencingToken, HostRecord, InstanceType};
 use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
 use crate::warm_pools::WarmPoolsResponse;
-use crate::wire::{Heartbeat, Item, ListedInstance, Order};
+use crate::wire::{Heartbeat, KeyValue, ListedInstance, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
@@ -89,21 +89,21 @@
     /// A commit has ended.
     CommitEnded(CommitOutcome),
     /// Records have been read again after a conflict of a commit.
-    RecordsReread(Vec<Item>),
+    RecordsReread(Vec<KeyValue>),
     /// Jobs that other nodes accepted for this partition have been read.
-    InboxRead(Vec<Item>),
+    InboxRead(Vec<KeyValue>),
     /// The records of the jobs that a submission depends on have been read.
     DependenciesRead {
         /// Number of the submission.
         submission: u64,
         /// Records by id of the job, each `None` if there is none; `None` if they could not be read.
-        found: Option<Vec<(String, Option<Item>)>>,
+        found: Option<Vec<(String, Option<KeyValue>)>>,
     },
     /// Records of jobs of other partitions that jobs of this one depend on have been read.
     ExternalDependenciesRead(ExternalDependencyRecords),
     /// Indeterminate records of warm pools and loans have been read, by key; `None` where there is
     /// none.
-    IndeterminateRecordsRead(Vec<(String, Option<Item>)>),
+    IndeterminateRecordsRead(Vec<(String, Option<KeyValue>)>),
     /// A raise of the fencing token has ended; `None` if it failed.
     TokenRaiseEnded(Option<RaisedFencingToken>),
     /// A write of the applied configuration version has ended; `None` if it failed.
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -6,7 +6,7 @@
 use crate::configuration::ConfigurationHandle;
 use crate::model::InstanceType;
 use crate::runtime::clock;
-use crate::wire::{self, Item};
+use crate::wire::{self, KeyValue};
 use badgerdrift_borrowing::LOAN_PREFIX;
 use badgerdrift_warm_pools::RecordKey;
 use serde_json::json;
@@ -51,13 +51,13 @@
 
 /// Stored records at the start of a leadership.
 pub struct StoredRecords {
-    pub(super) jobs: Vec<Item>,
-    pub(super) hosts: Vec<Item>,
+    pub(super) jobs: Vec<KeyValue>,
+    pub(super) hosts: Vec<KeyValue>,
     pub(super) instance_types: Vec<InstanceType>,
     /// Records of warm pools; empty without pools.
-    pub(super) pool_records: Vec<Item>,
+    pub(super) pool_records: Vec<KeyValue>,
     /// Records of loans; empty without borrowing.
-    pub(super) loan_records: Vec<Item>,
+    pub(super) loan_records: Vec<KeyValue>,
 }
 
 /// Selection of the records that are read in addition to those of jobs and machines.
@@ -94,7 +94,7 @@
 /// Result of a read of jobs that belong to other partitions.
 pub struct ExternalDependencyRecords {
     /// Records of the jobs, each as of some instant since the last read.
-    pub(super) records: Vec<Item>,
+    pub(super) records: Vec<KeyValue>,
     /// Jobs that were read and the revision up to which their changes are known; `None` if the read
     /// failed and has to start over.
     pub(super) known: Option<KnownExternalDependencies>,
@@ -102,7 +102,7 @@
 
 /// Reads all records of slots, and the bills of the days around `wall_ms`, a wall-clock time in
 /// milliseconds. Returns `None` if a read failed.
-async fn read_pool_records(state: &StateStore, wall_ms: u64) -> Option<Vec<Item>> {
+async fn read_pool_records(state: &StateStore, wall_ms: u64) -> Option<Vec<KeyValue>> {
     let mut items = state.list(RecordKey::SLOT_PREFIX).await.ok()?;
     for day in badgerdrift_warm_pools::days_around(wall_ms) {
         items.extend(state.list(&format!("{}{day}/", RecordKey::BILL_PREFIX)).await.ok()?);
@@ -111,7 +111,7 @@
 }
 
 /// Reads the items of these keys; returns `None` if one could not be read.
-pub(super) async fn read_keys(state: &StateStore, keys: &[String]) -> Option<Vec<(String, Option<Item>)>> {
+pub(super) async fn read_keys(state: &StateStore, keys: &[String]) -> Option<Vec<(String, Option<KeyValue>)>> {
     let mut found = Vec::new();
     for key in keys {
         let (item, _) = state.get(key).await.ok()?;
--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -1,7 +1,7 @@
 //! Stored records of jobs and machines in the state service.
 
 use super::{Job, JobEnd, Place, Spec};
-use crate::clients::write_limits::{RANGE_BYTES, json_bytes};
+use crate::clients::write_limits::{MAX_RANGE_BYTES, json_bytes};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -34,7 +34,8 @@
             return Some(record);
         }
         let left_bytes = max_bytes.checked_sub(json_bytes(&record))?;
-        record.done = widest_ranges(ranges(job), (left_bytes / RANGE_BYTES).min((max_bytes / 2 / RANGE_BYTES).max(1)));
+        record.done =
+            widest_ranges(ranges(job), (left_bytes / MAX_RANGE_BYTES).min((max_bytes / 2 / MAX_RANGE_BYTES).max(1)));
         Some(record)
     }
 
--- a/src/provisioning/provisioner/scale_out.rs
+++ b/src/provisioning/provisioner/scale_out.rs
@@ -65,7 +65,7 @@
                 self.pending_scale_outs.remove(name);
                 None
             }
-            RentResult::Again => self.retry(name, now),
+            RentResult::Indeterminate => self.retry(name, now),
         }
     }
 
@@ -126,6 +126,6 @@
         RentResult::Rented(_) => "filled",
         RentResult::NoCapacity => "refused",
         RentResult::Malformed => "malformed",
-        RentResult::Again => "unanswered",
+        RentResult::Indeterminate => "unanswered",
     }
 }
--- a/src/provisioning/provisioner/tests/mod.rs
+++ b/src/provisioning/provisioner/tests/mod.rs
@@ -10,7 +10,7 @@
     complete_next_commit, heartbeat, partition, partition_with_records, submit_job,
 };
 use crate::control::partition::{CommitOutcome, Partition, StatusSource};
-use crate::wire::tests::reported;
+use crate::wire::tests::task_status;
 use crate::wire::{ListedInstance, Order};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -137,7 +137,7 @@
                 continue;
             }
             machine.sequence += 1;
-            let tasks = machine.tasks.iter().map(|(task, attempt)| reported(task, *attempt, "running", None));
+            let tasks = machine.tasks.iter().map(|(task, attempt)| task_status(task, *attempt, "running", None));
             let mut report = heartbeat(id, 1, machine.sequence, fencing_token.0, tasks.collect());
             report.zone.clone_from(&machine.zone);
             for order in self.partition.heartbeat(&report, StatusSource::Heartbeat, now) {
@@ -194,7 +194,7 @@
             .map(|request| request.1.clone())
             .collect();
         for name in sent {
-            let repeated = self.provisioner.scale_out_answered(&name, RentResult::Again, now);
+            let repeated = self.provisioner.scale_out_answered(&name, RentResult::Indeterminate, now);
             self.execute(repeated.into_iter().collect());
         }
     }
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -92,7 +92,7 @@
     }
 
     /// Closes the idle connections to a server that no longer exists.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle_connections(&self, addr: SocketAddr) {
         lock(&self.idle).close_all(addr);
     }
 }
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -57,7 +57,7 @@
     let mut last = addrs[1..].to_vec();
     last.sort();
     assert_eq!(kept, last);
-    client.forget(addrs[2]);
+    client.close_idle_connections(addrs[2]);
     assert_eq!(client.idle.lock().unwrap().by_sequence.len(), 1);
 }
 
--- a/src/transport/peer/messages.rs
+++ b/src/transport/peer/messages.rs
@@ -147,7 +147,7 @@
         if let PeerResponse::User { refusal, .. } = &mut self
             && !format.is_current()
         {
-            refusal.take_if(|reason| !reason.is_known_to_all());
+            refusal.take_if(|reason| !reason.is_known_to_previous_version());
         }
         self
     }
--- a/src/warm_pools/bills.rs
+++ b/src/warm_pools/bills.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{BillRow, WarmPoolsResponse};
 use crate::clients::StateStore;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use badgerdrift_warm_pools::{BillRecord, RecordKey};
 
 /// Seconds after which a request for bills may be repeated.
@@ -18,7 +18,7 @@
 }
 
 /// Returns the rows of a record; none if it is of another day or team, or unreadable.
-fn matching_rows(item: Item, from: &str, to: &str, team: Option<&str>) -> Vec<BillRow> {
+fn matching_rows(item: KeyValue, from: &str, to: &str, team: Option<&str>) -> Vec<BillRow> {
     let Some(RecordKey::Bill(day, payer)) = RecordKey::parse(&item.key) else { return Vec::new() };
     let day = day.to_string();
     // The text order of dates in this form is their order in time.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -13,12 +13,15 @@
     rent_body,
 };
 pub use state_service::{
-    Change, Changes, Condition, Item, LeaseReply, Page, RevisionReply, Write, commit_body, condition, delete,
+    Change, Changes, Condition, KeyValue, LeaseReply, Page, RevisionReply, Write, commit_body, condition, delete,
     lease_body, put, store,
 };
 pub use submission::{FieldFault, MAX_TASKS, Malformed, SubmissionError, is_job_id, parse_submission};
 pub use user::{job_answer, stated_end};
-pub use worker::{DIRECT_COMMAND_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct, leader_redirect, orders};
+pub use worker::{
+    DIRECT_COMMAND_PATH, Heartbeat, Order, SlotStatus, TaskStatus, direct_command_body, heartbeat_reply,
+    leader_redirect,
+};
 
 #[cfg(test)]
 pub mod tests;
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -5,7 +5,7 @@
 
 /// A key of the state service, with its value.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -21,7 +21,7 @@
 #[derive(Deserialize)]
 pub struct Page {
     /// The keys on the page.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether further pages follow.
     #[serde(default)]
     pub more: bool,
@@ -53,8 +53,8 @@
         self.put.as_deref().or(self.delete.as_deref()).unwrap_or("")
     }
 
-    /// Returns whether the key was deleted.
-    pub fn deleted(&self) -> bool {
+    /// Returns whether the change is the deletion of the key.
+    pub fn is_deletion(&self) -> bool {
         self.put.is_none()
     }
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 /// Returns a task as a heartbeat states it.
-pub fn reported(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> TaskStatus {
+pub fn task_status(task: &str, attempt: u64, phase: &str, reason: Option<&str>) -> TaskStatus {
     serde_json::from_value(json!({"shard": task, "try_no": attempt, "phase": phase, "exit_reason": reason}))
         .expect("a task in a heartbeat")
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -230,12 +230,12 @@
 }
 
 /// Returns the body of the reply to a heartbeat.
-pub fn orders(fencing_token: FencingToken, orders: &[Order]) -> Value {
+pub fn heartbeat_reply(fencing_token: FencingToken, orders: &[Order]) -> Value {
     json!({ "fence": fencing_token, "orders": orders })
 }
 
 /// Returns the body of a direct command.
-pub fn direct(fencing_token: FencingToken, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
+pub fn direct_command_body(fencing_token: FencingToken, agent_epoch: u64, orders: &[Order]) -> Vec<u8> {
     serde_json::to_vec(&json!({ "fence": fencing_token, "tenure": agent_epoch, "orders": orders })).unwrap_or_default()
 }
 
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -97,9 +97,9 @@
     assert_eq!(cloud.rent("r-1-1", "g8", "a", false, 3).await, RentResult::Rented(vec!["host-000001".into()]));
     assert_eq!(cloud.rent("full", "g8", "a", false, 3).await, RentResult::NoCapacity);
     assert_eq!(cloud.rent("bad", "g8", "a", false, 3).await, RentResult::Malformed);
-    assert_eq!(cloud.rent("trouble", "g8", "a", false, 3).await, RentResult::Again);
+    assert_eq!(cloud.rent("trouble", "g8", "a", false, 3).await, RentResult::Indeterminate);
     let list = cloud.list().await.unwrap();
     assert!(list.len() == 2 && list[0].booting() && list[1].failed());
-    assert!(!cloud.release(&["host-000001".into()]).await, "not confirmed");
+    assert!(!cloud.terminate(&["host-000001".into()]).await, "not confirmed");
     assert!(cloud.instance_types().await.is_none());
 }
