--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -33,7 +33,7 @@
 use badgerdrift::control::node;
 use badgerdrift::control::node::Subsystems;
 use badgerdrift::runtime::{clock, task};
-use badgerdrift::settings::Operator;
+use badgerdrift::settings::OperatorSettings;
 use badgerdrift::transport::http::{Client, Request};
 use deployment::PORT;
 use net::{Cut, SimulatedNetwork};
@@ -52,7 +52,7 @@
 
 /// What may differ from day to day before it begins.
 pub struct Setup {
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// What is switched on beside that.
     pub subsystems: Subsystems,
     /// The time of day stands still, as it did when the first seeds were hunted: their days
@@ -80,7 +80,7 @@
 impl Default for Setup {
     fn default() -> Setup {
         Setup {
-            operator: Operator { idle_keep: 3.0, ..Operator::default() },
+            operator: OperatorSettings { idle_keep: 3.0, ..OperatorSettings::default() },
             subsystems: Subsystems::default(),
             time_of_day_stands: false,
             production: false,
@@ -96,7 +96,7 @@
     /// Number of the process of each controller; none while it is down.
     lives: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
-    operator: Operator,
+    operator: OperatorSettings,
     subsystems: Subsystems,
     guaranteed_cards: Vec<(&'static str, f64)>,
     rng: StdRng,
@@ -166,7 +166,7 @@
                 let settings = deployment::settings(node, &self.guaranteed_cards);
                 node::run_on(net, settings, self.operator.clone(), self.subsystems.clone())
             };
-            tokio::spawn(task::behind(self.pauses[node].clone(), controller));
+            tokio::spawn(task::run_gated(self.pauses[node].clone(), controller));
         }
     }
 
--- a/crates/stand-ins/src/pause.rs
+++ b/crates/stand-ins/src/pause.rs
@@ -2,7 +2,7 @@
 //! meanwhile, while clocks, the network and everybody else go on. What is sent to it waits
 //! in its connections, and its timers that are due act once it goes on.
 
-use badgerdrift::runtime::task::Gate;
+use badgerdrift::runtime::task::PauseGate;
 use std::sync::Mutex;
 use std::task::{Context, Poll, Waker};
 
@@ -28,7 +28,7 @@
     }
 }
 
-impl Gate for Pause {
+impl PauseGate for Pause {
     fn poll_open(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut state = self.0.lock().unwrap();
         if !state.paused {
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -7,7 +7,7 @@
 use badgerdrift::control::partition::Partition;
 use badgerdrift::model::{Demand, FencingToken, Host, InstanceType, Job, Shape, Spec, Urgency};
 use badgerdrift::scheduling::{Policy, TeamRule};
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift_borrowing::BorrowingSettings;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -68,7 +68,7 @@
 /// So many empty machines, and four teams with a guarantee of a sixth of them each.
 fn fleet(machines: usize, borrowing: bool) -> Partition {
     let settings: Settings = toml::from_str(SETTINGS).expect("the settings are sound");
-    let mut policy = Policy::new(&settings, &Operator::default(), 0);
+    let mut policy = Policy::new(&settings, &OperatorSettings::default(), 0);
     let unlimited = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
     for team in TEAMS {
         let gpus = machines as f64 * GPUS / 6.0;
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -12,7 +12,7 @@
 use crate::control::router::PartitionHandle;
 use crate::model::{Dependencies, JobEnd, JobPhase, JobRecord};
 use crate::runtime::{clock, task};
-use crate::settings::{Operator, Settings, tests::settings};
+use crate::settings::{OperatorSettings, Settings, tests::settings};
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http;
 use crate::transport::network::Net;
@@ -125,7 +125,7 @@
             last_pledge_request_ms: Default::default(),
         },
         teams: Default::default(),
-        policy: Arc::new(Policy::new(&settings, &Operator::default(), 0)),
+        policy: Arc::new(Policy::new(&settings, &OperatorSettings::default(), 0)),
         limits: settings.write_limits(),
         route_hints: Arc::new(Mutex::new(RouteHints::new(1000))),
     }
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -108,7 +108,7 @@
     let mut api = api_without_leader(service).await;
     let limits = crate::transport::peer::PeerTimeouts::for_leader_lease(api.router.leader_lease_ttl_ms);
     let peer = crate::transport::peer::Peer::start("worker-1".into(), "127.0.0.1:1".parse().unwrap(), limits);
-    peer.format.received(format);
+    peer.format.record_frame(format);
     api.router.peers = Arc::new(vec![peer]);
     api
 }
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn job_with_dependencies_is_refused_while_a_controller_is_outdated() {
     let service = SimulatedStateService::default();
-    let api = api_with_peer(&service, FrameFormat::UNNAMED).await;
+    let api = api_with_peer(&service, FrameFormat::UNVERSIONED).await;
     service.put_first_job(None);
     let refused = submit_with_dependencies(&api, SECOND, json!([ID])).await;
     assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -4,7 +4,7 @@
 use crate::model::InstanceType;
 use crate::runtime::clock;
 use crate::settings::Settings;
-use crate::transport::http::{Client, SMALL_IDLE_POOL};
+use crate::transport::http::{Client, DEFAULT_MAX_IDLE_CONNECTIONS};
 use crate::transport::network::Net;
 use crate::wire::{self, ListedInstance};
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     pub fn on(net: &Net, settings: &Settings) -> Cloud {
         let requests_per_s = settings.params.cloud.rps * RATE_SHARE;
         Cloud {
-            http: Client::on(net, SMALL_IDLE_POOL),
+            http: Client::on(net, DEFAULT_MAX_IDLE_CONNECTIONS),
             addr: settings.endpoints.cloud,
             timeout: Duration::from_millis(settings.lease_ms() / 4),
             rate_limit: Arc::new(Mutex::new(TokenBucket::new(requests_per_s, BURST_S, clock::now_ms()))),
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -4,7 +4,7 @@
 use crate::control::partition::CommitOutcome;
 use crate::runtime::clock;
 use crate::settings::Settings;
-use crate::transport::http::{Client, SMALL_IDLE_POOL};
+use crate::transport::http::{Client, DEFAULT_MAX_IDLE_CONNECTIONS};
 use crate::transport::network::Net;
 use crate::wire::{self, Changes, Condition, KeyValue, LeaseReply, Page, RevisionReply, Write, store};
 use serde::de::DeserializeOwned;
@@ -35,7 +35,7 @@
     /// Returns a client over the given network.
     pub fn on(net: &Net, settings: &Settings) -> StateStore {
         StateStore {
-            http: Client::on(net, SMALL_IDLE_POOL),
+            http: Client::on(net, DEFAULT_MAX_IDLE_CONNECTIONS),
             addr: settings.endpoints.state,
             timeout: Duration::from_millis(settings.react_ms()),
             last_answer_ms: Arc::new(AtomicU64::new(0)),
--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -11,7 +11,7 @@
 use crate::clients::{StateStore, TokenBucket};
 use crate::runtime::metrics::SharedMetrics;
 use crate::runtime::{clock, sync, task};
-use crate::settings::{Operator, Settings};
+use crate::settings::{OperatorSettings, Settings};
 use crate::transport::network::Net;
 use crate::transport::peer::{Peer, PeerTimeouts};
 use badgerdrift_fleet_config::{ConfigState, Entry, RegionName};
@@ -67,7 +67,7 @@
 pub fn start(
     net: &Net,
     settings: &Settings,
-    operator: &Operator,
+    operator: &OperatorSettings,
     fleet: FleetSettings,
     state: StateStore,
     peers: &[Peer],
--- a/src/configuration/region_policy.rs
+++ b/src/configuration/region_policy.rs
@@ -2,7 +2,7 @@
 
 use crate::model::Demand;
 use crate::scheduling::{Policy, TeamRule};
-use crate::settings::{Operator, Settings};
+use crate::settings::{OperatorSettings, Settings};
 use badgerdrift_fleet_config::{
     Amount, Amounts, ConfigState, Document, OperatorDocument, RegionName, Share, TeamDocument,
 };
@@ -12,7 +12,7 @@
 
 /// Returns the documents of version 0: each region has the guarantees and limits of the settings, and the
 /// fleet has their sum.
-pub fn settings_documents(settings: &Settings, operator: &Operator, regions: &[RegionName]) -> Vec<Document> {
+pub fn settings_documents(settings: &Settings, operator: &OperatorSettings, regions: &[RegionName]) -> Vec<Document> {
     let mut documents: Vec<Document> = Vec::new();
     for team in &settings.params.teams {
         let guarantee = Amounts { cpus: to_amount(team.cpus), gpus: to_amount(team.gpus) };
--- a/src/configuration/settings.rs
+++ b/src/configuration/settings.rs
@@ -33,11 +33,11 @@
 
     fn check(&self) -> Result<(), FieldError> {
         if !self.regions.contains_key(&self.region) {
-            let fault = Fault::NotAmong { name: self.region.to_string(), list: "regions" };
+            let fault = Fault::NotInList { name: self.region.to_string(), list: "regions" };
             return Err(FieldError::new("region", fault));
         }
         if let Some((name, _)) = self.regions.iter().find(|(_, region)| region.controllers.is_empty()) {
-            return Err(FieldError::new(format!("regions.{name}.controllers"), Fault::NamesNone("a controller")));
+            return Err(FieldError::new(format!("regions.{name}.controllers"), Fault::EmptyList("a controller")));
         }
         Ok(())
     }
--- a/src/control/membership/leader_state.rs
+++ b/src/control/membership/leader_state.rs
@@ -2,18 +2,18 @@
 
 use super::messages::AcquiredLeadership;
 use crate::model::FencingToken;
-use crate::runtime::clock::DRIFT;
+use crate::runtime::clock::MAX_CLOCK_DRIFT;
 
 /// Shortens a duration in milliseconds by the largest clock drift: for so long this node may rely on
 /// a lease or pledge that is measured by the clock of another node.
 pub(super) fn shortened_by_drift(ms: u64) -> u64 {
-    (ms as f64 * (1.0 - DRIFT)) as u64
+    (ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64
 }
 
 /// Lengthens a duration in milliseconds by the largest clock drift: for so long this node keeps a
 /// pledge that another node relies on by its own clock.
 pub(super) fn lengthened_by_drift(ms: u64) -> u64 {
-    (ms as f64 * (1.0 + DRIFT)).ceil() as u64 + 1
+    (ms as f64 * (1.0 + MAX_CLOCK_DRIFT)).ceil() as u64 + 1
 }
 
 /// Summary of the pledges of all peers, as the leader knows them.
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -15,7 +15,7 @@
 use crate::runtime::{clock, task};
 use crate::scheduling::Policy;
 use crate::settings::bounds::{Bounds, LEADER_QUEUE_CAPACITY};
-use crate::settings::{Operator, Seed, Settings};
+use crate::settings::{OperatorSettings, Seed, Settings};
 use crate::transport::http;
 use crate::transport::network::{Listener, Net};
 use crate::transport::peer::{self, Peer, PeerTimeouts};
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns an error if a port cannot be opened.
-pub async fn run(settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
+pub async fn run(settings: Settings, operator: OperatorSettings, subsystems: Subsystems) -> std::io::Result<()> {
     run_on(Net::default(), settings, operator, subsystems).await
 }
 
@@ -56,7 +56,12 @@
 /// # Errors
 ///
 /// Returns an error if a port cannot be opened.
-pub async fn run_on(net: Net, settings: Settings, operator: Operator, subsystems: Subsystems) -> std::io::Result<()> {
+pub async fn run_on(
+    net: Net,
+    settings: Settings,
+    operator: OperatorSettings,
+    subsystems: Subsystems,
+) -> std::io::Result<()> {
     // The steady clock starts at its first use.
     clock::now_ms();
     let public_listener = net.bind(settings.serve_on).await?;
@@ -83,7 +88,7 @@
 struct Node {
     net: Net,
     settings: Settings,
-    operator: Operator,
+    operator: OperatorSettings,
     state: StateStore,
     cloud: Cloud,
     peers: Vec<Peer>,
@@ -102,7 +107,7 @@
 
 impl Node {
     /// Creates the clients of the state store and the cloud, and starts those of the other controllers.
-    fn new(net: Net, settings: Settings, operator: Operator) -> Node {
+    fn new(net: Net, settings: Settings, operator: OperatorSettings) -> Node {
         let timeouts = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
         let start = |seed: &Seed| Peer::start_on(net.clone(), seed.node.clone(), seed.endpoint, timeouts);
         let failover_order = FailoverOrder::new(&settings.node, settings.seeds.iter().map(|seed| seed.node.as_str()));
@@ -222,7 +227,7 @@
     /// Creates the HTTP interface for users and workers.
     fn api(self, router: Router) -> Api {
         let bounds = Bounds::new(&self.settings);
-        let requests_per_s = self.settings.params.state.least_rps();
+        let requests_per_s = self.settings.params.state.min_rps();
         let request_budget = RequestBudget::new(requests_per_s, self.controller_count());
         let leader_lease_ttl_ms = self.settings.leader_lease_ttl_ms();
         Api {
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -3,7 +3,7 @@
 use super::Partition;
 use super::keys::host_key;
 use crate::model::{ClusterState, Host, HostIndex, UNREACHABLE_AFTER_MISSES};
-use crate::runtime::clock::DRIFT;
+use crate::runtime::clock::MAX_CLOCK_DRIFT;
 use crate::scheduling::Policy;
 use std::collections::{HashMap, HashSet};
 
@@ -151,7 +151,7 @@
 /// Only here are tasks released without confirmation by the cloud: after the full lease by the slowest
 /// clock, counted from the last instant at which any controller may have renewed it.
 fn is_lease_expired(host: &Host, policy: &Policy, now: u64, leases_renewable_until_ms: u64) -> bool {
-    let expired_after_ms = (policy.lease_ms as f64 * (1.0 + DRIFT)) as u64 + policy.react_ms;
+    let expired_after_ms = (policy.lease_ms as f64 * (1.0 + MAX_CLOCK_DRIFT)) as u64 + policy.react_ms;
     let may_hold_tasks = !host.attempts.is_empty() || !host.reconciled;
     may_hold_tasks && now > host.lease_renewed_ms.max(leases_renewable_until_ms) + expired_after_ms
 }
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -4,7 +4,7 @@
 use crate::api::refusal::RefusalReason;
 use crate::model::FencingToken;
 use crate::model::{JobEnd, JobPhase, JobRecord, UnsavedChange};
-use crate::settings::{Operator, tests::settings};
+use crate::settings::{OperatorSettings, tests::settings};
 use crate::wire::tests::task_status;
 use crate::wire::{self, KeyValue};
 use serde_json::{Value, json};
@@ -227,7 +227,7 @@
 /// Returns a partition that owns one of two teams, with a job that depends on a job of the other team.
 fn partition_with_external_dependency() -> Partition {
     let settings = settings();
-    let policy = Policy::new(&settings, &Operator::default(), 0);
+    let policy = Policy::new(&settings, &OperatorSettings::default(), 0);
     let teams = [("red".to_string(), 0), ("blue".to_string(), 1)].into();
     let mut partition = Partition::new(policy, 0, teams, settings.write_limits());
     let instance_types = super::partition().cluster.instance_types;
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -6,7 +6,7 @@
 use crate::model::FencingToken;
 use crate::model::{Demand, InstanceType};
 use crate::provisioning::provisioner::{CloudRequest, Provisioner};
-use crate::settings::{Objective, Operator, tests::settings};
+use crate::settings::{Objective, OperatorSettings, tests::settings};
 use crate::wire::tests::task_status;
 use crate::wire::{self, Heartbeat, KeyValue, Order};
 use rand::rngs::StdRng;
@@ -129,7 +129,7 @@
             within_s: Some(5.0),
             ..guarantee
         });
-        let policy = Policy::new(&settings, &Operator::default(), 0);
+        let policy = Policy::new(&settings, &OperatorSettings::default(), 0);
         let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
         partition.begin_leadership(FencingToken(1), 77, vec![], vec![], instance_types(), 1000);
         Fleet {
--- a/src/control/partition/tests/limits.rs
+++ b/src/control/partition/tests/limits.rs
@@ -9,7 +9,7 @@
     let mut settings = settings();
     settings.params.state.next =
         Some(NextStateLimits { value_kb: Some(2.0), txn_ops: Some(4), ..NextStateLimits::default() });
-    let policy = Policy::new(&settings, &Operator::default(), 0);
+    let policy = Policy::new(&settings, &OperatorSettings::default(), 0);
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
     partition.begin_leadership(FencingToken(1), 77, vec![], vec![], super::partition().cluster.instance_types, 1000);
     let _waiters: Vec<_> = (1..10)
@@ -69,7 +69,7 @@
     settings.params.workers.report_s = 4.0;
     (settings.params.teams[0].gpus, settings.params.teams[0].gpus_max) = (0.0, 0.0);
     let mut partition = Partition::new(
-        Policy::new(&settings, &Operator::default(), 0),
+        Policy::new(&settings, &OperatorSettings::default(), 0),
         0,
         settings.partitions_of_teams(1),
         settings.write_limits(),
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -23,7 +23,7 @@
     UNREACHABLE_AFTER_MISSES,
 };
 use crate::scheduling;
-use crate::settings::{Operator, tests::settings};
+use crate::settings::{OperatorSettings, tests::settings};
 use crate::wire::tests::task_status;
 use crate::wire::{self, Heartbeat, KeyValue, Order, Write};
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
 /// Returns a partition whose new leader has read these job and machine records.
 pub fn partition_with_records(fencing_token: u64, jobs: Vec<KeyValue>, hosts: Vec<KeyValue>) -> Partition {
     let settings = settings();
-    let policy = Policy::new(&settings, &Operator::default(), 0);
+    let policy = Policy::new(&settings, &OperatorSettings::default(), 0);
     let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
     partition.begin_leadership(FencingToken(fencing_token), 77, jobs, hosts, vec![instance_type()], 1000);
     partition
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::model::FencingToken;
-use crate::settings::{Operator, Settings, tests::settings};
+use crate::settings::{OperatorSettings, Settings, tests::settings};
 use crate::wire::{KeyValue, Order, SlotStatus};
 use badgerdrift_warm_pools::{BillRecord, PoolSettings, RecordKey, SlotState};
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
                 .map(|(key, (value, version))| KeyValue { key: key.clone(), value: value.clone(), version: *version })
                 .collect()
         };
-        let policy = Policy::new(&self.settings, &Operator::default(), 0);
+        let policy = Policy::new(&self.settings, &OperatorSettings::default(), 0);
         let teams = self.settings.partitions_of_teams(1);
         let mut partition = Partition::new(policy, 0, teams, self.settings.write_limits());
         partition.enable_pools(self.pools.clone(), self.now, INITIAL_WALL_MS + self.now);
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -5,7 +5,7 @@
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
 use crate::control::router::Router;
-use crate::settings::{Operator, Settings};
+use crate::settings::{OperatorSettings, Settings};
 use crate::warm_pools::WarmPoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
@@ -30,7 +30,7 @@
     /// Settings of the platform.
     pub settings: Settings,
     /// Settings of the operator.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// Settings of the warm pools; `None` without pools.
     pub pools: Option<Arc<PoolSettings>>,
     /// Settings of the loans between teams; `None` without borrowing.
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -7,7 +7,7 @@
 use crate::control::membership::RaisedFencingToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::model::{FencingToken, HostRecord, InstanceType};
-use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
+use crate::transport::peer::{CapacityReport, MachineGroup, PeerResponse, UserCall};
 use crate::warm_pools::WarmPoolsResponse;
 use crate::wire::{Heartbeat, KeyValue, ListedInstance, Order};
 use std::sync::Arc;
@@ -66,9 +66,9 @@
     /// The provisioner has answered a capacity report.
     PendingMachines {
         /// Machines on their way to this partition.
-        pending_machines: Vec<Machines>,
+        pending_machines: Vec<MachineGroup>,
         /// Kinds of machines that the cloud refuses to provide at present.
-        refused: Vec<Machines>,
+        refused: Vec<MachineGroup>,
     },
     /// The record of a machine has been read from the state store.
     HostRecordRead {
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -7,7 +7,7 @@
 use crate::control::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
 use crate::model::InstanceOffering;
 use crate::runtime::clock;
-use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
+use crate::transport::peer::{CapacityReport, MachineGroup, PeerResponse, UserCall};
 use crate::wire::Heartbeat;
 
 impl PartitionLeader {
@@ -58,8 +58,8 @@
     pub(super) fn pending_machines(
         &self,
         leadership: &mut Leadership,
-        pending_machines: Vec<Machines>,
-        refused: &[Machines],
+        pending_machines: Vec<MachineGroup>,
+        refused: &[MachineGroup],
         now: u64,
     ) {
         let cluster = leadership.partition.cluster();
--- a/src/control/router.rs
+++ b/src/control/router.rs
@@ -130,14 +130,14 @@
         let count = |predicate: fn(&Peer) -> bool| self.peers.iter().filter(|peer| predicate(peer)).count();
         PeerVersions {
             current: count(|peer| peer.format.is_current()),
-            old: count(|peer| peer.format.is_old()),
+            old: count(|peer| peer.format.is_earlier_version()),
             unknown: count(|peer| peer.format.get().is_none()),
         }
     }
 
     /// Returns whether any of the other controllers is known to be of an earlier version.
     pub fn has_outdated_peer(&self) -> bool {
-        self.peers.iter().any(|peer| peer.format.is_old())
+        self.peers.iter().any(|peer| peer.format.is_earlier_version())
     }
 
     /// Returns whether the partition's leader is known to be of this version.
--- a/src/control/router/answers.rs
+++ b/src/control/router/answers.rs
@@ -80,8 +80,8 @@
     /// format its node speaks.
     async fn answer_pledge(&self, partition: u32, request: PledgeRequest, format: FrameFormat) -> PeerResponse {
         if let Some(peer) = self.peers.iter().find(|peer| peer.name == request.leader) {
-            peer.health.received();
-            peer.format.received(format);
+            peer.health.record_received();
+            peer.format.record_frame(format);
         }
         let Some(handle) = self.handle(partition) else { return PeerResponse::Rejected };
         if let Some(last_ms) = self.last_pledge_request_ms.get(partition as usize) {
--- a/src/control/router/tests.rs
+++ b/src/control/router/tests.rs
@@ -93,7 +93,7 @@
         for_ms: 5,
         state_ok: true,
     };
-    router.answer(pledge(), FrameFormat::UNNAMED).await;
+    router.answer(pledge(), FrameFormat::UNVERSIONED).await;
     assert_eq!(versions(&router), (true, false, 0));
     router.answer(pledge(), FrameFormat::CURRENT).await;
     assert_eq!(versions(&router), (false, true, 0));
@@ -142,7 +142,7 @@
     );
     // A time stamp in the future makes the leader look active during the whole wait.
     asked_for_pledge(60_000);
-    router.peers[0].health.received();
+    router.peers[0].health.record_received();
     let slow_leader_wait_ms = answer_time_ms(&router, submission()).await;
     assert!((3500..=4000).contains(&slow_leader_wait_ms), "{slow_leader_wait_ms} ms: a user waits 5 s");
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -77,7 +77,7 @@
 /// Settings that were loaded from the files.
 struct LoadedFiles {
     settings: settings::Settings,
-    operator: settings::Operator,
+    operator: settings::OperatorSettings,
     subsystems: Subsystems,
     /// Path of the file from which the pools of `subsystems` were loaded.
     pools_file: Option<PathBuf>,
--- a/src/provisioning/provisioner/distribution.rs
+++ b/src/provisioning/provisioner/distribution.rs
@@ -5,7 +5,7 @@
 use crate::control::partition::Partition;
 use crate::model::{ClusterState, InstanceOffering};
 use crate::scheduling::ScaleOut;
-use crate::transport::peer::{CapacityReport, Machines};
+use crate::transport::peer::{CapacityReport, MachineGroup};
 
 /// Maximum number of machines in one request, as defined by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: usize = 50;
@@ -42,7 +42,7 @@
         partition: &Partition,
         now: u64,
         report_ttl_ms: u64,
-    ) -> (Vec<Machines>, Vec<Machines>) {
+    ) -> (Vec<MachineGroup>, Vec<MachineGroup>) {
         let to = report.partition;
         let pending_machines = self.pending_machines(to, partition, now, report_ttl_ms);
         // The report predates requests that were made for the partition in the meantime.
@@ -52,7 +52,7 @@
         self.capacity_reports.insert(to, ReceivedReport { received_ms: now, report });
         let to_machines = |offering: InstanceOffering| {
             let instance_type = partition.cluster().instance_types.get(offering.instance_type)?.name.clone();
-            Some(Machines { instance_type, zone: offering.zone, spot: offering.spot, count: 1 })
+            Some(MachineGroup { instance_type, zone: offering.zone, spot: offering.spot, count: 1 })
         };
         let refused = self.refused_offerings.iter().filter(|(_, backoff)| now < backoff.until_ms);
         let refused = refused.filter_map(|(offering, _)| to_machines(offering.clone())).collect();
@@ -62,7 +62,7 @@
 
     /// Replaces the refused offerings by those that the provisioner of partition 0 has sent. They count as
     /// refused until `until_ms`.
-    pub fn set_refused(&mut self, refused: &[Machines], partition: &Partition, until_ms: u64) {
+    pub fn set_refused(&mut self, refused: &[MachineGroup], partition: &Partition, until_ms: u64) {
         self.refused_offerings.clear();
         for machines in refused {
             if let Some(offering) = resolve_offering(partition.cluster(), machines) {
@@ -126,7 +126,7 @@
 
     /// Removes the wanted machines from the report of a partition and returns them. They must not be
     /// requested again before the partition knows of the request.
-    fn take_wanted(&mut self, partition: u32) -> Vec<Machines> {
+    fn take_wanted(&mut self, partition: u32) -> Vec<MachineGroup> {
         let received = self.capacity_reports.get_mut(&partition);
         received.map(|received| std::mem::take(&mut received.report.wanted)).unwrap_or_default()
     }
@@ -171,7 +171,7 @@
 }
 
 /// Returns the offering of these machines; `None` if their type is not known.
-fn resolve_offering(cluster: &ClusterState, machines: &Machines) -> Option<InstanceOffering> {
+fn resolve_offering(cluster: &ClusterState, machines: &MachineGroup) -> Option<InstanceOffering> {
     let instance_type = cluster.instance_type(&machines.instance_type)?;
     Some(InstanceOffering { instance_type, zone: machines.zone.clone(), spot: machines.spot })
 }
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -5,7 +5,7 @@
 use crate::control::partition::Partition;
 use crate::model::{ClusterState, Host, HostIndex, InstanceOffering, Spec};
 use crate::scheduling::{self, Availability, CapacityPlan, ClassFlow, ExpectedWork, ScaleOut};
-use crate::transport::peer::{CapacityReport, Machines};
+use crate::transport::peer::{CapacityReport, MachineGroup};
 use std::collections::BTreeMap;
 
 /// Length of the window over which arrivals are counted, as a multiple of the longest boot time.
@@ -111,9 +111,9 @@
 }
 
 /// Converts a request for machines into an entry of a capacity report.
-fn to_machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> Machines {
+fn to_machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> MachineGroup {
     let instance_type = cluster.instance_types[offering.instance_type].name.clone();
-    Machines { instance_type, zone: offering.zone, spot: offering.spot, count }
+    MachineGroup { instance_type, zone: offering.zone, spot: offering.spot, count }
 }
 
 /// Returns the ids of the unneeded machines that other partitions may receive, and the ids of the machines
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! Tests that messages between partitions fit into a frame, whatever the number of machines.
 
 use super::*;
-use crate::transport::peer::{CapacityReport, MAX_FRAME, PeerRequest, PeerResponse};
+use crate::transport::peer::{CapacityReport, MAX_FRAME_BYTES, PeerRequest, PeerResponse};
 
 fn bytes<T: serde::Serialize>(message: &T) -> usize {
     let mut out = Vec::new();
@@ -30,7 +30,7 @@
     let (capacity_report, _) =
         simulation.provisioner.plan_partition(&mut simulation.partition, &[], simulation.now, simulation.now);
     assert!(capacity_report.spare.len() > 1000, "{} ids in the report", capacity_report.spare.len());
-    assert!(bytes(&PeerRequest::CapacityReport(capacity_report)) < MAX_FRAME);
+    assert!(bytes(&PeerRequest::CapacityReport(capacity_report)) < MAX_FRAME_BYTES);
 }
 
 // An answer that is too long is not sent either: the partition would assume that no machines are pending.
@@ -51,7 +51,7 @@
     );
     assert_eq!(pending_machines.iter().map(|machines| machines.count).sum::<usize>(), 6000);
     assert_eq!(pending_machines.len(), 2, "one entry for each offering");
-    assert!(bytes(&PeerResponse::PendingMachines { pending_machines, refused }) < MAX_FRAME);
+    assert!(bytes(&PeerResponse::PendingMachines { pending_machines, refused }) < MAX_FRAME_BYTES);
 }
 
 // The previous version counts each entry as one machine.
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// Bound on the drift between two steady clocks, as a fraction of the elapsed time.
-pub const DRIFT: f64 = 0.001;
+pub const MAX_CLOCK_DRIFT: f64 = 0.001;
 
 /// Origin of the steady clock: the first reading in this process.
 static FIRST_READING: OnceLock<std::time::Instant> = OnceLock::new();
--- a/src/runtime/task.rs
+++ b/src/runtime/task.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinHandle;
 
 /// Decides whether the tasks of a controller may run.
-pub trait Gate: Send + Sync + 'static {
+pub trait PauseGate: Send + Sync + 'static {
     /// Returns ready while the tasks may run; otherwise registers the current task to be woken when they may run
     /// again.
     fn poll_open(&self, context: &mut Context<'_>) -> Poll<()>;
@@ -16,7 +16,7 @@
 
 tokio::task_local! {
     /// Gate of the controller to which the current task belongs.
-    static GATE: Arc<dyn Gate>;
+    static GATE: Arc<dyn PauseGate>;
 }
 
 /// Starts a task, behind the gate of the current task if it has one.
@@ -26,13 +26,13 @@
     F: Future<Output: Send> + Send + 'static,
 {
     match GATE.try_with(Arc::clone) {
-        Ok(gate) => tokio::spawn(behind(gate, future)),
+        Ok(gate) => tokio::spawn(run_gated(gate, future)),
         Err(_) => tokio::spawn(future),
     }
 }
 
 /// Runs a future, and all tasks that it starts by [`spawn`], only while the gate is open.
-pub async fn behind<F: Future>(gate: Arc<dyn Gate>, future: F) -> F::Output {
+pub async fn run_gated<F: Future>(gate: Arc<dyn PauseGate>, future: F) -> F::Output {
     let mut future = pin!(future);
     let gated = poll_fn(|context| {
         ready!(gate.poll_open(context));
--- a/src/scheduling/policy.rs
+++ b/src/scheduling/policy.rs
@@ -3,7 +3,7 @@
 
 use crate::model::{Demand, Job};
 use crate::settings::bounds::{AttemptBounds, Bounds, MOST_ENTRIES_PER_S};
-use crate::settings::{Operator, Settings};
+use crate::settings::{OperatorSettings, Settings};
 use std::collections::HashMap;
 
 /// Share of starts that must meet a start objective that sets no share of its own.
@@ -90,7 +90,7 @@
 impl Policy {
     /// Returns the policy that follows from the settings of the service and of the operator. `start_ms` is
     /// the wall time of the start of the system, in milliseconds.
-    pub fn new(settings: &Settings, operator: &Operator, start_ms: u64) -> Policy {
+    pub fn new(settings: &Settings, operator: &OperatorSettings, start_ms: u64) -> Policy {
         let params = &settings.params;
         let teams = params.teams.iter().map(|team| {
             let rule = TeamRule {
--- a/src/scheduling/tests/mod.rs
+++ b/src/scheduling/tests/mod.rs
@@ -14,13 +14,13 @@
     ClusterState, Demand, Host, HostIndex, InstanceOffering, InstanceType, Job, JobIndex, Place, Reservation, Shape,
     Spec, TaskAttempt, TaskKey, TaskPhase, UNREACHABLE_AFTER_MISSES, Urgency,
 };
-use crate::settings::{Operator, tests::settings};
+use crate::settings::{OperatorSettings, tests::settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// Returns the policy of the test settings with the default operator settings.
 pub(super) fn policy() -> Policy {
-    Policy::new(&settings(), &Operator::default(), 0)
+    Policy::new(&settings(), &OperatorSettings::default(), 0)
 }
 
 /// Returns an instance type with 32 CPUs that boots in 30 s.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -11,7 +11,7 @@
 pub use errors::{ContentError, Fault, FieldError, HclError, SettingsError};
 pub(crate) use files::load;
 pub use files::{load_operator, load_settings};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use params::{CloudLimits, Limits, NextStateLimits, Objective, Params, StateLimits, Team, Workers};
 
 /// Settings of the platform.
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,7 +1,7 @@
 //! Checks of settings beyond their types. The first invalid field is reported.
 
 use super::errors::{Fault, FieldError};
-use super::{Limits, Objective, Operator, Settings, StateLimits, Team, Workers};
+use super::{Limits, Objective, OperatorSettings, Settings, StateLimits, Team, Workers};
 use std::collections::HashSet;
 
 /// Minimum number of sockets with which a controller works.
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Returns the first invalid field with the reason.
-pub fn check_operator(operator: &Operator) -> Result<(), FieldError> {
+pub fn check_operator(operator: &OperatorSettings) -> Result<(), FieldError> {
     check_positive("bin_width_s", operator.bin_width_s)?;
     check_positive("default_deadline_s", operator.default_deadline_s)?;
     check_not_negative("idle_keep", operator.idle_keep)?;
@@ -62,10 +62,10 @@
     }
     let zones = &settings.params.zones;
     if zones.is_empty() {
-        return Err(FieldError::new("params.zones", Fault::NamesNone("a zone")));
+        return Err(FieldError::new("params.zones", Fault::EmptyList("a zone")));
     }
     if !zones.contains(&settings.site) {
-        let fault = Fault::NotAmong { name: settings.site.clone(), list: "params.zones" };
+        let fault = Fault::NotInList { name: settings.site.clone(), list: "params.zones" };
         return Err(FieldError::new("site", fault));
     }
     Ok(())
@@ -73,7 +73,7 @@
 
 fn check_teams(teams: &[Team]) -> Result<(), FieldError> {
     if teams.is_empty() {
-        return Err(FieldError::new("params.teams", Fault::NamesNone("a team")));
+        return Err(FieldError::new("params.teams", Fault::EmptyList("a team")));
     }
     let mut names = HashSet::new();
     for team in teams {
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -108,10 +108,10 @@
     Duplicate(String),
     /// A list is empty that must contain at least one entry of this kind, such as `a zone`.
     #[error("must name {0}")]
-    NamesNone(&'static str),
+    EmptyList(&'static str),
     /// A name is not in the list that must contain it.
     #[error("{name} is not among {list}")]
-    NotAmong {
+    NotInList {
         /// Name that was found.
         name: String,
         /// Path of the list, such as `params.zones`.
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -3,7 +3,7 @@
 use super::checks::{check_operator, check_settings};
 use super::errors::{ContentError, SettingsError};
 use super::hcl_text;
-use super::{Operator, Settings};
+use super::{OperatorSettings, Settings};
 use std::ops::Range;
 use std::path::Path;
 
@@ -28,9 +28,9 @@
 /// # Errors
 ///
 /// Returns an error if the file cannot be read, is not valid HCL, or has an invalid field.
-pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
+pub fn load_operator(path: &Path) -> Result<OperatorSettings, SettingsError> {
     load(path, |text| {
-        let operator: Operator = hcl_text::parse(text, &[])?;
+        let operator: OperatorSettings = hcl_text::parse(text, &[])?;
         check_operator(&operator)?;
         Ok(operator)
     })
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -5,7 +5,7 @@
 /// Settings of the operators; absent fields have defaults.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Width, in seconds, of the bins into which soft deadlines are grouped.
     pub bin_width_s: f64,
     /// Soft deadline, in seconds, of a job that has neither `due_s` nor an objective.
@@ -19,8 +19,8 @@
     pub partitions: u32,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator { bin_width_s: 5.0, default_deadline_s: 600.0, idle_keep: 1.5, headroom: 1.0, partitions: 1 }
+        OperatorSettings { bin_width_s: 5.0, default_deadline_s: 600.0, idle_keep: 1.5, headroom: 1.0, partitions: 1 }
     }
 }
--- a/src/settings/params.rs
+++ b/src/settings/params.rs
@@ -94,7 +94,7 @@
 
 impl StateLimits {
     /// Returns the smaller of the present and the later limit, in requests per second.
-    pub fn least_rps(&self) -> f64 {
+    pub fn min_rps(&self) -> f64 {
         self.next.and_then(|next| next.rps).map_or(self.rps, |next| next.min(self.rps))
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -100,16 +100,16 @@
 
 #[test]
 fn unknown_and_invalid_operator_settings_are_refused() {
-    let operator: Operator = hcl::from_str("bin_width_s = 2").unwrap();
+    let operator: OperatorSettings = hcl::from_str("bin_width_s = 2").unwrap();
     assert_eq!(operator.bin_width_s, 2.0);
-    assert!(hcl::from_str::<Operator>("bin_widht_s = 2").is_err());
-    assert!(check_operator(&Operator { headroom: -1.0, ..Operator::default() }).is_err());
+    assert!(hcl::from_str::<OperatorSettings>("bin_widht_s = 2").is_err());
+    assert!(check_operator(&OperatorSettings { headroom: -1.0, ..OperatorSettings::default() }).is_err());
 }
 
 #[test]
 fn the_number_of_partitions_is_also_read_under_its_earlier_name() {
     for name in ["partitions", "parts"] {
-        let operator: Operator = hcl::from_str(&format!("{name} = 3\n")).unwrap();
+        let operator: OperatorSettings = hcl::from_str(&format!("{name} = 3\n")).unwrap();
         assert_eq!(operator.partitions, 3, "{name}");
     }
 }
--- a/src/transport/frame_format.rs
+++ b/src/transport/frame_format.rs
@@ -14,7 +14,7 @@
 
 impl FrameFormat {
     /// Format of the version whose frames carry no format field.
-    pub const UNNAMED: FrameFormat = FrameFormat(0);
+    pub const UNVERSIONED: FrameFormat = FrameFormat(0);
     /// Format that this version sends: includes dependencies between jobs.
     pub const CURRENT: FrameFormat = FrameFormat(1);
 
@@ -42,7 +42,7 @@
     }
 
     /// Records that a frame in `format` was received from the peer.
-    pub fn received(&self, format: FrameFormat) {
+    pub fn record_frame(&self, format: FrameFormat) {
         if self.format.swap(format.0, Ordering::Relaxed) != format.0 {
             tracing::info!(
                 peer = %self.peer,
@@ -59,7 +59,7 @@
     }
 
     /// Returns whether the peer is known to run an earlier version; `false` if its format is unknown.
-    pub fn is_old(&self) -> bool {
+    pub fn is_earlier_version(&self) -> bool {
         self.get().is_some_and(|format| !format.is_current())
     }
 
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -30,12 +30,12 @@
 impl Default for Client {
     /// Creates a client for a few servers that receive requests continuously.
     fn default() -> Client {
-        Client::with_idle(SMALL_IDLE_POOL)
+        Client::with_idle(DEFAULT_MAX_IDLE_CONNECTIONS)
     }
 }
 
-/// Maximum number of idle connections of a client of a few servers.
-pub const SMALL_IDLE_POOL: usize = 16;
+/// Default maximum number of idle connections, for a client of a few servers.
+pub const DEFAULT_MAX_IDLE_CONNECTIONS: usize = 16;
 
 impl Client {
     /// Creates a client that keeps at most `max_idle` idle connections, over TCP.
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,6 +1,6 @@
 //! Framing of HTTP messages, shared by the server and the client.
 
-use super::message::MAX_BODY;
+use super::message::MAX_BODY_BYTES;
 use crate::transport::network::Stream;
 use std::future::poll_fn;
 use std::io;
@@ -123,7 +123,7 @@
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(buf) {
         Ok(httparse::Status::Complete(head_len)) => {
-            let framing = parse_framing(head_len, request.headers, MAX_BODY)?;
+            let framing = parse_framing(head_len, request.headers, MAX_BODY_BYTES)?;
             let method = request.method.unwrap_or("").to_string();
             let path = request.path.unwrap_or("").to_string();
             Ok(Some((RequestLine { method, path }, framing)))
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -3,7 +3,7 @@
 use crate::api::refusal::RefusalReason;
 
 /// Maximum size, in bytes, of the body of a request.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 pub(super) const BODY_TOO_LARGE: &str = "body: must be at most 64 KiB";
 
 /// Completely received request.
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -7,8 +7,8 @@
 mod pool;
 mod server;
 
-pub use client::{CallError, Client, SMALL_IDLE_POOL};
-pub use message::{MAX_BODY, Request, Response};
+pub use client::{CallError, Client, DEFAULT_MAX_IDLE_CONNECTIONS};
+pub use message::{MAX_BODY_BYTES, Request, Response};
 pub use server::serve;
 
 #[cfg(test)]
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,7 +1,7 @@
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
 
 use super::framing::MAX_HEAD_BYTES;
-use super::{CallError, Client, MAX_BODY, Request, Response, serve};
+use super::{CallError, Client, MAX_BODY_BYTES, Request, Response, serve};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,7 +33,7 @@
 async fn requests_of_all_sizes_are_answered_on_one_reused_connection() {
     let addr = start_server(1000).await;
     let client = Client::default();
-    for length in [0, 5, MAX_BODY] {
+    for length in [0, 5, MAX_BODY_BYTES] {
         let body = vec![b'x'; length];
         let (status, reply) = client.call(addr, "POST", "/p", Some(&body), Duration::from_secs(2)).await.unwrap();
         assert_eq!((status, reply), (200, format!("[\"POST\",\"/p\",{length}]").into_bytes()));
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -8,8 +8,8 @@
 mod server;
 
 pub use client::{Peer, PeerTimeouts};
-pub(crate) use frames::MAX_FRAME;
-pub use messages::{CapacityReport, Machines, PeerRequest, PeerResponse, UserCall};
+pub(crate) use frames::MAX_FRAME_BYTES;
+pub use messages::{CapacityReport, MachineGroup, PeerRequest, PeerResponse, UserCall};
 pub use server::serve;
 
 #[cfg(test)]
--- a/src/transport/peer/client.rs
+++ b/src/transport/peer/client.rs
@@ -116,7 +116,7 @@
                 let _ = self.tx.try_send(ConnectionMessage::RequestCancelled);
             }
         }
-        self.health.unanswered(sent_ms);
+        self.health.record_unanswered(sent_ms);
         None
     }
 }
--- a/src/transport/peer/connections.rs
+++ b/src/transport/peer/connections.rs
@@ -111,8 +111,8 @@
 
     /// Passes a response to the sender of its request.
     fn handle_response(&mut self, connection: u64, frame: Frame<PeerResponse>) {
-        self.health.received();
-        self.format.received(frame.format);
+        self.health.record_received();
+        self.format.record_frame(frame.format);
         let Some(connection) = self.connections.iter_mut().find(|open| open.number == connection) else { return };
         connection.responses += 1;
         if let Some(pending) = self.pending_requests.remove(&frame.number) {
--- a/src/transport/peer/frames.rs
+++ b/src/transport/peer/frames.rs
@@ -1,7 +1,7 @@
 //! Frames between controllers: a length prefix of four bytes and a numbered message in CBOR.
 
 use crate::transport::frame_format::FrameFormat;
-use crate::transport::http::MAX_BODY;
+use crate::transport::http::MAX_BODY_BYTES;
 use crate::transport::network::{ReadHalf, WriteHalf};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 
 /// Maximum length, in bytes, of the body of a frame: a user's request with its enclosing message. Senders
 /// of messages that list machines keep them shorter.
-pub(crate) const MAX_FRAME: usize = 2 * MAX_BODY;
+pub(crate) const MAX_FRAME_BYTES: usize = 2 * MAX_BODY_BYTES;
 
 /// Length, in bytes, of the length prefix of a frame.
 const LENGTH_PREFIX_BYTES: usize = 4;
@@ -53,13 +53,13 @@
 }
 
 /// Encodes a numbered message as a frame with its length prefix; `None` if the message cannot be encoded or is
-/// longer than [`MAX_FRAME`].
+/// longer than [`MAX_FRAME_BYTES`].
 pub(super) fn encode<T: Serialize>(number: u64, message: T) -> Option<Vec<u8>> {
     let mut bytes = vec![0; LENGTH_PREFIX_BYTES];
     ciborium::into_writer(&WireFrame { number, message, format: FrameFormat::CURRENT }, &mut bytes).ok()?;
     let len = bytes.len() - LENGTH_PREFIX_BYTES;
-    if len > MAX_FRAME {
-        tracing::error!(bytes = len, most = MAX_FRAME, "message exceeds the maximum frame length, not sent");
+    if len > MAX_FRAME_BYTES {
+        tracing::error!(bytes = len, most = MAX_FRAME_BYTES, "message exceeds the maximum frame length, not sent");
         return None;
     }
     bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
@@ -71,7 +71,7 @@
     let mut len = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut len).await.ok()?;
     let len = u32::from_be_bytes(len) as usize;
-    if len > MAX_FRAME {
+    if len > MAX_FRAME_BYTES {
         return None;
     }
     let mut body = vec![0; len];
--- a/src/transport/peer/frames/tests.rs
+++ b/src/transport/peer/frames/tests.rs
@@ -7,7 +7,7 @@
 
 #[tokio::test]
 async fn combined_frames_are_read_one_by_one() {
-    let (near, far) = duplex(MAX_FRAME);
+    let (near, far) = duplex(MAX_FRAME_BYTES);
     let (tx, rx) = mpsc::channel(8);
     let long = "x".repeat(3 * READ_BUFFER_BYTES);
     for (number, text) in [(1, "a"), (2, long.as_str()), (3, "c")] {
@@ -25,7 +25,7 @@
 
 #[tokio::test]
 async fn a_frame_that_arrives_in_parts_is_read_once_complete() {
-    let (mut near, far) = duplex(MAX_FRAME);
+    let (mut near, far) = duplex(MAX_FRAME_BYTES);
     let mut read = frame_reader(Box::new(far));
     let bytes = encode(7, "text".to_string()).unwrap();
     let (first, rest) = bytes.split_at(6);
--- a/src/transport/peer/messages.rs
+++ b/src/transport/peer/messages.rs
@@ -74,9 +74,9 @@
     Cancel(String),
 }
 
-/// Number of machines of one instance type in one zone.
+/// Group of machines of one instance type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineGroup {
     /// Name of the instance type.
     #[serde(rename = "flavor")]
     pub instance_type: String,
@@ -98,7 +98,7 @@
     /// Number of pending machines that the partition expects to receive.
     pub assumed: usize,
     /// Machines that the partition needs in addition.
-    pub wanted: Vec<Machines>,
+    pub wanted: Vec<MachineGroup>,
     /// Ids of free machines that the partition does not need.
     pub spare: Vec<String>,
 }
@@ -115,9 +115,9 @@
     /// Response to a capacity report: pending and refused machines.
     PendingMachines {
         /// Machines that the partition is about to receive.
-        pending_machines: Vec<Machines>,
+        pending_machines: Vec<MachineGroup>,
         /// Machines that the cloud refused to launch.
-        refused: Vec<Machines>,
+        refused: Vec<MachineGroup>,
     },
     /// Response to a request about warm pools.
     Pools(WarmPoolsResponse),
--- a/src/transport/peer_health.rs
+++ b/src/transport/peer_health.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records at `now_ms` that a response or a request was received from the peer.
-    pub fn received(&mut self, now_ms: u64) -> HealthChange {
+    pub fn record_received(&mut self, now_ms: u64) -> HealthChange {
         self.unanswered = 0;
         self.last_received_ms = Some(now_ms);
         match self.last_probe_ms.take() {
@@ -69,7 +69,7 @@
 
     /// Records at `now_ms` that a request sent at `sent_ms` was abandoned without a response. It is not
     /// counted if a message was received from the peer since it was sent.
-    pub fn unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
+    pub fn record_unanswered(&mut self, sent_ms: u64, now_ms: u64) -> HealthChange {
         if self.last_received_ms.is_some_and(|received_ms| received_ms >= sent_ms) {
             return HealthChange::Unchanged;
         }
@@ -115,15 +115,15 @@
     }
 
     /// Records that a response or a request was received from the peer now; see
-    /// [`PeerHealth::received`].
-    pub fn received(&self) {
-        let change = self.lock().received(clock::now_ms());
+    /// [`PeerHealth::record_received`].
+    pub fn record_received(&self) {
+        let change = self.lock().record_received(clock::now_ms());
         self.log(change);
     }
 
-    /// Records that a request sent at `sent_ms` is abandoned now; see [`PeerHealth::unanswered`].
-    pub fn unanswered(&self, sent_ms: u64) {
-        let change = self.lock().unanswered(sent_ms, clock::now_ms());
+    /// Records that a request sent at `sent_ms` is abandoned now; see [`PeerHealth::record_unanswered`].
+    pub fn record_unanswered(&self, sent_ms: u64) {
+        let change = self.lock().record_unanswered(sent_ms, clock::now_ms());
         self.log(change);
     }
 
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -7,7 +7,7 @@
 use badgerdrift::control::node;
 use badgerdrift::control::node::Subsystems;
 use badgerdrift::runtime::{clock, task};
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift::transport::http::{self, Request, Response};
 use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts};
 use badgerdrift_fleet_config::{
@@ -56,7 +56,7 @@
 impl KnownHistory {
     fn new() -> KnownHistory {
         let names: Vec<String> = (0..REGIONS).map(region_name).collect();
-        let documents = settings_documents(&settings(0, 0), &Operator::default(), &names);
+        let documents = settings_documents(&settings(0, 0), &OperatorSettings::default(), &names);
         KnownHistory { logs: vec![Vec::new(); REGIONS], states: vec![ConfigState::initial(names, documents)] }
     }
 
@@ -188,8 +188,8 @@
         self.pauses[region][controller] = Arc::default();
         let fleet = self.shared.then(|| fleet_settings(region));
         let subsystems = Subsystems { fleet, ..Subsystems::default() };
-        let controller_task = node::run_on(net, settings(region, controller), Operator::default(), subsystems);
-        tokio::spawn(task::behind(self.pauses[region][controller].clone(), controller_task));
+        let controller_task = node::run_on(net, settings(region, controller), OperatorSettings::default(), subsystems);
+        tokio::spawn(task::run_gated(self.pauses[region][controller].clone(), controller_task));
     }
 
     pub fn kill(&mut self, region: usize, controller: usize) {
--- a/tests/outputs/regions.rs
+++ b/tests/outputs/regions.rs
@@ -1,7 +1,7 @@
 //! Two regions with one controller each and a state service each, on a network in memory.
 
 use badgerdrift::control::node::{self, Subsystems};
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift::transport::http::{self, Client, Request, Response};
 use badgerdrift::transport::peer::{Peer, PeerRequest, PeerTimeouts};
 use badgerdrift_stand_ins::net::SimulatedNetwork;
@@ -80,7 +80,7 @@
     let fleet = Some(serde_json::from_value(json!({"region": name, "regions": regions})).unwrap());
     let subsystems = Subsystems { fleet, ..Subsystems::default() };
     let (net, life) = network.process(address(region, 81).ip());
-    tokio::spawn(node::run_on(net, settings(region), Operator::default(), subsystems));
+    tokio::spawn(node::run_on(net, settings(region), OperatorSettings::default(), subsystems));
     life
 }
 
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -7,7 +7,7 @@
 mod stand_ins;
 
 use badgerdrift::control::node;
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift::transport::http::Client;
 use serde_json::{Value, json};
 use stand_ins::{LEASE, REPORT, Shared};
@@ -81,7 +81,7 @@
         let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         rt.block_on(async {
             tokio::select! {
-                r = node::run(s, Operator { partitions, idle_keep: 60.0, ..Operator::default() }, Default::default()) => r.unwrap(),
+                r = node::run(s, OperatorSettings { partitions, idle_keep: 60.0, ..OperatorSettings::default() }, Default::default()) => r.unwrap(),
                 _ = dead => {}
             }
         });
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -230,12 +230,12 @@
 /// Starts the state service and the cloud; returns their addresses.
 pub async fn start(nodes: Vec<SocketAddr>) -> (Shared, SocketAddr, SocketAddr) {
     let w: Shared = Arc::default();
-    let patience = Duration::from_secs(5);
+    let request_timeout = Duration::from_secs(5);
     let (l, state_addr) = listen().await;
     let w2 = w.clone();
-    tokio::spawn(http::serve(l, 500, patience, move |req| state(w2.clone(), req)));
+    tokio::spawn(http::serve(l, 500, request_timeout, move |req| state(w2.clone(), req)));
     let (l, cloud_addr) = listen().await;
     let w2 = w.clone();
-    tokio::spawn(http::serve(l, 500, patience, move |req| cloud(w2.clone(), nodes.clone(), req)));
+    tokio::spawn(http::serve(l, 500, request_timeout, move |req| cloud(w2.clone(), nodes.clone(), req)));
     (w, state_addr, cloud_addr)
 }
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -6,7 +6,7 @@
 use badgerdrift::clients::StateStore;
 use badgerdrift::configuration::{self, ConfigurationHandle, FleetSettings};
 use badgerdrift::runtime::metrics::SharedMetrics;
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift::transport::http;
 use badgerdrift::transport::network::Net;
 use badgerdrift::transport::peer::{self, PeerRequest, PeerResponse};
@@ -147,7 +147,7 @@
     let settings: Settings = toml::from_str(&SETTINGS.replace("STATE_SERVICE", &state_address)).unwrap();
     let net = fabric.process(controller_host(network)).0;
     let state = StateStore::on(&net, &settings);
-    let (operator, fleet) = (Operator::default(), fleet_settings(region));
+    let (operator, fleet) = (OperatorSettings::default(), fleet_settings(region));
     let handle = configuration::start(&net, &settings, &operator, fleet, state, &[], SharedMetrics::default());
     serve_peers(net, network, handle.clone());
     handle
--- a/tests/versions/frames.rs
+++ b/tests/versions/frames.rs
@@ -4,7 +4,7 @@
 use badgerdrift::model::FencingToken;
 use badgerdrift::transport::frame_format::FrameFormat;
 use badgerdrift::transport::peer::{
-    CapacityReport, Machines, Peer, PeerRequest, PeerResponse, PeerTimeouts, UserCall, serve,
+    CapacityReport, MachineGroup, Peer, PeerRequest, PeerResponse, PeerTimeouts, UserCall, serve,
 };
 use badgerdrift_stand_ins::production_format as production;
 use serde::de::DeserializeOwned;
@@ -25,8 +25,8 @@
     text.lines().map(|line| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(byte).collect()).collect()
 }
 
-fn machines(spot: bool, count: usize) -> Machines {
-    Machines { instance_type: "g8".into(), zone: "a".into(), spot, count }
+fn machines(spot: bool, count: usize) -> MachineGroup {
+    MachineGroup { instance_type: "g8".into(), zone: "a".into(), spot, count }
 }
 
 /// The requests that were recorded.
@@ -143,7 +143,7 @@
     let (mut stream, mut asked) = serving(vec![PeerResponse::Accepted; requests().len()]).await;
     for (frame, request) in recorded(include_str!("../data/production/requests.hex")).iter().zip(requests()) {
         stream.write_all(frame).await.unwrap();
-        assert_eq!(asked.recv().await.unwrap(), (request, FrameFormat::UNNAMED));
+        assert_eq!(asked.recv().await.unwrap(), (request, FrameFormat::UNVERSIONED));
         let answer = decoded::<production::PeerResponse>(&next_frame(&mut stream).await);
         assert_eq!(answer.body, production::PeerResponse::Promised);
     }
@@ -155,14 +155,14 @@
     let answers = frames.iter().zip(1..).map(|(frame, number)| renumbered(frame, number)).collect();
     let (peer, received) = asking(answers).await;
     assert_eq!(received, responses().into_iter().map(Some).collect::<Vec<_>>());
-    assert!(peer.format.is_old() && !peer.format.is_current());
+    assert!(peer.format.is_earlier_version() && !peer.format.is_current());
 }
 
 #[tokio::test]
 async fn the_version_in_production_reads_the_requests_of_this_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = Peer::start("worker-1".into(), listener.local_addr().unwrap(), PeerTimeouts::for_leader_lease(4000));
-    assert!(!peer.format.is_old(), "a peer that is silent is not known to be old");
+    assert!(!peer.format.is_earlier_version(), "a peer that is silent is not known to be old");
     let asked = peer.clone();
     tokio::spawn(async move {
         for request in requests() {
