--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -35,7 +35,7 @@
     pub leader_lease_ttl_ms: u64,
     /// Duration of the leases of workers in milliseconds.
     pub lease_ms: u64,
-    /// Client of the state store.
+    /// Client of the state service.
     pub state: StateStore,
     /// Clients of the other controllers.
     pub peers: Vec<Peer>,
@@ -83,7 +83,7 @@
     }
 
     /// Starts the tasks that read and watch the partition's record. The actor gives pledges without
-    /// waiting for them: during an outage of the state store the first read takes as long as the
+    /// waiting for them: during an outage of the state service the first read takes as long as the
     /// outage.
     fn start_reads(&self, own_messages: &mpsc::Sender<ElectionMessage>) {
         task::spawn(read_previous_leader(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
@@ -222,7 +222,7 @@
         }
         let store_responsive = self.state.is_responsive(self.leader_lease_ttl_ms);
         let given = election.pledge(now_ms, &request, store_responsive);
-        // During an outage of the state store, these requests are the only source for who leads the
+        // During an outage of the state service, these requests are the only source for who leads the
         // partition.
         if given && !store_responsive {
             let PledgeRequest { leader, fencing_token, .. } = request;
@@ -306,7 +306,7 @@
     }
 
     /// Ends the leadership of this node. The local lease is invalidated before the partition's actor
-    /// is notified, and the lease in the state store is revoked, so that another node may lead at
+    /// is notified, and the lease in the state service is revoked, so that another node may lead at
     /// once. `reason` is a label of the metrics.
     async fn step_down(&self, election: &mut Election, reason: &str) {
         tracing::warn!(partition = self.partition, reason, "leadership lost");
--- a/src/control/membership/campaign.rs
+++ b/src/control/membership/campaign.rs
@@ -1,4 +1,4 @@
-//! Requests to the state store that acquire the leadership of a partition, or raise the fencing
+//! Requests to the state service that acquire the leadership of a partition, or raise the fencing
 //! token of a leader.
 
 use super::messages::{AcquiredLeadership, EarlierPledges, ElectionMessage};
@@ -72,7 +72,7 @@
     Commit(CommitOutcome),
 }
 
-/// Counter of fencing tokens as read from the state store, with the version of its key.
+/// Counter of fencing tokens as read from the state service, with the version of its key.
 struct TokenCounter {
     record: FencingTokenRecord,
     version: u64,
--- a/src/control/membership/election.rs
+++ b/src/control/membership/election.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns whether this node may campaign now. It may not while a pledge binds it: during an
-    /// outage of the state store, the leader relies on the pledges alone.
+    /// outage of the state service, the leader relies on the pledges alone.
     pub fn may_campaign(&self, now_ms: u64) -> bool {
         matches!(self.role, Role::Follower)
             && self.startup_read_done
@@ -102,7 +102,7 @@
     /// Handles a request for a pledge; returns whether the pledge is given.
     ///
     /// The pledge is refused while this node campaigns or leads, if it knows a later leader, or if
-    /// only the requester has lost the state store. `store_responsive` is whether the state store
+    /// only the requester has lost the state service. `store_responsive` is whether the state service
     /// answers this node. A pledge binds this node for longer than the requester relies on it, by
     /// the drift of both clocks.
     pub fn pledge(&mut self, now_ms: u64, request: &PledgeRequest, store_responsive: bool) -> bool {
@@ -166,7 +166,7 @@
 
     /// Returns whether this node leads but is superseded by a node that requests a pledge for
     /// `other_token`: that token is higher, and the lease here is no longer valid. The other node
-    /// then leads the partition. This is true even while the state store is unavailable.
+    /// then leads the partition. This is true even while the state service is unavailable.
     pub(super) fn is_superseded_by(&self, now_ms: u64, other_token: FencingToken) -> bool {
         self.leader().is_some_and(|leader| leader.fencing_token < other_token && now_ms >= leader.lease_valid_until())
     }
--- a/src/control/membership/leader_state.rs
+++ b/src/control/membership/leader_state.rs
@@ -28,7 +28,7 @@
 /// The state of a leader. Times are milliseconds of the steady clock.
 ///
 /// The duration of the lease counts from the *sending* of its creation or last renewal, and is
-/// shortened by clock drift. The state store counts from a later instant, so the lease cannot expire
+/// shortened by clock drift. The state service counts from a later instant, so the lease cannot expire
 /// there while it is still valid here. The duration of a pledge likewise counts from the sending of
 /// its request.
 #[derive(Debug)]
@@ -36,14 +36,14 @@
     pub(super) lease_id: u64,
     pub(super) fencing_token: FencingToken,
     leader_lease_ttl_ms: u64,
-    /// Instant before which the lease in the state store cannot expire.
+    /// Instant before which the lease in the state service cannot expire.
     store_lease_until_ms: u64,
     /// Instant until which each peer is pledged, by index of the peer.
     pledged_until_ms: Vec<u64>,
     /// Last known instant at which a peer may have been without a pledge.
     last_gap_ms: u64,
     /// Whether neither the lease nor the pledges were valid at some time. Another node may have led
-    /// the partition since and ended; only the state store can show whether it has.
+    /// the partition since and ended; only the state service can show whether it has.
     lapsed: bool,
 }
 
@@ -67,8 +67,8 @@
     }
 
     /// Returns the instant until which this node may act: while the lease cannot expire in the state
-    /// store, or while all peers are pledged. The leader thus continues during an outage of the
-    /// state store, because the pledges prove that no other node leads. Pledges do not count once
+    /// service, or while all peers are pledged. The leader thus continues during an outage of the
+    /// state service, because the pledges prove that no other node leads. Pledges do not count once
     /// both have lapsed.
     pub(super) fn lease_valid_until(&self) -> u64 {
         if self.lapsed {
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -32,7 +32,7 @@
     pub fencing_token: FencingToken,
     /// Duration of the pledge in milliseconds.
     pub for_ms: u64,
-    /// Whether the state store has recently answered the requesting node.
+    /// Whether the state service has recently answered the requesting node.
     pub store_responsive: bool,
 }
 
@@ -70,7 +70,7 @@
     YieldLeadership,
     /// The records of the previous leader have been read after the start.
     StartupRead(EarlierPledges),
-    /// The partition's record was read from the state store; `None` if no node leads the partition.
+    /// The partition's record was read from the state service; `None` if no node leads the partition.
     RecordObserved(Option<PartitionRecord>),
     /// A request to renew the lease has ended.
     LeaseRenewalEnded {
@@ -99,7 +99,7 @@
     },
 }
 
-/// Leadership of a partition that was acquired by a commit to the state store.
+/// Leadership of a partition that was acquired by a commit to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcquiredLeadership {
     /// Id of the lease that the partition's key is attached to.
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Leader election of a partition: leases in the state store, fencing tokens, pledges between
+//! Leader election of a partition: leases in the state service, fencing tokens, pledges between
 //! controllers, and failover. Each partition has its own election actor.
 //!
 //! The leader of a partition has written the key `part/N`, which is attached to a lease. It may
--- a/src/control/membership/partition_watch.rs
+++ b/src/control/membership/partition_watch.rs
@@ -1,4 +1,4 @@
-//! Watches a partition's key in the state store.
+//! Watches a partition's key in the state service.
 //!
 //! Both tasks run until the election actor has ended, and thus as long as the node.
 
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 
 /// Reports the partition's record to the election actor whenever it changes. Also starts periodic
-/// reads of the key, which show whether the state store is responsive.
+/// reads of the key, which show whether the state service is responsive.
 pub(super) async fn watch_partition(
     state: StateStore,
     partition: u32,
--- a/src/control/membership/records.rs
+++ b/src/control/membership/records.rs
@@ -1,4 +1,4 @@
-//! Records of partitions and fencing tokens in the state store: keys and values.
+//! Records of partitions and fencing tokens in the state service: keys and values.
 //!
 //! Key and field names are fixed, because controllers of an earlier version read and write the
 //! same records.
--- a/src/control/membership/tests.rs
+++ b/src/control/membership/tests.rs
@@ -111,9 +111,9 @@
     let mut election = Election::new("b", LEASE_TTL_MS, 2, 0);
     assert!(
         !election.pledge(1000, &pledge_request("a", 7, false), true),
-        "only the requester has lost the state store"
+        "only the requester has lost the state service"
     );
-    assert!(election.pledge(1000, &pledge_request("a", 7, false), false), "the state store is down for both");
+    assert!(election.pledge(1000, &pledge_request("a", 7, false), false), "the state service is down for both");
     assert!(!election_led_by_a(2).pledge(1000, &pledge_request("a", 7, true), true), "a leader gives no pledge");
 }
 
@@ -149,7 +149,7 @@
 }
 
 // Guards against answers from outdated state. A leader was partitioned off; its successor reported a
-// job as done and failed during an outage of the state store. The other controllers then gave
+// job as done and failed during an outage of the state service. The other controllers then gave
 // pledges to the first leader again.
 #[test]
 fn pledges_do_not_restore_a_lapsed_leader_lease() {
@@ -187,7 +187,7 @@
 }
 
 // Controllers of an earlier version read and write the same records, so keys and field names in the
-// state store must not follow a rename in the code.
+// state service must not follow a rename in the code.
 #[test]
 fn stored_records_keep_their_key_and_field_names() {
     let partition = PartitionRecord { leader: "a".into(), fencing_token: FencingToken(7), lease_id: 1 };
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -106,7 +106,7 @@
 }
 
 impl Node {
-    /// Creates the clients of the state store and the cloud, and starts those of the other controllers.
+    /// Creates the clients of the state service and the cloud, and starts those of the other controllers.
     fn new(net: Net, settings: Settings, operator: OperatorSettings) -> Node {
         let timeouts = PeerTimeouts::for_leader_lease(settings.leader_lease_ttl_ms());
         let start = |seed: &Seed| Peer::start_on(net.clone(), seed.node.clone(), seed.endpoint, timeouts);
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -213,12 +213,8 @@
                 continue;
             }
             machine.carry_out(&command.orders, now, 60_000);
-            let heartbeat = machine.heartbeat(&command.id, now);
-            self.partition.apply_direct_command_outcome(
-                &command,
-                DirectCommandOutcome::Answered(Box::new(heartbeat)),
-                now,
-            );
+            let outcome = DirectCommandOutcome::Answered(Box::new(machine.heartbeat(&command.id, now)));
+            self.partition.apply_direct_command_outcome(&command, outcome, now);
         }
         if now >= self.next_commit
             && let Some(commit) = self.partition.next_commit(now, 32)
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -31,7 +31,7 @@
     }
 }
 
-// A paused leader resumes after a failover. Workers refuse its token, and the store refuses its writes.
+// A paused leader resumes after a failover. Workers refuse its token, and the state service refuses its writes.
 #[test]
 fn a_superseded_leader_orders_nothing() {
     let mut harness = Harness::new(3);
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -12,7 +12,7 @@
 impl PartitionLeader {
     /// Commits the changed records, or first raises the fencing token if that is needed.
     ///
-    /// The rate of writes to the state store is limited. At most one commit is under way, with as
+    /// The rate of writes to the state service is limited. At most one commit is under way, with as
     /// many writes as the budget allows, and the partition puts the urgent ones first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
         let TokenRaise::Idle { not_before_ms } = leadership.token_raise else { return };
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Applies the lower write rate from the announced limits, after the state store has refused the
+    /// Applies the lower write rate from the announced limits, after the state service has refused the
     /// present rate.
     fn apply_lower_write_rate(&self, leadership: &mut Leadership, now: u64) {
         leadership.partition.metrics_mut().count("limits_met", "write_rate");
@@ -88,7 +88,7 @@
         if leadership.partition.policy().writes_per_s > limits.lower_changes_per_s {
             tracing::info!(
                 per_s = limits.lower_changes_per_s,
-                "state store refused the write rate, lower rate applied"
+                "state service refused the write rate, lower rate applied"
             );
             leadership.partition.policy_mut().writes_per_s = limits.lower_changes_per_s;
             leadership.write_budget = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -35,7 +35,7 @@
     pub pools: Option<Arc<PoolSettings>>,
     /// Settings of the loans between teams; `None` without borrowing.
     pub borrowing: Option<Arc<BorrowingSettings>>,
-    /// Client of the state store.
+    /// Client of the state service.
     pub state: StateStore,
     /// Client of the cloud.
     pub cloud: Cloud,
--- a/src/control/partition_leader/leadership.rs
+++ b/src/control/partition_leader/leadership.rs
@@ -24,7 +24,7 @@
     pub(super) key_version: u64,
     /// Whether the partition's records have been read and leadership has not been found lost since.
     pub(super) loaded: bool,
-    /// Limit of the rate of writes to the state store.
+    /// Limit of the rate of writes to the state service.
     pub(super) write_budget: TokenBucket,
     /// Earliest instant of the next commit after a failed one.
     pub(super) next_commit_ms: u64,
@@ -123,7 +123,7 @@
     pub(super) version: Option<u64>,
     /// Whether the version was applied while the region may start no tasks.
     pub(super) suspended: bool,
-    /// Record of the applied version that was last written to the state store.
+    /// Record of the applied version that was last written to the state service.
     pub(super) recorded: AppliedConfiguration,
     /// Whether a write of that record is under way.
     pub(super) recording: bool,
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -1,4 +1,4 @@
-//! Reads of the partition's records from the state store.
+//! Reads of the partition's records from the state service.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -70,7 +70,7 @@
         /// Kinds of machines that the cloud refuses to provide at present.
         refused: Vec<MachineGroup>,
     },
-    /// The record of a machine has been read from the state store.
+    /// The record of a machine has been read from the state service.
     HostRecordRead {
         /// Id of the machine.
         host: String,
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -1,4 +1,4 @@
-//! Records that a leader reads from the state store, and the storage of machine types.
+//! Records that a leader reads from the state service, and the storage of machine types.
 
 use super::leadership::KnownExternalDependencies;
 use crate::clients::StateStore;
--- a/src/control/router/answers.rs
+++ b/src/control/router/answers.rs
@@ -92,7 +92,7 @@
         if queued && given.await == Ok(true) { PeerResponse::Accepted } else { PeerResponse::Rejected }
     }
 
-    /// Answers a request about warm pools: bills from their records in the state store, the status from
+    /// Answers a request about warm pools: bills from their records in the state service, the status from
     /// the leader, on this node or another.
     async fn pools(&self, request: WarmPoolsRequest) -> WarmPoolsResponse {
         let Some(state) = &self.bill_store else { return WarmPoolsResponse::NoPools };
--- a/src/model/fencing_token.rs
+++ b/src/model/fencing_token.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Identifies one leadership of one partition. Tokens come from a single counter in the state
-/// store and increase strictly.
+/// service and increase strictly.
 ///
 /// A worker refuses every command with a token lower than the highest that it has seen. A command of a
 /// former leader therefore cannot take effect after a command of its successor.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -50,7 +50,7 @@
 pub struct Endpoints {
     /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// Address of the state store.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -3,7 +3,7 @@
 use super::{Settings, Team};
 use std::collections::HashMap;
 
-/// Duration, in milliseconds, for which a controller may be blocked by its other work or by the state store
+/// Duration, in milliseconds, for which a controller may be blocked by its other work or by the state service
 /// without losing its leader lease.
 const MAX_STALL_MS: u64 = 2500;
 
--- a/src/settings/params.rs
+++ b/src/settings/params.rs
@@ -17,7 +17,7 @@
     pub objectives: Vec<Objective>,
     /// Periods and timeouts of the workers.
     pub workers: Workers,
-    /// Limits of the state store.
+    /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
@@ -76,7 +76,7 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the state store.
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
     /// Maximum number of requests per second, of all controllers together.
@@ -99,7 +99,7 @@
     }
 }
 
-/// Later limits of the state store; an absent limit does not change.
+/// Later limits of the state service; an absent limit does not change.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct NextStateLimits {
     /// Maximum number of requests per second, of all controllers together; `None` if unchanged.
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -15,7 +15,7 @@
 const READ_CHUNK_BYTES: usize = 8192;
 /// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
-/// Maximum size, in bytes, of the body of a reply. Replies of the state store have no size limit of their own; this
+/// Maximum size, in bytes, of the body of a reply. Replies of the state service have no size limit of their own; this
 /// one bounds memory use.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
--- a/src/transport/peer/messages.rs
+++ b/src/transport/peer/messages.rs
@@ -25,7 +25,7 @@
         fencing_token: FencingToken,
         /// Duration of the pledge in milliseconds.
         for_ms: u64,
-        /// Whether the state store has responded to the sender recently.
+        /// Whether the state service has responded to the sender recently.
         state_ok: bool,
     },
     /// Releases a pledge: the sender has stopped acting under this fencing token.
