--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -4,7 +4,7 @@
 mod dependencies;
 
 use super::*;
-use crate::clients::request_budget::Purpose;
+use crate::clients::request_budget::RequestPurpose;
 use crate::control::membership::LeaderStatus;
 use crate::control::partition;
 use crate::control::partition::{UserAnswer, job_key};
@@ -12,7 +12,7 @@
 use crate::control::router::PartitionHandle;
 use crate::model::{Dependencies, JobEnd, JobPhase, JobRecord};
 use crate::runtime::{clock, task};
-use crate::settings::{Operator, Settings, tests::settings};
+use crate::settings::{OperatorSettings, Settings, tests::settings};
 use crate::transport::frame_format::FrameFormat;
 use crate::transport::http;
 use crate::transport::network::Net;
@@ -65,7 +65,7 @@
 
     /// Stores the record of a job with two tasks.
     fn put_job(&self, id: &str, end: Option<JobEnd>, dependencies: &[&str]) {
-        let mut spec = wire::parse_submission(&partition::tests::body(id, "batch", 2)).unwrap();
+        let mut spec = wire::parse_submission(&partition::tests::job_submission(id, "batch", 2)).unwrap();
         spec.dependencies = Dependencies::new(dependencies.iter().map(|id| id.to_string()));
         let record = JobRecord { spec, accepted_ms: 0, end, done: Vec::new() };
         self.records.lock().unwrap().insert(id.to_string(), record);
@@ -89,7 +89,7 @@
 }
 
 fn submission() -> Vec<u8> {
-    partition::tests::body(ID, "batch", 2)
+    partition::tests::job_submission(ID, "batch", 2)
 }
 
 /// Returns the interface of a node that knows no leader and uses this state service.
@@ -117,7 +117,7 @@
         metrics: UserMetrics::default(),
         node_metrics: Default::default(),
         router: Router {
-            bills: None,
+            bill_store: None,
             configuration: None,
             partitions: Default::default(),
             peers: Default::default(),
@@ -125,7 +125,7 @@
             last_pledge_request_ms: Default::default(),
         },
         teams: Default::default(),
-        policy: Arc::new(Policy::new(&settings, &Operator::default(), 0)),
+        policy: Arc::new(Policy::new(&settings, &OperatorSettings::default(), 0)),
         limits: settings.write_limits(),
         route_hints: Arc::new(Mutex::new(RouteHints::new(1000))),
     }
@@ -150,19 +150,19 @@
 /// Adds a leader of partition 0 on this node that gives this answer to one user. Returns the sender of
 /// its leader status, and the task of its mailbox, which is closed once the task has ended.
 fn add_local_leader(api: &mut Api, answer: UserAnswer) -> (watch::Sender<LeaderStatus>, tokio::task::JoinHandle<()>) {
-    let (leader, mut messages) = mpsc::channel(1);
-    let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_self: true, ..LeaderStatus::default() });
-    let election = mpsc::channel(1).0;
+    let (leader_mailbox, mut messages) = mpsc::channel(1);
+    let (leader_status_tx, leader_status) = watch::channel(LeaderStatus { is_local: true, ..LeaderStatus::default() });
+    let election_mailbox = mpsc::channel(1).0;
     let handle = PartitionHandle {
         leader_status,
         leader_lease: Default::default(),
         pledge_status: Default::default(),
-        leader,
-        election,
+        leader_mailbox,
+        election_mailbox,
     };
     api.router.partitions = Arc::new(vec![handle]);
     let mailbox = task::spawn(async move {
-        let Some(partition_leader::Message::User { reply, .. }) = messages.recv().await else {
+        let Some(partition_leader::PartitionMessage::User { reply, .. }) = messages.recv().await else {
             panic!("the leader is asked")
         };
         reply.send(answer).unwrap();
--- a/src/api/tests/dependencies.rs
+++ b/src/api/tests/dependencies.rs
@@ -12,7 +12,7 @@
 
 /// Submits a job with this value of `waits_on`.
 async fn submit_with_dependencies(api: &Api, id: &str, dependencies: Value) -> Response {
-    let mut body: Value = serde_json::from_slice(&partition::tests::body(id, "batch", 2)).unwrap();
+    let mut body: Value = serde_json::from_slice(&partition::tests::job_submission(id, "batch", 2)).unwrap();
     body["waits_on"] = dependencies;
     call(api, "POST", "/v1/jobs".to_string(), body.to_string().into_bytes()).await
 }
@@ -108,7 +108,7 @@
     let mut api = api_without_leader(service).await;
     let limits = crate::transport::peer::PeerTimeouts::for_leader_lease(api.router.leader_lease_ttl_ms);
     let peer = crate::transport::peer::Peer::start("worker-1".into(), "127.0.0.1:1".parse().unwrap(), limits);
-    peer.format.received(format);
+    peer.format.record_frame(format);
     api.router.peers = Arc::new(vec![peer]);
     api
 }
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn job_with_dependencies_is_refused_while_a_controller_is_outdated() {
     let service = SimulatedStateService::default();
-    let api = api_with_peer(&service, FrameFormat::UNNAMED).await;
+    let api = api_with_peer(&service, FrameFormat::UNVERSIONED).await;
     service.put_first_job(None);
     let refused = submit_with_dependencies(&api, SECOND, json!([ID])).await;
     assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
@@ -127,7 +127,7 @@
         200,
         "a known job is answered as such"
     );
-    let without_dependencies = partition::tests::body(SECOND, "batch", 2);
+    let without_dependencies = partition::tests::job_submission(SECOND, "batch", 2);
     assert_eq!(
         call(&api, "POST", "/v1/jobs".to_string(), without_dependencies).await.status,
         201,
@@ -159,7 +159,7 @@
     service.put_first_job(None);
     let (leader_status, _mailbox) = add_local_leader(&mut api, UserAnswer::Unknown);
     assert!(api.router.leader_is_current(0), "the leader is this node");
-    let led_by_peer = LeaderStatus { is_self: false, leader: Some("worker-1".into()) };
+    let led_by_peer = LeaderStatus { is_local: false, leader: Some("worker-1".into()) };
     leader_status.send(led_by_peer).unwrap();
     assert!(api.router.leader_is_current(0));
     let peer_of_unknown_version = crate::transport::peer::Peer::start(
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -4,7 +4,7 @@
 use crate::model::InstanceType;
 use crate::runtime::clock;
 use crate::settings::Settings;
-use crate::transport::http::{Client, SMALL_IDLE_POOL};
+use crate::transport::http::{Client, DEFAULT_MAX_IDLE_CONNECTIONS};
 use crate::transport::network::Net;
 use crate::wire::{self, ListedInstance};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     Malformed,
     /// The outcome is indeterminate. The request has to be repeated under the same name, so that no
     /// second set of machines is rented.
-    Again,
+    Indeterminate,
 }
 
 impl Cloud {
@@ -49,7 +49,7 @@
     pub fn on(net: &Net, settings: &Settings) -> Cloud {
         let requests_per_s = settings.params.cloud.rps * RATE_SHARE;
         Cloud {
-            http: Client::on(net, SMALL_IDLE_POOL),
+            http: Client::on(net, DEFAULT_MAX_IDLE_CONNECTIONS),
             addr: settings.endpoints.cloud,
             timeout: Duration::from_millis(settings.lease_ms() / 4),
             rate_limit: Arc::new(Mutex::new(TokenBucket::new(requests_per_s, BURST_S, clock::now_ms()))),
@@ -83,16 +83,18 @@
     pub async fn rent(&self, name: &str, instance_type: &str, zone: &str, spot: bool, count: usize) -> RentResult {
         let body = wire::rent_body(name, instance_type, zone, spot, count);
         match self.call("POST", "/hosts", Some(&body)).await {
-            Ok((200, answer)) => wire::parse_rented_machines(&answer).map_or(RentResult::Again, RentResult::Rented),
+            Ok((200, answer)) => {
+                wire::parse_rented_machines(&answer).map_or(RentResult::Indeterminate, RentResult::Rented)
+            }
             Ok((400, _)) => RentResult::Malformed,
             Ok((503, answer)) if String::from_utf8_lossy(&answer).contains("no capacity") => RentResult::NoCapacity,
-            _ => RentResult::Again,
+            _ => RentResult::Indeterminate,
         }
     }
 
     /// Requests the termination of machines and returns whether the cloud has confirmed it; without a
     /// confirmation the outcome is indeterminate.
-    pub async fn release(&self, hosts: &[String]) -> bool {
+    pub async fn terminate(&self, hosts: &[String]) -> bool {
         let body = wire::release_body(hosts);
         matches!(self.call("POST", "/hosts/release", Some(&body)).await, Ok((200, _)))
     }
--- a/src/clients/state_store.rs
+++ b/src/clients/state_store.rs
@@ -4,9 +4,9 @@
 use crate::control::partition::CommitOutcome;
 use crate::runtime::clock;
 use crate::settings::Settings;
-use crate::transport::http::{Client, SMALL_IDLE_POOL};
+use crate::transport::http::{Client, DEFAULT_MAX_IDLE_CONNECTIONS};
 use crate::transport::network::Net;
-use crate::wire::{self, Changes, Condition, Item, LeaseReply, Page, RevisionReply, Write, store};
+use crate::wire::{self, Changes, Condition, KeyValue, LeaseReply, Page, RevisionReply, Write, store};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     /// Returns a client over the given network.
     pub fn on(net: &Net, settings: &Settings) -> StateStore {
         StateStore {
-            http: Client::on(net, SMALL_IDLE_POOL),
+            http: Client::on(net, DEFAULT_MAX_IDLE_CONNECTIONS),
             addr: settings.endpoints.state,
             timeout: Duration::from_millis(settings.react_ms()),
             last_answer_ms: Arc::new(AtomicU64::new(0)),
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// The state service refused the request, or gave no answer within the timeout.
-    pub async fn get(&self, key: &str) -> Result<(Option<Item>, u64), RequestError> {
+    pub async fn get(&self, key: &str) -> Result<(Option<KeyValue>, u64), RequestError> {
         self.get_with_timeout(key, self.timeout).await
     }
 
@@ -97,11 +97,15 @@
     /// # Errors
     ///
     /// As for [`StateStore::get`].
-    pub async fn get_with_timeout(&self, key: &str, timeout: Duration) -> Result<(Option<Item>, u64), RequestError> {
+    pub async fn get_with_timeout(
+        &self,
+        key: &str,
+        timeout: Duration,
+    ) -> Result<(Option<KeyValue>, u64), RequestError> {
         let (status, body) = self.call("GET", &store::key(key), None, timeout).await?;
         match status {
             200 => {
-                let item: Item = parse(&body)?;
+                let item: KeyValue = parse(&body)?;
                 let version = item.version;
                 Ok((Some(item), version))
             }
@@ -118,8 +122,8 @@
     /// # Errors
     ///
     /// As for [`StateStore::get`], on any page; the pages read before it are discarded.
-    pub async fn list(&self, prefix: &str) -> Result<Vec<Item>, RequestError> {
-        let mut items: Vec<Item> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, RequestError> {
+        let mut items: Vec<KeyValue> = Vec::new();
         loop {
             let after = items.last().map_or("", |item| item.key.as_str());
             let path = store::page(prefix, after, PAGE_SIZE);
@@ -149,7 +153,7 @@
                 .map_or(CommitOutcome::Indeterminate, |conflict| CommitOutcome::Conflict { failed: conflict.failed }),
             Ok((status, answer)) => {
                 tracing::error!(status, body = %String::from_utf8_lossy(&answer), "state service rejected the commit");
-                CommitOutcome::NotTaken
+                CommitOutcome::Rejected
             }
             Err(RequestError::Indeterminate) => CommitOutcome::Indeterminate,
             Err(RequestError::Throttled) => CommitOutcome::Throttled,
--- a/src/control/membership/messages.rs
+++ b/src/control/membership/messages.rs
@@ -11,7 +11,7 @@
     /// Name of the node that leads the partition, if known.
     pub leader: Option<String>,
     /// Whether this node is the leader.
-    pub is_self: bool,
+    pub is_local: bool,
 }
 
 /// Notification to the partition's actor that this node has become or ceased to be the leader.
@@ -32,7 +32,7 @@
     pub fencing_token: FencingToken,
     /// Duration of the pledge in milliseconds.
     pub for_ms: u64,
-    /// Whether the state store has recently answered the requesting node.
+    /// Whether the state service has recently answered the requesting node.
     pub store_responsive: bool,
 }
 
@@ -51,7 +51,7 @@
 
 /// Message to the election actor. Times are milliseconds of the steady clock.
 #[derive(Debug)]
-pub enum Message {
+pub enum ElectionMessage {
     /// A leader requests a pledge.
     Pledge {
         /// Request for the pledge.
@@ -70,7 +70,7 @@
     YieldLeadership,
     /// The records of the previous leader have been read after the start.
     StartupRead(EarlierPledges),
-    /// The partition's record was read from the state store; `None` if no node leads the partition.
+    /// The partition's record was read from the state service; `None` if no node leads the partition.
     RecordObserved(Option<PartitionRecord>),
     /// A request to renew the lease has ended.
     LeaseRenewalEnded {
@@ -99,7 +99,7 @@
     },
 }
 
-/// Leadership of a partition that was acquired by a commit to the state store.
+/// Leadership of a partition that was acquired by a commit to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcquiredLeadership {
     /// Id of the lease that the partition's key is attached to.
--- a/src/control/partition/dependencies.rs
+++ b/src/control/partition/dependencies.rs
@@ -10,7 +10,7 @@
 use crate::api::refusal::RefusalReason;
 use crate::model::{Dependencies, JobEnd, JobIndex, JobRecord, Shape, UnsavedChange};
 use crate::scheduling::dependency_graph::DependencyGraph;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::collections::{BTreeSet, HashSet};
 
 /// Known state of a dependency.
@@ -81,7 +81,7 @@
 
     /// Adds the record of a dependency that this partition did not know: one of its own jobs that
     /// another node accepted, or a job of another partition.
-    pub fn add_dependency_record(&mut self, id: &str, item: Item, now: u64) {
+    pub fn add_dependency_record(&mut self, id: &str, item: KeyValue, now: u64) {
         if self.cluster.job_index.contains_key(id) {
             return;
         }
@@ -90,7 +90,7 @@
             return;
         };
         if self.teams.owns_team(&record.spec.team) {
-            self.add_job_of_other_node(item, now);
+            self.add_job_accepted_elsewhere(item, now);
             return;
         }
         if let Some(end) = self.dependencies.external.update(id, record.spec.shape, record.end) {
@@ -100,7 +100,7 @@
 
     /// Returns the dependencies of other partitions without a known end. Their records are to be
     /// watched.
-    pub fn external_dependencies(&self) -> Vec<String> {
+    pub fn external_dependency_ids(&self) -> Vec<String> {
         self.dependencies.external.open()
     }
 
--- a/src/control/partition/dependency_lookups.rs
+++ b/src/control/partition/dependency_lookups.rs
@@ -5,7 +5,7 @@
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
 use crate::model::Spec;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::collections::BTreeMap;
 
 /// Records that must be read before a submission is decided.
@@ -78,10 +78,10 @@
 
     /// Applies the records found by a lookup, or `None` if it failed, and then answers the submission or
     /// continues with it.
-    pub fn dependencies_read(
+    pub fn complete_dependency_lookup(
         &mut self,
         submission: u64,
-        found: Option<Vec<(String, Option<Item>)>>,
+        found: Option<Vec<(String, Option<KeyValue>)>>,
         now: u64,
         wall: u64,
     ) {
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -6,9 +6,9 @@
 use crate::model::FencingToken;
 use crate::model::{Demand, InstanceType};
 use crate::provisioning::provisioner::{CloudRequest, Provisioner};
-use crate::settings::{Objective, Operator, tests::settings};
-use crate::wire::tests::reported;
-use crate::wire::{self, Heartbeat, Item, Order};
+use crate::settings::{Objective, OperatorSettings, tests::settings};
+use crate::wire::tests::task_status;
+use crate::wire::{self, Heartbeat, KeyValue, Order};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -58,8 +58,8 @@
         let tasks = self.tasks.iter_mut().map(|(name, task)| {
             task.1 |= now >= task.2;
             match task.1 {
-                true => reported(name, task.0, "ended", Some(task.3)),
-                false => reported(name, task.0, "running", None),
+                true => task_status(name, task.0, "ended", Some(task.3)),
+                false => task_status(name, task.0, "running", None),
             }
         });
         let tasks = tasks.collect();
@@ -129,9 +129,9 @@
             within_s: Some(5.0),
             ..guarantee
         });
-        let policy = Policy::new(&settings, &Operator::default(), 0);
+        let policy = Policy::new(&settings, &OperatorSettings::default(), 0);
         let mut partition = Partition::new(policy, 0, settings.partitions_of_teams(1), settings.write_limits());
-        partition.begin(FencingToken(1), 77, vec![], vec![], instance_types(), 1000);
+        partition.begin_leadership(FencingToken(1), 77, vec![], vec![], instance_types(), 1000);
         Fleet {
             partition,
             provisioner: Provisioner::new(10.0),
@@ -209,12 +209,12 @@
             let Some(command) = self.partition.next_direct_command(host_index, now, false) else { continue };
             let machine = self.machines.get_mut(&command.id).unwrap();
             if machine.next_ms == u64::MAX {
-                self.partition.direct_command_done(&command, DirectCommandOutcome::NotSent, now);
+                self.partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now);
                 continue;
             }
             machine.carry_out(&command.orders, now, 60_000);
-            let heartbeat = machine.heartbeat(&command.id, now);
-            self.partition.direct_command_done(&command, DirectCommandOutcome::Answered(Box::new(heartbeat)), now);
+            let outcome = DirectCommandOutcome::Answered(Box::new(machine.heartbeat(&command.id, now)));
+            self.partition.apply_direct_command_outcome(&command, outcome, now);
         }
         if now >= self.next_commit
             && let Some(commit) = self.partition.next_commit(now, 32)
@@ -228,7 +228,7 @@
                     Write::Delete { key } => _ = self.stored.remove(&key),
                 }
             }
-            self.partition.committed(CommitOutcome::Done { revision: now }).unwrap();
+            self.partition.apply_commit_outcome(CommitOutcome::Done { revision: now }).unwrap();
         }
         if now >= self.next_plan {
             self.next_plan = now + 1100;
@@ -264,14 +264,14 @@
 
     /// Lets a new leader begin with the stored records.
     fn fail_over(&mut self, fencing_token: u64) {
-        let item = |(key, value): (&String, &Value)| Item { key: key.clone(), value: value.clone(), version: 50 };
+        let item = |(key, value): (&String, &Value)| KeyValue { key: key.clone(), value: value.clone(), version: 50 };
         let under = |prefix: &'static str| self.stored.iter().filter(move |(key, _)| key.starts_with(prefix));
         let (jobs, hosts) = (under("job/").map(item).collect(), under("host/").map(item).collect());
         let policy = self.partition.policy.clone();
         let teams = self.partition.teams.clone();
         self.partition = Partition::new(policy, 0, HashMap::new(), settings().write_limits());
         self.partition.teams = teams;
-        self.partition.begin(FencingToken(fencing_token), 78, jobs, hosts, instance_types(), self.now);
+        self.partition.begin_leadership(FencingToken(fencing_token), 78, jobs, hosts, instance_types(), self.now);
     }
 }
 
--- a/src/control/partition_leader/commits.rs
+++ b/src/control/partition_leader/commits.rs
@@ -4,7 +4,7 @@
 use super::leadership::{Leadership, TokenRaise};
 use super::messages::BackgroundEvent;
 use crate::clients::{StateStore, TokenBucket};
-use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedToken};
+use crate::control::membership::{self, AcquireError, PartitionKeyUpdate, PartitionRecord, RaisedFencingToken};
 use crate::control::partition::{CommitOutcome, Superseded};
 use crate::runtime::task;
 use tokio::time::sleep;
@@ -12,7 +12,7 @@
 impl PartitionLeader {
     /// Commits the changed records, or first raises the fencing token if that is needed.
     ///
-    /// The rate of writes to the state store is limited. At most one commit is under way, with as
+    /// The rate of writes to the state service is limited. At most one commit is under way, with as
     /// many writes as the budget allows, and the partition puts the urgent ones first.
     pub(super) fn commit(&self, leadership: &mut Leadership, now: u64) {
         let TokenRaise::Idle { not_before_ms } = leadership.token_raise else { return };
@@ -67,7 +67,7 @@
         if matches!(result, CommitOutcome::Throttled) {
             self.apply_lower_write_rate(leadership, now);
         }
-        match leadership.partition.committed(result) {
+        match leadership.partition.apply_commit_outcome(result) {
             Ok(keys) if !keys.is_empty() => self.reread(leadership.epoch, keys),
             Ok(_) => {}
             // The cause may be a raise of the fencing token by this leadership that was applied late.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Applies the lower write rate from the announced limits, after the state store has refused the
+    /// Applies the lower write rate from the announced limits, after the state service has refused the
     /// present rate.
     fn apply_lower_write_rate(&self, leadership: &mut Leadership, now: u64) {
         leadership.partition.metrics_mut().count("limits_met", "write_rate");
@@ -88,7 +88,7 @@
         if leadership.partition.policy().writes_per_s > limits.lower_changes_per_s {
             tracing::info!(
                 per_s = limits.lower_changes_per_s,
-                "state store refused the write rate, lower rate applied"
+                "state service refused the write rate, lower rate applied"
             );
             leadership.partition.policy_mut().writes_per_s = limits.lower_changes_per_s;
             leadership.write_budget = TokenBucket::new(limits.lower_changes_per_s, WRITE_BURST_S, now);
@@ -98,9 +98,9 @@
     }
 
     /// Handles the outcome of a raise of the fencing token.
-    pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedToken>, now: u64) {
+    pub(super) fn token_raise_ended(&self, leadership: &mut Leadership, raised: Option<RaisedFencingToken>, now: u64) {
         leadership.token_raise = TokenRaise::Idle { not_before_ms: now + self.settings.react_ms() };
-        if let Some(RaisedToken { fencing_token, version }) = raised {
+        if let Some(RaisedFencingToken { fencing_token, version }) = raised {
             tracing::info!(%fencing_token, "fencing token raised");
             leadership.partition.set_fencing_token(fencing_token, version);
             leadership.key_version = version;
@@ -113,7 +113,7 @@
         self.leader_lease.set_valid_until(0);
         // If its mailbox is full, the election actor steps down once a renewal shows that the lease has
         // ended.
-        let _ = self.election.try_send(membership::Message::LeadershipLost);
+        let _ = self.election.try_send(membership::ElectionMessage::LeadershipLost);
     }
 }
 
@@ -131,7 +131,7 @@
     let own_key = found.and_then(|item| {
         let record: PartitionRecord = serde_json::from_value(item.value).ok()?;
         (record.lease_id == lease_id)
-            .then_some(RaisedToken { fencing_token: record.fencing_token, version: item.version })
+            .then_some(RaisedFencingToken { fencing_token: record.fencing_token, version: item.version })
     });
     own_key.map_or(BackgroundEvent::LeadershipLost, |raised| BackgroundEvent::TokenRaiseEnded(Some(raised)))
 }
--- a/src/control/partition_leader/leader.rs
+++ b/src/control/partition_leader/leader.rs
@@ -1,11 +1,11 @@
 //! Settings, clients and channels of the actor.
 
-use super::messages::{BackgroundSender, Message};
+use super::messages::{BackgroundSender, PartitionMessage};
 use crate::borrowing::BorrowingResponse;
 use crate::clients::{Cloud, StateStore, Worker};
 use crate::control::membership::{self, LeaderLease, PledgeStatus};
 use crate::control::router::Router;
-use crate::settings::{Operator, Settings};
+use crate::settings::{OperatorSettings, Settings};
 use crate::warm_pools::WarmPoolsResponse;
 use badgerdrift_borrowing::BorrowingSettings;
 use badgerdrift_warm_pools::PoolSettings;
@@ -30,12 +30,12 @@
     /// Settings of the platform.
     pub settings: Settings,
     /// Settings of the operator.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// Settings of the warm pools; `None` without pools.
     pub pools: Option<Arc<PoolSettings>>,
     /// Settings of the loans between teams; `None` without borrowing.
     pub borrowing: Option<Arc<BorrowingSettings>>,
-    /// Client of the state store.
+    /// Client of the state service.
     pub state: StateStore,
     /// Client of the cloud.
     pub cloud: Cloud,
@@ -46,11 +46,11 @@
     /// Pledges for the partition that this node has given and received.
     pub pledge_status: PledgeStatus,
     /// Mailbox of the partition's election actor.
-    pub election: mpsc::Sender<membership::Message>,
+    pub election: mpsc::Sender<membership::ElectionMessage>,
     /// Router for requests to the other partitions.
     pub router: Router,
     /// Mailbox of this actor, for the reports of its background tasks.
-    pub own_messages: mpsc::Sender<Message>,
+    pub own_messages: mpsc::Sender<PartitionMessage>,
     /// Epoch of the current leadership; 0 if there is none.
     pub current_epoch: Arc<AtomicU64>,
 }
--- a/src/control/partition_leader/load.rs
+++ b/src/control/partition_leader/load.rs
@@ -1,4 +1,4 @@
-//! Reads of the partition's records from the state store.
+//! Reads of the partition's records from the state service.
 
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
@@ -7,7 +7,7 @@
 use crate::clients::StateStore;
 use crate::control::partition;
 use crate::runtime::task;
-use crate::wire::Item;
+use crate::wire::KeyValue;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -45,7 +45,7 @@
     /// Starts a read of the indeterminate records of pools and loans, which is retried until it
     /// succeeds or leadership ends.
     pub(super) fn read_indeterminate_records(&self, leadership: &mut Leadership) {
-        let keys = leadership.partition.indeterminate_keys();
+        let keys = leadership.partition.reservation_keys_to_read();
         if leadership.reading_indeterminate || keys.is_empty() {
             return;
         }
@@ -63,9 +63,9 @@
     }
 
     /// Handles the indeterminate records that were read.
-    pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<Item>)>) {
+    pub(super) fn indeterminate_read(&self, leadership: &mut Leadership, found: Vec<(String, Option<KeyValue>)>) {
         leadership.reading_indeterminate = false;
-        leadership.partition.indeterminate_keys_read(found);
+        leadership.partition.apply_reservation_records(found);
     }
 
     /// Reads the record of a machine that may now belong to another partition.
@@ -107,7 +107,7 @@
 }
 
 /// Reads the records of the jobs that are listed under the prefix; returns `None` if a read failed.
-async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<Item>> {
+async fn accepted_jobs(state: &StateStore, prefix: &str) -> Option<Vec<KeyValue>> {
     let mut items = Vec::new();
     for entry in state.list(prefix).await.ok()? {
         let id = entry.key.strip_prefix(prefix)?;
--- a/src/control/partition_leader/messages.rs
+++ b/src/control/partition_leader/messages.rs
@@ -4,18 +4,18 @@
 use crate::borrowing::BorrowingResponse;
 use crate::clients::RentResult;
 use crate::configuration::AppliedConfiguration;
-use crate::control::membership::RaisedToken;
+use crate::control::membership::RaisedFencingToken;
 use crate::control::partition::{CommitOutcome, DirectCommand, DirectCommandOutcome, Waiter};
 use crate::model::{FencingToken, HostRecord, InstanceType};
-use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
+use crate::transport::peer::{CapacityReport, MachineGroup, PeerResponse, UserCall};
 use crate::warm_pools::WarmPoolsResponse;
-use crate::wire::{Heartbeat, Item, ListedInstance, Order};
+use crate::wire::{Heartbeat, KeyValue, ListedInstance, Order};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
 /// Message to the actor of a partition.
-pub enum Message {
+pub enum PartitionMessage {
     /// A worker sends a heartbeat.
     Heartbeat {
         /// Heartbeat of the worker.
@@ -66,11 +66,11 @@
     /// The provisioner has answered a capacity report.
     PendingMachines {
         /// Machines on their way to this partition.
-        pending_machines: Vec<Machines>,
+        pending_machines: Vec<MachineGroup>,
         /// Kinds of machines that the cloud refuses to provide at present.
-        refused: Vec<Machines>,
+        refused: Vec<MachineGroup>,
     },
-    /// The record of a machine has been read from the state store.
+    /// The record of a machine has been read from the state service.
     HostRecordRead {
         /// Id of the machine.
         host: String,
@@ -89,23 +89,23 @@
     /// A commit has ended.
     CommitEnded(CommitOutcome),
     /// Records have been read again after a conflict of a commit.
-    RecordsReread(Vec<Item>),
+    RecordsReread(Vec<KeyValue>),
     /// Jobs that other nodes accepted for this partition have been read.
-    InboxRead(Vec<Item>),
+    InboxRead(Vec<KeyValue>),
     /// The records of the jobs that a submission depends on have been read.
     DependenciesRead {
         /// Number of the submission.
         submission: u64,
         /// Records by id of the job, each `None` if there is none; `None` if they could not be read.
-        found: Option<Vec<(String, Option<Item>)>>,
+        found: Option<Vec<(String, Option<KeyValue>)>>,
     },
     /// Records of jobs of other partitions that jobs of this one depend on have been read.
     ExternalDependenciesRead(ExternalDependencyRecords),
     /// Indeterminate records of warm pools and loans have been read, by key; `None` where there is
     /// none.
-    IndeterminateRecordsRead(Vec<(String, Option<Item>)>),
+    IndeterminateRecordsRead(Vec<(String, Option<KeyValue>)>),
     /// A raise of the fencing token has ended; `None` if it failed.
-    TokenRaiseEnded(Option<RaisedToken>),
+    TokenRaiseEnded(Option<RaisedFencingToken>),
     /// A write of the applied configuration version has ended; `None` if it failed.
     ConfigurationRecorded(Option<AppliedConfiguration>),
     /// The partition's key no longer belongs to this leadership: another node leads the partition, or
@@ -146,7 +146,7 @@
     /// answer that it would have to discard.
     NotLeader,
     /// The machine belongs to the partition of this number.
-    Elsewhere(u32),
+    OtherPartition(u32),
     /// The machine does not belong to this partition, and no other partition of it is known.
     Unknown,
 }
@@ -155,14 +155,14 @@
 #[derive(Clone)]
 pub(super) struct BackgroundSender {
     pub(super) leadership_epoch: u64,
-    pub(super) actor: mpsc::Sender<Message>,
+    pub(super) actor: mpsc::Sender<PartitionMessage>,
     pub(super) current_epoch: Arc<AtomicU64>,
 }
 
 impl BackgroundSender {
     /// Sends a report to the actor; returns false if the actor has ended.
     pub(super) async fn send(&self, event: BackgroundEvent) -> bool {
-        self.actor.send(Message::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
+        self.actor.send(PartitionMessage::Background { leadership_epoch: self.leadership_epoch, event }).await.is_ok()
     }
 
     /// Returns whether the leadership is current. A task that repeats requests ends once it is not.
--- a/src/control/partition_leader/periodic_work.rs
+++ b/src/control/partition_leader/periodic_work.rs
@@ -20,7 +20,7 @@
         if now >= leadership.timers.next_failure_detection_ms {
             self.detect_failures(leadership, now);
         }
-        leadership.partition.refresh_unreconciled();
+        leadership.partition.recount_unreconciled();
         self.sync_configuration(leadership, now);
         self.look_up_dependencies(leadership);
         self.read_external_dependencies(leadership, now);
@@ -46,7 +46,7 @@
         leadership.timers.last_failure_detection_ms = now;
         if !stalled && leadership.partition.is_isolated(now) {
             // If the mailbox is full, the next failure detection tries again.
-            let _ = self.election.try_send(membership::Message::YieldLeadership);
+            let _ = self.election.try_send(membership::ElectionMessage::YieldLeadership);
         }
         let DetectedFailures { to_terminate, to_probe } =
             leadership.partition.detect_failures(now, self.pledge_status.last_gap_ms(now));
--- a/src/control/partition_leader/requests.rs
+++ b/src/control/partition_leader/requests.rs
@@ -2,12 +2,12 @@
 
 use super::leader::{LOANS_RETRY_LATER, POOLS_RETRY_LATER, PartitionLeader};
 use super::leadership::Leadership;
-use super::messages::{HeartbeatReply, Message};
+use super::messages::{HeartbeatReply, PartitionMessage};
 use crate::api::refusal::RefusalReason;
 use crate::control::partition::{HostRouting, StatusSource, UserAnswer, Waiter};
 use crate::model::InstanceOffering;
 use crate::runtime::clock;
-use crate::transport::peer::{CapacityReport, Machines, PeerResponse, UserCall};
+use crate::transport::peer::{CapacityReport, MachineGroup, PeerResponse, UserCall};
 use crate::wire::Heartbeat;
 
 impl PartitionLeader {
@@ -33,7 +33,7 @@
                 leadership.token_check_due = true;
                 HeartbeatReply::NotLeader
             }
-            HostRouting::OtherPartition(partition) => HeartbeatReply::Elsewhere(partition),
+            HostRouting::OtherPartition(partition) => HeartbeatReply::OtherPartition(partition),
             HostRouting::Unknown => HeartbeatReply::Unknown,
         }
     }
@@ -58,8 +58,8 @@
     pub(super) fn pending_machines(
         &self,
         leadership: &mut Leadership,
-        pending_machines: Vec<Machines>,
-        refused: &[Machines],
+        pending_machines: Vec<MachineGroup>,
+        refused: &[MachineGroup],
         now: u64,
     ) {
         let cluster = leadership.partition.cluster();
@@ -80,7 +80,7 @@
                 let _ = reply.send(UserAnswer::RetryLater(RefusalReason::StateServiceSilent));
             }
             UserCall::Submit(body) => {
-                leadership.partition.set_has_old_peer(self.router.has_old_peer());
+                leadership.partition.set_has_outdated_peer(self.router.has_outdated_peer());
                 leadership.partition.submit(&body, now, clock::wall_ms(), reply);
             }
             UserCall::Status(id) => {
@@ -93,26 +93,26 @@
 
 /// Refuses a message while this node does not lead the partition. Requesters go to the leader or
 /// retry.
-pub(super) fn handle_while_follower(message: Message) {
+pub(super) fn handle_while_follower(message: PartitionMessage) {
     match message {
-        Message::Heartbeat { reply, .. } => {
+        PartitionMessage::Heartbeat { reply, .. } => {
             let _ = reply.send(HeartbeatReply::NotLeader);
         }
-        Message::User { reply, .. } => {
+        PartitionMessage::User { reply, .. } => {
             let _ = reply.send(UserAnswer::RetryLater(RefusalReason::NotLeader));
         }
-        Message::PoolStatus(reply) => {
+        PartitionMessage::PoolStatus(reply) => {
             let _ = reply.send(POOLS_RETRY_LATER);
         }
-        Message::LoanStatus(reply) => {
+        PartitionMessage::LoanStatus(reply) => {
             let _ = reply.send(LOANS_RETRY_LATER);
         }
-        Message::Metrics(reply) => {
+        PartitionMessage::Metrics(reply) => {
             let _ = reply.send(String::new());
         }
-        Message::CapacityReport { reply, .. } | Message::TransferHost { reply, .. } => {
+        PartitionMessage::CapacityReport { reply, .. } | PartitionMessage::TransferHost { reply, .. } => {
             let _ = reply.send(PeerResponse::Rejected);
         }
-        Message::Background { .. } => {}
+        PartitionMessage::Background { .. } => {}
     }
 }
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -5,7 +5,7 @@
 use crate::control::partition::Partition;
 use crate::model::{ClusterState, Host, HostIndex, InstanceOffering, Spec};
 use crate::scheduling::{self, Availability, CapacityPlan, ClassArrivals, ExpectedWork, ScaleOut};
-use crate::transport::peer::{CapacityReport, Machines};
+use crate::transport::peer::{CapacityReport, MachineGroup};
 use std::collections::BTreeMap;
 
 /// Length of the window over which arrivals are counted, as a multiple of the longest boot time.
@@ -39,11 +39,11 @@
         }
         let arrivals = class_arrivals(partition, wall);
         let exhausted = self.exhausted_instance_types(partition.cluster(), now);
-        partition.set_exhausted(exhausted);
-        partition.reserve_for_flows(&arrivals);
+        partition.set_exhausted_instance_types(exhausted);
+        partition.reserve_expected_demand(&arrivals);
         let mut report = CapacityReport {
             partition: partition.id(),
-            lowest_bin: partition.lowest_bin(wall),
+            lowest_bin: partition.lowest_deadline_bin(wall),
             assumed: pending_machines.len(),
             wanted: Vec::new(),
             spare: Vec::new(),
@@ -85,7 +85,7 @@
         let work = ExpectedWork {
             pending_jobs: partition.pending_jobs(),
             pool_replicas: &partition.pool_replicas_without_machine(now),
-            upcoming_jobs: &partition.upcoming(longest_boot_ms(cluster), now),
+            upcoming_jobs: &partition.jobs_starting_within(longest_boot_ms(cluster), now),
             arrivals,
         };
         let availability = self.availability(partition, now);
@@ -111,9 +111,9 @@
 }
 
 /// Converts a request for machines into an entry of a capacity report.
-fn to_machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> Machines {
+fn to_machines(cluster: &ClusterState, ScaleOut { offering, count }: ScaleOut) -> MachineGroup {
     let instance_type = cluster.instance_types[offering.instance_type].name.clone();
-    Machines { instance_type, zone: offering.zone, spot: offering.spot, count }
+    MachineGroup { instance_type, zone: offering.zone, spot: offering.spot, count }
 }
 
 /// Returns the ids of the unneeded machines that other partitions may receive, and the ids of the machines
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -7,7 +7,7 @@
 mod stand_ins;
 
 use badgerdrift::control::node;
-use badgerdrift::settings::{Operator, Settings};
+use badgerdrift::settings::{OperatorSettings, Settings};
 use badgerdrift::transport::http::Client;
 use serde_json::{Value, json};
 use stand_ins::{HEARTBEAT_INTERVAL, LEASE, Shared};
@@ -83,7 +83,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             tokio::select! {
-                result = node::run(settings, Operator { partitions, idle_keep: 60.0, ..Operator::default() }, Default::default()) => result.unwrap(),
+                result = node::run(settings, OperatorSettings { partitions, idle_keep: 60.0, ..OperatorSettings::default() }, Default::default()) => result.unwrap(),
                 _ = killed => {}
             }
         });
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -252,13 +252,13 @@
 /// Starts the state service and the cloud. Returns their shared state and the addresses of both.
 pub async fn start(nodes: Vec<SocketAddr>) -> (Shared, SocketAddr, SocketAddr) {
     let world: Shared = Arc::default();
-    let timeout = Duration::from_secs(5);
+    let request_timeout = Duration::from_secs(5);
     let (listener, state_addr) = listen().await;
     let state_world = world.clone();
-    tokio::spawn(http::serve(listener, 500, timeout, move |request| state(state_world.clone(), request)));
+    tokio::spawn(http::serve(listener, 500, request_timeout, move |request| state(state_world.clone(), request)));
     let (listener, cloud_addr) = listen().await;
     let cloud_world = world.clone();
-    tokio::spawn(http::serve(listener, 500, timeout, move |request| {
+    tokio::spawn(http::serve(listener, 500, request_timeout, move |request| {
         cloud(cloud_world.clone(), nodes.clone(), request)
     }));
     (world, state_addr, cloud_addr)
