--- a/src/model/records.rs
+++ b/src/model/records.rs
@@ -34,8 +34,10 @@
             return Some(record);
         }
         let left_bytes = max_bytes.checked_sub(json_bytes(&record))?;
-        record.done =
-            widest_ranges(done_ranges(job), (left_bytes / MAX_RANGE_BYTES).min((max_bytes / 2 / MAX_RANGE_BYTES).max(1)));
+        record.done = widest_ranges(
+            done_ranges(job),
+            (left_bytes / MAX_RANGE_BYTES).min((max_bytes / 2 / MAX_RANGE_BYTES).max(1)),
+        );
         Some(record)
     }
 
