--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud as the controllers see it.
+//! HTTP interface of the simulated cloud.
 
 use super::ground::SimulationContext;
 use super::machines;
@@ -8,6 +8,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
+/// Answers one request of a controller to the cloud.
 pub async fn cloud(g: SimulationContext, req: Request) -> Response {
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
     let lag = g.w.lock().unwrap().rng.random_range(5..80);
--- a/crates/stand-ins/src/deployment.rs
+++ b/crates/stand-ins/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The addresses and the settings of the simulated deployment.
+//! Addresses and settings of the simulated deployment.
 
 use super::world::{self, GUEST, TEAMS, ZONES};
 use crate::store::Limits;
@@ -7,25 +7,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Number of controllers.
 pub const NODES: usize = 3;
 
-/// What the state service takes at first, and from some moment on.
+/// Limits of the state service at the start.
 pub const PRESENT_LIMITS: Limits = Limits { value_bytes: 8 * 1024, changes: 12, changes_per_s: 100.0 };
+/// Limits of the state service after its announced reduction.
 pub const NEXT_LIMITS: Limits = Limits { value_bytes: 2 * 1024, changes: 4, changes_per_s: 40.0 };
+/// Time limit of the simulated HTTP servers for a connection.
 pub(super) const PATIENCE: Duration = Duration::from_secs(60);
 
 fn host(net: u8, n: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 0, net, n as u8 + 1))
 }
 
-/// A controller's host, and the state service and the cloud as it knows them:
-/// each controller has addresses of its own for these, so that they know who asks.
+/// Returns the address of a controller's host.
 pub fn controller(i: usize) -> IpAddr {
     host(0, i)
 }
+/// Returns the address at which controller `i` reaches the state service. Each controller has its own,
+/// so that the service can tell which one sent a request.
 pub fn state_of(i: usize) -> IpAddr {
     host(1, i)
 }
+/// Returns the address at which controller `i` reaches the cloud.
 pub fn cloud_of(i: usize) -> IpAddr {
     host(2, i)
 }
@@ -33,19 +38,20 @@
     host(3, 0)
 }
 
-/// Port of the stand-ins, and of the controllers for users and workers.
+/// Port of the simulated services, and of the controllers' API for users and workers.
 pub const PORT: u16 = 80;
 
-/// Where the controllers of a simulated day serve users and workers.
+/// Returns the addresses at which the simulated controllers serve users and workers.
 pub fn doors() -> Arc<[SocketAddr]> {
     (0..NODES).map(door).collect()
 }
 
+/// Returns the address at which controller `i` serves users and workers.
 pub fn door(i: usize) -> SocketAddr {
     SocketAddr::new(controller(i), PORT)
 }
 
-/// The settings of a controller; `guaranteed_cards` replaces the teams' usual guarantees.
+/// Returns the settings of a controller; `guaranteed_cards` replaces the guarantees of the named teams.
 pub(super) fn settings(i: usize, guaranteed_cards: &[(&str, f64)]) -> Settings {
     let mut text = format!(
         "node = \"n{i}\"\nsite = \"{}\"\nserve_on = \"{}\"\ninternal_addr = \"{}:81\"\n",
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Random days: jobs come, and faults overlap.
+//! Randomised fault injection: jobs arrive while faults overlap.
 
 use super::net::Cut;
 use super::world::{BootFaults, GUEST, LEASE_S, secs};
@@ -8,18 +8,21 @@
 use std::net::IpAddr;
 use tokio::time::Instant;
 
-/// How much happens on a random day.
+/// Options of a randomised run.
 pub struct RandomDay {
+    /// Duration in seconds.
     pub day_s: f64,
-    /// Faults that overlap, of the first kinds and of the later ones.
+    /// Number of overlapping faults of the original kinds.
     pub faults: usize,
+    /// Number of overlapping faults of the kinds added later.
     pub later: usize,
+    /// Number of pipelines that are submitted.
     pub pipelines: usize,
-    /// The controllers are upgraded in turn, and pipelines come after that.
+    /// Whether the controllers are upgraded in turn, with pipelines submitted afterwards.
     pub rollout: bool,
 }
 
-/// What is to be done at an instant of the day.
+/// Action that a randomised run carries out at a set time.
 enum FaultAction {
     Submit,
     Cancel,
@@ -28,7 +31,7 @@
     Outage(bool),
     Refuse(usize, bool),
     Cut(Vec<(IpAddr, IpAddr)>, Option<Cut>),
-    /// From a node to the machines of a zone, or of all.
+    /// Cuts or reconnects a node and the machines of a zone, or of all zones.
     CutMachines(usize, &'static str, Option<Cut>),
     Deaf(f64, f64),
     Mute(f64, f64),
@@ -49,7 +52,7 @@
     Upgrade(usize),
 }
 
-/// The actions of one fault that begins then.
+/// Draws a fault of the original kinds that begins at `at`, in seconds, and returns its actions.
 fn fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let other = (node + rng.random_range(1..NODES)) % NODES;
@@ -84,7 +87,7 @@
     }
 }
 
-/// The actions of one fault of the later kinds that begins then.
+/// Draws a fault of the kinds added later that begins at `at`, in seconds, and returns its actions.
 fn later_fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let end = at + rng.random_range(5.0..30.0);
@@ -114,18 +117,18 @@
 }
 
 impl Sim {
-    /// A day of so many seconds with jobs, and so many faults that overlap.
+    /// Runs `day_s` seconds with jobs and `faults` overlapping faults.
     pub async fn random_day(&mut self, day_s: f64, faults: usize) {
         self.random_day_with(day_s, faults, 0).await;
     }
 
-    /// The same with so many faults of the later kinds as well. They are drawn last, so
-    /// that the days of known seeds stay what they were.
+    /// Runs [`Sim::random_day`] with `later` further faults of the kinds added later. These are drawn
+    /// last, so that recorded seeds reproduce their runs.
     pub async fn random_day_with(&mut self, day_s: f64, faults: usize, later: usize) {
         self.random_day_of(RandomDay { day_s, faults, later, pipelines: 0, rollout: false }).await;
     }
 
-    /// The same with pipelines, and with limits of the state service that shrink if there are any.
+    /// Runs `day` with pipelines; if the state service has limits, they shrink during the run.
     pub async fn random_day_of(&mut self, day: RandomDay) {
         let RandomDay { day_s, faults, later, pipelines, rollout } = day;
         let mut rng = StdRng::seed_from_u64(self.g.seed.wrapping_mul(0x9e37_79b9));
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Cancels one of the jobs that are open.
+    /// Cancels one of the open jobs.
     fn cancel_any(&mut self, rng: &mut StdRng) {
         let open: Vec<String> = {
             let w = self.g.w.lock().unwrap();
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Cuts a controller off from the machines of a zone, or of all zones, or mends that.
+    /// Cuts a controller off from the machines of a zone, or of all zones; `None` ends the cut.
     fn cut_machines(&mut self, node: usize, zone: &str, cut: Option<Cut>) {
         self.g.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
         let ips: Vec<IpAddr> = {
@@ -255,7 +258,7 @@
         }
     }
 
-    /// The cloud takes spot machines back, with a notice or without.
+    /// Reclaims spot machines, with or without notice.
     fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
         for id in self.some(rng, count, |spot| spot) {
             if noticed {
@@ -269,7 +272,7 @@
         }
     }
 
-    /// A team without a guarantee submits a large array and some small ones.
+    /// Submits a large array and several small ones for a team without a guarantee.
     fn submit_guests(&mut self, rng: &mut StdRng) {
         for tasks in [30, 1, 1, 1, 1] {
             let mut job = self.job("batch", tasks);
@@ -279,7 +282,7 @@
         }
     }
 
-    /// Some of the machines that are up, by their kind.
+    /// Returns up to `count` random machines that are up and whose spot flag `wanted` accepts.
     fn some(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
         let now = Instant::now();
         let w = self.g.w.lock().unwrap();
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -1,4 +1,4 @@
-//! What every part of a simulated day works with.
+//! Context shared by all simulated services.
 
 use super::deployment::PATIENCE;
 use super::net::SimulatedNetwork;
@@ -9,35 +9,38 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// What every part of a simulated day works with.
+/// Handles that all simulated services share.
 #[derive(Clone)]
 pub struct SimulationContext {
     pub seed: u64,
     pub w: Shared,
     pub network: SimulatedNetwork,
     pub user: Client,
-    /// Where the controllers serve users and workers.
+    /// Addresses at which the controllers serve users and workers.
     pub doors: Arc<[SocketAddr]>,
-    /// The network that all use in place of the one in memory, in a run in real time.
+    /// Network that replaces the one in memory in a run in real time.
     pub real_network: Option<Net>,
 }
 
 impl SimulationContext {
+    /// Adds a line to the history.
     pub fn log(&self, what: String) {
         self.w.lock().unwrap().log(what);
     }
 
+    /// Begins or ends an outage of the state service.
     pub fn state_down(&self, down: bool) {
         self.log(format!("state service down: {down}"));
         self.w.lock().unwrap().store.set_down(down);
     }
 
+    /// Sets whether the state service answers every request of this node with 503.
     pub fn refuse_state(&self, node: usize, refused: bool) {
         self.log(format!("state service refuses n{node}: {refused}"));
         self.w.lock().unwrap().refused[node] = refused;
     }
 
-    /// Serves an address.
+    /// Serves HTTP at an address with `handler`.
     pub fn serve<F>(&self, at: SocketAddr, handler: impl Fn(SimulationContext, Request) -> F + Send + Sync + 'static)
     where
         F: Future<Output = Response> + Send + 'static,
@@ -49,6 +52,8 @@
         });
     }
 
+    /// Creates a process on a host; returns its view of the network and its number, which is 0 on a
+    /// real network.
     pub fn process(&self, at: IpAddr) -> (Net, u64) {
         match &self.real_network {
             Some(net) => (net.clone(), 0),
--- a/crates/stand-ins/src/jobs.rs
+++ b/crates/stand-ins/src/jobs.rs
@@ -1,4 +1,4 @@
-//! What users are made to do on a simulated day.
+//! Actions of simulated users.
 
 use super::Sim;
 use super::deployment::NODES;
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 impl Sim {
-    /// A job under the next id.
+    /// Creates a job with the next identifier, without submitting it.
     pub fn job(&mut self, shape: &'static str, shards: u32) -> Job {
         self.next_job += 1;
         Job::new(&format!("run-{:06}", self.next_job), shape, shards)
@@ -21,7 +21,7 @@
         Job::random(&format!("run-{:06}", self.next_job), &mut self.rng)
     }
 
-    /// A user submits this and polls for it from now on.
+    /// Starts a user that submits the job and polls it from now on.
     pub fn submit(&mut self, job: Job) -> String {
         let id = job.id.clone();
         self.g.w.lock().unwrap().jobs.insert(id.clone(), job);
@@ -29,7 +29,7 @@
         id
     }
 
-    /// A user submits these in turn, each as soon as those that it waits for are accepted.
+    /// Starts a user that submits these jobs in turn, each once those that it waits for are accepted.
     pub fn submit_pipeline(&mut self, jobs: Vec<Job>) -> Vec<String> {
         let ids = jobs.iter().map(|job| job.id.clone()).collect();
         let seeds: Vec<u64> = jobs.iter().map(|_| self.rng.random()).collect();
@@ -47,7 +47,7 @@
         ids
     }
 
-    /// A short array that waits for these.
+    /// Creates a short array that waits for the given jobs.
     pub fn waiting_job(&mut self, waits_on: &[&str]) -> Job {
         let mut job = self.job("batch", 2);
         (job.cards, job.run_s) = (0.0, 3.0);
@@ -55,7 +55,7 @@
         job
     }
 
-    /// A pipeline of a random form: a chain, a join, a fan, or a chain that splits and joins.
+    /// Creates a pipeline of a random form: a chain, a fan-in, a fan-out, or a chain that splits and joins.
     pub fn random_pipeline(&mut self, rng: &mut StdRng) -> Vec<Job> {
         let forms: [&[&[usize]]; 4] = [
             &[&[], &[0], &[1], &[2]],
@@ -80,12 +80,12 @@
         jobs
     }
 
-    /// Its user asks to cancel it, at these nodes in turn, until that is confirmed.
+    /// Requests the cancellation of a job at these nodes in turn until it is confirmed.
     pub fn cancel(&mut self, id: &str, nodes: &[usize]) {
         tokio::spawn(users::cancel(self.g.clone(), id.into(), nodes.to_vec(), self.rng.random()));
     }
 
-    /// The same a while after now, or once the job is accepted.
+    /// Requests the cancellation of a job after a delay, or once the job is accepted.
     pub fn cancel_later(&mut self, id: &str, after: Duration) {
         let (g, id, seed) = (self.g.clone(), id.to_string(), self.rng.random());
         tokio::spawn(async move {
@@ -97,17 +97,17 @@
         });
     }
 
-    /// Somebody asks about jobs that nobody has submitted, from now on.
+    /// Starts a user that polls jobs which were never submitted.
     pub fn ask_about_unknown_jobs(&mut self) {
         tokio::spawn(users::stranger(self.g.clone(), self.rng.random()));
     }
 
-    /// The user repeats the submission at all nodes at once.
+    /// Repeats the submission of a job at all nodes at once.
     pub fn submit_again(&self, id: &str) {
         users::submit_again(&self.g, id);
     }
 
-    /// The user asks at all nodes at once.
+    /// Polls a job at all nodes at once.
     pub fn ask_all(&self, id: &str) {
         users::ask_all(&self.g, id);
     }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins written from the protocol: a state service, a cloud, workers and users, which
-//! check the rules as things happen. [`Sim`] puts them and real controllers on one thread, in
-//! simulated time, over a network in memory; the scale run uses them over loopback.
+//! Simulated counterparts of the controllers, written from the protocol: a state service, a cloud,
+//! workers and users. They check the rules of the service at each event. [`Sim`] runs them with real
+//! controllers on one thread, in simulated time, over a network in memory; the load tool runs them
+//! over loopback.
 
 #![allow(
     clippy::unwrap_used,
@@ -47,29 +48,31 @@
 use tokio::time::{Instant, sleep};
 use world::{BootFaults, Shared, SimulationState};
 
-/// The time of day at which each simulated day begins.
+/// Time of day, in milliseconds of the Unix epoch, at which each simulation begins.
 const MORNING_MS: u64 = 1_800_000_000_000;
 
-/// What may differ from day to day before it begins.
+/// Options of a simulation.
 pub struct Setup {
+    /// Operators' settings of the controllers.
     pub operator: Operator,
-    /// What is switched on beside that.
+    /// Optional subsystems that the controllers run.
     pub subsystems: Subsystems,
-    /// The time of day stands still, as it did when the first seeds were hunted: their days
-    /// stay what they were.
+    /// Whether the time of day stands still. It did when the first seeds were recorded; with this
+    /// option their runs are reproduced.
     pub time_of_day_stands: bool,
-    /// The controllers are of the version in production until they are upgraded.
+    /// Whether the controllers run as the version in production until they are upgraded.
     pub production: bool,
-    /// Workers keep models loaded.
+    /// Whether workers keep models loaded.
     pub loads_models: bool,
-    /// Cards that teams are guaranteed, and no cores, in place of their usual guarantees.
+    /// Accelerators that teams are guaranteed, with no cores, in place of their usual guarantees.
     pub guaranteed_cards: Vec<(&'static str, f64)>,
-    /// Machines of a type, zone and kind that the cloud has, if not as many as usual.
+    /// Number of machines that the cloud has of each combination of type, zone and spot or
+    /// on-demand; `None` for the default.
     pub capacity: Option<usize>,
 }
 
 impl Setup {
-    /// Nothing is rented for jobs that may come: what is rented is needed.
+    /// Returns options under which no machine is rented ahead of demand.
     pub fn without_headroom() -> Setup {
         let mut setup = Setup::default();
         setup.operator.headroom = 0.0;
@@ -91,9 +94,10 @@
     }
 }
 
+/// A simulated deployment: real controllers and simulated services on one thread.
 pub struct Sim {
     pub g: SimulationContext,
-    /// Number of the process of each controller; none while it is down.
+    /// Process number of each controller; `None` while it is down.
     lives: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
     operator: Operator,
@@ -104,6 +108,7 @@
 }
 
 impl Sim {
+    /// Starts the simulated services and all controllers.
     pub fn new(seed: u64, setup: Setup) -> Sim {
         clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
         let network = SimulatedNetwork::new(seed ^ 0x5eed);
@@ -141,9 +146,9 @@
         sim
     }
 
-    // ---- what can be done to the deployment ----
+    // ---- actions on the deployment ----
 
-    /// Ends a controller; its memory is lost.
+    /// Kills a controller; its memory is lost.
     pub fn kill(&mut self, node: usize) {
         if let Some(life) = self.lives[node].take() {
             self.g.log(format!("n{node} is killed"));
@@ -152,6 +157,7 @@
         }
     }
 
+    /// Starts a controller unless it runs.
     pub fn start(&mut self, node: usize) {
         if self.lives[node].is_none() {
             let (net, life) = self.g.network.process(controller(node));
@@ -170,76 +176,80 @@
         }
     }
 
-    /// Ends a controller, which comes back with the version in production.
+    /// Kills a controller; its next start is with the version in production.
     pub fn kill_to_downgrade(&mut self, node: usize) {
         self.kill(node);
         self.g.w.lock().unwrap().production[node] = true;
     }
 
-    /// Ends a controller, which comes back with this version.
+    /// Kills a controller; its next start is with this version.
     pub fn kill_to_upgrade(&mut self, node: usize) {
         self.kill(node);
         self.g.w.lock().unwrap().production[node] = false;
     }
 
-    /// Pauses a controller's process, or lets it go on.
+    /// Pauses or resumes a controller's process.
     pub fn pause(&self, node: usize, paused: bool) {
         self.g.log(format!("n{node} paused: {paused}"));
         self.pauses[node].set(paused);
     }
 
+    /// Begins or ends an outage of the state service.
     pub fn state_down(&self, down: bool) {
         self.g.state_down(down);
     }
 
-    /// Users ask about their jobs so many times as often as they usually do.
+    /// Sets how often users poll their jobs, as a multiple of the default rate.
     pub fn poll_rate(&self, rate: f64) {
         self.g.log(format!("users poll {rate} times as often"));
         self.g.w.lock().unwrap().poll_rate = rate;
     }
 
-    /// Of the machines that are rented from now on such shares never come up, or come up
-    /// so many times later than usual.
+    /// Sets the boot faults of machines that are rented from now on.
     pub fn boot_faults(&self, faults: BootFaults) {
         self.g.log(format!("{faults:?}"));
         self.g.w.lock().unwrap().boot_faults = faults;
     }
 
-    /// The state service takes what it does at first, or from now on what was announced.
+    /// Sets the limits of the state service, effective at once.
     pub fn limit_state(&self, limits: Limits) {
         self.g.log(format!("the state service takes {} changes of {} bytes", limits.changes, limits.value_bytes));
         self.g.w.lock().unwrap().store.limits = Some(limits);
     }
 
-    /// The state service answers this node with 503 only.
+    /// Sets whether the state service answers every request of this node with 503.
     pub fn refuse_state(&self, node: usize, refused: bool) {
         self.g.refuse_state(node, refused);
     }
 
+    /// Sets the share of requests to the state service that get no answer and are carried out late.
     pub fn late_writes(&self, share: f64) {
         self.g.w.lock().unwrap().late_writes = share;
     }
 
+    /// Sets the share of requests to the state service that are carried out but get no answer.
     pub fn lost_answers(&self, share: f64) {
         self.g.w.lock().unwrap().lost_answers = share;
     }
 
+    /// Sets the share of worker reports of which copies arrive late.
     pub fn late_reports(&self, share: f64) {
         self.g.w.lock().unwrap().late_reports = share;
     }
 
-    /// Keeps copies of all reports; every controller gets them as the next leader begins.
+    /// Keeps copies of all reports and delivers them to every controller when the next leader begins.
     pub fn keep_reports(&self) {
         self.g.w.lock().unwrap().keeping = true;
     }
 
+    /// Cuts the connections between two hosts; `None` ends the cut.
     pub fn cut(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
         self.g.network.cut(a, b, cut);
     }
 
-    // ---- what can be asked ----
+    // ---- progress and queries ----
 
-    /// Lets time pass; stops at the first rule that is broken.
+    /// Runs the simulation for `time`. Panics at the first broken rule.
     pub async fn run(&self, time: Duration) {
         let until = Instant::now() + time;
         loop {
@@ -252,6 +262,7 @@
         }
     }
 
+    /// Panics with the recent history if a rule is broken.
     pub fn check(&self) {
         if let Some(broken) = self.g.network.broken() {
             self.g.w.lock().unwrap().fail(broken);
@@ -264,7 +275,7 @@
         }
     }
 
-    /// Lets time pass until something holds.
+    /// Runs the simulation until `holds` returns true. Panics after `most`, or at a broken rule.
     pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&SimulationState) -> bool) {
         let end = Instant::now() + most;
         while !holds(&self.g.w.lock().unwrap()) {
@@ -278,7 +289,7 @@
         }
     }
 
-    /// The controller that holds the jobs, as the state service knows it.
+    /// Returns the node that owns partition 0 according to the state service, if one does.
     pub fn leader(&self) -> Option<usize> {
         let key = Request { method: "GET".into(), path: "/store/part/0".into(), body: Vec::new() };
         let r = self.g.w.lock().unwrap().store.read(&key);
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -1,4 +1,4 @@
-//! The workers' side of the protocol: reports, direct commands, late copies.
+//! Simulated workers' side of the protocol: reports, direct commands and late copies of reports.
 
 use super::deployment::PATIENCE;
 use super::ground::SimulationContext;
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Requests to models come under this path.
+/// Path prefix of requests to models.
 pub const MODEL_PATH: &str = "/model/";
-/// How long a model works on a request.
+/// Time that a model takes for a request.
 const REQUEST_TIME: Duration = Duration::from_millis(50);
-/// How long a worker waits for the answer to a report.
+/// Time limit of a worker for the answer to a report.
 const ANSWER_LIMIT: Duration = Duration::from_secs(4);
 
-/// Starts the worker of a machine that was rented.
+/// Starts the worker of a newly rented machine.
 pub fn boot(g: &SimulationContext, id: String) {
     let (net, life, addr, up) = {
         let mut w = g.w.lock().unwrap();
@@ -41,6 +41,7 @@
     });
 }
 
+/// Removes a machine from the cloud and ends its process; `why` goes to the history.
 pub fn remove(g: &SimulationContext, id: &str, why: &str) {
     let life = {
         let mut w = g.w.lock().unwrap();
@@ -52,6 +53,7 @@
     }
 }
 
+/// Crashes a machine, which stays rented.
 pub fn die(g: &SimulationContext, id: &str) {
     let life = {
         let mut w = g.w.lock().unwrap();
@@ -67,7 +69,7 @@
     g.w.lock().unwrap().machines[id].exists()
 }
 
-/// A machine that hangs does nothing; false if it is gone after that.
+/// Waits while a machine hangs. Returns false if the machine is gone afterwards.
 async fn awake(g: &SimulationContext, id: &str) -> bool {
     loop {
         let until = g.w.lock().unwrap().machines[id].hang;
@@ -103,7 +105,8 @@
     Response::json(if done { 200 } else { 409 }, &w.report(&id))
 }
 
-/// Is a direct command held up? Then it is carried out late, if its token and session still match.
+/// Returns whether a direct command is delayed. A delayed command is carried out later if its token and
+/// session still match.
 fn held_up(g: &SimulationContext, id: &str, req: &http::Request) -> bool {
     let mut w = g.w.lock().unwrap();
     let share = w.late_commands;
@@ -123,7 +126,8 @@
     true
 }
 
-/// A request to a model, by its image's number: answered by a replica that is ready, or refused.
+/// Answers a request to a model, named by the number of its image. Answers 503 unless the machine has a
+/// ready replica.
 async fn answer_request(g: &SimulationContext, id: &str, image: &str) -> Response {
     let answers = {
         let w = g.w.lock().unwrap();
@@ -137,27 +141,28 @@
     Response::json(200, &serde_json::json!({ "answered": true }))
 }
 
-/// What a worker does after an attempt to report.
+/// Next action of a worker after an attempt to report.
 enum AfterReport {
-    /// It stays with the node.
+    /// Report to the same node next time.
     Stay,
-    /// It reports to this node at once.
+    /// Report to this node at once.
     Redirected(usize),
-    /// It tries the next node after a pause.
+    /// Try the next node after a pause.
     TryAnother,
-    /// The machine is gone.
+    /// Stop: the machine is gone.
     Gone,
 }
 
-/// A report as it was sent.
+/// Report with the time and the session in which it was sent.
 struct SentReport {
     sent: Instant,
     tenure: u64,
     body: String,
-    /// It reaches no controller.
+    /// Whether the report is lost before any controller.
     mute: bool,
 }
 
+/// Sends the reports of a machine until it is gone.
 async fn reports(g: SimulationContext, id: String, client: Client) {
     let mut at = {
         let mut w = g.w.lock().unwrap();
@@ -167,7 +172,7 @@
         let Some(report) = next_report(&g, &id) else { return };
         copies(&g, &id, &report.body);
         let mut next = false;
-        // A redirection is followed at once.
+        // A redirection is followed without waiting for the next report.
         for _ in 0..g.doors.len() {
             match send_report(&g, &id, &client, at, &report).await {
                 AfterReport::Stay => break,
@@ -186,7 +191,8 @@
     }
 }
 
-/// Waits until the next report is due, or something has changed; false if the machine is gone.
+/// Waits until the next report is due or the machine's state has changed. Returns false if the machine
+/// is gone.
 async fn report_due(g: &SimulationContext, id: &str) -> bool {
     let last = Instant::now();
     let due = {
@@ -252,8 +258,8 @@
     }
 }
 
-/// Some reports are copied, and the copies come late: at one or all controllers,
-/// after seconds or more than a lease, or as the next leader begins.
+/// Copies a share of the reports. A copy arrives late at one or all controllers: after seconds, after
+/// more than a lease, or when the next leader begins.
 fn copies(g: &SimulationContext, id: &str, body: &str) {
     let (ip, after, to) = {
         let mut w = g.w.lock().unwrap();
@@ -296,8 +302,7 @@
     }
 }
 
-/// A leader begins: what was kept reaches every controller, again and again in
-/// its first moments.
+/// Sends the kept reports to every controller, several times during the first second of a new leader.
 pub fn release_kept(g: &SimulationContext) {
     let kept: Vec<(IpAddr, String)> = std::mem::take(&mut g.w.lock().unwrap().kept).into_values().flatten().collect();
     let nodes: Vec<usize> = (0..g.doors.len()).collect();
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -1,4 +1,4 @@
-//! A network in memory: latency from the seed, and cuts between pairs of hosts.
+//! Network in memory with seeded random latency and with cuts between pairs of hosts.
 
 mod process;
 mod streams;
@@ -14,29 +14,33 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// What a cut does to a pair of hosts.
+/// Effect of a cut on the connections between two hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
-    /// Connections fail at once, open ones are reset.
+    /// New connections are refused and open ones are reset.
     Refuse,
-    /// Bytes are kept, and come in order when the cut ends.
+    /// Bytes are held back and delivered in order when the cut ends.
     Hold,
 }
 
 type Shared<T> = Arc<Mutex<T>>;
 
+/// An open connection.
 struct Link {
+    /// Hosts that opened and accepted it.
     ends: (IpAddr, IpAddr),
-    /// Lives of the hosts that opened and accepted it.
+    /// Numbers of the processes that opened and accepted it.
     lives: (u64, u64),
     pipes: [Weak<Mutex<Pipe>>; 2],
 }
 
+/// A listening socket.
 struct Bound {
     life: u64,
     tx: mpsc::UnboundedSender<Box<dyn Stream>>,
 }
 
+/// State of the network.
 struct Inner {
     rng: StdRng,
     cuts: HashMap<(IpAddr, IpAddr), Cut>,
@@ -45,15 +49,15 @@
     dead: Vec<u64>,
     next_life: u64,
     mended: Arc<Notify>,
-    /// Connections that each process opened at an instant or close to it.
+    /// Start of the current period of a second and number of connections opened in it, for each process.
     opened: HashMap<u64, (Instant, u32)>,
-    /// Processes of the version in production.
+    /// Processes that run the version in production.
     production: HashSet<u64>,
-    /// The first rule that was broken on the network.
+    /// First rule that was broken on the network.
     broken: Option<String>,
 }
 
-/// The whole network.
+/// Handle to the simulated network.
 #[derive(Clone)]
 pub struct SimulatedNetwork(Shared<Inner>);
 
@@ -77,7 +81,7 @@
         })))
     }
 
-    /// The network as one process on a host sees it, and that process's number.
+    /// Creates a process on a host; returns its view of the network and its number.
     pub fn process(&self, host: IpAddr) -> (Net, u64) {
         let mut inner = self.0.lock().unwrap();
         inner.next_life += 1;
@@ -85,14 +89,13 @@
         (Net::new(Process { network: self.clone(), host, life }), life)
     }
 
-    /// What the process says to other controllers, and hears from them, is in the form of the
-    /// version in production.
+    /// Converts all frames between the process and other controllers to the form of the version in
+    /// production.
     pub fn speak_as_production(&self, life: u64) {
         self.0.lock().unwrap().production.insert(life);
     }
 
-    /// Ends a process as far as anybody can tell: what it had sent still arrives,
-    /// what it does later goes nowhere.
+    /// Ends a process. Bytes that it has sent still arrive; anything that it does later has no effect.
     pub fn kill(&self, life: u64) {
         let mut inner = self.0.lock().unwrap();
         inner.dead.push(life);
@@ -114,7 +117,8 @@
         }
     }
 
-    /// A process that opened connections without end, or said what another can't read.
+    /// Returns the first rule broken on the network, if any: a process opened too many connections, or sent
+    /// a frame that its peer cannot read.
     pub fn broken(&self) -> Option<String> {
         self.0.lock().unwrap().broken.clone()
     }
@@ -125,6 +129,7 @@
         cuts.into_iter().for_each(|(a, b)| self.cut(a, b, None));
     }
 
+    /// Cuts the connections between two hosts; `None` ends the cut.
     pub fn cut(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
         let mut inner = self.0.lock().unwrap();
         let ends = pair(a, b);
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -1,4 +1,4 @@
-//! A process on the network: what it opens and what it accepts.
+//! Connections that a process on the simulated network opens and accepts.
 
 use super::streams::{MemRead, MemStream, MemWrite, Pipe};
 use super::{Bound, Cut, Link, Shared, SimulatedNetwork, pair};
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Over 1000 connections in a second: the clock would hardly go on.
+    /// Counts a connection; returns whether the process opened over 1000 within a second, which breaks a
+    /// rule. Simulated time would hardly advance at such a rate.
     fn storms(&self, addr: SocketAddr) -> bool {
         let mut inner = self.network.0.lock().unwrap();
         let now = Instant::now();
@@ -53,7 +54,7 @@
         storms
     }
 
-    /// None while the way is held.
+    /// Tries to connect. Returns `None` while a cut holds the connection back, or if this process is dead.
     fn try_connect(&self, addr: SocketAddr) -> Option<io::Result<Box<dyn Stream>>> {
         let mut inner = self.network.0.lock().unwrap();
         if inner.dead.contains(&self.life) {
@@ -79,7 +80,7 @@
         inner.links.retain(|l| l.pipes.iter().any(|p| p.strong_count() > 0));
         let pipes = [Arc::downgrade(&out), Arc::downgrade(&back)];
         inner.links.push(Link { ends: (self.host, addr.ip()), lives: (self.life, there), pipes });
-        // An end that is dropped takes the lock.
+        // Dropping an end of the connection takes this lock.
         drop(inner);
         if tx.send(Box::new(theirs)).is_err() {
             return refused();
@@ -113,7 +114,7 @@
         Box::pin(async move {
             match self.0.lock().await.recv().await {
                 Some(s) => Ok(s),
-                // The process is dead: nothing comes any more.
+                // The process is dead: no connection arrives any more.
                 None => std::future::pending().await,
             }
         })
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -1,4 +1,4 @@
-//! The two directions of a connection, and its ends.
+//! Directions and ends of a connection in memory.
 
 use super::{Shared, SimulatedNetwork};
 use crate::versions::production_frames;
@@ -14,17 +14,20 @@
 
 /// One direction of a connection.
 pub(super) struct Pipe {
+    /// Bytes that were not read yet, each chunk with the instant of its arrival.
     pub(super) chunks: VecDeque<(Instant, Vec<u8>)>,
-    /// The writer has closed it then.
+    /// Instant from which the reader sees the end of the stream; `None` while the writer is open.
     pub(super) closed: Option<Instant>,
     pub(super) reset: bool,
+    /// Whether a cut holds the bytes back.
     pub(super) held: bool,
+    /// Arrival of the last chunk.
     pub(super) last: Instant,
     pub(super) reader: Option<Waker>,
 }
 
 impl Pipe {
-    /// A direction on which nothing was written yet.
+    /// Returns an empty, open direction.
     pub(super) fn new() -> Pipe {
         Pipe { chunks: VecDeque::new(), closed: None, reset: false, held: false, last: Instant::now(), reader: None }
     }
@@ -51,7 +54,7 @@
     pub(super) pipe: Shared<Pipe>,
     pub(super) network: SimulatedNetwork,
     pub(super) life: u64,
-    /// What is written are frames, which are put into the form of the version in production.
+    /// Whether written bytes are frames that are converted to the form of the version in production.
     pub(super) in_production_form: bool,
 }
 
@@ -104,7 +107,7 @@
 
 impl MemWrite {
     fn close(&self) {
-        // Locked in the same order as by a cut.
+        // The locks are taken in the same order as by a cut: first the network's.
         let inner = self.network.0.lock().unwrap();
         if inner.dead.contains(&self.life) {
             return;
--- a/crates/stand-ins/src/pause.rs
+++ b/crates/stand-ins/src/pause.rs
@@ -1,23 +1,24 @@
-//! Pauses one controller of several that share a runtime: none of its tasks is polled
-//! meanwhile, while clocks, the network and everybody else go on. What is sent to it waits
-//! in its connections, and its timers that are due act once it goes on.
+//! Pause of one controller among several on one runtime. While it is paused, none of its tasks is
+//! polled; clocks, the network and all other tasks go on. Bytes that are sent to it wait in its
+//! connections, and its expired timers take effect when it resumes.
 
 use badgerdrift::runtime::task::Gate;
 use std::sync::Mutex;
 use std::task::{Context, Poll, Waker};
 
-/// The gate before all tasks of one controller.
+/// Gate that blocks all tasks of one controller while it is paused.
 #[derive(Default)]
 pub struct Pause(Mutex<State>);
 
 #[derive(Default)]
 struct State {
     paused: bool,
-    /// The tasks that were woken meanwhile, in that order.
+    /// Tasks that were polled during the pause, in that order.
     woken: Vec<Waker>,
 }
 
 impl Pause {
+    /// Pauses the tasks, or resumes them.
     pub fn set(&self, paused: bool) {
         let woken = {
             let mut state = self.0.lock().unwrap();
--- a/crates/stand-ins/src/production_format.rs
+++ b/crates/stand-ins/src/production_format.rs
@@ -1,4 +1,5 @@
-//! Records and frames as the version in production declares them. They stay as they are.
+//! Records and frames as the version in production declares them. They must not change with this
+//! version.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a day: once every fault is over, everything is done in bounded time.
+//! End of a simulation: without faults, all work must finish in bounded time.
 
 use super::Sim;
 use super::deployment::NODES;
@@ -6,17 +6,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two looks at what is left to do.
+/// Interval at which unfinished work is checked.
 const LOOK_EVERY: Duration = Duration::from_secs(2);
-/// Services are cancelled after so many looks each.
+/// Number of checks between cancellations of services.
 const LOOKS_PER_CANCELLATION: usize = 20;
-/// After this time without faults everything must be done.
+/// Time without faults within which all work must be finished.
 const SETTLED_WITHIN: Duration = Duration::from_secs(240);
-/// After this time every question about a job must be answered.
+/// Time within which every poll of a job must be answered.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
 
 impl Sim {
-    /// All faults are over: within a bounded time everything is done, and every job is known.
+    /// Ends all faults and checks that all work finishes in bounded time and that every accepted job
+    /// is still known.
     pub async fn settle(&mut self) {
         self.end_faults();
         self.finish_all_jobs().await;
@@ -50,7 +51,7 @@
         self.g.network.mend();
     }
 
-    /// Runs until no job is left to do; services are cancelled one after the other meanwhile.
+    /// Runs until no job is unfinished, cancelling services one after the other.
     async fn finish_all_jobs(&mut self) {
         let over = Instant::now();
         let mut looks = 0;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Services may take up a team's limit, each with a part of its replicas: those that run have
-    /// done so by now, and the first of the others goes too.
+    /// Cancels the services that run with all replicas, and the first of the others. Services that run
+    /// with some of their replicas may together use up a team's limit, so that none of them completes.
     fn cancel_services(&mut self, open: &[String]) {
         let services: Vec<String> = {
             let w = self.g.w.lock().unwrap();
@@ -93,7 +94,7 @@
         w.jobs.values().filter(|job| job.accepted.is_some()).map(|job| job.id.clone()).collect()
     }
 
-    /// Asks about these jobs at all nodes; every one must still be known, and answered.
+    /// Polls these jobs at all nodes and checks that each one is known and answered.
     async fn expect_answers(&mut self, known: &[String]) {
         let asked = Instant::now();
         for id in known {
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service, as each of the controllers sees it.
+//! HTTP interface of the simulated state service, with its faults.
 
 use super::deployment::PATIENCE;
 use super::ground::SimulationContext;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The state service, as one of the controllers sees it.
+/// Answers one request of a controller to the state service.
 pub async fn state(g: SimulationContext, node: usize, req: Request) -> Response {
     if !g.w.lock().unwrap().production[node] {
         return answer(g, node, req).await;
@@ -20,7 +20,7 @@
     Response { body: in_production_form(&g, response.body), ..response }
 }
 
-/// The records in a body as the version in production reads or writes them.
+/// Converts the records in a body to the form that the version in production reads and writes.
 fn in_production_form(g: &SimulationContext, body: Vec<u8>) -> Vec<u8> {
     let Ok(mut value) = serde_json::from_slice(&body) else { return body };
     if let Err(broken) = production_records(&mut value) {
@@ -29,23 +29,23 @@
     serde_json::to_vec(&value).unwrap()
 }
 
-/// What is drawn for one request: how long it takes, and what goes wrong with it.
+/// Randomly drawn delay and fault of one request.
 struct Fate {
     lag: Duration,
-    /// A write without an answer is carried out so many seconds late.
+    /// Delay in seconds after which a write without an answer is carried out; `None` for no such fault.
     late_s: Option<f64>,
-    /// It is carried out, and its answer is lost.
+    /// Whether the request is carried out and its answer lost.
     answer_lost: bool,
 }
 
-/// Does the state service refuse this node, or everybody?
+/// Returns whether the state service refuses this node, or all nodes.
 fn is_down(g: &SimulationContext, node: usize) -> bool {
     let w = g.w.lock().unwrap();
     w.store.down || w.refused[node]
 }
 
 async fn answer(g: SimulationContext, node: usize, req: Request) -> Response {
-    // A storm is told, and ends here: it must not keep the clock from going on.
+    // A request storm breaks a rule. Its requests never return, since simulated time would not advance otherwise.
     if !g.w.lock().unwrap().may_ask(node) {
         return std::future::pending().await;
     }
@@ -77,7 +77,7 @@
     response
 }
 
-/// Answers a watch once something has changed, or its time is over. It waits through outages.
+/// Answers a watch once a key has changed or its time is over. Open watches wait during outages.
 async fn watch(g: &SimulationContext, node: usize, path: &str) -> Response {
     let q = crate::store::query(path);
     let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
@@ -101,7 +101,8 @@
     Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && w.rng.random_bool(lost) }
 }
 
-/// Carries a request out. A leader that begins by it is noted, and meets late copies of heartbeats.
+/// Carries a request out. If it makes a controller leader, this is noted and the kept copies of worker
+/// reports are released.
 fn carry_out(g: &SimulationContext, node: usize, req: &Request) -> Response {
     let (response, claimed) = {
         let mut w = g.w.lock().unwrap();
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -1,4 +1,4 @@
-//! The state service, for all suites: a consistent store in memory.
+//! Consistent store in memory, which implements the state service for all tests.
 
 use badgerdrift::transport::http::{Request, Response};
 use serde_json::{Value, json};
@@ -6,43 +6,49 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The parts of a path's query.
+/// Returns the parameters of a path's query.
 pub fn query(path: &str) -> HashMap<String, String> {
     let q = path.split_once('?').map_or("", |p| p.1);
     q.split('&').filter_map(|kv| kv.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
 
+/// Keys with their revisions and leases, and the log of changes.
 #[derive(Default)]
 pub struct Store {
+    /// Value, revision and lease of each key.
     keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
+    /// Last renewal and duration of each lease.
     grants: HashMap<u64, (Instant, Duration)>,
     next_grant: u64,
     log: Vec<Value>,
     pub down: bool,
-    /// How often a key was put under a grant: as a leader begins.
+    /// Number of commits that put a key under a lease, as a leader does when it begins.
     pub claims: u64,
-    /// Puts and deletes that were carried out.
+    /// Number of puts and deletes that were carried out.
     pub writes: u64,
-    /// Limits of values, commits and changes; none if there are none.
+    /// Limits of values, commits and changes; `None` for no limits.
     pub limits: Option<Limits>,
-    /// Commits that were refused for the rate of changes.
+    /// Number of commits that were refused because of the rate of changes.
     pub throttled: u64,
-    /// Changes that may still be made now, under the limits.
+    /// Changes that the rate limit still allows now.
     allowed: f64,
     refilled: Option<Instant>,
 }
 
-/// What the service takes.
+/// Limits of the state service.
 #[derive(Clone, Copy)]
 pub struct Limits {
+    /// Largest value, in bytes.
     pub value_bytes: usize,
+    /// Most changes in a commit.
     pub changes: usize,
+    /// Most changes per second.
     pub changes_per_s: f64,
 }
 
 impl Store {
-    /// In an outage no grant ends.
+    /// Ends the leases whose time is over. No lease ends during an outage.
     fn expire(&mut self) {
         if self.down {
             return;
@@ -52,6 +58,7 @@
         ended.into_iter().for_each(|id| self.end(id));
     }
 
+    /// Ends a lease and deletes its keys.
     fn end(&mut self, id: u64) {
         self.grants.remove(&id);
         let keys: Vec<String> = self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
@@ -64,14 +71,14 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Begins or ends an outage and renews every lease: after an outage each has its full time again.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
         let now = Instant::now();
         self.grants.values_mut().for_each(|g| g.0 = now);
     }
 
-    /// Why a commit is not taken under the limits, if so.
+    /// Returns the refusal of a commit that exceeds the limits; `None` if it does not.
     fn refusal(&mut self, apply: &[Value]) -> Option<Response> {
         let limits = self.limits?;
         let too_large = |a: &Value| a.get("data").is_some_and(|data| data.to_string().len() > limits.value_bytes);
@@ -122,22 +129,23 @@
         Response::json(200, &json!({"epoch": self.revision}))
     }
 
-    /// The value of a key; null if there is none.
+    /// Returns the value of a key; null if the key does not exist.
     pub fn value(&self, key: &str) -> Value {
         self.keys.get(key).map_or(Value::Null, |entry| entry.0.clone())
     }
 
-    /// The keys under a prefix with their values.
+    /// Returns the keys that begin with a prefix, with their values.
     pub fn under(&self, prefix: &str) -> Vec<(String, Value)> {
         let under = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         under.map(|(key, entry)| (key.clone(), entry.0.clone())).collect()
     }
 
+    /// Answers a request; with 503 during an outage.
     pub fn handle(&mut self, req: &Request) -> Response {
         if self.down { Response::error(503, "outage") } else { self.read(req) }
     }
 
-    /// What the service would answer if it were up.
+    /// Answers a request regardless of an outage.
     pub fn read(&mut self, req: &Request) -> Response {
         self.expire();
         let path = req.path.split('?').next().unwrap();
@@ -186,8 +194,8 @@
         }
     }
 
-    /// What a watch gets now, if anything; an empty answer at its end. In an
-    /// outage open watches wait.
+    /// Returns the answer to a watch, or `None` while it has to wait. A watch that `ends` without changes gets
+    /// an empty answer. Open watches wait during an outage.
     pub fn changes(&mut self, q: &HashMap<String, String>, ends: bool) -> Option<Response> {
         if self.down {
             return None;
--- a/crates/stand-ins/src/users.rs
+++ b/crates/stand-ins/src/users.rs
@@ -1,4 +1,4 @@
-//! Users: they submit, poll, repeat themselves, cancel, and ask at every node.
+//! Simulated users, which submit jobs, repeat submissions, poll and cancel at any node.
 
 use super::ground::SimulationContext;
 use crate::world::secs;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// One request; what is answered is checked.
+/// Sends one request about a job and checks the answer. Returns status 0 if there was none.
 async fn ask(g: &SimulationContext, id: &str, node: usize, what: &str) -> (u16, Value) {
     let (method, path, body, limit) = match what {
         "submit" => {
@@ -35,11 +35,12 @@
     }
 }
 
-/// Right after an answer, at every node.
+/// Polls a job at every node, a millisecond from now.
 pub fn ask_all(g: &SimulationContext, id: &str) {
     at_every_node(g, id, "poll");
 }
 
+/// Repeats the submission of a job at every node, a millisecond from now.
 pub fn submit_again(g: &SimulationContext, id: &str) {
     at_every_node(g, id, "submit");
 }
@@ -54,6 +55,7 @@
     }
 }
 
+/// Requests the cancellation of a job at these nodes in turn until one answers 200 or 404.
 pub async fn cancel(g: SimulationContext, id: String, nodes: Vec<usize>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut i = rng.random_range(0..nodes.len());
@@ -68,7 +70,8 @@
     }
 }
 
-/// A node to submit a job at: for one that waits for others a node of this version, if any.
+/// Returns a random node for the submission of a job. A job that waits for others needs a node of this
+/// version; `None` if there is none.
 fn node_to_submit_at(g: &SimulationContext, id: &str, rng: &mut StdRng) -> Option<usize> {
     let w = g.w.lock().unwrap();
     let waits = !w.jobs[id].waits_on.is_empty();
@@ -76,7 +79,7 @@
     (!nodes.is_empty()).then(|| nodes[rng.random_range(0..nodes.len())])
 }
 
-/// The whole life of a job as its user sees it.
+/// Submits a job, polls it until it is over, and goes on to poll it now and then.
 pub async fn user(g: SimulationContext, id: String, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let began = Instant::now();
@@ -108,13 +111,13 @@
         }
         again += u32::from(over);
         if again > 4 {
-            // Now and then, long after.
+            // Polls of a job that has been over for a while are rare.
             sleep(secs(rng.random_range(5.0..20.0) / rate)).await;
         }
     }
 }
 
-/// Asks about jobs that nobody has submitted.
+/// Polls jobs that were never submitted; an answer of 200 breaks a rule.
 pub async fn stranger(g: SimulationContext, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
--- a/crates/stand-ins/src/versions.rs
+++ b/crates/stand-ins/src/versions.rs
@@ -1,22 +1,26 @@
-//! Controllers of the version in production, as the others and the state service see them.
+//! Emulation of controllers of the version in production towards other controllers and the state
+//! service.
 //!
-//! They run the code of this version, and everything that goes between them and others is put
-//! into the form of that version: frames lose their format, records the fields that it does not
-//! know. What that version could not read, or would misunderstand, breaks a rule.
+//! Such a controller runs the code of this version. Everything exchanged with it is converted to the
+//! form of the version in production: frames lose the field `format`, and records lose the fields that
+//! version does not know. A message that it could not read, or would misunderstand, breaks a rule.
 
 use crate::production_format as production;
 use ciborium::Value as Cbor;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Port on which controllers serve each other.
+/// Port at which controllers serve each other.
 pub const INTERNAL_PORT: u16 = 81;
 
-/// Bytes of a frame's length.
+/// Size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Frames that are written together, as they go between a controller of the version in production
-/// and another one; the rule that one of them breaks otherwise.
+/// Converts the frames of one write between a controller of the version in production and another one.
+///
+/// # Errors
+///
+/// The broken rule, if a frame is incomplete or [`production_frame`] fails.
 pub fn production_frames(mut written: &[u8]) -> Result<Vec<u8>, String> {
     let mut out = Vec::new();
     while let Some((length, rest)) = written.split_first_chunk::<LENGTH_BYTES>() {
@@ -31,8 +35,11 @@
     if written.is_empty() { Ok(out) } else { Err("a write that ends within a frame".into()) }
 }
 
-/// A frame as it goes between a controller of the version in production and another one; the
-/// rule that it breaks otherwise.
+/// Converts a frame between a controller of the version in production and another one.
+///
+/// # Errors
+///
+/// The broken rule, if the version in production cannot read the frame or would misunderstand it.
 pub fn production_frame(frame: &[u8]) -> Result<Vec<u8>, String> {
     let body = &frame[LENGTH_BYTES..];
     let request = ciborium::from_reader::<production::Numbered<production::PeerRequest>, _>(body);
@@ -57,8 +64,11 @@
     Ok(out)
 }
 
-/// Takes out of job records what the version in production does not know; the rule that they
-/// break if it can't read the rest.
+/// Removes from job records the fields that the version in production does not know.
+///
+/// # Errors
+///
+/// The broken rule, if that version cannot read the remaining fields.
 pub fn production_records(value: &mut Value) -> Result<(), String> {
     match value {
         Value::Array(values) => values.iter_mut().try_for_each(production_records),
@@ -76,7 +86,7 @@
     }
 }
 
-/// Does a submission name jobs that it waits for?
+/// Returns whether a submission names jobs that it waits for.
 fn waits(submission: &Value) -> bool {
     submission["waits_on"].as_array().is_some_and(|ids| !ids.is_empty())
 }
--- a/crates/stand-ins/src/world/gang.rs
+++ b/crates/stand-ins/src/world/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: their tasks start together, complete together and miss one another.
+//! Gangs: their tasks start and complete together, and fail when a task is missing.
 
 use super::SimulationState;
 use super::job::Job;
@@ -15,7 +15,7 @@
     failed: bool,
 }
 
-/// Job and number of an attempt.
+/// Job and attempt number.
 type GangAttempt = (String, u64);
 
 /// A task of a gang on a machine.
@@ -23,12 +23,12 @@
     machine: String,
     key: (String, u64),
     phase: Phase,
-    /// The machine does not hang.
+    /// Whether the machine executes, that is, does not hang.
     executes: bool,
     due: Instant,
 }
 
-/// How all tasks of an attempt end.
+/// Reason for which all tasks of an attempt end, and whether their state was saved.
 #[derive(Clone, Copy)]
 struct Ending {
     why: &'static str,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The tasks of each attempt that have their image and have not exited.
+    /// Returns the tasks of each attempt that have their image and have not exited.
     fn gang_members(&self, now: Instant) -> BTreeMap<GangAttempt, Vec<Member>> {
         let mut members: BTreeMap<GangAttempt, Vec<Member>> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.alive(now)) {
@@ -68,7 +68,7 @@
         members
     }
 
-    /// The gang runs once all its tasks have gathered.
+    /// Starts the gang if all its tasks have gathered.
     fn start_gang(&mut self, attempt: &GangAttempt, job: &Job, all: &[Member], now: Instant) {
         let gathered = all.iter().filter(|member| member.executes && member.phase == Phase::Gathering).count();
         if gathered != job.shards as usize {
@@ -93,7 +93,7 @@
         self.end_gang(&attempt.0, job, &executing, ending, (progress, ran));
     }
 
-    /// How the gang ends now, if it does.
+    /// Returns how the gang ends now; `None` if it goes on.
     fn gang_ending(
         &mut self,
         attempt: &GangAttempt,
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Ends all tasks of the attempt, with what is saved of `progress` and the time it `ran`.
+    /// Ends all tasks of the attempt and keeps what was saved of its `progress` and of the time it `ran`,
+    /// both in seconds.
     fn end_gang(
         &mut self,
         id: &str,
@@ -153,7 +154,8 @@
             self.note_lost_work(id, progress + ran - kept.max(progress));
         }
         for member in executing {
-            // Only what is on a faulty machine fails, and the others miss it; mistakes are in all tasks.
+            // On a faulty machine only that machine's task fails, and the others report a missing one; a faulty job
+            // fails in all tasks.
             let fails = why == "error" && !job.mistaken && !self.machines[&member.machine].faulty;
             self.end(&member.machine, &member.key, if fails { "mates_gone" } else { why }, stored);
         }
--- a/crates/stand-ins/src/world/job.rs
+++ b/crates/stand-ins/src/world/job.rs
@@ -1,4 +1,4 @@
-//! A job as it was submitted, and what its user was told.
+//! Jobs with the answers that their users have received.
 
 use super::parameters::{TEAMS, ZONES};
 use rand::RngExt;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, HashMap};
 use tokio::time::Instant;
 
-/// A job: what was submitted, what it does, and what its user was told.
+/// A job: its submission, its behaviour, and the answers that its user has received.
 #[allow(clippy::struct_excessive_bools, reason = "independent facts of a simulated job")]
 #[derive(Debug, Clone)]
 pub struct Job {
@@ -28,21 +28,21 @@
     pub checkpoint_s: f64,
     pub flush_s: f64,
     pub bundle: u32,
-    /// Jobs that have to be done before it starts.
+    /// Jobs that must be done before this one starts.
     pub waits_on: Vec<String>,
     pub due_s: Option<f64>,
-    /// It is submitted only when the jobs that it waits for are over.
+    /// Whether the job is submitted only after the jobs that it waits for are over.
     pub comes_late: bool,
-    /// Its tasks fail on every machine.
+    /// Whether its tasks fail on every machine.
     pub mistaken: bool,
-    /// It must be refused.
+    /// Whether controllers must refuse the job.
     pub invalid: bool,
     pub submitted: bool,
     pub first_submitted: Option<Instant>,
     pub accepted: Option<Instant>,
-    /// Its first task had its image then.
+    /// Instant at which its first task had its image.
     pub began: Option<Instant>,
-    /// Starts of its tasks.
+    /// Number of starts of its tasks.
     pub starts: u32,
     pub cancel_asked: bool,
     pub cancelled: Option<Instant>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Any job that fits its team, or with little probability an invalid one.
+    /// Returns a random job that fits its team, or with a probability of 0.06 an invalid one.
     pub fn random(id: &str, rng: &mut StdRng) -> Job {
         let shape = ["batch", "batch", "group", "group", "service"][rng.random_range(0..5)];
         let mut j = Job::new(id, shape, 1);
@@ -129,6 +129,7 @@
         j
     }
 
+    /// Returns the body of the submission, as JSON.
     pub fn body(&self) -> String {
         let expected = if self.shape == "service" { 0.0 } else { self.run_s };
         let mut body = json!({"id": self.id, "jobclass": "c", "owner": self.team, "shape": self.shape, "urgency": self.urgency,
@@ -143,11 +144,12 @@
         body.to_string()
     }
 
+    /// Returns whether all tasks are done; always false for a service.
     pub fn all_done(&self) -> bool {
         self.shape != "service" && self.done.len() == self.shards as usize
     }
 
-    /// Its user has nothing more to wait for.
+    /// Returns whether the user was told that the job is done or cancelled.
     pub fn over(&self) -> bool {
         self.done_told.is_some() || self.cancelled.is_some()
     }
--- a/crates/stand-ins/src/world/machine.rs
+++ b/crates/stand-ins/src/world/machine.rs
@@ -1,10 +1,11 @@
-//! A machine with the tasks that are on it.
+//! Machines with their tasks and loaded models.
 
 use super::parameters::Flavor;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
+/// Phase of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     Fetching,
@@ -25,13 +26,13 @@
         }
     }
 
-    /// It has its image and has not exited.
+    /// Returns whether the task has its image and has not exited.
     pub(super) fn on(self) -> bool {
         matches!(self, Phase::Gathering | Phase::Running | Phase::Flushing)
     }
 }
 
-/// A task on a machine, under one attempt.
+/// An attempt of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
     pub job: String,
@@ -40,16 +41,16 @@
     pub phase: Phase,
     pub(super) why: Option<&'static str>,
     pub(super) stored: bool,
-    /// Its next step by itself is due then.
+    /// Instant at which its next phase is due.
     pub(super) due: Instant,
     pub(super) since: Instant,
-    /// It answers requests from then on; none before it has its image.
+    /// Instant from which it answers requests; `None` before it has its image.
     pub(super) answers_from: Option<Instant>,
-    /// It took a loaded model over.
+    /// Whether it took over a loaded model.
     pub(super) attached: bool,
 }
 
-/// A model that is loaded, or being loaded, and that no task has taken over.
+/// A model that is loaded or being loaded and that no task has taken over.
 #[derive(Debug, Clone)]
 pub struct LoadedSlot {
     pub image: String,
@@ -60,6 +61,7 @@
     pub(super) since: Instant,
 }
 
+/// A rented machine.
 #[allow(clippy::struct_excessive_bools, reason = "independent faults of a simulated machine")]
 pub struct Machine {
     pub id: String,
@@ -67,6 +69,7 @@
     pub flavor: &'static Flavor,
     pub zone: String,
     pub spot: bool,
+    /// Number of the worker's process.
     pub life: u64,
     pub(super) rented: Instant,
     pub up: Instant,
@@ -78,24 +81,29 @@
     pub fence: u64,
     pub(super) lease_from: Instant,
     pub copies: BTreeMap<(String, u64), TaskAttempt>,
-    /// Loaded models, by the number of their slot.
+    /// Loaded models by slot number.
     pub slots: BTreeMap<u64, LoadedSlot>,
+    /// Instant until which the machine receives nothing.
     pub deaf: Instant,
+    /// Instant until which its reports are lost.
     pub mute: Instant,
+    /// Instant until which the machine executes nothing.
     pub hang: Instant,
-    /// The cloud takes it away then.
+    /// Instant at which the cloud reclaims the machine, if it will.
     pub taken: Option<Instant>,
-    /// Its tasks fail.
+    /// Whether every task on it fails.
     pub faulty: bool,
     pub changed: bool,
     pub(super) told_fence: Instant,
 }
 
 impl Machine {
+    /// Returns whether the machine has booted and exists.
     pub fn alive(&self, now: Instant) -> bool {
         self.exists() && self.up <= now
     }
 
+    /// Returns whether the machine has neither been removed nor crashed.
     pub fn exists(&self) -> bool {
         self.gone.is_none() && self.died.is_none()
     }
--- a/crates/stand-ins/src/world/mod.rs
+++ b/crates/stand-ins/src/world/mod.rs
@@ -1,5 +1,5 @@
-//! The machines with their tasks, the jobs as their users know them, and the
-//! rules, checked as things happen.
+//! State of the simulation: machines with their tasks, jobs as their users know them, and the rules,
+//! which are checked at each event.
 
 mod gang;
 mod job;
@@ -32,30 +32,32 @@
 use terms::Term;
 use tokio::time::Instant;
 
+/// State shared by all simulated services.
 pub struct SimulationState {
     pub parameters: Parameters,
     last_tick: Instant,
     requests_left: f64,
     requests_refilled: Option<Instant>,
-    /// Requests that the state service took and refused under its limit.
+    /// Number of requests that the state service accepted.
     pub requests: u64,
+    /// Number of requests that the state service refused because of its rate limit.
     pub requests_refused: u64,
-    /// Tasks that were started, apart from their jobs, which are copied often.
+    /// Tasks that were started; kept apart from their jobs, which are copied often.
     started_tasks: HashSet<String>,
-    /// Waits for first starts of tasks, since they were last taken.
+    /// Waits of tasks for their first start since the list was last taken.
     pub start_waits: Vec<StartWait>,
     pub rng: StdRng,
     pub start: Instant,
     pub store: Store,
-    /// Nodes that the state service refuses.
+    /// For each node, whether the state service refuses it.
     pub refused: Vec<bool>,
-    /// Nodes that run the version in production.
+    /// For each node, whether it runs the version in production.
     pub production: Vec<bool>,
-    /// Requests of each node to the state service in a second of the day.
+    /// For each node, the second of its last request to the state service and its requests in that second.
     pub asked: Vec<(u64, u32)>,
-    /// Shares of requests to the state service that are carried out late
-    /// without an answer, and at once without an answer.
+    /// Share of requests to the state service that get no answer and are carried out late.
     pub late_writes: f64,
+    /// Share of requests to the state service that are carried out at once but get no answer.
     pub lost_answers: f64,
     /// Share of direct commands that get no answer and are carried out 2 to 16 s late.
     pub late_commands: f64,
@@ -63,14 +65,16 @@
     /// Share of machines on which every task fails.
     pub faulty: f64,
     pub boot_faults: BootFaults,
-    /// How many times as often as usual users ask about their jobs.
+    /// Rate at which users poll their jobs, as a multiple of the default.
     pub poll_rate: f64,
-    /// Share of reports of which copies come late.
+    /// Share of worker reports of which copies arrive late.
     pub late_reports: f64,
-    /// Every machine's reports are kept, for the next leader.
+    /// Whether copies of all reports are kept for the next leader.
     pub keeping: bool,
+    /// Kept copies of reports by machine, with the sender's address.
     pub kept: BTreeMap<String, Vec<(IpAddr, String)>>,
-    /// Orders on terms that are over break a rule; not where cuts or hanging machines hold some back.
+    /// Whether orders under a superseded term break a rule. Must be off where cuts or hanging machines delay
+    /// orders.
     pub check_terms: bool,
     terms: Vec<Term>,
     pub machines: BTreeMap<String, Machine>,
@@ -79,16 +83,18 @@
     gangs: BTreeMap<(String, u64), Gang>,
     pub starts: u64,
     slot_account: SlotAccount,
-    /// Tasks of batches and gangs that were stopped, or waited for their mates in vain,
-    /// though their jobs were not cancelled.
+    /// Tasks of arrays and gangs that were stopped, or whose gang did not become complete, although
+    /// their jobs were not cancelled.
     pub stopped: Vec<String>,
-    /// Work that stopped tasks have lost.
+    /// Work lost by stopped tasks.
     pub lost_work: Vec<LostWork>,
+    /// Latest events, with the seconds since the start.
     pub history: VecDeque<String>,
+    /// First rule that was broken.
     pub broken: Option<String>,
 }
 
-/// How long a task waited from the first attempt to submit its job until it had its image.
+/// Wait of a task from the first attempt to submit its job until its image was fetched.
 #[derive(Debug, Clone, Copy)]
 pub struct StartWait {
     pub urgency: &'static str,
@@ -97,14 +103,14 @@
     pub wait: Duration,
 }
 
-/// Work that a stopped task, or a gang as a whole, has lost.
+/// Work lost by a stopped task, or by a gang as a whole.
 #[derive(Debug, Clone)]
 pub struct LostWork {
     pub job: String,
     pub team: &'static str,
-    /// Seconds of progress since what was saved last.
+    /// Seconds of progress since the last save.
     pub lost_s: f64,
-    /// Seconds of progress between checkpoints; 0 if it saves none.
+    /// Seconds of progress between checkpoints; 0 if the job saves none.
     pub checkpoint_s: f64,
 }
 
@@ -156,6 +162,7 @@
         }
     }
 
+    /// Adds a line to the history, which keeps the last 20,001 lines.
     pub fn log(&mut self, what: String) {
         let t = self.start.elapsed().as_secs_f64();
         if self.history.len() > 20_000 {
@@ -164,13 +171,13 @@
         self.history.push_back(format!("{t:8.3} {what}"));
     }
 
-    /// The first rule that is broken ends the day.
+    /// Records a broken rule. The first one ends the simulation.
     pub fn fail(&mut self, what: String) {
         self.log(format!("BROKEN {what}"));
         self.broken.get_or_insert(what);
     }
 
-    /// What happened last, and what happened to the job or task that is named.
+    /// Returns the latest events, preceded by earlier ones about the job that `about` names.
     pub fn recent(&self, about: &str) -> String {
         if std::env::var_os("BADGERDRIFT_HISTORY").is_some() {
             return self.history.iter().map(|h| format!("{h}\n")).collect();
@@ -198,7 +205,8 @@
         )
     }
 
-    /// A node asks the state service; false if it does so far beyond `state.rps`.
+    /// Counts a request of a node to the state service. Returns false, and records a broken rule, if the rate
+    /// is far beyond `state.rps`.
     pub fn may_ask(&mut self, node: usize) -> bool {
         let second = self.start.elapsed().as_secs();
         let (at, count) = &mut self.asked[node];
@@ -211,7 +219,8 @@
         ok
     }
 
-    /// Does the state service take one more request, under its limit? Bursts of a second's worth are.
+    /// Counts a request and returns whether the state service accepts it under its rate limit, which allows
+    /// bursts of up to one second's requests.
     pub fn takes_request(&mut self) -> bool {
         let Some(rate) = self.parameters.state_requests_per_s else { return true };
         let now = Instant::now();
@@ -227,12 +236,12 @@
         takes
     }
 
-    /// Tasks that are on machines now.
+    /// Number of tasks that are on machines now.
     pub fn running_tasks(&self) -> usize {
         self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()).count()
     }
 
-    /// Cores and cards that the tasks of each team use now.
+    /// Cores and accelerators that the tasks of each team use now.
     pub fn usage_by_team(&self) -> BTreeMap<&'static str, (f64, f64)> {
         let mut usage: BTreeMap<&'static str, (f64, f64)> = BTreeMap::new();
         for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()) {
@@ -244,7 +253,8 @@
         usage
     }
 
-    /// Cards that the attempts of each team take on machines, those that wait for their image included.
+    /// Accelerators that the attempts of each team take on machines, including attempts that wait for their
+    /// image.
     pub fn placed_cards_by_team(&self) -> BTreeMap<&'static str, f64> {
         let mut cards: BTreeMap<&'static str, f64> = BTreeMap::new();
         for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase != Phase::Ended) {
@@ -255,20 +265,21 @@
         cards
     }
 
-    /// Work of a job was lost by a stop.
+    /// Records work that a job lost by a stop.
     fn note_lost_work(&mut self, job: &str, lost_s: f64) {
         let Job { team, checkpoint_s, .. } = self.jobs[job];
         self.lost_work.push(LostWork { job: job.into(), team, lost_s, checkpoint_s });
     }
 
-    /// What happens by itself, unless that was looked at just now.
+    /// Runs [`SimulationState::tick`] unless it ran within `tick_every`.
     pub fn tick_if_due(&mut self) {
         if self.last_tick.elapsed() >= self.parameters.tick_every {
             self.tick();
         }
     }
 
-    /// What happens by itself.
+    /// Applies every event that is due: expiry of leases, reclaimed machines, next phases of tasks. Checks the
+    /// deadline of cancellations.
     pub fn tick(&mut self) {
         let now = Instant::now();
         self.last_tick = now;
--- a/crates/stand-ins/src/world/parameters.rs
+++ b/crates/stand-ins/src/world/parameters.rs
@@ -1,4 +1,4 @@
-//! What the simulated deployment is made of: times, zones, teams and machine types.
+//! Parameters of the simulated deployment: times, zones, teams and machine types.
 
 use std::time::Duration;
 
@@ -9,16 +9,18 @@
 pub const GANG_PEER_S: f64 = 4.0;
 pub const LIST_LAG_S: f64 = 2.0;
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Teams with the limits of cores and cards that must hold.
+/// Teams with their limits of cores and accelerators.
 pub const TEAMS: [(&str, f64, f64); 2] = [("red", 40.0, 8.0), ("blue", 24.0, 6.0)];
 
-/// A team that has a limit and no guarantee.
+/// Team with limits of cores and accelerators but no guarantee.
 pub const GUEST: (&str, f64, f64) = ("guest", 24.0, 8.0);
 
+/// Converts seconds to a [`Duration`].
 pub fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
+/// A machine type.
 #[derive(Debug, Clone)]
 pub struct Flavor {
     pub sku: &'static str,
@@ -33,10 +35,10 @@
     Flavor { sku: "c8", cores: 8.0, cards: 0.0, mem_gb: 32.0, startup_s: 1.0 },
 ];
 
-/// Machines of a type, zone and kind that the cloud has.
+/// Number of machines that the cloud has of each combination of type, zone and spot or on-demand.
 pub(super) const CAPACITY: usize = 5;
 
-/// Limits of a team's use.
+/// Limits of a team's usage.
 #[derive(Debug, Clone)]
 pub struct TeamLimit {
     pub team: &'static str,
@@ -44,7 +46,7 @@
     pub cards: f64,
 }
 
-/// A deployment's times, zones, teams, machine types and capacity. Names live as long as the process.
+/// Times, zones, teams, machine types and capacity of a deployment. Names have the lifetime of the process.
 #[derive(Debug, Clone)]
 pub struct Parameters {
     pub report_s: f64,
@@ -55,24 +57,24 @@
     pub zones: Vec<&'static str>,
     pub teams: Vec<TeamLimit>,
     pub flavors: Vec<&'static Flavor>,
-    /// Machines of a type, zone and kind that the cloud has.
+    /// Number of machines that the cloud has of each combination of type, zone and spot or on-demand.
     pub capacity: usize,
-    /// Seconds that the fetch of an image takes, from least to most.
+    /// Least and most time of an image fetch, in seconds.
     pub fetch_s: (f64, f64),
-    /// Seconds that loading a model takes beside that.
+    /// Least and most time of loading a model after the fetch, in seconds.
     pub load_s: (f64, f64),
-    /// Workers keep models loaded.
+    /// Whether workers keep models loaded.
     pub loads_models: bool,
-    /// The first address of machines; the last two bytes count them.
+    /// First two bytes of the machines' addresses; the last two count the machines.
     pub machine_network: [u8; 2],
-    /// What happens by itself is looked at this often at the most.
+    /// Least interval between two ticks of the simulation that requests cause.
     pub tick_every: Duration,
-    /// Requests a second that the state service takes; no limit if none.
+    /// Rate limit of the state service, in requests per second; `None` for no limit.
     pub state_requests_per_s: Option<f64>,
 }
 
 impl Default for Parameters {
-    /// Those of the simulated days.
+    /// Returns the parameters of the simulation in simulated time.
     fn default() -> Parameters {
         let teams = TEAMS.iter().chain([&GUEST]);
         Parameters {
@@ -96,7 +98,7 @@
 }
 
 impl Parameters {
-    /// The limits of cores and cards of a team, if there is such a team.
+    /// Returns the limits of cores and accelerators of a team; `None` if the team does not exist.
     pub fn team_limit(&self, team: &str) -> Option<(f64, f64)> {
         self.teams.iter().find(|limit| limit.team == team).map(|limit| (limit.cores, limit.cards))
     }
--- a/crates/stand-ins/src/world/rental.rs
+++ b/crates/stand-ins/src/world/rental.rs
@@ -1,4 +1,4 @@
-//! What the cloud does: it rents machines, takes them away and lists them.
+//! Machines of the simulated cloud: rental, loss and listing.
 
 use super::SimulationState;
 use super::machine::{Machine, Phase};
@@ -9,25 +9,26 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::time::Instant;
 
-/// Longer than any day lasts.
+/// Number of seconds that exceeds the duration of any simulation.
 const NEVER_S: f64 = 1e6;
 
-/// What is wrong with the boots of machines that are rented.
+/// Boot faults of newly rented machines.
 #[derive(Debug, Clone, Default)]
 pub struct BootFaults {
-    /// Share of machines that never come up, and are charged until they are returned.
+    /// Share of machines that never come up and are charged until they are released.
     pub never: f64,
-    /// Share of machines that take this many times their usual boot time.
+    /// Share of machines that boot late.
     pub late: f64,
+    /// Boot time of late machines, as a multiple of the nominal one.
     pub late_by: f64,
 }
 
 impl SimulationState {
-    /// When a machine that is rented now will be up; none if never.
+    /// Returns the instant at which a machine rented now will be up; `None` if never.
     fn boot_end(&mut self, startup_s: f64) -> Option<Instant> {
         let usual = startup_s * self.rng.random_range(0.6..1.5);
         let faults = self.boot_faults.clone();
-        // No random number is drawn for what can't happen, so that a seed's day stays the same.
+        // No random number is drawn for a fault of share 0, so that recorded seeds reproduce their runs.
         if faults.never > 0.0 && self.rng.random_bool(faults.never) {
             return None;
         }
@@ -35,7 +36,8 @@
         Some(Instant::now() + secs(if late { startup_s * faults.late_by } else { usual }))
     }
 
-    /// Carries out a rental; the new machines, if the name is new.
+    /// Carries out a rental. Returns the machines of the rental, `None` if there is no capacity, and the
+    /// newly rented ones: none if the rental's name was used before.
     pub fn rent(&mut self, body: &Value) -> (Option<Vec<String>>, Vec<String>) {
         let name = body["rental"].as_str().unwrap();
         if let Some(known) = self.rentals.get(name) {
@@ -93,7 +95,7 @@
         (Some(ids.clone()), ids)
     }
 
-    /// The machine and all that is on it are gone.
+    /// Removes a machine with all its tasks and models.
     pub fn remove(&mut self, id: &str, why: &str) {
         let now = Instant::now();
         if self.machines.get(id).is_none_or(|m| m.gone.is_some()) {
@@ -107,6 +109,7 @@
         self.log(format!("{id} {why} with {on:?}"));
     }
 
+    /// Crashes a machine: its tasks and models are lost, and it stays rented.
     pub fn die(&mut self, id: &str) {
         let now = Instant::now();
         if self.machines.get(id).is_none_or(|m| !m.alive(now)) {
@@ -119,7 +122,7 @@
         self.log(format!("{id} dies with {on:?}"));
     }
 
-    /// The list as it was a while ago.
+    /// Returns a page of the list of machines as it was up to twice `list_lag_s` ago.
     pub fn list(&mut self, from: &str, most: usize) -> Value {
         let now = Instant::now();
         let at = now - secs(self.rng.random_range(0.0..2.0 * self.parameters.list_lag_s));
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, checked at every start of a task and at every answer to a user.
+//! Rules that are checked at every start of a task and at every answer to a user.
 
 use super::SimulationState;
 use super::job::Job;
@@ -7,6 +7,7 @@
 use tokio::time::Instant;
 
 impl SimulationState {
+    /// Checks the start of a task on a machine: duplicates, team limits, placement and dependencies.
     pub(super) fn check_start(&mut self, id: &str, key: &(String, u64), job: &Job) {
         let m = &self.machines[id];
         let on: Vec<(&Machine, &(String, u64), &TaskAttempt)> = self
@@ -60,8 +61,7 @@
         wrong.into_iter().for_each(|w| self.fail(w));
     }
 
-    /// An answer to a question about a job that was sent then; checks it against
-    /// all that its user was told before.
+    /// Checks an answer to a request about a job, sent at `sent`, against all earlier answers to its user.
     pub fn heard(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, v: &Value) {
         let now = Instant::now();
         let phase = v["phase"].as_str().unwrap_or("");
@@ -114,17 +114,18 @@
         }
     }
 
-    /// May a user name this job in another submission: it is accepted, or over for one that comes late.
+    /// Returns whether another submission may name this job as a dependency: the job must be accepted, and
+    /// also over if the other job `comes_late`.
     pub fn may_be_named(&self, id: &str, comes_late: bool) -> bool {
         self.jobs.get(id).is_some_and(|job| job.accepted.is_some() && (job.over() || !comes_late))
     }
 
-    /// The end that the record of a job tells; empty if none.
+    /// Returns the end in the record of a job; empty if there is none.
     fn recorded_end(&self, id: &str) -> String {
         self.store.value(&format!("job/{id}"))["end"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Does this hold of a job that the given one needs, directly or through others?
+    /// Returns whether `holds` is true of any direct or indirect dependency of a job.
     fn needs(&self, job: &Job, holds: impl Fn(&SimulationState, &Job) -> bool) -> bool {
         let mut open: Vec<&String> = job.waits_on.iter().collect();
         while let Some(id) = open.pop() {
@@ -137,7 +138,7 @@
         false
     }
 
-    /// What keeps the day from being settled.
+    /// Returns a description of each accepted job that is not over, except services that run as they should.
     pub fn unsettled(&self) -> Vec<String> {
         let mut out = Vec::new();
         for j in self.jobs.values().filter(|j| j.accepted.is_some() && !j.over()) {
--- a/crates/stand-ins/src/world/slots.rs
+++ b/crates/stand-ins/src/world/slots.rs
@@ -1,5 +1,5 @@
-//! Workers that keep models loaded: the extension of the workers' protocol that
-//! `docs/warm-pools.md` describes, and an account of their own of who used what for how long.
+//! Workers that keep models loaded, as the extension of the workers' protocol in `docs/warm-pools.md`
+//! describes, with an independent account of how long each team used them.
 
 use super::SimulationState;
 use super::machine::{LoadedSlot, Machine, Phase, TaskAttempt};
@@ -9,19 +9,19 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// How long slots were idle and claimed, in seconds, as the workers saw it.
+/// Seconds for which slots were idle and, by team, claimed, as observed by the workers.
 #[derive(Debug, Clone, Default)]
 pub struct SlotAccount {
     pub idle_s: f64,
     pub claimed_s: BTreeMap<&'static str, f64>,
-    /// Slots that were loaded.
+    /// Number of slots that were loaded.
     pub loaded: usize,
-    /// Tasks that took a loaded model over.
+    /// Number of tasks that took over a loaded model.
     pub attached: usize,
 }
 
 impl SimulationState {
-    /// What a report tells of slots; absent where workers load no models.
+    /// Returns the slots in a machine's report; reports leave them out where workers load no models.
     pub(super) fn reported_slots(machine: &Machine, now: Instant) -> Value {
         let slot = |(slot, loaded): (&u64, &LoadedSlot)| json!({"slot": slot, "ready": loaded.ready <= now});
         Value::Array(machine.slots.iter().map(slot).collect())
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A task takes a loaded model over, or begins as any other if that is not ready.
+    /// Starts a task on a loaded model, or as any other task if the model is not ready.
     pub(super) fn order_attach(&mut self, id: &str, key: (String, u64), slot: u64) {
         let now = Instant::now();
         let machine = self.machines.get_mut(id).unwrap();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A task that took a model over has left its machine.
+    /// Accounts for an attempt that has left its machine, if it had taken over a model.
     pub(super) fn detached(&mut self, attempt: &TaskAttempt) {
         if attempt.attached {
             let used_s = attempt.since.elapsed().as_secs_f64();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All slots of a machine are gone, and all tasks.
+    /// Accounts for all tasks of a machine that is lost, and removes its slots.
     pub(super) fn lose_all_models(&mut self, id: &str) {
         let tasks: Vec<TaskAttempt> = self.machines[id].copies.values().filter(|a| a.phase.on()).cloned().collect();
         tasks.iter().for_each(|attempt| self.detached(attempt));
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The account until now, with what is still idle or in use.
+    /// Returns the account until now, including slots that are still idle or in use.
     pub fn slot_account(&self) -> SlotAccount {
         let mut account = self.slot_account.clone();
         for machine in self.machines.values().filter(|machine| machine.exists()) {
@@ -109,13 +109,13 @@
         account
     }
 
-    /// Slots that are loaded and ready.
+    /// Number of slots whose model is ready.
     pub fn ready_slots(&self) -> usize {
         let now = Instant::now();
         self.machines.values().flat_map(|machine| machine.slots.values()).filter(|slot| slot.ready <= now).count()
     }
 
-    /// Addresses of the machines on which a replica with this image answers requests.
+    /// Returns the addresses of the machines on which a replica with this image answers requests.
     pub fn answering(&self, image: u32) -> Vec<std::net::SocketAddr> {
         let now = Instant::now();
         let answers = |attempt: &TaskAttempt| {
@@ -131,7 +131,7 @@
         if most > least { self.rng.random_range(least..most) } else { least }
     }
 
-    /// When a replica that begins now answers requests: its model must be loaded first.
+    /// Returns the instant from which a replica that starts now answers requests, after loading its model.
     pub(super) fn answers_from(&mut self) -> Instant {
         let load = self.parameters.load_s;
         Instant::now() + secs(self.between(load))
--- a/crates/stand-ins/src/world/terms.rs
+++ b/crates/stand-ins/src/world/terms.rs
@@ -1,15 +1,15 @@
-//! Who held the jobs under which term, and whether anybody acts on a term that is over.
+//! Owners of the jobs by term, and the check that no controller acts under a superseded term.
 
 use super::SimulationState;
 use super::parameters::secs;
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// What was sent on a term that still held has arrived after this time, unless a cut or a
-/// hanging machine holds it back.
+/// Seconds within which messages sent under a valid term arrive, unless a cut or a hanging machine
+/// delays them.
 const IN_FLIGHT_S: f64 = 0.1;
 
-/// A term, as the state service recorded it.
+/// A term as recorded in the state service.
 pub struct Term {
     number: u64,
     owner: String,
@@ -17,7 +17,7 @@
 }
 
 impl SimulationState {
-    /// A controller has written the record of its term.
+    /// Notes the record of a term that a controller has written.
     pub fn note_token(&mut self, record: &Value) {
         let (Some(number), Some(owner)) = (record["term"].as_u64(), record["holder"].as_str()) else { return };
         if self.terms.last().is_none_or(|last| last.number < number) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Orders reach a worker: they must not be of a leader that another one has followed.
+    /// Checks orders that reach a worker: their sender must not have been superseded by another leader.
     pub(super) fn check_entitlement(&mut self, worker: &str, message: &Value) {
         let orders = message["orders"].as_array().is_some_and(|orders| !orders.is_empty());
         let (true, true, Some(token)) = (self.check_terms, orders, message["fence"].as_u64()) else { return };
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -1,4 +1,4 @@
-//! What a worker does with replies and direct commands: leases, tokens, starts and stops.
+//! Worker behaviour on replies and direct commands: leases, fencing tokens, starts and stops of tasks.
 
 use super::job::Job;
 use super::machine::{LoadedSlot, Machine, Phase, TaskAttempt};
@@ -9,10 +9,11 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// A task of a job that was submitted with a mistake fails after so long.
+/// Seconds after which a task of a faulty job fails.
 const MISTAKE_SHOWS_S: f64 = 1.0;
 
 impl SimulationState {
+    /// Returns the next report of a machine.
     pub fn report(&mut self, id: &str) -> Value {
         let now = Instant::now();
         let m = self.machines.get_mut(id).unwrap();
@@ -30,11 +31,13 @@
             "tenure": m.tenure, "serial": m.serial, "fence": m.fence, "warning_s": warning, "shards": shards, "slots": slots})
     }
 
+    /// Returns the number of a machine's current session.
     pub fn tenure(&self, id: &str) -> u64 {
         self.machines[id].tenure
     }
 
-    /// The reply to a report that was sent in this session.
+    /// Applies the reply to a report that was sent at `sent` in the session `tenure`. Renews the lease unless
+    /// the session is over or the fencing token is stale.
     pub fn reply(&mut self, id: &str, tenure: u64, sent: Instant, v: &Value) {
         self.expire_leases();
         self.check_entitlement(id, v);
@@ -48,7 +51,7 @@
         self.execute(id, &v["orders"]);
     }
 
-    /// A direct command: true if it was carried out.
+    /// Applies a direct command. Returns false if its fencing token or session does not match.
     pub fn direct(&mut self, id: &str, v: &Value) -> bool {
         self.expire_leases();
         self.check_entitlement(id, v);
@@ -204,7 +207,8 @@
         m.changed = true;
     }
 
-    /// A running task of a batch was stopped: what it has saved by itself, or as it was stopped, is kept.
+    /// Accounts for a running task of an array that was stopped: progress that it saved at checkpoints, or
+    /// at the stop, is kept.
     fn batch_task_stopped(&mut self, ended: &TaskAttempt, stored: bool) {
         let job = self.jobs.get_mut(&ended.job).unwrap();
         let ran_s = (Instant::now() - ended.since).as_secs_f64();
@@ -218,8 +222,8 @@
         self.note_lost_work(&ended.job, lost_s);
     }
 
-    /// Leases end to the moment, also on machines that hang: they never resume
-    /// what they had after that.
+    /// Ends the sessions whose lease has expired. Leases expire exactly on time, also on machines that hang,
+    /// which therefore never resume their tasks afterwards.
     pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
         let lease_s = self.parameters.lease_s;
@@ -238,7 +242,7 @@
         told.into_iter().for_each(|t| self.log(t));
     }
 
-    /// The task has its image.
+    /// Starts a task whose image was fetched.
     pub(super) fn begin(&mut self, id: &str, key: &(String, u64)) {
         self.expire_leases();
         let now = Instant::now();
