--- a/crates/scale/src/borrow.rs
+++ b/crates/scale/src/borrow.rs
@@ -1,6 +1,5 @@
-//! A burst of serving on machines that are full of night runs and fine-tuning: what the borrower
-//! gains, what the lenders keep, and when all is given back. All of it is read from what the
-//! machines run.
+//! Burst of serving on machines that are full of night runs and fine-tuning. Measures what the borrower
+//! gains, what the lenders keep, and when everything is returned, all from the tasks on the machines.
 
 use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
@@ -14,23 +13,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often shares are sampled.
+/// Interval at which shares are sampled.
 const SAMPLE: Duration = Duration::from_millis(100);
-/// Numbers of the burst's jobs begin here: no other job's are as high.
+/// First number of the burst's jobs, above those of all other jobs.
 const FIRST_JOB: usize = 900_000;
-/// Sums of decimal amounts may be off by rounding.
+/// Tolerance for rounding in sums of decimal amounts.
 const ROUNDING: f64 = 1e-6;
 
-/// A burst under way.
+/// A running burst.
 pub struct BorrowRun {
     result: Arc<Mutex<BorrowResult>>,
 }
 
-/// What is followed during a run.
+/// Samples a burst during a run.
 struct Observer {
     context: SimulationContext,
     borrowing: Borrowing,
-    /// Cards that each team is guaranteed.
+    /// Accelerators that each team is guaranteed.
     guaranteed: f64,
     teams: Vec<&'static str>,
     result: Arc<Mutex<BorrowResult>>,
@@ -50,7 +49,7 @@
 }
 
 impl BorrowRun {
-    /// What came of it until now.
+    /// Returns the result until now.
     pub fn finish(self) -> BorrowResult {
         self.result.lock().unwrap().clone()
     }
@@ -89,7 +88,7 @@
         }
     }
 
-    /// The first team's users ask for replicas, each with a job of its own.
+    /// Submits the replicas as users of the first team, each as a separate job. Returns the jobs' identifiers.
     fn submit_replicas(&self, seed: u64) -> Vec<String> {
         let team = leak(team_name(0));
         let submit = |number: usize| {
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Cards of the lending teams' attempts on machines, image fetches included.
+    /// Accelerators of the lending teams' attempts on machines, including attempts that fetch their image.
     fn lenders_cards(&self, world: &SimulationState) -> f64 {
         let used = world.placed_cards_by_team();
         self.teams.iter().filter_map(|team| used.get(team)).sum()
@@ -145,7 +144,7 @@
     }
 }
 
-/// Cards of all machines that are up.
+/// Accelerators of all machines that are up.
 fn cards_of_machines(world: &SimulationState) -> f64 {
     let now = Instant::now();
     world.machines.values().filter(|machine| machine.alive(now)).map(|machine| machine.flavor.cards).sum()
--- a/crates/scale/src/borrow_report.rs
+++ b/crates/scale/src/borrow_report.rs
@@ -1,5 +1,5 @@
-//! The same burst calm, with the leader killed and with machines lost, each with borrowing and without
-//! it, over several seeds side by side.
+//! Comparison of one burst without faults, with the leader killed and with machines lost, each with and
+//! without borrowing, over several seeds.
 
 use crate::comparison::Comparison;
 use crate::prepared::Prepared;
@@ -11,26 +11,26 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-/// A leader that is killed in the burst is back after so many seconds.
+/// Seconds after which a leader that was killed in the burst restarts.
 const RESTART_S: f64 = 3.0;
-/// It is killed so many seconds after the burst began.
+/// Seconds from the start of the burst until the leader is killed.
 const KILLED_AFTER_S: f64 = 0.3;
-/// Machines are lost at this part of the burst.
+/// Fraction of the burst's duration after which machines are lost.
 const LOST_AFTER_SHARE: f64 = 0.5;
-/// This part of the machines is lost.
+/// Fraction of the machines that is lost.
 const LOST_SHARE: f64 = 0.1;
 const MS_PER_S: f64 = 1000.0;
 
-/// What goes wrong in a run.
+/// Fault that a run injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Variant {
-    /// Nothing.
+    /// No fault.
     Calm,
     /// The leader is killed as the burst begins.
     #[serde(rename = "owner_killed")]
     LeaderKilled,
-    /// A tenth of the machines dies during the loan.
+    /// A tenth of the machines crashes during the loan.
     MachinesLost,
 }
 
@@ -42,22 +42,24 @@
     pub max: f64,
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Debug, Serialize)]
 pub struct BorrowRun {
     pub seed: u64,
     pub variant: Variant,
     pub borrowing: bool,
-    /// From the burst's begin until its replicas answer.
+    /// Time from the start of the burst until its replicas answer.
     pub gain_s: Seconds,
-    /// Replicas that answered, and those that never did.
+    /// Number of replicas that answered.
     pub replicas: usize,
+    /// Number of replicas that never answered.
     pub without_room: usize,
     pub least_share_of_floor: f64,
     pub below_floor_s: f64,
     pub most_lost_s: f64,
     pub checkpoint_every_s: f64,
-    /// From the burst's end until all lent work runs again; none if it did not by the end of the run.
+    /// Seconds from the end of the burst until all lent work runs again; `None` if it did not by the end of
+    /// the run.
     pub return_s: Option<f64>,
     pub stops: usize,
     #[serde(rename = "owner_mean_cores")]
@@ -65,7 +67,7 @@
     pub broken_rules: Vec<BrokenRule>,
 }
 
-/// All runs.
+/// Results of all runs.
 #[derive(Debug, Serialize)]
 pub struct BorrowReport {
     pub version: &'static str,
@@ -73,7 +75,7 @@
     pub runs: Vec<BorrowRun>,
 }
 
-/// Runs the scenario in each variant, with borrowing and without, with each seed from the first on.
+/// Runs the scenario in each variant, with and without borrowing, for `seeds` consecutive seeds.
 pub async fn compare(prepared: &Prepared, seeds: u64) -> Result<BorrowReport, String> {
     if prepared.scenario.borrowing.is_none() {
         return Err("borrowing: the scenario must have it".into());
--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -1,6 +1,5 @@
-//! A burst of requests to one model: users ask for replicas, requests come at once, and each is
-//! answered by the first replica that can. And what the pool's bill says, beside what the workers
-//! saw.
+//! Burst of requests to one model: users submit replicas, requests arrive in a short time, and each is
+//! answered by the first replica that can. The pool's bill is compared with the account of the workers.
 
 use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
@@ -17,21 +16,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Its number among the stand-ins' images.
+/// Number of the burst's image among the simulated images.
 const BURST_IMAGE_NUMBER: u32 = 900;
-/// Numbers of the burst's jobs begin here: no other job's are as high.
+/// First number of the burst's jobs, above those of all other jobs.
 const FIRST_JOB: usize = 900_000;
-/// Pause before a request that no replica answered is sent again.
+/// Pause before an unanswered request is sent again.
 const RETRY: Duration = Duration::from_millis(20);
-/// Longest that one attempt may take.
+/// Time limit of one attempt.
 const ATTEMPT_LIMIT: Duration = Duration::from_secs(2);
-/// How long the bill is waited for.
+/// Time limit for the answer with the bill.
 const BILL_LIMIT: Duration = Duration::from_secs(3);
-/// All days.
+/// First and last date of the bill, which include every day.
 const ALL_DAYS: [&str; 2] = ["0001-01-01", "9999-12-31"];
 const MS_PER_S: f64 = 1000.0;
 
-/// A burst under way.
+/// A running burst.
 pub struct BurstRun {
     context: SimulationContext,
     has_pool: bool,
@@ -62,7 +61,7 @@
     run
 }
 
-/// Users of all teams in turn ask for a replica each.
+/// Submits the replicas as users of all teams in turn, one each.
 fn submit_replicas(context: &SimulationContext, burst: &Burst, teams: usize, seed: u64) {
     for number in 0..burst.replicas {
         let mut job = Job::new(&format!("run-{:06}", FIRST_JOB + number), "service", 1);
@@ -76,7 +75,7 @@
     }
 }
 
-/// Requests come one after the other at even intervals, each on its own.
+/// Sends the requests at even intervals, independently of one another.
 fn send_requests(context: &SimulationContext, burst: &Burst, answered: &Arc<Mutex<Vec<u32>>>) {
     let begin = Instant::now();
     for number in 0..burst.requests {
@@ -90,7 +89,7 @@
     }
 }
 
-/// Asks replicas that should answer, in turn, until one does.
+/// Sends a request to the ready replicas in turn until one answers.
 async fn until_answered(context: &SimulationContext, number: usize) {
     let path = format!("{MODEL_PATH}{BURST_IMAGE_NUMBER}");
     loop {
@@ -106,7 +105,7 @@
 }
 
 impl BurstRun {
-    /// What came of it until now; the bill is read from a controller that answers.
+    /// Returns the result until now, with the bill of the first controller that answers.
     pub async fn finish(self, plan: &RegionPlan) -> BurstResult {
         let (account, answered_ms) = {
             let world = self.context.w.lock().unwrap();
--- a/crates/scale/src/burst_report.rs
+++ b/crates/scale/src/burst_report.rs
@@ -1,4 +1,4 @@
-//! The same burst with a pool and without one, over several seeds, side by side.
+//! Comparison of one burst with and without a pool, over several seeds.
 
 use crate::comparison::Comparison;
 use crate::prepared::Prepared;
@@ -9,38 +9,38 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-/// A leader that is killed in mid-burst is back after so many seconds.
+/// Seconds after which a leader that was killed during the burst restarts.
 const RESTART_S: f64 = 3.0;
-/// It is killed so many seconds after the burst began.
+/// Seconds from the start of the burst until the leader is killed.
 const KILLED_AFTER_S: f64 = 0.01;
 const MS_PER_S: f64 = 1000.0;
 
-/// How a burst is run.
+/// Variant of a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Variant {
     /// With the pool.
     Warm,
-    /// Without it.
+    /// Without the pool.
     Cold,
-    /// With the pool, and the leader killed in mid-burst.
+    /// With the pool, and with the leader killed during the burst.
     #[serde(rename = "warm_owner_killed")]
     WarmLeaderKilled,
 }
 
-/// One run of a burst.
+/// Result of one run.
 #[derive(Debug, Serialize)]
 pub struct BurstRow {
     pub variant: Variant,
     pub seed: u64,
-    /// Requests that were answered, and seconds until then.
+    /// Number of answered requests, with the distribution of their times below.
     pub answered: usize,
     pub unanswered: usize,
     pub p50_s: f64,
     pub p99_s: f64,
     pub max_s: f64,
-    /// The largest difference between the bill and what the workers saw, of any team, for each
-    /// replica that was loaded, in seconds.
+    /// Largest difference of any team between the bill and the account of the workers, in seconds per
+    /// loaded replica.
     pub bill_differs_s: f64,
     pub result: BurstResult,
     pub broken_rules: Vec<BrokenRule>,
@@ -48,14 +48,14 @@
     pub leader_mean_cores: f64,
 }
 
-/// All runs of a burst.
+/// Results of all runs.
 #[derive(Debug, Serialize)]
 pub struct BurstReport {
     pub version: &'static str,
     pub rows: Vec<BurstRow>,
 }
 
-/// Runs the scenario's burst in each variant with each seed from the first one on.
+/// Runs the scenario's burst in each variant for `seeds` consecutive seeds.
 pub async fn compare(prepared: &Prepared, seeds: u64) -> Result<BurstReport, String> {
     if prepared.scenario.burst.is_none() || prepared.scenario.warm_pool.is_none() {
         return Err("burst, warm_pool: the scenario must have both".into());
@@ -111,7 +111,8 @@
     }
 }
 
-/// The largest difference of any team between its bill and what the workers saw, a loaded replica.
+/// Returns the largest difference of any team between its bill and the account of the workers, in seconds
+/// per loaded replica.
 fn bill_difference(result: &BurstResult) -> f64 {
     let teams = result.billed.keys().chain(result.seen.keys());
     let difference = |team: &String| {
--- a/crates/scale/src/child.rs
+++ b/crates/scale/src/child.rs
@@ -1,20 +1,20 @@
-//! A region's process as the run sees it: it gets its plan, tells how far it is, and ends with the run.
+//! Child process of a region: receives its plan, reports its progress, and ends with the run.
 
 use crate::plan::{RegionMessage, RegionPlan};
 use std::process::Stdio;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 
-/// The process of a region. It ends when this is dropped, and its controllers with it.
+/// Process of a region. It ends with its controllers when this value is dropped.
 pub struct RegionProcess {
     process: Child,
-    /// The process goes on while this is open.
+    /// Standard input of the process, which ends once this is closed.
     input: Option<ChildStdin>,
     output: Lines<BufReader<ChildStdout>>,
 }
 
 impl RegionProcess {
-    /// Starts the process of a region.
+    /// Starts the process of a region and sends its plan.
     pub async fn start(plan: &RegionPlan) -> Result<RegionProcess, String> {
         let program = std::env::current_exe().map_err(|error| error.to_string())?;
         let mut command = Command::new(program);
@@ -28,13 +28,13 @@
         Ok(RegionProcess { process, input: Some(input), output })
     }
 
-    /// The next message of the process; none if it ended.
+    /// Returns the next message of the process; `None` once it has ended.
     pub async fn next(&mut self) -> Option<RegionMessage> {
         let line = self.output.next_line().await.ok()??;
         Some(serde_json::from_str(&line).unwrap_or_else(|error| RegionMessage::Failed(format!("{error}: {line}"))))
     }
 
-    /// Tells the process to end its controllers and itself, and waits for that.
+    /// Makes the process end its controllers and itself, and waits for it.
     pub async fn stop(mut self) {
         drop(self.input.take());
         let _ = self.process.wait().await;
--- a/crates/scale/src/comparison.rs
+++ b/crates/scale/src/comparison.rs
@@ -1,12 +1,12 @@
-//! What all reports of several runs have in common.
+//! Common interface of the reports on several runs.
 
 use comfy_table::Table;
 use serde::Serialize;
 
-/// Several runs side by side.
+/// Report that compares several runs.
 pub trait Comparison: Serialize {
-    /// The runs as a table.
+    /// Returns the runs as a table.
     fn table(&self) -> Table;
-    /// Was every rule kept?
+    /// Returns whether no rule was broken in any run.
     fn rules_hold(&self) -> bool;
 }
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that the regions share, and when leaders apply them.
+//! Changes of the shared configuration, and the times at which leaders apply them.
 
 use crate::names::{region_name, team_name};
 use crate::plan::RegionPlan;
@@ -17,15 +17,15 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// How long the answer to a change is waited for.
+/// Time limit for the answer to a change.
 const ANSWER_LIMIT: Duration = Duration::from_secs(20);
-/// How often it is looked whether the leader has applied another version.
+/// Interval at which the version applied by the leader is read.
 const LOOK: Duration = Duration::from_millis(20);
-/// Parts of its first share, in quarters, that a region may have.
+/// Range of a region's share after a change, in quarters of its initial share.
 const QUARTERS: std::ops::RangeInclusive<u64> = 2..=4;
 const MILLI: f64 = 1000.0;
 
-/// What was found so far.
+/// Changes and applied versions recorded so far.
 #[derive(Clone, Default)]
 pub struct ConfigurationLog(Arc<Mutex<Entries>>);
 
@@ -36,7 +36,7 @@
 }
 
 impl ConfigurationLog {
-    /// The changes, and when the leader applied each version.
+    /// Takes the changes and, for each version, the time at which the leader applied it.
     pub fn take(&self) -> (Vec<ChangeResult>, Vec<(u64, u64)>) {
         let mut entries = self.0.lock().unwrap();
         (std::mem::take(&mut entries.changes), std::mem::take(&mut entries.applied_at_ms))
@@ -47,7 +47,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Starts the region's part of the changes, and the look at what its leader has applied.
+/// Starts the region's part of the changes and the observation of the versions that its leader applies.
 pub fn start(context: &SimulationContext, plan: &RegionPlan) -> ConfigurationLog {
     let log = ConfigurationLog::default();
     if let Some(configuration) = &plan.scenario.configuration {
@@ -60,7 +60,7 @@
     log
 }
 
-/// Notes when the leader first has applied each version.
+/// Records the time at which the leader first applied each version.
 async fn watch_applied_versions(context: SimulationContext, log: ConfigurationLog) {
     let mut noted = 0;
     loop {
@@ -100,7 +100,8 @@
     }
 }
 
-/// Makes one change; the version in which it was taken.
+/// Makes one change. Returns the version in which it was accepted; `None` if it was refused or its outcome
+/// is unknown.
 async fn make_change(controller: &Peer, id: ChangeId, team: &str, document: Document) -> Option<u64> {
     let name = DocumentName::Team(team.into());
     let present = match ask(controller, ConfigurationRequest::Document(name.clone())).await? {
@@ -128,7 +129,8 @@
     }
 }
 
-/// A division in which no region has more than its first share, by which the stand-ins check.
+/// Returns a random division of a team's amounts. No region gets more than its initial share, which is the
+/// limit that the simulated services check.
 fn team_document(plan: &RegionPlan, team: &str, rng: &mut StdRng) -> Document {
     let teams = &plan.scenario.teams;
     let amounts = |cpus: f64, gpus: f64| {
--- a/crates/scale/src/controllers.rs
+++ b/crates/scale/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The real controllers of a region: processes that are started, killed and held still by id.
+//! Real controllers of a region: processes that are started, killed and suspended.
 
 use crate::names::BURST_IMAGE;
 use crate::names::{region_name, team_name};
@@ -10,7 +10,7 @@
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 
-/// The controllers of a region. They end when this is dropped.
+/// Controllers of a region. They are killed when this value is dropped.
 pub struct Controllers {
     plan: RegionPlan,
     processes: Vec<Option<Child>>,
@@ -25,7 +25,7 @@
         Ok(controllers)
     }
 
-    /// Starts a controller that is not running.
+    /// Starts a controller unless it runs.
     pub fn start_one(&mut self, number: usize) -> io::Result<()> {
         if self.processes[number].is_some() {
             return Ok(());
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Ends a controller without notice.
+    /// Kills a controller.
     pub async fn kill(&mut self, number: usize) -> io::Result<()> {
         match self.processes[number].take() {
             Some(mut process) => process.kill().await,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Ends all controllers.
+    /// Kills all controllers.
     pub async fn kill_all(&mut self) -> io::Result<()> {
         for number in 0..self.processes.len() {
             self.kill(number).await?;
@@ -72,30 +72,30 @@
         Ok(())
     }
 
-    /// Holds a controller still, or lets it go on.
+    /// Suspends or resumes a controller's process.
     pub fn hold(&self, number: usize, held: bool) -> io::Result<()> {
         let Some(pid) = self.process_id(number).and_then(|id| Pid::from_raw(id as i32)) else { return Ok(()) };
         Ok(kill_process(pid, if held { Signal::STOP } else { Signal::CONT })?)
     }
 
-    /// The id of a controller's process, while it runs.
+    /// Returns the identifier of a controller's process; `None` while it does not run.
     pub fn process_id(&self, number: usize) -> Option<u32> {
         self.processes[number].as_ref().and_then(Child::id)
     }
 
-    /// How many controllers there are.
+    /// Returns the number of controllers, running or not.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// A controller that has ended by itself, if there is one.
+    /// Returns a controller that has exited by itself, if there is one.
     pub fn ended(&mut self) -> Option<usize> {
         let ended = |process: &mut Option<Child>| process.as_mut().is_some_and(|p| matches!(p.try_wait(), Ok(Some(_))));
         self.processes.iter_mut().position(ended)
     }
 }
 
-/// The platform's settings for one controller.
+/// Returns the platform's settings file of one controller.
 fn settings_text(plan: &RegionPlan, number: usize) -> String {
     let (scenario, networks, zones) = (&plan.scenario, plan.networks(), plan.zones());
     let mut text = format!(
@@ -144,7 +144,7 @@
     )
 }
 
-/// The operators' file that tells a controller of the other regions.
+/// Returns the operators' file that names the other regions to a controller.
 fn fleet_text(plan: &RegionPlan) -> String {
     let mut text = format!("region = {:?}\nregions {{\n", plan.name());
     for (region, networks) in plan.all_networks.iter().enumerate() {
@@ -156,7 +156,7 @@
     text + "}\n"
 }
 
-/// The operators' file that declares the pool.
+/// Returns the operators' file that declares the pool.
 fn pools_text(pool: &WarmPool) -> String {
     let WarmPool { replicas, cores, cards, mem_gb, bill_every_s } = pool;
     format!(
@@ -168,7 +168,7 @@
     )
 }
 
-/// The operators' file that tells who lends to whom: all other teams to the first one.
+/// Returns the operators' file of lending: all other teams lend to the first one.
 fn borrowing_text(borrowing: &Borrowing, teams: usize) -> String {
     let Borrowing { quiet_s, return_after_s, .. } = borrowing;
     let first = team_name(0);
@@ -181,12 +181,12 @@
     text
 }
 
-/// The name of a controller; the workers' stand-ins read its number from that.
+/// Returns the name of a controller, from which the simulated workers parse its number.
 pub fn controller_name(number: usize) -> String {
     format!("n{number}")
 }
 
-/// Calls a second that the cloud takes.
+/// Rate limit of the cloud, in calls per second.
 const CLOUD_RPS: f64 = 10.0;
-/// Seconds by which the cloud's list of machines lags.
+/// Delay of the cloud's list of machines, in seconds.
 pub const LIST_LAG_S: f64 = 4.0;
--- a/crates/scale/src/counting.rs
+++ b/crates/scale/src/counting.rs
@@ -1,4 +1,4 @@
-//! A network that counts the bytes of its connections.
+//! Network that counts the bytes of its connections.
 
 use badgerdrift::transport::network::{BoxFuture, Listener, Net, Network, ReadHalf, Stream, WriteHalf};
 use std::io;
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What went over a network so far, as payload of TCP.
+/// Traffic of a network so far, in bytes of TCP payload.
 #[derive(Debug, Default)]
 pub struct Traffic {
     pub received: AtomicU64,
@@ -18,13 +18,13 @@
 }
 
 impl Traffic {
-    /// Bytes in both directions.
+    /// Returns the bytes of both directions.
     pub fn bytes(&self) -> u64 {
         self.received.load(Ordering::Relaxed) + self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// TCP that counts its traffic.
+/// Returns a TCP network that adds its traffic to `traffic`.
 pub fn counting(traffic: Arc<Traffic>) -> Net {
     Net::new(CountingNetwork { inner: Net::default(), traffic })
 }
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in one region: named faults at set times, and failures of an ordinary day.
+//! Faults of one region: named faults at set times, and random machine failures at an ordinary daily rate.
 
 use crate::controllers::Controllers;
 use crate::plan::RegionPlan;
@@ -15,7 +15,7 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What faults act on.
+/// Objects that faults act on.
 #[derive(Clone)]
 pub struct FaultTargets {
     pub context: SimulationContext,
@@ -23,9 +23,9 @@
     pub cuts: Cuts,
 }
 
-/// Starts the region's named faults and its failures of ordinary days.
+/// Starts the region's named faults and its random machine failures.
 pub fn start(targets: &FaultTargets, plan: &RegionPlan) {
-    // Regions are cut off at the relays of all regions.
+    // A region is cut off at the relays of all regions, so that each region carries out such a fault.
     let concerns = |fault: &&Fault| fault.region == plan.region || fault.kind == FaultKind::RegionCut;
     for fault in plan.scenario.fault.values().filter(concerns) {
         let (targets, fault) = (targets.clone(), fault.clone());
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Stops so many of the machines that are up and that `which` accepts by their zone.
+    /// Stops up to `count` random machines that are up and whose zone `which` accepts.
     fn stop_machines(&self, count: usize, which: impl Fn(&str) -> bool) {
         let stopped: Vec<String> = {
             let world = self.context.w.lock().unwrap();
@@ -97,7 +97,7 @@
         self.stop_machines(count, |other| other == zone);
     }
 
-    /// The controller that holds the jobs, as the state service knows it; the first if none does.
+    /// Returns the controller that owns the jobs according to the state service; the first one if none does.
     fn leader(&self) -> usize {
         leader(&self.context).unwrap_or(0)
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// The controller that holds the jobs, as the state service knows it.
+/// Returns the controller that owns the jobs according to the state service, if one does.
 pub fn leader(context: &SimulationContext) -> Option<usize> {
     let record = context.w.lock().unwrap().store.value("part/0");
     record["holder"].as_str()?.strip_prefix('n')?.parse().ok()
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs real controllers against stand-ins at the size of a target fleet, and reports how they fare.
+//! Load tool: runs real controllers against simulated services at the size of a target fleet and reports
+//! the measurements.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a load tool: a wrong assumption ends the run")]
 #![expect(clippy::disallowed_methods, reason = "only a controller's own tasks are kept together")]
@@ -32,7 +33,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit status for a scenario that is not sound.
+/// Exit status for an invalid scenario.
 const BAD_SCENARIO: u8 = 2;
 
 /// Runs real controllers of badgerdrift against stand-ins at the size of a target fleet.
@@ -127,7 +128,7 @@
     }
 }
 
-/// A scenario that was read and checked, with what the command line says of the run.
+/// Reads and checks the scenario and joins it with the arguments of the run.
 fn prepare(arguments: &RunArguments) -> Result<prepared::Prepared, String> {
     let scenario = scenario::load(&arguments.scenario)?.scaled(arguments.size)?;
     let seed = arguments.seed.unwrap_or_else(|| u64::from(std::process::id()));
--- a/crates/scale/src/names.rs
+++ b/crates/scale/src/names.rs
@@ -1,19 +1,19 @@
-//! Names of regions, teams and images, as every part of a run spells them.
+//! Names of regions, teams and images in a run.
 
-/// The image that the burst asks for, as jobs name it; no other job does.
+/// Image of the burst's jobs, which no other job uses.
 pub const BURST_IMAGE: &str = "img-900";
 
-/// The name of a region.
+/// Returns the name of a region.
 pub fn region_name(region: usize) -> String {
     format!("region-{region}")
 }
 
-/// The name of a team.
+/// Returns the name of a team.
 pub fn team_name(team: usize) -> String {
     format!("team-{team:03}")
 }
 
-/// Names live as long as the process: the stand-ins know them as constants.
+/// Gives a name the lifetime of the process, as the simulated services require.
 pub fn leak(name: String) -> &'static str {
     Box::leak(name.into_boxed_str())
 }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a region's process is told, and what it answers.
+//! Messages between a run and the processes of its regions.
 
 use crate::addresses::RegionNetworks;
 use crate::names::region_name;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// What the process of a region needs to know; one line on its standard input.
+/// Input of a region's process, sent as one line on its standard input.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RegionPlan {
     pub region: usize,
@@ -17,39 +17,39 @@
     pub all_networks: Vec<RegionNetworks>,
     /// The controller program.
     pub controller: PathBuf,
-    /// Where settings files and logs go.
+    /// Directory of settings files and logs.
     pub directory: PathBuf,
 }
 
 impl RegionPlan {
-    /// The region's name.
+    /// Returns the region's name.
     pub fn name(&self) -> String {
         region_name(self.region)
     }
 
-    /// The region's addresses.
+    /// Returns the region's addresses.
     pub fn networks(&self) -> RegionNetworks {
         self.all_networks[self.region]
     }
 
-    /// Names of the region's zones.
+    /// Returns the names of the region's zones.
     pub fn zones(&self) -> Vec<String> {
         (0..self.scenario.zones_per_region).map(|zone| format!("{}-zone-{zone}", self.name())).collect()
     }
 
-    /// This region's part of an amount of the fleet.
+    /// Returns this region's part of an amount of the whole fleet.
     pub fn part(&self, fleet: f64) -> f64 {
         fleet / self.scenario.regions as f64
     }
 }
 
-/// What the process of a region says, a line each on its standard output.
+/// Message of a region's process, sent as one line on its standard output.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RegionMessage {
-    /// How far it is.
+    /// Progress of the run.
     Progress { elapsed_s: f64, starts: u64, workers: usize },
-    /// The run is over.
+    /// Result at the end of the run.
     Result(Box<RegionResult>),
-    /// It can't go on.
+    /// Error that ended the run.
     Failed(String),
 }
--- a/crates/scale/src/prepared.rs
+++ b/crates/scale/src/prepared.rs
@@ -1,13 +1,13 @@
-//! A run that is ready to start.
+//! Parameters of a run.
 
 use crate::scenario::Scenario;
 use std::path::PathBuf;
 
-/// A checked scenario, and how it is run.
+/// A checked scenario with the parameters of its run.
 #[derive(Clone)]
 pub struct Prepared {
     pub scenario: Scenario,
     pub seed: u64,
-    /// The controller program; built if none is named.
+    /// Path of the controller program; `None` to build it.
     pub controller: Option<PathBuf>,
 }
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -1,4 +1,5 @@
-//! The process of one region: its stand-ins, its workload, and its real controllers as children.
+//! Process of one region, with its simulated services, its workload, and its real controllers as child
+//! processes.
 
 use crate::borrow;
 use crate::burst;
@@ -25,17 +26,17 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, interval};
 
-/// How often the stand-ins look at what happens by itself.
+/// Interval at which the simulation applies events that are due.
 const TICK: Duration = Duration::from_millis(50);
-/// How often processes are sampled.
+/// Interval at which processes are sampled.
 const SAMPLE: Duration = Duration::from_secs(1);
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
-/// Idle connections that the users keep.
+/// Number of idle connections that the users keep.
 const USER_CONNECTIONS: usize = 16;
 
-/// Runs the region that the first line on standard input tells, until its time is over or the
-/// input ends: whoever started this process is gone then.
+/// Runs the region whose plan is the first line of standard input, until its duration is over or the input
+/// ends, which means that the parent process is gone.
 pub async fn serve() {
     let mut input = BufReader::new(tokio::io::stdin()).lines();
     let plan = match input.next_line().await {
@@ -59,7 +60,7 @@
     }
 }
 
-/// What went over the networks of a region.
+/// Traffic of a region's networks.
 #[derive(Default)]
 struct RegionTraffic {
     workers: Arc<Traffic>,
@@ -68,7 +69,7 @@
     users: Arc<Traffic>,
 }
 
-/// The result; none if the run was given up.
+/// Runs the region. Returns `None` if the run was given up because the input ended.
 async fn run(plan: RegionPlan, mut input: Lines<BufReader<Stdin>>) -> Result<Option<RegionResult>, String> {
     let traffic = RegionTraffic::default();
     let context = start_stand_ins(&plan, &traffic);
@@ -77,7 +78,7 @@
     let cuts = Cuts::new(plan.scenario.regions);
     relays::start(&plan, &cuts).await?;
     workload::start(&context, &plan);
-    // The relays end once nobody can cut them any more.
+    // The relays end once all copies of `cuts` are dropped.
     let targets = FaultTargets { context: context.clone(), controllers: controllers.clone(), cuts };
     faults::start(&targets, &plan);
     let configuration = configuration::start(&context, &plan);
@@ -109,7 +110,7 @@
     Ok(None)
 }
 
-/// Starts the state service and the cloud, each at an address for each controller.
+/// Starts the state service and the cloud, each at one address per controller.
 fn start_stand_ins(plan: &RegionPlan, traffic: &RegionTraffic) -> SimulationContext {
     let count = plan.scenario.controllers_per_region;
     let seed = plan.seed.wrapping_add(plan.region as u64);
@@ -136,7 +137,7 @@
         state.serve(plan.networks().state_service(number), move |context, request| {
             state_service::state(context, number, request)
         });
-        // Machines that are rented use the workers' network.
+        // Rented machines use the workers' network, whose traffic is counted apart.
         let workers = workers.clone();
         clouds.serve(plan.networks().cloud(number), move |_, request| cloud::cloud(workers.clone(), request));
     }
@@ -177,7 +178,7 @@
     }
 }
 
-/// What is measured while a region runs.
+/// Measurements taken while a region runs.
 struct Measurement {
     began: Instant,
     duration: Duration,
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -1,5 +1,5 @@
-//! Relays before a region's controllers, at which other regions reach them: there the regions can
-//! be cut off from each other.
+//! TCP relays through which other regions reach a region's controllers. They can cut regions off from
+//! each other.
 
 use crate::plan::RegionPlan;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Which regions are cut off from the others now.
+/// Set of the regions that are cut off from the others.
 #[derive(Clone)]
 pub struct Cuts {
     regions: Arc<Vec<watch::Sender<bool>>>,
@@ -19,7 +19,7 @@
         Cuts { regions: Arc::new((0..regions).map(|_| watch::Sender::new(false)).collect()) }
     }
 
-    /// Cuts a region off, or mends that.
+    /// Cuts a region off, or reconnects it.
     pub fn set(&self, region: usize, cut: bool) {
         self.regions[region].send_replace(cut);
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Starts the relays of a region, one for each of its controllers and each region.
+/// Starts the relays of a region, one for each pair of a source region and a controller.
 pub async fn start(plan: &RegionPlan, cuts: &Cuts) -> Result<(), String> {
     let networks = plan.networks();
     for from in 0..plan.scenario.regions {
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run found, over all regions together.
+//! Report of a run, over all regions together.
 
 use crate::prepared::Prepared;
 use crate::results::{BorrowResult, BurstResult, ChangeResult, RegionResult, Role, RoleUsage, ServiceTraffic};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a run found.
+/// Report of a run.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub version: &'static str,
@@ -20,52 +20,52 @@
     pub jobs_accepted: usize,
     pub jobs_done: usize,
     pub starts: u64,
-    /// After the warm-up.
+    /// Mean starts per second after the warm-up.
     pub starts_per_s: f64,
-    /// Sum of the most starts a second of each region.
+    /// Sum of the regions' maxima of starts in a second.
     pub most_starts_per_s: f64,
     pub stopped_tasks: usize,
     pub machine_failures: usize,
-    /// From submission to start, by urgency.
+    /// Waits from submission to first start, by urgency.
     pub waits: BTreeMap<String, WaitSummary>,
     pub usage: BTreeMap<Role, RoleUsage>,
-    /// From a change of the configuration to its being in force, by region.
+    /// Changes of the configuration.
     pub configuration: ConfigurationSummary,
-    /// Over all regions, a second.
+    /// Traffic per second over all regions.
     pub traffic_per_s: TrafficRates,
-    /// What came of the burst in the first region that has one.
+    /// Result of the burst in the first region that has one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<BurstResult>,
-    /// What came of the burst of serving in the first region that borrows.
+    /// Result of the burst of serving in the first region that borrows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub borrow: Option<BorrowResult>,
     pub controllers_ended: usize,
     pub broken_rules: Vec<BrokenRule>,
 }
 
-/// A distribution of waits.
+/// Distribution of waits.
 #[derive(Debug, Serialize)]
 pub struct WaitSummary {
-    /// How many were measured.
+    /// Number of waits.
     pub tasks: u64,
     pub p50_s: f64,
     pub p99_s: f64,
     pub max_s: f64,
 }
 
-/// Changes of the configuration.
+/// Summary of the changes of the configuration.
 #[derive(Debug, Default, Serialize)]
 pub struct ConfigurationSummary {
     pub asked: usize,
     pub taken: usize,
-    /// From asking for a change until the region's leader has applied it.
+    /// Waits from the request for a change until the region's leader has applied it, by region.
     pub in_force: BTreeMap<String, WaitSummary>,
 }
 
-/// Traffic of all regions a second, as payload of TCP.
+/// Traffic of all regions per second, in requests, changes and bytes of TCP payload.
 #[derive(Debug, Default, Serialize)]
 pub struct TrafficRates {
-    /// Bytes of reports, answers, orders and the rest of HTTP, for one worker.
+    /// Bytes per worker of reports, answers and orders, including HTTP headers.
     pub bytes_per_worker: f64,
     pub state_requests: f64,
     pub state_requests_refused: f64,
@@ -76,7 +76,7 @@
     pub user_bytes: f64,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Debug, Serialize)]
 pub struct BrokenRule {
     pub region: String,
@@ -87,11 +87,11 @@
 const MS_PER_S: f64 = 1000.0;
 /// Significant digits of the distributions.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Sums of decimal amounts may be off by rounding.
+/// Tolerance for rounding in sums of decimal amounts.
 const ROUNDING: f64 = 1e-6;
 
 impl Report {
-    /// Joins what the regions measured.
+    /// Joins the results of the regions.
     pub fn new(prepared: &Prepared, regions: &[RegionResult]) -> Report {
         let scenario = &prepared.scenario;
         let elapsed_s = regions.iter().map(|region| region.elapsed_s).fold(0.1, f64::max);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The figures as a table for a terminal.
+    /// Returns the figures as a table for a terminal.
     pub fn table(&self) -> Table {
         let mut table = Table::new();
         table.set_header(["figure", "value"]);
@@ -193,8 +193,8 @@
     }
 }
 
-/// How soon what was asked for in any region was in force in each. A change that was not in force
-/// in a region by the end is not among that region's.
+/// Returns how soon changes requested in any region were in force in each region. A change that was not in
+/// force in a region by the end of the run is left out of that region's waits.
 fn configuration(regions: &[RegionResult]) -> ConfigurationSummary {
     let changes: Vec<&ChangeResult> = regions.iter().flat_map(|region| &region.changes).collect();
     let in_force = |region: &RegionResult| {
@@ -224,8 +224,8 @@
     }
 }
 
-/// What the regions found, and teams whose most use in all regions together, as if it had been
-/// at the same time, is beyond their limit over the fleet.
+/// Returns the rules broken in any region, and a broken rule for each team whose maximum usages of all
+/// regions, added as if simultaneous, exceed its limit over the fleet.
 fn broken_rules(scenario: &Scenario, regions: &[RegionResult]) -> Vec<BrokenRule> {
     let of_region = |region: &RegionResult| {
         let rule = region.broken_rule.clone()?;
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,9 +1,9 @@
-//! What one region measured.
+//! Results of one region.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a process uses at a time.
+/// Resource usage of a process at one sample.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Usage {
     pub cores: f64,
@@ -11,7 +11,7 @@
     pub open_files: f64,
 }
 
-/// What the processes of a role used over a run.
+/// Resource usage of the processes of a role over a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RoleUsage {
     pub samples: u64,
@@ -22,7 +22,7 @@
 }
 
 impl RoleUsage {
-    /// Counts one sample.
+    /// Adds one sample.
     pub fn add(&mut self, usage: Usage) {
         self.mean_cores = (self.mean_cores * self.samples as f64 + usage.cores) / (self.samples + 1) as f64;
         self.samples += 1;
@@ -31,7 +31,7 @@
         self.most_open_files = self.most_open_files.max(usage.open_files);
     }
 
-    /// Joins what another region measured.
+    /// Adds the samples of another region.
     pub fn join(&mut self, other: &RoleUsage) {
         let samples = (self.samples + other.samples).max(1) as f64;
         let sum = self.mean_cores * self.samples as f64 + other.mean_cores * other.samples as f64;
@@ -43,7 +43,7 @@
     }
 }
 
-/// What processes are there for.
+/// Role of a process in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -53,7 +53,7 @@
     StandIns,
 }
 
-/// Bytes and requests of a region's services over the run, as payload of TCP.
+/// Requests and bytes of TCP payload of a region's services over the run.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct ServiceTraffic {
     pub worker_bytes: u64,
@@ -67,32 +67,32 @@
     pub user_bytes: u64,
 }
 
-/// What became of a change of the configuration.
+/// Result of a change of the configuration.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ChangeResult {
     pub asked_at_ms: u64,
-    /// The version in which it was taken; none if it was refused or its outcome stayed indeterminate.
+    /// Version in which the change was accepted; `None` if it was refused or its outcome is unknown.
     pub version: Option<u64>,
 }
 
 /// Result of a burst of serving on borrowed accelerators in one region.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct BorrowResult {
-    /// Milliseconds from the burst's begin until each replica answered.
+    /// Milliseconds from the start of the burst until each replica answered.
     pub gained_ms: Vec<u32>,
-    /// Replicas that never answered.
+    /// Number of replicas that never answered.
     pub without_room: usize,
-    /// The least use of any lending team as a part of its floor, from the burst's begin on: what is on
-    /// machines, image fetches included, against the lesser of guarantee and demand.
+    /// Least ratio of a lending team's usage to its floor from the start of the burst on. Usage is that of
+    /// attempts on machines, including image fetches; the floor is the lesser of guarantee and demand.
     pub least_share_of_floor: f64,
-    /// How long any lending team was below its floor in all.
+    /// Total time, in milliseconds, for which any lending team was below its floor.
     pub below_floor_ms: u64,
-    /// The most that a stopped task or gang that can save has lost, in seconds.
+    /// Most work, in seconds, lost by a stopped task or gang that can save.
     pub most_lost_s: f64,
-    /// Tasks of arrays and gangs that were stopped from the burst's begin on.
+    /// Number of tasks of arrays and gangs that were stopped from the start of the burst on.
     pub stops: usize,
-    /// Milliseconds from the burst's end until the lenders have as many cards in use as before it, or
-    /// as many as are left; none if they had not by the end of the run.
+    /// Milliseconds from the end of the burst until the lenders use as many accelerators as before it, or
+    /// all that are left; `None` if they did not by the end of the run.
     pub returned_ms: Option<u32>,
 }
 
@@ -101,64 +101,66 @@
 pub struct BurstResult {
     /// Milliseconds from each request to its answer.
     pub answered_ms: Vec<u32>,
-    /// Requests without an answer at the end.
+    /// Number of requests without an answer at the end.
     pub unanswered: usize,
-    /// Models that were ready as the burst began.
+    /// Number of models that were ready when the burst began.
     pub ready_before: usize,
-    /// Models that were loaded, and tasks that took one over.
+    /// Number of models that were loaded.
     pub loaded: usize,
+    /// Number of tasks that took over a loaded model.
     pub attached: usize,
     /// Seconds of idle and claimed replicas by team, as recorded in the bills.
     pub billed: BTreeMap<String, SlotSeconds>,
-    /// The same as the workers saw it.
+    /// Seconds of idle and claimed replicas by team, as the workers observed them.
     pub seen: BTreeMap<String, SlotSeconds>,
 }
 
-/// Seconds of replicas.
+/// Seconds for which replicas were idle and claimed.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct SlotSeconds {
     pub idle_s: f64,
     pub claimed_s: f64,
 }
 
-/// What one region measured.
+/// Results of one region.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RegionResult {
     pub region: String,
-    /// What came of the burst; all empty without one.
+    /// Result of the burst; empty without one.
     #[serde(default)]
     pub burst: BurstResult,
-    /// What came of the burst of serving; all empty without borrowing.
+    /// Result of the burst of serving; empty without borrowing.
     #[serde(default)]
     pub borrow: BorrowResult,
     pub elapsed_s: f64,
-    /// Machines that were up at the end.
+    /// Number of machines that were up at the end.
     pub workers: usize,
     pub most_running_tasks: usize,
     pub jobs_submitted: usize,
     pub jobs_accepted: usize,
     pub jobs_done: usize,
-    /// Tasks that started, first starts and later ones.
+    /// Number of task starts, restarts included.
     pub starts: u64,
     pub most_starts_per_s: f64,
     pub starts_after_warm_up: u64,
-    /// Tasks that were stopped though their jobs were not cancelled.
+    /// Number of tasks that were stopped although their jobs were not cancelled.
     pub stopped_tasks: usize,
     pub machine_failures: usize,
     /// Milliseconds from submission to first start of each task, by urgency.
     pub waits_ms: BTreeMap<String, Vec<u32>>,
     pub usage: BTreeMap<Role, RoleUsage>,
     pub traffic: ServiceTraffic,
-    /// The most cores and cards that each team used at a time.
+    /// Maximum usage of cores and accelerators of each team at any instant.
     pub most_used: BTreeMap<String, (f64, f64)>,
-    /// Changes of the configuration that were asked for here.
+    /// Changes of the configuration that were requested in this region.
     pub changes: Vec<ChangeResult>,
-    /// When the region's leader first applied each version, in milliseconds of the time of day.
+    /// Each version with the time at which the region's leader first applied it, in milliseconds of the time
+    /// of day.
     #[serde(rename = "obeyed_at_ms")]
     pub applied_at_ms: Vec<(u64, u64)>,
-    /// Controllers that ended by themselves.
+    /// Number of controllers that exited by themselves.
     pub controllers_ended: usize,
     pub broken_rule: Option<String>,
-    /// What happened to the task or team of the broken rule.
+    /// Events about the task or team of the broken rule.
     pub history: String,
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the regions, follows them, and joins what they measured.
+//! One run: starts the regions, follows their progress, and joins their results.
 
 use crate::addresses::RegionNetworks;
 use crate::child::RegionProcess;
@@ -11,7 +11,7 @@
 use std::process::Command;
 use tokio::sync::mpsc;
 
-/// Runs a scenario; whatever happens, all processes have ended afterwards.
+/// Runs a scenario. All processes have ended when this returns, also after an error.
 pub async fn run(prepared: &Prepared) -> Result<Report, String> {
     let controller = match &prepared.controller {
         Some(path) => path.clone(),
@@ -85,7 +85,7 @@
     Ok(results)
 }
 
-/// Builds the controller program as this one was built, and tells where it is.
+/// Builds the controller program with the profile of this one and returns its path.
 fn build_controller() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = own.with_file_name("badgerdrift");
@@ -105,7 +105,7 @@
     }
 }
 
-/// A directory for settings and logs, which is removed after the run.
+/// Directory of settings and logs, which is removed after the run.
 struct Directory(PathBuf);
 
 impl Directory {
--- a/crates/scale/src/samples.rs
+++ b/crates/scale/src/samples.rs
@@ -1,10 +1,10 @@
-//! What processes use, as the system tells.
+//! Resource usage of processes, read from procfs.
 
 use crate::results::Usage;
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Takes samples of processes, and remembers the last one of each.
+/// Takes samples of processes and keeps the last one of each.
 pub struct Sampler {
     ticks_per_s: f64,
     page_bytes: u64,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// What a process uses; nothing at its first sample, or if it is gone.
+    /// Returns the usage of a process since its last sample; `None` at its first one, or if it is gone.
     pub fn sample(&mut self, process_id: u32) -> Option<Usage> {
         let process = procfs::process::Process::new(process_id as i32).ok()?;
         let stat = process.stat().ok()?;
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,10 +1,10 @@
-//! What is run: sizes, classes of jobs, failures and named faults, read from HCL.
+//! Scenarios in HCL: sizes, classes of jobs, failures and named faults.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A scenario; amounts are those of the whole fleet.
+/// A scenario. Amounts are those of the whole fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -14,14 +14,14 @@
     pub controller: ControllerLimits,
     pub workers: usize,
     pub duration_s: f64,
-    /// What is submitted before is not counted in waits, and usage is not sampled.
+    /// Seconds from the start during which usage is not sampled and submissions do not count in waits.
     #[serde(default)]
     pub warm_up_s: f64,
     pub teams: Teams,
     pub machine: MachineType,
     pub worker: WorkerTimes,
     pub state: StateService,
-    /// Failures of an ordinary day; none if absent.
+    /// Random machine failures; none if absent.
     #[serde(default)]
     pub failures: Failures,
     /// A pool of warm replicas in each region; none if absent.
@@ -33,11 +33,11 @@
     /// A burst of serving that borrows from night runs and fine-tuning; none if absent.
     #[serde(default)]
     pub borrowing: Option<Borrowing>,
-    /// Changes of a configuration that the regions share; they share none if absent.
+    /// Changes of the shared configuration; the regions share none if absent.
     #[serde(default)]
     pub configuration: Option<Configuration>,
     pub class: BTreeMap<String, JobClass>,
-    /// Named faults, at set times.
+    /// Named faults at set times.
     #[serde(default)]
     pub fault: BTreeMap<String, Fault>,
 }
@@ -46,11 +46,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControllerLimits {
-    /// Sockets that it may have open.
+    /// Most open sockets.
     pub max_sockets: usize,
 }
 
-/// Teams, which are all alike: what each may use over the whole fleet.
+/// Teams, which all have the same guarantees and limits over the whole fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Teams {
@@ -61,7 +61,7 @@
     pub most_cards: f64,
 }
 
-/// The type of all machines.
+/// Type of all machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineType {
@@ -71,7 +71,7 @@
     pub startup_s: f64,
 }
 
-/// Times of the workers, in seconds.
+/// Durations of the workers' protocol, in seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerTimes {
@@ -82,57 +82,57 @@
     pub cancel_s: f64,
     /// Least and most time of an image fetch.
     pub fetch_s: (f64, f64),
-    /// Least and most time of loading a model beside that.
+    /// Least and most time of loading a model after the fetch.
     #[serde(default)]
     pub load_s: (f64, f64),
 }
 
-/// A pool of loaded replicas of the model that a burst asks for. The first team pays.
+/// A pool of loaded replicas of the burst's model, charged to the first team.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WarmPool {
-    /// Replicas in a region.
+    /// Number of replicas in a region, each with the cores, accelerators and memory below.
     pub replicas: usize,
-    /// What each one takes.
     pub cores: f64,
     pub cards: f64,
     pub mem_gb: f64,
-    /// A slot's charges are recorded at least this often.
+    /// Longest interval between records of a slot's charges, in seconds.
     pub bill_every_s: f64,
 }
 
-/// Users of all teams in turn ask for replicas of one model, and requests to it come at once.
+/// Burst of requests to one model, for which users of all teams in turn submit replicas.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
     pub at_s: f64,
-    /// Replicas that are asked for, each by a job of its own.
+    /// Number of replicas, each submitted as a separate job with the cores, accelerators and memory below.
     pub replicas: usize,
-    /// Requests, and over how long they come.
+    /// Number of requests.
     pub requests: usize,
+    /// Seconds over which the requests are spread.
     pub over_s: f64,
-    /// What each replica takes.
     pub cores: f64,
     pub cards: f64,
     pub mem_gb: f64,
 }
 
-/// The first team's users ask for replicas on machines that are full, and need them for a while. The
-/// other teams lend to it.
+/// Burst of replicas that users of the first team submit while all machines are full and cancel later. The
+/// other teams lend to the first one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Borrowing {
-    /// Controllers are told of it; without that the burst is the same.
+    /// Whether controllers get settings of borrowing. Without them the burst is the same.
     #[serde(default = "enabled")]
     pub enabled: bool,
-    /// A job that gave way is passed over for so long, while others can give.
+    /// Seconds for which a preempted job is not preempted again while other jobs can be.
     pub quiet_s: f64,
-    /// A loan is returned once the need for it has been gone for so long.
+    /// Seconds without need after which a loan is returned.
     pub return_after_s: f64,
-    /// When the burst begins, and how long it lasts.
+    /// Start of the burst, in seconds from the start of the run.
     pub at_s: f64,
+    /// Duration of the burst, in seconds.
     pub for_s: f64,
-    /// Replicas in a region, each by a job of its own, and what each takes.
+    /// Number of replicas in a region, each a separate job with the cores, accelerators and memory below.
     pub replicas: usize,
     pub cores: f64,
     pub cards: f64,
@@ -153,8 +153,8 @@
     pub txn_ops: usize,
 }
 
-/// Machines of the whole fleet that fail or are replaced in a day, and how many times faster
-/// days go by for them.
+/// Machines of the whole fleet that fail or are replaced in a day. Days pass `compression` times faster
+/// for these failures.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failures {
@@ -163,11 +163,11 @@
     pub compression: f64,
 }
 
-/// Changes of the configuration that the regions share.
+/// Changes of the shared configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Changes a second over the whole fleet, after the warm-up.
+    /// Changes per second over the whole fleet, after the warm-up.
     pub changes_per_s: f64,
 }
 
@@ -179,29 +179,29 @@
     pub urgency: Urgency,
     /// Least and most tasks of a job.
     pub tasks: (u32, u32),
-    /// Least and most run time; a service is cancelled after that.
+    /// Least and most run time, in seconds, after which a service is cancelled.
     pub run_s: (f64, f64),
     pub cores: f64,
     #[serde(default)]
     pub cards: f64,
     pub mem_gb: f64,
-    /// Jobs a second over the whole fleet.
+    /// Jobs per second over the whole fleet.
     pub jobs_per_s: f64,
-    /// Jobs that are submitted at once at the start.
+    /// Number of jobs that are submitted at the start.
     #[serde(default)]
     pub initial_jobs: usize,
-    /// Its jobs are of the teams from this one on.
+    /// Number of the first team that submits jobs of this class; all later teams do so too.
     #[serde(default)]
     pub first_team: usize,
-    /// Seconds of progress between checkpoints; 0 if its tasks save none.
+    /// Seconds of progress between checkpoints; 0 if the tasks save none.
     #[serde(default)]
     pub checkpoint_every_s: f64,
-    /// Seconds that saving takes when a task is stopped.
+    /// Seconds that a stopped task takes to save its state.
     #[serde(default)]
     pub flush_s: f64,
 }
 
-/// Shapes of jobs, with the protocol's names.
+/// Shape of a job, under the protocol's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
@@ -220,7 +220,7 @@
     }
 }
 
-/// Urgencies of jobs, with the protocol's names.
+/// Urgency of a job, under the protocol's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
@@ -248,45 +248,49 @@
     pub kind: FaultKind,
     pub at_s: f64,
     pub region: usize,
-    /// How long it lasts, if it is one that ends.
+    /// Duration in seconds, for faults that end.
     #[serde(default)]
     pub for_s: f64,
-    /// Machines that a fault of machines takes.
+    /// Number of machines, for faults that stop a number of them.
     #[serde(default)]
     pub count: usize,
 }
 
-/// What can go wrong.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// So many machines of the region stop.
+    /// `count` machines of the region stop.
     Machines,
-    /// So many machines of one zone stop.
+    /// `count` machines of one zone stop.
     Rack,
     /// All machines of one zone stop.
     Zone,
-    /// The region's leader ends and comes back after `for_s`.
+    /// The region's leader is killed and restarts after `for_s`.
     ControllerKilled,
-    /// The region's leader holds still.
+    /// The region's leader is suspended for `for_s`.
     ControllerHeld,
-    /// All controllers of the region end and come back after `for_s`.
+    /// All controllers of the region are killed and restart after `for_s`.
     ControllersRestarted,
-    /// The region's state service is out.
+    /// The region's state service has an outage.
     StateOutage,
-    /// Writes are carried out, and their answers lost.
+    /// Requests to the state service are carried out, but their answers are lost.
     StateAnswersLost,
-    /// The region and the others don't hear each other; all else goes on.
+    /// The region and the others cannot reach each other; everything else works.
     RegionCut,
 }
 
-/// Reads and checks a scenario; the error is one line naming field and reason.
+/// Reads and checks a scenario.
+///
+/// # Errors
+///
+/// The file cannot be read or is invalid; the error is one line that names the field and the reason.
 pub fn load(path: &Path) -> Result<Scenario, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     parse(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// The scenario that a text tells.
+/// Parses and checks a scenario.
 pub fn parse(text: &str) -> Result<Scenario, String> {
     let one_line = |error: hcl::Error| error.to_string().split_whitespace().collect::<Vec<_>>().join(" ");
     let scenario: Scenario = hcl::from_str(text).map_err(one_line)?;
@@ -294,11 +298,11 @@
     Ok(scenario)
 }
 
-/// A controller refuses settings with fewer sockets.
+/// Least value of `max_sockets` that a controller accepts.
 const LEAST_SOCKETS: f64 = 16.0;
-/// Most processes of a run, with room to spare below a hundred.
+/// Most controllers of a run, which keeps its processes well below a hundred.
 const MOST_CONTROLLERS: usize = 60;
-/// Zones and machines of a region have one byte of an address each.
+/// Most regions of a run: zones and machines of a region have one byte of an address each.
 const MOST_REGIONS: usize = 20;
 const MOST_WORKERS_PER_REGION: usize = 40_000;
 
@@ -369,7 +373,7 @@
         in_range("borrowing.return_after_s", borrowing.return_after_s, 0.0, f64::MAX)
     }
 
-    /// The scenario with this part of its workers and arrivals.
+    /// Returns the scenario with its workers, arrivals and failures multiplied by `size`.
     pub fn scaled(mut self, size: f64) -> Result<Scenario, String> {
         in_range("--size", size, 0.001, 100.0)?;
         self.workers = (self.workers as f64 * size).round() as usize;
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario at several sizes and fits a line to each cost.
+//! Sweep: runs of a scenario at several sizes, with a line fitted to each cost.
 
 use crate::comparison::Comparison;
 use crate::prepared::Prepared;
@@ -8,28 +8,32 @@
 use comfy_table::Table;
 use serde::Serialize;
 
-/// A line needs so many sizes to tell more than a guess.
+/// Least number of sizes for a meaningful linear fit.
 const LEAST_SIZES: usize = 4;
 
-/// What the sizes showed.
+/// Reports of all sizes, and the lines fitted to the costs.
 #[derive(Debug, Serialize)]
 pub struct Sweep {
     pub runs: Vec<Report>,
     pub slopes: Vec<Slope>,
 }
 
-/// A cost as a line over another figure, with what the line leaves unexplained.
+/// Linear fit of a cost over another figure.
 #[derive(Debug, Serialize)]
 pub struct Slope {
     pub cost: &'static str,
     pub over: &'static str,
     pub at_zero: f64,
     pub slope: f64,
-    /// Measured less fitted, a value for each size.
+    /// Measured minus fitted value, for each size.
     pub residuals: Vec<f64>,
 }
 
 /// Checks the sizes of a sweep.
+///
+/// # Errors
+///
+/// There are too few sizes, or one is not above 0.
 pub fn check(sizes: &[f64]) -> Result<(), String> {
     if sizes.len() < LEAST_SIZES {
         return Err(format!("--sizes: at least {LEAST_SIZES} are needed, {} are given", sizes.len()));
@@ -57,7 +61,7 @@
     report.usage.get(&role).cloned().unwrap_or_default()
 }
 
-/// Figures of a region: the fleet's by the number of regions.
+/// Figures per region: those of the fleet divided by the number of regions.
 fn per_region(report: &Report, fleet: f64) -> f64 {
     fleet / report.scenario.regions as f64
 }
@@ -93,7 +97,7 @@
     fitted.collect()
 }
 
-/// The line of least squares through points.
+/// Returns the least-squares line through the points.
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -1,4 +1,4 @@
-//! Jobs that come to one region.
+//! Jobs submitted in one region.
 
 use crate::names::{leak, team_name};
 use crate::plan::RegionPlan;
@@ -10,10 +10,10 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
 
-/// Image names that the jobs of a region share.
+/// Number of images that the jobs of a region share.
 const IMAGES: u32 = 12;
 
-/// Where the jobs of one class come from.
+/// Source of the jobs of one class.
 struct Arrivals {
     context: SimulationContext,
     class: JobClass,
@@ -23,7 +23,7 @@
     rng: StdRng,
 }
 
-/// Starts the arrivals of all classes in a region.
+/// Starts the arrivals of all job classes in a region.
 pub fn start(context: &SimulationContext, plan: &RegionPlan) {
     let classes = plan.scenario.class.len();
     for (number, class) in plan.scenario.class.values().enumerate() {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A user submits a job and follows it; a service is cancelled after its run time.
+    /// Submits a job and follows it as its user; a service is cancelled after its run time.
     fn submit(&mut self, id: usize) {
         let job = self.job(id);
         let (id, run_s) = (job.id.clone(), job.run_s);
--- a/crates/scale/tests/small_run.rs
+++ b/crates/scale/tests/small_run.rs
@@ -1,4 +1,4 @@
-//! The scale run at a small size, with real controllers: it works, whatever its speed.
+//! Function, not performance, of the load tool in small runs with real controllers.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
@@ -14,7 +14,7 @@
     Command::new(env!("CARGO_BIN_EXE_badgerdrift-scale")).args(arguments).output().unwrap()
 }
 
-/// Processes that a run has started and left behind, by the directory that their command names.
+/// Returns the commands of the remaining processes of a run, found by the run's directory in the command.
 fn left_behind(run_id: u32) -> Vec<String> {
     let directory = format!("badgerdrift-scale-{run_id}/");
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
@@ -81,8 +81,8 @@
     assert!(String::from_utf8(output.stderr).unwrap().contains("--sizes: at least 4 are needed"));
 }
 
-// Its function, not its speed: jobs take loaded models over, all requests are answered, and the
-// bill is what the workers saw.
+// Function, not performance: jobs take over loaded models, all requests are answered, and the bill agrees
+// with the account of the workers.
 #[test]
 fn a_small_burst_is_answered_by_warm_replicas_and_billed() {
     let report = std::env::temp_dir().join(format!("badgerdrift-small-burst-{}.json", std::process::id()));
@@ -103,9 +103,9 @@
     }
 }
 
-// Its function, not its speed: with borrowing the burst gets what the lenders' floors leave, 60 of 120
-// cards; without it urgency alone decides, and it gets more. Replicas are counted as they begin: a
-// few more do so as the first are cancelled.
+// Function, not performance: with borrowing the burst gets what the lenders' floors leave, 60 of 120
+// accelerators; without it urgency alone decides, and the burst gets more. Replicas are counted when they
+// start, and a few more start when the first ones are cancelled.
 #[test]
 fn a_small_burst_of_serving_borrows_what_floors_leave() {
     const LEFT_BY_FLOORS: u64 = 60;
--- a/deploy/borrowing.hcl
+++ b/deploy/borrowing.hcl
@@ -1,10 +1,10 @@
-# Who lends accelerators to whom: `badgerdrift serve --borrowing deploy/borrowing.hcl`.
+# Lending of accelerators between teams: `badgerdrift serve --borrowing deploy/borrowing.hcl`.
 # See docs/borrowing.md. Off unless a controller is given this file; needs one partition.
 
-# A job that gave way is passed over for so long, while others can give.
+# Time for which a preempted job is not preempted again while other jobs can be.
 quiet_s = 3600
 
-# A borrower's need has to be gone for so long before what it borrowed is returned.
+# Time without need after which a borrower returns what it borrowed.
 return_after_s = 30
 
 # Replicas for call-outs borrow from the teams that name `roster-desk` below.
@@ -16,7 +16,7 @@
   from = "urgent"
 }
 
-# Night runs and fine-tuning give way, never below the team's guarantee.
+# Night runs and fine-tuning are preempted, but the team keeps its guarantee.
 lender "infra-crew" {
   to    = ["roster-desk", "relief-ops"]
   up_to = "standard"
--- a/deploy/fleet.hcl
+++ b/deploy/fleet.hcl
@@ -1,6 +1,6 @@
-# Switches the shared configuration of several regions on:
+# Enables the shared configuration of several regions:
 #     badgerdrift serve --fleet deploy/fleet.hcl --operator deploy/operator.hcl --config FILE
-# Each region names itself; the rest is the same in all regions. See docs/operations.md.
+# `region` names the controller's own region; the rest is the same in all regions. See docs/operations.md.
 region = "north"
 
 regions {
--- a/deploy/scale/borrowing.hcl
+++ b/deploy/scale/borrowing.hcl
@@ -1,4 +1,4 @@
-# Serving borrows from night runs and fine-tuning: 480 workers that are full, 55 seconds a run.
+# Serving borrows from night runs and fine-tuning on 480 full workers; 55 seconds per run.
 regions                = 1
 zones_per_region       = 3
 controllers_per_region = 3
@@ -10,7 +10,7 @@
   max_sockets = 2677
 }
 
-# Guaranteed for each team; five of them are guaranteed 1,500 of 1,920 cards.
+# Guarantee of each team; the five teams together are guaranteed 1,500 of 1,920 accelerators.
 teams {
   count            = 5
   guaranteed_cores = 0
--- a/deploy/scale/burst.hcl
+++ b/deploy/scale/burst.hcl
@@ -1,5 +1,5 @@
-# A burst of 100 requests to one model in a region of 480 workers, with a pool of eight warm
-# replicas or without one: see README, "Warm pools".
+# A burst of 100 requests to one model in a region of 480 workers, with or without a pool of eight warm
+# replicas: see README, "Warm pools".
 regions                = 1
 zones_per_region       = 3
 controllers_per_region = 3
--- a/deploy/scale/small-borrowing.hcl
+++ b/deploy/scale/small-borrowing.hcl
@@ -1,4 +1,4 @@
-# A small burst of serving, to see that it works: 30 workers, 11 seconds a run.
+# A small burst of serving to check that it works: 30 workers, 11 seconds per run.
 regions                = 1
 zones_per_region       = 3
 controllers_per_region = 3
@@ -10,7 +10,7 @@
   max_sockets = 2677
 }
 
-# Guaranteed for each team; three of them are guaranteed 90 of 120 cards.
+# Guarantee of each team; the three teams together are guaranteed 90 of 120 accelerators.
 teams {
   count            = 3
   guaranteed_cores = 0
@@ -42,7 +42,7 @@
   txn_ops   = 12
 }
 
-# The first team needs 100 replicas for 4 s. The floors of the other two leave it 60 of 120 cards.
+# The first team needs 100 replicas for 4 s. The floors of the other two leave it 60 of 120 accelerators.
 borrowing {
   quiet_s        = 3600
   return_after_s = 1
--- a/deploy/scale/small-burst.hcl
+++ b/deploy/scale/small-burst.hcl
@@ -1,4 +1,4 @@
-# A small burst, to see that it works: 30 workers, 10 seconds a run.
+# A small burst to check that it works: 30 workers, 10 seconds per run.
 regions                = 1
 zones_per_region       = 3
 controllers_per_region = 3
--- a/deploy/scale/small.hcl
+++ b/deploy/scale/small.hcl
@@ -1,4 +1,4 @@
-# A small run, to see that it works: 2 regions with 20 workers, 10 seconds.
+# A small run to check that it works: 2 regions with 20 workers, 10 seconds.
 regions                = 2
 zones_per_region       = 2
 controllers_per_region = 3
--- a/deploy/scale/worst.hcl
+++ b/deploy/scale/worst.hcl
@@ -1,5 +1,5 @@
-# The target in its worst hour: 5 regions with 15 zones, 2,400 workers, some 46,000 tasks, 1,500 starts a second at
-# the peak, 510 teams. Amounts are those of the whole fleet; see README.md.
+# The target fleet in its worst hour: 5 regions with 15 zones, 2,400 workers, about 46,000 tasks, 1,500 starts
+# per second at the peak, 510 teams. Amounts are those of the whole fleet; see README.md.
 regions                = 5
 zones_per_region       = 3
 controllers_per_region = 3
@@ -12,7 +12,7 @@
 }
 
 teams {
-  # Changes halve a region's part at the most: the largest gang still fits.
+  # Changes reduce a region's share to half at the least, into which the largest gang still fits.
   count            = 510
   guaranteed_cores = 100
   most_cores       = 4000
@@ -43,14 +43,14 @@
   txn_ops   = 12
 }
 
-# An ordinary day in 4 minutes.
+# Failures of an ordinary day within 4 minutes.
 failures {
   machines_a_day = 25
   replaced_a_day = 270
   compression    = 360
 }
 
-# Ten times 1,500 changes a day.
+# Ten times the rate of 1,500 changes per day.
 configuration {
   changes_per_s = 0.174
 }
@@ -90,7 +90,7 @@
   initial_jobs = 300
 }
 
-# The worst hour in a minute and a half.
+# Faults of the worst hour within a minute and a half.
 fault "zone" {
   kind   = "zone"
   region = 2
--- a/deploy/warm-pools.hcl
+++ b/deploy/warm-pools.hcl
@@ -1,7 +1,7 @@
 # Pools of warm replicas:
 #     badgerdrift serve --warm-pools deploy/warm-pools.hcl --operator deploy/operator.hcl --config FILE
-# An example: names of teams, machine types and zones have to be those of the deployment. What each
-# field means, and what to do when: docs/warm-pools.md.
+# An example: the names of teams, machine types and zones must be those of the deployment. For the fields
+# and their operation see docs/warm-pools.md.
 bill_every_s       = 300 # a slot's charges are recorded at least this often
 estimate_at_most_s = 900 # what nobody observed is charged for no longer than this
 
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -1,4 +1,5 @@
-//! What a scheduling cycle costs with borrowing and without it: a full fleet, and a burst that needs room.
+//! Measures the time of scheduling cycles with and without borrowing, on a full fleet with a burst that
+//! needs capacity.
 //!
 //!     cargo run --release --example pass_cost -- 480 4000
 
@@ -12,11 +13,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Accelerators of a machine.
 const GPUS: f64 = 8.0;
 const TEAMS: [&str; 4] = ["desk", "night", "tune", "idle"];
-/// Tasks of a night run.
+/// Number of tasks of a night run.
 const TASKS: u32 = 16;
-/// Passes that are timed after the burst came.
+/// Number of scheduling cycles that are timed after the one with the burst.
 const PASSES: u64 = 20;
 const SETTINGS: &str = "node = \"n0\"\nsite = \"a\"\nserve_on = \"127.0.0.1:1\"\ninternal_addr = \"127.0.0.1:2\"\n\
     [endpoints]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n[params]\nzones = [\"a\"]\n\
@@ -43,7 +45,7 @@
         add(&mut fleet, number, team, Shape::Batch, Urgency::Normal, TASKS);
     }
     let fills = timed(|| fleet.schedule(1000, 1000));
-    // The machines have begun what they were told.
+    // The machines have started the tasks that were assigned to them.
     for host in fleet.cluster_mut().hosts.iter_mut().flatten() {
         host.attempts.iter_mut().for_each(|attempt| attempt.phase = badgerdrift::model::TaskPhase::Running);
     }
@@ -65,7 +67,8 @@
     began.elapsed()
 }
 
-/// So many empty machines, and four teams with a guarantee of a sixth of them each.
+/// Creates a partition of empty machines and four teams, each with a guarantee of a sixth of the
+/// accelerators.
 fn fleet(machines: usize, borrowing: bool) -> Partition {
     let settings: Settings = toml::from_str(SETTINGS).expect("the settings are sound");
     let mut policy = Policy::new(&settings, &Operator::default(), 0);
