--- a/crates/scale/src/borrow.rs
+++ b/crates/scale/src/borrow.rs
@@ -60,7 +60,7 @@
         sleep(secs(self.borrowing.at_s)).await;
         let begin = Instant::now();
         let (used_before, stops_before, losses_before) = {
-            let world = self.context.w.lock().unwrap();
+            let world = self.context.world.lock().unwrap();
             (self.lenders_cards(&world), world.stopped.len(), world.lost_work.len())
         };
         let jobs = self.submit_replicas(seed);
@@ -73,7 +73,7 @@
                 cancelled = true;
                 self.cancel(&jobs, seed);
             }
-            let world = self.context.w.lock().unwrap();
+            let world = self.context.world.lock().unwrap();
             let mut result = self.result.lock().unwrap();
             Observer::sample_gain(&world, &jobs, begin, &mut result);
             self.sample_floors(&world, &mut result);
@@ -96,7 +96,7 @@
             (job.team, job.urgency) = (team, "urgent");
             (job.cores, job.cards, job.mem_gb) = (self.borrowing.cores, self.borrowing.cards, self.borrowing.mem_gb);
             let id = job.id.clone();
-            self.context.w.lock().unwrap().jobs.insert(id.clone(), job);
+            self.context.world.lock().unwrap().jobs.insert(id.clone(), job);
             tokio::spawn(users::user(self.context.clone(), id.clone(), seed.wrapping_add(number as u64)));
             id
         };
--- a/crates/scale/src/burst.rs
+++ b/crates/scale/src/burst.rs
@@ -53,7 +53,7 @@
         let (seed, teams) = (plan.seed, plan.scenario.teams.count);
         tokio::spawn(async move {
             sleep(secs(burst.at_s)).await;
-            *ready.lock().unwrap() = context.w.lock().unwrap().ready_slots();
+            *ready.lock().unwrap() = context.world.lock().unwrap().ready_slots();
             submit_replicas(&context, &burst, teams, seed);
             send_requests(&context, &burst, &answered);
         });
@@ -70,7 +70,7 @@
         (job.cores, job.cards, job.mem_gb) = (burst.cores, burst.cards, burst.mem_gb);
         job.bundle = BURST_IMAGE_NUMBER;
         let id = job.id.clone();
-        context.w.lock().unwrap().jobs.insert(id.clone(), job);
+        context.world.lock().unwrap().jobs.insert(id.clone(), job);
         tokio::spawn(users::user(context.clone(), id, seed.wrapping_add(number as u64)));
     }
 }
@@ -93,7 +93,7 @@
 async fn until_answered(context: &SimulationContext, number: usize) {
     let path = format!("{MODEL_PATH}{BURST_IMAGE_NUMBER}");
     loop {
-        let replicas = context.w.lock().unwrap().answering(BURST_IMAGE_NUMBER);
+        let replicas = context.world.lock().unwrap().answering(BURST_IMAGE_NUMBER);
         if let Some(replica) = replicas.get(number % replicas.len().max(1)) {
             let answer = context.user.call(*replica, "POST", &path, Some(b"{}"), ATTEMPT_LIMIT).await;
             if matches!(answer, Ok((200, _))) {
@@ -108,7 +108,7 @@
     /// Returns the result until now, with the bill of the first controller that answers.
     pub async fn finish(self, plan: &RegionPlan) -> BurstResult {
         let (account, answered_ms) = {
-            let world = self.context.w.lock().unwrap();
+            let world = self.context.world.lock().unwrap();
             (world.slot_account(), self.answered_ms.lock().unwrap().clone())
         };
         let mut result = BurstResult {
--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -65,7 +65,7 @@
     let mut noted = 0;
     loop {
         sleep(LOOK).await;
-        let version = context.w.lock().unwrap().store.value("config/obeyed")["version"].as_u64().unwrap_or(0);
+        let version = context.world.lock().unwrap().store.value("config/obeyed")["version"].as_u64().unwrap_or(0);
         let now = now_ms();
         for version in noted + 1..=version {
             log.0.lock().unwrap().applied_at_ms.push((version, now));
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -74,9 +74,9 @@
                 self.cuts.set(fault.region, false);
             }
             FaultKind::StateAnswersLost => {
-                self.context.w.lock().unwrap().lost_answers = 1.0;
+                self.context.world.lock().unwrap().lost_answers = 1.0;
                 sleep(secs(fault.for_s)).await;
-                self.context.w.lock().unwrap().lost_answers = 0.0;
+                self.context.world.lock().unwrap().lost_answers = 0.0;
             }
         }
     }
@@ -84,7 +84,7 @@
     /// Stops up to `count` random machines that are up and whose zone `which` accepts.
     fn stop_machines(&self, count: usize, which: impl Fn(&str) -> bool) {
         let stopped: Vec<String> = {
-            let world = self.context.w.lock().unwrap();
+            let world = self.context.world.lock().unwrap();
             let now = Instant::now();
             let up = world.machines.values().filter(|machine| machine.alive(now) && which(&machine.zone));
             up.take(count).map(|machine| machine.id.clone()).collect()
@@ -93,7 +93,7 @@
     }
 
     fn stop_in_one_zone(&self, count: usize) {
-        let zone = self.context.w.lock().unwrap().parameters.zones[0];
+        let zone = self.context.world.lock().unwrap().parameters.zones[0];
         self.stop_machines(count, |other| other == zone);
     }
 
@@ -122,7 +122,7 @@
 
 /// Returns the controller that owns the jobs according to the state service, if one does.
 pub fn leader(context: &SimulationContext) -> Option<usize> {
-    let record = context.w.lock().unwrap().store.value("part/0");
+    let record = context.world.lock().unwrap().store.value("part/0");
     record["holder"].as_str()?.strip_prefix('n')?.parse().ok()
 }
 
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -90,7 +90,7 @@
     let mut samples = interval(SAMPLE);
     while !measurement.is_over() {
         tokio::select! {
-            _ = ticks.tick() => measurement.context.w.lock().unwrap().tick(),
+            _ = ticks.tick() => measurement.context.world.lock().unwrap().tick(),
             _ = samples.tick() => measurement.sample().await,
             line = input.next_line() => if !matches!(line, Ok(Some(_))) {
                 return give_up(&controllers).await;
@@ -124,7 +124,7 @@
     let user_network = counting(traffic.users.clone());
     let workers = SimulationContext {
         seed,
-        w: Arc::new(std::sync::Mutex::new(world)),
+        world: Arc::new(std::sync::Mutex::new(world)),
         network: SimulatedNetwork::new(seed),
         user: Client::on(&user_network, USER_CONNECTIONS),
         doors: (0..count).map(|number| plan.networks().controller(number)).collect(),
@@ -205,7 +205,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.began.elapsed() >= self.duration || self.context.w.lock().unwrap().broken.is_some()
+        self.began.elapsed() >= self.duration || self.context.world.lock().unwrap().broken.is_some()
     }
 
     async fn sample(&mut self) {
@@ -237,7 +237,7 @@
     }
 
     fn sample_world(&mut self) {
-        let mut world = self.context.w.lock().unwrap();
+        let mut world = self.context.world.lock().unwrap();
         let now = Instant::now();
         let starts_per_s = (world.starts - self.starts_before) as f64 / SAMPLE.as_secs_f64();
         self.starts_before = world.starts;
@@ -261,7 +261,7 @@
 
     fn finish(mut self, traffic: &RegionTraffic) -> RegionResult {
         self.sample_world();
-        let world = self.context.w.lock().unwrap();
+        let world = self.context.world.lock().unwrap();
         let result = &mut self.result;
         result.elapsed_s = self.began.elapsed().as_secs_f64();
         result.starts = world.starts;
--- a/crates/scale/src/workload.rs
+++ b/crates/scale/src/workload.rs
@@ -63,7 +63,7 @@
         let job = self.job(id);
         let (id, run_s) = (job.id.clone(), job.run_s);
         let service = self.class.shape == Shape::Service;
-        self.context.w.lock().unwrap().jobs.insert(id.clone(), job);
+        self.context.world.lock().unwrap().jobs.insert(id.clone(), job);
         tokio::spawn(users::user(self.context.clone(), id.clone(), self.rng.random()));
         if service {
             let (context, seed) = (self.context.clone(), self.rng.random());
--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -9,16 +9,16 @@
 use tokio::time::sleep;
 
 /// Answers one request of a controller to the cloud.
-pub async fn cloud(g: SimulationContext, req: Request) -> Response {
+pub async fn cloud(context: SimulationContext, req: Request) -> Response {
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
-    let lag = g.w.lock().unwrap().rng.random_range(5..80);
+    let lag = context.world.lock().unwrap().rng.random_range(5..80);
     sleep(Duration::from_millis(lag)).await;
-    if g.w.lock().unwrap().cloud_down {
+    if context.world.lock().unwrap().cloud_down {
         return Response::error(503, "trouble");
     }
     match (req.method.as_str(), req.path.split('?').next().unwrap()) {
         ("GET", "/flavors") => {
-            let parameters = g.w.lock().unwrap().parameters.clone();
+            let parameters = context.world.lock().unwrap().parameters.clone();
             let all: Vec<Value> = parameters
                 .flavors
                 .iter()
@@ -34,11 +34,11 @@
             let q = crate::store::query(&req.path);
             let from = q.get("from").cloned().unwrap_or_default();
             let most = q.get("most").and_then(|m| m.parse().ok()).unwrap_or(500);
-            Response::json(200, &g.w.lock().unwrap().list(&from, most))
+            Response::json(200, &context.world.lock().unwrap().list(&from, most))
         }
         (_, "/hosts") => {
-            let (all, new) = g.w.lock().unwrap().rent(&body);
-            new.into_iter().for_each(|id| machines::boot(&g, id));
+            let (all, new) = context.world.lock().unwrap().rent(&body);
+            new.into_iter().for_each(|id| machines::boot(&context, id));
             match all {
                 Some(hosts) => Response::json(200, &json!({"hosts": hosts})),
                 None => Response::error(503, "no capacity"),
@@ -46,7 +46,7 @@
         }
         _ => {
             for id in body["hosts"].as_array().unwrap().iter().filter_map(Value::as_str) {
-                machines::remove(&g, id, "is released");
+                machines::remove(&context, id, "is released");
             }
             Response::json(200, &json!({}))
         }
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -131,9 +131,9 @@
     /// Runs `day` with pipelines; if the state service has limits, they shrink during the run.
     pub async fn random_day_of(&mut self, day: RandomDay) {
         let RandomDay { day_s, faults, later, pipelines, rollout } = day;
-        let mut rng = StdRng::seed_from_u64(self.g.seed.wrapping_mul(0x9e37_79b9));
-        self.g.w.lock().unwrap().faulty = 0.04;
-        tokio::spawn(users::stranger(self.g.clone(), rng.random()));
+        let mut rng = StdRng::seed_from_u64(self.context.seed.wrapping_mul(0x9e37_79b9));
+        self.context.world.lock().unwrap().faulty = 0.04;
+        tokio::spawn(users::stranger(self.context.clone(), rng.random()));
         let mut fault_actions: Vec<(f64, FaultAction)> = Vec::new();
         for _ in 0..22 {
             let at = rng.random_range(0.5..day_s * 0.8);
@@ -193,7 +193,7 @@
             FaultAction::Outage(down) => self.state_down(down),
             FaultAction::Refuse(n, refused) => self.refuse_state(n, refused),
             FaultAction::Cut(pairs, cut) => {
-                self.g.log(format!("cut of {pairs:?}: {cut:?}"));
+                self.context.log(format!("cut of {pairs:?}: {cut:?}"));
                 pairs.into_iter().for_each(|(a, b)| self.cut(a, b, cut));
             }
             FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, zone, cut),
@@ -202,7 +202,7 @@
             FaultAction::Hang(share, s) => self.each(rng, share, "hang", |m| m.hang = now + secs(s)),
             FaultAction::Die(count) => {
                 for id in self.some(rng, count, |_| true) {
-                    machines::die(&self.g, &id);
+                    machines::die(&self.context, &id);
                 }
             }
             FaultAction::Take(count, noticed) => self.take_spot_machines(count, noticed, rng),
@@ -226,8 +226,8 @@
             FaultAction::LateWrites(share) => self.late_writes(share),
             FaultAction::LostAnswers(share) => self.lost_answers(share),
             FaultAction::CloudDown(down) => {
-                self.g.log(format!("cloud down: {down}"));
-                self.g.w.lock().unwrap().cloud_down = down;
+                self.context.log(format!("cloud down: {down}"));
+                self.context.world.lock().unwrap().cloud_down = down;
             }
         }
     }
@@ -235,8 +235,8 @@
     /// Cancels one of the open jobs.
     fn cancel_any(&mut self, rng: &mut StdRng) {
         let open: Vec<String> = {
-            let w = self.g.w.lock().unwrap();
-            let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
+            let world = self.context.world.lock().unwrap();
+            let open = world.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
             open.map(|j| j.id.clone()).collect()
         };
         if !open.is_empty() {
@@ -247,10 +247,10 @@
 
     /// Cuts a controller off from the machines of a zone, or of all zones; `None` ends the cut.
     fn cut_machines(&mut self, node: usize, zone: &str, cut: Option<Cut>) {
-        self.g.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
+        self.context.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
         let ips: Vec<IpAddr> = {
-            let w = self.g.w.lock().unwrap();
-            let all = w.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
+            let world = self.context.world.lock().unwrap();
+            let all = world.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
             all.map(|m| m.addr.ip()).collect()
         };
         for ip in ips {
@@ -262,12 +262,12 @@
     fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
         for id in self.some(rng, count, |spot| spot) {
             if noticed {
-                self.g.log(format!("{id} is to be taken"));
-                let mut w = self.g.w.lock().unwrap();
-                let m = w.machines.get_mut(&id).unwrap();
+                self.context.log(format!("{id} is to be taken"));
+                let mut world = self.context.world.lock().unwrap();
+                let m = world.machines.get_mut(&id).unwrap();
                 (m.taken, m.changed) = (Some(Instant::now() + secs(rng.random_range(3.0..12.0))), true);
             } else {
-                machines::remove(&self.g, &id, "is taken without notice");
+                machines::remove(&self.context, &id, "is taken without notice");
             }
         }
     }
@@ -285,9 +285,9 @@
     /// Returns up to `count` random machines that are up and whose spot flag `wanted` accepts.
     fn some(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
         let now = Instant::now();
-        let w = self.g.w.lock().unwrap();
+        let world = self.context.world.lock().unwrap();
         let mut up: Vec<String> =
-            w.machines.values().filter(|m| m.alive(now) && wanted(m.spot)).map(|m| m.id.clone()).collect();
+            world.machines.values().filter(|m| m.alive(now) && wanted(m.spot)).map(|m| m.id.clone()).collect();
         let mut out = Vec::new();
         while out.len() < count && !up.is_empty() {
             out.push(up.swap_remove(rng.random_range(0..up.len())));
@@ -297,14 +297,14 @@
 
     fn each(&self, rng: &mut StdRng, share: f64, what: &str, put: impl Fn(&mut super::world::Machine)) {
         let now = Instant::now();
-        let mut w = self.g.w.lock().unwrap();
+        let mut world = self.context.world.lock().unwrap();
         let mut hit = Vec::new();
-        for m in w.machines.values_mut().filter(|m| m.alive(now)) {
+        for m in world.machines.values_mut().filter(|m| m.alive(now)) {
             if rng.random_bool(share) {
                 put(m);
                 hit.push(m.id.clone());
             }
         }
-        w.log(format!("{what}: {hit:?}"));
+        world.log(format!("{what}: {hit:?}"));
     }
 }
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -13,7 +13,7 @@
 #[derive(Clone)]
 pub struct SimulationContext {
     pub seed: u64,
-    pub w: Shared,
+    pub world: Shared,
     pub network: SimulatedNetwork,
     pub user: Client,
     /// Addresses at which the controllers serve users and workers.
@@ -25,19 +25,19 @@
 impl SimulationContext {
     /// Adds a line to the history.
     pub fn log(&self, what: String) {
-        self.w.lock().unwrap().log(what);
+        self.world.lock().unwrap().log(what);
     }
 
     /// Begins or ends an outage of the state service.
     pub fn state_down(&self, down: bool) {
         self.log(format!("state service down: {down}"));
-        self.w.lock().unwrap().store.set_down(down);
+        self.world.lock().unwrap().store.set_down(down);
     }
 
     /// Sets whether the state service answers every request of this node with 503.
     pub fn refuse_state(&self, node: usize, refused: bool) {
         self.log(format!("state service refuses n{node}: {refused}"));
-        self.w.lock().unwrap().refused[node] = refused;
+        self.world.lock().unwrap().refused[node] = refused;
     }
 
     /// Serves HTTP at an address with `handler`.
@@ -45,10 +45,10 @@
     where
         F: Future<Output = Response> + Send + 'static,
     {
-        let (g, net) = (self.clone(), self.process(at.ip()).0);
+        let (context, net) = (self.clone(), self.process(at.ip()).0);
         tokio::spawn(async move {
             let listener = net.bind(at).await.unwrap();
-            http::serve(listener, 500, PATIENCE, move |req| handler(g.clone(), req)).await;
+            http::serve(listener, 500, PATIENCE, move |req| handler(context.clone(), req)).await;
         });
     }
 
--- a/crates/stand-ins/src/jobs.rs
+++ b/crates/stand-ins/src/jobs.rs
@@ -24,8 +24,8 @@
     /// Starts a user that submits the job and polls it from now on.
     pub fn submit(&mut self, job: Job) -> String {
         let id = job.id.clone();
-        self.g.w.lock().unwrap().jobs.insert(id.clone(), job);
-        tokio::spawn(users::user(self.g.clone(), id.clone(), self.rng.random()));
+        self.context.world.lock().unwrap().jobs.insert(id.clone(), job);
+        tokio::spawn(users::user(self.context.clone(), id.clone(), self.rng.random()));
         id
     }
 
@@ -33,15 +33,15 @@
     pub fn submit_pipeline(&mut self, jobs: Vec<Job>) -> Vec<String> {
         let ids = jobs.iter().map(|job| job.id.clone()).collect();
         let seeds: Vec<u64> = jobs.iter().map(|_| self.rng.random()).collect();
-        let g = self.g.clone();
+        let context = self.context.clone();
         tokio::spawn(async move {
             for (job, seed) in jobs.into_iter().zip(seeds) {
-                while !job.waits_on.iter().all(|id| g.w.lock().unwrap().may_be_named(id, job.comes_late)) {
+                while !job.waits_on.iter().all(|id| context.world.lock().unwrap().may_be_named(id, job.comes_late)) {
                     sleep(secs(0.05)).await;
                 }
                 let id = job.id.clone();
-                g.w.lock().unwrap().jobs.insert(id.clone(), job);
-                tokio::spawn(users::user(g.clone(), id, seed));
+                context.world.lock().unwrap().jobs.insert(id.clone(), job);
+                tokio::spawn(users::user(context.clone(), id, seed));
             }
         });
         ids
@@ -82,33 +82,33 @@
 
     /// Requests the cancellation of a job at these nodes in turn until it is confirmed.
     pub fn cancel(&mut self, id: &str, nodes: &[usize]) {
-        tokio::spawn(users::cancel(self.g.clone(), id.into(), nodes.to_vec(), self.rng.random()));
+        tokio::spawn(users::cancel(self.context.clone(), id.into(), nodes.to_vec(), self.rng.random()));
     }
 
     /// Requests the cancellation of a job after a delay, or once the job is accepted.
     pub fn cancel_later(&mut self, id: &str, after: Duration) {
-        let (g, id, seed) = (self.g.clone(), id.to_string(), self.rng.random());
+        let (context, id, seed) = (self.context.clone(), id.to_string(), self.rng.random());
         tokio::spawn(async move {
             sleep(after).await;
-            while g.w.lock().unwrap().jobs[&id].accepted.is_none() {
+            while context.world.lock().unwrap().jobs[&id].accepted.is_none() {
                 sleep(secs(0.1)).await;
             }
-            users::cancel(g, id, (0..NODES).collect(), seed).await;
+            users::cancel(context, id, (0..NODES).collect(), seed).await;
         });
     }
 
     /// Starts a user that polls jobs which were never submitted.
     pub fn ask_about_unknown_jobs(&mut self) {
-        tokio::spawn(users::stranger(self.g.clone(), self.rng.random()));
+        tokio::spawn(users::stranger(self.context.clone(), self.rng.random()));
     }
 
     /// Repeats the submission of a job at all nodes at once.
     pub fn submit_again(&self, id: &str) {
-        users::submit_again(&self.g, id);
+        users::submit_again(&self.context, id);
     }
 
     /// Polls a job at all nodes at once.
     pub fn ask_all(&self, id: &str) {
-        users::ask_all(&self.g, id);
+        users::ask_all(&self.context, id);
     }
 }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -96,7 +96,7 @@
 
 /// A simulated deployment: real controllers and simulated services on one thread.
 pub struct Sim {
-    pub g: SimulationContext,
+    pub context: SimulationContext,
     /// Process number of each controller; `None` while it is down.
     lives: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
@@ -112,28 +112,29 @@
     pub fn new(seed: u64, setup: Setup) -> Sim {
         clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
         let network = SimulatedNetwork::new(seed ^ 0x5eed);
-        let w: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
+        let world: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
         let user = Client::on(&network.process(deployment::users()).0, 16);
-        w.lock().unwrap().store.limits = Some(PRESENT_LIMITS);
-        w.lock().unwrap().production = vec![setup.production; NODES];
-        w.lock().unwrap().parameters.loads_models = setup.loads_models;
+        world.lock().unwrap().store.limits = Some(PRESENT_LIMITS);
+        world.lock().unwrap().production = vec![setup.production; NODES];
+        world.lock().unwrap().parameters.loads_models = setup.loads_models;
         if let Some(capacity) = setup.capacity {
-            w.lock().unwrap().parameters.capacity = capacity;
+            world.lock().unwrap().parameters.capacity = capacity;
         }
-        let g = SimulationContext { seed, w, network, user, doors: doors(), real_network: None };
+        let context = SimulationContext { seed, world, network, user, doors: doors(), real_network: None };
         for i in 0..NODES {
-            g.serve(SocketAddr::new(state_of(i), PORT), move |g, req| state_service::state(g, i, req));
-            g.serve(SocketAddr::new(cloud_of(i), PORT), cloud::cloud);
+            context
+                .serve(SocketAddr::new(state_of(i), PORT), move |context, req| state_service::state(context, i, req));
+            context.serve(SocketAddr::new(cloud_of(i), PORT), cloud::cloud);
         }
-        let ticks = g.clone();
+        let ticks = context.clone();
         tokio::spawn(async move {
             loop {
                 sleep(Duration::from_millis(50)).await;
-                ticks.w.lock().unwrap().tick();
+                ticks.world.lock().unwrap().tick();
             }
         });
         let mut sim = Sim {
-            g,
+            context,
             lives: [None; NODES],
             pauses: Default::default(),
             operator: setup.operator,
@@ -151,8 +152,8 @@
     /// Kills a controller; its memory is lost.
     pub fn kill(&mut self, node: usize) {
         if let Some(life) = self.lives[node].take() {
-            self.g.log(format!("n{node} is killed"));
-            self.g.network.kill(life);
+            self.context.log(format!("n{node} is killed"));
+            self.context.network.kill(life);
             self.pauses[node].set(false);
         }
     }
@@ -160,13 +161,13 @@
     /// Starts a controller unless it runs.
     pub fn start(&mut self, node: usize) {
         if self.lives[node].is_none() {
-            let (net, life) = self.g.network.process(controller(node));
+            let (net, life) = self.context.network.process(controller(node));
             self.lives[node] = Some(life);
-            let production = self.g.w.lock().unwrap().production[node];
+            let production = self.context.world.lock().unwrap().production[node];
             if production {
-                self.g.network.speak_as_production(life);
+                self.context.network.speak_as_production(life);
             }
-            self.g.log(format!("n{node} starts, of the version in production: {production}"));
+            self.context.log(format!("n{node} starts, of the version in production: {production}"));
             self.pauses[node] = Arc::default();
             let controller = {
                 let settings = deployment::settings(node, &self.guaranteed_cards);
@@ -179,72 +180,72 @@
     /// Kills a controller; its next start is with the version in production.
     pub fn kill_to_downgrade(&mut self, node: usize) {
         self.kill(node);
-        self.g.w.lock().unwrap().production[node] = true;
+        self.context.world.lock().unwrap().production[node] = true;
     }
 
     /// Kills a controller; its next start is with this version.
     pub fn kill_to_upgrade(&mut self, node: usize) {
         self.kill(node);
-        self.g.w.lock().unwrap().production[node] = false;
+        self.context.world.lock().unwrap().production[node] = false;
     }
 
     /// Pauses or resumes a controller's process.
     pub fn pause(&self, node: usize, paused: bool) {
-        self.g.log(format!("n{node} paused: {paused}"));
+        self.context.log(format!("n{node} paused: {paused}"));
         self.pauses[node].set(paused);
     }
 
     /// Begins or ends an outage of the state service.
     pub fn state_down(&self, down: bool) {
-        self.g.state_down(down);
+        self.context.state_down(down);
     }
 
     /// Sets how often users poll their jobs, as a multiple of the default rate.
     pub fn poll_rate(&self, rate: f64) {
-        self.g.log(format!("users poll {rate} times as often"));
-        self.g.w.lock().unwrap().poll_rate = rate;
+        self.context.log(format!("users poll {rate} times as often"));
+        self.context.world.lock().unwrap().poll_rate = rate;
     }
 
     /// Sets the boot faults of machines that are rented from now on.
     pub fn boot_faults(&self, faults: BootFaults) {
-        self.g.log(format!("{faults:?}"));
-        self.g.w.lock().unwrap().boot_faults = faults;
+        self.context.log(format!("{faults:?}"));
+        self.context.world.lock().unwrap().boot_faults = faults;
     }
 
     /// Sets the limits of the state service, effective at once.
     pub fn limit_state(&self, limits: Limits) {
-        self.g.log(format!("the state service takes {} changes of {} bytes", limits.changes, limits.value_bytes));
-        self.g.w.lock().unwrap().store.limits = Some(limits);
+        self.context.log(format!("the state service takes {} changes of {} bytes", limits.changes, limits.value_bytes));
+        self.context.world.lock().unwrap().store.limits = Some(limits);
     }
 
     /// Sets whether the state service answers every request of this node with 503.
     pub fn refuse_state(&self, node: usize, refused: bool) {
-        self.g.refuse_state(node, refused);
+        self.context.refuse_state(node, refused);
     }
 
     /// Sets the share of requests to the state service that get no answer and are carried out late.
     pub fn late_writes(&self, share: f64) {
-        self.g.w.lock().unwrap().late_writes = share;
+        self.context.world.lock().unwrap().late_writes = share;
     }
 
     /// Sets the share of requests to the state service that are carried out but get no answer.
     pub fn lost_answers(&self, share: f64) {
-        self.g.w.lock().unwrap().lost_answers = share;
+        self.context.world.lock().unwrap().lost_answers = share;
     }
 
     /// Sets the share of worker reports of which copies arrive late.
     pub fn late_reports(&self, share: f64) {
-        self.g.w.lock().unwrap().late_reports = share;
+        self.context.world.lock().unwrap().late_reports = share;
     }
 
     /// Keeps copies of all reports and delivers them to every controller when the next leader begins.
     pub fn keep_reports(&self) {
-        self.g.w.lock().unwrap().keeping = true;
+        self.context.world.lock().unwrap().keeping = true;
     }
 
     /// Cuts the connections between two hosts; `None` ends the cut.
     pub fn cut(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
-        self.g.network.cut(a, b, cut);
+        self.context.network.cut(a, b, cut);
     }
 
     // ---- progress and queries ----
@@ -264,13 +265,13 @@
 
     /// Panics with the recent history if a rule is broken.
     pub fn check(&self) {
-        if let Some(broken) = self.g.network.broken() {
-            self.g.w.lock().unwrap().fail(broken);
+        if let Some(broken) = self.context.network.broken() {
+            self.context.world.lock().unwrap().fail(broken);
         }
-        let w = self.g.w.lock().unwrap();
-        if let Some(b) = w.broken.clone() {
-            let text = format!("seed {}: {b}\n{}", self.g.seed, w.recent(&b));
-            drop(w);
+        let world = self.context.world.lock().unwrap();
+        if let Some(b) = world.broken.clone() {
+            let text = format!("seed {}: {b}\n{}", self.context.seed, world.recent(&b));
+            drop(world);
             panic!("{text}");
         }
     }
@@ -278,11 +279,11 @@
     /// Runs the simulation until `holds` returns true. Panics after `most`, or at a broken rule.
     pub async fn until(&self, what: &str, most: Duration, holds: impl Fn(&SimulationState) -> bool) {
         let end = Instant::now() + most;
-        while !holds(&self.g.w.lock().unwrap()) {
+        while !holds(&self.context.world.lock().unwrap()) {
             if Instant::now() >= end {
-                let w = self.g.w.lock().unwrap();
-                let text = format!("seed {}: not in {most:?}: {what}\n{}", self.g.seed, w.recent(what));
-                drop(w);
+                let world = self.context.world.lock().unwrap();
+                let text = format!("seed {}: not in {most:?}: {what}\n{}", self.context.seed, world.recent(what));
+                drop(world);
                 panic!("{text}");
             }
             self.run(Duration::from_millis(100)).await;
@@ -292,7 +293,7 @@
     /// Returns the node that owns partition 0 according to the state service, if one does.
     pub fn leader(&self) -> Option<usize> {
         let key = Request { method: "GET".into(), path: "/store/part/0".into(), body: Vec::new() };
-        let r = self.g.w.lock().unwrap().store.read(&key);
+        let r = self.context.world.lock().unwrap().store.read(&key);
         let v: Value = serde_json::from_slice(&r.body).unwrap_or_default();
         v["data"]["holder"].as_str()?.strip_prefix('n')?.parse().ok()
     }
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -18,109 +18,111 @@
 const ANSWER_LIMIT: Duration = Duration::from_secs(4);
 
 /// Starts the worker of a newly rented machine.
-pub fn boot(g: &SimulationContext, id: String) {
+pub fn boot(context: &SimulationContext, id: String) {
     let (net, life, addr, up) = {
-        let mut w = g.w.lock().unwrap();
-        let m = w.machines.get_mut(&id).unwrap();
-        let (net, life) = g.process(m.addr.ip());
+        let mut world = context.world.lock().unwrap();
+        let m = world.machines.get_mut(&id).unwrap();
+        let (net, life) = context.process(m.addr.ip());
         m.life = life;
         (net, life, m.addr, m.up)
     };
     let _ = life;
-    let g = g.clone();
+    let context = context.clone();
     tokio::spawn(async move {
         sleep_until(up).await;
-        if !exists(&g, &id) {
+        if !exists(&context, &id) {
             return;
         }
-        g.log(format!("{id} is up"));
+        context.log(format!("{id} is up"));
         let Ok(listener) = net.bind(addr).await else { return };
-        let (g2, id2) = (g.clone(), id.clone());
-        tokio::spawn(http::serve(listener, 100, PATIENCE, move |req| direct(g2.clone(), id2.clone(), req)));
-        reports(g, id, Client::on(&net, 4)).await;
+        let (command_context, command_id) = (context.clone(), id.clone());
+        tokio::spawn(http::serve(listener, 100, PATIENCE, move |req| {
+            direct(command_context.clone(), command_id.clone(), req)
+        }));
+        reports(context, id, Client::on(&net, 4)).await;
     });
 }
 
 /// Removes a machine from the cloud and ends its process; `why` goes to the history.
-pub fn remove(g: &SimulationContext, id: &str, why: &str) {
+pub fn remove(context: &SimulationContext, id: &str, why: &str) {
     let life = {
-        let mut w = g.w.lock().unwrap();
-        w.remove(id, why);
-        w.machines.get(id).map(|m| m.life)
+        let mut world = context.world.lock().unwrap();
+        world.remove(id, why);
+        world.machines.get(id).map(|m| m.life)
     };
     if let Some(life) = life {
-        g.network.kill(life);
+        context.network.kill(life);
     }
 }
 
 /// Crashes a machine, which stays rented.
-pub fn die(g: &SimulationContext, id: &str) {
+pub fn die(context: &SimulationContext, id: &str) {
     let life = {
-        let mut w = g.w.lock().unwrap();
-        w.die(id);
-        w.machines.get(id).map(|m| m.life)
+        let mut world = context.world.lock().unwrap();
+        world.die(id);
+        world.machines.get(id).map(|m| m.life)
     };
     if let Some(life) = life {
-        g.network.kill(life);
+        context.network.kill(life);
     }
 }
 
-fn exists(g: &SimulationContext, id: &str) -> bool {
-    g.w.lock().unwrap().machines[id].exists()
+fn exists(context: &SimulationContext, id: &str) -> bool {
+    context.world.lock().unwrap().machines[id].exists()
 }
 
 /// Waits while a machine hangs. Returns false if the machine is gone afterwards.
-async fn awake(g: &SimulationContext, id: &str) -> bool {
+async fn awake(context: &SimulationContext, id: &str) -> bool {
     loop {
-        let until = g.w.lock().unwrap().machines[id].hang;
+        let until = context.world.lock().unwrap().machines[id].hang;
         if until <= Instant::now() {
-            return exists(g, id);
+            return exists(context, id);
         }
         sleep_until(until).await;
     }
 }
 
-async fn direct(g: SimulationContext, id: String, req: http::Request) -> Response {
-    let deaf = g.w.lock().unwrap().machines[&id].deaf > Instant::now();
-    if deaf || !awake(&g, &id).await {
+async fn direct(context: SimulationContext, id: String, req: http::Request) -> Response {
+    let deaf = context.world.lock().unwrap().machines[&id].deaf > Instant::now();
+    if deaf || !awake(&context, &id).await {
         sleep(PATIENCE).await;
         return Response::error(503, "lost");
     }
     if let Some(image) = req.path.strip_prefix(MODEL_PATH) {
-        return answer_request(&g, &id, image).await;
+        return answer_request(&context, &id, image).await;
     }
-    if held_up(&g, &id, &req) {
+    if held_up(&context, &id, &req) {
         sleep(PATIENCE).await;
         return Response::error(503, "held up");
     }
-    let mut w = g.w.lock().unwrap();
+    let mut world = context.world.lock().unwrap();
     if req.path == "/inspect" {
-        return Response::json(200, &w.report(&id));
+        return Response::json(200, &world.report(&id));
     }
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
     if body["fence"].is_null() || body["tenure"].is_null() {
         return Response::error(400, "fence or tenure is missing");
     }
-    let done = w.direct(&id, &body);
-    Response::json(if done { 200 } else { 409 }, &w.report(&id))
+    let done = world.direct(&id, &body);
+    Response::json(if done { 200 } else { 409 }, &world.report(&id))
 }
 
 /// Returns whether a direct command is delayed. A delayed command is carried out later if its token and
 /// session still match.
-fn held_up(g: &SimulationContext, id: &str, req: &http::Request) -> bool {
-    let mut w = g.w.lock().unwrap();
-    let share = w.late_commands;
-    if share <= 0.0 || req.path == "/inspect" || !w.rng.random_bool(share) {
+fn held_up(context: &SimulationContext, id: &str, req: &http::Request) -> bool {
+    let mut world = context.world.lock().unwrap();
+    let share = world.late_commands;
+    if share <= 0.0 || req.path == "/inspect" || !world.rng.random_bool(share) {
         return false;
     }
-    let after = secs(w.rng.random_range(2.0..16.0));
+    let after = secs(world.rng.random_range(2.0..16.0));
     let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
-    let (g, id) = (g.clone(), id.to_string());
+    let (context, id) = (context.clone(), id.to_string());
     tokio::spawn(async move {
         sleep(after).await;
-        if exists(&g, &id) {
-            g.log(format!("{id} gets a command that was held up"));
-            g.w.lock().unwrap().direct(&id, &body);
+        if exists(&context, &id) {
+            context.log(format!("{id} gets a command that was held up"));
+            context.world.lock().unwrap().direct(&id, &body);
         }
     });
     true
@@ -128,11 +130,11 @@
 
 /// Answers a request to a model, named by the number of its image. Answers 503 unless the machine has a
 /// ready replica.
-async fn answer_request(g: &SimulationContext, id: &str, image: &str) -> Response {
+async fn answer_request(context: &SimulationContext, id: &str, image: &str) -> Response {
     let answers = {
-        let w = g.w.lock().unwrap();
-        let addr = w.machines[id].addr;
-        image.parse().is_ok_and(|image| w.answering(image).contains(&addr))
+        let world = context.world.lock().unwrap();
+        let addr = world.machines[id].addr;
+        image.parse().is_ok_and(|image| world.answering(image).contains(&addr))
     };
     if !answers {
         return Response::error(503, "no replica");
@@ -163,18 +165,18 @@
 }
 
 /// Sends the reports of a machine until it is gone.
-async fn reports(g: SimulationContext, id: String, client: Client) {
+async fn reports(context: SimulationContext, id: String, client: Client) {
     let mut at = {
-        let mut w = g.w.lock().unwrap();
-        w.rng.random_range(0..g.doors.len())
+        let mut world = context.world.lock().unwrap();
+        world.rng.random_range(0..context.doors.len())
     };
-    while report_due(&g, &id).await {
-        let Some(report) = next_report(&g, &id) else { return };
-        copies(&g, &id, &report.body);
+    while report_due(&context, &id).await {
+        let Some(report) = next_report(&context, &id) else { return };
+        copies(&context, &id, &report.body);
         let mut next = false;
         // A redirection is followed without waiting for the next report.
-        for _ in 0..g.doors.len() {
-            match send_report(&g, &id, &client, at, &report).await {
+        for _ in 0..context.doors.len() {
+            match send_report(&context, &id, &client, at, &report).await {
                 AfterReport::Stay => break,
                 AfterReport::Redirected(node) => at = node,
                 AfterReport::TryAnother => {
@@ -185,7 +187,7 @@
             }
         }
         if next {
-            at = (at + 1) % g.doors.len();
+            at = (at + 1) % context.doors.len();
             sleep(Duration::from_secs(1)).await;
         }
     }
@@ -193,51 +195,57 @@
 
 /// Waits until the next report is due or the machine's state has changed. Returns false if the machine
 /// is gone.
-async fn report_due(g: &SimulationContext, id: &str) -> bool {
+async fn report_due(context: &SimulationContext, id: &str) -> bool {
     let last = Instant::now();
     let due = {
-        let mut w = g.w.lock().unwrap();
-        last + secs(w.parameters.report_s * w.rng.random_range(0.75..1.25))
+        let mut world = context.world.lock().unwrap();
+        last + secs(world.parameters.report_s * world.rng.random_range(0.75..1.25))
     };
     loop {
         sleep(Duration::from_millis(50)).await;
-        if !awake(g, id).await {
+        if !awake(context, id).await {
             return false;
         }
-        let changed = g.w.lock().unwrap().machines[id].changed;
+        let changed = context.world.lock().unwrap().machines[id].changed;
         if Instant::now() >= due || (changed && last.elapsed() >= secs(0.5)) {
             return true;
         }
     }
 }
 
-fn next_report(g: &SimulationContext, id: &str) -> Option<SentReport> {
-    let mut w = g.w.lock().unwrap();
-    w.tick_if_due();
-    if !w.machines[id].exists() {
+fn next_report(context: &SimulationContext, id: &str) -> Option<SentReport> {
+    let mut world = context.world.lock().unwrap();
+    world.tick_if_due();
+    if !world.machines[id].exists() {
         return None;
     }
-    let m = w.machines.get_mut(id).unwrap();
+    let m = world.machines.get_mut(id).unwrap();
     m.changed = false;
     let mute = m.mute > Instant::now();
-    let body = w.report(id).to_string();
-    Some(SentReport { sent: Instant::now(), tenure: w.tenure(id), body, mute })
+    let body = world.report(id).to_string();
+    Some(SentReport { sent: Instant::now(), tenure: world.tenure(id), body, mute })
 }
 
-async fn send_report(g: &SimulationContext, id: &str, client: &Client, at: usize, report: &SentReport) -> AfterReport {
+async fn send_report(
+    context: &SimulationContext,
+    id: &str,
+    client: &Client,
+    at: usize,
+    report: &SentReport,
+) -> AfterReport {
     let (sent, body) = (report.sent, report.body.as_bytes());
     if report.mute {
         sleep(ANSWER_LIMIT).await;
         return AfterReport::TryAnother;
     }
     let limit = ANSWER_LIMIT.saturating_sub(sent.elapsed());
-    let r = client.call(g.doors[at], "POST", "/agent/beat", Some(body), limit).await;
-    let deaf = g.w.lock().unwrap().machines[id].deaf > Instant::now();
+    let r = client.call(context.doors[at], "POST", "/agent/beat", Some(body), limit).await;
+    let deaf = context.world.lock().unwrap().machines[id].deaf > Instant::now();
     if deaf {
         sleep(ANSWER_LIMIT.saturating_sub(sent.elapsed())).await;
         return AfterReport::TryAnother;
     }
-    if !awake(g, id).await {
+    if !awake(context, id).await {
         return AfterReport::Gone;
     }
     if sent.elapsed() > ANSWER_LIMIT {
@@ -246,13 +254,13 @@
     match r {
         Ok((200, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-            g.w.lock().unwrap().reply(id, report.tenure, sent, &v);
+            context.world.lock().unwrap().reply(id, report.tenure, sent, &v);
             AfterReport::Stay
         }
         Ok((421, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
             let to = v["reports_to"].as_str().and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
-            to.filter(|n| *n != at && *n < g.doors.len()).map_or(AfterReport::TryAnother, AfterReport::Redirected)
+            to.filter(|n| *n != at && *n < context.doors.len()).map_or(AfterReport::TryAnother, AfterReport::Redirected)
         }
         _ => AfterReport::TryAnother,
     }
@@ -260,55 +268,57 @@
 
 /// Copies a share of the reports. A copy arrives late at one or all controllers: after seconds, after
 /// more than a lease, or when the next leader begins.
-fn copies(g: &SimulationContext, id: &str, body: &str) {
+fn copies(context: &SimulationContext, id: &str, body: &str) {
     let (ip, after, to) = {
-        let mut w = g.w.lock().unwrap();
-        let ip = w.machines[id].addr.ip();
-        if w.keeping {
-            let kept = w.kept.entry(id.into()).or_default();
+        let mut world = context.world.lock().unwrap();
+        let ip = world.machines[id].addr.ip();
+        if world.keeping {
+            let kept = world.kept.entry(id.into()).or_default();
             kept.push((ip, body.into()));
             if kept.len() > 2 {
                 kept.remove(0);
             }
         }
-        let share = w.late_reports;
-        if !w.rng.random_bool(share) {
+        let share = world.late_reports;
+        if !world.rng.random_bool(share) {
             return;
         }
-        if w.rng.random_bool(0.3) {
-            w.kept.entry(id.into()).or_default().push((ip, body.into()));
+        if world.rng.random_bool(0.3) {
+            world.kept.entry(id.into()).or_default().push((ip, body.into()));
             return;
         }
-        let all = w.rng.random_bool(0.5);
-        let one = w.rng.random_range(0..g.doors.len());
-        let to: Vec<usize> = if all { (0..g.doors.len()).collect() } else { vec![one] };
-        let latest = w.parameters.lease_s * 2.5;
-        (ip, secs(w.rng.random_range(1.0..latest)), to)
+        let all = world.rng.random_bool(0.5);
+        let one = world.rng.random_range(0..context.doors.len());
+        let to: Vec<usize> = if all { (0..context.doors.len()).collect() } else { vec![one] };
+        let latest = world.parameters.lease_s * 2.5;
+        (ip, secs(world.rng.random_range(1.0..latest)), to)
     };
-    send_copy(g, ip, body, after, &to);
+    send_copy(context, ip, body, after, &to);
 }
 
-fn send_copy(g: &SimulationContext, ip: IpAddr, body: &str, after: Duration, to: &[usize]) {
+fn send_copy(context: &SimulationContext, ip: IpAddr, body: &str, after: Duration, to: &[usize]) {
     for &node in to {
-        let (g, body) = (g.clone(), body.to_string());
+        let (context, body) = (context.clone(), body.to_string());
         tokio::spawn(async move {
             sleep(after).await;
-            let client = Client::on(&g.process(ip).0, 0);
-            let r =
-                client.call(g.doors[node], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(2)).await;
+            let client = Client::on(&context.process(ip).0, 0);
+            let r = client
+                .call(context.doors[node], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(2))
+                .await;
             let status = r.map_or(0, |r| r.0);
-            g.log(format!("late copy at n{node} answered {status}: {body}"));
+            context.log(format!("late copy at n{node} answered {status}: {body}"));
         });
     }
 }
 
 /// Sends the kept reports to every controller, several times during the first second of a new leader.
-pub fn release_kept(g: &SimulationContext) {
-    let kept: Vec<(IpAddr, String)> = std::mem::take(&mut g.w.lock().unwrap().kept).into_values().flatten().collect();
-    let nodes: Vec<usize> = (0..g.doors.len()).collect();
+pub fn release_kept(context: &SimulationContext) {
+    let kept: Vec<(IpAddr, String)> =
+        std::mem::take(&mut context.world.lock().unwrap().kept).into_values().flatten().collect();
+    let nodes: Vec<usize> = (0..context.doors.len()).collect();
     for (ip, body) in kept {
         for ms in [0, 20, 60, 150, 400, 1000] {
-            send_copy(g, ip, &body, Duration::from_millis(ms), &nodes);
+            send_copy(context, ip, &body, Duration::from_millis(ms), &nodes);
         }
     }
 }
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -24,18 +24,18 @@
         let known = self.accepted_jobs();
         self.expect_answers(&known).await;
         self.run(Duration::from_secs(1)).await;
-        let w = self.g.w.lock().unwrap();
-        println!("seed {}: {}", self.g.seed, w.summary());
+        let world = self.context.world.lock().unwrap();
+        println!("seed {}: {}", self.context.seed, world.summary());
         if std::env::var_os("BADGERDRIFT_HISTORY").is_some() {
-            w.history.iter().for_each(|h| println!("{h}"));
+            world.history.iter().for_each(|h| println!("{h}"));
         }
-        let nothing = !known.is_empty() && w.starts == 0;
-        drop(w);
-        assert!(!nothing, "seed {}: nothing ran", self.g.seed);
+        let nothing = !known.is_empty() && world.starts == 0;
+        drop(world);
+        assert!(!nothing, "seed {}: nothing ran", self.context.seed);
     }
 
     fn end_faults(&mut self) {
-        self.g.log("all troubles end".into());
+        self.context.log("all troubles end".into());
         self.state_down(false);
         for i in 0..NODES {
             self.refuse_state(i, false);
@@ -43,12 +43,12 @@
             self.start(i);
         }
         {
-            let mut w = self.g.w.lock().unwrap();
-            (w.poll_rate, w.boot_faults) = (1.0, BootFaults::default());
-            (w.late_writes, w.lost_answers, w.late_reports, w.cloud_down) = (0.0, 0.0, 0.0, false);
-            w.late_commands = 0.0;
+            let mut world = self.context.world.lock().unwrap();
+            (world.poll_rate, world.boot_faults) = (1.0, BootFaults::default());
+            (world.late_writes, world.lost_answers, world.late_reports, world.cloud_down) = (0.0, 0.0, 0.0, false);
+            world.late_commands = 0.0;
         }
-        self.g.network.mend();
+        self.context.network.mend();
     }
 
     /// Runs until no job is unfinished, cancelling services one after the other.
@@ -57,7 +57,7 @@
         let mut looks = 0;
         loop {
             self.run(LOOK_EVERY).await;
-            let open = self.g.w.lock().unwrap().unsettled();
+            let open = self.context.world.lock().unwrap().unsettled();
             if open.is_empty() {
                 break;
             }
@@ -66,9 +66,9 @@
                 self.cancel_services(&open);
             }
             if over.elapsed() > SETTLED_WITHIN {
-                let w = self.g.w.lock().unwrap();
-                let text = format!("seed {}: unfinished: {open:#?}\n{}", self.g.seed, w.recent(&open[0]));
-                drop(w);
+                let world = self.context.world.lock().unwrap();
+                let text = format!("seed {}: unfinished: {open:#?}\n{}", self.context.seed, world.recent(&open[0]));
+                drop(world);
                 panic!("{text}");
             }
         }
@@ -78,8 +78,8 @@
     /// with some of their replicas may together use up a team's limit, so that none of them completes.
     fn cancel_services(&mut self, open: &[String]) {
         let services: Vec<String> = {
-            let w = self.g.w.lock().unwrap();
-            let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
+            let world = self.context.world.lock().unwrap();
+            let open = world.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
             open.filter(|j| j.shape == "service").map(|j| j.id.clone()).collect()
         };
         let (waiting, run): (Vec<String>, Vec<String>) =
@@ -90,8 +90,8 @@
     }
 
     fn accepted_jobs(&self) -> Vec<String> {
-        let w = self.g.w.lock().unwrap();
-        w.jobs.values().filter(|job| job.accepted.is_some()).map(|job| job.id.clone()).collect()
+        let world = self.context.world.lock().unwrap();
+        world.jobs.values().filter(|job| job.accepted.is_some()).map(|job| job.id.clone()).collect()
     }
 
     /// Polls these jobs at all nodes and checks that each one is known and answered.
@@ -101,8 +101,8 @@
             self.run(Duration::from_millis(50)).await;
             self.ask_all(id);
         }
-        self.until("every job is answered", ANSWERED_WITHIN, |w| {
-            known.iter().all(|id| w.jobs[id].answered.is_some_and(|a| a > asked))
+        self.until("every job is answered", ANSWERED_WITHIN, |world| {
+            known.iter().all(|id| world.jobs[id].answered.is_some_and(|a| a > asked))
         })
         .await;
     }
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -11,20 +11,20 @@
 use tokio::time::{Instant, sleep};
 
 /// Answers one request of a controller to the state service.
-pub async fn state(g: SimulationContext, node: usize, req: Request) -> Response {
-    if !g.w.lock().unwrap().production[node] {
-        return answer(g, node, req).await;
+pub async fn state(context: SimulationContext, node: usize, req: Request) -> Response {
+    if !context.world.lock().unwrap().production[node] {
+        return answer(context, node, req).await;
     }
-    let req = Request { body: in_production_form(&g, req.body), ..req };
-    let response = answer(g.clone(), node, req).await;
-    Response { body: in_production_form(&g, response.body), ..response }
+    let req = Request { body: in_production_form(&context, req.body), ..req };
+    let response = answer(context.clone(), node, req).await;
+    Response { body: in_production_form(&context, response.body), ..response }
 }
 
 /// Converts the records in a body to the form that the version in production reads and writes.
-fn in_production_form(g: &SimulationContext, body: Vec<u8>) -> Vec<u8> {
+fn in_production_form(context: &SimulationContext, body: Vec<u8>) -> Vec<u8> {
     let Ok(mut value) = serde_json::from_slice(&body) else { return body };
     if let Err(broken) = production_records(&mut value) {
-        g.w.lock().unwrap().fail(broken);
+        context.world.lock().unwrap().fail(broken);
     }
     serde_json::to_vec(&value).unwrap()
 }
@@ -39,51 +39,51 @@
 }
 
 /// Returns whether the state service refuses this node, or all nodes.
-fn is_down(g: &SimulationContext, node: usize) -> bool {
-    let w = g.w.lock().unwrap();
-    w.store.down || w.refused[node]
+fn is_down(context: &SimulationContext, node: usize) -> bool {
+    let world = context.world.lock().unwrap();
+    world.store.down || world.refused[node]
 }
 
-async fn answer(g: SimulationContext, node: usize, req: Request) -> Response {
+async fn answer(context: SimulationContext, node: usize, req: Request) -> Response {
     // A request storm breaks a rule. Its requests never return, since simulated time would not advance otherwise.
-    if !g.w.lock().unwrap().may_ask(node) {
+    if !context.world.lock().unwrap().may_ask(node) {
         return std::future::pending().await;
     }
-    if is_down(&g, node) {
+    if is_down(&context, node) {
         return Response::error(503, "trouble");
     }
-    if !g.w.lock().unwrap().takes_request() {
+    if !context.world.lock().unwrap().takes_request() {
         return Response::error(429, "too many requests");
     }
     if req.path.starts_with("/changes") {
-        return watch(&g, node, &req.path).await;
+        return watch(&context, node, &req.path).await;
     }
-    let fate = draw_fate(&g, &req);
+    let fate = draw_fate(&context, &req);
     sleep(fate.lag).await;
     if let Some(late) = fate.late_s {
         sleep(secs(late)).await;
-        while g.w.lock().unwrap().store.down {
+        while context.world.lock().unwrap().store.down {
             sleep(Duration::from_millis(100)).await;
         }
-        g.log(format!("late by {late:.1} s for n{node}: {} {}", req.method, req.path));
-    } else if is_down(&g, node) {
+        context.log(format!("late by {late:.1} s for n{node}: {} {}", req.method, req.path));
+    } else if is_down(&context, node) {
         return Response::error(503, "trouble");
     }
-    let response = carry_out(&g, node, &req);
+    let response = carry_out(&context, node, &req);
     if fate.late_s.is_some() || fate.answer_lost {
-        g.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
+        context.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
         sleep(PATIENCE).await;
     }
     response
 }
 
 /// Answers a watch once a key has changed or its time is over. Open watches wait during outages.
-async fn watch(g: &SimulationContext, node: usize, path: &str) -> Response {
+async fn watch(context: &SimulationContext, node: usize, path: &str) -> Response {
     let q = crate::store::query(path);
     let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
     loop {
-        if !is_down(g, node)
-            && let Some(r) = g.w.lock().unwrap().store.changes(&q, Instant::now() > until)
+        if !is_down(context, node)
+            && let Some(r) = context.world.lock().unwrap().store.changes(&q, Instant::now() > until)
         {
             return r;
         }
@@ -91,33 +91,33 @@
     }
 }
 
-fn draw_fate(g: &SimulationContext, req: &Request) -> Fate {
-    let mut w = g.w.lock().unwrap();
-    let (late, lost) = (w.late_writes, w.lost_answers);
-    let slow = w.rng.random_bool(0.01);
-    let lag = w.rng.random_range(if slow { 50..300 } else { 1..8 });
+fn draw_fate(context: &SimulationContext, req: &Request) -> Fate {
+    let mut world = context.world.lock().unwrap();
+    let (late, lost) = (world.late_writes, world.lost_answers);
+    let slow = world.rng.random_bool(0.01);
+    let lag = world.rng.random_range(if slow { 50..300 } else { 1..8 });
     let writes = req.method != "GET";
-    let late_s = (writes && w.rng.random_bool(late)).then(|| w.rng.random_range(2.0..12.0));
-    Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && w.rng.random_bool(lost) }
+    let late_s = (writes && world.rng.random_bool(late)).then(|| world.rng.random_range(2.0..12.0));
+    Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && world.rng.random_bool(lost) }
 }
 
 /// Carries a request out. If it makes a controller leader, this is noted and the kept copies of worker
 /// reports are released.
-fn carry_out(g: &SimulationContext, node: usize, req: &Request) -> Response {
+fn carry_out(context: &SimulationContext, node: usize, req: &Request) -> Response {
     let (response, claimed) = {
-        let mut w = g.w.lock().unwrap();
-        let before = w.store.claims;
-        let response = w.store.handle(req);
-        let claimed = w.store.claims > before;
+        let mut world = context.world.lock().unwrap();
+        let before = world.store.claims;
+        let response = world.store.handle(req);
+        let claimed = world.store.claims > before;
         if claimed {
-            let record = w.store.value("part/0");
-            w.note_token(&record);
+            let record = world.store.value("part/0");
+            world.note_token(&record);
         }
         (response, claimed)
     };
     if claimed {
-        g.log(format!("n{node} begins to lead"));
-        machines::release_kept(g);
+        context.log(format!("n{node} begins to lead"));
+        machines::release_kept(context);
     }
     response
 }
--- a/crates/stand-ins/src/users.rs
+++ b/crates/stand-ins/src/users.rs
@@ -9,26 +9,26 @@
 use tokio::time::{Instant, sleep};
 
 /// Sends one request about a job and checks the answer. Returns status 0 if there was none.
-async fn ask(g: &SimulationContext, id: &str, node: usize, what: &str) -> (u16, Value) {
+async fn ask(context: &SimulationContext, id: &str, node: usize, what: &str) -> (u16, Value) {
     let (method, path, body, limit) = match what {
         "submit" => {
-            let mut w = g.w.lock().unwrap();
-            let job = w.jobs.get_mut(id).unwrap();
+            let mut world = context.world.lock().unwrap();
+            let job = world.jobs.get_mut(id).unwrap();
             job.submitted = true;
             job.first_submitted.get_or_insert(Instant::now());
             ("POST", "/v1/jobs".to_string(), Some(job.body()), 5.0)
         }
         "withdraw" => {
-            g.w.lock().unwrap().jobs.get_mut(id).unwrap().cancel_asked = true;
+            context.world.lock().unwrap().jobs.get_mut(id).unwrap().cancel_asked = true;
             ("POST", format!("/v1/jobs/{id}/withdraw"), None, 5.0)
         }
         _ => ("GET", format!("/v1/jobs/{id}"), None, 2.0),
     };
     let sent = Instant::now();
-    match g.user.call(g.doors[node], method, &path, body.as_deref().map(str::as_bytes), secs(limit)).await {
+    match context.user.call(context.doors[node], method, &path, body.as_deref().map(str::as_bytes), secs(limit)).await {
         Ok((status, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-            g.w.lock().unwrap().heard(id, sent, node, what, status, &v);
+            context.world.lock().unwrap().heard(id, sent, node, what, status, &v);
             (status, v)
         }
         Err(_) => (0, Value::Null),
@@ -36,33 +36,33 @@
 }
 
 /// Polls a job at every node, a millisecond from now.
-pub fn ask_all(g: &SimulationContext, id: &str) {
-    at_every_node(g, id, "poll");
+pub fn ask_all(context: &SimulationContext, id: &str) {
+    at_every_node(context, id, "poll");
 }
 
 /// Repeats the submission of a job at every node, a millisecond from now.
-pub fn submit_again(g: &SimulationContext, id: &str) {
-    at_every_node(g, id, "submit");
+pub fn submit_again(context: &SimulationContext, id: &str) {
+    at_every_node(context, id, "submit");
 }
 
-fn at_every_node(g: &SimulationContext, id: &str, what: &'static str) {
-    for node in 0..g.doors.len() {
-        let (g, id) = (g.clone(), id.to_string());
+fn at_every_node(context: &SimulationContext, id: &str, what: &'static str) {
+    for node in 0..context.doors.len() {
+        let (context, id) = (context.clone(), id.to_string());
         tokio::spawn(async move {
             sleep(Duration::from_millis(1)).await;
-            ask(&g, &id, node, what).await;
+            ask(&context, &id, node, what).await;
         });
     }
 }
 
 /// Requests the cancellation of a job at these nodes in turn until one answers 200 or 404.
-pub async fn cancel(g: SimulationContext, id: String, nodes: Vec<usize>, seed: u64) {
+pub async fn cancel(context: SimulationContext, id: String, nodes: Vec<usize>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut i = rng.random_range(0..nodes.len());
     loop {
-        let (status, _) = ask(&g, &id, nodes[i], "withdraw").await;
+        let (status, _) = ask(&context, &id, nodes[i], "withdraw").await;
         if matches!(status, 200 | 404) {
-            ask_all(&g, &id);
+            ask_all(&context, &id);
             return;
         }
         i = (i + 1) % nodes.len();
@@ -72,23 +72,23 @@
 
 /// Returns a random node for the submission of a job. A job that waits for others needs a node of this
 /// version; `None` if there is none.
-fn node_to_submit_at(g: &SimulationContext, id: &str, rng: &mut StdRng) -> Option<usize> {
-    let w = g.w.lock().unwrap();
-    let waits = !w.jobs[id].waits_on.is_empty();
-    let nodes: Vec<usize> = (0..g.doors.len()).filter(|node| !waits || !w.production[*node]).collect();
+fn node_to_submit_at(context: &SimulationContext, id: &str, rng: &mut StdRng) -> Option<usize> {
+    let world = context.world.lock().unwrap();
+    let waits = !world.jobs[id].waits_on.is_empty();
+    let nodes: Vec<usize> = (0..context.doors.len()).filter(|node| !waits || !world.production[*node]).collect();
     (!nodes.is_empty()).then(|| nodes[rng.random_range(0..nodes.len())])
 }
 
 /// Submits a job, polls it until it is over, and goes on to poll it now and then.
-pub async fn user(g: SimulationContext, id: String, seed: u64) {
+pub async fn user(context: SimulationContext, id: String, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let began = Instant::now();
     loop {
-        let Some(node) = node_to_submit_at(&g, &id, &mut rng) else {
+        let Some(node) = node_to_submit_at(&context, &id, &mut rng) else {
             sleep(secs(0.5)).await;
             continue;
         };
-        let (status, _) = ask(&g, &id, node, "submit").await;
+        let (status, _) = ask(&context, &id, node, "submit").await;
         match status {
             200 | 201 => break,
             400 | 422 => return,
@@ -97,17 +97,17 @@
         }
     }
     if rng.random_bool(0.5) {
-        ask_all(&g, &id);
+        ask_all(&context, &id);
     }
     let mut again = 0;
     loop {
-        let rate = g.w.lock().unwrap().poll_rate;
+        let rate = context.world.lock().unwrap().poll_rate;
         sleep(secs(rng.random_range(1.0..5.0) / rate)).await;
         let what = if rng.random_bool(0.1) { "submit" } else { "poll" };
-        let over = g.w.lock().unwrap().jobs[&id].over();
-        ask(&g, &id, rng.random_range(0..g.doors.len()), what).await;
-        if !over && g.w.lock().unwrap().jobs[&id].over() {
-            ask_all(&g, &id);
+        let over = context.world.lock().unwrap().jobs[&id].over();
+        ask(&context, &id, rng.random_range(0..context.doors.len()), what).await;
+        if !over && context.world.lock().unwrap().jobs[&id].over() {
+            ask_all(&context, &id);
         }
         again += u32::from(over);
         if again > 4 {
@@ -118,16 +118,16 @@
 }
 
 /// Polls jobs that were never submitted; an answer of 200 breaks a rule.
-pub async fn stranger(g: SimulationContext, seed: u64) {
+pub async fn stranger(context: SimulationContext, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
-        let rate = g.w.lock().unwrap().poll_rate;
+        let rate = context.world.lock().unwrap().poll_rate;
         sleep(secs(rng.random_range(2.0..6.0) / rate)).await;
         let id = format!("run-9{:05}", rng.random_range(0..100_000));
-        let node = rng.random_range(0..g.doors.len());
-        let r = g.user.call(g.doors[node], "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
+        let node = rng.random_range(0..context.doors.len());
+        let r = context.user.call(context.doors[node], "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
         if let Ok((200, _)) = r {
-            g.w.lock().unwrap().fail(format!("invented: {id} is answered 200 by n{node}"));
+            context.world.lock().unwrap().fail(format!("invented: {id} is answered 200 by n{node}"));
         }
     }
 }
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -93,7 +93,10 @@
         if after(job.done_told) && phase != "done" || after(job.cancelled) && phase != "cancelled" {
             self.fail(format!("went_back: {told}"));
         }
-        if phase == "cancelled" && !job.cancel_asked && !self.needs(&job, |w, j| w.recorded_end(&j.id) == "Cancelled") {
+        if phase == "cancelled"
+            && !job.cancel_asked
+            && !self.needs(&job, |world, j| world.recorded_end(&j.id) == "Cancelled")
+        {
             self.fail(format!("went_back: cancelled though neither it nor what it needs was: {told}"));
         }
         if phase != "cancelled" && self.needs(&job, |_, j| after(j.cancelled)) {
--- a/tests/fault_combinations/answers.rs
+++ b/tests/fault_combinations/answers.rs
@@ -55,7 +55,7 @@
             sim.run(s(30)).await;
             // Nothing else needs the room: only a mate on a machine that is long gone,
             // as its late report was believed, makes a task wait in vain or be stopped.
-            let stopped = sim.g.w.lock().unwrap().stopped.clone();
+            let stopped = sim.context.world.lock().unwrap().stopped.clone();
             assert!(stopped.is_empty(), "seed {seed}: a task started, and its mates did not: {stopped:?}");
             sim.start(leader);
             sim.settle().await;
--- a/tests/fault_combinations/borrowing/deployment.rs
+++ b/tests/fault_combinations/borrowing/deployment.rs
@@ -86,7 +86,7 @@
 
 /// Cards that a team's tasks take on the machines.
 pub fn cards(sim: &Sim, team: &str) -> f64 {
-    sim.g.w.lock().unwrap().usage_by_team().get(team).map_or(0.0, |used| used.1)
+    sim.context.world.lock().unwrap().usage_by_team().get(team).map_or(0.0, |used| used.1)
 }
 
 /// The night run has six cards and the guest two: all that there is.
@@ -104,7 +104,7 @@
 
 /// The loans that the records tell of, with the job that lends.
 pub fn recorded_loans(sim: &Sim) -> Vec<(String, Value)> {
-    let records = sim.g.w.lock().unwrap().store.under("loan/");
+    let records = sim.context.world.lock().unwrap().store.under("loan/");
     let loans = |(key, record): (String, Value)| {
         let loans = record["loans"].as_array().cloned().unwrap_or_default();
         loans.into_iter().map(move |loan| (key.trim_start_matches("loan/").to_string(), loan))
@@ -125,5 +125,5 @@
         }
         sim.run(Duration::from_millis(10)).await;
     }
-    panic!("seed {}: no loan is {state}: {:?}", sim.g.seed, recorded_loans(sim));
+    panic!("seed {}: no loan is {state}: {:?}", sim.context.seed, recorded_loans(sim));
 }
--- a/tests/fault_combinations/borrowing/faults.rs
+++ b/tests/fault_combinations/borrowing/faults.rs
@@ -23,7 +23,7 @@
 fn stops_are_carried_out_late() {
     days(async |sim| {
         full(sim).await;
-        sim.g.w.lock().unwrap().late_commands = 0.5;
+        sim.context.world.lock().unwrap().late_commands = 0.5;
         let desk = burst(sim, 4);
         until_at_floor(sim, "the replicas run", GAIN + s(20), |sim| cards(sim, DESK) == 4.0).await;
         sim.cancel(&desk, &[0, 1, 2]);
@@ -58,7 +58,7 @@
 /// A machine that is up.
 fn any_machine(sim: &Sim, last: bool) -> String {
     let now = Instant::now();
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let mut up = world.machines.values().filter(|machine| machine.alive(now) && machine.flavor.cards > 0.0);
     let machine = if last { up.next_back() } else { up.next() };
     machine.expect("a machine is up").id.clone()
@@ -68,7 +68,7 @@
 async fn floor_met_again(sim: &mut Sim) {
     let end = Instant::now() + FLOOR_AGAIN;
     while cards(sim, NIGHT) < NIGHT_GUARANTEE {
-        assert!(Instant::now() < end, "seed {}: {} cards: {}", sim.g.seed, cards(sim, NIGHT), told(sim));
+        assert!(Instant::now() < end, "seed {}: {} cards: {}", sim.context.seed, cards(sim, NIGHT), told(sim));
         sim.run(Duration::from_millis(50)).await;
     }
 }
@@ -81,9 +81,9 @@
         no_new_machines(sim);
         let desk = burst(sim, 4);
         until_recorded(sim, "open").await;
-        sim.run(Duration::from_millis(300 * (sim.g.seed % 5))).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        sim.run(Duration::from_millis(300 * (sim.context.seed % 5))).await;
+        let id = any_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         floor_met_again(sim).await;
         run_at_floor(sim, s(10)).await;
         sim.boot_faults(BootFaults::default());
@@ -101,11 +101,11 @@
         no_new_machines(sim);
         let desk = burst(sim, 4);
         until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        let id = any_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         floor_met_again(sim).await;
         run_at_floor(sim, s(15)).await;
-        assert!(cards(sim, DESK) >= super::deployment::DESK_GUARANTEE, "seed {}: {}", sim.g.seed, told(sim));
+        assert!(cards(sim, DESK) >= super::deployment::DESK_GUARANTEE, "seed {}: {}", sim.context.seed, told(sim));
         sim.boot_faults(BootFaults::default());
         sim.cancel(&desk, &[0, 1, 2]);
         sim.until("lent work runs again", s(90), |w| on_cards(w, NIGHT) == 6.0).await;
@@ -120,8 +120,8 @@
         no_new_machines(sim);
         let desk = burst(sim, 4);
         until_at_floor(sim, "the replicas run", GAIN, |sim| cards(sim, DESK) == 4.0).await;
-        let id = any_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        let id = any_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
         sim.run(s(5)).await;
--- a/tests/fault_combinations/borrowing/leaders.rs
+++ b/tests/fault_combinations/borrowing/leaders.rs
@@ -24,7 +24,7 @@
     until_at_floor(sim, "lent work runs again", RETURN_AFTER + RETURN + FAILOVER, |sim| cards(sim, NIGHT) == 6.0).await;
     until_at_floor(sim, "no loan is open", s(30), |sim| in_state(sim, "open") + in_state(sim, "returning") == 0).await;
     // What was lent for one need is no more than that need took.
-    assert!(stopped(sim) <= 8, "seed {}: {} stops", sim.g.seed, stopped(sim));
+    assert!(stopped(sim) <= 8, "seed {}: {} stops", sim.context.seed, stopped(sim));
     check_lost_work(sim);
 }
 
@@ -40,7 +40,7 @@
         full(sim).await;
         let desk = burst(sim, 4);
         until_recorded(sim, "open").await;
-        sim.run(Duration::from_millis(4 * (sim.g.seed % 8))).await;
+        sim.run(Duration::from_millis(4 * (sim.context.seed % 8))).await;
         let leader = kill_leader(sim);
         run_at_floor(sim, s(8)).await;
         sim.start(leader);
@@ -85,7 +85,7 @@
         let first = kill_leader(sim);
         let held = |sim: &Sim| sim.leader().is_some_and(|leader| leader != first);
         until_at_floor(sim, "another controller leads", FAILOVER, held).await;
-        run_at_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
+        run_at_floor(sim, Duration::from_millis(500 * (sim.context.seed % 5))).await;
         let second = kill_leader(sim);
         run_at_floor(sim, s(2)).await;
         sim.start(first);
@@ -101,7 +101,7 @@
         let desk = burst(sim, 4);
         until_recorded(sim, "open").await;
         (0..NODES).for_each(|node| sim.kill(node));
-        run_at_floor(sim, Duration::from_millis(400 * (sim.g.seed % 5))).await;
+        run_at_floor(sim, Duration::from_millis(400 * (sim.context.seed % 5))).await;
         (0..NODES).for_each(|node| sim.start(node));
         ends_well(sim, &desk).await;
     });
@@ -123,7 +123,7 @@
         let before = stopped(sim);
         sim.pause(old, false);
         run_at_floor(sim, s(20)).await;
-        assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), before, "seed {}", sim.context.seed);
     });
 }
 
@@ -139,7 +139,7 @@
 }
 
 fn from_machines_of_a_zone(sim: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let in_zone = world.machines.values().filter(|machine| machine.zone == "a");
     in_zone.map(|machine| (controller(node), machine.addr.ip())).collect()
 }
@@ -201,7 +201,7 @@
         }
         sim.state_down(true);
         run_at_floor(sim, s(8)).await;
-        assert_eq!(stopped(sim), 0, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), 0, "seed {}", sim.context.seed);
         sim.state_down(false);
         ends_well(sim, &desk).await;
     });
@@ -242,7 +242,7 @@
                 run_at_floor(sim, s(7)).await;
             }
         }
-        assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), before, "seed {}", sim.context.seed);
         sim.cancel(&desk, &[0, 1, 2]);
         returned(sim).await;
     });
--- a/tests/fault_combinations/borrowing/returns.rs
+++ b/tests/fault_combinations/borrowing/returns.rs
@@ -41,7 +41,7 @@
         for _ in 0..4 {
             sim.cancel(&desk, &[0, 1, 2]);
             until_at_floor(sim, "they are gone", GAIN, |sim| cards(sim, DESK) == 0.0).await;
-            run_at_floor(sim, Duration::from_millis(700 * (sim.g.seed % 3))).await;
+            run_at_floor(sim, Duration::from_millis(700 * (sim.context.seed % 3))).await;
             desk = burst(sim, 4);
             until_at_floor(sim, "they run again", GAIN, |sim| cards(sim, DESK) == 4.0).await;
         }
@@ -63,7 +63,7 @@
 }
 
 fn gave_way(sim: &Sim, job: &str) -> usize {
-    sim.g.w.lock().unwrap().stopped.iter().filter(|stop| stop.starts_with(job)).count()
+    sim.context.world.lock().unwrap().stopped.iter().filter(|stop| stop.starts_with(job)).count()
 }
 
 // A fine-tuning job that is preempted twice within an hour loses no more than since its last
--- a/tests/fault_combinations/borrowing/shares.rs
+++ b/tests/fault_combinations/borrowing/shares.rs
@@ -22,7 +22,7 @@
 pub async fn until_at_floor(sim: &mut Sim, what: &str, most: Duration, holds: impl Fn(&Sim) -> bool) {
     let end = Instant::now() + most;
     while !holds(sim) {
-        assert!(Instant::now() < end, "seed {}: not in {most:?}: {what}; {}", sim.g.seed, told(sim));
+        assert!(Instant::now() < end, "seed {}: not in {most:?}: {what}; {}", sim.context.seed, told(sim));
         sim.run(SAMPLE).await;
         check_floor(sim);
     }
@@ -30,30 +30,30 @@
 
 fn check_floor(sim: &Sim) {
     let night = cards(sim, NIGHT);
-    assert!(night >= NIGHT_GUARANTEE, "seed {}: the night team has {night} cards: {}", sim.g.seed, told(sim));
-    let stopped = sim.g.w.lock().unwrap().stopped.len();
+    assert!(night >= NIGHT_GUARANTEE, "seed {}: the night team has {night} cards: {}", sim.context.seed, told(sim));
+    let stopped = sim.context.world.lock().unwrap().stopped.len();
     assert!(
         stopped == 0 || !recorded_loans(sim).is_empty(),
         "seed {}: stopped, and no record: {}",
-        sim.g.seed,
+        sim.context.seed,
         told(sim)
     );
 }
 
 /// No stop has lost more than what was done since the last checkpoint.
 pub fn check_lost_work(sim: &Sim) {
-    for lost in sim.g.w.lock().unwrap().lost_work.iter().filter(|lost| lost.checkpoint_s > 0.0) {
-        assert!(lost.lost_s <= CHECKPOINT_S + 0.1, "seed {}: {lost:?}", sim.g.seed);
+    for lost in sim.context.world.lock().unwrap().lost_work.iter().filter(|lost| lost.checkpoint_s > 0.0) {
+        assert!(lost.lost_s <= CHECKPOINT_S + 0.1, "seed {}: {lost:?}", sim.context.seed);
     }
 }
 
 /// Tasks that were stopped so far.
 pub fn stopped(sim: &Sim) -> usize {
-    sim.g.w.lock().unwrap().stopped.len()
+    sim.context.world.lock().unwrap().stopped.len()
 }
 
 /// What is known, for a test that fails.
 pub fn told(sim: &Sim) -> String {
-    let recent = sim.g.w.lock().unwrap().recent("");
+    let recent = sim.context.world.lock().unwrap().recent("");
     format!("{:#?}\n{recent}", recorded_loans(sim))
 }
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -90,7 +90,7 @@
             let id = sim.submit(j);
             let done = id.clone();
             let ended = |w: &world::SimulationState| w.jobs[&done].all_done();
-            while !ended(&sim.g.w.lock().unwrap()) {
+            while !ended(&sim.context.world.lock().unwrap()) {
                 sim.run(Duration::from_millis(5 + n as u64)).await;
             }
             sim.cancel(&id, &[n % NODES]);
--- a/tests/fault_combinations/faulty_machines.rs
+++ b/tests/fault_combinations/faulty_machines.rs
@@ -20,8 +20,8 @@
         let gang = sim.submit(gang);
         sim.until("two machines are rented", s(10), |w| w.machines.len() >= 2).await;
         let faulty = {
-            let mut w = sim.g.w.lock().unwrap();
-            let n = sim.g.seed as usize % 2;
+            let mut w = sim.context.world.lock().unwrap();
+            let n = sim.context.seed as usize % 2;
             let machine = w.machines.values_mut().nth(n).unwrap();
             machine.faulty = true;
             machine.id.clone()
@@ -30,7 +30,7 @@
         sim.until("the faulty machine is returned", s(RETURNED_S), |w: &SimulationState| !w.machines[&faulty].exists())
             .await;
         let start = format!("{faulty} starts {gang}/");
-        let starts = sim.g.w.lock().unwrap().history.iter().filter(|h| h.contains(&start)).count();
-        assert!((1..=STARTS_THERE).contains(&starts), "seed {}: {starts} starts on {faulty}", sim.g.seed);
+        let starts = sim.context.world.lock().unwrap().history.iter().filter(|h| h.contains(&start)).count();
+        assert!((1..=STARTS_THERE).contains(&starts), "seed {}: {starts} starts on {faulty}", sim.context.seed);
     });
 }
--- a/tests/fault_combinations/guests.rs
+++ b/tests/fault_combinations/guests.rs
@@ -55,29 +55,29 @@
 
 /// At least half of each is done; of the array half of what the free accelerators allow.
 fn assert_served(sim: &Sim, jobs: &GuestJobs, free_cards: f64) {
-    let w = sim.g.w.lock().unwrap();
+    let w = sim.context.world.lock().unwrap();
     let done = |id: &String| w.jobs[id].done.len();
     let array_tasks = (free_cards / TASK_CARDS) * DAY_S as f64 / TASK_S;
     let swarm = jobs.swarm.iter().filter(|id| w.jobs[*id].all_done()).count();
     println!(
         "seed {}: of the guest's array {} are done, {array_tasks} would be; of the work for idle time {}, of the swarm {swarm}",
-        sim.g.seed,
+        sim.context.seed,
         done(&jobs.array),
         done(&jobs.idle_time)
     );
-    assert!(2.0 * done(&jobs.array) as f64 >= array_tasks, "seed {}: the guest's array", sim.g.seed);
-    assert!(2 * done(&jobs.idle_time) >= 20, "seed {}: the guest's work for idle time", sim.g.seed);
-    assert!(2 * swarm >= jobs.swarm.len(), "seed {}: the guest's swarm", sim.g.seed);
+    assert!(2.0 * done(&jobs.array) as f64 >= array_tasks, "seed {}: the guest's array", sim.context.seed);
+    assert!(2 * done(&jobs.idle_time) >= 20, "seed {}: the guest's work for idle time", sim.context.seed);
+    assert!(2 * swarm >= jobs.swarm.len(), "seed {}: the guest's swarm", sim.context.seed);
 }
 
 fn assert_not_starved(sim: &Sim, ids: &[String]) {
-    let w = sim.g.w.lock().unwrap();
+    let w = sim.context.world.lock().unwrap();
     for id in ids {
         let job = &w.jobs[id];
         let wait = job.accepted.zip(job.began).map(|(accepted, began)| began - accepted);
-        println!("seed {}: {id} of {} began after {wait:?}", sim.g.seed, job.team);
+        println!("seed {}: {id} of {} began after {wait:?}", sim.context.seed, job.team);
         let in_time = wait.is_some_and(|wait| wait < secs(GUARANTEED_START_S));
-        assert!(in_time, "seed {}: {id} of {} began after {wait:?}", sim.g.seed, job.team);
+        assert!(in_time, "seed {}: {id} of {} began after {wait:?}", sim.context.seed, job.team);
     }
 }
 
@@ -85,7 +85,7 @@
 fn guest_day(spot: bool, free_cards: f64) {
     days(async |sim| {
         // One machine of a type in each zone, of either kind.
-        sim.g.w.lock().unwrap().parameters.capacity = 1;
+        sim.context.world.lock().unwrap().parameters.capacity = 1;
         sim.run(s(5)).await;
         let jobs = submit_guests_work(sim, spot);
         let began = Instant::now();
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -68,7 +68,7 @@
         sim.run(s(25)).await;
         sim.state_down(false);
         sim.run(s(5)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
     });
 }
 
@@ -94,7 +94,7 @@
         let ids = long_jobs(sim, 300.0).await;
         let inside = sim.leader().expect("there is a leader");
         let zone: Vec<_> = {
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             w.machines.values().filter(|m| m.zone == world::ZONES[inside % 2]).map(|m| m.addr.ip()).collect()
         };
         sim.cut(controller(inside), state_of(inside), Some(Cut::Hold));
@@ -105,7 +105,7 @@
         sim.run(s(4)).await;
         ids.iter().for_each(|id| sim.cancel(id, &others(inside)));
         sim.run(s(22)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
     });
 }
 
@@ -176,13 +176,19 @@
             sim.kill(next);
             sim.run(Duration::from_millis(400)).await;
             sim.start(next);
-            sim.g.network.mend();
+            sim.context.network.mend();
             for _ in 0..100 {
                 ids.iter().for_each(|id| sim.ask_all(id));
                 sim.run(Duration::from_millis(200)).await;
             }
-            let on =
-                sim.g.w.lock().unwrap().machines.values().any(|m| m.copies.keys().any(|k| k.0.starts_with(&third)));
+            let on = sim
+                .context
+                .world
+                .lock()
+                .unwrap()
+                .machines
+                .values()
+                .any(|m| m.copies.keys().any(|k| k.0.starts_with(&third)));
             assert!(on, "seed {seed}: the gang's lease ran out, as nobody kept it alive");
             sim.cancel(&third, &[0, 1, 2]);
             sim.state_down(false);
--- a/tests/fault_combinations/limits.rs
+++ b/tests/fault_combinations/limits.rs
@@ -29,7 +29,7 @@
 fn the_rate_of_changes_is_lowered_once_it_is_refused() {
     days(async |sim| {
         sim.run(s(4)).await;
-        let throttled = |sim: &badgerdrift_stand_ins::Sim| sim.g.w.lock().unwrap().store.throttled;
+        let throttled = |sim: &badgerdrift_stand_ins::Sim| sim.context.world.lock().unwrap().store.throttled;
         sim.limit_state(NEXT_LIMITS);
         let mut first_refusals = 0;
         for burst in 0..6 {
--- a/tests/fault_combinations/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -45,10 +45,10 @@
         (lasting.team, lasting.apart, lasting.run_s) = ("blue", true, 200.0);
         let lasting = sim.submit(lasting);
         sim.run(s(12)).await;
-        let kept = charged(&sim.g.w.lock().unwrap());
+        let kept = charged(&sim.context.world.lock().unwrap());
         let mistaken = submit_mistaken(sim);
         sim.run(s(5)).await;
-        let writes = sim.g.w.lock().unwrap().store.writes;
+        let writes = sim.context.world.lock().unwrap().store.writes;
         let mut sound = Vec::new();
         let began = Instant::now();
         while began.elapsed() < s(FAILING_S) {
@@ -56,25 +56,25 @@
             sim.run(s(4)).await;
         }
         {
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             let written = w.store.writes - writes;
             let most = WRITES_OF_A_JOB * sound.len() as u64 + (WRITES_PER_S * FAILING_S as f64) as u64;
             let starts: Vec<u32> = mistaken.iter().map(|id| w.jobs[id].starts).collect();
-            println!("seed {}: {written} writes, starts of the mistaken jobs: {starts:?}", sim.g.seed);
-            assert!(written <= most, "seed {}: {written} writes in {FAILING_S} s", sim.g.seed);
+            println!("seed {}: {written} writes, starts of the mistaken jobs: {starts:?}", sim.context.seed);
+            assert!(written <= most, "seed {}: {written} writes in {FAILING_S} s", sim.context.seed);
             for id in &mistaken {
                 let job = &w.jobs[id];
                 let most = STARTS_OF_A_TASK * job.shards;
-                assert!(job.starts >= job.shards, "seed {}: {id} never began", sim.g.seed);
-                assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.g.seed, job.starts);
+                assert!(job.starts >= job.shards, "seed {}: {id} never began", sim.context.seed);
+                assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.context.seed, job.starts);
             }
             // A machine that is called faulty is emptied and returned.
             let returned: Vec<&String> = kept.iter().filter(|id| !w.machines[*id].exists()).collect();
-            assert!(returned.is_empty(), "seed {}: returned, though in use: {returned:?}", sim.g.seed);
-            assert_eq!(w.jobs[&lasting].starts, 2, "seed {}: lasting work was moved", sim.g.seed);
+            assert!(returned.is_empty(), "seed {}: returned, though in use: {returned:?}", sim.context.seed);
+            assert_eq!(w.jobs[&lasting].starts, 2, "seed {}: lasting work was moved", sim.context.seed);
         }
         let failing: Vec<String> = {
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             sound.retain(|id| w.jobs[id].accepted.is_some_and(|at| at.elapsed() > secs(START_S)));
             let late = |id: &&String| {
                 let job = &w.jobs[*id];
@@ -82,16 +82,16 @@
             };
             sound.iter().filter(late).cloned().collect()
         };
-        assert!(failing.is_empty(), "seed {}: begun late: {failing:?}", sim.g.seed);
+        assert!(failing.is_empty(), "seed {}: begun late: {failing:?}", sim.context.seed);
         mistaken.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
         let cancelled = |w: &SimulationState| mistaken.iter().all(|id| w.jobs[id].cancelled.is_some());
         sim.until("all are cancelled", s(10), cancelled).await;
         // Where they failed others still run.
-        let before = sim.g.w.lock().unwrap().machines.len();
+        let before = sim.context.world.lock().unwrap().machines.len();
         let last = submit_sound(sim, 0);
         sim.until("it runs", s(8), |w| w.jobs[&last].began.is_some()).await;
-        let rented = sim.g.w.lock().unwrap().machines.len() - before;
-        assert_eq!(rented, 0, "seed {}: no machine with room was used", sim.g.seed);
+        let rented = sim.context.world.lock().unwrap().machines.len() - before;
+        assert_eq!(rented, 0, "seed {}: no machine with room was used", sim.context.seed);
         sim.cancel(&lasting, &[0, 1, 2]);
     });
 }
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -10,7 +10,7 @@
 
 /// Orders on a fencing token that is over break a rule from now on.
 fn check_terms(sim: &Sim) {
-    sim.g.w.lock().unwrap().check_terms = true;
+    sim.context.world.lock().unwrap().check_terms = true;
 }
 
 // The jobs that it held are cancelled, done and begun under its successor meanwhile.
@@ -42,7 +42,7 @@
     days(async |sim| {
         check_terms(sim);
         let mut ids = long_jobs(sim, LONG_S).await;
-        let step = sim.g.seed;
+        let step = sim.context.seed;
         for n in 0..6 {
             ids.extend(short_jobs(sim));
             let leader = sim.leader().unwrap_or(n % NODES);
@@ -69,7 +69,7 @@
         sim.run(s(8)).await;
         sim.state_down(true);
         sim.pause(next, true);
-        sim.run(Duration::from_millis(300 * sim.g.seed)).await;
+        sim.run(Duration::from_millis(300 * sim.context.seed)).await;
         sim.pause(first, false);
         ask_closely(sim, &ids, s(8)).await;
         sim.pause(next, false);
@@ -85,7 +85,7 @@
         let mut ids = long_jobs(sim, 40.0).await;
         ids.extend(short_jobs(sim));
         (0..NODES).for_each(|node| sim.pause(node, true));
-        sim.run(s(7 + 9 * sim.g.seed)).await;
+        sim.run(s(7 + 9 * sim.context.seed)).await;
         (0..NODES).for_each(|node| sim.pause(node, false));
         sim.cancel(&ids[0], &[0, 1, 2]);
         ask_closely(sim, &ids, s(5)).await;
@@ -100,7 +100,7 @@
         let leader = sim.leader().expect("there is a leader");
         others(leader).into_iter().for_each(|node| sim.pause(node, true));
         sim.state_down(true);
-        sim.run(s(4 + sim.g.seed)).await;
+        sim.run(s(4 + sim.context.seed)).await;
         sim.cancel(&ids[0], &[leader]);
         ids.extend(short_jobs(sim));
         others(leader).into_iter().for_each(|node| sim.pause(node, false));
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -11,14 +11,14 @@
 /// Everybody who asks about an accepted job is answered by some node now and then.
 fn assert_answered_within(sim: &Sim, time: Duration) {
     let now = Instant::now();
-    let w = sim.g.w.lock().unwrap();
+    let w = sim.context.world.lock().unwrap();
     let unanswered: Vec<&String> = w
         .jobs
         .values()
         .filter(|j| j.accepted.is_some_and(|at| at + time < now) && j.answered.is_none_or(|at| at + time < now))
         .map(|j| &j.id)
         .collect();
-    assert!(unanswered.is_empty(), "seed {}: nobody answers about {unanswered:?}", sim.g.seed);
+    assert!(unanswered.is_empty(), "seed {}: nobody answers about {unanswered:?}", sim.context.seed);
 }
 
 #[test]
@@ -35,7 +35,7 @@
         ask_closely(sim, &ids, s(4)).await;
         sim.cancel(&ids[1], &others(leader));
         ids.extend(short_jobs(sim));
-        ask_closely(sim, &ids, s(8 + 9 * sim.g.seed)).await;
+        ask_closely(sim, &ids, s(8 + 9 * sim.context.seed)).await;
         assert_answered_within(sim, s(6));
         sim.pause(leader, false);
         ask_closely(sim, &ids, s(10)).await;
@@ -60,7 +60,7 @@
             let leader = sim.leader().unwrap_or(0);
             sim.pause(leader, true);
             sim.cancel(&ids[3 * n + 2], &others(leader));
-            ask_closely(sim, &ids, Duration::from_millis(2000 + 800 * (n as u64 + sim.g.seed))).await;
+            ask_closely(sim, &ids, Duration::from_millis(2000 + 800 * (n as u64 + sim.context.seed))).await;
             sim.pause(leader, false);
             ask_closely(sim, &ids, s(6)).await;
             assert_answered_within(sim, s(6));
--- a/tests/fault_combinations/rollouts.rs
+++ b/tests/fault_combinations/rollouts.rs
@@ -28,13 +28,14 @@
 fn an_upgrade_stops_no_task_and_loses_no_lease() {
     rollouts(async |sim| {
         let ids = long_jobs(sim, 200.0).await;
-        let starts = |sim: &Sim| -> u32 { ids.iter().map(|id| sim.g.w.lock().unwrap().jobs[id].starts).sum() };
-        let (before, sessions) = (starts(sim), sim.g.w.lock().unwrap().summary());
+        let starts =
+            |sim: &Sim| -> u32 { ids.iter().map(|id| sim.context.world.lock().unwrap().jobs[id].starts).sum() };
+        let (before, sessions) = (starts(sim), sim.context.world.lock().unwrap().summary());
         for node in 0..NODES {
             upgrade(sim, node).await;
         }
         assert_eq!(starts(sim), before, "a task was started again; before: {sessions}");
-        assert!(sim.g.w.lock().unwrap().stopped.is_empty());
+        assert!(sim.context.world.lock().unwrap().stopped.is_empty());
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
     });
 }
@@ -53,7 +54,8 @@
         }
         // It is asked for at the upgraded ones, again and again.
         sleep(Duration::from_secs(10)).await;
-        let accepted = |sim: &Sim| sim.g.w.lock().unwrap().jobs.get(&ids[1]).is_some_and(|j| j.accepted.is_some());
+        let accepted =
+            |sim: &Sim| sim.context.world.lock().unwrap().jobs.get(&ids[1]).is_some_and(|j| j.accepted.is_some());
         assert!(!accepted(sim), "an old controller would start it at once");
         upgrade(sim, NODES - 1).await;
         sim.until("it is accepted", s(20), |w| w.jobs[&ids[1]].accepted.is_some()).await;
--- a/tests/fault_combinations/scenario.rs
+++ b/tests/fault_combinations/scenario.rs
@@ -49,7 +49,7 @@
 /// Of the machines that are up every `step`th is troubled until then.
 pub fn machines(sim: &Sim, step: usize, put: impl Fn(&mut Machine)) {
     let now = Instant::now();
-    let mut w = sim.g.w.lock().unwrap();
+    let mut w = sim.context.world.lock().unwrap();
     w.machines.values_mut().filter(|m| m.alive(now)).step_by(step).for_each(put);
 }
 
@@ -76,5 +76,5 @@
 
 /// Machines that are charged now.
 pub fn charged(sim: &Sim) -> usize {
-    sim.g.w.lock().unwrap().machines.values().filter(|m| m.exists()).count()
+    sim.context.world.lock().unwrap().machines.values().filter(|m| m.exists()).count()
 }
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -30,10 +30,10 @@
 /// Until all jobs have begun no more than so many machines are charged at once.
 async fn until_all_began(sim: &Sim, most_machines: usize) {
     let end = Instant::now() + s(REPLACED_S);
-    while !all_began(&sim.g.w.lock().unwrap()) {
-        assert!(Instant::now() < end, "seed {}: work waits for machines that are not up", sim.g.seed);
+    while !all_began(&sim.context.world.lock().unwrap()) {
+        assert!(Instant::now() < end, "seed {}: work waits for machines that are not up", sim.context.seed);
         let charged = charged(sim);
-        assert!(charged <= most_machines, "seed {}: {charged} machines are charged", sim.g.seed);
+        assert!(charged <= most_machines, "seed {}: {charged} machines are charged", sim.context.seed);
         sim.run(secs(0.5)).await;
     }
 }
@@ -52,12 +52,12 @@
         submit_work(sim);
         sim.until("machines are rented", s(5), |w| w.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
-        let never_up: Vec<String> = sim.g.w.lock().unwrap().machines.keys().cloned().collect();
+        let never_up: Vec<String> = sim.context.world.lock().unwrap().machines.keys().cloned().collect();
         until_all_began(sim, 2 * NEEDED).await;
         let returned = |w: &SimulationState| never_up.iter().all(|id| !w.machines[id].exists());
         sim.until("what never comes up is returned", s(REPLACED_S), returned).await;
-        let rented = sim.g.w.lock().unwrap().machines.len();
-        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.g.seed);
+        let rented = sim.context.world.lock().unwrap().machines.len();
+        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.context.seed);
         until_all_are_returned(sim).await;
     });
 }
@@ -68,15 +68,15 @@
     const LATE_BY: [f64; 3] = [3.0, 4.0, 5.5];
     days_without_headroom(async |sim| {
         sim.run(s(5)).await;
-        let late_by = LATE_BY[sim.g.seed as usize % LATE_BY.len()];
+        let late_by = LATE_BY[sim.context.seed as usize % LATE_BY.len()];
         sim.boot_faults(BootFaults { late: 1.0, late_by, ..BootFaults::default() });
         submit_work(sim);
         sim.until("machines are rented", s(5), |w| w.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
         until_all_began(sim, 2 * NEEDED).await;
         until_all_are_returned(sim).await;
-        let rented = sim.g.w.lock().unwrap().machines.len();
-        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.g.seed);
+        let rented = sim.context.world.lock().unwrap().machines.len();
+        assert!(rented <= 3 * NEEDED, "seed {}: {rented} machines were rented", sim.context.seed);
     });
 }
 
@@ -103,12 +103,12 @@
         }
         sim.run(s(REPLACED_S)).await;
         let (begun, all, rented) = {
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             (w.jobs.values().filter(|j| j.began.is_some()).count(), w.jobs.len(), w.machines.len())
         };
-        println!("seed {}: {begun} of {all} jobs have begun; {rented} machines, {most} at once", sim.g.seed);
-        assert!(most <= MAX_CHARGED, "seed {}: {most} machines were charged", sim.g.seed);
-        assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.g.seed);
+        println!("seed {}: {begun} of {all} jobs have begun; {rented} machines, {most} at once", sim.context.seed);
+        assert!(most <= MAX_CHARGED, "seed {}: {most} machines were charged", sim.context.seed);
+        assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.context.seed);
     });
 }
 
@@ -121,7 +121,7 @@
             sim.run(s(5)).await;
             submit_work(&mut sim);
             sim.until("all work is done", s(120), |w| w.jobs.values().all(Job::over)).await;
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             assert_eq!(w.machines.len(), NEEDED, "seed {seed}: machines that were rented\n{}", w.recent(""));
         });
     }
--- a/tests/fault_combinations/teams.rs
+++ b/tests/fault_combinations/teams.rs
@@ -25,7 +25,7 @@
         machines(sim, 3, |m| m.hang = until);
         let leader = sim.leader().expect("there is a leader");
         let far: Vec<_> = {
-            let w = sim.g.w.lock().unwrap();
+            let w = sim.context.world.lock().unwrap();
             w.machines.values().skip(1).step_by(3).map(|m| m.addr.ip()).collect()
         };
         for node in 0..NODES {
@@ -35,7 +35,7 @@
         sim.run(s(1)).await;
         sim.kill(leader);
         sim.run(s(16)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
         sim.start(leader);
         sim.run(s(5)).await;
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -78,15 +78,15 @@
             until_ready(&mut sim, 2).await;
             let job = replica(&mut sim);
             sim.run(s(5)).await;
-            sim.g.w.lock().unwrap().cloud_down = true;
+            sim.context.world.lock().unwrap().cloud_down = true;
             let now = Instant::now();
             let alive = |world: &SimulationState| {
                 world.machines.values().filter(|m| m.alive(now)).map(|m| m.id.clone()).collect()
             };
-            let alive: Vec<String> = alive(&sim.g.w.lock().unwrap());
-            alive.iter().step_by(2).for_each(|id| machines::die(&sim.g, id));
+            let alive: Vec<String> = alive(&sim.context.world.lock().unwrap());
+            alive.iter().step_by(2).for_each(|id| machines::die(&sim.context, id));
             sim.run(s(20)).await;
-            sim.g.w.lock().unwrap().cloud_down = false;
+            sim.context.world.lock().unwrap().cloud_down = false;
             sim.until("the replica runs", s(120), |world| world.jobs[&job].began.is_some()).await;
             until_ready(&mut sim, 2).await;
             sim.settle().await;
--- a/tests/outputs/metrics.rs
+++ b/tests/outputs/metrics.rs
@@ -66,7 +66,7 @@
     let names = names.clone();
     let day = async || {
         let sim = Sim::new(seed, setup);
-        let context = sim.g.clone();
+        let context = sim.context.clone();
         tokio::select! {
             () = script(sim) => {}
             () = look(context, names) => {}
