--- a/crates/scale/src/configuration.rs
+++ b/crates/scale/src/configuration.rs
@@ -20,9 +20,9 @@
 /// Time limit for the answer to a change.
 const ANSWER_LIMIT: Duration = Duration::from_secs(20);
 /// Interval at which the version applied by the leader is read.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Range of a region's share after a change, in quarters of its initial share.
-const QUARTERS: std::ops::RangeInclusive<u64> = 2..=4;
+const SHARE_QUARTERS: std::ops::RangeInclusive<u64> = 2..=4;
 const MILLI: f64 = 1000.0;
 
 /// Changes and applied versions recorded so far.
@@ -64,7 +64,7 @@
 async fn watch_applied_versions(context: SimulationContext, log: ConfigurationLog) {
     let mut noted = 0;
     loop {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         let version = context.world.lock().unwrap().store.value("config/obeyed")["version"].as_u64().unwrap_or(0);
         let now = now_ms();
         for version in noted + 1..=version {
@@ -141,7 +141,7 @@
     let whole = amounts(teams.most_cores, teams.most_cards);
     let shares: Vec<Share> = (0..plan.scenario.regions)
         .map(|_| {
-            let quarters = rng.random_range(QUARTERS);
+            let quarters = rng.random_range(SHARE_QUARTERS);
             let part = |amount: Amount| Amount(amount.0 * quarters / 4);
             Share { guarantee, limit: Amounts { cpus: part(whole.cpus), gpus: part(whole.gpus) } }
         })
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -31,7 +31,7 @@
         let (targets, fault) = (targets.clone(), fault.clone());
         tokio::spawn(async move {
             sleep(secs(fault.at_s)).await;
-            targets.bring_about(&fault).await;
+            targets.inject(&fault).await;
         });
     }
     let failures = &plan.scenario.failures;
@@ -52,7 +52,7 @@
 }
 
 impl FaultTargets {
-    async fn bring_about(&self, fault: &Fault) {
+    async fn inject(&self, fault: &Fault) {
         match fault.kind {
             FaultKind::Machines => self.stop_machines(fault.count, |_| true),
             FaultKind::Rack => self.stop_in_one_zone(fault.count),
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -93,7 +93,7 @@
             _ = ticks.tick() => measurement.context.world.lock().unwrap().tick(),
             _ = samples.tick() => measurement.sample().await,
             line = input.next_line() => if !matches!(line, Ok(Some(_))) {
-                return give_up(&controllers).await;
+                return abort(&controllers).await;
             },
         }
     }
@@ -105,7 +105,7 @@
     Ok(Some(result))
 }
 
-async fn give_up(controllers: &Mutex<Controllers>) -> Result<Option<RegionResult>, String> {
+async fn abort(controllers: &Mutex<Controllers>) -> Result<Option<RegionResult>, String> {
     controllers.lock().await.kill_all().await.map_err(|error| error.to_string())?;
     Ok(None)
 }
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -198,8 +198,8 @@
 fn configuration(regions: &[RegionResult]) -> ConfigurationSummary {
     let changes: Vec<&ChangeResult> = regions.iter().flat_map(|region| &region.changes).collect();
     let in_force = |region: &RegionResult| {
-        let obeyed: BTreeMap<u64, u64> = region.applied_at_ms.iter().copied().collect();
-        let wait = |change: &&ChangeResult| Some(obeyed.get(&change.version?)?.saturating_sub(change.asked_at_ms));
+        let applied: BTreeMap<u64, u64> = region.applied_at_ms.iter().copied().collect();
+        let wait = |change: &&ChangeResult| Some(applied.get(&change.version?)?.saturating_sub(change.asked_at_ms));
         let waits: Vec<u64> = changes.iter().filter_map(wait).collect();
         (region.region.clone(), summary(&waits))
     };
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -274,7 +274,7 @@
     ControllersRestarted,
     /// The region's state service has an outage.
     StateOutage,
-    /// Requests to the state service are carried out, but their answers are lost.
+    /// Writes to the state service are carried out, but their answers are lost.
     StateAnswersLost,
     /// The region and the others cannot reach each other; everything else works.
     RegionCut,
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -133,7 +133,7 @@
         let RandomDay { day_s, faults, later, pipelines, rollout } = day;
         let mut rng = StdRng::seed_from_u64(self.context.seed.wrapping_mul(0x9e37_79b9));
         self.context.world.lock().unwrap().faulty = 0.04;
-        tokio::spawn(users::stranger(self.context.clone(), rng.random()));
+        tokio::spawn(users::poll_unknown_jobs(self.context.clone(), rng.random()));
         let mut fault_actions: Vec<(f64, FaultAction)> = Vec::new();
         for _ in 0..22 {
             let at = rng.random_range(0.5..day_s * 0.8);
@@ -197,11 +197,11 @@
                 pairs.into_iter().for_each(|(a, b)| self.cut(a, b, cut));
             }
             FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, zone, cut),
-            FaultAction::Deaf(share, s) => self.each(rng, share, "deaf", |m| m.deaf = now + secs(s)),
-            FaultAction::Mute(share, s) => self.each(rng, share, "mute", |m| m.mute = now + secs(s)),
-            FaultAction::Hang(share, s) => self.each(rng, share, "hang", |m| m.hang = now + secs(s)),
+            FaultAction::Deaf(share, s) => self.for_random_machines(rng, share, "deaf", |m| m.deaf = now + secs(s)),
+            FaultAction::Mute(share, s) => self.for_random_machines(rng, share, "mute", |m| m.mute = now + secs(s)),
+            FaultAction::Hang(share, s) => self.for_random_machines(rng, share, "hang", |m| m.hang = now + secs(s)),
             FaultAction::Die(count) => {
-                for id in self.some(rng, count, |_| true) {
+                for id in self.random_machines(rng, count, |_| true) {
                     machines::die(&self.context, &id);
                 }
             }
@@ -260,7 +260,7 @@
 
     /// Reclaims spot machines, with or without notice.
     fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
-        for id in self.some(rng, count, |spot| spot) {
+        for id in self.random_machines(rng, count, |spot| spot) {
             if noticed {
                 self.context.log(format!("{id} is to be taken"));
                 let mut world = self.context.world.lock().unwrap();
@@ -283,7 +283,7 @@
     }
 
     /// Returns up to `count` random machines that are up and whose spot flag `wanted` accepts.
-    fn some(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
+    fn random_machines(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
         let now = Instant::now();
         let world = self.context.world.lock().unwrap();
         let mut up: Vec<String> =
@@ -295,7 +295,7 @@
         out
     }
 
-    fn each(&self, rng: &mut StdRng, share: f64, what: &str, put: impl Fn(&mut super::world::Machine)) {
+    fn for_random_machines(&self, rng: &mut StdRng, share: f64, what: &str, put: impl Fn(&mut super::world::Machine)) {
         let now = Instant::now();
         let mut world = self.context.world.lock().unwrap();
         let mut hit = Vec::new();
--- a/crates/stand-ins/src/jobs.rs
+++ b/crates/stand-ins/src/jobs.rs
@@ -36,7 +36,8 @@
         let context = self.context.clone();
         tokio::spawn(async move {
             for (job, seed) in jobs.into_iter().zip(seeds) {
-                while !job.waits_on.iter().all(|id| context.world.lock().unwrap().may_be_named(id, job.comes_late)) {
+                while !job.waits_on.iter().all(|id| context.world.lock().unwrap().may_be_dependency(id, job.comes_late))
+                {
                     sleep(secs(0.05)).await;
                 }
                 let id = job.id.clone();
@@ -99,7 +100,7 @@
 
     /// Starts a user that polls jobs which were never submitted.
     pub fn ask_about_unknown_jobs(&mut self) {
-        tokio::spawn(users::stranger(self.context.clone(), self.rng.random()));
+        tokio::spawn(users::poll_unknown_jobs(self.context.clone(), self.rng.random()));
     }
 
     /// Repeats the submission of a job at all nodes at once.
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -49,7 +49,7 @@
 use world::{BootFaults, Shared, SimulationState};
 
 /// Time of day, in milliseconds of the Unix epoch, at which each simulation begins.
-const MORNING_MS: u64 = 1_800_000_000_000;
+const START_TIME_OF_DAY_MS: u64 = 1_800_000_000_000;
 
 /// Options of a simulation.
 pub struct Setup {
@@ -98,7 +98,7 @@
 pub struct Sim {
     pub context: SimulationContext,
     /// Process number of each controller; `None` while it is down.
-    lives: [Option<u64>; NODES],
+    process_ids: [Option<u64>; NODES],
     pauses: [Arc<Pause>; NODES],
     operator: Operator,
     subsystems: Subsystems,
@@ -110,7 +110,7 @@
 impl Sim {
     /// Starts the simulated services and all controllers.
     pub fn new(seed: u64, setup: Setup) -> Sim {
-        clock::simulate_wall(MORNING_MS, !setup.time_of_day_stands);
+        clock::simulate_wall(START_TIME_OF_DAY_MS, !setup.time_of_day_stands);
         let network = SimulatedNetwork::new(seed ^ 0x5eed);
         let world: Shared = std::sync::Arc::new(std::sync::Mutex::new(SimulationState::new(seed, NODES)));
         let user = Client::on(&network.process(deployment::users()).0, 16);
@@ -135,7 +135,7 @@
         });
         let mut sim = Sim {
             context,
-            lives: [None; NODES],
+            process_ids: [None; NODES],
             pauses: Default::default(),
             operator: setup.operator,
             subsystems: setup.subsystems,
@@ -151,21 +151,21 @@
 
     /// Kills a controller; its memory is lost.
     pub fn kill(&mut self, node: usize) {
-        if let Some(life) = self.lives[node].take() {
+        if let Some(process_id) = self.process_ids[node].take() {
             self.context.log(format!("n{node} is killed"));
-            self.context.network.kill(life);
+            self.context.network.kill(process_id);
             self.pauses[node].set(false);
         }
     }
 
     /// Starts a controller unless it runs.
     pub fn start(&mut self, node: usize) {
-        if self.lives[node].is_none() {
-            let (net, life) = self.context.network.process(controller(node));
-            self.lives[node] = Some(life);
+        if self.process_ids[node].is_none() {
+            let (net, process_id) = self.context.network.process(controller(node));
+            self.process_ids[node] = Some(process_id);
             let production = self.context.world.lock().unwrap().production[node];
             if production {
-                self.context.network.speak_as_production(life);
+                self.context.network.use_production_format(process_id);
             }
             self.context.log(format!("n{node} starts, of the version in production: {production}"));
             self.pauses[node] = Arc::default();
@@ -223,12 +223,12 @@
         self.context.refuse_state(node, refused);
     }
 
-    /// Sets the share of requests to the state service that get no answer and are carried out late.
+    /// Sets the share of writes to the state service that get no answer and are carried out late.
     pub fn late_writes(&self, share: f64) {
         self.context.world.lock().unwrap().late_writes = share;
     }
 
-    /// Sets the share of requests to the state service that are carried out but get no answer.
+    /// Sets the share of writes to the state service that are carried out but get no answer.
     pub fn lost_answers(&self, share: f64) {
         self.context.world.lock().unwrap().lost_answers = share;
     }
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -1,6 +1,6 @@
 //! Simulated workers' side of the protocol: reports, direct commands and late copies of reports.
 
-use super::deployment::PATIENCE;
+use super::deployment::CONNECTION_TIMEOUT;
 use super::ground::SimulationContext;
 use super::world::secs;
 use badgerdrift::transport::http::{self, Client, Response};
@@ -19,14 +19,14 @@
 
 /// Starts the worker of a newly rented machine.
 pub fn boot(context: &SimulationContext, id: String) {
-    let (net, life, addr, up) = {
+    let (net, process_id, addr, up) = {
         let mut world = context.world.lock().unwrap();
         let m = world.machines.get_mut(&id).unwrap();
-        let (net, life) = context.process(m.addr.ip());
-        m.life = life;
-        (net, life, m.addr, m.up)
+        let (net, process_id) = context.process(m.addr.ip());
+        m.process_id = process_id;
+        (net, process_id, m.addr, m.up)
     };
-    let _ = life;
+    let _ = process_id;
     let context = context.clone();
     tokio::spawn(async move {
         sleep_until(up).await;
@@ -36,34 +36,34 @@
         context.log(format!("{id} is up"));
         let Ok(listener) = net.bind(addr).await else { return };
         let (command_context, command_id) = (context.clone(), id.clone());
-        tokio::spawn(http::serve(listener, 100, PATIENCE, move |req| {
+        tokio::spawn(http::serve(listener, 100, CONNECTION_TIMEOUT, move |req| {
             direct(command_context.clone(), command_id.clone(), req)
         }));
-        reports(context, id, Client::on(&net, 4)).await;
+        send_reports(context, id, Client::on(&net, 4)).await;
     });
 }
 
 /// Removes a machine from the cloud and ends its process; `why` goes to the history.
 pub fn remove(context: &SimulationContext, id: &str, why: &str) {
-    let life = {
+    let process_id = {
         let mut world = context.world.lock().unwrap();
         world.remove(id, why);
-        world.machines.get(id).map(|m| m.life)
+        world.machines.get(id).map(|m| m.process_id)
     };
-    if let Some(life) = life {
-        context.network.kill(life);
+    if let Some(process_id) = process_id {
+        context.network.kill(process_id);
     }
 }
 
 /// Crashes a machine, which stays rented.
 pub fn die(context: &SimulationContext, id: &str) {
-    let life = {
+    let process_id = {
         let mut world = context.world.lock().unwrap();
         world.die(id);
-        world.machines.get(id).map(|m| m.life)
+        world.machines.get(id).map(|m| m.process_id)
     };
-    if let Some(life) = life {
-        context.network.kill(life);
+    if let Some(process_id) = process_id {
+        context.network.kill(process_id);
     }
 }
 
@@ -72,7 +72,7 @@
 }
 
 /// Waits while a machine hangs. Returns false if the machine is gone afterwards.
-async fn awake(context: &SimulationContext, id: &str) -> bool {
+async fn wait_while_hanging(context: &SimulationContext, id: &str) -> bool {
     loop {
         let until = context.world.lock().unwrap().machines[id].hang;
         if until <= Instant::now() {
@@ -84,15 +84,15 @@
 
 async fn direct(context: SimulationContext, id: String, req: http::Request) -> Response {
     let deaf = context.world.lock().unwrap().machines[&id].deaf > Instant::now();
-    if deaf || !awake(&context, &id).await {
-        sleep(PATIENCE).await;
+    if deaf || !wait_while_hanging(&context, &id).await {
+        sleep(CONNECTION_TIMEOUT).await;
         return Response::error(503, "lost");
     }
     if let Some(image) = req.path.strip_prefix(MODEL_PATH) {
         return answer_request(&context, &id, image).await;
     }
-    if held_up(&context, &id, &req) {
-        sleep(PATIENCE).await;
+    if delay_command(&context, &id, &req) {
+        sleep(CONNECTION_TIMEOUT).await;
         return Response::error(503, "held up");
     }
     let mut world = context.world.lock().unwrap();
@@ -109,7 +109,7 @@
 
 /// Returns whether a direct command is delayed. A delayed command is carried out later if its token and
 /// session still match.
-fn held_up(context: &SimulationContext, id: &str, req: &http::Request) -> bool {
+fn delay_command(context: &SimulationContext, id: &str, req: &http::Request) -> bool {
     let mut world = context.world.lock().unwrap();
     let share = world.late_commands;
     if share <= 0.0 || req.path == "/inspect" || !world.rng.random_bool(share) {
@@ -165,14 +165,14 @@
 }
 
 /// Sends the reports of a machine until it is gone.
-async fn reports(context: SimulationContext, id: String, client: Client) {
+async fn send_reports(context: SimulationContext, id: String, client: Client) {
     let mut at = {
         let mut world = context.world.lock().unwrap();
         world.rng.random_range(0..context.doors.len())
     };
     while report_due(&context, &id).await {
         let Some(report) = next_report(&context, &id) else { return };
-        copies(&context, &id, &report.body);
+        send_late_copies(&context, &id, &report.body);
         let mut next = false;
         // A redirection is followed without waiting for the next report.
         for _ in 0..context.doors.len() {
@@ -203,7 +203,7 @@
     };
     loop {
         sleep(Duration::from_millis(50)).await;
-        if !awake(context, id).await {
+        if !wait_while_hanging(context, id).await {
             return false;
         }
         let changed = context.world.lock().unwrap().machines[id].changed;
@@ -245,7 +245,7 @@
         sleep(ANSWER_LIMIT.saturating_sub(sent.elapsed())).await;
         return AfterReport::TryAnother;
     }
-    if !awake(context, id).await {
+    if !wait_while_hanging(context, id).await {
         return AfterReport::Gone;
     }
     if sent.elapsed() > ANSWER_LIMIT {
@@ -268,7 +268,7 @@
 
 /// Copies a share of the reports. A copy arrives late at one or all controllers: after seconds, after
 /// more than a lease, or when the next leader begins.
-fn copies(context: &SimulationContext, id: &str, body: &str) {
+fn send_late_copies(context: &SimulationContext, id: &str, body: &str) {
     let (ip, after, to) = {
         let mut world = context.world.lock().unwrap();
         let ip = world.machines[id].addr.ip();
@@ -312,7 +312,7 @@
 }
 
 /// Sends the kept reports to every controller, several times during the first second of a new leader.
-pub fn release_kept(context: &SimulationContext) {
+pub fn send_kept_reports(context: &SimulationContext) {
     let kept: Vec<(IpAddr, String)> =
         std::mem::take(&mut context.world.lock().unwrap().kept).into_values().flatten().collect();
     let nodes: Vec<usize> = (0..context.doors.len()).collect();
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -30,13 +30,13 @@
     /// Hosts that opened and accepted it.
     ends: (IpAddr, IpAddr),
     /// Numbers of the processes that opened and accepted it.
-    lives: (u64, u64),
+    process_ids: (u64, u64),
     pipes: [Weak<Mutex<Pipe>>; 2],
 }
 
 /// A listening socket.
 struct Bound {
-    life: u64,
+    process_id: u64,
     tx: mpsc::UnboundedSender<Box<dyn Stream>>,
 }
 
@@ -47,8 +47,8 @@
     links: Vec<Link>,
     bound: HashMap<SocketAddr, Bound>,
     dead: Vec<u64>,
-    next_life: u64,
-    mended: Arc<Notify>,
+    next_process_id: u64,
+    cuts_changed: Arc<Notify>,
     /// Start of the current period of a second and number of connections opened in it, for each process.
     opened: HashMap<u64, (Instant, u32)>,
     /// Processes that run the version in production.
@@ -73,8 +73,8 @@
             links: Vec::new(),
             bound: HashMap::new(),
             dead: Vec::new(),
-            next_life: 0,
-            mended: Arc::default(),
+            next_process_id: 0,
+            cuts_changed: Arc::default(),
             opened: HashMap::new(),
             production: HashSet::new(),
             broken: None,
@@ -84,31 +84,32 @@
     /// Creates a process on a host; returns its view of the network and its number.
     pub fn process(&self, host: IpAddr) -> (Net, u64) {
         let mut inner = self.0.lock().unwrap();
-        inner.next_life += 1;
-        let life = inner.next_life;
-        (Net::new(Process { network: self.clone(), host, life }), life)
+        inner.next_process_id += 1;
+        let process_id = inner.next_process_id;
+        (Net::new(Process { network: self.clone(), host, process_id }), process_id)
     }
 
     /// Converts all frames between the process and other controllers to the form of the version in
     /// production.
-    pub fn speak_as_production(&self, life: u64) {
-        self.0.lock().unwrap().production.insert(life);
+    pub fn use_production_format(&self, process_id: u64) {
+        self.0.lock().unwrap().production.insert(process_id);
     }
 
     /// Ends a process. Bytes that it has sent still arrive; anything that it does later has no effect.
-    pub fn kill(&self, life: u64) {
+    pub fn kill(&self, process_id: u64) {
         let mut inner = self.0.lock().unwrap();
-        inner.dead.push(life);
-        inner.bound.retain(|_, b| b.life != life);
+        inner.dead.push(process_id);
+        inner.bound.retain(|_, b| b.process_id != process_id);
         for l in &inner.links {
-            for (way, writer, reader) in [(0, l.lives.0, l.lives.1), (1, l.lives.1, l.lives.0)] {
+            for (way, writer, reader) in [(0, l.process_ids.0, l.process_ids.1), (1, l.process_ids.1, l.process_ids.0)]
+            {
                 let Some(p) = l.pipes[way].upgrade() else { continue };
                 let mut p = p.lock().unwrap();
-                if writer == life && p.closed.is_none() {
+                if writer == process_id && p.closed.is_none() {
                     p.closed = Some(p.last);
                     p.wake();
                 }
-                if reader == life {
+                if reader == process_id {
                     p.chunks.clear();
                     p.reset = true;
                     p.reader = None;
@@ -148,6 +149,6 @@
                 p.wake();
             }
         }
-        inner.mended.notify_waiters();
+        inner.cuts_changed.notify_waiters();
     }
 }
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -15,49 +15,49 @@
 pub(super) struct Process {
     pub(super) network: SimulatedNetwork,
     pub(super) host: IpAddr,
-    pub(super) life: u64,
+    pub(super) process_id: u64,
 }
 
 impl Process {
     async fn connect_to(&self, addr: SocketAddr) -> io::Result<Box<dyn Stream>> {
         let lag = Duration::from_millis(self.network.0.lock().unwrap().rng.random_range(1..=5));
         tokio::time::sleep(lag).await;
-        if self.storms(addr) {
+        if self.exceeds_connection_rate(addr) {
             return std::future::pending().await;
         }
         loop {
-            let mended = self.network.0.lock().unwrap().mended.clone();
-            let mended = mended.notified();
-            tokio::pin!(mended);
-            mended.as_mut().enable();
+            let cuts_changed = self.network.0.lock().unwrap().cuts_changed.clone();
+            let cuts_changed = cuts_changed.notified();
+            tokio::pin!(cuts_changed);
+            cuts_changed.as_mut().enable();
             if let Some(done) = self.try_connect(addr) {
                 return done;
             }
-            mended.await;
+            cuts_changed.await;
         }
     }
 
     /// Counts a connection; returns whether the process opened over 1000 within a second, which breaks a
     /// rule. Simulated time would hardly advance at such a rate.
-    fn storms(&self, addr: SocketAddr) -> bool {
+    fn exceeds_connection_rate(&self, addr: SocketAddr) -> bool {
         let mut inner = self.network.0.lock().unwrap();
         let now = Instant::now();
-        let (since, count) = inner.opened.entry(self.life).or_insert((now, 0));
+        let (since, count) = inner.opened.entry(self.process_id).or_insert((now, 0));
         if now - *since > Duration::from_secs(1) {
             (*since, *count) = (now, 0);
         }
         *count += 1;
-        let storms = *count > 1000;
-        if storms {
+        let exceeds_connection_rate = *count > 1000;
+        if exceeds_connection_rate {
             inner.broken = Some(format!("{} opens over 1000 connections a second, to {addr}", self.host));
         }
-        storms
+        exceeds_connection_rate
     }
 
     /// Tries to connect. Returns `None` while a cut holds the connection back, or if this process is dead.
     fn try_connect(&self, addr: SocketAddr) -> Option<io::Result<Box<dyn Stream>>> {
         let mut inner = self.network.0.lock().unwrap();
-        if inner.dead.contains(&self.life) {
+        if inner.dead.contains(&self.process_id) {
             return None;
         }
         let refused = || Some(Err(ErrorKind::ConnectionRefused.into()));
@@ -67,19 +67,19 @@
             None => {}
         }
         let Some(b) = inner.bound.get(&addr) else { return refused() };
-        let (there, tx) = (b.life, b.tx.clone());
+        let (there, tx) = (b.process_id, b.tx.clone());
         let pipe = || Arc::new(Mutex::new(Pipe::new()));
         let (out, back) = (pipe(), pipe());
-        let of_production = [self.life, there].iter().any(|life| inner.production.contains(life));
+        let of_production = [self.process_id, there].iter().any(|process_id| inner.production.contains(process_id));
         let in_production_form = addr.port() == INTERNAL_PORT && of_production;
-        let end = |read: &Shared<Pipe>, write: &Shared<Pipe>, life| MemStream {
+        let end = |read: &Shared<Pipe>, write: &Shared<Pipe>, process_id| MemStream {
             read: MemRead { pipe: read.clone(), timer: None },
-            write: MemWrite { pipe: write.clone(), network: self.network.clone(), life, in_production_form },
+            write: MemWrite { pipe: write.clone(), network: self.network.clone(), process_id, in_production_form },
         };
-        let (ours, theirs) = (end(&back, &out, self.life), end(&out, &back, there));
+        let (ours, theirs) = (end(&back, &out, self.process_id), end(&out, &back, there));
         inner.links.retain(|l| l.pipes.iter().any(|p| p.strong_count() > 0));
         let pipes = [Arc::downgrade(&out), Arc::downgrade(&back)];
-        inner.links.push(Link { ends: (self.host, addr.ip()), lives: (self.life, there), pipes });
+        inner.links.push(Link { ends: (self.host, addr.ip()), process_ids: (self.process_id, there), pipes });
         // Dropping an end of the connection takes this lock.
         drop(inner);
         if tx.send(Box::new(theirs)).is_err() {
@@ -101,7 +101,7 @@
                 return Err(ErrorKind::AddrInUse.into());
             }
             let (tx, rx) = mpsc::unbounded_channel();
-            inner.bound.insert(addr, Bound { life: self.life, tx });
+            inner.bound.insert(addr, Bound { process_id: self.process_id, tx });
             Ok(Box::new(MemListener(tokio::sync::Mutex::new(rx))) as Box<dyn Listener>)
         })
     }
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -53,7 +53,7 @@
 pub(super) struct MemWrite {
     pub(super) pipe: Shared<Pipe>,
     pub(super) network: SimulatedNetwork,
-    pub(super) life: u64,
+    pub(super) process_id: u64,
     /// Whether written bytes are frames that are converted to the form of the version in production.
     pub(super) in_production_form: bool,
 }
@@ -109,7 +109,7 @@
     fn close(&self) {
         // The locks are taken in the same order as by a cut: first the network's.
         let inner = self.network.0.lock().unwrap();
-        if inner.dead.contains(&self.life) {
+        if inner.dead.contains(&self.process_id) {
             return;
         }
         let mut p = self.pipe.lock().unwrap();
@@ -123,7 +123,7 @@
 impl AsyncWrite for MemWrite {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let mut inner = self.network.0.lock().unwrap();
-        if inner.dead.contains(&self.life) {
+        if inner.dead.contains(&self.process_id) {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
         let lag = Duration::from_millis(inner.rng.random_range(1..=5));
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -7,13 +7,13 @@
 use tokio::time::Instant;
 
 /// Interval at which unfinished work is checked.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Number of checks between cancellations of services.
-const LOOKS_PER_CANCELLATION: usize = 20;
+const CHECKS_PER_CANCELLATION: usize = 20;
 /// Time without faults within which all work must be finished.
-const SETTLED_WITHIN: Duration = Duration::from_secs(240);
+const SETTLE_LIMIT: Duration = Duration::from_secs(240);
 /// Time within which every poll of a job must be answered.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
+const ANSWER_LIMIT: Duration = Duration::from_secs(75);
 
 impl Sim {
     /// Ends all faults and checks that all work finishes in bounded time and that every accepted job
@@ -54,18 +54,18 @@
     /// Runs until no job is unfinished, cancelling services one after the other.
     async fn finish_all_jobs(&mut self) {
         let over = Instant::now();
-        let mut looks = 0;
+        let mut checks = 0;
         loop {
-            self.run(LOOK_EVERY).await;
+            self.run(CHECK_INTERVAL).await;
             let open = self.context.world.lock().unwrap().unsettled();
             if open.is_empty() {
                 break;
             }
-            looks += 1;
-            if looks % LOOKS_PER_CANCELLATION == 0 {
+            checks += 1;
+            if checks % CHECKS_PER_CANCELLATION == 0 {
                 self.cancel_services(&open);
             }
-            if over.elapsed() > SETTLED_WITHIN {
+            if over.elapsed() > SETTLE_LIMIT {
                 let world = self.context.world.lock().unwrap();
                 let text = format!("seed {}: unfinished: {open:#?}\n{}", self.context.seed, world.recent(&open[0]));
                 drop(world);
@@ -101,7 +101,7 @@
             self.run(Duration::from_millis(50)).await;
             self.ask_all(id);
         }
-        self.until("every job is answered", ANSWERED_WITHIN, |world| {
+        self.until("every job is answered", ANSWER_LIMIT, |world| {
             known.iter().all(|id| world.jobs[id].answered.is_some_and(|a| a > asked))
         })
         .await;
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -1,6 +1,6 @@
 //! HTTP interface of the simulated state service, with its faults.
 
-use super::deployment::PATIENCE;
+use super::deployment::CONNECTION_TIMEOUT;
 use super::ground::SimulationContext;
 use super::machines;
 use super::versions::production_records;
@@ -30,7 +30,7 @@
 }
 
 /// Randomly drawn delay and fault of one request.
-struct Fate {
+struct RequestFault {
     lag: Duration,
     /// Delay in seconds after which a write without an answer is carried out; `None` for no such fault.
     late_s: Option<f64>,
@@ -58,9 +58,9 @@
     if req.path.starts_with("/changes") {
         return watch(&context, node, &req.path).await;
     }
-    let fate = draw_fate(&context, &req);
-    sleep(fate.lag).await;
-    if let Some(late) = fate.late_s {
+    let fault = draw_request_fault(&context, &req);
+    sleep(fault.lag).await;
+    if let Some(late) = fault.late_s {
         sleep(secs(late)).await;
         while context.world.lock().unwrap().store.down {
             sleep(Duration::from_millis(100)).await;
@@ -70,9 +70,9 @@
         return Response::error(503, "trouble");
     }
     let response = carry_out(&context, node, &req);
-    if fate.late_s.is_some() || fate.answer_lost {
+    if fault.late_s.is_some() || fault.answer_lost {
         context.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
-        sleep(PATIENCE).await;
+        sleep(CONNECTION_TIMEOUT).await;
     }
     response
 }
@@ -91,14 +91,14 @@
     }
 }
 
-fn draw_fate(context: &SimulationContext, req: &Request) -> Fate {
+fn draw_request_fault(context: &SimulationContext, req: &Request) -> RequestFault {
     let mut world = context.world.lock().unwrap();
     let (late, lost) = (world.late_writes, world.lost_answers);
     let slow = world.rng.random_bool(0.01);
     let lag = world.rng.random_range(if slow { 50..300 } else { 1..8 });
     let writes = req.method != "GET";
     let late_s = (writes && world.rng.random_bool(late)).then(|| world.rng.random_range(2.0..12.0));
-    Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && world.rng.random_bool(lost) }
+    RequestFault { lag: Duration::from_millis(lag), late_s, answer_lost: writes && world.rng.random_bool(lost) }
 }
 
 /// Carries a request out. If it makes a controller leader, this is noted and the kept copies of worker
@@ -111,13 +111,13 @@
         let claimed = world.store.claims > before;
         if claimed {
             let record = world.store.value("part/0");
-            world.note_token(&record);
+            world.record_term(&record);
         }
         (response, claimed)
     };
     if claimed {
         context.log(format!("n{node} begins to lead"));
-        machines::release_kept(context);
+        machines::send_kept_reports(context);
     }
     response
 }
--- a/crates/stand-ins/src/users.rs
+++ b/crates/stand-ins/src/users.rs
@@ -28,7 +28,7 @@
     match context.user.call(context.doors[node], method, &path, body.as_deref().map(str::as_bytes), secs(limit)).await {
         Ok((status, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-            context.world.lock().unwrap().heard(id, sent, node, what, status, &v);
+            context.world.lock().unwrap().check_answer(id, sent, node, what, status, &v);
             (status, v)
         }
         Err(_) => (0, Value::Null),
@@ -118,7 +118,7 @@
 }
 
 /// Polls jobs that were never submitted; an answer of 200 breaks a rule.
-pub async fn stranger(context: SimulationContext, seed: u64) {
+pub async fn poll_unknown_jobs(context: SimulationContext, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
         let rate = context.world.lock().unwrap().poll_rate;
--- a/crates/stand-ins/src/world/machine.rs
+++ b/crates/stand-ins/src/world/machine.rs
@@ -70,7 +70,7 @@
     pub zone: String,
     pub spot: bool,
     /// Number of the worker's process.
-    pub life: u64,
+    pub process_id: u64,
     pub(super) rented: Instant,
     pub up: Instant,
     pub gone: Option<Instant>,
@@ -94,7 +94,7 @@
     /// Whether every task on it fails.
     pub faulty: bool,
     pub changed: bool,
-    pub(super) told_fence: Instant,
+    pub(super) reported_token_at: Instant,
 }
 
 impl Machine {
--- a/crates/stand-ins/src/world/mod.rs
+++ b/crates/stand-ins/src/world/mod.rs
@@ -55,9 +55,9 @@
     pub production: Vec<bool>,
     /// For each node, the second of its last request to the state service and its requests in that second.
     pub asked: Vec<(u64, u32)>,
-    /// Share of requests to the state service that get no answer and are carried out late.
+    /// Share of writes to the state service that get no answer and are carried out late.
     pub late_writes: f64,
-    /// Share of requests to the state service that are carried out at once but get no answer.
+    /// Share of writes to the state service that are carried out at once but get no answer.
     pub lost_answers: f64,
     /// Share of direct commands that get no answer and are carried out 2 to 16 s late.
     pub late_commands: f64,
--- a/crates/stand-ins/src/world/rental.rs
+++ b/crates/stand-ins/src/world/rental.rs
@@ -66,7 +66,7 @@
                 flavor,
                 zone: zone.into(),
                 spot,
-                life: 0,
+                process_id: 0,
                 rented: now,
                 up,
                 gone: None,
@@ -84,7 +84,7 @@
                 taken: None,
                 faulty: self.rng.random_bool(self.faulty),
                 changed: false,
-                told_fence: now,
+                reported_token_at: now,
             };
             let faulty = if m.faulty { " faulty" } else { "" };
             self.log(format!("rented {id} {sku} {zone} spot={spot}{faulty}"));
@@ -101,7 +101,7 @@
         if self.machines.get(id).is_none_or(|m| m.gone.is_some()) {
             return;
         }
-        self.lose_all_models(id);
+        self.remove_all_models(id);
         let m = self.machines.get_mut(id).unwrap();
         m.gone = Some(now);
         let on: Vec<_> = std::mem::take(&mut m.copies).into_iter().filter(|c| c.1.phase != Phase::Ended).collect();
@@ -115,7 +115,7 @@
         if self.machines.get(id).is_none_or(|m| !m.alive(now)) {
             return;
         }
-        self.lose_all_models(id);
+        self.remove_all_models(id);
         let m = self.machines.get_mut(id).unwrap();
         m.died = Some(now);
         let on: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -62,7 +62,7 @@
     }
 
     /// Checks an answer to a request about a job, sent at `sent`, against all earlier answers to its user.
-    pub fn heard(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, v: &Value) {
+    pub fn check_answer(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, v: &Value) {
         let now = Instant::now();
         let phase = v["phase"].as_str().unwrap_or("");
         let Some(job) = self.jobs.get(id).cloned() else { return };
@@ -119,7 +119,7 @@
 
     /// Returns whether another submission may name this job as a dependency: the job must be accepted, and
     /// also over if the other job `comes_late`.
-    pub fn may_be_named(&self, id: &str, comes_late: bool) -> bool {
+    pub fn may_be_dependency(&self, id: &str, comes_late: bool) -> bool {
         self.jobs.get(id).is_some_and(|job| job.accepted.is_some() && (job.over() || !comes_late))
     }
 
--- a/crates/stand-ins/src/world/slots.rs
+++ b/crates/stand-ins/src/world/slots.rs
@@ -80,7 +80,7 @@
     }
 
     /// Accounts for an attempt that has left its machine, if it had taken over a model.
-    pub(super) fn detached(&mut self, attempt: &TaskAttempt) {
+    pub(super) fn account_for_detached(&mut self, attempt: &TaskAttempt) {
         if attempt.attached {
             let used_s = attempt.since.elapsed().as_secs_f64();
             *self.slot_account.claimed_s.entry(attempt.team).or_default() += used_s;
@@ -88,9 +88,9 @@
     }
 
     /// Accounts for all tasks of a machine that is lost, and removes its slots.
-    pub(super) fn lose_all_models(&mut self, id: &str) {
+    pub(super) fn remove_all_models(&mut self, id: &str) {
         let tasks: Vec<TaskAttempt> = self.machines[id].copies.values().filter(|a| a.phase.on()).cloned().collect();
-        tasks.iter().for_each(|attempt| self.detached(attempt));
+        tasks.iter().for_each(|attempt| self.account_for_detached(attempt));
         let machine = self.machines.get_mut(id).unwrap();
         for lost in std::mem::take(&mut machine.slots).into_values() {
             self.slot_account.idle_s += lost.since.elapsed().as_secs_f64();
--- a/crates/stand-ins/src/world/terms.rs
+++ b/crates/stand-ins/src/world/terms.rs
@@ -18,7 +18,7 @@
 
 impl SimulationState {
     /// Notes the record of a term that a controller has written.
-    pub fn note_token(&mut self, record: &Value) {
+    pub fn record_term(&mut self, record: &Value) {
         let (Some(number), Some(owner)) = (record["term"].as_u64(), record["holder"].as_str()) else { return };
         if self.terms.last().is_none_or(|last| last.number < number) {
             self.terms.push(Term { number, owner: owner.into(), since: Instant::now() });
@@ -26,7 +26,7 @@
     }
 
     /// Checks orders that reach a worker: their sender must not have been superseded by another leader.
-    pub(super) fn check_entitlement(&mut self, worker: &str, message: &Value) {
+    pub(super) fn check_term_of_orders(&mut self, worker: &str, message: &Value) {
         let orders = message["orders"].as_array().is_some_and(|orders| !orders.is_empty());
         let (true, true, Some(token)) = (self.check_terms, orders, message["fence"].as_u64()) else { return };
         let Some(at) = self.terms.iter().position(|term| term.number == token) else { return };
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Seconds after which a task of a faulty job fails.
-const MISTAKE_SHOWS_S: f64 = 1.0;
+const FAULTY_JOB_RUN_S: f64 = 1.0;
 
 impl SimulationState {
     /// Returns the next report of a machine.
@@ -40,7 +40,7 @@
     /// the session is over or the fencing token is stale.
     pub fn reply(&mut self, id: &str, tenure: u64, sent: Instant, v: &Value) {
         self.expire_leases();
-        self.check_entitlement(id, v);
+        self.check_term_of_orders(id, v);
         let Some(fence) = v["fence"].as_u64() else { return };
         let m = self.machines.get_mut(id).unwrap();
         if m.tenure != tenure || fence < m.fence {
@@ -54,7 +54,7 @@
     /// Applies a direct command. Returns false if its fencing token or session does not match.
     pub fn direct(&mut self, id: &str, v: &Value) -> bool {
         self.expire_leases();
-        self.check_entitlement(id, v);
+        self.check_term_of_orders(id, v);
         let (Some(fence), Some(tenure)) = (v["fence"].as_u64(), v["tenure"].as_u64()) else { return false };
         let m = &self.machines[id];
         if fence < m.fence || tenure != m.tenure {
@@ -71,8 +71,8 @@
         let m = self.machines.get_mut(id).unwrap();
         if fence > m.fence {
             m.fence = fence;
-            if m.told_fence + secs(lease_s / 2.0) <= now {
-                m.told_fence = now;
+            if m.reported_token_at + secs(lease_s / 2.0) <= now {
+                m.reported_token_at = now;
                 m.changed = true;
             }
         }
@@ -199,7 +199,7 @@
             self.batch_task_stopped(&ended, stored);
         }
         if ended.phase.on() {
-            self.detached(&ended);
+            self.account_for_detached(&ended);
         }
         let m = self.machines.get_mut(id).unwrap();
         let c = m.copies.get_mut(key).unwrap();
@@ -231,7 +231,7 @@
         let expired: Vec<String> = self.machines.values().filter(over).map(|m| m.id.clone()).collect();
         let mut told = Vec::new();
         for id in expired {
-            self.lose_all_models(&id);
+            self.remove_all_models(&id);
             let m = self.machines.get_mut(&id).unwrap();
             let killed: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
             m.tenure += 1;
@@ -278,7 +278,7 @@
         } else if job.shape == "group" {
             (c.phase, c.due) = (Phase::Gathering, now + secs(gang_wait_s));
         } else {
-            let run_s = if job.mistaken { MISTAKE_SHOWS_S } else { left.max(0.1) };
+            let run_s = if job.mistaken { FAULTY_JOB_RUN_S } else { left.max(0.1) };
             (c.phase, c.due) = (Phase::Running, now + secs(run_s));
         }
     }
