--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -128,6 +128,6 @@
 
 fn report(result: std::io::Result<()>) {
     if let Err(error) = result {
-        eprintln!("badgerdrift-scale: a fault could not be brought about: {error}");
+        eprintln!("badgerdrift-scale: injection of a fault failed: {error}");
     }
 }
--- a/crates/scale/src/region.rs
+++ b/crates/scale/src/region.rs
@@ -73,7 +73,7 @@
 async fn run(plan: RegionPlan, mut input: Lines<BufReader<Stdin>>) -> Result<Option<RegionResult>, String> {
     let traffic = RegionTraffic::default();
     let context = start_stand_ins(&plan, &traffic);
-    let controllers = Controllers::start(&plan).map_err(|error| format!("a controller does not start: {error}"))?;
+    let controllers = Controllers::start(&plan).map_err(|error| format!("start of a controller failed: {error}"))?;
     let controllers = Arc::new(Mutex::new(controllers));
     let cuts = Cuts::new(plan.scenario.regions);
     relays::start(&plan, &cuts).await?;
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -262,12 +262,12 @@
     fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
         for id in self.random_machines(rng, count, |spot| spot) {
             if noticed {
-                self.context.log(format!("{id} is to be taken"));
+                self.context.log(format!("{id} gets notice of its reclaim"));
                 let mut world = self.context.world.lock().unwrap();
                 let m = world.machines.get_mut(&id).unwrap();
                 (m.taken, m.changed) = (Some(Instant::now() + secs(rng.random_range(3.0..12.0))), true);
             } else {
-                machines::remove(&self.context, &id, "is taken without notice");
+                machines::remove(&self.context, &id, "is reclaimed without notice");
             }
         }
     }
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -167,7 +167,7 @@
             if production {
                 self.context.network.use_production_format(process_id);
             }
-            self.context.log(format!("n{node} starts, of the version in production: {production}"));
+            self.context.log(format!("n{node} starts, version in production: {production}"));
             self.pauses[node] = Arc::default();
             let controller = {
                 let settings = deployment::settings(node, &self.guaranteed_cards);
@@ -202,7 +202,7 @@
 
     /// Sets how often users poll their jobs, as a multiple of the default rate.
     pub fn poll_rate(&self, rate: f64) {
-        self.context.log(format!("users poll {rate} times as often"));
+        self.context.log(format!("poll rate of users: {rate} times the default"));
         self.context.world.lock().unwrap().poll_rate = rate;
     }
 
@@ -214,7 +214,8 @@
 
     /// Sets the limits of the state service, effective at once.
     pub fn limit_state(&self, limits: Limits) {
-        self.context.log(format!("the state service takes {} changes of {} bytes", limits.changes, limits.value_bytes));
+        self.context
+            .log(format!("limits of the state service: {} changes of {} bytes", limits.changes, limits.value_bytes));
         self.context.world.lock().unwrap().store.limits = Some(limits);
     }
 
@@ -282,7 +283,8 @@
         while !holds(&self.context.world.lock().unwrap()) {
             if Instant::now() >= end {
                 let world = self.context.world.lock().unwrap();
-                let text = format!("seed {}: not in {most:?}: {what}\n{}", self.context.seed, world.recent(what));
+                let text =
+                    format!("seed {}: not reached within {most:?}: {what}\n{}", self.context.seed, world.recent(what));
                 drop(world);
                 panic!("{text}");
             }
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -121,7 +121,7 @@
     tokio::spawn(async move {
         sleep(after).await;
         if exists(&context, &id) {
-            context.log(format!("{id} gets a command that was held up"));
+            context.log(format!("{id} receives a delayed command"));
             context.world.lock().unwrap().direct(&id, &body);
         }
     });
@@ -306,7 +306,7 @@
                 .call(context.doors[node], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(2))
                 .await;
             let status = r.map_or(0, |r| r.0);
-            context.log(format!("late copy at n{node} answered {status}: {body}"));
+            context.log(format!("late copy of a report answered {status} by n{node}: {body}"));
         });
     }
 }
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -49,7 +49,7 @@
         *count += 1;
         let exceeds_connection_rate = *count > 1000;
         if exceeds_connection_rate {
-            inner.broken = Some(format!("{} opens over 1000 connections a second, to {addr}", self.host));
+            inner.broken = Some(format!("{} opened over 1000 connections in a second, the last to {addr}", self.host));
         }
         exceeds_connection_rate
     }
--- a/crates/stand-ins/src/settle.rs
+++ b/crates/stand-ins/src/settle.rs
@@ -31,11 +31,11 @@
         }
         let nothing = !known.is_empty() && world.starts == 0;
         drop(world);
-        assert!(!nothing, "seed {}: nothing ran", self.context.seed);
+        assert!(!nothing, "seed {}: no task of the accepted jobs started", self.context.seed);
     }
 
     fn end_faults(&mut self) {
-        self.context.log("all troubles end".into());
+        self.context.log("all faults end".into());
         self.state_down(false);
         for i in 0..NODES {
             self.refuse_state(i, false);
@@ -67,7 +67,11 @@
             }
             if over.elapsed() > SETTLE_LIMIT {
                 let world = self.context.world.lock().unwrap();
-                let text = format!("seed {}: unfinished: {open:#?}\n{}", self.context.seed, world.recent(&open[0]));
+                let text = format!(
+                    "seed {}: jobs unfinished {SETTLE_LIMIT:?} after the last fault: {open:#?}\n{}",
+                    self.context.seed,
+                    world.recent(&open[0])
+                );
                 drop(world);
                 panic!("{text}");
             }
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -65,13 +65,13 @@
         while context.world.lock().unwrap().store.down {
             sleep(Duration::from_millis(100)).await;
         }
-        context.log(format!("late by {late:.1} s for n{node}: {} {}", req.method, req.path));
+        context.log(format!("request of n{node} carried out {late:.1} s late: {} {}", req.method, req.path));
     } else if is_down(&context, node) {
         return Response::error(503, "trouble");
     }
     let response = carry_out(&context, node, &req);
     if fault.late_s.is_some() || fault.answer_lost {
-        context.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
+        context.log(format!("answer lost for n{node}: {} {} had status {}", req.method, req.path, response.status));
         sleep(CONNECTION_TIMEOUT).await;
     }
     response
@@ -116,7 +116,7 @@
         (response, claimed)
     };
     if claimed {
-        context.log(format!("n{node} begins to lead"));
+        context.log(format!("n{node} becomes leader"));
         machines::send_kept_reports(context);
     }
     response
--- a/crates/stand-ins/src/users.rs
+++ b/crates/stand-ins/src/users.rs
@@ -127,7 +127,11 @@
         let node = rng.random_range(0..context.doors.len());
         let r = context.user.call(context.doors[node], "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
         if let Ok((200, _)) = r {
-            context.world.lock().unwrap().fail(format!("invented: {id} is answered 200 by n{node}"));
+            context
+                .world
+                .lock()
+                .unwrap()
+                .fail(format!("invented: n{node} answers 200 to a poll of {id}, which was never submitted"));
         }
     }
 }
--- a/crates/stand-ins/src/versions.rs
+++ b/crates/stand-ins/src/versions.rs
@@ -32,7 +32,7 @@
         out.extend(production_frame(frame)?);
         written = next;
     }
-    if written.is_empty() { Ok(out) } else { Err("a write that ends within a frame".into()) }
+    if written.is_empty() { Ok(out) } else { Err("write ends within a frame".into()) }
 }
 
 /// Converts a frame between a controller of the version in production and another one.
@@ -50,12 +50,12 @@
     }) = &request
         && waits(&serde_json::from_slice(submission).unwrap_or_default())
     {
-        return Err("a job that waits for others is passed to an owner that would start it".into());
+        return Err("submission of a job with dependencies passed to an owner of the version in production, which would start it at once".into());
     }
     if request.is_err() && response.is_err() {
-        return Err(format!("a frame that the version in production can't read: {:?}", response.err()));
+        return Err(format!("frame unreadable for the version in production: {:?}", response.err()));
     }
-    let Ok(Cbor::Map(entries)) = ciborium::from_reader(body) else { return Err("a frame without a map".into()) };
+    let Ok(Cbor::Map(entries)) = ciborium::from_reader(body) else { return Err("frame body is not a map".into()) };
     let known = entries.into_iter().filter(|(name, _)| *name != Cbor::Text("format".into())).collect();
     let mut out = vec![0; LENGTH_BYTES];
     ciborium::into_writer(&Cbor::Map(known), &mut out).unwrap();
@@ -76,7 +76,7 @@
             if fields.contains_key("spec") {
                 fields["spec"].as_object_mut().unwrap().remove("waits_on");
                 if let Err(e) = production::JobRecord::deserialize(&*value) {
-                    return Err(format!("a record that the version in production can't read: {e}: {value}"));
+                    return Err(format!("record unreadable for the version in production: {e}: {value}"));
                 }
                 return Ok(());
             }
--- a/crates/stand-ins/src/world/gang.rs
+++ b/crates/stand-ins/src/world/gang.rs
@@ -74,7 +74,7 @@
         if gathered != job.shards as usize {
             return;
         }
-        self.log(format!("{} try {} runs as a gang", attempt.0, attempt.1));
+        self.log(format!("gang of {} try {} runs", attempt.0, attempt.1));
         let gang = Gang { began: now, stopped: None, fails: None, failed: false };
         self.gangs.insert(attempt.clone(), gang);
         for member in all {
--- a/crates/stand-ins/src/world/mod.rs
+++ b/crates/stand-ins/src/world/mod.rs
@@ -173,7 +173,7 @@
 
     /// Records a broken rule. The first one ends the simulation.
     pub fn fail(&mut self, what: String) {
-        self.log(format!("BROKEN {what}"));
+        self.log(format!("broken rule: {what}"));
         self.broken.get_or_insert(what);
     }
 
@@ -214,7 +214,7 @@
         *at = second;
         let ok = *count <= 1000;
         if !ok {
-            self.fail(format!("n{node} storms the state service: over 1000 requests in a second"));
+            self.fail(format!("n{node} sent over 1000 requests in a second to the state service"));
         }
         ok
     }
@@ -290,7 +290,7 @@
             .filter(|m| m.exists() && m.taken.is_some_and(|t| t <= now))
             .map(|m| m.id.clone())
             .collect();
-        taken.iter().for_each(|id| self.remove(id, "is taken"));
+        taken.iter().for_each(|id| self.remove(id, "is reclaimed"));
         let due: Vec<(String, (String, u64))> = self
             .machines
             .values()
@@ -326,7 +326,7 @@
         for id in self.jobs.values().filter(late).map(|j| j.id.clone()).collect::<Vec<_>>() {
             let on = self.machines.values().find(|m| m.copies.values().any(|c| c.job == id && c.phase.on()));
             if let Some(m) = on.map(|m| m.id.clone()) {
-                self.fail(format!("ran_cancelled: {id} is on {m} more than cancel_s after `cancelled` was told"));
+                self.fail(format!("ran_cancelled: {id} is on {m} more than cancel_s after the answer `cancelled`"));
             }
         }
     }
--- a/crates/stand-ins/src/world/rental.rs
+++ b/crates/stand-ins/src/world/rental.rs
@@ -119,7 +119,7 @@
         let m = self.machines.get_mut(id).unwrap();
         m.died = Some(now);
         let on: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
-        self.log(format!("{id} dies with {on:?}"));
+        self.log(format!("{id} crashes with {on:?}"));
     }
 
     /// Returns a page of the list of machines as it was up to twice `list_lag_s` ago.
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -43,20 +43,20 @@
         }
         let mates = || on.iter().filter(|o| o.2.job == job.id && o.1.0 != key.0);
         if job.same_place && mates().any(|o| o.0.zone != m.zone) {
-            wrong.push(place("others of the job are in another zone"));
+            wrong.push(place("other tasks of the job are in another zone"));
         }
         let here = mates().filter(|o| o.0.zone == m.zone).count() + 1;
         if job.apart && here > job.shards.div_ceil(2) as usize {
-            wrong.push(place("too many of the job are in this zone"));
+            wrong.push(place("too many tasks of the job are in this zone"));
         }
         if job.cancelled.is_some() {
-            wrong.push(format!("ran_cancelled: {} try {} starts on {id} after `cancelled` was told", key.0, key.1));
+            wrong.push(format!("ran_cancelled: {} try {} starts on {id} after the answer `cancelled`", key.0, key.1));
         }
         for needed in job.waits_on.iter().filter(|id| self.recorded_end(id) != "Done") {
             wrong.push(format!("too_early: {} starts on {id} before {needed} is recorded as done", key.0));
         }
         if job.invalid {
-            wrong.push(format!("{} starts, though its job is invalid", key.0));
+            wrong.push(format!("{} starts, but its job is invalid", key.0));
         }
         wrong.into_iter().for_each(|w| self.fail(w));
     }
@@ -67,7 +67,7 @@
         let phase = v["phase"].as_str().unwrap_or("");
         let Some(job) = self.jobs.get(id).cloned() else { return };
         let told = format!("{id}: {what} at n{node} sent {:.3}: {status} {v}", (sent - self.start).as_secs_f64());
-        self.log(format!("user of {told}"));
+        self.log(format!("answer to the user of {told}"));
         let after = |t: Option<Instant>| t.is_some_and(|t| sent > t);
         if status == 200 || status == 404 {
             self.jobs.get_mut(id).unwrap().answered = Some(now);
@@ -77,7 +77,7 @@
         }
         if job.invalid {
             if matches!(status, 200 | 201) {
-                self.fail(format!("accepted though invalid: {told}"));
+                self.fail(format!("invalid job accepted: {told}"));
             }
             return;
         }
@@ -85,7 +85,7 @@
             self.fail(format!("forgotten: {told}"));
         }
         if matches!(status, 400 | 422) {
-            self.fail(format!("a valid job is refused: {told}"));
+            self.fail(format!("valid job refused: {told}"));
         }
         if !matches!(status, 200 | 201) {
             return;
@@ -97,16 +97,21 @@
             && !job.cancel_asked
             && !self.needs(&job, |world, j| world.recorded_end(&j.id) == "Cancelled")
         {
-            self.fail(format!("went_back: cancelled though neither it nor what it needs was: {told}"));
+            self.fail(format!(
+                "went_back: answered `cancelled`, but neither the job nor a dependency was cancelled: {told}"
+            ));
         }
         if phase != "cancelled" && self.needs(&job, |_, j| after(j.cancelled)) {
-            self.fail(format!("orphaned: a job that it needs was called cancelled before: {told}"));
+            self.fail(format!("orphaned: not answered `cancelled`, but a dependency was before: {told}"));
         }
         if phase == "done" && !job.all_done() {
-            self.fail(format!("not_done: {:?} of {} are done: {told}", job.done, job.shards));
+            self.fail(format!(
+                "not_done: answered `done`, but only tasks {:?} of {} are: {told}",
+                job.done, job.shards
+            ));
         }
         if what == "withdraw" && !matches!(phase, "done" | "cancelled") {
-            self.fail(format!("a cancellation is answered so: {told}"));
+            self.fail(format!("cancellation answered with another phase than `done` or `cancelled`: {told}"));
         }
         let j = self.jobs.get_mut(id).unwrap();
         j.accepted.get_or_insert(now);
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -80,7 +80,7 @@
 
     pub(super) fn execute(&mut self, id: &str, orders: &Value) {
         for o in orders.as_array().into_iter().flatten() {
-            self.log(format!("{id} is told {o}"));
+            self.log(format!("{id} receives order {o}"));
             let verb = o["verb"].as_str().unwrap();
             match verb {
                 "load" if self.parameters.loads_models => {
@@ -106,7 +106,9 @@
                         m.changed = true;
                     }
                 }
-                other => self.fail(format!("an order {other:?} that no worker knows")),
+                other => self.fail(format!(
+                    "order with unknown verb {other:?}; expected run, stop, reap, load, unload or attach"
+                )),
             }
         }
     }
