--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -270,8 +270,8 @@
             self.context.world.lock().unwrap().fail(broken);
         }
         let world = self.context.world.lock().unwrap();
-        if let Some(b) = world.broken.clone() {
-            let text = format!("seed {}: {b}\n{}", self.context.seed, world.recent(&b));
+        if let Some(rule) = world.broken.clone() {
+            let text = format!("seed {}: {rule}\n{}", self.context.seed, world.recent(&rule));
             drop(world);
             panic!("{text}");
         }
@@ -295,8 +295,8 @@
     /// Returns the node that owns partition 0 according to the state service, if one does.
     pub fn leader(&self) -> Option<usize> {
         let key = Request { method: "GET".into(), path: "/store/part/0".into(), body: Vec::new() };
-        let r = self.context.world.lock().unwrap().store.read(&key);
-        let v: Value = serde_json::from_slice(&r.body).unwrap_or_default();
-        v["data"]["holder"].as_str()?.strip_prefix('n')?.parse().ok()
+        let response = self.context.world.lock().unwrap().store.read(&key);
+        let record: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        record["data"]["holder"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 }
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -21,10 +21,10 @@
 pub fn boot(context: &SimulationContext, id: String) {
     let (net, process_id, addr, up) = {
         let mut world = context.world.lock().unwrap();
-        let m = world.machines.get_mut(&id).unwrap();
-        let (net, process_id) = context.process(m.addr.ip());
-        m.process_id = process_id;
-        (net, process_id, m.addr, m.up)
+        let machine = world.machines.get_mut(&id).unwrap();
+        let (net, process_id) = context.process(machine.addr.ip());
+        machine.process_id = process_id;
+        (net, process_id, machine.addr, machine.up)
     };
     let _ = process_id;
     let context = context.clone();
@@ -48,7 +48,7 @@
     let process_id = {
         let mut world = context.world.lock().unwrap();
         world.remove(id, why);
-        world.machines.get(id).map(|m| m.process_id)
+        world.machines.get(id).map(|machine| machine.process_id)
     };
     if let Some(process_id) = process_id {
         context.network.kill(process_id);
@@ -60,7 +60,7 @@
     let process_id = {
         let mut world = context.world.lock().unwrap();
         world.die(id);
-        world.machines.get(id).map(|m| m.process_id)
+        world.machines.get(id).map(|machine| machine.process_id)
     };
     if let Some(process_id) = process_id {
         context.network.kill(process_id);
@@ -219,9 +219,9 @@
     if !world.machines[id].exists() {
         return None;
     }
-    let m = world.machines.get_mut(id).unwrap();
-    m.changed = false;
-    let mute = m.mute > Instant::now();
+    let machine = world.machines.get_mut(id).unwrap();
+    machine.changed = false;
+    let mute = machine.mute > Instant::now();
     let body = world.report(id).to_string();
     Some(SentReport { sent: Instant::now(), tenure: world.tenure(id), body, mute })
 }
@@ -239,7 +239,7 @@
         return AfterReport::TryAnother;
     }
     let limit = ANSWER_LIMIT.saturating_sub(sent.elapsed());
-    let r = client.call(context.doors[at], "POST", "/agent/beat", Some(body), limit).await;
+    let result = client.call(context.doors[at], "POST", "/agent/beat", Some(body), limit).await;
     let deaf = context.world.lock().unwrap().machines[id].deaf > Instant::now();
     if deaf {
         sleep(ANSWER_LIMIT.saturating_sub(sent.elapsed())).await;
@@ -251,7 +251,7 @@
     if sent.elapsed() > ANSWER_LIMIT {
         return AfterReport::TryAnother;
     }
-    match r {
+    match result {
         Ok((200, b)) => {
             let v: Value = serde_json::from_slice(&b).unwrap_or_default();
             context.world.lock().unwrap().reply(id, report.tenure, sent, &v);
@@ -302,10 +302,10 @@
         tokio::spawn(async move {
             sleep(after).await;
             let client = Client::on(&context.process(ip).0, 0);
-            let r = client
+            let result = client
                 .call(context.doors[node], "POST", "/agent/beat", Some(body.as_bytes()), Duration::from_secs(2))
                 .await;
-            let status = r.map_or(0, |r| r.0);
+            let status = result.map_or(0, |result| result.0);
             context.log(format!("late copy of a report answered {status} by n{node}: {body}"));
         });
     }
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -99,20 +99,21 @@
     pub fn kill(&self, process_id: u64) {
         let mut inner = self.0.lock().unwrap();
         inner.dead.push(process_id);
-        inner.bound.retain(|_, b| b.process_id != process_id);
-        for l in &inner.links {
-            for (way, writer, reader) in [(0, l.process_ids.0, l.process_ids.1), (1, l.process_ids.1, l.process_ids.0)]
+        inner.bound.retain(|_, socket| socket.process_id != process_id);
+        for link in &inner.links {
+            for (way, writer, reader) in
+                [(0, link.process_ids.0, link.process_ids.1), (1, link.process_ids.1, link.process_ids.0)]
             {
-                let Some(p) = l.pipes[way].upgrade() else { continue };
-                let mut p = p.lock().unwrap();
-                if writer == process_id && p.closed.is_none() {
-                    p.closed = Some(p.last);
-                    p.wake();
+                let Some(pipe) = link.pipes[way].upgrade() else { continue };
+                let mut pipe = pipe.lock().unwrap();
+                if writer == process_id && pipe.closed.is_none() {
+                    pipe.closed = Some(pipe.last);
+                    pipe.wake();
                 }
                 if reader == process_id {
-                    p.chunks.clear();
-                    p.reset = true;
-                    p.reader = None;
+                    pipe.chunks.clear();
+                    pipe.reset = true;
+                    pipe.reader = None;
                 }
             }
         }
@@ -138,15 +139,15 @@
             Some(c) => inner.cuts.insert(ends, c),
             None => inner.cuts.remove(&ends),
         };
-        for l in inner.links.iter().filter(|l| pair(l.ends.0, l.ends.1) == ends) {
-            for p in l.pipes.iter().filter_map(Weak::upgrade) {
-                let mut p = p.lock().unwrap();
-                p.held = cut == Some(Cut::Hold);
+        for link in inner.links.iter().filter(|link| pair(link.ends.0, link.ends.1) == ends) {
+            for pipe in link.pipes.iter().filter_map(Weak::upgrade) {
+                let mut pipe = pipe.lock().unwrap();
+                pipe.held = cut == Some(Cut::Hold);
                 if cut == Some(Cut::Refuse) {
-                    p.reset = true;
-                    p.chunks.clear();
+                    pipe.reset = true;
+                    pipe.chunks.clear();
                 }
-                p.wake();
+                pipe.wake();
             }
         }
         inner.cuts_changed.notify_waiters();
--- a/crates/stand-ins/src/users.rs
+++ b/crates/stand-ins/src/users.rs
@@ -26,10 +26,10 @@
     };
     let sent = Instant::now();
     match context.user.call(context.doors[node], method, &path, body.as_deref().map(str::as_bytes), secs(limit)).await {
-        Ok((status, b)) => {
-            let v: Value = serde_json::from_slice(&b).unwrap_or_default();
-            context.world.lock().unwrap().check_answer(id, sent, node, what, status, &v);
-            (status, v)
+        Ok((status, bytes)) => {
+            let body: Value = serde_json::from_slice(&bytes).unwrap_or_default();
+            context.world.lock().unwrap().check_answer(id, sent, node, what, status, &body);
+            (status, body)
         }
         Err(_) => (0, Value::Null),
     }
@@ -125,8 +125,8 @@
         sleep(secs(rng.random_range(2.0..6.0) / rate)).await;
         let id = format!("run-9{:05}", rng.random_range(0..100_000));
         let node = rng.random_range(0..context.doors.len());
-        let r = context.user.call(context.doors[node], "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
-        if let Ok((200, _)) = r {
+        let response = context.user.call(context.doors[node], "GET", &format!("/v1/jobs/{id}"), None, secs(2.0)).await;
+        if let Ok((200, _)) = response {
             context
                 .world
                 .lock()
--- a/crates/stand-ins/src/world/job.rs
+++ b/crates/stand-ins/src/world/job.rs
@@ -94,39 +94,39 @@
     /// Returns a random job that fits its team, or with a probability of 0.06 an invalid one.
     pub fn random(id: &str, rng: &mut StdRng) -> Job {
         let shape = ["batch", "batch", "group", "group", "service"][rng.random_range(0..5)];
-        let mut j = Job::new(id, shape, 1);
-        j.team = TEAMS[rng.random_range(0..2)].0;
-        j.cards = [0.0, 1.0, 1.0, 2.0][rng.random_range(0..4)];
-        j.cores = [1.0, 2.0, 4.0][rng.random_range(0..3)];
-        j.shards = match shape {
+        let mut job = Job::new(id, shape, 1);
+        job.team = TEAMS[rng.random_range(0..2)].0;
+        job.cards = [0.0, 1.0, 1.0, 2.0][rng.random_range(0..4)];
+        job.cores = [1.0, 2.0, 4.0][rng.random_range(0..3)];
+        job.shards = match shape {
             "batch" => rng.random_range(1..=6),
             "group" => rng.random_range(2..=3),
             _ => rng.random_range(1..=3),
         };
-        j.preemptible = rng.random_bool(0.5);
-        j.urgency = ["production", "urgent", "standard", "best_effort"][rng.random_range(0..4)];
+        job.preemptible = rng.random_bool(0.5);
+        job.urgency = ["production", "urgent", "standard", "best_effort"][rng.random_range(0..4)];
         match rng.random_range(0..6) {
-            0 => j.region = Some(ZONES[rng.random_range(0..2)]),
-            1 => j.same_place = true,
-            2 => j.apart = true,
-            3 => j.flavors = Some(vec!["g4"]),
+            0 => job.region = Some(ZONES[rng.random_range(0..2)]),
+            1 => job.same_place = true,
+            2 => job.apart = true,
+            3 => job.flavors = Some(vec!["g4"]),
             _ => {}
         }
-        j.run_s = rng.random_range(2.0..14.0);
+        job.run_s = rng.random_range(2.0..14.0);
         if rng.random_bool(0.5) && shape != "service" {
-            (j.checkpoint_s, j.flush_s) = (5.0, rng.random_range(0.3..2.0));
+            (job.checkpoint_s, job.flush_s) = (5.0, rng.random_range(0.3..2.0));
         }
-        j.bundle = rng.random_range(0..4);
+        job.bundle = rng.random_range(0..4);
         if rng.random_bool(0.06) {
-            j.invalid = true;
+            job.invalid = true;
             match rng.random_range(0..3) {
-                0 => j.team = "nobody",
-                1 => j.cards = 9.0,
-                _ => j.flavors = Some(vec!["c8"]),
+                0 => job.team = "nobody",
+                1 => job.cards = 9.0,
+                _ => job.flavors = Some(vec!["c8"]),
             }
-            j.cards = j.cards.max(1.0);
+            job.cards = job.cards.max(1.0);
         }
-        j
+        job
     }
 
     /// Returns the body of the submission, as JSON.
--- a/crates/stand-ins/src/world/mod.rs
+++ b/crates/stand-ins/src/world/mod.rs
@@ -185,7 +185,7 @@
         let last = self.history.len().saturating_sub(40);
         let job = about.find("run-").map(|i| &about[i..(i + 10).min(about.len())]);
         let of_job: Vec<&String> =
-            self.history.iter().take(last).filter(|h| job.is_some_and(|j| h.contains(j))).collect();
+            self.history.iter().take(last).filter(|h| job.is_some_and(|job| h.contains(job))).collect();
         let of_job = of_job[of_job.len().saturating_sub(40)..].iter().copied();
         of_job.chain(self.history.iter().skip(last)).map(|h| format!("{h}\n")).collect()
     }
@@ -195,12 +195,12 @@
         format!(
             "{} jobs, {} accepted, {} done, {} cancelled; {} starts, {} machines, {} sessions, {} claims",
             self.jobs.len(),
-            count(|j| j.accepted.is_some()),
-            count(|j| j.done_told.is_some()),
-            count(|j| j.cancelled.is_some()),
+            count(|job| job.accepted.is_some()),
+            count(|job| job.done_told.is_some()),
+            count(|job| job.cancelled.is_some()),
             self.starts,
             self.machines.len(),
-            self.machines.values().map(|m| m.tenure).sum::<u64>(),
+            self.machines.values().map(|machine| machine.tenure).sum::<u64>(),
             self.store.claims
         )
     }
@@ -238,13 +238,15 @@
 
     /// Number of tasks that are on machines now.
     pub fn running_tasks(&self) -> usize {
-        self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()).count()
+        self.machines.values().flat_map(|machine| machine.copies.values()).filter(|attempt| attempt.phase.on()).count()
     }
 
     /// Cores and accelerators that the tasks of each team use now.
     pub fn usage_by_team(&self) -> BTreeMap<&'static str, (f64, f64)> {
         let mut usage: BTreeMap<&'static str, (f64, f64)> = BTreeMap::new();
-        for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()) {
+        for attempt in
+            self.machines.values().flat_map(|machine| machine.copies.values()).filter(|attempt| attempt.phase.on())
+        {
             let job = &self.jobs[&attempt.job];
             let used = usage.entry(attempt.team).or_default();
             used.0 += job.cores;
@@ -257,7 +259,12 @@
     /// image.
     pub fn placed_cards_by_team(&self) -> BTreeMap<&'static str, f64> {
         let mut cards: BTreeMap<&'static str, f64> = BTreeMap::new();
-        for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase != Phase::Ended) {
+        for attempt in self
+            .machines
+            .values()
+            .flat_map(|machine| machine.copies.values())
+            .filter(|attempt| attempt.phase != Phase::Ended)
+        {
             if let Some(job) = self.jobs.get(&attempt.job) {
                 *cards.entry(attempt.team).or_default() += job.cards;
             }
@@ -287,46 +294,57 @@
         let taken: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.exists() && m.taken.is_some_and(|t| t <= now))
-            .map(|m| m.id.clone())
+            .filter(|machine| machine.exists() && machine.taken.is_some_and(|t| t <= now))
+            .map(|machine| machine.id.clone())
             .collect();
         taken.iter().for_each(|id| self.remove(id, "is reclaimed"));
         let due: Vec<(String, (String, u64))> = self
             .machines
             .values()
-            .filter(|m| m.alive(now) && m.hang <= now)
-            .flat_map(|m| m.copies.iter().filter(|(_, c)| c.due <= now).map(|(k, _)| (m.id.clone(), k.clone())))
+            .filter(|machine| machine.alive(now) && machine.hang <= now)
+            .flat_map(|machine| {
+                machine
+                    .copies
+                    .iter()
+                    .filter(|(_, attempt)| attempt.due <= now)
+                    .map(|(k, _)| (machine.id.clone(), k.clone()))
+            })
             .collect();
         for (id, key) in due {
-            let Some(c) = self.machines[&id].copies.get(&key).cloned() else { continue };
-            let shape = self.jobs[&c.job].shape;
-            match c.phase {
+            let Some(attempt) = self.machines[&id].copies.get(&key).cloned() else { continue };
+            let shape = self.jobs[&attempt.job].shape;
+            match attempt.phase {
                 Phase::Fetching => self.begin(&id, &key),
                 Phase::Gathering => self.end(&id, &key, "incomplete", false),
-                Phase::Running if self.jobs[&c.job].mistaken => self.end(&id, &key, "error", false),
+                Phase::Running if self.jobs[&attempt.job].mistaken => self.end(&id, &key, "error", false),
                 Phase::Running if shape == "batch" => {
                     if self.machines[&id].faulty {
                         self.end(&id, &key, "error", false);
                     } else {
-                        self.jobs.get_mut(&c.job).unwrap().done.insert(c.n);
+                        self.jobs.get_mut(&attempt.job).unwrap().done.insert(attempt.n);
                         self.end(&id, &key, "done", false);
                     }
                 }
                 Phase::Flushing if shape == "batch" => {
-                    let ran = (c.due - c.since).as_secs_f64();
-                    let job = self.jobs.get_mut(&c.job).unwrap();
-                    *job.saved_s.entry(c.n).or_default() += (ran - job.flush_s).max(0.0);
+                    let ran = (attempt.due - attempt.since).as_secs_f64();
+                    let job = self.jobs.get_mut(&attempt.job).unwrap();
+                    *job.saved_s.entry(attempt.n).or_default() += (ran - job.flush_s).max(0.0);
                     self.end(&id, &key, "halted", true);
                 }
                 _ => {}
             }
         }
         self.gangs_step(now);
-        let late = |j: &&Job| j.cancelled.is_some_and(|c| c + secs(CANCEL_S) < now);
-        for id in self.jobs.values().filter(late).map(|j| j.id.clone()).collect::<Vec<_>>() {
-            let on = self.machines.values().find(|m| m.copies.values().any(|c| c.job == id && c.phase.on()));
-            if let Some(m) = on.map(|m| m.id.clone()) {
-                self.fail(format!("ran_cancelled: {id} is on {m} more than cancel_s after the answer `cancelled`"));
+        let late = |job: &&Job| job.cancelled.is_some_and(|told_at| told_at + secs(CANCEL_S) < now);
+        for id in self.jobs.values().filter(late).map(|job| job.id.clone()).collect::<Vec<_>>() {
+            let on = self
+                .machines
+                .values()
+                .find(|machine| machine.copies.values().any(|attempt| attempt.job == id && attempt.phase.on()));
+            if let Some(machine) = on.map(|machine| machine.id.clone()) {
+                self.fail(format!(
+                    "ran_cancelled: {id} is on {machine} more than cancel_s after the answer `cancelled`"
+                ));
             }
         }
     }
--- a/crates/stand-ins/src/world/rental.rs
+++ b/crates/stand-ins/src/world/rental.rs
@@ -47,7 +47,9 @@
         let (sku, zone) = (body["flavor"].as_str().unwrap(), body["region"].as_str().unwrap());
         let spot = body["preemptible"].as_bool().unwrap();
         let flavor = *self.parameters.flavors.iter().find(|f| f.sku == sku).unwrap();
-        let used = |m: &&Machine| m.exists() && m.flavor.sku == sku && m.zone == zone && m.spot == spot;
+        let used = |machine: &&Machine| {
+            machine.exists() && machine.flavor.sku == sku && machine.zone == zone && machine.spot == spot
+        };
         let free = self.parameters.capacity.saturating_sub(self.machines.values().filter(used).count());
         let count = free.min(body["number"].as_u64().unwrap() as usize);
         if count == 0 {
@@ -60,7 +62,7 @@
             let [a, b] = self.parameters.machine_network;
             let ip = IpAddr::V4(Ipv4Addr::new(a, b, (n / 200) as u8, (n % 200 + 1) as u8));
             let up = self.boot_end(flavor.startup_s).unwrap_or(now + secs(NEVER_S));
-            let m = Machine {
+            let machine = Machine {
                 id: id.clone(),
                 addr: SocketAddr::new(ip, 9000),
                 flavor,
@@ -86,9 +88,9 @@
                 changed: false,
                 reported_token_at: now,
             };
-            let faulty = if m.faulty { " faulty" } else { "" };
+            let faulty = if machine.faulty { " faulty" } else { "" };
             self.log(format!("rented {id} {sku} {zone} spot={spot}{faulty}"));
-            self.machines.insert(id.clone(), m);
+            self.machines.insert(id.clone(), machine);
             ids.push(id);
         }
         self.rentals.insert(name.into(), ids.clone());
@@ -98,13 +100,14 @@
     /// Removes a machine with all its tasks and models.
     pub fn remove(&mut self, id: &str, why: &str) {
         let now = Instant::now();
-        if self.machines.get(id).is_none_or(|m| m.gone.is_some()) {
+        if self.machines.get(id).is_none_or(|machine| machine.gone.is_some()) {
             return;
         }
         self.remove_all_models(id);
-        let m = self.machines.get_mut(id).unwrap();
-        m.gone = Some(now);
-        let on: Vec<_> = std::mem::take(&mut m.copies).into_iter().filter(|c| c.1.phase != Phase::Ended).collect();
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.gone = Some(now);
+        let on: Vec<_> =
+            std::mem::take(&mut machine.copies).into_iter().filter(|c| c.1.phase != Phase::Ended).collect();
         let on: Vec<String> = on.into_iter().map(|(k, c)| format!("{} try {} {}", k.0, k.1, c.phase.name())).collect();
         self.log(format!("{id} {why} with {on:?}"));
     }
@@ -112,13 +115,13 @@
     /// Crashes a machine: its tasks and models are lost, and it stays rented.
     pub fn die(&mut self, id: &str) {
         let now = Instant::now();
-        if self.machines.get(id).is_none_or(|m| !m.alive(now)) {
+        if self.machines.get(id).is_none_or(|machine| !machine.alive(now)) {
             return;
         }
         self.remove_all_models(id);
-        let m = self.machines.get_mut(id).unwrap();
-        m.died = Some(now);
-        let on: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.died = Some(now);
+        let on: Vec<_> = std::mem::take(&mut machine.copies).into_keys().collect();
         self.log(format!("{id} crashes with {on:?}"));
     }
 
@@ -128,22 +131,22 @@
         let at = now - secs(self.rng.random_range(0.0..2.0 * self.parameters.list_lag_s));
         let mut hosts = Vec::new();
         let mut more = false;
-        for m in self.machines.values_mut().filter(|m| m.id.as_str() > from) {
-            if m.gone.is_some_and(|g| g <= at) || (m.rented > at && !m.listed) {
+        for machine in self.machines.values_mut().filter(|machine| machine.id.as_str() > from) {
+            if machine.gone.is_some_and(|g| g <= at) || (machine.rented > at && !machine.listed) {
                 continue;
             }
             if hosts.len() == most {
                 more = true;
                 break;
             }
-            m.listed = true;
-            let phase = match m.died {
+            machine.listed = true;
+            let phase = match machine.died {
                 Some(d) if d + secs(30.0) <= at => "failed",
-                _ if m.up <= at => "running",
+                _ if machine.up <= at => "running",
                 _ => "starting",
             };
-            hosts.push(json!({"id": m.id, "addr": m.addr, "flavor": m.flavor.sku, "region": m.zone,
-                "preemptible": m.spot, "phase": phase, "held_s": at.saturating_duration_since(m.rented).as_secs_f64()}));
+            hosts.push(json!({"id": machine.id, "addr": machine.addr, "flavor": machine.flavor.sku, "region": machine.zone,
+                "preemptible": machine.spot, "phase": phase, "held_s": at.saturating_duration_since(machine.rented).as_secs_f64()}));
         }
         json!({"hosts": hosts, "more": more})
     }
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -9,12 +9,12 @@
 impl SimulationState {
     /// Checks the start of a task on a machine: duplicates, team limits, placement and dependencies.
     pub(super) fn check_start(&mut self, id: &str, key: &(String, u64), job: &Job) {
-        let m = &self.machines[id];
+        let machine = &self.machines[id];
         let on: Vec<(&Machine, &(String, u64), &TaskAttempt)> = self
             .machines
             .values()
-            .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
-            .filter(|(_, _, c)| c.phase.on())
+            .flat_map(|machine| machine.copies.iter().map(move |(k, attempt)| (machine, k, attempt)))
+            .filter(|(_, _, attempt)| attempt.phase.on())
             .collect();
         let mut wrong = Vec::new();
         if let Some((other, k, _)) = on.iter().find(|(_, k, _)| k.0 == key.0) {
@@ -31,21 +31,23 @@
                 ));
             }
         }
-        let place = |why: &str| format!("wrong_place: {} starts on {id} ({} {}): {why}", key.0, m.flavor.sku, m.zone);
-        if job.flavors.as_ref().is_some_and(|f| !f.contains(&m.flavor.sku)) {
+        let place = |why: &str| {
+            format!("wrong_place: {} starts on {id} ({} {}): {why}", key.0, machine.flavor.sku, machine.zone)
+        };
+        if job.flavors.as_ref().is_some_and(|f| !f.contains(&machine.flavor.sku)) {
             wrong.push(place("the type is not allowed"));
         }
-        if job.region.is_some_and(|r| r != m.zone) {
+        if job.region.is_some_and(|r| r != machine.zone) {
             wrong.push(place("the zone is not allowed"));
         }
-        if m.spot && !job.preemptible {
+        if machine.spot && !job.preemptible {
             wrong.push(place("spot is not allowed"));
         }
         let mates = || on.iter().filter(|o| o.2.job == job.id && o.1.0 != key.0);
-        if job.same_place && mates().any(|o| o.0.zone != m.zone) {
+        if job.same_place && mates().any(|o| o.0.zone != machine.zone) {
             wrong.push(place("other tasks of the job are in another zone"));
         }
-        let here = mates().filter(|o| o.0.zone == m.zone).count() + 1;
+        let here = mates().filter(|o| o.0.zone == machine.zone).count() + 1;
         if job.apart && here > job.shards.div_ceil(2) as usize {
             wrong.push(place("too many tasks of the job are in this zone"));
         }
@@ -62,11 +64,11 @@
     }
 
     /// Checks an answer to a request about a job, sent at `sent`, against all earlier answers to its user.
-    pub fn check_answer(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, v: &Value) {
+    pub fn check_answer(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, answer: &Value) {
         let now = Instant::now();
-        let phase = v["phase"].as_str().unwrap_or("");
+        let phase = answer["phase"].as_str().unwrap_or("");
         let Some(job) = self.jobs.get(id).cloned() else { return };
-        let told = format!("{id}: {what} at n{node} sent {:.3}: {status} {v}", (sent - self.start).as_secs_f64());
+        let told = format!("{id}: {what} at n{node} sent {:.3}: {status} {answer}", (sent - self.start).as_secs_f64());
         self.log(format!("answer to the user of {told}"));
         let after = |t: Option<Instant>| t.is_some_and(|t| sent > t);
         if status == 200 || status == 404 {
@@ -153,9 +155,11 @@
             let running: Vec<String> = self
                 .machines
                 .values()
-                .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
-                .filter(|(_, _, c)| c.job == j.id)
-                .map(|(m, k, c)| format!("{} try {} on {} {} {:?}", k.0, k.1, m.id, c.phase.name(), c.why))
+                .flat_map(|machine| machine.copies.iter().map(move |(k, attempt)| (machine, k, attempt)))
+                .filter(|(_, _, attempt)| attempt.job == j.id)
+                .map(|(machine, k, attempt)| {
+                    format!("{} try {} on {} {} {:?}", k.0, k.1, machine.id, attempt.phase.name(), attempt.why)
+                })
                 .collect();
             let runs = running.iter().filter(|r| r.contains(" running ")).count();
             if j.shape != "service" || j.cancel_asked || runs < j.shards as usize {
--- a/crates/stand-ins/src/world/worker.rs
+++ b/crates/stand-ins/src/world/worker.rs
@@ -16,19 +16,19 @@
     /// Returns the next report of a machine.
     pub fn report(&mut self, id: &str) -> Value {
         let now = Instant::now();
-        let m = self.machines.get_mut(id).unwrap();
-        m.serial += 1;
-        let shards: Vec<Value> = m
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.serial += 1;
+        let shards: Vec<Value> = machine
             .copies
             .iter()
-            .map(|((t, a), c)| {
-                json!({"shard": t, "try_no": a, "phase": c.phase.name(), "exit_reason": c.why, "stored": c.stored})
+            .map(|((t, a), attempt)| {
+                json!({"shard": t, "try_no": a, "phase": attempt.phase.name(), "exit_reason": attempt.why, "stored": attempt.stored})
             })
             .collect();
-        let slots = self.parameters.loads_models.then(|| SimulationState::reported_slots(m, now));
-        let warning = m.taken.map(|t| t.saturating_duration_since(now).as_secs_f64());
-        json!({"host": m.id, "addr": m.addr, "flavor": m.flavor.sku, "region": m.zone, "preemptible": m.spot,
-            "tenure": m.tenure, "serial": m.serial, "fence": m.fence, "warning_s": warning, "shards": shards, "slots": slots})
+        let slots = self.parameters.loads_models.then(|| SimulationState::reported_slots(machine, now));
+        let warning = machine.taken.map(|t| t.saturating_duration_since(now).as_secs_f64());
+        json!({"host": machine.id, "addr": machine.addr, "flavor": machine.flavor.sku, "region": machine.zone, "preemptible": machine.spot,
+            "tenure": machine.tenure, "serial": machine.serial, "fence": machine.fence, "warning_s": warning, "shards": shards, "slots": slots})
     }
 
     /// Returns the number of a machine's current session.
@@ -38,72 +38,72 @@
 
     /// Applies the reply to a report that was sent at `sent` in the session `tenure`. Renews the lease unless
     /// the session is over or the fencing token is stale.
-    pub fn reply(&mut self, id: &str, tenure: u64, sent: Instant, v: &Value) {
+    pub fn reply(&mut self, id: &str, tenure: u64, sent: Instant, message: &Value) {
         self.expire_leases();
-        self.check_term_of_orders(id, v);
-        let Some(fence) = v["fence"].as_u64() else { return };
-        let m = self.machines.get_mut(id).unwrap();
-        if m.tenure != tenure || fence < m.fence {
+        self.check_term_of_orders(id, message);
+        let Some(fence) = message["fence"].as_u64() else { return };
+        let machine = self.machines.get_mut(id).unwrap();
+        if machine.tenure != tenure || fence < machine.fence {
             return;
         }
-        m.lease_from = m.lease_from.max(sent);
+        machine.lease_from = machine.lease_from.max(sent);
         self.see_fence(id, fence);
-        self.execute(id, &v["orders"]);
+        self.execute(id, &message["orders"]);
     }
 
     /// Applies a direct command. Returns false if its fencing token or session does not match.
-    pub fn direct(&mut self, id: &str, v: &Value) -> bool {
+    pub fn direct(&mut self, id: &str, message: &Value) -> bool {
         self.expire_leases();
-        self.check_term_of_orders(id, v);
-        let (Some(fence), Some(tenure)) = (v["fence"].as_u64(), v["tenure"].as_u64()) else { return false };
-        let m = &self.machines[id];
-        if fence < m.fence || tenure != m.tenure {
+        self.check_term_of_orders(id, message);
+        let (Some(fence), Some(tenure)) = (message["fence"].as_u64(), message["tenure"].as_u64()) else { return false };
+        let machine = &self.machines[id];
+        if fence < machine.fence || tenure != machine.tenure {
             return false;
         }
         self.see_fence(id, fence);
-        self.execute(id, &v["orders"]);
+        self.execute(id, &message["orders"]);
         true
     }
 
     pub(super) fn see_fence(&mut self, id: &str, fence: u64) {
         let now = Instant::now();
         let lease_s = self.parameters.lease_s;
-        let m = self.machines.get_mut(id).unwrap();
-        if fence > m.fence {
-            m.fence = fence;
-            if m.reported_token_at + secs(lease_s / 2.0) <= now {
-                m.reported_token_at = now;
-                m.changed = true;
+        let machine = self.machines.get_mut(id).unwrap();
+        if fence > machine.fence {
+            machine.fence = fence;
+            if machine.reported_token_at + secs(lease_s / 2.0) <= now {
+                machine.reported_token_at = now;
+                machine.changed = true;
             }
         }
     }
 
     pub(super) fn execute(&mut self, id: &str, orders: &Value) {
-        for o in orders.as_array().into_iter().flatten() {
-            self.log(format!("{id} receives order {o}"));
-            let verb = o["verb"].as_str().unwrap();
+        for order in orders.as_array().into_iter().flatten() {
+            self.log(format!("{id} receives order {order}"));
+            let verb = order["verb"].as_str().unwrap();
             match verb {
                 "load" if self.parameters.loads_models => {
-                    self.order_load(id, o);
+                    self.order_load(id, order);
                     continue;
                 }
                 "unload" if self.parameters.loads_models => {
-                    self.order_unload(id, o["slot"].as_u64().unwrap());
+                    self.order_unload(id, order["slot"].as_u64().unwrap());
                     continue;
                 }
                 _ => {}
             }
-            let task = o["shard"].as_str().unwrap_or_default().to_string();
-            let key = (task, o["try_no"].as_u64().unwrap_or_default());
+            let task = order["shard"].as_str().unwrap_or_default().to_string();
+            let key = (task, order["try_no"].as_u64().unwrap_or_default());
             match verb {
-                "attach" if self.parameters.loads_models => self.order_attach(id, key, o["slot"].as_u64().unwrap()),
+                "attach" if self.parameters.loads_models => self.order_attach(id, key, order["slot"].as_u64().unwrap()),
                 "run" => self.order_run(id, key),
-                "stop" => self.order_stop(id, key, o["drain_s"].as_f64().unwrap()),
+                "stop" => self.order_stop(id, key, order["drain_s"].as_f64().unwrap()),
                 "reap" => {
-                    let m = self.machines.get_mut(id).unwrap();
-                    if m.copies.get(&key).is_some_and(|c| c.phase == Phase::Ended) {
-                        m.copies.remove(&key);
-                        m.changed = true;
+                    let machine = self.machines.get_mut(id).unwrap();
+                    if machine.copies.get(&key).is_some_and(|attempt| attempt.phase == Phase::Ended) {
+                        machine.copies.remove(&key);
+                        machine.changed = true;
                     }
                 }
                 other => self.fail(format!(
@@ -120,20 +120,22 @@
         }
         let (job_id, n) = key.0.rsplit_once('/').unwrap();
         let n: u32 = n.parse().unwrap();
-        let job = self.jobs.get(job_id).filter(|j| j.submitted && n < j.shards);
-        let m = &self.machines[id];
+        let job = self.jobs.get(job_id).filter(|job| job.submitted && n < job.shards);
+        let machine = &self.machines[id];
         let busy = |field: fn(&Job) -> f64| -> f64 {
-            let here = m.copies.values().filter(|c| c.phase != Phase::Ended);
-            here.filter_map(|c| self.jobs.get(&c.job)).map(field).sum()
+            let here = machine.copies.values().filter(|attempt| attempt.phase != Phase::Ended);
+            here.filter_map(|attempt| self.jobs.get(&attempt.job)).map(field).sum()
         };
-        let held = |amount: fn(&LoadedSlot) -> f64| m.slots.values().map(amount).sum::<f64>();
+        let held = |amount: fn(&LoadedSlot) -> f64| machine.slots.values().map(amount).sum::<f64>();
         let refused = match job {
             None => Some("no_such"),
-            Some(_) if m.copies.iter().any(|(k, c)| k.0 == key.0 && c.phase != Phase::Ended) => Some("in_use"),
-            Some(j)
-                if busy(|j| j.cores) + held(|s| s.cores) + j.cores > m.flavor.cores
-                    || busy(|j| j.cards) + held(|s| s.cards) + j.cards > m.flavor.cards
-                    || busy(|j| j.mem_gb) + held(|s| s.mem_gb) + j.mem_gb > m.flavor.mem_gb =>
+            Some(_) if machine.copies.iter().any(|(k, attempt)| k.0 == key.0 && attempt.phase != Phase::Ended) => {
+                Some("in_use")
+            }
+            Some(job)
+                if busy(|job| job.cores) + held(|s| s.cores) + job.cores > machine.flavor.cores
+                    || busy(|job| job.cards) + held(|s| s.cards) + job.cards > machine.flavor.cards
+                    || busy(|job| job.mem_gb) + held(|s| s.mem_gb) + job.mem_gb > machine.flavor.mem_gb =>
             {
                 Some("no_room")
             }
@@ -142,9 +144,9 @@
         let (least, most) = self.parameters.fetch_s;
         let fetch = secs(self.rng.random_range(least..most));
         let phase = if refused.is_some() { Phase::Ended } else { Phase::Fetching };
-        let c = TaskAttempt {
+        let attempt = TaskAttempt {
             job: job_id.into(),
-            team: job.map_or("", |j| j.team),
+            team: job.map_or("", |job| job.team),
             n,
             phase,
             why: refused,
@@ -157,31 +159,31 @@
         if let Some(why) = refused {
             self.log(format!("{id} refuses {} try {}: {why}", key.0, key.1));
         }
-        let m = self.machines.get_mut(id).unwrap();
-        m.copies.insert(key, c);
-        m.changed = true;
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.copies.insert(key, attempt);
+        machine.changed = true;
     }
 
     pub(super) fn order_stop(&mut self, id: &str, key: (String, u64), drain_s: f64) {
         let now = Instant::now();
-        let Some(c) = self.machines[id].copies.get(&key) else { return };
-        let job = self.jobs[&c.job].clone();
+        let Some(attempt) = self.machines[id].copies.get(&key) else { return };
+        let job = self.jobs[&attempt.job].clone();
         let saves = job.checkpoint_s > 0.0 && drain_s >= job.flush_s;
-        match c.phase {
+        match attempt.phase {
             Phase::Ended => {}
             Phase::Running if saves => {
-                let m = self.machines.get_mut(id).unwrap();
-                let c = m.copies.get_mut(&key).unwrap();
-                c.phase = Phase::Flushing;
-                c.due = now + secs(job.flush_s);
-                m.changed = true;
-                if let Some(g) = self.gangs.get_mut(&(job.id.clone(), key.1)) {
-                    g.stopped.get_or_insert(now);
+                let machine = self.machines.get_mut(id).unwrap();
+                let attempt = machine.copies.get_mut(&key).unwrap();
+                attempt.phase = Phase::Flushing;
+                attempt.due = now + secs(job.flush_s);
+                machine.changed = true;
+                if let Some(gang) = self.gangs.get_mut(&(job.id.clone(), key.1)) {
+                    gang.stopped.get_or_insert(now);
                 }
                 let ran = (now - self.machines[id].copies[&key].since).as_secs_f64();
                 if job.shape == "batch" {
-                    let c = self.machines.get_mut(id).unwrap().copies.get_mut(&key).unwrap();
-                    c.since = now - secs(ran);
+                    let attempt = self.machines.get_mut(id).unwrap().copies.get_mut(&key).unwrap();
+                    attempt.since = now - secs(ran);
                 }
             }
             Phase::Flushing if drain_s > 0.0 => {}
@@ -203,10 +205,10 @@
         if ended.phase.on() {
             self.account_for_detached(&ended);
         }
-        let m = self.machines.get_mut(id).unwrap();
-        let c = m.copies.get_mut(key).unwrap();
-        (c.phase, c.why, c.stored) = (Phase::Ended, Some(why), stored);
-        m.changed = true;
+        let machine = self.machines.get_mut(id).unwrap();
+        let attempt = machine.copies.get_mut(key).unwrap();
+        (attempt.phase, attempt.why, attempt.stored) = (Phase::Ended, Some(why), stored);
+        machine.changed = true;
     }
 
     /// Accounts for a running task of an array that was stopped: progress that it saved at checkpoints, or
@@ -229,17 +231,17 @@
     pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
         let lease_s = self.parameters.lease_s;
-        let over = |m: &&Machine| m.alive(now) && m.lease_from + secs(lease_s) < now;
-        let expired: Vec<String> = self.machines.values().filter(over).map(|m| m.id.clone()).collect();
+        let over = |machine: &&Machine| machine.alive(now) && machine.lease_from + secs(lease_s) < now;
+        let expired: Vec<String> = self.machines.values().filter(over).map(|machine| machine.id.clone()).collect();
         let mut told = Vec::new();
         for id in expired {
             self.remove_all_models(&id);
-            let m = self.machines.get_mut(&id).unwrap();
-            let killed: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
-            m.tenure += 1;
-            m.lease_from = now;
-            m.changed = true;
-            told.push(format!("{} begins session {}: kills {killed:?}", m.id, m.tenure));
+            let machine = self.machines.get_mut(&id).unwrap();
+            let killed: Vec<_> = std::mem::take(&mut machine.copies).into_keys().collect();
+            machine.tenure += 1;
+            machine.lease_from = now;
+            machine.changed = true;
+            told.push(format!("{} begins session {}: kills {killed:?}", machine.id, machine.tenure));
         }
         told.into_iter().for_each(|t| self.log(t));
     }
@@ -248,8 +250,8 @@
     pub(super) fn begin(&mut self, id: &str, key: &(String, u64)) {
         self.expire_leases();
         let now = Instant::now();
-        let Some(c) = self.machines[id].copies.get(key).cloned() else { return };
-        let job = self.jobs[&c.job].clone();
+        let Some(attempt) = self.machines[id].copies.get(key).cloned() else { return };
+        let job = self.jobs[&attempt.job].clone();
         self.log(format!("{id} starts {} try {}", key.0, key.1));
         self.starts += 1;
         let started = self.jobs.get_mut(&job.id).unwrap();
@@ -267,21 +269,21 @@
         started.began.get_or_insert(now);
         started.starts += 1;
         self.check_start(id, key, &job);
-        let answers_from = c.answers_from.or_else(|| Some(self.answers_from()));
+        let answers_from = attempt.answers_from.or_else(|| Some(self.answers_from()));
         let gang_wait_s = self.parameters.gang_wait_s;
-        let left = job.run_s - job.saved_s.get(&c.n).copied().unwrap_or(0.0);
-        let m = self.machines.get_mut(id).unwrap();
-        let c = m.copies.get_mut(key).unwrap();
-        c.since = now;
-        c.answers_from = answers_from;
-        m.changed = true;
-        if job.done.contains(&c.n) {
+        let left = job.run_s - job.saved_s.get(&attempt.n).copied().unwrap_or(0.0);
+        let machine = self.machines.get_mut(id).unwrap();
+        let attempt = machine.copies.get_mut(key).unwrap();
+        attempt.since = now;
+        attempt.answers_from = answers_from;
+        machine.changed = true;
+        if job.done.contains(&attempt.n) {
             self.end(id, key, "done", false);
         } else if job.shape == "group" {
-            (c.phase, c.due) = (Phase::Gathering, now + secs(gang_wait_s));
+            (attempt.phase, attempt.due) = (Phase::Gathering, now + secs(gang_wait_s));
         } else {
             let run_s = if job.mistaken { FAULTY_JOB_RUN_S } else { left.max(0.1) };
-            (c.phase, c.due) = (Phase::Running, now + secs(run_s));
+            (attempt.phase, attempt.due) = (Phase::Running, now + secs(run_s));
         }
     }
 }
