--- a/crates/stand-ins/src/cloud.rs
+++ b/crates/stand-ins/src/cloud.rs
@@ -9,31 +9,31 @@
 use tokio::time::sleep;
 
 /// Answers one request of a controller to the cloud.
-pub async fn cloud(context: SimulationContext, req: Request) -> Response {
-    let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
+pub async fn cloud(context: SimulationContext, request: Request) -> Response {
+    let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     let lag = context.world.lock().unwrap().rng.random_range(5..80);
     sleep(Duration::from_millis(lag)).await;
     if context.world.lock().unwrap().cloud_down {
         return Response::error(503, "trouble");
     }
-    match (req.method.as_str(), req.path.split('?').next().unwrap()) {
+    match (request.method.as_str(), request.path.split('?').next().unwrap()) {
         ("GET", "/flavors") => {
             let parameters = context.world.lock().unwrap().parameters.clone();
             let all: Vec<Value> = parameters
                 .flavors
                 .iter()
-                .map(|f| {
-                    json!({"sku": f.sku, "cores": f.cores, "cards": f.cards, "mem_gb": f.mem_gb, "cache_gb": 50.0,
-                        "fetch_gb_per_s": 1.0, "rate": 1.0 + f.cards, "low_price": 0.4 + 0.4 * f.cards,
-                        "startup_s": f.startup_s, "regions": parameters.zones})
+                .map(|flavor| {
+                    json!({"sku": flavor.sku, "cores": flavor.cores, "cards": flavor.cards, "mem_gb": flavor.mem_gb, "cache_gb": 50.0,
+                        "fetch_gb_per_s": 1.0, "rate": 1.0 + flavor.cards, "low_price": 0.4 + 0.4 * flavor.cards,
+                        "startup_s": flavor.startup_s, "regions": parameters.zones})
                 })
                 .collect();
             Response::json(200, &json!({"flavors": all}))
         }
         ("GET", _) => {
-            let q = crate::store::query(&req.path);
-            let from = q.get("from").cloned().unwrap_or_default();
-            let most = q.get("most").and_then(|m| m.parse().ok()).unwrap_or(500);
+            let query = crate::store::query(&request.path);
+            let from = query.get("from").cloned().unwrap_or_default();
+            let most = query.get("most").and_then(|m| m.parse().ok()).unwrap_or(500);
             Response::json(200, &context.world.lock().unwrap().list(&from, most))
         }
         (_, "/hosts") => {
--- a/crates/stand-ins/src/net/process.rs
+++ b/crates/stand-ins/src/net/process.rs
@@ -66,8 +66,8 @@
             Some(Cut::Refuse) => return refused(),
             None => {}
         }
-        let Some(b) = inner.bound.get(&addr) else { return refused() };
-        let (there, tx) = (b.process_id, b.tx.clone());
+        let Some(socket) = inner.bound.get(&addr) else { return refused() };
+        let (there, tx) = (socket.process_id, socket.tx.clone());
         let pipe = || Arc::new(Mutex::new(Pipe::new()));
         let (out, back) = (pipe(), pipe());
         let of_production = [self.process_id, there].iter().any(|process_id| inner.production.contains(process_id));
@@ -77,7 +77,7 @@
             write: MemWrite { pipe: write.clone(), network: self.network.clone(), process_id, in_production_form },
         };
         let (ours, theirs) = (end(&back, &out, self.process_id), end(&out, &back, there));
-        inner.links.retain(|l| l.pipes.iter().any(|p| p.strong_count() > 0));
+        inner.links.retain(|l| l.pipes.iter().any(|pipe| pipe.strong_count() > 0));
         let pipes = [Arc::downgrade(&out), Arc::downgrade(&back)];
         inner.links.push(Link { ends: (self.host, addr.ip()), process_ids: (self.process_id, there), pipes });
         // Dropping an end of the connection takes this lock.
@@ -97,7 +97,7 @@
     fn bind(&self, addr: SocketAddr) -> BoxFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
             let mut inner = self.network.0.lock().unwrap();
-            if inner.bound.get(&addr).is_some_and(|b| !b.tx.is_closed()) {
+            if inner.bound.get(&addr).is_some_and(|socket| !socket.tx.is_closed()) {
                 return Err(ErrorKind::AddrInUse.into());
             }
             let (tx, rx) = mpsc::unbounded_channel();
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -33,8 +33,8 @@
     }
 
     pub(super) fn wake(&mut self) {
-        if let Some(w) = self.reader.take() {
-            w.wake();
+        if let Some(waker) = self.reader.take() {
+            waker.wake();
         }
     }
 }
@@ -62,23 +62,23 @@
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let me = &mut *self;
         loop {
-            let mut p = me.pipe.lock().unwrap();
-            if p.reset {
+            let mut pipe = me.pipe.lock().unwrap();
+            if pipe.reset {
                 return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
             }
-            p.reader = Some(cx.waker().clone());
-            if p.held {
+            pipe.reader = Some(cx.waker().clone());
+            if pipe.held {
                 return Poll::Pending;
             }
             let now = Instant::now();
-            let closed = p.closed;
-            let due = match (p.chunks.front_mut(), closed) {
+            let closed = pipe.closed;
+            let due = match (pipe.chunks.front_mut(), closed) {
                 (Some((at, bytes)), _) if *at <= now => {
                     let n = bytes.len().min(buf.remaining());
                     buf.put_slice(&bytes[..n]);
                     bytes.drain(..n);
                     if bytes.is_empty() {
-                        p.chunks.pop_front();
+                        pipe.chunks.pop_front();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -87,7 +87,7 @@
                 (None, Some(at)) => at,
                 (None, None) => return Poll::Pending,
             };
-            drop(p);
+            drop(pipe);
             let timer = me.timer.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
             timer.as_mut().reset(due);
             if timer.as_mut().poll(cx).is_pending() {
@@ -99,8 +99,8 @@
 
 impl Drop for MemRead {
     fn drop(&mut self) {
-        if let Ok(mut p) = self.pipe.lock() {
-            p.reader = None;
+        if let Ok(mut pipe) = self.pipe.lock() {
+            pipe.reader = None;
         }
     }
 }
@@ -112,10 +112,10 @@
         if inner.dead.contains(&self.process_id) {
             return;
         }
-        let mut p = self.pipe.lock().unwrap();
-        if p.closed.is_none() {
-            p.closed = Some(p.last.max(Instant::now()));
-            p.wake();
+        let mut pipe = self.pipe.lock().unwrap();
+        if pipe.closed.is_none() {
+            pipe.closed = Some(pipe.last.max(Instant::now()));
+            pipe.wake();
         }
     }
 }
@@ -135,14 +135,14 @@
             }
             None => buf.to_vec(),
         };
-        let mut p = self.pipe.lock().unwrap();
-        if p.reset || p.closed.is_some() {
+        let mut pipe = self.pipe.lock().unwrap();
+        if pipe.reset || pipe.closed.is_some() {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
-        let at = p.last.max(Instant::now() + lag);
-        p.last = at;
-        p.chunks.push_back((at, sent));
-        p.wake();
+        let at = pipe.last.max(Instant::now() + lag);
+        pipe.last = at;
+        pipe.chunks.push_back((at, sent));
+        pipe.wake();
         Poll::Ready(Ok(buf.len()))
     }
 
@@ -184,10 +184,10 @@
 
 impl Stream for MemStream {
     fn is_closed(&self) -> bool {
-        let p = self.read.pipe.lock().unwrap();
+        let pipe = self.read.pipe.lock().unwrap();
         let now = Instant::now();
-        let ended = !p.held && p.closed.is_some_and(|at| at <= now);
-        p.reset || ended || (!p.held && p.chunks.front().is_some_and(|c| c.0 <= now))
+        let ended = !pipe.held && pipe.closed.is_some_and(|at| at <= now);
+        pipe.reset || ended || (!pipe.held && pipe.chunks.front().is_some_and(|c| c.0 <= now))
     }
 
     fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf) {
--- a/crates/stand-ins/src/store.rs
+++ b/crates/stand-ins/src/store.rs
@@ -9,7 +9,7 @@
 /// Returns the parameters of a path's query.
 pub fn query(path: &str) -> HashMap<String, String> {
     let q = path.split_once('?').map_or("", |p| p.1);
-    q.split('&').filter_map(|kv| kv.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
+    q.split('&').filter_map(|kv| kv.split_once('=')).map(|(name, value)| (name.into(), value.into())).collect()
 }
 
 /// Keys with their revisions and leases, and the log of changes.
@@ -54,20 +54,22 @@
             return;
         }
         let now = Instant::now();
-        let ended: Vec<u64> = self.grants.iter().filter(|(_, g)| g.0 + g.1 < now).map(|(id, _)| *id).collect();
+        let ended: Vec<u64> =
+            self.grants.iter().filter(|(_, lease)| lease.0 + lease.1 < now).map(|(id, _)| *id).collect();
         ended.into_iter().for_each(|id| self.end(id));
     }
 
     /// Ends a lease and deletes its keys.
     fn end(&mut self, id: u64) {
         self.grants.remove(&id);
-        let keys: Vec<String> = self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<String> =
+            self.keys.iter().filter(|(_, entry)| entry.2 == Some(id)).map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
-        for k in keys {
-            self.keys.remove(&k);
-            self.log.push(json!({"delete": k, "stamp": self.revision}));
+        for key in keys {
+            self.keys.remove(&key);
+            self.log.push(json!({"delete": key, "stamp": self.revision}));
         }
     }
 
@@ -75,13 +77,14 @@
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
         let now = Instant::now();
-        self.grants.values_mut().for_each(|g| g.0 = now);
+        self.grants.values_mut().for_each(|lease| lease.0 = now);
     }
 
     /// Returns the refusal of a commit that exceeds the limits; `None` if it does not.
     fn refusal(&mut self, apply: &[Value]) -> Option<Response> {
         let limits = self.limits?;
-        let too_large = |a: &Value| a.get("data").is_some_and(|data| data.to_string().len() > limits.value_bytes);
+        let too_large =
+            |change: &Value| change.get("data").is_some_and(|data| data.to_string().len() > limits.value_bytes);
         if apply.len() > limits.changes || apply.iter().any(too_large) {
             return Some(Response::error(400, "too large"));
         }
@@ -101,29 +104,32 @@
         if let Some(refusal) = self.refusal(apply) {
             return refusal;
         }
-        if apply.iter().filter_map(|a| a["grant"].as_u64()).any(|g| !self.grants.contains_key(&g)) {
+        if apply.iter().filter_map(|change| change["grant"].as_u64()).any(|lease| !self.grants.contains_key(&lease)) {
             return Response::json(400, &json!({"error": "no such lease"}));
         }
         let failed: Vec<&Value> = body["guards"]
             .as_array()
             .unwrap()
             .iter()
-            .filter(|g| self.keys.get(g["path"].as_str().unwrap()).map_or(0, |k| k.1) != g["stamp"].as_u64().unwrap())
-            .map(|g| &g["path"])
+            .filter(|guard| {
+                self.keys.get(guard["path"].as_str().unwrap()).map_or(0, |entry| entry.1)
+                    != guard["stamp"].as_u64().unwrap()
+            })
+            .map(|guard| &guard["path"])
             .collect();
         if !failed.is_empty() {
             return Response::json(409, &json!({"failed": failed, "epoch": self.revision}));
         }
         self.revision += 1;
         self.writes += apply.len() as u64;
-        self.claims += u64::from(apply.iter().any(|a| a["grant"].is_u64()));
-        for a in apply {
-            if let Some(k) = a["put"].as_str() {
-                self.keys.insert(k.into(), (a["data"].clone(), self.revision, a["grant"].as_u64()));
-                self.log.push(json!({"put": k, "data": a["data"], "stamp": self.revision}));
-            } else if let Some(k) = a["delete"].as_str() {
-                self.keys.remove(k);
-                self.log.push(json!({"delete": k, "stamp": self.revision}));
+        self.claims += u64::from(apply.iter().any(|change| change["grant"].is_u64()));
+        for change in apply {
+            if let Some(key) = change["put"].as_str() {
+                self.keys.insert(key.into(), (change["data"].clone(), self.revision, change["grant"].as_u64()));
+                self.log.push(json!({"put": key, "data": change["data"], "stamp": self.revision}));
+            } else if let Some(key) = change["delete"].as_str() {
+                self.keys.remove(key);
+                self.log.push(json!({"delete": key, "stamp": self.revision}));
             }
         }
         Response::json(200, &json!({"epoch": self.revision}))
@@ -160,17 +166,17 @@
             let mut items: Vec<Value> = self
                 .keys
                 .iter()
-                .filter(|(k, _)| k.starts_with(under) && **k > from)
+                .filter(|(key, _)| key.starts_with(under) && **key > from)
                 .take(most + 1)
-                .map(|(k, v)| json!({"path": k, "data": v.0, "stamp": v.1}))
+                .map(|(key, entry)| json!({"path": key, "data": entry.0, "stamp": entry.1}))
                 .collect();
             let more = items.len() > most;
             items.truncate(most);
             return Response::json(200, &json!({"items": items, "more": more, "epoch": self.revision}));
         }
-        if let Some(k) = path.strip_prefix("/store/") {
-            return match self.keys.get(k) {
-                Some(v) => Response::json(200, &json!({"path": k, "data": v.0, "stamp": v.1})),
+        if let Some(key) = path.strip_prefix("/store/") {
+            return match self.keys.get(key) {
+                Some(entry) => Response::json(200, &json!({"path": key, "data": entry.0, "stamp": entry.1})),
                 None => Response::json(404, &json!({"epoch": self.revision})),
             };
         }
@@ -186,8 +192,8 @@
             return Response::json(200, &json!({}));
         }
         match self.grants.get_mut(&id) {
-            Some(g) => {
-                g.0 = Instant::now();
+            Some(lease) => {
+                lease.0 = Instant::now();
                 Response::json(200, &json!({"grant": id}))
             }
             None => Response::error(404, "no such lease"),
@@ -204,8 +210,8 @@
         let from: u64 = q["from"].parse().unwrap();
         let news = self.log.partition_point(|e| e["stamp"].as_u64().unwrap() <= from);
         let hit = |e: &&Value| {
-            let k = e["put"].as_str().or(e["delete"].as_str()).unwrap();
-            k.starts_with(&q["under"])
+            let key = e["put"].as_str().or(e["delete"].as_str()).unwrap();
+            key.starts_with(&q["under"])
         };
         let log: Vec<&Value> = self.log[news..].iter().filter(hit).collect();
         (ends || !log.is_empty()).then(|| Response::json(200, &json!({"epoch": self.revision, "log": log})))
--- a/deploy/warm-pools.hcl
+++ b/deploy/warm-pools.hcl
@@ -2,8 +2,8 @@
 #     badgerdrift serve --warm-pools deploy/warm-pools.hcl --operator deploy/operator.hcl --config FILE
 # An example: the names of teams, machine types and zones must be those of the deployment. For the fields
 # and their operation see docs/warm-pools.md.
-bill_every_s       = 300 # a slot's charges are recorded at least this often
-estimate_at_most_s = 900 # what nobody observed is charged for no longer than this
+bill_every_s       = 300 # longest time between records of a slot's charges
+estimate_at_most_s = 900 # longest time charged without an observation
 
 model "parcel-notes" {
   version = 3
@@ -16,7 +16,7 @@
   model              = "parcel-notes"
   payer              = "valuers"
   keep               = "image" # or "loaded", with workers that have the extension
-  count              = 1       # outside of the windows
+  count              = 1       # outside the windows
   cores              = 22
   cards              = 4
   mem_gb             = 90
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -19,7 +19,7 @@
 /// Number of tasks of a night run.
 const TASKS: u32 = 16;
 /// Number of scheduling cycles that are timed after the one with the burst.
-const PASSES: u64 = 20;
+const CYCLES: u64 = 20;
 const SETTINGS: &str = "node = \"n0\"\nsite = \"a\"\nserve_on = \"127.0.0.1:1\"\ninternal_addr = \"127.0.0.1:2\"\n\
     [endpoints]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n[params]\nzones = [\"a\"]\n\
     [params.workers]\nreport_s = 4.0\nlease_s = 22.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 30.0\n\
@@ -44,7 +44,7 @@
         let team = TEAMS[1 + number % 3];
         add(&mut fleet, number, team, Shape::Batch, Urgency::Normal, TASKS);
     }
-    let fills = timed(|| fleet.schedule(1000, 1000));
+    let first = timed(|| fleet.schedule(1000, 1000));
     // The machines have started the tasks that were assigned to them.
     for host in fleet.cluster_mut().hosts.iter_mut().flatten() {
         host.attempts.iter_mut().for_each(|attempt| attempt.phase = badgerdrift::model::TaskPhase::Running);
@@ -54,11 +54,11 @@
     }
     fleet.maintain_loans(2000, 2000);
     let burst = timed(|| fleet.schedule(2000, 2000));
-    let later = timed(|| (1..=PASSES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / PASSES as u32;
+    let later = timed(|| (1..=CYCLES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / CYCLES as u32;
     let attempts = fleet.cluster().each_host().flat_map(|(_, host)| &host.attempts);
     let stops = attempts.filter(|attempt| attempt.stop.is_some()).count();
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
-    println!("{machines:8}  {borrowing:9}  {:18.1}  {:20.1}  {:15.1}  {stops:5}", ms(fills), ms(burst), ms(later));
+    println!("{machines:8}  {borrowing:9}  {:18.1}  {:20.1}  {:15.1}  {stops:5}", ms(first), ms(burst), ms(later));
 }
 
 fn timed(work: impl FnOnce()) -> Duration {
