--- a/crates/stand-ins/src/deployment.rs
+++ b/crates/stand-ins/src/deployment.rs
@@ -14,8 +14,8 @@
 pub const PRESENT_LIMITS: Limits = Limits { value_bytes: 8 * 1024, changes: 12, changes_per_s: 100.0 };
 /// Limits of the state service after its announced reduction.
 pub const NEXT_LIMITS: Limits = Limits { value_bytes: 2 * 1024, changes: 4, changes_per_s: 40.0 };
-/// Time limit of the simulated HTTP servers for a connection.
-pub(super) const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time in which a request to a simulated HTTP server must arrive; also the delay of answers that are lost.
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn host(net: u8, n: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 0, net, n as u8 + 1))
--- a/crates/stand-ins/src/ground.rs
+++ b/crates/stand-ins/src/ground.rs
@@ -1,6 +1,6 @@
 //! Context shared by all simulated services.
 
-use super::deployment::CONNECTION_TIMEOUT;
+use super::deployment::REQUEST_TIMEOUT;
 use super::net::SimulatedNetwork;
 use super::world::Shared;
 use badgerdrift::transport::http::{self, Client, Request, Response};
@@ -48,7 +48,7 @@
         let (context, net) = (self.clone(), self.process(at.ip()).0);
         tokio::spawn(async move {
             let listener = net.bind(at).await.unwrap();
-            http::serve(listener, 500, CONNECTION_TIMEOUT, move |req| handler(context.clone(), req)).await;
+            http::serve(listener, 500, REQUEST_TIMEOUT, move |req| handler(context.clone(), req)).await;
         });
     }
 
--- a/crates/stand-ins/src/machines.rs
+++ b/crates/stand-ins/src/machines.rs
@@ -1,6 +1,6 @@
 //! Simulated workers' side of the protocol: reports, direct commands and late copies of reports.
 
-use super::deployment::CONNECTION_TIMEOUT;
+use super::deployment::REQUEST_TIMEOUT;
 use super::ground::SimulationContext;
 use super::world::secs;
 use badgerdrift::transport::http::{self, Client, Response};
@@ -36,7 +36,7 @@
         context.log(format!("{id} is up"));
         let Ok(listener) = net.bind(addr).await else { return };
         let (command_context, command_id) = (context.clone(), id.clone());
-        tokio::spawn(http::serve(listener, 100, CONNECTION_TIMEOUT, move |req| {
+        tokio::spawn(http::serve(listener, 100, REQUEST_TIMEOUT, move |req| {
             direct(command_context.clone(), command_id.clone(), req)
         }));
         send_reports(context, id, Client::on(&net, 4)).await;
@@ -85,14 +85,14 @@
 async fn direct(context: SimulationContext, id: String, req: http::Request) -> Response {
     let deaf = context.world.lock().unwrap().machines[&id].deaf > Instant::now();
     if deaf || !wait_while_hanging(&context, &id).await {
-        sleep(CONNECTION_TIMEOUT).await;
+        sleep(REQUEST_TIMEOUT).await;
         return Response::error(503, "lost");
     }
     if let Some(image) = req.path.strip_prefix(MODEL_PATH) {
         return answer_request(&context, &id, image).await;
     }
     if delay_command(&context, &id, &req) {
-        sleep(CONNECTION_TIMEOUT).await;
+        sleep(REQUEST_TIMEOUT).await;
         return Response::error(503, "held up");
     }
     let mut world = context.world.lock().unwrap();
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -1,6 +1,6 @@
 //! HTTP interface of the simulated state service, with its faults.
 
-use super::deployment::CONNECTION_TIMEOUT;
+use super::deployment::REQUEST_TIMEOUT;
 use super::ground::SimulationContext;
 use super::machines;
 use super::versions::production_records;
@@ -72,18 +72,18 @@
     let response = carry_out(&context, node, &req);
     if fault.late_s.is_some() || fault.answer_lost {
         context.log(format!("answer lost for n{node}: {} {} had status {}", req.method, req.path, response.status));
-        sleep(CONNECTION_TIMEOUT).await;
+        sleep(REQUEST_TIMEOUT).await;
     }
     response
 }
 
 /// Answers a watch once a key has changed or its time is over. Open watches wait during outages.
 async fn watch(context: &SimulationContext, node: usize, path: &str) -> Response {
-    let q = crate::store::query(path);
-    let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
+    let query = crate::store::query(path);
+    let until = Instant::now() + Duration::from_millis(query["hold_ms"].parse().unwrap());
     loop {
         if !is_down(context, node)
-            && let Some(r) = context.world.lock().unwrap().store.changes(&q, Instant::now() > until)
+            && let Some(r) = context.world.lock().unwrap().store.changes(&query, Instant::now() > until)
         {
             return r;
         }
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -22,8 +22,8 @@
         }
         if let Some((core_limit, card_limit)) = self.parameters.team_limit(job.team) {
             let team = || on.iter().filter(|o| o.2.team == job.team).filter_map(|o| self.jobs.get(&o.2.job));
-            let cores = team().map(|j| j.cores).sum::<f64>() + job.cores;
-            let cards = team().map(|j| j.cards).sum::<f64>() + job.cards;
+            let cores = team().map(|job| job.cores).sum::<f64>() + job.cores;
+            let cards = team().map(|job| job.cards).sum::<f64>() + job.cards;
             if cores > core_limit || cards > card_limit {
                 wrong.push(format!(
                     "quota: {} starts on {id}: team {} uses {cores} cores, {cards} cards",
@@ -97,13 +97,13 @@
         }
         if phase == "cancelled"
             && !job.cancel_asked
-            && !self.needs(&job, |world, j| world.recorded_end(&j.id) == "Cancelled")
+            && !self.needs(&job, |world, job| world.recorded_end(&job.id) == "Cancelled")
         {
             self.fail(format!(
                 "went_back: answered `cancelled`, but neither the job nor a dependency was cancelled: {told}"
             ));
         }
-        if phase != "cancelled" && self.needs(&job, |_, j| after(j.cancelled)) {
+        if phase != "cancelled" && self.needs(&job, |_, job| after(job.cancelled)) {
             self.fail(format!("orphaned: not answered `cancelled`, but a dependency was before: {told}"));
         }
         if phase == "done" && !job.all_done() {
@@ -115,11 +115,11 @@
         if what == "withdraw" && !matches!(phase, "done" | "cancelled") {
             self.fail(format!("cancellation answered with another phase than `done` or `cancelled`: {told}"));
         }
-        let j = self.jobs.get_mut(id).unwrap();
-        j.accepted.get_or_insert(now);
+        let job = self.jobs.get_mut(id).unwrap();
+        job.accepted.get_or_insert(now);
         match phase {
-            "done" => _ = j.done_told.get_or_insert(now),
-            "cancelled" => _ = j.cancelled.get_or_insert(now),
+            "done" => _ = job.done_told.get_or_insert(now),
+            "cancelled" => _ = job.cancelled.get_or_insert(now),
             _ => {}
         }
     }
@@ -151,25 +151,25 @@
     /// Returns a description of each accepted job that is not over, except services that run as they should.
     pub fn unsettled(&self) -> Vec<String> {
         let mut out = Vec::new();
-        for j in self.jobs.values().filter(|j| j.accepted.is_some() && !j.over()) {
+        for job in self.jobs.values().filter(|job| job.accepted.is_some() && !job.over()) {
             let running: Vec<String> = self
                 .machines
                 .values()
                 .flat_map(|machine| machine.copies.iter().map(move |(k, attempt)| (machine, k, attempt)))
-                .filter(|(_, _, attempt)| attempt.job == j.id)
+                .filter(|(_, _, attempt)| attempt.job == job.id)
                 .map(|(machine, k, attempt)| {
                     format!("{} try {} on {} {} {:?}", k.0, k.1, machine.id, attempt.phase.name(), attempt.why)
                 })
                 .collect();
             let runs = running.iter().filter(|r| r.contains(" running ")).count();
-            if j.shape != "service" || j.cancel_asked || runs < j.shards as usize {
+            if job.shape != "service" || job.cancel_asked || runs < job.shards as usize {
                 out.push(format!(
                     "{} {} {} of {} done, {running:?}: {}",
-                    j.id,
-                    j.shape,
-                    j.done.len(),
-                    j.shards,
-                    j.body()
+                    job.id,
+                    job.shape,
+                    job.done.len(),
+                    job.shards,
+                    job.body()
                 ));
             }
         }
