--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in one region: named faults at set times, and failures of an ordinary day.
+//! Faults of one region: named faults at set times, and random machine failures at an ordinary daily rate.
 
 use crate::controllers::Controllers;
 use crate::plan::RegionPlan;
@@ -15,7 +15,7 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What faults act on.
+/// Objects that faults act on.
 #[derive(Clone)]
 pub struct FaultTargets {
     pub context: SimulationContext,
@@ -23,15 +23,15 @@
     pub cuts: Cuts,
 }
 
-/// Starts the region's named faults and its failures of ordinary days.
+/// Starts the region's named faults and its random machine failures.
 pub fn start(targets: &FaultTargets, plan: &RegionPlan) {
-    // Regions are cut off at the relays of all regions.
+    // A region is cut off at the relays of all regions, so that each region carries out such a fault.
     let concerns = |fault: &&Fault| fault.region == plan.region || fault.kind == FaultKind::RegionCut;
     for fault in plan.scenario.fault.values().filter(concerns) {
         let (targets, fault) = (targets.clone(), fault.clone());
         tokio::spawn(async move {
             sleep(secs(fault.at_s)).await;
-            targets.bring_about(&fault).await;
+            targets.inject(&fault).await;
         });
     }
     let failures = &plan.scenario.failures;
@@ -52,7 +52,7 @@
 }
 
 impl FaultTargets {
-    async fn bring_about(&self, fault: &Fault) {
+    async fn inject(&self, fault: &Fault) {
         match fault.kind {
             FaultKind::Machines => self.stop_machines(fault.count, |_| true),
             FaultKind::Rack => self.stop_in_one_zone(fault.count),
@@ -74,17 +74,17 @@
                 self.cuts.set(fault.region, false);
             }
             FaultKind::StateAnswersLost => {
-                self.context.w.lock().unwrap().lost_answers = 1.0;
+                self.context.world.lock().unwrap().lost_answers = 1.0;
                 sleep(secs(fault.for_s)).await;
-                self.context.w.lock().unwrap().lost_answers = 0.0;
+                self.context.world.lock().unwrap().lost_answers = 0.0;
             }
         }
     }
 
-    /// Stops so many of the machines that are up and that `which` accepts by their zone.
+    /// Stops up to `count` random machines that are up and whose zone `which` accepts.
     fn stop_machines(&self, count: usize, which: impl Fn(&str) -> bool) {
         let stopped: Vec<String> = {
-            let world = self.context.w.lock().unwrap();
+            let world = self.context.world.lock().unwrap();
             let now = Instant::now();
             let up = world.machines.values().filter(|machine| machine.alive(now) && which(&machine.zone));
             up.take(count).map(|machine| machine.id.clone()).collect()
@@ -93,11 +93,11 @@
     }
 
     fn stop_in_one_zone(&self, count: usize) {
-        let zone = self.context.w.lock().unwrap().parameters.zones[0];
+        let zone = self.context.world.lock().unwrap().parameters.zones[0];
         self.stop_machines(count, |other| other == zone);
     }
 
-    /// The controller that holds the jobs, as the state service knows it; the first if none does.
+    /// Returns the controller that owns the jobs according to the state service; the first one if none does.
     fn leader(&self) -> usize {
         leader(&self.context).unwrap_or(0)
     }
@@ -120,14 +120,14 @@
     }
 }
 
-/// The controller that holds the jobs, as the state service knows it.
+/// Returns the controller that owns the jobs according to the state service, if one does.
 pub fn leader(context: &SimulationContext) -> Option<usize> {
-    let record = context.w.lock().unwrap().store.value("part/0");
+    let record = context.world.lock().unwrap().store.value("part/0");
     record["holder"].as_str()?.strip_prefix('n')?.parse().ok()
 }
 
 fn report(result: std::io::Result<()>) {
     if let Err(error) = result {
-        eprintln!("badgerdrift-scale: a fault could not be brought about: {error}");
+        eprintln!("badgerdrift-scale: injection of a fault failed: {error}");
     }
 }
--- a/crates/stand-ins/src/faults.rs
+++ b/crates/stand-ins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Random days: jobs come, and faults overlap.
+//! Randomised fault injection: jobs arrive while faults overlap.
 
 use super::net::Cut;
 use super::world::{BootFaults, GUEST, LEASE_S, secs};
@@ -8,18 +8,21 @@
 use std::net::IpAddr;
 use tokio::time::Instant;
 
-/// How much happens on a random day.
+/// Options of a randomised run.
 pub struct RandomDay {
+    /// Duration in seconds.
     pub day_s: f64,
-    /// Faults that overlap, of the first kinds and of the later ones.
+    /// Number of overlapping faults of the original kinds.
     pub faults: usize,
+    /// Number of overlapping faults of the kinds added later.
     pub later: usize,
+    /// Number of pipelines that are submitted.
     pub pipelines: usize,
-    /// The controllers are upgraded in turn, and pipelines come after that.
+    /// Whether the controllers are upgraded in turn, with pipelines submitted afterwards.
     pub rollout: bool,
 }
 
-/// What is to be done at an instant of the day.
+/// Action that a randomised run carries out at a set time.
 enum FaultAction {
     Submit,
     Cancel,
@@ -28,7 +31,7 @@
     Outage(bool),
     Refuse(usize, bool),
     Cut(Vec<(IpAddr, IpAddr)>, Option<Cut>),
-    /// From a node to the machines of a zone, or of all.
+    /// Cuts or reconnects a node and the machines of a zone, or of all zones.
     CutMachines(usize, &'static str, Option<Cut>),
     Deaf(f64, f64),
     Mute(f64, f64),
@@ -49,7 +52,7 @@
     Upgrade(usize),
 }
 
-/// The actions of one fault that begins then.
+/// Draws a fault of the original kinds that begins at `at`, in seconds, and returns its actions.
 fn fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let other = (node + rng.random_range(1..NODES)) % NODES;
@@ -84,7 +87,7 @@
     }
 }
 
-/// The actions of one fault of the later kinds that begins then.
+/// Draws a fault of the kinds added later that begins at `at`, in seconds, and returns its actions.
 fn later_fault(rng: &mut StdRng, at: f64) -> Vec<(f64, FaultAction)> {
     let node = rng.random_range(0..NODES);
     let end = at + rng.random_range(5.0..30.0);
@@ -114,23 +117,23 @@
 }
 
 impl Sim {
-    /// A day of so many seconds with jobs, and so many faults that overlap.
+    /// Runs `day_s` seconds with jobs and `faults` overlapping faults.
     pub async fn random_day(&mut self, day_s: f64, faults: usize) {
         self.random_day_with(day_s, faults, 0).await;
     }
 
-    /// The same with so many faults of the later kinds as well. They are drawn last, so
-    /// that the days of known seeds stay what they were.
+    /// Runs [`Sim::random_day`] with `later` further faults of the kinds added later. These are drawn
+    /// last, so that recorded seeds reproduce their runs.
     pub async fn random_day_with(&mut self, day_s: f64, faults: usize, later: usize) {
         self.random_day_of(RandomDay { day_s, faults, later, pipelines: 0, rollout: false }).await;
     }
 
-    /// The same with pipelines, and with limits of the state service that shrink if there are any.
+    /// Runs `day` with pipelines; if the state service has limits, they shrink during the run.
     pub async fn random_day_of(&mut self, day: RandomDay) {
         let RandomDay { day_s, faults, later, pipelines, rollout } = day;
-        let mut rng = StdRng::seed_from_u64(self.g.seed.wrapping_mul(0x9e37_79b9));
-        self.g.w.lock().unwrap().faulty = 0.04;
-        tokio::spawn(users::stranger(self.g.clone(), rng.random()));
+        let mut rng = StdRng::seed_from_u64(self.context.seed.wrapping_mul(0x9e37_79b9));
+        self.context.world.lock().unwrap().faulty = 0.04;
+        tokio::spawn(users::poll_unknown_jobs(self.context.clone(), rng.random()));
         let mut fault_actions: Vec<(f64, FaultAction)> = Vec::new();
         for _ in 0..22 {
             let at = rng.random_range(0.5..day_s * 0.8);
@@ -190,16 +193,16 @@
             FaultAction::Outage(down) => self.state_down(down),
             FaultAction::Refuse(n, refused) => self.refuse_state(n, refused),
             FaultAction::Cut(pairs, cut) => {
-                self.g.log(format!("cut of {pairs:?}: {cut:?}"));
+                self.context.log(format!("cut of {pairs:?}: {cut:?}"));
                 pairs.into_iter().for_each(|(a, b)| self.cut(a, b, cut));
             }
             FaultAction::CutMachines(n, zone, cut) => self.cut_machines(n, zone, cut),
-            FaultAction::Deaf(share, s) => self.each(rng, share, "deaf", |m| m.deaf = now + secs(s)),
-            FaultAction::Mute(share, s) => self.each(rng, share, "mute", |m| m.mute = now + secs(s)),
-            FaultAction::Hang(share, s) => self.each(rng, share, "hang", |m| m.hang = now + secs(s)),
+            FaultAction::Deaf(share, s) => self.for_random_machines(rng, share, "deaf", |m| m.deaf = now + secs(s)),
+            FaultAction::Mute(share, s) => self.for_random_machines(rng, share, "mute", |m| m.mute = now + secs(s)),
+            FaultAction::Hang(share, s) => self.for_random_machines(rng, share, "hang", |m| m.hang = now + secs(s)),
             FaultAction::Die(count) => {
-                for id in self.some(rng, count, |_| true) {
-                    machines::die(&self.g, &id);
+                for id in self.random_machines(rng, count, |_| true) {
+                    machines::die(&self.context, &id);
                 }
             }
             FaultAction::Take(count, noticed) => self.take_spot_machines(count, noticed, rng),
@@ -223,17 +226,17 @@
             FaultAction::LateWrites(share) => self.late_writes(share),
             FaultAction::LostAnswers(share) => self.lost_answers(share),
             FaultAction::CloudDown(down) => {
-                self.g.log(format!("cloud down: {down}"));
-                self.g.w.lock().unwrap().cloud_down = down;
+                self.context.log(format!("cloud down: {down}"));
+                self.context.world.lock().unwrap().cloud_down = down;
             }
         }
     }
 
-    /// Cancels one of the jobs that are open.
+    /// Cancels one of the open jobs.
     fn cancel_any(&mut self, rng: &mut StdRng) {
         let open: Vec<String> = {
-            let w = self.g.w.lock().unwrap();
-            let open = w.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
+            let world = self.context.world.lock().unwrap();
+            let open = world.jobs.values().filter(|j| j.accepted.is_some() && !j.over() && !j.cancel_asked);
             open.map(|j| j.id.clone()).collect()
         };
         if !open.is_empty() {
@@ -242,12 +245,12 @@
         }
     }
 
-    /// Cuts a controller off from the machines of a zone, or of all zones, or mends that.
+    /// Cuts a controller off from the machines of a zone, or of all zones; `None` ends the cut.
     fn cut_machines(&mut self, node: usize, zone: &str, cut: Option<Cut>) {
-        self.g.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
+        self.context.log(format!("cut of n{node} from machines of {zone:?}: {cut:?}"));
         let ips: Vec<IpAddr> = {
-            let w = self.g.w.lock().unwrap();
-            let all = w.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
+            let world = self.context.world.lock().unwrap();
+            let all = world.machines.values().filter(|m| zone.is_empty() || cut.is_none() || m.zone == zone);
             all.map(|m| m.addr.ip()).collect()
         };
         for ip in ips {
@@ -255,21 +258,21 @@
         }
     }
 
-    /// The cloud takes spot machines back, with a notice or without.
+    /// Reclaims spot machines, with or without notice.
     fn take_spot_machines(&mut self, count: usize, noticed: bool, rng: &mut StdRng) {
-        for id in self.some(rng, count, |spot| spot) {
+        for id in self.random_machines(rng, count, |spot| spot) {
             if noticed {
-                self.g.log(format!("{id} is to be taken"));
-                let mut w = self.g.w.lock().unwrap();
-                let m = w.machines.get_mut(&id).unwrap();
+                self.context.log(format!("{id} gets notice of its reclaim"));
+                let mut world = self.context.world.lock().unwrap();
+                let m = world.machines.get_mut(&id).unwrap();
                 (m.taken, m.changed) = (Some(Instant::now() + secs(rng.random_range(3.0..12.0))), true);
             } else {
-                machines::remove(&self.g, &id, "is taken without notice");
+                machines::remove(&self.context, &id, "is reclaimed without notice");
             }
         }
     }
 
-    /// A team without a guarantee submits a large array and some small ones.
+    /// Submits a large array and several small ones for a team without a guarantee.
     fn submit_guests(&mut self, rng: &mut StdRng) {
         for tasks in [30, 1, 1, 1, 1] {
             let mut job = self.job("batch", tasks);
@@ -279,12 +282,12 @@
         }
     }
 
-    /// Some of the machines that are up, by their kind.
-    fn some(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
+    /// Returns up to `count` random machines that are up and whose spot flag `wanted` accepts.
+    fn random_machines(&self, rng: &mut StdRng, count: usize, wanted: impl Fn(bool) -> bool) -> Vec<String> {
         let now = Instant::now();
-        let w = self.g.w.lock().unwrap();
+        let world = self.context.world.lock().unwrap();
         let mut up: Vec<String> =
-            w.machines.values().filter(|m| m.alive(now) && wanted(m.spot)).map(|m| m.id.clone()).collect();
+            world.machines.values().filter(|m| m.alive(now) && wanted(m.spot)).map(|m| m.id.clone()).collect();
         let mut out = Vec::new();
         while out.len() < count && !up.is_empty() {
             out.push(up.swap_remove(rng.random_range(0..up.len())));
@@ -292,16 +295,16 @@
         out
     }
 
-    fn each(&self, rng: &mut StdRng, share: f64, what: &str, put: impl Fn(&mut super::world::Machine)) {
+    fn for_random_machines(&self, rng: &mut StdRng, share: f64, what: &str, put: impl Fn(&mut super::world::Machine)) {
         let now = Instant::now();
-        let mut w = self.g.w.lock().unwrap();
+        let mut world = self.context.world.lock().unwrap();
         let mut hit = Vec::new();
-        for m in w.machines.values_mut().filter(|m| m.alive(now)) {
+        for m in world.machines.values_mut().filter(|m| m.alive(now)) {
             if rng.random_bool(share) {
                 put(m);
                 hit.push(m.id.clone());
             }
         }
-        w.log(format!("{what}: {hit:?}"));
+        world.log(format!("{what}: {hit:?}"));
     }
 }
--- a/crates/stand-ins/src/net.rs
+++ b/crates/stand-ins/src/net.rs
@@ -1,4 +1,4 @@
-//! A network in memory: latency from the seed, and cuts between pairs of hosts.
+//! Network in memory with seeded random latency and with cuts between pairs of hosts.
 
 mod process;
 mod streams;
@@ -14,46 +14,50 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// What a cut does to a pair of hosts.
+/// Effect of a cut on the connections between two hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
-    /// Connections fail at once, open ones are reset.
+    /// New connections are refused and open ones are reset.
     Refuse,
-    /// Bytes are kept, and come in order when the cut ends.
+    /// Bytes are held back and delivered in order when the cut ends.
     Hold,
 }
 
 type Shared<T> = Arc<Mutex<T>>;
 
+/// An open connection.
 struct Link {
+    /// Hosts that opened and accepted it.
     ends: (IpAddr, IpAddr),
-    /// Lives of the hosts that opened and accepted it.
-    lives: (u64, u64),
+    /// Numbers of the processes that opened and accepted it.
+    process_ids: (u64, u64),
     pipes: [Weak<Mutex<Pipe>>; 2],
 }
 
+/// A listening socket.
 struct Bound {
-    life: u64,
+    process_id: u64,
     tx: mpsc::UnboundedSender<Box<dyn Stream>>,
 }
 
+/// State of the network.
 struct Inner {
     rng: StdRng,
     cuts: HashMap<(IpAddr, IpAddr), Cut>,
     links: Vec<Link>,
     bound: HashMap<SocketAddr, Bound>,
     dead: Vec<u64>,
-    next_life: u64,
-    mended: Arc<Notify>,
-    /// Connections that each process opened at an instant or close to it.
+    next_process_id: u64,
+    cuts_changed: Arc<Notify>,
+    /// Start of the current period of a second and number of connections opened in it, for each process.
     opened: HashMap<u64, (Instant, u32)>,
-    /// Processes of the version in production.
+    /// Processes that run the version in production.
     production: HashSet<u64>,
-    /// The first rule that was broken on the network.
+    /// First rule that was broken on the network.
     broken: Option<String>,
 }
 
-/// The whole network.
+/// Handle to the simulated network.
 #[derive(Clone)]
 pub struct SimulatedNetwork(Shared<Inner>);
 
@@ -69,52 +73,54 @@
             links: Vec::new(),
             bound: HashMap::new(),
             dead: Vec::new(),
-            next_life: 0,
-            mended: Arc::default(),
+            next_process_id: 0,
+            cuts_changed: Arc::default(),
             opened: HashMap::new(),
             production: HashSet::new(),
             broken: None,
         })))
     }
 
-    /// The network as one process on a host sees it, and that process's number.
+    /// Creates a process on a host; returns its view of the network and its number.
     pub fn process(&self, host: IpAddr) -> (Net, u64) {
         let mut inner = self.0.lock().unwrap();
-        inner.next_life += 1;
-        let life = inner.next_life;
-        (Net::new(Process { network: self.clone(), host, life }), life)
+        inner.next_process_id += 1;
+        let process_id = inner.next_process_id;
+        (Net::new(Process { network: self.clone(), host, process_id }), process_id)
     }
 
-    /// What the process says to other controllers, and hears from them, is in the form of the
-    /// version in production.
-    pub fn speak_as_production(&self, life: u64) {
-        self.0.lock().unwrap().production.insert(life);
+    /// Converts all frames between the process and other controllers to the form of the version in
+    /// production.
+    pub fn use_production_format(&self, process_id: u64) {
+        self.0.lock().unwrap().production.insert(process_id);
     }
 
-    /// Ends a process as far as anybody can tell: what it had sent still arrives,
-    /// what it does later goes nowhere.
-    pub fn kill(&self, life: u64) {
+    /// Ends a process. Bytes that it has sent still arrive; anything that it does later has no effect.
+    pub fn kill(&self, process_id: u64) {
         let mut inner = self.0.lock().unwrap();
-        inner.dead.push(life);
-        inner.bound.retain(|_, b| b.life != life);
-        for l in &inner.links {
-            for (way, writer, reader) in [(0, l.lives.0, l.lives.1), (1, l.lives.1, l.lives.0)] {
-                let Some(p) = l.pipes[way].upgrade() else { continue };
-                let mut p = p.lock().unwrap();
-                if writer == life && p.closed.is_none() {
-                    p.closed = Some(p.last);
-                    p.wake();
+        inner.dead.push(process_id);
+        inner.bound.retain(|_, socket| socket.process_id != process_id);
+        for link in &inner.links {
+            for (way, writer, reader) in
+                [(0, link.process_ids.0, link.process_ids.1), (1, link.process_ids.1, link.process_ids.0)]
+            {
+                let Some(pipe) = link.pipes[way].upgrade() else { continue };
+                let mut pipe = pipe.lock().unwrap();
+                if writer == process_id && pipe.closed.is_none() {
+                    pipe.closed = Some(pipe.last);
+                    pipe.wake();
                 }
-                if reader == life {
-                    p.chunks.clear();
-                    p.reset = true;
-                    p.reader = None;
+                if reader == process_id {
+                    pipe.chunks.clear();
+                    pipe.reset = true;
+                    pipe.reader = None;
                 }
             }
         }
     }
 
-    /// A process that opened connections without end, or said what another can't read.
+    /// Returns the first rule broken on the network, if any: a process opened too many connections, or sent
+    /// a frame that its peer cannot read.
     pub fn broken(&self) -> Option<String> {
         self.0.lock().unwrap().broken.clone()
     }
@@ -125,6 +131,7 @@
         cuts.into_iter().for_each(|(a, b)| self.cut(a, b, None));
     }
 
+    /// Cuts the connections between two hosts; `None` ends the cut.
     pub fn cut(&self, a: IpAddr, b: IpAddr, cut: Option<Cut>) {
         let mut inner = self.0.lock().unwrap();
         let ends = pair(a, b);
@@ -132,17 +139,17 @@
             Some(c) => inner.cuts.insert(ends, c),
             None => inner.cuts.remove(&ends),
         };
-        for l in inner.links.iter().filter(|l| pair(l.ends.0, l.ends.1) == ends) {
-            for p in l.pipes.iter().filter_map(Weak::upgrade) {
-                let mut p = p.lock().unwrap();
-                p.held = cut == Some(Cut::Hold);
+        for link in inner.links.iter().filter(|link| pair(link.ends.0, link.ends.1) == ends) {
+            for pipe in link.pipes.iter().filter_map(Weak::upgrade) {
+                let mut pipe = pipe.lock().unwrap();
+                pipe.held = cut == Some(Cut::Hold);
                 if cut == Some(Cut::Refuse) {
-                    p.reset = true;
-                    p.chunks.clear();
+                    pipe.reset = true;
+                    pipe.chunks.clear();
                 }
-                p.wake();
+                pipe.wake();
             }
         }
-        inner.mended.notify_waiters();
+        inner.cuts_changed.notify_waiters();
     }
 }
--- a/crates/stand-ins/src/net/streams.rs
+++ b/crates/stand-ins/src/net/streams.rs
@@ -1,4 +1,4 @@
-//! The two directions of a connection, and its ends.
+//! Directions and ends of a connection in memory.
 
 use super::{Shared, SimulatedNetwork};
 use crate::versions::production_frames;
@@ -14,24 +14,27 @@
 
 /// One direction of a connection.
 pub(super) struct Pipe {
+    /// Bytes that were not read yet, each chunk with the instant of its arrival.
     pub(super) chunks: VecDeque<(Instant, Vec<u8>)>,
-    /// The writer has closed it then.
+    /// Instant from which the reader sees the end of the stream; `None` while the writer is open.
     pub(super) closed: Option<Instant>,
     pub(super) reset: bool,
+    /// Whether a cut holds the bytes back.
     pub(super) held: bool,
+    /// Arrival of the last chunk.
     pub(super) last: Instant,
     pub(super) reader: Option<Waker>,
 }
 
 impl Pipe {
-    /// A direction on which nothing was written yet.
+    /// Returns an empty, open direction.
     pub(super) fn new() -> Pipe {
         Pipe { chunks: VecDeque::new(), closed: None, reset: false, held: false, last: Instant::now(), reader: None }
     }
 
     pub(super) fn wake(&mut self) {
-        if let Some(w) = self.reader.take() {
-            w.wake();
+        if let Some(waker) = self.reader.take() {
+            waker.wake();
         }
     }
 }
@@ -50,8 +53,8 @@
 pub(super) struct MemWrite {
     pub(super) pipe: Shared<Pipe>,
     pub(super) network: SimulatedNetwork,
-    pub(super) life: u64,
-    /// What is written are frames, which are put into the form of the version in production.
+    pub(super) process_id: u64,
+    /// Whether written bytes are frames that are converted to the form of the version in production.
     pub(super) in_production_form: bool,
 }
 
@@ -59,23 +62,23 @@
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let me = &mut *self;
         loop {
-            let mut p = me.pipe.lock().unwrap();
-            if p.reset {
+            let mut pipe = me.pipe.lock().unwrap();
+            if pipe.reset {
                 return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
             }
-            p.reader = Some(cx.waker().clone());
-            if p.held {
+            pipe.reader = Some(cx.waker().clone());
+            if pipe.held {
                 return Poll::Pending;
             }
             let now = Instant::now();
-            let closed = p.closed;
-            let due = match (p.chunks.front_mut(), closed) {
+            let closed = pipe.closed;
+            let due = match (pipe.chunks.front_mut(), closed) {
                 (Some((at, bytes)), _) if *at <= now => {
                     let n = bytes.len().min(buf.remaining());
                     buf.put_slice(&bytes[..n]);
                     bytes.drain(..n);
                     if bytes.is_empty() {
-                        p.chunks.pop_front();
+                        pipe.chunks.pop_front();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -84,7 +87,7 @@
                 (None, Some(at)) => at,
                 (None, None) => return Poll::Pending,
             };
-            drop(p);
+            drop(pipe);
             let timer = me.timer.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
             timer.as_mut().reset(due);
             if timer.as_mut().poll(cx).is_pending() {
@@ -96,23 +99,23 @@
 
 impl Drop for MemRead {
     fn drop(&mut self) {
-        if let Ok(mut p) = self.pipe.lock() {
-            p.reader = None;
+        if let Ok(mut pipe) = self.pipe.lock() {
+            pipe.reader = None;
         }
     }
 }
 
 impl MemWrite {
     fn close(&self) {
-        // Locked in the same order as by a cut.
+        // The locks are taken in the same order as by a cut: first the network's.
         let inner = self.network.0.lock().unwrap();
-        if inner.dead.contains(&self.life) {
+        if inner.dead.contains(&self.process_id) {
             return;
         }
-        let mut p = self.pipe.lock().unwrap();
-        if p.closed.is_none() {
-            p.closed = Some(p.last.max(Instant::now()));
-            p.wake();
+        let mut pipe = self.pipe.lock().unwrap();
+        if pipe.closed.is_none() {
+            pipe.closed = Some(pipe.last.max(Instant::now()));
+            pipe.wake();
         }
     }
 }
@@ -120,7 +123,7 @@
 impl AsyncWrite for MemWrite {
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let mut inner = self.network.0.lock().unwrap();
-        if inner.dead.contains(&self.life) {
+        if inner.dead.contains(&self.process_id) {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
         let lag = Duration::from_millis(inner.rng.random_range(1..=5));
@@ -132,14 +135,14 @@
             }
             None => buf.to_vec(),
         };
-        let mut p = self.pipe.lock().unwrap();
-        if p.reset || p.closed.is_some() {
+        let mut pipe = self.pipe.lock().unwrap();
+        if pipe.reset || pipe.closed.is_some() {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
-        let at = p.last.max(Instant::now() + lag);
-        p.last = at;
-        p.chunks.push_back((at, sent));
-        p.wake();
+        let at = pipe.last.max(Instant::now() + lag);
+        pipe.last = at;
+        pipe.chunks.push_back((at, sent));
+        pipe.wake();
         Poll::Ready(Ok(buf.len()))
     }
 
@@ -181,10 +184,10 @@
 
 impl Stream for MemStream {
     fn is_closed(&self) -> bool {
-        let p = self.read.pipe.lock().unwrap();
+        let pipe = self.read.pipe.lock().unwrap();
         let now = Instant::now();
-        let ended = !p.held && p.closed.is_some_and(|at| at <= now);
-        p.reset || ended || (!p.held && p.chunks.front().is_some_and(|c| c.0 <= now))
+        let ended = !pipe.held && pipe.closed.is_some_and(|at| at <= now);
+        pipe.reset || ended || (!pipe.held && pipe.chunks.front().is_some_and(|c| c.0 <= now))
     }
 
     fn halves(self: Box<Self>) -> (ReadHalf, WriteHalf) {
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -1,6 +1,6 @@
-//! The state service, as each of the controllers sees it.
+//! HTTP interface of the simulated state service, with its faults.
 
-use super::deployment::PATIENCE;
+use super::deployment::REQUEST_TIMEOUT;
 use super::ground::SimulationContext;
 use super::machines;
 use super::versions::production_records;
@@ -10,80 +10,80 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The state service, as one of the controllers sees it.
-pub async fn state(g: SimulationContext, node: usize, req: Request) -> Response {
-    if !g.w.lock().unwrap().production[node] {
-        return answer(g, node, req).await;
+/// Answers one request of a controller to the state service.
+pub async fn state(context: SimulationContext, node: usize, req: Request) -> Response {
+    if !context.world.lock().unwrap().production[node] {
+        return answer(context, node, req).await;
     }
-    let req = Request { body: in_production_form(&g, req.body), ..req };
-    let response = answer(g.clone(), node, req).await;
-    Response { body: in_production_form(&g, response.body), ..response }
+    let req = Request { body: in_production_form(&context, req.body), ..req };
+    let response = answer(context.clone(), node, req).await;
+    Response { body: in_production_form(&context, response.body), ..response }
 }
 
-/// The records in a body as the version in production reads or writes them.
-fn in_production_form(g: &SimulationContext, body: Vec<u8>) -> Vec<u8> {
+/// Converts the records in a body to the form that the version in production reads and writes.
+fn in_production_form(context: &SimulationContext, body: Vec<u8>) -> Vec<u8> {
     let Ok(mut value) = serde_json::from_slice(&body) else { return body };
     if let Err(broken) = production_records(&mut value) {
-        g.w.lock().unwrap().fail(broken);
+        context.world.lock().unwrap().fail(broken);
     }
     serde_json::to_vec(&value).unwrap()
 }
 
-/// What is drawn for one request: how long it takes, and what goes wrong with it.
-struct Fate {
+/// Randomly drawn delay and fault of one request.
+struct RequestFault {
     lag: Duration,
-    /// A write without an answer is carried out so many seconds late.
+    /// Delay in seconds after which a write without an answer is carried out; `None` for no such fault.
     late_s: Option<f64>,
-    /// It is carried out, and its answer is lost.
+    /// Whether the request is carried out and its answer lost.
     answer_lost: bool,
 }
 
-/// Does the state service refuse this node, or everybody?
-fn is_down(g: &SimulationContext, node: usize) -> bool {
-    let w = g.w.lock().unwrap();
-    w.store.down || w.refused[node]
+/// Returns whether the state service refuses this node, or all nodes.
+fn is_down(context: &SimulationContext, node: usize) -> bool {
+    let world = context.world.lock().unwrap();
+    world.store.down || world.refused[node]
 }
 
-async fn answer(g: SimulationContext, node: usize, req: Request) -> Response {
-    // A storm is told, and ends here: it must not keep the clock from going on.
-    if !g.w.lock().unwrap().may_ask(node) {
+async fn answer(context: SimulationContext, node: usize, req: Request) -> Response {
+    // A request storm breaks a rule. Its requests never return, since simulated time would not advance otherwise.
+    if !context.world.lock().unwrap().may_ask(node) {
         return std::future::pending().await;
     }
-    if is_down(&g, node) {
+    if is_down(&context, node) {
         return Response::error(503, "trouble");
     }
-    if !g.w.lock().unwrap().takes_request() {
+    if !context.world.lock().unwrap().takes_request() {
         return Response::error(429, "too many requests");
     }
     if req.path.starts_with("/changes") {
-        return watch(&g, node, &req.path).await;
+        return watch(&context, node, &req.path).await;
     }
-    let fate = draw_fate(&g, &req);
-    sleep(fate.lag).await;
-    if let Some(late) = fate.late_s {
+    let fault = draw_request_fault(&context, &req);
+    sleep(fault.lag).await;
+    if let Some(late) = fault.late_s {
         sleep(secs(late)).await;
-        while g.w.lock().unwrap().store.down {
+        while context.world.lock().unwrap().store.down {
             sleep(Duration::from_millis(100)).await;
         }
-        g.log(format!("late by {late:.1} s for n{node}: {} {}", req.method, req.path));
-    } else if is_down(&g, node) {
+        context.log(format!("request of n{node} carried out {late:.1} s late: {} {}", req.method, req.path));
+    } else if is_down(&context, node) {
         return Response::error(503, "trouble");
     }
-    let response = carry_out(&g, node, &req);
-    if fate.late_s.is_some() || fate.answer_lost {
-        g.log(format!("no answer for n{node}: {} {} was {}", req.method, req.path, response.status));
-        sleep(PATIENCE).await;
+    let response = carry_out(&context, node, &req);
+    if fault.late_s.is_some() || fault.answer_lost {
+        context.log(format!("answer lost for n{node}: {} {} had status {}", req.method, req.path, response.status));
+        sleep(REQUEST_TIMEOUT).await;
     }
     response
 }
 
-/// Answers a watch once something has changed, or its time is over. It waits through outages.
-async fn watch(g: &SimulationContext, node: usize, path: &str) -> Response {
-    let q = crate::store::query(path);
-    let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().unwrap());
+/// Answers a watch once a key has changed or its time is over. Open watches wait during outages.
+async fn watch(context: &SimulationContext, node: usize, path: &str) -> Response {
+    let query = crate::store::query(path);
+    let until = Instant::now() + Duration::from_millis(query["hold_ms"].parse().unwrap());
     loop {
-        if !is_down(g, node)
-            && let Some(r) = g.w.lock().unwrap().store.changes(&q, Instant::now() > until)
+        if !is_down(context, node)
+            && let Some(r) = context.world.lock().unwrap().store.changes(&query, Instant::now() > until)
         {
             return r;
         }
@@ -91,32 +91,33 @@
     }
 }
 
-fn draw_fate(g: &SimulationContext, req: &Request) -> Fate {
-    let mut w = g.w.lock().unwrap();
-    let (late, lost) = (w.late_writes, w.lost_answers);
-    let slow = w.rng.random_bool(0.01);
-    let lag = w.rng.random_range(if slow { 50..300 } else { 1..8 });
+fn draw_request_fault(context: &SimulationContext, req: &Request) -> RequestFault {
+    let mut world = context.world.lock().unwrap();
+    let (late, lost) = (world.late_writes, world.lost_answers);
+    let slow = world.rng.random_bool(0.01);
+    let lag = world.rng.random_range(if slow { 50..300 } else { 1..8 });
     let writes = req.method != "GET";
-    let late_s = (writes && w.rng.random_bool(late)).then(|| w.rng.random_range(2.0..12.0));
-    Fate { lag: Duration::from_millis(lag), late_s, answer_lost: writes && w.rng.random_bool(lost) }
+    let late_s = (writes && world.rng.random_bool(late)).then(|| world.rng.random_range(2.0..12.0));
+    RequestFault { lag: Duration::from_millis(lag), late_s, answer_lost: writes && world.rng.random_bool(lost) }
 }
 
-/// Carries a request out. A leader that begins by it is noted, and meets late copies of heartbeats.
-fn carry_out(g: &SimulationContext, node: usize, req: &Request) -> Response {
+/// Carries a request out. If it makes a controller leader, this is noted and the kept copies of worker
+/// reports are released.
+fn carry_out(context: &SimulationContext, node: usize, req: &Request) -> Response {
     let (response, claimed) = {
-        let mut w = g.w.lock().unwrap();
-        let before = w.store.claims;
-        let response = w.store.handle(req);
-        let claimed = w.store.claims > before;
+        let mut world = context.world.lock().unwrap();
+        let before = world.store.claims;
+        let response = world.store.handle(req);
+        let claimed = world.store.claims > before;
         if claimed {
-            let record = w.store.value("part/0");
-            w.note_token(&record);
+            let record = world.store.value("part/0");
+            world.record_term(&record);
         }
         (response, claimed)
     };
     if claimed {
-        g.log(format!("n{node} begins to lead"));
-        machines::release_kept(g);
+        context.log(format!("n{node} becomes leader"));
+        machines::send_kept_reports(context);
     }
     response
 }
--- a/crates/stand-ins/src/world/mod.rs
+++ b/crates/stand-ins/src/world/mod.rs
@@ -1,5 +1,5 @@
-//! The machines with their tasks, the jobs as their users know them, and the
-//! rules, checked as things happen.
+//! State of the simulation: machines with their tasks, jobs as their users know them, and the rules,
+//! which are checked at each event.
 
 mod gang;
 mod job;
@@ -32,30 +32,32 @@
 use terms::Term;
 use tokio::time::Instant;
 
+/// State shared by all simulated services.
 pub struct SimulationState {
     pub parameters: Parameters,
     last_tick: Instant,
     requests_left: f64,
     requests_refilled: Option<Instant>,
-    /// Requests that the state service took and refused under its limit.
+    /// Number of requests that the state service accepted.
     pub requests: u64,
+    /// Number of requests that the state service refused because of its rate limit.
     pub requests_refused: u64,
-    /// Tasks that were started, apart from their jobs, which are copied often.
+    /// Tasks that were started; kept apart from their jobs, which are copied often.
     started_tasks: HashSet<String>,
-    /// Waits for first starts of tasks, since they were last taken.
+    /// Waits of tasks for their first start since the list was last taken.
     pub start_waits: Vec<StartWait>,
     pub rng: StdRng,
     pub start: Instant,
     pub store: Store,
-    /// Nodes that the state service refuses.
+    /// For each node, whether the state service refuses it.
     pub refused: Vec<bool>,
-    /// Nodes that run the version in production.
+    /// For each node, whether it runs the version in production.
     pub production: Vec<bool>,
-    /// Requests of each node to the state service in a second of the day.
+    /// For each node, the second of its last request to the state service and its requests in that second.
     pub asked: Vec<(u64, u32)>,
-    /// Shares of requests to the state service that are carried out late
-    /// without an answer, and at once without an answer.
+    /// Share of writes to the state service that get no answer and are carried out late.
     pub late_writes: f64,
+    /// Share of writes to the state service that are carried out at once but get no answer.
     pub lost_answers: f64,
     /// Share of direct commands that get no answer and are carried out 2 to 16 s late.
     pub late_commands: f64,
@@ -63,14 +65,16 @@
     /// Share of machines on which every task fails.
     pub faulty: f64,
     pub boot_faults: BootFaults,
-    /// How many times as often as usual users ask about their jobs.
+    /// Rate at which users poll their jobs, as a multiple of the default.
     pub poll_rate: f64,
-    /// Share of reports of which copies come late.
+    /// Share of worker reports of which copies arrive late.
     pub late_reports: f64,
-    /// Every machine's reports are kept, for the next leader.
+    /// Whether copies of all reports are kept for the next leader.
     pub keeping: bool,
+    /// Kept copies of reports by machine, with the sender's address.
     pub kept: BTreeMap<String, Vec<(IpAddr, String)>>,
-    /// Orders on terms that are over break a rule; not where cuts or hanging machines hold some back.
+    /// Whether orders under a superseded term break a rule. Must be off where cuts or hanging machines delay
+    /// orders.
     pub check_terms: bool,
     terms: Vec<Term>,
     pub machines: BTreeMap<String, Machine>,
@@ -79,16 +83,18 @@
     gangs: BTreeMap<(String, u64), Gang>,
     pub starts: u64,
     slot_account: SlotAccount,
-    /// Tasks of batches and gangs that were stopped, or waited for their mates in vain,
-    /// though their jobs were not cancelled.
+    /// Tasks of arrays and gangs that were stopped, or whose gang did not become complete, although
+    /// their jobs were not cancelled.
     pub stopped: Vec<String>,
-    /// Work that stopped tasks have lost.
+    /// Work lost by stopped tasks.
     pub lost_work: Vec<LostWork>,
+    /// Latest events, with the seconds since the start.
     pub history: VecDeque<String>,
+    /// First rule that was broken.
     pub broken: Option<String>,
 }
 
-/// How long a task waited from the first attempt to submit its job until it had its image.
+/// Wait of a task from the first attempt to submit its job until its image was fetched.
 #[derive(Debug, Clone, Copy)]
 pub struct StartWait {
     pub urgency: &'static str,
@@ -97,14 +103,14 @@
     pub wait: Duration,
 }
 
-/// Work that a stopped task, or a gang as a whole, has lost.
+/// Work lost by a stopped task, or by a gang as a whole.
 #[derive(Debug, Clone)]
 pub struct LostWork {
     pub job: String,
     pub team: &'static str,
-    /// Seconds of progress since what was saved last.
+    /// Seconds of progress since the last save.
     pub lost_s: f64,
-    /// Seconds of progress between checkpoints; 0 if it saves none.
+    /// Seconds of progress between checkpoints; 0 if the job saves none.
     pub checkpoint_s: f64,
 }
 
@@ -156,6 +162,7 @@
         }
     }
 
+    /// Adds a line to the history, which keeps the last 20,001 lines.
     pub fn log(&mut self, what: String) {
         let t = self.start.elapsed().as_secs_f64();
         if self.history.len() > 20_000 {
@@ -164,13 +171,13 @@
         self.history.push_back(format!("{t:8.3} {what}"));
     }
 
-    /// The first rule that is broken ends the day.
+    /// Records a broken rule. The first one ends the simulation.
     pub fn fail(&mut self, what: String) {
-        self.log(format!("BROKEN {what}"));
+        self.log(format!("broken rule: {what}"));
         self.broken.get_or_insert(what);
     }
 
-    /// What happened last, and what happened to the job or task that is named.
+    /// Returns the latest events, preceded by earlier ones about the job that `about` names.
     pub fn recent(&self, about: &str) -> String {
         if std::env::var_os("BADGERDRIFT_HISTORY").is_some() {
             return self.history.iter().map(|h| format!("{h}\n")).collect();
@@ -178,7 +185,7 @@
         let last = self.history.len().saturating_sub(40);
         let job = about.find("run-").map(|i| &about[i..(i + 10).min(about.len())]);
         let of_job: Vec<&String> =
-            self.history.iter().take(last).filter(|h| job.is_some_and(|j| h.contains(j))).collect();
+            self.history.iter().take(last).filter(|h| job.is_some_and(|job| h.contains(job))).collect();
         let of_job = of_job[of_job.len().saturating_sub(40)..].iter().copied();
         of_job.chain(self.history.iter().skip(last)).map(|h| format!("{h}\n")).collect()
     }
@@ -188,17 +195,18 @@
         format!(
             "{} jobs, {} accepted, {} done, {} cancelled; {} starts, {} machines, {} sessions, {} claims",
             self.jobs.len(),
-            count(|j| j.accepted.is_some()),
-            count(|j| j.done_told.is_some()),
-            count(|j| j.cancelled.is_some()),
+            count(|job| job.accepted.is_some()),
+            count(|job| job.done_told.is_some()),
+            count(|job| job.cancelled.is_some()),
             self.starts,
             self.machines.len(),
-            self.machines.values().map(|m| m.tenure).sum::<u64>(),
+            self.machines.values().map(|machine| machine.tenure).sum::<u64>(),
             self.store.claims
         )
     }
 
-    /// A node asks the state service; false if it does so far beyond `state.rps`.
+    /// Counts a request of a node to the state service. Returns false, and records a broken rule, if the rate
+    /// is far beyond `state.rps`.
     pub fn may_ask(&mut self, node: usize) -> bool {
         let second = self.start.elapsed().as_secs();
         let (at, count) = &mut self.asked[node];
@@ -206,12 +214,13 @@
         *at = second;
         let ok = *count <= 1000;
         if !ok {
-            self.fail(format!("n{node} storms the state service: over 1000 requests in a second"));
+            self.fail(format!("n{node} sent over 1000 requests in a second to the state service"));
         }
         ok
     }
 
-    /// Does the state service take one more request, under its limit? Bursts of a second's worth are.
+    /// Counts a request and returns whether the state service accepts it under its rate limit, which allows
+    /// bursts of up to one second's requests.
     pub fn takes_request(&mut self) -> bool {
         let Some(rate) = self.parameters.state_requests_per_s else { return true };
         let now = Instant::now();
@@ -227,15 +236,17 @@
         takes
     }
 
-    /// Tasks that are on machines now.
+    /// Number of tasks that are on machines now.
     pub fn running_tasks(&self) -> usize {
-        self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()).count()
+        self.machines.values().flat_map(|machine| machine.copies.values()).filter(|attempt| attempt.phase.on()).count()
     }
 
-    /// Cores and cards that the tasks of each team use now.
+    /// Cores and accelerators that the tasks of each team use now.
     pub fn usage_by_team(&self) -> BTreeMap<&'static str, (f64, f64)> {
         let mut usage: BTreeMap<&'static str, (f64, f64)> = BTreeMap::new();
-        for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase.on()) {
+        for attempt in
+            self.machines.values().flat_map(|machine| machine.copies.values()).filter(|attempt| attempt.phase.on())
+        {
             let job = &self.jobs[&attempt.job];
             let used = usage.entry(attempt.team).or_default();
             used.0 += job.cores;
@@ -244,10 +255,16 @@
         usage
     }
 
-    /// Cards that the attempts of each team take on machines, those that wait for their image included.
+    /// Accelerators that the attempts of each team take on machines, including attempts that wait for their
+    /// image.
     pub fn placed_cards_by_team(&self) -> BTreeMap<&'static str, f64> {
         let mut cards: BTreeMap<&'static str, f64> = BTreeMap::new();
-        for attempt in self.machines.values().flat_map(|m| m.copies.values()).filter(|c| c.phase != Phase::Ended) {
+        for attempt in self
+            .machines
+            .values()
+            .flat_map(|machine| machine.copies.values())
+            .filter(|attempt| attempt.phase != Phase::Ended)
+        {
             if let Some(job) = self.jobs.get(&attempt.job) {
                 *cards.entry(attempt.team).or_default() += job.cards;
             }
@@ -255,20 +272,21 @@
         cards
     }
 
-    /// Work of a job was lost by a stop.
+    /// Records work that a job lost by a stop.
     fn note_lost_work(&mut self, job: &str, lost_s: f64) {
         let Job { team, checkpoint_s, .. } = self.jobs[job];
         self.lost_work.push(LostWork { job: job.into(), team, lost_s, checkpoint_s });
     }
 
-    /// What happens by itself, unless that was looked at just now.
+    /// Runs [`SimulationState::tick`] unless it ran within `tick_every`.
     pub fn tick_if_due(&mut self) {
         if self.last_tick.elapsed() >= self.parameters.tick_every {
             self.tick();
         }
     }
 
-    /// What happens by itself.
+    /// Applies every event that is due: expiry of leases, reclaimed machines, next phases of tasks. Checks the
+    /// deadline of cancellations.
     pub fn tick(&mut self) {
         let now = Instant::now();
         self.last_tick = now;
@@ -276,46 +294,57 @@
         let taken: Vec<String> = self
             .machines
             .values()
-            .filter(|m| m.exists() && m.taken.is_some_and(|t| t <= now))
-            .map(|m| m.id.clone())
+            .filter(|machine| machine.exists() && machine.taken.is_some_and(|t| t <= now))
+            .map(|machine| machine.id.clone())
             .collect();
-        taken.iter().for_each(|id| self.remove(id, "is taken"));
+        taken.iter().for_each(|id| self.remove(id, "is reclaimed"));
         let due: Vec<(String, (String, u64))> = self
             .machines
             .values()
-            .filter(|m| m.alive(now) && m.hang <= now)
-            .flat_map(|m| m.copies.iter().filter(|(_, c)| c.due <= now).map(|(k, _)| (m.id.clone(), k.clone())))
+            .filter(|machine| machine.alive(now) && machine.hang <= now)
+            .flat_map(|machine| {
+                machine
+                    .copies
+                    .iter()
+                    .filter(|(_, attempt)| attempt.due <= now)
+                    .map(|(k, _)| (machine.id.clone(), k.clone()))
+            })
             .collect();
         for (id, key) in due {
-            let Some(c) = self.machines[&id].copies.get(&key).cloned() else { continue };
-            let shape = self.jobs[&c.job].shape;
-            match c.phase {
+            let Some(attempt) = self.machines[&id].copies.get(&key).cloned() else { continue };
+            let shape = self.jobs[&attempt.job].shape;
+            match attempt.phase {
                 Phase::Fetching => self.begin(&id, &key),
                 Phase::Gathering => self.end(&id, &key, "incomplete", false),
-                Phase::Running if self.jobs[&c.job].mistaken => self.end(&id, &key, "error", false),
+                Phase::Running if self.jobs[&attempt.job].mistaken => self.end(&id, &key, "error", false),
                 Phase::Running if shape == "batch" => {
                     if self.machines[&id].faulty {
                         self.end(&id, &key, "error", false);
                     } else {
-                        self.jobs.get_mut(&c.job).unwrap().done.insert(c.n);
+                        self.jobs.get_mut(&attempt.job).unwrap().done.insert(attempt.n);
                         self.end(&id, &key, "done", false);
                     }
                 }
                 Phase::Flushing if shape == "batch" => {
-                    let ran = (c.due - c.since).as_secs_f64();
-                    let job = self.jobs.get_mut(&c.job).unwrap();
-                    *job.saved_s.entry(c.n).or_default() += (ran - job.flush_s).max(0.0);
+                    let ran = (attempt.due - attempt.since).as_secs_f64();
+                    let job = self.jobs.get_mut(&attempt.job).unwrap();
+                    *job.saved_s.entry(attempt.n).or_default() += (ran - job.flush_s).max(0.0);
                     self.end(&id, &key, "halted", true);
                 }
                 _ => {}
             }
         }
         self.gangs_step(now);
-        let late = |j: &&Job| j.cancelled.is_some_and(|c| c + secs(CANCEL_S) < now);
-        for id in self.jobs.values().filter(late).map(|j| j.id.clone()).collect::<Vec<_>>() {
-            let on = self.machines.values().find(|m| m.copies.values().any(|c| c.job == id && c.phase.on()));
-            if let Some(m) = on.map(|m| m.id.clone()) {
-                self.fail(format!("ran_cancelled: {id} is on {m} more than cancel_s after `cancelled` was told"));
+        let late = |job: &&Job| job.cancelled.is_some_and(|told_at| told_at + secs(CANCEL_S) < now);
+        for id in self.jobs.values().filter(late).map(|job| job.id.clone()).collect::<Vec<_>>() {
+            let on = self
+                .machines
+                .values()
+                .find(|machine| machine.copies.values().any(|attempt| attempt.job == id && attempt.phase.on()));
+            if let Some(machine) = on.map(|machine| machine.id.clone()) {
+                self.fail(format!(
+                    "ran_cancelled: {id} is on {machine} more than cancel_s after the answer `cancelled`"
+                ));
             }
         }
     }
--- a/crates/stand-ins/src/world/rental.rs
+++ b/crates/stand-ins/src/world/rental.rs
@@ -1,4 +1,4 @@
-//! What the cloud does: it rents machines, takes them away and lists them.
+//! Machines of the simulated cloud: rental, loss and listing.
 
 use super::SimulationState;
 use super::machine::{Machine, Phase};
@@ -9,25 +9,26 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use tokio::time::Instant;
 
-/// Longer than any day lasts.
+/// Number of seconds that exceeds the duration of any simulation.
 const NEVER_S: f64 = 1e6;
 
-/// What is wrong with the boots of machines that are rented.
+/// Boot faults of newly rented machines.
 #[derive(Debug, Clone, Default)]
 pub struct BootFaults {
-    /// Share of machines that never come up, and are charged until they are returned.
+    /// Share of machines that never come up and are charged until they are released.
     pub never: f64,
-    /// Share of machines that take this many times their usual boot time.
+    /// Share of machines that boot late.
     pub late: f64,
+    /// Boot time of late machines, as a multiple of the nominal one.
     pub late_by: f64,
 }
 
 impl SimulationState {
-    /// When a machine that is rented now will be up; none if never.
+    /// Returns the instant at which a machine rented now will be up; `None` if never.
     fn boot_end(&mut self, startup_s: f64) -> Option<Instant> {
         let usual = startup_s * self.rng.random_range(0.6..1.5);
         let faults = self.boot_faults.clone();
-        // No random number is drawn for what can't happen, so that a seed's day stays the same.
+        // No random number is drawn for a fault of share 0, so that recorded seeds reproduce their runs.
         if faults.never > 0.0 && self.rng.random_bool(faults.never) {
             return None;
         }
@@ -35,7 +36,8 @@
         Some(Instant::now() + secs(if late { startup_s * faults.late_by } else { usual }))
     }
 
-    /// Carries out a rental; the new machines, if the name is new.
+    /// Carries out a rental. Returns the machines of the rental, `None` if there is no capacity, and the
+    /// newly rented ones: none if the rental's name was used before.
     pub fn rent(&mut self, body: &Value) -> (Option<Vec<String>>, Vec<String>) {
         let name = body["rental"].as_str().unwrap();
         if let Some(known) = self.rentals.get(name) {
@@ -45,7 +47,9 @@
         let (sku, zone) = (body["flavor"].as_str().unwrap(), body["region"].as_str().unwrap());
         let spot = body["preemptible"].as_bool().unwrap();
         let flavor = *self.parameters.flavors.iter().find(|f| f.sku == sku).unwrap();
-        let used = |m: &&Machine| m.exists() && m.flavor.sku == sku && m.zone == zone && m.spot == spot;
+        let used = |machine: &&Machine| {
+            machine.exists() && machine.flavor.sku == sku && machine.zone == zone && machine.spot == spot
+        };
         let free = self.parameters.capacity.saturating_sub(self.machines.values().filter(used).count());
         let count = free.min(body["number"].as_u64().unwrap() as usize);
         if count == 0 {
@@ -58,13 +62,13 @@
             let [a, b] = self.parameters.machine_network;
             let ip = IpAddr::V4(Ipv4Addr::new(a, b, (n / 200) as u8, (n % 200 + 1) as u8));
             let up = self.boot_end(flavor.startup_s).unwrap_or(now + secs(NEVER_S));
-            let m = Machine {
+            let machine = Machine {
                 id: id.clone(),
                 addr: SocketAddr::new(ip, 9000),
                 flavor,
                 zone: zone.into(),
                 spot,
-                life: 0,
+                process_id: 0,
                 rented: now,
                 up,
                 gone: None,
@@ -82,65 +86,67 @@
                 taken: None,
                 faulty: self.rng.random_bool(self.faulty),
                 changed: false,
-                told_fence: now,
+                reported_token_at: now,
             };
-            let faulty = if m.faulty { " faulty" } else { "" };
+            let faulty = if machine.faulty { " faulty" } else { "" };
             self.log(format!("rented {id} {sku} {zone} spot={spot}{faulty}"));
-            self.machines.insert(id.clone(), m);
+            self.machines.insert(id.clone(), machine);
             ids.push(id);
         }
         self.rentals.insert(name.into(), ids.clone());
         (Some(ids.clone()), ids)
     }
 
-    /// The machine and all that is on it are gone.
+    /// Removes a machine with all its tasks and models.
     pub fn remove(&mut self, id: &str, why: &str) {
         let now = Instant::now();
-        if self.machines.get(id).is_none_or(|m| m.gone.is_some()) {
+        if self.machines.get(id).is_none_or(|machine| machine.gone.is_some()) {
             return;
         }
-        self.lose_all_models(id);
-        let m = self.machines.get_mut(id).unwrap();
-        m.gone = Some(now);
-        let on: Vec<_> = std::mem::take(&mut m.copies).into_iter().filter(|c| c.1.phase != Phase::Ended).collect();
+        self.remove_all_models(id);
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.gone = Some(now);
+        let on: Vec<_> =
+            std::mem::take(&mut machine.copies).into_iter().filter(|c| c.1.phase != Phase::Ended).collect();
         let on: Vec<String> = on.into_iter().map(|(k, c)| format!("{} try {} {}", k.0, k.1, c.phase.name())).collect();
         self.log(format!("{id} {why} with {on:?}"));
     }
 
+    /// Crashes a machine: its tasks and models are lost, and it stays rented.
     pub fn die(&mut self, id: &str) {
         let now = Instant::now();
-        if self.machines.get(id).is_none_or(|m| !m.alive(now)) {
+        if self.machines.get(id).is_none_or(|machine| !machine.alive(now)) {
             return;
         }
-        self.lose_all_models(id);
-        let m = self.machines.get_mut(id).unwrap();
-        m.died = Some(now);
-        let on: Vec<_> = std::mem::take(&mut m.copies).into_keys().collect();
-        self.log(format!("{id} dies with {on:?}"));
+        self.remove_all_models(id);
+        let machine = self.machines.get_mut(id).unwrap();
+        machine.died = Some(now);
+        let on: Vec<_> = std::mem::take(&mut machine.copies).into_keys().collect();
+        self.log(format!("{id} crashes with {on:?}"));
     }
 
-    /// The list as it was a while ago.
+    /// Returns a page of the list of machines as it was up to twice `list_lag_s` ago.
     pub fn list(&mut self, from: &str, most: usize) -> Value {
         let now = Instant::now();
         let at = now - secs(self.rng.random_range(0.0..2.0 * self.parameters.list_lag_s));
         let mut hosts = Vec::new();
         let mut more = false;
-        for m in self.machines.values_mut().filter(|m| m.id.as_str() > from) {
-            if m.gone.is_some_and(|g| g <= at) || (m.rented > at && !m.listed) {
+        for machine in self.machines.values_mut().filter(|machine| machine.id.as_str() > from) {
+            if machine.gone.is_some_and(|g| g <= at) || (machine.rented > at && !machine.listed) {
                 continue;
             }
             if hosts.len() == most {
                 more = true;
                 break;
             }
-            m.listed = true;
-            let phase = match m.died {
+            machine.listed = true;
+            let phase = match machine.died {
                 Some(d) if d + secs(30.0) <= at => "failed",
-                _ if m.up <= at => "running",
+                _ if machine.up <= at => "running",
                 _ => "starting",
             };
-            hosts.push(json!({"id": m.id, "addr": m.addr, "flavor": m.flavor.sku, "region": m.zone,
-                "preemptible": m.spot, "phase": phase, "held_s": at.saturating_duration_since(m.rented).as_secs_f64()}));
+            hosts.push(json!({"id": machine.id, "addr": machine.addr, "flavor": machine.flavor.sku, "region": machine.zone,
+                "preemptible": machine.spot, "phase": phase, "held_s": at.saturating_duration_since(machine.rented).as_secs_f64()}));
         }
         json!({"hosts": hosts, "more": more})
     }
--- a/crates/stand-ins/src/world/rules.rs
+++ b/crates/stand-ins/src/world/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, checked at every start of a task and at every answer to a user.
+//! Rules that are checked at every start of a task and at every answer to a user.
 
 use super::SimulationState;
 use super::job::Job;
@@ -7,13 +7,14 @@
 use tokio::time::Instant;
 
 impl SimulationState {
+    /// Checks the start of a task on a machine: duplicates, team limits, placement and dependencies.
     pub(super) fn check_start(&mut self, id: &str, key: &(String, u64), job: &Job) {
-        let m = &self.machines[id];
+        let machine = &self.machines[id];
         let on: Vec<(&Machine, &(String, u64), &TaskAttempt)> = self
             .machines
             .values()
-            .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
-            .filter(|(_, _, c)| c.phase.on())
+            .flat_map(|machine| machine.copies.iter().map(move |(k, attempt)| (machine, k, attempt)))
+            .filter(|(_, _, attempt)| attempt.phase.on())
             .collect();
         let mut wrong = Vec::new();
         if let Some((other, k, _)) = on.iter().find(|(_, k, _)| k.0 == key.0) {
@@ -21,8 +22,8 @@
         }
         if let Some((core_limit, card_limit)) = self.parameters.team_limit(job.team) {
             let team = || on.iter().filter(|o| o.2.team == job.team).filter_map(|o| self.jobs.get(&o.2.job));
-            let cores = team().map(|j| j.cores).sum::<f64>() + job.cores;
-            let cards = team().map(|j| j.cards).sum::<f64>() + job.cards;
+            let cores = team().map(|job| job.cores).sum::<f64>() + job.cores;
+            let cards = team().map(|job| job.cards).sum::<f64>() + job.cards;
             if cores > core_limit || cards > card_limit {
                 wrong.push(format!(
                     "quota: {} starts on {id}: team {} uses {cores} cores, {cards} cards",
@@ -30,44 +31,45 @@
                 ));
             }
         }
-        let place = |why: &str| format!("wrong_place: {} starts on {id} ({} {}): {why}", key.0, m.flavor.sku, m.zone);
-        if job.flavors.as_ref().is_some_and(|f| !f.contains(&m.flavor.sku)) {
+        let place = |why: &str| {
+            format!("wrong_place: {} starts on {id} ({} {}): {why}", key.0, machine.flavor.sku, machine.zone)
+        };
+        if job.flavors.as_ref().is_some_and(|f| !f.contains(&machine.flavor.sku)) {
             wrong.push(place("the type is not allowed"));
         }
-        if job.region.is_some_and(|r| r != m.zone) {
+        if job.region.is_some_and(|r| r != machine.zone) {
             wrong.push(place("the zone is not allowed"));
         }
-        if m.spot && !job.preemptible {
+        if machine.spot && !job.preemptible {
             wrong.push(place("spot is not allowed"));
         }
         let mates = || on.iter().filter(|o| o.2.job == job.id && o.1.0 != key.0);
-        if job.same_place && mates().any(|o| o.0.zone != m.zone) {
-            wrong.push(place("others of the job are in another zone"));
+        if job.same_place && mates().any(|o| o.0.zone != machine.zone) {
+            wrong.push(place("other tasks of the job are in another zone"));
         }
-        let here = mates().filter(|o| o.0.zone == m.zone).count() + 1;
+        let here = mates().filter(|o| o.0.zone == machine.zone).count() + 1;
         if job.apart && here > job.shards.div_ceil(2) as usize {
-            wrong.push(place("too many of the job are in this zone"));
+            wrong.push(place("too many tasks of the job are in this zone"));
         }
         if job.cancelled.is_some() {
-            wrong.push(format!("ran_cancelled: {} try {} starts on {id} after `cancelled` was told", key.0, key.1));
+            wrong.push(format!("ran_cancelled: {} try {} starts on {id} after the answer `cancelled`", key.0, key.1));
         }
         for needed in job.waits_on.iter().filter(|id| self.recorded_end(id) != "Done") {
             wrong.push(format!("too_early: {} starts on {id} before {needed} is recorded as done", key.0));
         }
         if job.invalid {
-            wrong.push(format!("{} starts, though its job is invalid", key.0));
+            wrong.push(format!("{} starts, but its job is invalid", key.0));
         }
         wrong.into_iter().for_each(|w| self.fail(w));
     }
 
-    /// An answer to a question about a job that was sent then; checks it against
-    /// all that its user was told before.
-    pub fn heard(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, v: &Value) {
+    /// Checks an answer to a request about a job, sent at `sent`, against all earlier answers to its user.
+    pub fn check_answer(&mut self, id: &str, sent: Instant, node: usize, what: &str, status: u16, answer: &Value) {
         let now = Instant::now();
-        let phase = v["phase"].as_str().unwrap_or("");
+        let phase = answer["phase"].as_str().unwrap_or("");
         let Some(job) = self.jobs.get(id).cloned() else { return };
-        let told = format!("{id}: {what} at n{node} sent {:.3}: {status} {v}", (sent - self.start).as_secs_f64());
-        self.log(format!("user of {told}"));
+        let told = format!("{id}: {what} at n{node} sent {:.3}: {status} {answer}", (sent - self.start).as_secs_f64());
+        self.log(format!("answer to the user of {told}"));
         let after = |t: Option<Instant>| t.is_some_and(|t| sent > t);
         if status == 200 || status == 404 {
             self.jobs.get_mut(id).unwrap().answered = Some(now);
@@ -77,7 +79,7 @@
         }
         if job.invalid {
             if matches!(status, 200 | 201) {
-                self.fail(format!("accepted though invalid: {told}"));
+                self.fail(format!("invalid job accepted: {told}"));
             }
             return;
         }
@@ -85,7 +87,7 @@
             self.fail(format!("forgotten: {told}"));
         }
         if matches!(status, 400 | 422) {
-            self.fail(format!("a valid job is refused: {told}"));
+            self.fail(format!("valid job refused: {told}"));
         }
         if !matches!(status, 200 | 201) {
             return;
@@ -93,38 +95,47 @@
         if after(job.done_told) && phase != "done" || after(job.cancelled) && phase != "cancelled" {
             self.fail(format!("went_back: {told}"));
         }
-        if phase == "cancelled" && !job.cancel_asked && !self.needs(&job, |w, j| w.recorded_end(&j.id) == "Cancelled") {
-            self.fail(format!("went_back: cancelled though neither it nor what it needs was: {told}"));
+        if phase == "cancelled"
+            && !job.cancel_asked
+            && !self.needs(&job, |world, job| world.recorded_end(&job.id) == "Cancelled")
+        {
+            self.fail(format!(
+                "went_back: answered `cancelled`, but neither the job nor a dependency was cancelled: {told}"
+            ));
         }
-        if phase != "cancelled" && self.needs(&job, |_, j| after(j.cancelled)) {
-            self.fail(format!("orphaned: a job that it needs was called cancelled before: {told}"));
+        if phase != "cancelled" && self.needs(&job, |_, job| after(job.cancelled)) {
+            self.fail(format!("orphaned: not answered `cancelled`, but a dependency was before: {told}"));
         }
         if phase == "done" && !job.all_done() {
-            self.fail(format!("not_done: {:?} of {} are done: {told}", job.done, job.shards));
+            self.fail(format!(
+                "not_done: answered `done`, but only tasks {:?} of {} are: {told}",
+                job.done, job.shards
+            ));
         }
         if what == "withdraw" && !matches!(phase, "done" | "cancelled") {
-            self.fail(format!("a cancellation is answered so: {told}"));
+            self.fail(format!("cancellation answered with another phase than `done` or `cancelled`: {told}"));
         }
-        let j = self.jobs.get_mut(id).unwrap();
-        j.accepted.get_or_insert(now);
+        let job = self.jobs.get_mut(id).unwrap();
+        job.accepted.get_or_insert(now);
         match phase {
-            "done" => _ = j.done_told.get_or_insert(now),
-            "cancelled" => _ = j.cancelled.get_or_insert(now),
+            "done" => _ = job.done_told.get_or_insert(now),
+            "cancelled" => _ = job.cancelled.get_or_insert(now),
             _ => {}
         }
     }
 
-    /// May a user name this job in another submission: it is accepted, or over for one that comes late.
-    pub fn may_be_named(&self, id: &str, comes_late: bool) -> bool {
+    /// Returns whether another submission may name this job as a dependency: the job must be accepted, and
+    /// also over if the other job `comes_late`.
+    pub fn may_be_dependency(&self, id: &str, comes_late: bool) -> bool {
         self.jobs.get(id).is_some_and(|job| job.accepted.is_some() && (job.over() || !comes_late))
     }
 
-    /// The end that the record of a job tells; empty if none.
+    /// Returns the end in the record of a job; empty if there is none.
     fn recorded_end(&self, id: &str) -> String {
         self.store.value(&format!("job/{id}"))["end"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Does this hold of a job that the given one needs, directly or through others?
+    /// Returns whether `holds` is true of any direct or indirect dependency of a job.
     fn needs(&self, job: &Job, holds: impl Fn(&SimulationState, &Job) -> bool) -> bool {
         let mut open: Vec<&String> = job.waits_on.iter().collect();
         while let Some(id) = open.pop() {
@@ -137,26 +148,28 @@
         false
     }
 
-    /// What keeps the day from being settled.
+    /// Returns a description of each accepted job that is not over, except services that run as they should.
     pub fn unsettled(&self) -> Vec<String> {
         let mut out = Vec::new();
-        for j in self.jobs.values().filter(|j| j.accepted.is_some() && !j.over()) {
+        for job in self.jobs.values().filter(|job| job.accepted.is_some() && !job.over()) {
             let running: Vec<String> = self
                 .machines
                 .values()
-                .flat_map(|m| m.copies.iter().map(move |(k, c)| (m, k, c)))
-                .filter(|(_, _, c)| c.job == j.id)
-                .map(|(m, k, c)| format!("{} try {} on {} {} {:?}", k.0, k.1, m.id, c.phase.name(), c.why))
+                .flat_map(|machine| machine.copies.iter().map(move |(k, attempt)| (machine, k, attempt)))
+                .filter(|(_, _, attempt)| attempt.job == job.id)
+                .map(|(machine, k, attempt)| {
+                    format!("{} try {} on {} {} {:?}", k.0, k.1, machine.id, attempt.phase.name(), attempt.why)
+                })
                 .collect();
             let runs = running.iter().filter(|r| r.contains(" running ")).count();
-            if j.shape != "service" || j.cancel_asked || runs < j.shards as usize {
+            if job.shape != "service" || job.cancel_asked || runs < job.shards as usize {
                 out.push(format!(
                     "{} {} {} of {} done, {running:?}: {}",
-                    j.id,
-                    j.shape,
-                    j.done.len(),
-                    j.shards,
-                    j.body()
+                    job.id,
+                    job.shape,
+                    job.done.len(),
+                    job.shards,
+                    job.body()
                 ));
             }
         }
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -1,4 +1,5 @@
-//! What a scheduling cycle costs with borrowing and without it: a full fleet, and a burst that needs room.
+//! Measures the time of scheduling cycles with and without borrowing, on a full fleet with a burst that
+//! needs capacity.
 //!
 //!     cargo run --release --example pass_cost -- 480 4000
 
@@ -12,12 +13,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Accelerators of a machine.
 const GPUS: f64 = 8.0;
 const TEAMS: [&str; 4] = ["desk", "night", "tune", "idle"];
-/// Tasks of a night run.
+/// Number of tasks of a night run.
 const TASKS: u32 = 16;
-/// Passes that are timed after the burst came.
-const PASSES: u64 = 20;
+/// Number of scheduling cycles that are timed after the one with the burst.
+const CYCLES: u64 = 20;
 const SETTINGS: &str = "node = \"n0\"\nsite = \"a\"\nserve_on = \"127.0.0.1:1\"\ninternal_addr = \"127.0.0.1:2\"\n\
     [endpoints]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n[params]\nzones = [\"a\"]\n\
     [params.workers]\nreport_s = 4.0\nlease_s = 22.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 30.0\n\
@@ -42,8 +44,8 @@
         let team = TEAMS[1 + number % 3];
         add(&mut fleet, number, team, Shape::Batch, Urgency::Normal, TASKS);
     }
-    let fills = timed(|| fleet.schedule(1000, 1000));
-    // The machines have begun what they were told.
+    let first = timed(|| fleet.schedule(1000, 1000));
+    // The machines have started the tasks that were assigned to them.
     for host in fleet.cluster_mut().hosts.iter_mut().flatten() {
         host.attempts.iter_mut().for_each(|attempt| attempt.phase = badgerdrift::model::TaskPhase::Running);
     }
@@ -52,11 +54,11 @@
     }
     fleet.maintain_loans(2000, 2000);
     let burst = timed(|| fleet.schedule(2000, 2000));
-    let later = timed(|| (1..=PASSES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / PASSES as u32;
+    let later = timed(|| (1..=CYCLES).for_each(|n| fleet.schedule(2000 + n, 2000 + n))) / CYCLES as u32;
     let attempts = fleet.cluster().each_host().flat_map(|(_, host)| &host.attempts);
     let stops = attempts.filter(|attempt| attempt.stop.is_some()).count();
     let ms = |time: Duration| time.as_secs_f64() * 1000.0;
-    println!("{machines:8}  {borrowing:9}  {:18.1}  {:20.1}  {:15.1}  {stops:5}", ms(fills), ms(burst), ms(later));
+    println!("{machines:8}  {borrowing:9}  {:18.1}  {:20.1}  {:15.1}  {stops:5}", ms(first), ms(burst), ms(later));
 }
 
 fn timed(work: impl FnOnce()) -> Duration {
@@ -65,7 +67,8 @@
     began.elapsed()
 }
 
-/// So many empty machines, and four teams with a guarantee of a sixth of them each.
+/// Creates a partition of empty machines and four teams, each with a guarantee of a sixth of the
+/// accelerators.
 fn fleet(machines: usize, borrowing: bool) -> Partition {
     let settings: Settings = toml::from_str(SETTINGS).expect("the settings are sound");
     let mut policy = Policy::new(&settings, &OperatorSettings::default(), 0);
--- a/tests/fault_combinations/answers.rs
+++ b/tests/fault_combinations/answers.rs
@@ -58,7 +58,7 @@
             sim.run(seconds(30)).await;
             // No other job needs the resources. A task is stopped only if another task of its gang was
             // assigned to a terminated machine.
-            let stopped = sim.g.w.lock().unwrap().stopped.clone();
+            let stopped = sim.context.world.lock().unwrap().stopped.clone();
             assert!(
                 stopped.is_empty(),
                 "seed {seed}: tasks were stopped because the rest of their gang did not start: {stopped:?}"
--- a/tests/fault_combinations/borrowing/deployment.rs
+++ b/tests/fault_combinations/borrowing/deployment.rs
@@ -90,7 +90,7 @@
 
 /// Accelerators that a team's tasks use on the machines.
 pub fn cards_used(sim: &Sim, team: &str) -> f64 {
-    sim.g.w.lock().unwrap().usage_by_team().get(team).map_or(0.0, |used| used.1)
+    sim.context.world.lock().unwrap().usage_by_team().get(team).map_or(0.0, |used| used.1)
 }
 
 /// Fills all accelerators: six by a batch job and two by a best-effort job. Returns the jobs' identifiers.
@@ -112,7 +112,7 @@
 
 /// Recorded loans, each with the identifier of the lending job.
 pub fn recorded_loans(sim: &Sim) -> Vec<(String, Value)> {
-    let records = sim.g.w.lock().unwrap().store.under("loan/");
+    let records = sim.context.world.lock().unwrap().store.under("loan/");
     let loans = |(key, record): (String, Value)| {
         let loans = record["loans"].as_array().cloned().unwrap_or_default();
         loans.into_iter().map(move |loan| (key.trim_start_matches("loan/").to_string(), loan))
@@ -133,5 +133,5 @@
         }
         sim.run(Duration::from_millis(10)).await;
     }
-    panic!("seed {}: no loan in state {state} was recorded in 60 s: {:?}", sim.g.seed, recorded_loans(sim));
+    panic!("seed {}: no loan in state {state} was recorded in 60 s: {:?}", sim.context.seed, recorded_loans(sim));
 }
--- a/tests/fault_combinations/borrowing/faults.rs
+++ b/tests/fault_combinations/borrowing/faults.rs
@@ -24,7 +24,7 @@
 fn late_stop_commands_stop_no_later_attempts() {
     run_with_seeds(async |sim| {
         fill_all_cards(sim).await;
-        sim.g.w.lock().unwrap().late_commands = 0.5;
+        sim.context.world.lock().unwrap().late_commands = 0.5;
         let serving_job = submit_burst(sim, 4);
         until_checking_floor(sim, "the replicas run", GAIN_LIMIT + seconds(20), |sim| {
             cards_used(sim, SERVING_TEAM) == 4.0
@@ -69,7 +69,7 @@
 /// Identifier of the first or last machine with accelerators that is up.
 fn running_machine(sim: &Sim, last: bool) -> String {
     let now = Instant::now();
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let mut up = world.machines.values().filter(|machine| machine.alive(now) && machine.flavor.cards > 0.0);
     let machine = if last { up.next_back() } else { up.next() };
     machine.expect("a machine is up").id.clone()
@@ -82,7 +82,7 @@
         assert!(
             Instant::now() < end,
             "seed {}: the lender still uses only {} accelerators: {}",
-            sim.g.seed,
+            sim.context.seed,
             cards_used(sim, BATCH_TEAM),
             describe_loans(sim)
         );
@@ -99,9 +99,9 @@
         prevent_boots(sim);
         let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
-        sim.run(Duration::from_millis(300 * (sim.g.seed % 5))).await;
-        let id = running_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        sim.run(Duration::from_millis(300 * (sim.context.seed % 5))).await;
+        let id = running_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         until_floor_regained(sim).await;
         run_checking_floor(sim, seconds(10)).await;
         sim.boot_faults(BootFaults::default());
@@ -119,14 +119,14 @@
         prevent_boots(sim);
         let serving_job = submit_burst(sim, 4);
         until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
-        let id = running_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        let id = running_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         until_floor_regained(sim).await;
         run_checking_floor(sim, seconds(15)).await;
         assert!(
             cards_used(sim, SERVING_TEAM) >= super::deployment::SERVING_GUARANTEE,
             "seed {}: {}",
-            sim.g.seed,
+            sim.context.seed,
             describe_loans(sim)
         );
         sim.boot_faults(BootFaults::default());
@@ -143,8 +143,8 @@
         prevent_boots(sim);
         let serving_job = submit_burst(sim, 4);
         until_checking_floor(sim, "the replicas run", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0).await;
-        let id = running_machine(sim, sim.g.seed % 2 == 0);
-        die(&sim.g, &id);
+        let id = running_machine(sim, sim.context.seed % 2 == 0);
+        die(&sim.context, &id);
         let leader = sim.leader().expect("there is a leader");
         sim.kill(leader);
         sim.run(seconds(5)).await;
--- a/tests/fault_combinations/borrowing/leaders.rs
+++ b/tests/fault_combinations/borrowing/leaders.rs
@@ -35,7 +35,7 @@
     })
     .await;
     // A loan must not take more than the burst needed, also after a failover.
-    assert!(stopped(sim) <= 8, "seed {}: {} tasks were stopped, expected at most 8", sim.g.seed, stopped(sim));
+    assert!(stopped(sim) <= 8, "seed {}: {} tasks were stopped, expected at most 8", sim.context.seed, stopped(sim));
     assert_lost_work_bounded(sim);
 }
 
@@ -52,7 +52,7 @@
         fill_all_cards(sim).await;
         let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
-        sim.run(Duration::from_millis(4 * (sim.g.seed % 8))).await;
+        sim.run(Duration::from_millis(4 * (sim.context.seed % 8))).await;
         let leader = kill_leader(sim);
         run_checking_floor(sim, seconds(8)).await;
         sim.start(leader);
@@ -97,7 +97,7 @@
         let first = kill_leader(sim);
         let held = |sim: &Sim| sim.leader().is_some_and(|leader| leader != first);
         until_checking_floor(sim, "another controller leads", FAILOVER_LIMIT, held).await;
-        run_checking_floor(sim, Duration::from_millis(500 * (sim.g.seed % 5))).await;
+        run_checking_floor(sim, Duration::from_millis(500 * (sim.context.seed % 5))).await;
         let second = kill_leader(sim);
         run_checking_floor(sim, seconds(2)).await;
         sim.start(first);
@@ -113,7 +113,7 @@
         let serving_job = submit_burst(sim, 4);
         until_recorded(sim, "open").await;
         (0..NODES).for_each(|node| sim.kill(node));
-        run_checking_floor(sim, Duration::from_millis(400 * (sim.g.seed % 5))).await;
+        run_checking_floor(sim, Duration::from_millis(400 * (sim.context.seed % 5))).await;
         (0..NODES).for_each(|node| sim.start(node));
         loan_completes(sim, &serving_job).await;
     });
@@ -135,7 +135,7 @@
         let before = stopped(sim);
         sim.pause(old, false);
         run_checking_floor(sim, seconds(20)).await;
-        assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), before, "seed {}", sim.context.seed);
     });
 }
 
@@ -154,7 +154,7 @@
 
 /// Pairs of addresses that cut the controller off from the machines of zone `a`.
 fn pairs_to_machines_of_a_zone(sim: &Sim, node: usize) -> Vec<(IpAddr, IpAddr)> {
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let in_zone = world.machines.values().filter(|machine| machine.zone == "a");
     in_zone.map(|machine| (controller(node), machine.addr.ip())).collect()
 }
@@ -217,7 +217,7 @@
         }
         sim.state_down(true);
         run_checking_floor(sim, seconds(8)).await;
-        assert_eq!(stopped(sim), 0, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), 0, "seed {}", sim.context.seed);
         sim.state_down(false);
         loan_completes(sim, &serving_job).await;
     });
@@ -258,7 +258,7 @@
                 run_checking_floor(sim, seconds(7)).await;
             }
         }
-        assert_eq!(stopped(sim), before, "seed {}", sim.g.seed);
+        assert_eq!(stopped(sim), before, "seed {}", sim.context.seed);
         sim.cancel(&serving_job, &[0, 1, 2]);
         loan_is_returned(sim).await;
     });
--- a/tests/fault_combinations/borrowing/returns.rs
+++ b/tests/fault_combinations/borrowing/returns.rs
@@ -45,7 +45,7 @@
                 cards_used(sim, SERVING_TEAM) == 0.0
             })
             .await;
-            run_checking_floor(sim, Duration::from_millis(700 * (sim.g.seed % 3))).await;
+            run_checking_floor(sim, Duration::from_millis(700 * (sim.context.seed % 3))).await;
             serving_job = submit_burst(sim, 4);
             until_checking_floor(sim, "the replicas run again", GAIN_LIMIT, |sim| cards_used(sim, SERVING_TEAM) == 4.0)
                 .await;
@@ -77,7 +77,7 @@
 
 /// Number of times that tasks of this job were stopped.
 fn stops_of(sim: &Sim, job: &str) -> usize {
-    sim.g.w.lock().unwrap().stopped.iter().filter(|stop| stop.starts_with(job)).count()
+    sim.context.world.lock().unwrap().stopped.iter().filter(|stop| stop.starts_with(job)).count()
 }
 
 // Preempting the same job again and again would keep it from making progress. The second time within an hour
--- a/tests/fault_combinations/borrowing/shares.rs
+++ b/tests/fault_combinations/borrowing/shares.rs
@@ -22,7 +22,7 @@
 pub async fn until_checking_floor(sim: &mut Sim, what: &str, limit: Duration, holds: impl Fn(&Sim) -> bool) {
     let end = Instant::now() + limit;
     while !holds(sim) {
-        assert!(Instant::now() < end, "seed {}: not reached in {limit:?}: {what}; {}", sim.g.seed, describe_loans(sim));
+        assert!(Instant::now() < end, "seed {}: not reached in {limit:?}: {what}; {}", sim.context.seed, describe_loans(sim));
         sim.run(INTERVAL).await;
         assert_floor(sim);
     }
@@ -33,32 +33,32 @@
     assert!(
         used >= BATCH_GUARANTEE,
         "seed {}: the batch team uses {used} accelerators, below its guarantee: {}",
-        sim.g.seed,
+        sim.context.seed,
         describe_loans(sim)
     );
-    let stopped = sim.g.w.lock().unwrap().stopped.len();
+    let stopped = sim.context.world.lock().unwrap().stopped.len();
     assert!(
         stopped == 0 || !recorded_loans(sim).is_empty(),
         "seed {}: tasks were stopped before a loan was recorded: {}",
-        sim.g.seed,
+        sim.context.seed,
         describe_loans(sim)
     );
 }
 
 /// Asserts that no stop has lost more than the work since the last checkpoint.
 pub fn assert_lost_work_bounded(sim: &Sim) {
-    for lost in sim.g.w.lock().unwrap().lost_work.iter().filter(|lost| lost.checkpoint_s > 0.0) {
-        assert!(lost.lost_s <= CHECKPOINT_S + 0.1, "seed {}: {lost:?}", sim.g.seed);
+    for lost in sim.context.world.lock().unwrap().lost_work.iter().filter(|lost| lost.checkpoint_s > 0.0) {
+        assert!(lost.lost_s <= CHECKPOINT_S + 0.1, "seed {}: {lost:?}", sim.context.seed);
     }
 }
 
 /// Number of tasks that were stopped so far.
 pub fn stopped(sim: &Sim) -> usize {
-    sim.g.w.lock().unwrap().stopped.len()
+    sim.context.world.lock().unwrap().stopped.len()
 }
 
 /// Describes the recorded loans and the latest events, for a failed test.
 pub fn describe_loans(sim: &Sim) -> String {
-    let recent = sim.g.w.lock().unwrap().recent("");
+    let recent = sim.context.world.lock().unwrap().recent("");
     format!("{:#?}\n{recent}", recorded_loans(sim))
 }
--- a/tests/fault_combinations/cancellations.rs
+++ b/tests/fault_combinations/cancellations.rs
@@ -92,7 +92,7 @@
             let id = sim.submit(job);
             let done = id.clone();
             let ended = |world: &world::SimulationState| world.jobs[&done].all_done();
-            while !ended(&sim.g.w.lock().unwrap()) {
+            while !ended(&sim.context.world.lock().unwrap()) {
                 sim.run(Duration::from_millis(5 + index as u64)).await;
             }
             sim.cancel(&id, &[index % NODES]);
--- a/tests/fault_combinations/faulty_machines.rs
+++ b/tests/fault_combinations/faulty_machines.rs
@@ -22,8 +22,8 @@
         let gang = sim.submit(gang);
         sim.until("two machines are launched", seconds(10), |world| world.machines.len() >= 2).await;
         let faulty = {
-            let mut world = sim.g.w.lock().unwrap();
-            let index = sim.g.seed as usize % 2;
+            let mut world = sim.context.world.lock().unwrap();
+            let index = sim.context.seed as usize % 2;
             let machine = world.machines.values_mut().nth(index).unwrap();
             machine.faulty = true;
             machine.id.clone()
@@ -34,7 +34,7 @@
         })
         .await;
         let start = format!("{faulty} starts {gang}/");
-        let starts = sim.g.w.lock().unwrap().history.iter().filter(|h| h.contains(&start)).count();
-        assert!((1..=MAX_STARTS_ON_FAULTY).contains(&starts), "seed {}: {starts} starts on {faulty}", sim.g.seed);
+        let starts = sim.context.world.lock().unwrap().history.iter().filter(|h| h.contains(&start)).count();
+        assert!((1..=MAX_STARTS_ON_FAULTY).contains(&starts), "seed {}: {starts} starts on {faulty}", sim.context.seed);
     });
 }
--- a/tests/fault_combinations/guests.rs
+++ b/tests/fault_combinations/guests.rs
@@ -59,38 +59,38 @@
 /// Asserts that at least half of the guest's best-effort tasks and one-task jobs are done, and at least half
 /// of the array tasks that fit on the free accelerators.
 fn assert_served(sim: &Sim, jobs: &GuestJobs, free_cards: f64) {
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let done = |id: &String| world.jobs[id].done.len();
     let array_tasks = (free_cards / TASK_CARDS) * DAY_S as f64 / TASK_S;
     let one_task_jobs_done = jobs.one_task_jobs.iter().filter(|id| world.jobs[*id].all_done()).count();
     println!(
         "seed {}: guest tasks done: array {} (the free accelerators allow {array_tasks}), best effort {}, one-task jobs {one_task_jobs_done}",
-        sim.g.seed,
+        sim.context.seed,
         done(&jobs.array),
         done(&jobs.best_effort)
     );
     assert!(
         2.0 * done(&jobs.array) as f64 >= array_tasks,
         "seed {}: too few tasks of the guest's array are done",
-        sim.g.seed
+        sim.context.seed
     );
-    assert!(2 * done(&jobs.best_effort) >= 20, "seed {}: too few best-effort tasks of the guest are done", sim.g.seed);
+    assert!(2 * done(&jobs.best_effort) >= 20, "seed {}: too few best-effort tasks of the guest are done", sim.context.seed);
     assert!(
         2 * one_task_jobs_done >= jobs.one_task_jobs.len(),
         "seed {}: too few one-task jobs of the guest are done",
-        sim.g.seed
+        sim.context.seed
     );
 }
 
 /// Asserts that each of these jobs began within `GUARANTEED_START_S` of its acceptance.
 fn assert_not_starved(sim: &Sim, ids: &[String]) {
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     for id in ids {
         let job = &world.jobs[id];
         let wait = job.accepted.zip(job.began).map(|(accepted, began)| began - accepted);
-        println!("seed {}: {id} of {} began after {wait:?}", sim.g.seed, job.team);
+        println!("seed {}: {id} of {} began after {wait:?}", sim.context.seed, job.team);
         let in_time = wait.is_some_and(|wait| wait < secs(GUARANTEED_START_S));
-        assert!(in_time, "seed {}: {id} of {} began after {wait:?}", sim.g.seed, job.team);
+        assert!(in_time, "seed {}: {id} of {} began after {wait:?}", sim.context.seed, job.team);
     }
 }
 
@@ -99,7 +99,7 @@
 fn run_guest_scenario(spot: bool, free_cards: f64) {
     run_with_seeds(async |sim| {
         // One spot and one ordinary machine of each type in each zone.
-        sim.g.w.lock().unwrap().parameters.capacity = 1;
+        sim.context.world.lock().unwrap().parameters.capacity = 1;
         sim.run(seconds(5)).await;
         let jobs = submit_guest_jobs(sim, spot);
         let began = Instant::now();
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -68,7 +68,7 @@
         sim.run(seconds(25)).await;
         sim.state_down(false);
         sim.run(seconds(5)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
     });
 }
 
@@ -94,7 +94,7 @@
         let ids = submit_long_jobs(sim, 300.0).await;
         let inside = sim.leader().expect("there is a leader");
         let zone: Vec<_> = {
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             world.machines.values().filter(|m| m.zone == world::ZONES[inside % 2]).map(|m| m.addr.ip()).collect()
         };
         sim.cut(controller(inside), state_of(inside), Some(Cut::Hold));
@@ -105,7 +105,7 @@
         sim.run(seconds(4)).await;
         ids.iter().for_each(|id| sim.cancel(id, &others(inside)));
         sim.run(seconds(22)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
     });
 }
 
@@ -177,13 +177,19 @@
             sim.kill(next);
             sim.run(Duration::from_millis(400)).await;
             sim.start(next);
-            sim.g.network.mend();
+            sim.context.network.mend();
             for _ in 0..100 {
                 ids.iter().for_each(|id| sim.ask_all(id));
                 sim.run(Duration::from_millis(200)).await;
             }
-            let runs =
-                sim.g.w.lock().unwrap().machines.values().any(|m| m.copies.keys().any(|k| k.0.starts_with(&gang)));
+            let runs = sim
+                .context
+                .world
+                .lock()
+                .unwrap()
+                .machines
+                .values()
+                .any(|m| m.copies.keys().any(|k| k.0.starts_with(&gang)));
             assert!(runs, "seed {seed}: the gang's leases expired because no controller renewed them");
             sim.cancel(&gang, &[0, 1, 2]);
             sim.state_down(false);
--- a/tests/fault_combinations/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -49,10 +49,10 @@
         (long_job.team, long_job.apart, long_job.run_s) = ("blue", true, 200.0);
         let long_job = sim.submit(long_job);
         sim.run(seconds(12)).await;
-        let in_use = charged_machines(&sim.g.w.lock().unwrap());
+        let in_use = charged_machines(&sim.context.world.lock().unwrap());
         let failing = submit_failing(sim);
         sim.run(seconds(5)).await;
-        let writes = sim.g.w.lock().unwrap().store.writes;
+        let writes = sim.context.world.lock().unwrap().store.writes;
         let mut valid = Vec::new();
         let began = Instant::now();
         while began.elapsed() < seconds(FAILING_S) {
@@ -60,29 +60,29 @@
             sim.run(seconds(4)).await;
         }
         {
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             let written = world.store.writes - writes;
             let most = MAX_WRITES_PER_JOB * valid.len() as u64 + (MAX_WRITES_PER_S * FAILING_S as f64) as u64;
             let starts: Vec<u32> = failing.iter().map(|id| world.jobs[id].starts).collect();
-            println!("seed {}: {written} writes, starts of the failing jobs: {starts:?}", sim.g.seed);
-            assert!(written <= most, "seed {}: {written} writes in {FAILING_S} s", sim.g.seed);
+            println!("seed {}: {written} writes, starts of the failing jobs: {starts:?}", sim.context.seed);
+            assert!(written <= most, "seed {}: {written} writes in {FAILING_S} s", sim.context.seed);
             for id in &failing {
                 let job = &world.jobs[id];
                 let most = MAX_STARTS_PER_TASK * job.shards;
-                assert!(job.starts >= job.shards, "seed {}: {id} never began", sim.g.seed);
-                assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.g.seed, job.starts);
+                assert!(job.starts >= job.shards, "seed {}: {id} never began", sim.context.seed);
+                assert!(job.starts <= most, "seed {}: {id} was started {} times", sim.context.seed, job.starts);
             }
             // A machine that is classified as faulty is drained and terminated.
             let terminated: Vec<&String> = in_use.iter().filter(|id| !world.machines[*id].exists()).collect();
-            assert!(terminated.is_empty(), "seed {}: machines in use were terminated: {terminated:?}", sim.g.seed);
+            assert!(terminated.is_empty(), "seed {}: machines in use were terminated: {terminated:?}", sim.context.seed);
             assert_eq!(
                 world.jobs[&long_job].starts, 2,
                 "seed {}: a task of the long job was started again",
-                sim.g.seed
+                sim.context.seed
             );
         }
         let begun_late: Vec<String> = {
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             valid.retain(|id| world.jobs[id].accepted.is_some_and(|at| at.elapsed() > secs(MAX_START_S)));
             let late = |id: &&String| {
                 let job = &world.jobs[*id];
@@ -90,16 +90,16 @@
             };
             valid.iter().filter(late).cloned().collect()
         };
-        assert!(begun_late.is_empty(), "seed {}: jobs that began late: {begun_late:?}", sim.g.seed);
+        assert!(begun_late.is_empty(), "seed {}: jobs that began late: {begun_late:?}", sim.context.seed);
         failing.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
         let cancelled = |world: &SimulationState| failing.iter().all(|id| world.jobs[id].cancelled.is_some());
         sim.until("all are cancelled", seconds(10), cancelled).await;
         // Other jobs still run on the machines on which these jobs failed.
-        let before = sim.g.w.lock().unwrap().machines.len();
+        let before = sim.context.world.lock().unwrap().machines.len();
         let last = submit_valid(sim, 0);
         sim.until("the last job runs", seconds(8), |world| world.jobs[&last].began.is_some()).await;
-        let launched = sim.g.w.lock().unwrap().machines.len() - before;
-        assert_eq!(launched, 0, "seed {}: machines launched although others had free resources", sim.g.seed);
+        let launched = sim.context.world.lock().unwrap().machines.len() - before;
+        assert_eq!(launched, 0, "seed {}: machines launched although others had free resources", sim.context.seed);
         sim.cancel(&long_job, &[0, 1, 2]);
     });
 }
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -10,7 +10,7 @@
 
 /// Makes orders with an outdated fencing token break a rule from now on.
 fn check_fencing_tokens(sim: &Sim) {
-    sim.g.w.lock().unwrap().check_terms = true;
+    sim.context.world.lock().unwrap().check_terms = true;
 }
 
 // Meanwhile its successor cancels, finishes and starts jobs. The old leader must not act on its outdated state
@@ -43,7 +43,7 @@
     run_with_seeds(async |sim| {
         check_fencing_tokens(sim);
         let mut ids = submit_long_jobs(sim, LONG_S).await;
-        let step = sim.g.seed;
+        let step = sim.context.seed;
         for index in 0..6 {
             ids.extend(submit_short_jobs(sim));
             let leader = sim.leader().unwrap_or(index % NODES);
@@ -71,7 +71,7 @@
         sim.run(seconds(8)).await;
         sim.state_down(true);
         sim.pause(next, true);
-        sim.run(Duration::from_millis(300 * sim.g.seed)).await;
+        sim.run(Duration::from_millis(300 * sim.context.seed)).await;
         sim.pause(first, false);
         poll_frequently(sim, &ids, seconds(8)).await;
         sim.pause(next, false);
@@ -87,7 +87,7 @@
         let mut ids = submit_long_jobs(sim, 40.0).await;
         ids.extend(submit_short_jobs(sim));
         (0..NODES).for_each(|node| sim.pause(node, true));
-        sim.run(seconds(7 + 9 * sim.g.seed)).await;
+        sim.run(seconds(7 + 9 * sim.context.seed)).await;
         (0..NODES).for_each(|node| sim.pause(node, false));
         sim.cancel(&ids[0], &[0, 1, 2]);
         poll_frequently(sim, &ids, seconds(5)).await;
@@ -102,7 +102,7 @@
         let leader = sim.leader().expect("there is a leader");
         others(leader).into_iter().for_each(|node| sim.pause(node, true));
         sim.state_down(true);
-        sim.run(seconds(4 + sim.g.seed)).await;
+        sim.run(seconds(4 + sim.context.seed)).await;
         sim.cancel(&ids[0], &[leader]);
         ids.extend(submit_short_jobs(sim));
         others(leader).into_iter().for_each(|node| sim.pause(node, false));
--- a/tests/fault_combinations/poll_storms.rs
+++ b/tests/fault_combinations/poll_storms.rs
@@ -13,7 +13,7 @@
 /// Asserts that polls of every job accepted at least `time` ago were answered by some node within the last `time`.
 fn assert_answered_within(sim: &Sim, time: Duration) {
     let now = Instant::now();
-    let world = sim.g.w.lock().unwrap();
+    let world = sim.context.world.lock().unwrap();
     let unanswered: Vec<&String> = world
         .jobs
         .values()
@@ -23,7 +23,7 @@
     assert!(
         unanswered.is_empty(),
         "seed {}: no node answered polls of these jobs within {time:?}: {unanswered:?}",
-        sim.g.seed
+        sim.context.seed
     );
 }
 
@@ -43,7 +43,7 @@
         poll_frequently(sim, &ids, seconds(4)).await;
         sim.cancel(&ids[1], &others(leader));
         ids.extend(submit_short_jobs(sim));
-        poll_frequently(sim, &ids, seconds(8 + 9 * sim.g.seed)).await;
+        poll_frequently(sim, &ids, seconds(8 + 9 * sim.context.seed)).await;
         assert_answered_within(sim, seconds(6));
         sim.pause(leader, false);
         poll_frequently(sim, &ids, seconds(10)).await;
@@ -68,7 +68,7 @@
             let leader = sim.leader().unwrap_or(0);
             sim.pause(leader, true);
             sim.cancel(&ids[3 * index + 2], &others(leader));
-            poll_frequently(sim, &ids, Duration::from_millis(2000 + 800 * (index as u64 + sim.g.seed))).await;
+            poll_frequently(sim, &ids, Duration::from_millis(2000 + 800 * (index as u64 + sim.context.seed))).await;
             sim.pause(leader, false);
             poll_frequently(sim, &ids, seconds(6)).await;
             assert_answered_within(sim, seconds(6));
--- a/tests/fault_combinations/rollouts.rs
+++ b/tests/fault_combinations/rollouts.rs
@@ -29,13 +29,14 @@
 fn an_upgrade_stops_no_task_and_loses_no_lease() {
     run_rollouts(async |sim| {
         let ids = submit_long_jobs(sim, 200.0).await;
-        let starts = |sim: &Sim| -> u32 { ids.iter().map(|id| sim.g.w.lock().unwrap().jobs[id].starts).sum() };
-        let (before, summary) = (starts(sim), sim.g.w.lock().unwrap().summary());
+        let starts =
+            |sim: &Sim| -> u32 { ids.iter().map(|id| sim.context.world.lock().unwrap().jobs[id].starts).sum() };
+        let (before, summary) = (starts(sim), sim.context.world.lock().unwrap().summary());
         for node in 0..NODES {
             upgrade(sim, node).await;
         }
         assert_eq!(starts(sim), before, "a task was started again; state before the upgrade: {summary}");
-        assert!(sim.g.w.lock().unwrap().stopped.is_empty());
+        assert!(sim.context.world.lock().unwrap().stopped.is_empty());
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
     });
 }
@@ -55,7 +56,8 @@
         }
         // Users keep submitting it to the upgraded controllers.
         sleep(Duration::from_secs(10)).await;
-        let accepted = |sim: &Sim| sim.g.w.lock().unwrap().jobs.get(&ids[1]).is_some_and(|job| job.accepted.is_some());
+        let accepted =
+            |sim: &Sim| sim.context.world.lock().unwrap().jobs.get(&ids[1]).is_some_and(|job| job.accepted.is_some());
         assert!(!accepted(sim), "accepted although an old controller would start it at once");
         upgrade(sim, NODES - 1).await;
         sim.until("the dependent is accepted", seconds(20), |world| world.jobs[&ids[1]].accepted.is_some()).await;
--- a/tests/fault_combinations/scenario.rs
+++ b/tests/fault_combinations/scenario.rs
@@ -53,7 +53,7 @@
 /// Applies a change to every `step`th of the machines that are up.
 pub fn machines(sim: &Sim, step: usize, change: impl Fn(&mut Machine)) {
     let now = Instant::now();
-    let mut world = sim.g.w.lock().unwrap();
+    let mut world = sim.context.world.lock().unwrap();
     world.machines.values_mut().filter(|m| m.alive(now)).step_by(step).for_each(change);
 }
 
@@ -80,5 +80,5 @@
 
 /// Number of machines that are charged now.
 pub fn charged(sim: &Sim) -> usize {
-    sim.g.w.lock().unwrap().machines.values().filter(|m| m.exists()).count()
+    sim.context.world.lock().unwrap().machines.values().filter(|m| m.exists()).count()
 }
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -30,13 +30,13 @@
 /// Waits until all jobs have begun, and asserts that at most `max_machines` machines are charged at once.
 async fn until_all_began(sim: &Sim, max_machines: usize) {
     let end = Instant::now() + seconds(REPLACED_S);
-    while !all_began(&sim.g.w.lock().unwrap()) {
-        assert!(Instant::now() < end, "seed {}: jobs have not begun in {REPLACED_S} s", sim.g.seed);
+    while !all_began(&sim.context.world.lock().unwrap()) {
+        assert!(Instant::now() < end, "seed {}: jobs have not begun in {REPLACED_S} s", sim.context.seed);
         let charged = charged(sim);
         assert!(
             charged <= max_machines,
             "seed {}: {charged} machines are charged, expected at most {max_machines}",
-            sim.g.seed
+            sim.context.seed
         );
         sim.run(secs(0.5)).await;
     }
@@ -58,12 +58,12 @@
         submit_work(sim);
         sim.until("machines are launched", seconds(5), |world| world.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
-        let never_booted: Vec<String> = sim.g.w.lock().unwrap().machines.keys().cloned().collect();
+        let never_booted: Vec<String> = sim.context.world.lock().unwrap().machines.keys().cloned().collect();
         until_all_began(sim, 2 * NEEDED).await;
         let terminated = |world: &SimulationState| never_booted.iter().all(|id| !world.machines[id].exists());
         sim.until("machines that never boot are terminated", seconds(REPLACED_S), terminated).await;
-        let launched = sim.g.w.lock().unwrap().machines.len();
-        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.g.seed);
+        let launched = sim.context.world.lock().unwrap().machines.len();
+        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.context.seed);
         until_all_are_terminated(sim).await;
     });
 }
@@ -74,15 +74,15 @@
     const LATE_BY: [f64; 3] = [3.0, 4.0, 5.5];
     run_without_headroom(async |sim| {
         sim.run(seconds(5)).await;
-        let late_by = LATE_BY[sim.g.seed as usize % LATE_BY.len()];
+        let late_by = LATE_BY[sim.context.seed as usize % LATE_BY.len()];
         sim.boot_faults(BootFaults { late: 1.0, late_by, ..BootFaults::default() });
         submit_work(sim);
         sim.until("machines are launched", seconds(5), |world| world.machines.len() >= NEEDED).await;
         sim.boot_faults(BootFaults::default());
         until_all_began(sim, 2 * NEEDED).await;
         until_all_are_terminated(sim).await;
-        let launched = sim.g.w.lock().unwrap().machines.len();
-        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.g.seed);
+        let launched = sim.context.world.lock().unwrap().machines.len();
+        assert!(launched <= 3 * NEEDED, "seed {}: {launched} machines were launched", sim.context.seed);
     });
 }
 
@@ -109,15 +109,15 @@
         }
         sim.run(seconds(REPLACED_S)).await;
         let (begun, all, launched) = {
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             (world.jobs.values().filter(|job| job.began.is_some()).count(), world.jobs.len(), world.machines.len())
         };
         println!(
             "seed {}: {begun} of {all} jobs have begun; {launched} machines launched, at most {max_charged} at once",
-            sim.g.seed
+            sim.context.seed
         );
-        assert!(max_charged <= MAX_CHARGED, "seed {}: {max_charged} machines were charged at once", sim.g.seed);
-        assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.g.seed);
+        assert!(max_charged <= MAX_CHARGED, "seed {}: {max_charged} machines were charged at once", sim.context.seed);
+        assert!(begun * 10 >= all * 9, "seed {}: only {begun} of {all} jobs have begun", sim.context.seed);
     });
 }
 
@@ -130,7 +130,7 @@
             sim.run(seconds(5)).await;
             submit_work(&mut sim);
             sim.until("all work is done", seconds(120), |world| world.jobs.values().all(Job::over)).await;
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             assert_eq!(world.machines.len(), NEEDED, "seed {seed}: machines that were launched\n{}", world.recent(""));
         });
     }
--- a/tests/fault_combinations/teams.rs
+++ b/tests/fault_combinations/teams.rs
@@ -25,7 +25,7 @@
         machines(sim, 3, |m| m.hang = until);
         let leader = sim.leader().expect("there is a leader");
         let cut_off: Vec<_> = {
-            let world = sim.g.w.lock().unwrap();
+            let world = sim.context.world.lock().unwrap();
             world.machines.values().skip(1).step_by(3).map(|m| m.addr.ip()).collect()
         };
         for node in 0..NODES {
@@ -35,7 +35,7 @@
         sim.run(seconds(1)).await;
         sim.kill(leader);
         sim.run(seconds(16)).await;
-        sim.g.network.mend();
+        sim.context.network.mend();
         sim.start(leader);
         sim.run(seconds(5)).await;
         ids.iter().for_each(|id| sim.cancel(id, &[0, 1, 2]));
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -81,15 +81,15 @@
             until_ready(&mut sim, 2).await;
             let job = submit_replica(&mut sim);
             sim.run(seconds(5)).await;
-            sim.g.w.lock().unwrap().cloud_down = true;
+            sim.context.world.lock().unwrap().cloud_down = true;
             let now = Instant::now();
             let alive = |world: &SimulationState| {
                 world.machines.values().filter(|m| m.alive(now)).map(|m| m.id.clone()).collect()
             };
-            let alive: Vec<String> = alive(&sim.g.w.lock().unwrap());
-            alive.iter().step_by(2).for_each(|id| machines::die(&sim.g, id));
+            let alive: Vec<String> = alive(&sim.context.world.lock().unwrap());
+            alive.iter().step_by(2).for_each(|id| machines::die(&sim.context, id));
             sim.run(seconds(20)).await;
-            sim.g.w.lock().unwrap().cloud_down = false;
+            sim.context.world.lock().unwrap().cloud_down = false;
             sim.until("the replica runs", seconds(120), |world| world.jobs[&job].began.is_some()).await;
             until_ready(&mut sim, 2).await;
             sim.settle().await;
--- a/tests/outputs/metrics.rs
+++ b/tests/outputs/metrics.rs
@@ -67,7 +67,7 @@
     let names = names.clone();
     let scenario = async || {
         let sim = Sim::new(seed, setup);
-        let context = sim.g.clone();
+        let context = sim.context.clone();
         tokio::select! {
             () = script(sim) => {}
             () = read_metrics(context, names) => {}
