--- a/tests/fault_combinations/borrowing/shares.rs
+++ b/tests/fault_combinations/borrowing/shares.rs
@@ -22,7 +22,12 @@
 pub async fn until_checking_floor(sim: &mut Sim, what: &str, limit: Duration, holds: impl Fn(&Sim) -> bool) {
     let end = Instant::now() + limit;
     while !holds(sim) {
-        assert!(Instant::now() < end, "seed {}: not reached in {limit:?}: {what}; {}", sim.context.seed, describe_loans(sim));
+        assert!(
+            Instant::now() < end,
+            "seed {}: not reached in {limit:?}: {what}; {}",
+            sim.context.seed,
+            describe_loans(sim)
+        );
         sim.run(INTERVAL).await;
         assert_floor(sim);
     }
--- a/tests/fault_combinations/guests.rs
+++ b/tests/fault_combinations/guests.rs
@@ -74,7 +74,11 @@
         "seed {}: too few tasks of the guest's array are done",
         sim.context.seed
     );
-    assert!(2 * done(&jobs.best_effort) >= 20, "seed {}: too few best-effort tasks of the guest are done", sim.context.seed);
+    assert!(
+        2 * done(&jobs.best_effort) >= 20,
+        "seed {}: too few best-effort tasks of the guest are done",
+        sim.context.seed
+    );
     assert!(
         2 * one_task_jobs_done >= jobs.one_task_jobs.len(),
         "seed {}: too few one-task jobs of the guest are done",
--- a/tests/fault_combinations/mistakes.rs
+++ b/tests/fault_combinations/mistakes.rs
@@ -74,7 +74,11 @@
             }
             // A machine that is classified as faulty is drained and terminated.
             let terminated: Vec<&String> = in_use.iter().filter(|id| !world.machines[*id].exists()).collect();
-            assert!(terminated.is_empty(), "seed {}: machines in use were terminated: {terminated:?}", sim.context.seed);
+            assert!(
+                terminated.is_empty(),
+                "seed {}: machines in use were terminated: {terminated:?}",
+                sim.context.seed
+            );
             assert_eq!(
                 world.jobs[&long_job].starts, 2,
                 "seed {}: a task of the long job was started again",
