--- a/crates/borrowing/src/loan.rs
+++ b/crates/borrowing/src/loan.rs
@@ -133,6 +133,6 @@
 pub struct JobLoans {
     /// Team of the lending job.
     pub lender: String,
-    /// Loans of the job, the oldest first. Ended loans are kept until the job's quiet time is over.
+    /// Loans of the job, the oldest first. Ended loans are kept until the job's quiet time has ended.
     pub loans: Vec<Loan>,
 }
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -89,7 +89,7 @@
         Some(self.slots.entry(id).or_insert(slot))
     }
 
-    /// Handles a report that the slot is on its machine. `warm` tells whether the replica is warm.
+    /// Handles a report that the slot is on its machine. `warm` states whether the replica is warm.
     pub fn mark_reported(&mut self, id: SlotId, warm: bool, now: Moment) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
--- a/crates/warm-pools/src/records.rs
+++ b/crates/warm-pools/src/records.rs
@@ -7,8 +7,8 @@
 use jiff::civil::Date;
 use serde::{Deserialize, Serialize};
 
-/// Id of a commit of records. Each record names the commit that wrote it last, which tells whether
-/// a commit without an answer was made.
+/// Id of a commit of records. Each record names the commit that wrote it last, which shows whether
+/// a commit without an answer was applied.
 pub type WriteId = u64;
 
 /// Recorded form of a [`Claim`].
--- a/crates/warm-pools/src/slot.rs
+++ b/crates/warm-pools/src/slot.rs
@@ -66,7 +66,7 @@
     Idle,
     /// A task has claimed the slot. The claim is not recorded yet, so the task must not be ordered.
     Claiming(Claim),
-    /// An unrecorded claim was abandoned. It may have been recorded all the same, or may still be.
+    /// An unrecorded claim was abandoned. It may nevertheless have been recorded, or may still be.
     Abandoned,
     /// A task has claimed the slot, and the claim is recorded.
     Claimed(Claim),
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -302,7 +302,7 @@
     assert!(matches!(state(&spent, 1), SlotState::Claimed(_)));
     assert_eq!(state(&spent, 2), SlotState::Draining(EndCause::CostLimit));
     assert_eq!(spent.startable_count("counter", 3_600_000, at(302_000)), 0);
-    // The budget starts anew on the next day.
+    // The budget is reset on the next day.
     assert_eq!(spent.startable_count("counter", 3_600_000, at(24 * HOUR_MS)), 2);
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -33,8 +33,8 @@
 
 pub use route_hints::RouteHints;
 
-/// Time limit for the answer to a submission or a cancellation. It is below the 5 s after which
-/// users give up.
+/// Time limit for the answer to a submission or a cancellation. It is below the 5 s for which
+/// users wait at most.
 const USER_ANSWER_TIMEOUT: Duration = Duration::from_millis(4500);
 
 /// State and clients that requests are answered with; cheap to clone.
@@ -99,7 +99,7 @@
 }
 
 /// Awaits the answer for at most [`USER_ANSWER_TIMEOUT`] and returns a refusal after that. The
-/// request may have been carried out all the same; a retry shows whether it was.
+/// request may nevertheless have been carried out; a retry shows whether it was.
 async fn answer_within_timeout(answer: impl Future<Output = Response>) -> Response {
     timeout(USER_ANSWER_TIMEOUT, answer).await.unwrap_or_else(|_| RefusalReason::NoDecisionInTime.response())
 }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -20,8 +20,8 @@
 const REQUESTS_PER_ACCEPTANCE: usize = 2;
 
 impl Api {
-    /// Answers a submission. A known job is answered with its status, whatever the body contains
-    /// otherwise.
+    /// Answers a submission. A known job is answered with its status, regardless of the rest
+    /// of the body.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
         // A malformed submission is refused without asking the leader.
         let spec = match wire::parse_submission(&body) {
--- a/src/configuration/entries.rs
+++ b/src/configuration/entries.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether this region may propose. Before version 1, all regions must have a record: a
-    /// region without one cannot tell whether it has voted and lost its record.
+    /// region without one does not know whether it has voted and lost its record.
     fn may_propose(&self) -> bool {
         let Some(stored) = &self.stored else { return false };
         let others_have_records = self.contacts.len() + 1 == self.initial.regions.len()
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -42,8 +42,8 @@
     let _ = handle.tx.send(Message::PeersCapable).await;
 }
 
-/// Watches the region's keys in the state service with one long poll, whatever the number of documents,
-/// and refreshes the actor's record on changes.
+/// Watches the region's keys in the state service with one long poll, regardless of the number of
+/// documents, and refreshes the actor's record on changes.
 pub(super) async fn watch_record(handle: ConfigurationHandle, state: StateStore, reaction_time: Duration) {
     let wait_ms = (reaction_time * WATCH_REACTION_TIMES).as_millis() as u64;
     let mut last_revision = None;
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -77,7 +77,7 @@
         self.tx.send(Message::RecordMayHaveChanged(reply)).await.is_ok() && done.await == Ok(true)
     }
 
-    /// Tells the actor that this node's leader has recorded an applied version.
+    /// Informs the actor that this node's leader has recorded an applied version.
     pub fn applied_configuration(&self, applied_configuration: AppliedConfiguration) {
         // Dropped if the queue is full: the leader records it again, and the next change rereads the record.
         let _ = self.tx.try_send(Message::AppliedConfiguration(applied_configuration));
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -28,7 +28,7 @@
 /// An entry to be proposed, with the channel for its outcome.
 pub(super) struct ProposedEntry {
     pub(super) entry: Entry,
-    /// Channel for the outcome of a change; `None` if nobody waits for it.
+    /// Channel for the outcome of a change; `None` if no caller waits for it.
     pub(super) reply: Option<oneshot::Sender<ConfigurationResponse>>,
 }
 
--- a/src/control/membership/leader_state.rs
+++ b/src/control/membership/leader_state.rs
@@ -4,14 +4,14 @@
 use crate::model::FencingToken;
 use crate::runtime::clock::MAX_CLOCK_DRIFT;
 
-/// Shortens a duration in milliseconds by the largest clock drift: for so long this node may rely on
-/// a lease or pledge that is measured by the clock of another node.
+/// Shortens a duration in milliseconds by the largest clock drift. This node may rely for the resulting
+/// duration on a lease or pledge that is measured by the clock of another node.
 pub(super) fn shortened_by_drift(ms: u64) -> u64 {
     (ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64
 }
 
-/// Lengthens a duration in milliseconds by the largest clock drift: for so long this node keeps a
-/// pledge that another node relies on by its own clock.
+/// Lengthens a duration in milliseconds by the largest clock drift. This node keeps for the resulting
+/// duration a pledge that another node relies on by its own clock.
 pub(super) fn lengthened_by_drift(ms: u64) -> u64 {
     (ms as f64 * (1.0 + MAX_CLOCK_DRIFT)).ceil() as u64 + 1
 }
--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Stops all attempts of a job without a grace period: the job is over, or it is a gang that lost a
+    /// Stops all attempts of a job without a grace period: the job has ended, or it is a gang that lost a
     /// task and whose other tasks must stop before the next attempt.
     pub(super) fn stop_all_attempts(&mut self, job_index: JobIndex) {
         for (host_index, host) in self.cluster.hosts.iter_mut().enumerate() {
--- a/src/control/partition/commit_queue.rs
+++ b/src/control/partition/commit_queue.rs
@@ -167,7 +167,7 @@
         self.in_flight = Some(writes);
     }
 
-    /// Ends the commit in flight, whatever its outcome, and returns its writes.
+    /// Ends the commit in flight, regardless of its outcome, and returns its writes.
     pub(super) fn take_in_flight(&mut self) -> Vec<PendingWrite> {
         self.in_flight.take().unwrap_or_default()
     }
--- a/src/control/partition/commit_results.rs
+++ b/src/control/partition/commit_results.rs
@@ -208,7 +208,7 @@
         self.dependency_ended(&id, end);
     }
 
-    /// Stops what is left of a job that is over and removes it from all queues.
+    /// Stops the remaining attempts of a job that has ended and removes it from all queues.
     pub(super) fn retire_job(&mut self, job_index: JobIndex) {
         let job = &mut self.cluster.jobs[job_index];
         job.retire();
--- a/src/control/partition/critical_path.rs
+++ b/src/control/partition/critical_path.rs
@@ -66,7 +66,7 @@
     }
 
     /// Recomputes the requirements of these dependencies, and transitively of theirs, after a job that
-    /// waited for them is over.
+    /// waited for them has ended.
     pub(super) fn release_dependencies(&mut self, ids: &BTreeSet<String>) {
         let mut open: Vec<JobIndex> = ids.iter().filter_map(|id| self.cluster.job_index.get(id).copied()).collect();
         while let Some(dependency) = open.pop() {
@@ -122,7 +122,7 @@
         true
     }
 
-    /// Returns the expected time, in milliseconds, from the moment at which a job may start until it is
+    /// Returns the expected time, in milliseconds, from the time at which a job may start until it is
     /// done: image fetch, start and run.
     fn duration_ms(&self, spec: &Spec) -> u64 {
         let allowed =
@@ -191,8 +191,8 @@
         if let Some(known) = self.until_done_ms.get(&job_index) {
             return *known;
         }
-        // Users can only name accepted jobs as dependencies, so the graph has no cycles. Should it have
-        // one all the same, this entry ends the recursion.
+        // Users can only name accepted jobs as dependencies, so the graph has no cycles. If it
+        // nevertheless has one, this entry ends the recursion.
         self.until_done_ms.insert(job_index, None);
         let job = &self.partition.cluster.jobs[job_index];
         let duration_ms = self.partition.duration_ms(&job.spec);
--- a/src/control/partition/tests/acceptance.rs
+++ b/src/control/partition/tests/acceptance.rs
@@ -76,7 +76,7 @@
     assert!(submit_job(&mut partition, &job_submission("run-000000", "batch", 1), 1000).try_recv().is_err());
 }
 
-// Many best-effort jobs used up the writes, so that submissions of urgent services were told to retry later.
+// Many best-effort jobs used up the writes, so that users who submitted urgent services were asked to retry later.
 #[test]
 fn urgent_jobs_are_recorded_before_many_less_urgent_ones() {
     let mut partition = partition();
--- a/src/control/partition/tests/dependencies.rs
+++ b/src/control/partition/tests/dependencies.rs
@@ -162,7 +162,7 @@
     partition.conditions.has_outdated_peer = true;
     let mut rx = submit_job(&mut partition, &waiting_body("run-000004", &[FIRST], json!({})), 1000);
     assert_eq!(rx.try_recv(), Ok(UserAnswer::RetryLater(RefusalReason::ControllerOutdated)));
-    // A known job is answered, whatever the repeated submission contains.
+    // A known job is answered, regardless of what the repeated submission contains.
     let mut rx = submit_job(&mut partition, &waiting_body(SECOND, &["run-000009"], json!({})), 1000);
     assert_eq!(phase(rx.try_recv().unwrap()), Ok(JobPhase::Pending));
 }
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -16,7 +16,7 @@
     );
 }
 
-/// Returns the phase that a status request is answered with, or `None` if it is told to retry later.
+/// Returns the phase that a status request is answered with, or `None` if the user is asked to retry later.
 fn answered_phase(partition: &Partition) -> Option<JobPhase> {
     match partition.status("run-000001") {
         UserAnswer::Status { phase, .. } => Some(phase),
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -83,7 +83,7 @@
     partition.heartbeat(&heartbeat("h1", 1, 9, 1, running()), StatusSource::Heartbeat, 1100);
     partition.heartbeat(&heartbeat("h1", 1, 3, 1, vec![]), StatusSource::Heartbeat, 1200);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::OnHost(0, attempt));
-    // A machine in a new agent epoch has lost all tasks, whatever an older heartbeat says.
+    // A machine in a new agent epoch has lost all tasks, regardless of what an older heartbeat reports.
     partition.heartbeat(&heartbeat("h1", 2, 10, 1, vec![]), StatusSource::Heartbeat, 1300);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
     partition.heartbeat(&heartbeat("h1", 1, 11, 1, running()), StatusSource::Heartbeat, 1400);
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -98,8 +98,8 @@
         self.commit_queue.creations_due(&self.cluster.jobs, urgency) as f64 / self.policy.writes_per_s
     }
 
-    /// Returns the phase of a job and the number of its running tasks if a user may be told about them
-    /// from memory. This is the only place that decides this. The records are authoritative: while a
+    /// Returns the phase of a job and the number of its running tasks if they may be answered to a
+    /// user from memory. This is the only place that decides this. The records are authoritative: while a
     /// write of the job's end may have been carried out, another node may have read the end and answered
     /// with it. In that case nothing older may be answered, and the record must be read again.
     ///
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -13,7 +13,7 @@
     Missing,
     /// No attempt uses the slot that the previous leader claimed, and none can start any more.
     ClaimUnused,
-    /// The heartbeat tells nothing about the slot.
+    /// The heartbeat contains no information about the slot.
     Unknown,
 }
 
--- a/src/provisioning/boot_times.rs
+++ b/src/provisioning/boot_times.rs
@@ -1,5 +1,5 @@
-//! Statistics of boot times by offering: the expected duration of a boot, which machines are late, which
-//! are given up, and which offerings are unreliable.
+//! Statistics of boot times by offering: the expected duration of a boot, which machines are late, the
+//! boot timeout, and which offerings are unreliable.
 //!
 //! Ages and durations count from the request for the machine. All times are milliseconds of the steady
 //! clock. The nominal boot time of the instance type is the initial value and the lower bound of the
@@ -11,8 +11,8 @@
 /// Multiple of the expected boot time after which a machine is late. Boots usually take up to 1.5 times
 /// the nominal time.
 const LATE_RATIO: f64 = 1.6;
-/// Multiple of the expected boot time after which a machine that is not up is given up.
-const GIVE_UP_RATIO: f64 = 3.0;
+/// Multiple of the expected boot time after which the boot of a machine that is not up has timed out.
+const TIMEOUT_RATIO: f64 = 3.0;
 /// Quantile of the recent boot times that is taken as the expected boot time.
 const EXPECTED_QUANTILE: f64 = 0.75;
 /// Number of boots of nominal duration that are assumed for each offering in addition to the observed ones.
@@ -47,7 +47,7 @@
         self.record(offering, Boot { ended_ms: now, outcome: BootOutcome::Up { duration_ms } });
     }
 
-    /// Records that a machine failed to boot, or that its boot was given up.
+    /// Records that a machine failed to boot, or that its boot timed out.
     pub fn record_failure(&mut self, offering: &InstanceOffering, now: u64) {
         self.record(offering, Boot { ended_ms: now, outcome: BootOutcome::Failed });
     }
@@ -89,9 +89,9 @@
         age_ms > scaled(self.expected_ms(offering, nominal_ms, now), LATE_RATIO)
     }
 
-    /// Returns whether a boot of this age takes so long that the machine is not expected to come up any more.
-    pub fn exceeds_give_up_age(&self, offering: &InstanceOffering, nominal_ms: u64, age_ms: u64, now: u64) -> bool {
-        age_ms > scaled(self.expected_ms(offering, nominal_ms, now), GIVE_UP_RATIO)
+    /// Returns whether a boot of this age has timed out: the machine is not expected to come up any more.
+    pub fn has_timed_out(&self, offering: &InstanceOffering, nominal_ms: u64, age_ms: u64, now: u64) -> bool {
+        age_ms > scaled(self.expected_ms(offering, nominal_ms, now), TIMEOUT_RATIO)
     }
 
     /// Returns the mean number of machines of this offering that must be requested to have one in time.
--- a/src/provisioning/boot_times/tests.rs
+++ b/src/provisioning/boot_times/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the boot time statistics: expected boot times, late machines and machines that are given up.
+//! Tests of the boot time statistics: expected boot times, late machines and boot timeouts.
 
 use super::*;
 
@@ -36,7 +36,7 @@
     }
     assert_eq!(times.expected_ms(&slow, NOMINAL, 3000), 5 * NOMINAL);
     assert!(!times.is_late(&slow, NOMINAL, 6 * NOMINAL, 3000));
-    assert!(!times.exceeds_give_up_age(&slow, NOMINAL, 6 * NOMINAL, 3000));
+    assert!(!times.has_timed_out(&slow, NOMINAL, 6 * NOMINAL, 3000));
     assert!(times.is_late(&other, NOMINAL, 2 * NOMINAL, 3000), "other zones have their own statistics");
     // After the retention time the slow boots no longer count.
     assert_eq!(times.expected_ms(&slow, NOMINAL, 3000 + 21 * NOMINAL), NOMINAL);
@@ -65,7 +65,7 @@
     assert!(times.cost_factor(&offering, NOMINAL, 0, 10) >= 3.0);
     assert_eq!(times.expected_ms(&offering, NOMINAL, 10), NOMINAL);
     assert!(
-        times.exceeds_give_up_age(&offering, NOMINAL, 4 * NOMINAL, 10),
+        times.has_timed_out(&offering, NOMINAL, 4 * NOMINAL, 10),
         "failed boots do not raise the expected boot time"
     );
     assert_eq!(times.cost_factor(&offering, NOMINAL, 0, 21 * NOMINAL), 1.0, "failures expire");
--- a/src/provisioning/provisioner.rs
+++ b/src/provisioning/provisioner.rs
@@ -65,7 +65,7 @@
     boot_times: BootTimes,
     /// Time of the last round, in which the booting machines were checked.
     last_round_ms: u64,
-    /// Time from which machines may be considered late or given up.
+    /// Time from which boots may be considered late or timed out.
     boot_checks_from_ms: u64,
     /// Offerings that the cloud refused, with the time until which they are not requested.
     refused_offerings: HashMap<InstanceOffering, Backoff>,
--- a/src/provisioning/provisioner/booting.rs
+++ b/src/provisioning/provisioner/booting.rs
@@ -1,5 +1,5 @@
 //! Booting machines, which were requested and have not reported yet: which count as capacity, which are
-//! late, and which are given up.
+//! late, and which boots have timed out.
 
 use super::distribution::PendingTransfer;
 use super::{CloudRequest, Provisioner};
@@ -156,7 +156,7 @@
         self.predecessor_listed_ms.get_or_insert(now + lag_ms);
     }
 
-    /// Records a round. If rounds were missed, no machine is considered late or given up for
+    /// Records a round. If rounds were missed, no boot is considered late or timed out for
     /// `report_ttl_ms`.
     fn record_round(&mut self, partition: &Partition, now: u64, report_ttl_ms: u64) {
         self.set_predecessor_listed_time(partition, now);
@@ -191,7 +191,7 @@
     }
 
     /// Processes a list of the cloud's machines. Returns the requests that return machines whose boot failed
-    /// or was given up.
+    /// or timed out.
     pub fn process_list(&mut self, list: &[ListedInstance], partition: &Partition, now: u64) -> Vec<CloudRequest> {
         self.set_predecessor_listed_time(partition, now);
         self.predecessor_requests_listed |= self.predecessor_listed_ms.is_some_and(|listed_ms| now >= listed_ms);
@@ -230,7 +230,7 @@
             ..BootingHost::requested(partition.id(), offering, now)
         });
         host.update_from_list(entry, now);
-        if now < self.boot_checks_from_ms || !self.is_given_up(&entry.id, partition, now) {
+        if now < self.boot_checks_from_ms || !self.has_boot_timed_out(&entry.id, partition, now) {
             return BootState::Booting;
         }
         tracing::info!(host = entry.id, "machine did not come up, returning it to the cloud");
@@ -257,9 +257,9 @@
         }
     }
 
-    /// Returns whether the boot of the machine is given up. A machine that is listed as up but does not report
-    /// may be unreachable: it is given up after the longer of a worker's lease and its expected boot time.
-    fn is_given_up(&self, id: &str, partition: &Partition, now: u64) -> bool {
+    /// Returns whether the boot of the machine has timed out. A machine that is listed as up but does not report
+    /// may be unreachable: its boot times out after the longer of a worker's lease and its expected boot time.
+    fn has_boot_timed_out(&self, id: &str, partition: &Partition, now: u64) -> bool {
         let Some(host) = self.booting.get(id) else { return false };
         let nominal_ms = nominal_boot_ms(partition, &host.offering);
         match host.running_ms {
@@ -267,7 +267,7 @@
                 let expected_ms = self.boot_times.expected_ms(&host.offering, nominal_ms, now);
                 now.saturating_sub(running_ms) > expected_ms.max(partition.policy().lease_ms)
             }
-            None => self.boot_times.exceeds_give_up_age(&host.offering, nominal_ms, host.age_ms(now), now),
+            None => self.boot_times.has_timed_out(&host.offering, nominal_ms, host.age_ms(now), now),
         }
     }
 }
@@ -278,7 +278,7 @@
     /// The machine has reported or is being returned, or its type is not known.
     NotBooting,
     Booting,
-    /// The boot failed or is given up; the machine is to be returned.
+    /// The boot failed or timed out; the machine is to be returned.
     Failed,
 }
 
--- a/src/provisioning/provisioner/tests/frame_sizes.rs
+++ b/src/provisioning/provisioner/tests/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! Tests that messages between partitions fit into a frame, whatever the number of machines.
+//! Tests that messages between partitions fit into a frame, regardless of the number of machines.
 
 use super::*;
 use crate::transport::peer::{CapacityReport, MAX_FRAME_BYTES, PeerRequest, PeerResponse};
--- a/src/provisioning/provisioner/tests/late_boots.rs
+++ b/src/provisioning/provisioner/tests/late_boots.rs
@@ -4,7 +4,7 @@
 
 /// Returns the age, in milliseconds since its request, at which a machine that stays listed as starting is
 /// returned.
-fn give_up_age_ms(simulation: &mut Simulation, id: &str) -> u64 {
+fn return_age_ms(simulation: &mut Simulation, id: &str) -> u64 {
     let since = simulation.now;
     simulation.add_booting_host(id, "a");
     loop {
@@ -20,7 +20,7 @@
 #[test]
 fn a_machine_that_never_comes_up_is_returned_after_a_multiple_of_the_expected_boot_time() {
     let mut simulation = Simulation::new();
-    let first_age_ms = give_up_age_ms(&mut simulation, "host-1");
+    let first_age_ms = return_age_ms(&mut simulation, "host-1");
     assert!((2 * BOOT_MS..4 * BOOT_MS).contains(&first_age_ms), "{first_age_ms}");
     // All boots take 2.67 times the nominal time here, so that a longer boot time is expected.
     for index in 0..6 {
@@ -31,7 +31,7 @@
         simulation.rounds_until(simulation.now + BOOT_MS * 2 / 3);
         simulation.report_up(&id);
     }
-    let slow_age_ms = give_up_age_ms(&mut simulation, "host-2");
+    let slow_age_ms = return_age_ms(&mut simulation, "host-2");
     assert!(slow_age_ms > 7 * BOOT_MS, "{slow_age_ms}");
     assert!(slow_age_ms < 12 * BOOT_MS, "{slow_age_ms}");
 }
@@ -81,7 +81,7 @@
 
 // After a stall the heartbeats of machines that came up in the meantime are still unread.
 #[test]
-fn a_leader_that_stalled_gives_up_no_machine_before_reports_can_arrive() {
+fn a_leader_that_stalled_times_out_no_boot_before_reports_can_arrive() {
     let mut simulation = Simulation::new();
     simulation.add_booting_host("host-1", "a");
     simulation.rounds_until(simulation.now + BOOT_MS);
@@ -126,7 +126,7 @@
         let outstanding = simulation.machines.len();
         assert!(outstanding <= 10, "{outstanding} machines for a need of 5");
     }
-    // Ten boot times pass, and each machine is given up after three.
+    // Ten boot times pass, and each boot times out after three.
     assert!(simulation.requested_ids.len() <= 10 * 5, "{} machines requested", simulation.requested_ids.len());
 }
 
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -20,12 +20,12 @@
 
 thread_local! {
     /// Simulated wall clock of the thread: its time in milliseconds, and the instant of the steady clock from which
-    /// it advances, or `None` if it stands still. `None` outside simulations.
+    /// it advances, or `None` if it does not advance. `None` outside simulations.
     static SIMULATED_WALL_CLOCK: Cell<Option<(u64, Option<Instant>)>> = const { Cell::new(None) };
 }
 
 /// Sets the wall clock of this thread, in milliseconds since the Unix epoch, for a simulation. It advances with the
-/// steady clock if `advances` is true, and stands still otherwise.
+/// steady clock if `advances` is true, and does not advance otherwise.
 pub fn simulate_wall(now_ms: u64, advances: bool) {
     SIMULATED_WALL_CLOCK.set(Some((now_ms, advances.then(Instant::now))));
 }
--- a/src/scheduling/policy.rs
+++ b/src/scheduling/policy.rs
@@ -62,7 +62,7 @@
     /// Largest amounts that the team may use at a time; infinite where there is no limit.
     pub limit: Demand,
     /// True if the limit is the full share of this region. The limit is lower than that while another region
-    /// has not yet confirmed that it gave up a part of its share.
+    /// has not yet confirmed that its share was reduced.
     pub limit_is_final: bool,
     /// True if the team takes no new jobs; its present jobs continue.
     pub removed: bool,
--- a/src/transport/http/idle.rs
+++ b/src/transport/http/idle.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
-/// Idle connections, numbered in the order in which they became idle; each can be told to close.
+/// Idle connections, numbered in the order in which they became idle; each can be instructed to close.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     last_number: u64,
--- a/tests/fault_combinations/leaders.rs
+++ b/tests/fault_combinations/leaders.rs
@@ -33,7 +33,7 @@
     }
 }
 
-// The reads of a takeover fail and are retried until the outage is over. A retry must not cause two more
+// The reads of a takeover fail and are retried until the outage has ended. A retry must not cause two more
 // reads, and the partition must not be started twice.
 #[test]
 fn an_outage_between_acquiring_a_partition_and_reading_its_records_multiplies_no_reads() {
--- a/tests/fault_combinations/paused_controllers.rs
+++ b/tests/fault_combinations/paused_controllers.rs
@@ -56,8 +56,8 @@
     });
 }
 
-// The leader resumes while no controller reaches the state service and its successor is paused, so nothing tells
-// it that it was succeeded.
+// The leader resumes while no controller reaches the state service and its successor is paused, so it
+// receives no message that it was succeeded.
 #[test]
 fn a_leader_that_resumes_in_an_outage_with_its_successor_paused_breaks_no_rule() {
     run_with_seeds(async |sim| {
--- a/tests/fault_combinations/pipelines.rs
+++ b/tests/fault_combinations/pipelines.rs
@@ -63,7 +63,7 @@
     });
 }
 
-// Half of the answers to commits are lost or late, so the leader cannot tell whether the cancellation of the
+// Half of the answers to commits are lost or late, so the leader does not know whether the cancellation of the
 // dependency is recorded.
 #[test]
 fn dependents_are_cancelled_though_answers_to_commits_are_lost_or_late() {
--- a/tests/fault_combinations/slow_boots.rs
+++ b/tests/fault_combinations/slow_boots.rs
@@ -68,7 +68,7 @@
     });
 }
 
-// The machines boot shortly before or shortly after the time at which they are given up.
+// The machines boot shortly before or shortly after the time at which their boots time out.
 #[test]
 fn surplus_machines_that_boot_late_are_terminated() {
     const LATE_BY: [f64; 3] = [3.0, 4.0, 5.5];
--- a/tests/fault_combinations/warm_pools.rs
+++ b/tests/fault_combinations/warm_pools.rs
@@ -41,7 +41,7 @@
 }
 
 // The rules of the stand-ins check that each slot has at most one claimant, no team exceeds its limit and no
-// task runs twice, whatever fails at the same time.
+// task runs twice, regardless of what fails at the same time.
 #[test]
 fn random_faults_break_no_rule_with_warm_pools() {
     for seed in seeds(1..=8) {
--- a/tests/versions/peer_frames.rs
+++ b/tests/versions/peer_frames.rs
@@ -2,7 +2,7 @@
 //!
 //! This version reads each recorded frame and sends the message again over a socket. The bytes must be the same,
 //! including those of the length. This finds each field, variant or reason that is spelled differently on the wire,
-//! whatever its name in Rust.
+//! regardless of its name in Rust.
 
 use badgerdrift::model::FencingToken;
 use badgerdrift::transport::peer::{Peer, PeerRequest, PeerResponse, PeerTimeouts, serve};
--- a/tests/versions/stored_records.rs
+++ b/tests/versions/stored_records.rs
@@ -1,7 +1,8 @@
 //! Records in the state service as version 0.2.0 wrote them, byte for byte.
 //!
 //! Each recorded value is read as its type and written again, and the text must be the same. This finds each field or
-//! variant that is spelled differently in the record, whatever its name in Rust. Keys are compared with literals.
+//! variant that is spelled differently in the record, regardless of its name in Rust. Keys are compared
+//! with literals.
 
 use badgerdrift::configuration::{AppliedConfiguration, LogEntry, applied_configuration_change};
 use badgerdrift::control::membership::{FENCING_TOKEN_KEY, FencingTokenRecord, PartitionRecord, partition_key};
