--- a/src/control/partition/borrowing/demand.rs
+++ b/src/control/partition/borrowing/demand.rs
@@ -1,6 +1,6 @@
 //! Current use and runnable demand of each team's jobs, as the calculation of floors needs them.
 
-use crate::model::{ClusterState, InstanceKind, Job, JobIndex, Place, Shape};
+use crate::model::{ClusterState, HostOffering, Job, JobIndex, Place, Shape};
 use crate::scheduling::{self, TeamRule};
 use badgerdrift_borrowing::{Amounts, BorrowingSettings, JobDemand, Priority, TeamShare};
 use std::collections::{BTreeMap, HashMap};
@@ -38,7 +38,7 @@
             demands.shares.insert(team.clone(), share);
         }
         let attempts = attempts_by_job(cluster);
-        let kinds = usable_kinds(cluster, now);
+        let offerings = usable_offerings(cluster, now);
         for (job_index, attempts) in &attempts {
             let spec = &cluster.jobs[*job_index].spec;
             let share = demands.shares.entry(spec.team.clone()).or_default();
@@ -47,7 +47,7 @@
         for job_index in &cluster.runnable_jobs {
             let job = &cluster.jobs[*job_index];
             let attempts = attempts.get(job_index).copied().unwrap_or_default();
-            let amounts = job_demand(cluster, job, attempts, &kinds, now).amounts();
+            let amounts = job_demand(cluster, job, attempts, &offerings, now).amounts();
             demands.add_runnable(job, amounts, settings);
         }
         for (team, need) in &mut demands.needs {
@@ -103,28 +103,35 @@
     by_job
 }
 
-/// Returns the kinds of the usable machines, without duplicates.
-fn usable_kinds(cluster: &ClusterState, now: u64) -> Vec<InstanceKind> {
-    let mut kinds = Vec::new();
+/// Returns the offerings of the usable machines, without duplicates.
+fn usable_offerings(cluster: &ClusterState, now: u64) -> Vec<HostOffering> {
+    let mut offerings = Vec::new();
     for (_, host) in cluster.each_host().filter(|(_, host)| scheduling::is_usable(host, now)) {
-        let kind = InstanceKind { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
-        if !kinds.contains(&kind) {
-            kinds.push(kind);
+        let offering = HostOffering { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
+        if !offerings.contains(&offering) {
+            offerings.push(offering);
         }
     }
-    kinds
+    offerings
 }
 
 /// Returns the demand that a job could use now.
-fn job_demand(cluster: &ClusterState, job: &Job, attempts: JobAttempts, kinds: &[InstanceKind], now: u64) -> JobDemand {
+fn job_demand(
+    cluster: &ClusterState,
+    job: &Job,
+    attempts: JobAttempts,
+    offerings: &[HostOffering],
+    now: u64,
+) -> JobDemand {
     let spec = &job.spec;
-    let fits = |kind: &InstanceKind| {
-        kind.instance_type
+    let fits = |offering: &HostOffering| {
+        offering
+            .instance_type
             .is_some_and(|instance_type| spec.allows_instance_type(&cluster.instance_types[instance_type]))
-            && spec.allows_zone(&kind.zone)
-            && (spec.spot || !kind.spot)
+            && spec.allows_zone(&offering.zone)
+            && (spec.spot || !offering.spot)
     };
-    let may_start = job.active() && kinds.iter().any(fits);
+    let may_start = job.active() && offerings.iter().any(fits);
     let placeable = cluster.placeable_tasks(job);
     let idle = || job.tasks.iter().filter(|task| task.retry_after_ms <= now && placeable.includes(task)).count() as u32;
     let waiting = if may_start { idle() + attempts.stopping } else { 0 };
--- a/src/control/partition/reconciliation.rs
+++ b/src/control/partition/reconciliation.rs
@@ -4,7 +4,7 @@
 //! Nothing is placed that an unreconciled host may hold or may still start: the scheduler treats the
 //! capacity of `ClusterState::unreconciled` as used.
 
-use crate::model::{ClusterState, Demand, InstanceKind};
+use crate::model::{ClusterState, Demand, HostOffering};
 
 /// Demand that a host of unknown instance type may hold.
 const UNBOUNDED: Demand = Demand { cpus: f64::INFINITY, gpus: f64::INFINITY, mem: f64::INFINITY };
@@ -33,13 +33,13 @@
     pub(super) fn count(&mut self, cluster: &mut ClusterState) -> bool {
         self.count_due = false;
         let mut unreconciled = Demand::default();
-        let mut kinds = Vec::new();
+        let mut offerings = Vec::new();
         let mut all_reconciled = true;
         for (_, host) in cluster.each_host().filter(|(_, host)| host.registered && !host.reconciled) {
             all_reconciled = false;
-            let kind = InstanceKind { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
-            if !kinds.contains(&kind) {
-                kinds.push(kind);
+            let offering = HostOffering { instance_type: host.instance_type, zone: host.zone.clone(), spot: host.spot };
+            if !offerings.contains(&offering) {
+                offerings.push(offering);
             }
             match host.instance_type {
                 Some(index) => unreconciled.add(&cluster.instance_types[index].cap),
@@ -48,7 +48,7 @@
         }
         let completed = all_reconciled && !cluster.all_reconciled;
         cluster.unreconciled = unreconciled;
-        cluster.unreconciled_kinds = kinds;
+        cluster.unreconciled_offerings = offerings;
         cluster.all_reconciled = all_reconciled;
         completed
     }
--- a/src/control/partition/tests/components.rs
+++ b/src/control/partition/tests/components.rs
@@ -184,7 +184,7 @@
     let mut reconciliation = Reconciliation::default();
     assert!(!reconciliation.count(&mut cluster));
     assert!(!cluster.all_reconciled && cluster.unreconciled.gpus.is_infinite());
-    assert_eq!(cluster.unreconciled_kinds.len(), 1);
+    assert_eq!(cluster.unreconciled_offerings.len(), 1);
     cluster.host_mut(index).unwrap().reconciled = true;
     reconciliation.request_count();
     assert!(reconciliation.is_count_due() && reconciliation.count(&mut cluster), "the last machine is reconciled");
--- a/src/model/cluster.rs
+++ b/src/model/cluster.rs
@@ -33,10 +33,10 @@
     }
 }
 
-/// Instance type, zone and market of unreconciled machines; machines with equal properties share one
+/// Instance type, zone and market of machines of the partition; machines with equal properties share one
 /// value. Unlike in an [`InstanceOffering`](super::InstanceOffering), the type may be unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InstanceKind {
+pub struct HostOffering {
     /// Index of the type in `ClusterState::instance_types`; `None` if the type is not known.
     pub instance_type: Option<usize>,
     /// Zone of the machines.
@@ -77,8 +77,8 @@
     pub last_pending_ms: u64,
     /// Total capacity of the unreconciled machines.
     pub unreconciled: Demand,
-    /// Distinct kinds of the unreconciled machines.
-    pub unreconciled_kinds: Vec<InstanceKind>,
+    /// Offerings of the unreconciled machines, without duplicates.
+    pub unreconciled_offerings: Vec<HostOffering>,
     /// True once every machine of the previous leader is reconciled.
     pub all_reconciled: bool,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -21,7 +21,7 @@
 mod warm_reservation;
 
 pub use borrowing::BorrowingState;
-pub use cluster::{ClusterState, ExpectedDemand, InstanceKind};
+pub use cluster::{ClusterState, ExpectedDemand, HostOffering};
 pub use dependencies::Dependencies;
 pub use fencing_token::FencingToken;
 pub use host::{Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
--- a/src/scheduling/task_locations.rs
+++ b/src/scheduling/task_locations.rs
@@ -4,7 +4,7 @@
 //! was located, it may also be running on any unreconciled machine of the previous leader that its job
 //! allows. A located task was found on a machine that is reconciled.
 
-use crate::model::{ClusterState, Demand, HostIndex, InstanceKind, Job, JobIndex, Place, Task, TaskAttempt};
+use crate::model::{ClusterState, Demand, HostIndex, HostOffering, Job, JobIndex, Place, Task, TaskAttempt};
 use std::collections::{HashMap, HashSet};
 
 /// Set of the idle tasks of a job that may be placed.
@@ -34,12 +34,12 @@
     /// Returns whether no unreconciled machine can hold a task of the job.
     pub fn reconciled_for(&self, job: &Job) -> bool {
         let spec = &job.spec;
-        let may_hold = |kind: &InstanceKind| {
-            kind.instance_type.is_none_or(|index| spec.allows_instance_type(&self.instance_types[index]))
-                && spec.allows_zone(&kind.zone)
-                && (spec.spot || !kind.spot)
+        let may_hold = |offering: &HostOffering| {
+            offering.instance_type.is_none_or(|index| spec.allows_instance_type(&self.instance_types[index]))
+                && spec.allows_zone(&offering.zone)
+                && (spec.spot || !offering.spot)
         };
-        self.all_reconciled || job.fresh || !self.unreconciled_kinds.iter().any(may_hold)
+        self.all_reconciled || job.fresh || !self.unreconciled_offerings.iter().any(may_hold)
     }
 
     /// Returns which idle tasks of a job may be placed.
