--- a/crates/borrowing/src/lib.rs
+++ b/crates/borrowing/src/lib.rs
@@ -16,7 +16,7 @@
 mod settings;
 
 pub use amounts::Amounts;
-pub use badgerdrift_common::{FieldError, Moment};
+pub use badgerdrift_common::{ClockReading, FieldError};
 pub use check::KnownTeam;
 pub use floor::{JobDemand, TeamShare};
 pub use loan::{JobLoans, Loan, LoanEndCause, LoanId, LoanKind, LoanState};
--- a/crates/borrowing/src/loans/follow.rs
+++ b/crates/borrowing/src/loans/follow.rs
@@ -1,6 +1,6 @@
 //! Updates of loans as tasks of lenders run again and borrowers need less.
 
-use super::{LendingJob, Loans, MS_PER_S, Moment};
+use super::{ClockReading, LendingJob, Loans, MS_PER_S};
 use crate::amounts::Amounts;
 use crate::loan::{LoanEndCause, LoanKind, LoanState};
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 impl Loans {
     /// Updates the loans to the present demand: the states of the lending jobs and the needs of the
     /// borrowers. `needs` has the amounts that each borrower could use beyond its guarantee, by its name.
-    pub fn update_demand(
+    pub fn update_for_demand(
         &mut self,
         lending: impl Fn(&str) -> LendingJob,
         needs: &BTreeMap<String, Amounts>,
-        now: Moment,
+        now: ClockReading,
     ) {
         self.apply_lender_states(lending);
         self.return_unneeded_loans(needs, now);
@@ -65,7 +65,7 @@
 
     /// Starts the return of loans that their borrower has not needed for `return_after_s`, the oldest
     /// first.
-    fn return_unneeded_loans(&mut self, needs: &BTreeMap<String, Amounts>, now: Moment) {
+    fn return_unneeded_loans(&mut self, needs: &BTreeMap<String, Amounts>, now: ClockReading) {
         let return_after_ms = (self.settings.return_after_s * MS_PER_S) as u64;
         let mut open_by_borrower = self.open_by_borrower();
         for (job, index) in self.open_loans_by_age() {
--- a/crates/borrowing/src/loans/mod.rs
+++ b/crates/borrowing/src/loans/mod.rs
@@ -7,7 +7,7 @@
 use crate::amounts::Amounts;
 use crate::loan::{JobLoans, Loan, LoanEndCause, LoanId, LoanKind, LoanState};
 use crate::settings::BorrowingSettings;
-use badgerdrift_common::Moment;
+use badgerdrift_common::ClockReading;
 use std::collections::BTreeMap;
 
 pub use records::{LoanEvent, RecordWrite};
@@ -109,7 +109,7 @@
 
     /// Adds a loan that was decided and marks its record for writing. No task may be stopped for the
     /// loan until the record is written.
-    pub fn propose(&mut self, proposal: Proposal, now: Moment) {
+    pub fn propose(&mut self, proposal: Proposal, now: ClockReading) {
         let loan = Loan {
             id: proposal.id,
             borrower: proposal.borrower,
--- a/crates/borrowing/tests/loans.rs
+++ b/crates/borrowing/tests/loans.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
 use badgerdrift_borrowing::{
-    Amounts, BorrowingSettings, JobLoans, LendingJob, LoanEndCause, LoanEvent, LoanId, LoanKind, LoanState, Loans,
-    Moment, Proposal,
+    Amounts, BorrowingSettings, ClockReading, JobLoans, LendingJob, LoanEndCause, LoanEvent, LoanId, LoanKind,
+    LoanState, Loans, Proposal,
 };
 use std::collections::BTreeMap;
 
@@ -15,8 +15,8 @@
     serde_json::from_str(r#"{"quiet_s": 60, "return_after_s": 10}"#).unwrap()
 }
 
-fn at(ms: u64) -> Moment {
-    Moment { steady_ms: ms, wall_ms: 1_000_000 + ms }
+fn at(ms: u64) -> ClockReading {
+    ClockReading { steady_ms: ms, wall_ms: 1_000_000 + ms }
 }
 
 fn proposal(id: LoanId, tasks: u32) -> Proposal {
@@ -60,7 +60,7 @@
 }
 
 /// Returns the record of the next write; `None` if nothing is to be written or the record is deleted.
-fn next_record(loans: &mut Loans, now: Moment) -> Option<JobLoans> {
+fn next_record(loans: &mut Loans, now: ClockReading) -> Option<JobLoans> {
     let mut writes = loans.next_writes(8, now.wall_ms);
     writes.pop().and_then(|write| write.value)
 }
@@ -141,19 +141,19 @@
 #[test]
 fn loan_is_returned_after_the_need_is_gone_for_the_return_time() {
     let mut loans = loans_with_one_open(2);
-    loans.update_demand(with_missing_tasks(2), &needs(2.0), at(1000));
+    loans.update_for_demand(with_missing_tasks(2), &needs(2.0), at(1000));
     // A need that comes back starts the time again.
-    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(2000));
-    loans.update_demand(with_missing_tasks(2), &needs(2.0), at(9000));
-    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000));
-    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
+    loans.update_for_demand(with_missing_tasks(2), &needs(0.0), at(2000));
+    loans.update_for_demand(with_missing_tasks(2), &needs(2.0), at(9000));
+    loans.update_for_demand(with_missing_tasks(2), &needs(0.0), at(10_000));
+    loans.update_for_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS - 1));
     assert_eq!(state(&loans, 1), Some(LoanState::Open));
-    loans.update_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
+    loans.update_for_demand(with_missing_tasks(2), &needs(0.0), at(10_000 + RETURN_AFTER_MS));
     assert_eq!(state(&loans, 1), Some(LoanState::Returning));
     assert_eq!(loans.returning_tasks().collect::<Vec<_>>(), [("run-1", 2)]);
-    loans.update_demand(with_missing_tasks(1), &needs(0.0), at(22_000));
+    loans.update_for_demand(with_missing_tasks(1), &needs(0.0), at(22_000));
     assert_eq!(lent_gpus(&loans), 1.0);
-    loans.update_demand(with_missing_tasks(0), &needs(0.0), at(23_000));
+    loans.update_for_demand(with_missing_tasks(0), &needs(0.0), at(23_000));
     assert_eq!((state(&loans, 1), lent_gpus(&loans)), (Some(LoanState::Ended(LoanEndCause::Returned)), 0.0));
 }
 
@@ -165,7 +165,7 @@
     loans.next_writes(8, at(10).wall_ms);
     loans.commit_succeeded(11);
     for ms in [1000, 1000 + RETURN_AFTER_MS] {
-        loans.update_demand(with_missing_tasks(3), &needs(3.0), at(ms));
+        loans.update_for_demand(with_missing_tasks(3), &needs(3.0), at(ms));
     }
     assert_eq!((state(&loans, 1), state(&loans, 2)), (Some(LoanState::Returning), Some(LoanState::Open)));
 }
@@ -174,10 +174,10 @@
 #[test]
 fn loan_ends_when_the_lender_runs_again_or_its_job_ends() {
     let mut loans = loans_with_one_open(2);
-    loans.update_demand(with_missing_tasks(0), &needs(2.0), at(1000));
+    loans.update_for_demand(with_missing_tasks(0), &needs(2.0), at(1000));
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(LoanEndCause::Replaced)));
     let mut loans = loans_with_one_open(2);
-    loans.update_demand(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
+    loans.update_for_demand(|_| LendingJob { over: true, missing: 0 }, &needs(2.0), at(1000));
     assert_eq!(state(&loans, 1), Some(LoanState::Ended(LoanEndCause::LenderEnded)));
 }
 
@@ -186,7 +186,7 @@
 #[test]
 fn stopped_job_is_spared_for_the_quiet_time_and_its_record_is_deleted_afterwards() {
     let mut loans = loans_with_one_open(2);
-    loans.update_demand(with_missing_tasks(0), &needs(0.0), at(1000));
+    loans.update_for_demand(with_missing_tasks(0), &needs(0.0), at(1000));
     assert_eq!(loans.recently_preempted_jobs(at(QUIET_MS - 1).wall_ms).collect::<Vec<_>>(), ["run-1"]);
     assert!(next_record(&mut loans, at(1000)).is_some(), "the end of the loan is recorded and kept");
     loans.commit_succeeded(20);
--- a/crates/borrowing/tests/state_machine.rs
+++ b/crates/borrowing/tests/state_machine.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test ends at the first wrong assumption")]
 
 use badgerdrift_borrowing::{
-    Amounts, BorrowingSettings, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans, Moment, Proposal,
-    RecordWrite,
+    Amounts, BorrowingSettings, ClockReading, JobLoans, LendingJob, LoanEvent, LoanId, LoanKind, LoanState, Loans,
+    Proposal, RecordWrite,
 };
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -107,8 +107,8 @@
 }
 
 impl Harness {
-    fn moment(&self) -> Moment {
-        Moment { steady_ms: self.now_ms, wall_ms: 1_000_000 + self.now_ms }
+    fn clock_reading(&self) -> ClockReading {
+        ClockReading { steady_ms: self.now_ms, wall_ms: 1_000_000 + self.now_ms }
     }
 
     fn conditions_hold(&self, writes: &[RecordWrite]) -> bool {
@@ -126,7 +126,7 @@
     }
 
     fn commit(&mut self, outcome: CommitOutcome) {
-        let writes = self.loans.next_writes(2, self.moment().wall_ms);
+        let writes = self.loans.next_writes(2, self.clock_reading().wall_ms);
         if writes.is_empty() {
             return;
         }
@@ -167,9 +167,9 @@
         let lending = |job: &str| LendingJob { over: false, missing: stopped.get(job).copied().unwrap_or(0) };
         let need = Amounts::new(0.0, f64::from(self.need));
         let needs = BORROWERS.iter().map(|team| (team.to_string(), need)).collect();
-        let now = self.moment();
+        let now = self.clock_reading();
         self.loans.reconcile_restored(lending);
-        self.loans.update_demand(lending, &needs, now);
+        self.loans.update_for_demand(lending, &needs, now);
     }
 
     fn check(&self) {
@@ -211,7 +211,7 @@
                 each: Amounts::new(0.0, 1.0),
                 kind: if owed { LoanKind::Borrowed } else { LoanKind::Guaranteed },
             };
-            let now = self.moment();
+            let now = self.clock_reading();
             self.loans.propose(proposal, now);
         }
     }
@@ -236,7 +236,7 @@
         self.need = 0;
         for _ in 0..40 {
             self.now_ms += RETURN_ALL_MS / 40;
-            let abandoned = self.loans.unrecorded_before(self.moment().wall_ms);
+            let abandoned = self.loans.unrecorded_before(self.clock_reading().wall_ms);
             abandoned.into_iter().for_each(|id| self.loans.abandon(id));
             for key in self.loans.keys_to_read() {
                 self.loans.set_read_version(&key, self.store.get(&key).map_or(0, |stored| stored.1));
@@ -294,7 +294,7 @@
                 }
             }
             Transition::Abandon => {
-                for id in harness.loans.unrecorded_before(harness.moment().wall_ms + 1) {
+                for id in harness.loans.unrecorded_before(harness.clock_reading().wall_ms + 1) {
                     harness.loans.abandon(id);
                     harness.unrecorded_stops.remove(&id);
                 }
--- a/crates/common/src/moment.rs
+++ b/crates/common/src/clock_reading.rs
@@ -1,8 +1,8 @@
-//! Instants, read on both clocks of a host.
+//! Readings of both clocks of a host.
 
-/// An instant, as read on both clocks of the leader's host.
+/// Reading of both clocks of the leader's host at one instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// Milliseconds of the steady clock, which is never set.
     pub steady_ms: u64,
     /// Time of day, in milliseconds since 1970 (UTC).
--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -22,7 +22,7 @@
 mod targets;
 mod wall_clock;
 
-pub use badgerdrift_common::{FieldError, Moment};
+pub use badgerdrift_common::{ClockReading, FieldError};
 pub use bill::{BillRecord, Charge, ChargeKind, DayTotal, days_around, is_day};
 pub use calendar::{CalendarError, Schedule};
 pub use check::KnownFleet;
--- a/crates/warm-pools/src/pools/charging.rs
+++ b/crates/warm-pools/src/pools/charging.rs
@@ -1,6 +1,6 @@
 //! Charges of slots. Each interval of a slot's lifetime is charged to exactly one team.
 
-use super::{Moment, WarmPools};
+use super::{ClockReading, WarmPools};
 use crate::bill::{ChargeKind, DayTotal, charges, day_of};
 use crate::money::{MicroUnits, to_micro_units};
 use crate::slot::{Slot, SlotId, SlotState};
@@ -10,13 +10,13 @@
 impl WarmPools {
     /// Returns the billing time in milliseconds since 1970 (UTC): the wall time at which this leader
     /// started, plus the steady time since then.
-    pub(super) fn bill_ms(&self, now: Moment) -> u64 {
+    pub(super) fn bill_ms(&self, now: ClockReading) -> u64 {
         self.started_at.wall_ms + now.steady_ms.saturating_sub(self.started_at.steady_ms)
     }
 
     /// Charges the slots that have no unrecorded change and whose last charge is at least
     /// `bill_every_s` ago.
-    pub(super) fn charge_due_slots(&mut self, now: Moment) {
+    pub(super) fn charge_due_slots(&mut self, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         let every_ms = (self.settings.bill_every_s * MS_PER_S) as u64;
         for slot in self.slots.values_mut() {
@@ -30,7 +30,7 @@
 
     /// Sets the price per hour of a slot. The time until now is charged at the previous price. An
     /// ended slot, or one whose restored claim is not confirmed yet, keeps its price.
-    pub fn set_price(&mut self, id: SlotId, price_per_hour: MicroUnits, now: Moment) {
+    pub fn set_price(&mut self, id: SlotId, price_per_hour: MicroUnits, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
         let settled = !matches!(slot.state, SlotState::Ended(_)) && !slot.has_indeterminate_claim();
@@ -48,7 +48,7 @@
 
     /// Returns whether the idle replicas of a pool have used up today's budget. A pool without a
     /// budget never has; a pool that is not declared always has.
-    pub(super) fn daily_budget_exhausted(&self, pool: &str, now: Moment) -> bool {
+    pub(super) fn daily_budget_exhausted(&self, pool: &str, now: ClockReading) -> bool {
         let Some(declared) = self.settings.pools.get(pool) else { return true };
         let Some(budget) = declared.idle_budget_per_day else { return false };
         let (today, _) = day_of(self.bill_ms(now));
--- a/crates/warm-pools/src/pools/claims.rs
+++ b/crates/warm-pools/src/pools/claims.rs
@@ -1,6 +1,6 @@
 //! Claims of slots by tasks. A slot has at most one claimant.
 
-use super::{Moment, WarmPools};
+use super::{ClockReading, WarmPools};
 use crate::settings::HoldKind;
 use crate::slot::{Claim, EndCause, Slot, SlotId, SlotState};
 use std::fmt;
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Returns the reason given by [`WarmPools::may_claim`].
-    pub fn claim(&mut self, id: SlotId, image: &str, claim: Claim, now: Moment) -> Result<(), ClaimError> {
+    pub fn claim(&mut self, id: SlotId, image: &str, claim: Claim, now: ClockReading) -> Result<(), ClaimError> {
         let slot = self.slots.get(&id).ok_or(ClaimError::NotFree)?;
         self.may_claim(slot, image, &claim.team)?;
         let bill_ms = self.bill_ms(now);
@@ -90,7 +90,7 @@
 
     /// Releases a recorded claim whose task was never carried out. The caller must be certain that
     /// the task, claimed under a previous leader, is not on the machine and cannot start there.
-    pub fn void_claim(&mut self, id: SlotId, now: Moment) {
+    pub fn void_claim(&mut self, id: SlotId, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         if let Some(slot) = self.slots.get_mut(&id)
             && matches!(slot.state, SlotState::Claimed(_))
@@ -105,7 +105,7 @@
 
     /// Handles the end of the task that claimed a slot. The slot ends if the claim is recorded; an
     /// unrecorded claim is abandoned.
-    pub fn claim_ended(&mut self, id: SlotId, now: Moment) {
+    pub fn claim_ended(&mut self, id: SlotId, now: ClockReading) {
         match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Claimed(_)) => self.end(id, EndCause::ClaimEnded, now),
             Some(SlotState::Claiming(_)) => self.abandon_claim(id),
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Creation, loading, draining and end of slots.
 
-use super::{Moment, WarmPools};
+use super::{ClockReading, WarmPools};
 use crate::money::{MicroUnits, to_micro_units};
 use crate::settings::HoldKind;
 use crate::slot::{EndCause, Slot, SlotId, SlotState, Transition};
@@ -25,7 +25,7 @@
 impl WarmPools {
     /// Recomputes the targets, drains replaced and surplus slots, and charges the slots that are due.
     /// `boot_ms` is the time, in milliseconds, in which a machine boots.
-    pub fn refresh(&mut self, boot_ms: u64, now: Moment) {
+    pub fn refresh(&mut self, boot_ms: u64, now: ClockReading) {
         let last_load_ms = &self.last_load_ms;
         let warm_up_ms = |pool: &str| boot_ms + last_load_ms.get(pool).copied().unwrap_or(ASSUMED_LOAD_MS);
         self.targets.update(now.steady_ms, now.wall_ms, warm_up_ms);
@@ -45,7 +45,7 @@
 
     /// Returns the number of replicas at this price that a pool may start now, within its target, its
     /// limit of concurrent loads and its cost limits.
-    pub fn startable_count(&self, pool: &str, price_per_hour: MicroUnits, now: Moment) -> usize {
+    pub fn startable_count(&self, pool: &str, price_per_hour: MicroUnits, now: ClockReading) -> usize {
         let Some(declared) = self.settings.pools.get(pool) else { return 0 };
         if self.daily_budget_exhausted(pool, now) {
             return 0;
@@ -61,7 +61,7 @@
 
     /// Creates a slot for a new replica of a pool. No order may be sent for it before it is recorded.
     /// Returns `None` if the pool or its model is not declared.
-    pub fn begin(&mut self, id: SlotId, pool: &str, place: SlotPlace, now: Moment) -> Option<&Slot> {
+    pub fn begin(&mut self, id: SlotId, pool: &str, place: SlotPlace, now: ClockReading) -> Option<&Slot> {
         let declared = self.settings.pools.get(pool)?;
         let model = self.settings.models.get(&declared.model)?;
         let warm = place.warm && declared.keep == HoldKind::Image;
@@ -90,7 +90,7 @@
     }
 
     /// Handles a report that the slot is on its machine. `warm` states whether the replica is warm.
-    pub fn mark_reported(&mut self, id: SlotId, warm: bool, now: Moment) {
+    pub fn mark_reported(&mut self, id: SlotId, warm: bool, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         let Some(slot) = self.slots.get_mut(&id) else { return };
         // A delayed or duplicate report must not change a slot that has ended.
@@ -111,7 +111,7 @@
 
     /// Begins to unload an unclaimed slot. One that only reserves capacity, or that is not recorded,
     /// ends at once. A claimed, draining or ended slot is not changed.
-    pub fn drain(&mut self, id: SlotId, cause: EndCause, now: Moment) {
+    pub fn drain(&mut self, id: SlotId, cause: EndCause, now: ClockReading) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         if !slot.is_available() {
             return;
@@ -126,7 +126,7 @@
 
     /// Handles a report that the worker does not have the slot. A draining slot ends with the cause
     /// for which it was drained; a loading or idle one ends with [`EndCause::NotReported`].
-    pub fn mark_missing(&mut self, id: SlotId, now: Moment) {
+    pub fn mark_missing(&mut self, id: SlotId, now: ClockReading) {
         let cause = match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Draining(cause)) => *cause,
             Some(SlotState::Loading | SlotState::Idle) => EndCause::NotReported,
@@ -136,7 +136,7 @@
     }
 
     /// Ends all slots of a machine.
-    pub fn host_lost(&mut self, host: &str, cause: EndCause, now: Moment) {
+    pub fn host_lost(&mut self, host: &str, cause: EndCause, now: ClockReading) {
         let is_affected = |slot: &&Slot| slot.host == host && !matches!(slot.state, SlotState::Ended(_));
         let lost: Vec<SlotId> = self.slots.values().filter(is_affected).map(|slot| slot.id).collect();
         for id in lost {
@@ -146,7 +146,7 @@
 
     /// Ends a slot: charges its last interval and marks its record for deletion by one of the next
     /// commits.
-    pub(super) fn end(&mut self, id: SlotId, cause: EndCause, now: Moment) {
+    pub(super) fn end(&mut self, id: SlotId, cause: EndCause, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         let unresolved = self.is_being_written(id);
         let Some(slot) = self.slots.get_mut(&id) else { return };
@@ -176,7 +176,7 @@
 
     /// Drains replaced slots. A pool keeps as many of them as it lacks warm replicas of the current
     /// version; pools that are no longer declared keep none.
-    fn drain_replaced(&mut self, now: Moment) {
+    fn drain_replaced(&mut self, now: ClockReading) {
         let mut replaced: Vec<SlotId> = Vec::new();
         for (pool, slots) in self.replaced_by_pool() {
             let is_warm = |slot: &&Slot| slot.state == SlotState::Idle && !self.is_replaced(slot);
@@ -204,7 +204,7 @@
 
     /// Drains slots beyond the target or beyond the cost limits of idle replicas: first those that
     /// are not warm yet, then the newest.
-    fn drain_surplus(&mut self, pool: &str, now: Moment) {
+    fn drain_surplus(&mut self, pool: &str, now: ClockReading) {
         let mut current: Vec<(bool, SlotId, MicroUnits)> = self
             .available_slots(pool)
             .filter(|slot| !self.is_replaced(slot))
--- a/crates/warm-pools/src/pools/mod.rs
+++ b/crates/warm-pools/src/pools/mod.rs
@@ -16,7 +16,7 @@
 use crate::settings::{PoolSettings, TeamName};
 use crate::slot::{Slot, SlotId, Transition};
 use crate::targets::Targets;
-use badgerdrift_common::Moment;
+use badgerdrift_common::ClockReading;
 use jiff::civil::Date;
 use std::collections::{BTreeMap, BTreeSet};
 use writes::{PoolCommit, VersionedBill};
@@ -31,7 +31,7 @@
     bills: BTreeMap<(Date, TeamName), VersionedBill>,
     /// Time at which this leader started. Billing time advances with the steady clock from then on,
     /// so that a step of the wall clock neither charges an interval twice nor leaves a gap.
-    started_at: Moment,
+    started_at: ClockReading,
     /// Time, in milliseconds, that the replica that became warm last in each pool took to load.
     last_load_ms: BTreeMap<String, u64>,
     /// State changes of slots since the last call of [`WarmPools::take_transitions`].
@@ -47,7 +47,7 @@
 
 impl WarmPools {
     /// Creates pools without slots. The settings must have passed [`PoolSettings::check`].
-    pub fn new(settings: PoolSettings, now: Moment) -> WarmPools {
+    pub fn new(settings: PoolSettings, now: ClockReading) -> WarmPools {
         WarmPools {
             targets: Targets::new(&settings),
             settings,
--- a/crates/warm-pools/src/pools/restore.rs
+++ b/crates/warm-pools/src/pools/restore.rs
@@ -1,7 +1,7 @@
 //! Restoring the pools from the records of the previous leader.
 
 use super::writes::VersionedBill;
-use super::{Moment, WarmPools};
+use super::{ClockReading, WarmPools};
 use crate::records::{RecordKey, SlotRecord, StoredRecord};
 use crate::slot::{Slot, SlotId, SlotState};
 
@@ -12,7 +12,7 @@
     /// last record is charged according to that record and marked as estimated, up to
     /// `estimate_at_most_s`. A claimed slot is charged only once it is known whether its task was
     /// ever ordered, as this determines the paying team.
-    pub fn restore(&mut self, records: impl IntoIterator<Item = (RecordKey, StoredRecord, u64)>, now: Moment) {
+    pub fn restore(&mut self, records: impl IntoIterator<Item = (RecordKey, StoredRecord, u64)>, now: ClockReading) {
         for (key, record, version) in records {
             match (key, record) {
                 (RecordKey::Slot(id), StoredRecord::Slot(record)) => {
@@ -27,7 +27,7 @@
         let recorded_ms = self.slots.values().map(|slot| slot.charged_until_ms).max().unwrap_or(0);
         // If this clock is behind that of the previous leader, billing time starts at the latest
         // recorded charge, so that no interval is charged twice.
-        self.started_at = Moment { wall_ms: now.wall_ms.max(recorded_ms), ..now };
+        self.started_at = ClockReading { wall_ms: now.wall_ms.max(recorded_ms), ..now };
         let max_estimate_ms = (self.settings.estimate_at_most_s * MS_PER_S) as u64;
         let bill_ms = self.started_at.wall_ms;
         for slot in self.slots.values_mut() {
@@ -41,7 +41,7 @@
 }
 
 /// Returns the slot of a record, as not reported since the failover.
-fn slot_from_record(id: SlotId, record: SlotRecord, version: u64, now: Moment) -> Slot {
+fn slot_from_record(id: SlotId, record: SlotRecord, version: u64, now: ClockReading) -> Slot {
     let state = match record.claim {
         Some(claim) => SlotState::Claimed(claim.into()),
         None if record.warm => SlotState::Idle,
--- a/crates/warm-pools/tests/common/mod.rs
+++ b/crates/warm-pools/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test program uses only some of it")]
 
 use badgerdrift_warm_pools::{
-    KnownFleet, Moment, Pool, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotPlace, StoredRecord,
+    ClockReading, KnownFleet, Pool, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotPlace, StoredRecord,
     WarmPools,
 };
 use std::collections::BTreeMap;
@@ -37,9 +37,9 @@
     settings.pools.get_mut("counter").unwrap()
 }
 
-/// Returns the moment that both clocks show this many milliseconds after midnight.
-pub fn at(ms: u64) -> Moment {
-    Moment { steady_ms: 1000 + ms, wall_ms: MIDNIGHT_MS + ms }
+/// Returns the reading of both clocks this many milliseconds after midnight.
+pub fn at(ms: u64) -> ClockReading {
+    ClockReading { steady_ms: 1000 + ms, wall_ms: MIDNIGHT_MS + ms }
 }
 
 pub fn place(host: &str) -> SlotPlace {
@@ -92,7 +92,7 @@
 }
 
 /// Creates a slot, records it, reports it as warm and records that.
-pub fn warm_slot(pools: &mut WarmPools, store: &mut Store, write: &mut u64, id: SlotId, now: Moment) {
+pub fn warm_slot(pools: &mut WarmPools, store: &mut Store, write: &mut u64, id: SlotId, now: ClockReading) {
     pools.begin(id, "counter", place(&format!("h{id}")), now);
     record_all(pools, store, write);
     pools.mark_reported(id, true, now);
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use badgerdrift_warm_pools::{
-    Claim, ClaimError, EndCause, HoldKind, Model, Moment, PoolEvent, RecordKey, SlotId, SlotState, StoredRecord,
+    Claim, ClaimError, ClockReading, EndCause, HoldKind, Model, PoolEvent, RecordKey, SlotId, SlotState, StoredRecord,
     WarmPools,
 };
 use common::{MIDNIGHT_MS, Store, at, place, pool, record_all, settings, warm_slot};
@@ -124,7 +124,7 @@
 
 #[test]
 fn charges_are_split_at_midnight_and_at_price_changes() {
-    let now = |ms: u64| Moment { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
+    let now = |ms: u64| ClockReading { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), now(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, now(0));
     warm_slot(&mut pools, &mut store, &mut write, 1, now(0));
@@ -146,12 +146,12 @@
     // The clock of the next leader is correct, one hour ahead, or one hour behind.
     for (wall_step, gap_ms) in [(0i64, 20_000), (HOUR_MS as i64, 900_000), (-(HOUR_MS as i64), 0)] {
         let mut store = store.clone();
-        let begin = Moment { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
+        let begin = ClockReading { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
         let mut next = WarmPools::new(settings(), begin);
         next.restore(store.all(), begin);
         assert_eq!(next.claim(1, "notes", claim("red", 9), begin), Err(ClaimError::NotFree));
         assert_eq!(state(&next, 1), SlotState::Claimed(claim("blue", 7)));
-        let later = Moment { steady_ms: begin.steady_ms + 5000, wall_ms: begin.wall_ms + 5000 };
+        let later = ClockReading { steady_ms: begin.steady_ms + 5000, wall_ms: begin.wall_ms + 5000 };
         next.mark_reported(1, true, begin);
         next.claim_ended(1, later);
         let mut write = 100;
@@ -183,7 +183,7 @@
     let (mut pools, mut store, mut write) = warm_pools(1);
     for (minute, step) in [(0, 0), (10, HOUR_MS as i64), (20, -(HOUR_MS as i64)), (30, 0)] {
         let now = at(minute * 60_000);
-        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
+        pools.refresh(BOOT_MS, ClockReading { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
         record_all(&mut pools, &mut store, &mut write);
     }
     assert_eq!(charged(&store, "red"), (30 * 60_000, 0, 0));
@@ -203,7 +203,7 @@
     warm_slot(&mut pools, &mut store, &mut write, 1, at(0));
     for minute in 1..10 {
         let now = at(minute * 60_000);
-        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms + HOUR_MS, ..now });
+        pools.refresh(BOOT_MS, ClockReading { wall_ms: now.wall_ms + HOUR_MS, ..now });
         assert_eq!(state(&pools, 1), SlotState::Idle, "minute {minute}");
     }
     // The window still ends at its regular time.
@@ -213,7 +213,11 @@
 }
 
 /// Returns pools that are restored from the store under changed settings.
-fn with_settings(store: &Store, now: Moment, change: impl Fn(&mut badgerdrift_warm_pools::PoolSettings)) -> WarmPools {
+fn with_settings(
+    store: &Store,
+    now: ClockReading,
+    change: impl Fn(&mut badgerdrift_warm_pools::PoolSettings),
+) -> WarmPools {
     let mut settings = settings();
     change(&mut settings);
     let mut pools = WarmPools::new(settings, now);
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use badgerdrift_warm_pools::{
-    Claim, EndCause, Moment, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord,
+    Claim, ClockReading, EndCause, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord,
     WarmPools,
 };
 use common::{Store, at, place, settings};
@@ -117,7 +117,7 @@
 
 impl System {
     /// Reports all recorded slots as warm, except draining ones, which are reported as missing.
-    fn report(&mut self, now: Moment) {
+    fn report(&mut self, now: ClockReading) {
         let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
         for id in recorded {
             if matches!(self.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
@@ -129,7 +129,7 @@
     }
 
     /// Claims the first free slot for a task of this team.
-    fn claim_first_free(&mut self, team: usize, now: Moment) {
+    fn claim_first_free(&mut self, team: usize, now: ClockReading) {
         let free: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_claimable()).map(|slot| slot.id).collect();
         if let Some(id) = free.first() {
             let attempt = self.next_id();
@@ -140,7 +140,7 @@
     }
 
     /// Replaces the leader by one that restores the pools from the records.
-    fn fail_over(&mut self, now: Moment) {
+    fn fail_over(&mut self, now: ClockReading) {
         // Late commits of the previous leader are refused by its guard from now on.
         self.settle();
         self.lost_commits.clear();
--- a/examples/pass_cost.rs
+++ b/examples/pass_cost.rs
@@ -132,6 +132,6 @@
         dependencies: Default::default(),
     };
     let mut job = Job::new(spec, number as u64, 0);
-    (job.version, job.fresh) = (1, true);
+    (job.version, job.unknown_to_earlier_leaders) = (1, true);
     fleet.cluster_mut().add_job(job);
 }
--- a/src/control/partition/borrowing/decisions.rs
+++ b/src/control/partition/borrowing/decisions.rs
@@ -5,7 +5,7 @@
 use crate::control::partition::Partition;
 use crate::model::{BorrowingState, JobIndex};
 use crate::scheduling::{CycleDecisions, Preemption, RefusedLoan, StopCause};
-use badgerdrift_borrowing::{Amounts, LoanKind, Moment, Proposal, Refusal};
+use badgerdrift_borrowing::{Amounts, ClockReading, LoanKind, Proposal, Refusal};
 use std::collections::BTreeMap;
 
 /// Parties and kind of a loan. All stops of a scheduling cycle with equal values belong to one loan.
@@ -46,7 +46,7 @@
                 stops.entry(parties).or_default().push(stop);
             }
         }
-        let now = Moment { steady_ms: now, wall_ms: wall };
+        let now = ClockReading { steady_ms: now, wall_ms: wall };
         for (parties, stops) in stops {
             self.propose_loan(parties, &stops, now);
         }
@@ -56,7 +56,7 @@
     }
 
     /// Proposes one loan for these stops, which are held back until the loan is recorded.
-    fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: Moment) {
+    fn propose_loan(&mut self, parties: LoanParties, stops: &[&Preemption], now: ClockReading) {
         let id = self.epoch.next_number();
         let lending = &self.cluster.jobs[parties.lending_job].spec;
         let borrowing = &self.cluster.jobs[parties.borrowing_job].spec;
--- a/src/control/partition/borrowing/maintenance.rs
+++ b/src/control/partition/borrowing/maintenance.rs
@@ -4,7 +4,7 @@
 use super::demand::{TeamDemands, missing_tasks};
 use crate::control::partition::Partition;
 use crate::model::ClusterState;
-use badgerdrift_borrowing::{LendingJob, LoanId, Moment};
+use badgerdrift_borrowing::{ClockReading, LendingJob, LoanId};
 
 /// Time, as a multiple of `react_ms`, after which a loan that is not recorded yet is abandoned. Nothing is
 /// stopped for it.
@@ -27,8 +27,8 @@
         }
         if borrowing.settled {
             let demands = TeamDemands::count(cluster, &self.policy.teams, &borrowing.settings, now);
-            let moment = Moment { steady_ms: now, wall_ms: wall };
-            borrowing.loans.update_demand(|job| lending_job(cluster, job), &demands.needs, moment);
+            let clock_reading = ClockReading { steady_ms: now, wall_ms: wall };
+            borrowing.loans.update_for_demand(|job| lending_job(cluster, job), &demands.needs, clock_reading);
         }
         self.report_loan_transitions();
     }
--- a/src/control/partition/failover.rs
+++ b/src/control/partition/failover.rs
@@ -80,7 +80,7 @@
         if !self.cluster.job_index.contains_key(&record.spec.id) {
             tracing::info!(job = record.spec.id, "added job accepted by another node");
             let mut job = record.into_job(item.version, now);
-            job.fresh = true;
+            job.unknown_to_earlier_leaders = true;
             let job_index = self.cluster.add_job(job);
             self.register_job(job_index);
             self.scheduling_triggers.request_cycle();
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -85,7 +85,7 @@
     fn add_submitted(&mut self, spec: Spec, now: u64, wall: u64) -> JobIndex {
         let mut job = Job::new(spec, wall, now);
         job.unsaved = UnsavedChange::Creation;
-        job.fresh = true;
+        job.unknown_to_earlier_leaders = true;
         let job_index = self.cluster.add_job(job);
         self.commit_queue.mark_job(job_index);
         self.register_job(job_index);
--- a/src/control/partition/warm_pools/commits.rs
+++ b/src/control/partition/warm_pools/commits.rs
@@ -26,8 +26,8 @@
     /// that slots hold on workers which do not load models.
     pub fn restore_pools(&mut self, items: Vec<KeyValue>, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
-        let moment = warm_pools.moment(now);
-        warm_pools.pools.restore(items.into_iter().filter_map(record), moment);
+        let clock_reading = warm_pools.clock_reading(now);
+        warm_pools.pools.restore(items.into_iter().filter_map(record), clock_reading);
         for slot in warm_pools.pools.slots().filter(|slot| slot.keep == HoldKind::Image && slot.is_claimable()) {
             let host = self.cluster.host_index.get(&slot.host).copied();
             if let Some(host) = host.and_then(|index: HostIndex| self.cluster.host_mut(index))
--- a/src/control/partition/warm_pools/maintenance.rs
+++ b/src/control/partition/warm_pools/maintenance.rs
@@ -15,8 +15,8 @@
     pub fn maintain_pools(&mut self, boot_ms: u64, now: u64, wall: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
         warm_pools.wall_ms = wall;
-        let moment = warm_pools.moment(now);
-        warm_pools.pools.refresh(boot_ms, moment);
+        let clock_reading = warm_pools.clock_reading(now);
+        warm_pools.pools.refresh(boot_ms, clock_reading);
         self.abandon_unrecorded_claims(now);
         self.release_ended_claims(now);
         self.end_lost_slots(now);
@@ -71,22 +71,22 @@
             .filter_map(|slot| Some((slot, slot.claim()?)));
         let ended: Vec<SlotId> =
             claims.filter(|(slot, claim)| gone(&slot.host, claim.attempt)).map(|(slot, _)| slot.id).collect();
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let Some(warm_pools) = &mut self.warm_pools else { return };
-        ended.into_iter().for_each(|id| warm_pools.pools.claim_ended(id, moment));
+        ended.into_iter().for_each(|id| warm_pools.pools.claim_ended(id, clock_reading));
     }
 
     /// Ends the slots on machines that are gone, and drains those on machines that are faulty or about to be
     /// returned or taken back.
     fn end_lost_slots(&mut self, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let hosts: Vec<(SlotId, String)> = warm_pools.pools.slots().map(|slot| (slot.id, slot.host.clone())).collect();
         for (id, host) in hosts {
             match self.cluster.host_index.get(&host).and_then(|index| self.cluster.host(*index)) {
-                None => warm_pools.pools.host_lost(&host, EndCause::MachineLost, moment),
+                None => warm_pools.pools.host_lost(&host, EndCause::MachineLost, clock_reading),
                 Some(host) if host.preemption_notice || host.terminating || host.draining || host.faulty() => {
-                    warm_pools.pools.drain(id, EndCause::MachineLost, moment);
+                    warm_pools.pools.drain(id, EndCause::MachineLost, clock_reading);
                 }
                 Some(_) => {}
             }
@@ -96,7 +96,7 @@
     /// Updates the prices of slots to the current prices of their machines.
     fn update_prices(&mut self, now: u64) {
         let Some(warm_pools) = &mut self.warm_pools else { return };
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let instance_type_of = |host: &str| {
             let host = self.cluster.host(*self.cluster.host_index.get(host)?)?;
             Some((&self.cluster.instance_types[host.instance_type?], host.spot))
@@ -109,7 +109,7 @@
                 Some((slot.id, price_of(&slot.amounts, &amounts(&instance_type.cap), instance_type.price(spot))))
             })
             .collect();
-        prices.into_iter().for_each(|(id, price)| warm_pools.pools.set_price(id, price, moment));
+        prices.into_iter().for_each(|(id, price)| warm_pools.pools.set_price(id, price, clock_reading));
     }
 
     /// Queues the machines with draining slots for dispatch, so that they get the orders to unload them.
--- a/src/control/partition/warm_pools/mod.rs
+++ b/src/control/partition/warm_pools/mod.rs
@@ -10,7 +10,7 @@
 
 use super::Partition;
 use crate::model::Demand;
-use badgerdrift_warm_pools::{Amounts, Moment, PoolSettings, PoolStatus, Slot, SlotState, WarmPools};
+use badgerdrift_warm_pools::{Amounts, ClockReading, PoolSettings, PoolStatus, Slot, SlotState, WarmPools};
 
 /// Warm pools of a partition.
 pub(super) struct PartitionWarmPools {
@@ -20,17 +20,17 @@
 }
 
 impl PartitionWarmPools {
-    /// Returns the moment that consists of `now`, in milliseconds of the steady clock, and the time of day of the
-    /// last maintenance.
-    fn moment(&self, now: u64) -> Moment {
-        Moment { steady_ms: now, wall_ms: self.wall_ms }
+    /// Returns the clock reading that consists of `now`, in milliseconds of the steady clock, and the time of
+    /// day of the last maintenance.
+    fn clock_reading(&self, now: u64) -> ClockReading {
+        ClockReading { steady_ms: now, wall_ms: self.wall_ms }
     }
 }
 
 impl Partition {
     /// Enables the warm pools. The settings must have been validated.
     pub fn enable_pools(&mut self, settings: PoolSettings, now: u64, wall: u64) {
-        let pools = WarmPools::new(settings, Moment { steady_ms: now, wall_ms: wall });
+        let pools = WarmPools::new(settings, ClockReading { steady_ms: now, wall_ms: wall });
         self.warm_pools = Some(PartitionWarmPools { pools, wall_ms: wall });
     }
 
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -46,8 +46,8 @@
             price_per_hour: price,
             warm: has_image(host, &image),
         };
-        let moment = warm_pools.moment(now);
-        warm_pools.pools.begin(number, name, place, moment);
+        let clock_reading = warm_pools.clock_reading(now);
+        warm_pools.pools.begin(number, name, place, clock_reading);
     }
 
     /// Returns the machine for the next slot of a pool, or `None` if none is wanted or no machine has capacity
@@ -63,7 +63,7 @@
         let max_in_zone = if pool.spread { pool.max_replicas().div_ceil(2) } else { usize::MAX };
         let image =
             warm_pools.pools.settings().models.get(&pool.model).map(|model| model.image.as_str()).unwrap_or_default();
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let suits = |(host_index, host): &(HostIndex, &Host)| {
             let slot = &index.hosts[*host_index];
             slot.usable
@@ -71,7 +71,7 @@
                 && demand(&pool.amounts()).fits(&slot.free)
                 && self.allows(pool, host)
                 && by_zone.get(&slot.zone).copied().unwrap_or(0) < max_in_zone
-                && warm_pools.pools.startable_count(name, self.replica_price(pool, host), moment) > 0
+                && warm_pools.pools.startable_count(name, self.replica_price(pool, host), clock_reading) > 0
         };
         let rank = |(host_index, host): &(HostIndex, &Host)| {
             let zone = by_zone.get(&index.hosts[*host_index].zone).copied().unwrap_or(0);
@@ -120,11 +120,11 @@
         if !self.conditions.reservations_recordable {
             return Vec::new();
         }
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let pools = warm_pools.pools.settings().pools.iter();
         let missing = pools.filter(|(_, pool)| self.may_have_suitable_machines(pool)).map(|(name, pool)| {
             let price = self.lowest_price(pool);
-            (name, pool, warm_pools.pools.startable_count(name, price, moment))
+            (name, pool, warm_pools.pools.startable_count(name, price, clock_reading))
         });
         missing.flat_map(|(name, pool, count)| self.replica_specs(warm_pools, name, pool, count)).collect()
     }
--- a/src/control/partition/warm_pools/reservations.rs
+++ b/src/control/partition/warm_pools/reservations.rs
@@ -29,9 +29,9 @@
             self.claim_reservation(claim, now);
         }
         let Some(warm_pools) = &mut self.warm_pools else { return };
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         for slot in &outcome.released_warm_reservations {
-            warm_pools.pools.drain(*slot, EndCause::CapacityNeeded, moment);
+            warm_pools.pools.drain(*slot, EndCause::CapacityNeeded, clock_reading);
             if let Some(host) = warm_pools.pools.slot(*slot).and_then(|slot| self.cluster.host_index.get(&slot.host)) {
                 self.dispatch_queue.insert(*host);
             }
@@ -45,8 +45,8 @@
         let spec = &self.cluster.jobs[placed.key.job].spec;
         let claim =
             Claim { job: spec.id.clone(), task: placed.key.task, attempt: placed.attempt, team: spec.team.clone() };
-        let moment = warm_pools.moment(now);
-        let claimed = warm_pools.pools.claim(placed.slot, &spec.image, claim, moment);
+        let clock_reading = warm_pools.clock_reading(now);
+        let claimed = warm_pools.pools.claim(placed.slot, &spec.image, claim, clock_reading);
         tracing::info!(
             slot = placed.slot,
             job = spec.id,
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -31,20 +31,20 @@
         let has_new_epoch = on_host.iter().any(|slot| slot.agent_epoch != heartbeat.agent_epoch);
         let changes: Vec<(SlotId, SlotStatusChange)> =
             on_host.iter().map(|slot| (slot.id, self.slot_status_change(slot, host_index, heartbeat))).collect();
-        let moment = warm_pools.moment(now);
+        let clock_reading = warm_pools.clock_reading(now);
         let Some(warm_pools) = &mut self.warm_pools else { return };
         if has_new_epoch {
-            warm_pools.pools.host_lost(&heartbeat.host, EndCause::SessionLost, moment);
+            warm_pools.pools.host_lost(&heartbeat.host, EndCause::SessionLost, clock_reading);
             return;
         }
         for (id, change) in changes {
             match change {
-                SlotStatusChange::Present { warm } => warm_pools.pools.mark_reported(id, warm, moment),
-                SlotStatusChange::Missing => warm_pools.pools.mark_missing(id, moment),
+                SlotStatusChange::Present { warm } => warm_pools.pools.mark_reported(id, warm, clock_reading),
+                SlotStatusChange::Missing => warm_pools.pools.mark_missing(id, clock_reading),
                 SlotStatusChange::ClaimUnused => {
                     tracing::info!(slot = id, "warm slot claim of the previous leader was never used, voided");
-                    warm_pools.pools.void_claim(id, moment);
-                    warm_pools.pools.mark_reported(id, false, moment);
+                    warm_pools.pools.void_claim(id, clock_reading);
+                    warm_pools.pools.mark_reported(id, false, clock_reading);
                     self.scheduling_triggers.request_cycle();
                 }
                 SlotStatusChange::Unknown => {}
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -107,9 +107,9 @@
     /// Steady time, in milliseconds, until which the job waits for capacity on a machine that has its image;
     /// 0 if this wait has not begun.
     pub image_wait_until_ms: u64,
-    /// True if the job was accepted under the current fencing token. No earlier leader can have started its
-    /// tasks.
-    pub fresh: bool,
+    /// True if the job's record did not exist when this leader read the records: this leader accepted the job,
+    /// or another node did so later. No earlier leader can have started its tasks.
+    pub unknown_to_earlier_leaders: bool,
     /// True if a user requested cancellation. The request is answered once none of the job's tasks can run.
     pub cancelling: bool,
     /// Machines on which tasks of the job failed.
@@ -148,7 +148,7 @@
             gang_reserved_until_ms: 0,
             gang_backoff_until_ms: 0,
             image_wait_until_ms: 0,
-            fresh: false,
+            unknown_to_earlier_leaders: false,
             cancelling: false,
             failed_on: HashSet::new(),
             avoid_hosts_until_ms: 0,
--- a/src/scheduling/task_locations.rs
+++ b/src/scheduling/task_locations.rs
@@ -39,7 +39,7 @@
                 && spec.allows_zone(&offering.zone)
                 && (spec.spot || !offering.spot)
         };
-        self.all_reconciled || job.fresh || !self.unreconciled_offerings.iter().any(may_hold)
+        self.all_reconciled || job.unknown_to_earlier_leaders || !self.unreconciled_offerings.iter().any(may_hold)
     }
 
     /// Returns which idle tasks of a job may be placed.
