--- a/src/configuration/actor.rs
+++ b/src/configuration/actor.rs
@@ -1,11 +1,11 @@
 //! The configuration actor of a node: holds its region's record and acts as the region's Paxos acceptor.
 
 use super::exchange;
-use super::handle::{ConfigurationHandle, Message, Published};
+use super::handle::{ConfigurationHandle, Message, PublishedConfiguration};
 use super::messages::{ConfigurationRequest, ConfigurationResponse, RegionDigest, UnavailableReason};
 use super::proposals::{ProposalTask, ProposedEntry};
 use super::records::{self, AppliedConfiguration, StoredRecord};
-use super::region_policy::settings_documents;
+use super::region_policy::initial_documents;
 use super::regions::RegionClients;
 use super::settings::FleetSettings;
 use crate::clients::{StateStore, TokenBucket};
@@ -60,7 +60,7 @@
     pub(super) write_limit: TokenBucket,
     pub(super) proposals: mpsc::Sender<ProposedEntry>,
     pub(super) regions: RegionClients,
-    pub(super) published: watch::Sender<Option<Published>>,
+    pub(super) published: watch::Sender<Option<PublishedConfiguration>>,
 }
 
 /// Starts a node's configuration actor and its tasks, and returns a handle of the actor.
@@ -73,7 +73,7 @@
     peers: &[Peer],
     metrics: SharedMetrics,
 ) -> ConfigurationHandle {
-    let initial = ConfigState::initial(fleet.names(), settings_documents(settings, operator, &fleet.names()));
+    let initial = ConfigState::initial(fleet.names(), initial_documents(settings, operator, &fleet.names()));
     let genesis = version_0_fingerprint(&initial);
     let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (published_tx, published) = watch::channel(None);
--- a/src/configuration/exchange.rs
+++ b/src/configuration/exchange.rs
@@ -43,7 +43,7 @@
 }
 
 /// Watches the region's keys in the state service with one long poll, regardless of the number of
-/// documents, and refreshes the actor's record on changes.
+/// documents, and makes the actor reload its record on changes.
 pub(super) async fn watch_record(handle: ConfigurationHandle, state: StateStore, reaction_time: Duration) {
     let wait_ms = (reaction_time * WATCH_REACTION_TIMES).as_millis() as u64;
     let mut last_revision = None;
@@ -51,7 +51,7 @@
         let Some(revision) = last_revision else {
             // The watch starts at the current revision; the actor rereads everything before it.
             last_revision = state.get(super::records::REGION_KEY).await.ok().map(|(_, revision)| revision);
-            if last_revision.is_none() || !handle.refresh().await {
+            if last_revision.is_none() || !handle.reload_record().await {
                 last_revision = None;
                 sleep(reaction_time).await;
             }
@@ -59,7 +59,7 @@
         };
         match state.changes(KEY_PREFIX, revision, wait_ms).await {
             Ok(changes) => {
-                if !changes.events.is_empty() && !handle.refresh().await {
+                if !changes.events.is_empty() && !handle.reload_record().await {
                     sleep(reaction_time / 4).await;
                     continue;
                 }
@@ -118,7 +118,7 @@
             return;
         };
         let request = Request::Learn { version, batch: entry.batch };
-        let response = handle.answer(ConfigurationRequest::Agreement { genesis, request }).await;
+        let response = handle.request(ConfigurationRequest::Agreement { genesis, request }).await;
         if !matches!(response, ConfigurationResponse::Agreement(_)) {
             return;
         }
--- a/src/configuration/handle.rs
+++ b/src/configuration/handle.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{ConfigurationRequest, ConfigurationResponse, UnavailableReason};
 use super::records::AppliedConfiguration;
-use super::region_policy::policy_of;
+use super::region_policy::policy_for_region;
 use crate::runtime::metrics::gauge_line;
 use crate::scheduling::Policy;
 use badgerdrift_fleet_config::{ConfigState, RegionName};
@@ -25,7 +25,7 @@
 
 /// The configuration as this node's actor publishes it to other tasks.
 #[derive(Debug, Clone)]
-pub struct Published {
+pub struct PublishedConfiguration {
     /// Configuration in the last version that the region has applied.
     pub state: Arc<ConfigState>,
     /// Whether the region's leader may start tasks.
@@ -38,7 +38,7 @@
     pub applied_configuration: u64,
 }
 
-impl Published {
+impl PublishedConfiguration {
     /// Returns whether no later version is known and a majority of the regions answered within the contact
     /// time.
     pub fn is_up_to_date(&self) -> bool {
@@ -52,18 +52,18 @@
 pub struct ConfigurationHandle {
     pub(super) region: RegionName,
     pub(super) tx: mpsc::Sender<Message>,
-    pub(super) published: watch::Receiver<Option<Published>>,
+    pub(super) published: watch::Receiver<Option<PublishedConfiguration>>,
 }
 
 impl ConfigurationHandle {
     /// Returns the published configuration of this region; `None` while the region has no record.
-    pub fn published(&self) -> Option<Published> {
+    pub fn published(&self) -> Option<PublishedConfiguration> {
         self.published.borrow().clone()
     }
 
     /// Sends a request to the actor and returns its response; [`UnavailableReason::Busy`] if the actor's
     /// queue is full.
-    pub async fn answer(&self, request: ConfigurationRequest) -> ConfigurationResponse {
+    pub async fn request(&self, request: ConfigurationRequest) -> ConfigurationResponse {
         let (reply, response) = oneshot::channel();
         if self.tx.try_send(Message::Request(request, reply)).is_err() {
             return ConfigurationResponse::Unavailable(UnavailableReason::Busy);
@@ -71,8 +71,8 @@
         response.await.unwrap_or(ConfigurationResponse::Unavailable(UnavailableReason::Busy))
     }
 
-    /// Makes the actor reread the region's record from the state service; false if that failed.
-    pub async fn refresh(&self) -> bool {
+    /// Makes the actor reload the region's record from the state service; false if that failed.
+    pub async fn reload_record(&self) -> bool {
         let (reply, done) = oneshot::channel();
         self.tx.send(Message::RecordMayHaveChanged(reply)).await.is_ok() && done.await == Ok(true)
     }
@@ -85,7 +85,7 @@
 
     /// Returns `policy` with the published configuration applied; `None` while there is no configuration.
     pub fn policy(&self, policy: &Policy) -> Option<Policy> {
-        Some(policy_of(policy, &self.published()?.state, &self.region))
+        Some(policy_for_region(policy, &self.published()?.state, &self.region))
     }
 
     /// Returns the name of this node's region.
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -23,10 +23,10 @@
 mod stored;
 
 pub use actor::{ConfigurationActor, start};
-pub use handle::{ConfigurationHandle, Published};
+pub use handle::{ConfigurationHandle, PublishedConfiguration};
 pub use messages::{
     ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionDigest, RegionStatus, UnavailableReason,
 };
 pub use records::{AppliedConfiguration, LogEntry, applied_configuration_change};
-pub use region_policy::{policy_of, settings_documents};
+pub use region_policy::{initial_documents, policy_for_region};
 pub use settings::{FleetSettings, RegionAddresses, load_fleet};
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -224,7 +224,7 @@
         }
         let handle = self.handle.clone();
         task::spawn(async move {
-            if let ConfigurationResponse::Agreement(reply) = handle.answer(request).await {
+            if let ConfigurationResponse::Agreement(reply) = handle.request(request).await {
                 // The proposer may have its majority without this reply.
                 let _ = tx.send((handle.region.clone(), reply)).await;
             }
@@ -240,7 +240,7 @@
                 sync::reply(reply, ConfigurationResponse::Outcome(None));
                 continue;
             };
-            let response = match self.handle.answer(ConfigurationRequest::Outcome(change.id)).await {
+            let response = match self.handle.request(ConfigurationRequest::Outcome(change.id)).await {
                 ConfigurationResponse::Outcome(None) => {
                     ConfigurationResponse::Unavailable(UnavailableReason::Indeterminate)
                 }
--- a/src/configuration/region_policy.rs
+++ b/src/configuration/region_policy.rs
@@ -12,7 +12,7 @@
 
 /// Returns the documents of version 0: each region has the guarantees and limits of the settings, and the
 /// fleet has their sum.
-pub fn settings_documents(settings: &Settings, operator: &OperatorSettings, regions: &[RegionName]) -> Vec<Document> {
+pub fn initial_documents(settings: &Settings, operator: &OperatorSettings, regions: &[RegionName]) -> Vec<Document> {
     let mut documents: Vec<Document> = Vec::new();
     for team in &settings.params.teams {
         let guarantee = Amounts { cpus: to_amount(team.cpus), gpus: to_amount(team.gpus) };
@@ -38,7 +38,7 @@
 
 /// Returns the policy of a region under the configuration: `policy` with its teams and operator values
 /// replaced. Teams that are not in the configuration have no guarantee.
-pub fn policy_of(policy: &Policy, state: &ConfigState, region: &str) -> Policy {
+pub fn policy_for_region(policy: &Policy, state: &ConfigState, region: &str) -> Policy {
     let mut policy = policy.clone();
     policy.teams.clear();
     for versioned in state.documents.values() {
--- a/src/configuration/status.rs
+++ b/src/configuration/status.rs
@@ -1,7 +1,7 @@
 //! Queries of the configuration, the contact times of other regions, and the published configuration.
 
 use super::actor::{ConfigurationActor, LastContact};
-use super::handle::Published;
+use super::handle::PublishedConfiguration;
 use super::messages::{
     ConfigurationRequest, ConfigurationResponse, RegionCondition, RegionDigest, RegionStatus, UnavailableReason,
 };
@@ -93,7 +93,7 @@
         let now = clock::now_ms();
         let reachable =
             self.contacts.values().filter(|contact| now <= contact.answered_at_ms + self.contact_ttl_ms).count();
-        let published = self.stored.as_ref().map(|stored| Published {
+        let published = self.stored.as_ref().map(|stored| PublishedConfiguration {
             state: stored.record.state.clone(),
             may_start_tasks: stored.record.may_start_tasks(),
             latest: self.latest_version(stored.record.state.version),
--- a/src/control/partition_leader/configuration.rs
+++ b/src/control/partition_leader/configuration.rs
@@ -3,7 +3,9 @@
 use super::leader::PartitionLeader;
 use super::leadership::Leadership;
 use super::messages::BackgroundEvent;
-use crate::configuration::{AppliedConfiguration, Published, applied_configuration_change, policy_of};
+use crate::configuration::{
+    AppliedConfiguration, PublishedConfiguration, applied_configuration_change, policy_for_region,
+};
 use crate::control::membership::partition_key;
 use crate::control::partition::CommitOutcome;
 use crate::model::Demand;
@@ -27,8 +29,8 @@
 
     /// Applies a version of the configuration to the partition's policy. While the region may start no
     /// tasks, all limits of teams are zero.
-    fn apply_configuration(&self, leadership: &mut Leadership, published: &Published, region: &str) {
-        let mut policy = policy_of(leadership.partition.policy(), &published.state, region);
+    fn apply_configuration(&self, leadership: &mut Leadership, published: &PublishedConfiguration, region: &str) {
+        let mut policy = policy_for_region(leadership.partition.policy(), &published.state, region);
         let suspended = !published.may_start_tasks;
         if suspended {
             policy.teams.values_mut().for_each(|team| team.limit = Demand::default());
--- a/src/control/partition_leader/stored_records.rs
+++ b/src/control/partition_leader/stored_records.rs
@@ -70,15 +70,15 @@
 }
 
 impl StoredRecords {
-    /// Reads the records, and refreshes the configuration to the version that the last leader applied
-    /// or a later one. Returns `None` if a read failed.
+    /// Reads the records, and reloads the configuration, so that it has the version that the
+    /// last leader applied or a later one. Returns `None` if a read failed.
     pub(super) async fn read(
         state: &StateStore,
         configuration: Option<&ConfigurationHandle>,
         optional: OptionalRecords,
     ) -> Option<StoredRecords> {
         if let Some(configuration) = configuration
-            && !configuration.refresh().await
+            && !configuration.reload_record().await
         {
             return None;
         }
--- a/src/control/router/answers.rs
+++ b/src/control/router/answers.rs
@@ -55,7 +55,7 @@
                 }
             }
             PeerRequest::Configuration(request) => match &self.configuration {
-                Some(configuration) => PeerResponse::Configuration(configuration.answer(request).await),
+                Some(configuration) => PeerResponse::Configuration(configuration.request(request).await),
                 None => PeerResponse::Rejected,
             },
             PeerRequest::Pools(request) => PeerResponse::Pools(self.pools(request).await),
--- a/tests/fleet_configuration/fleet.rs
+++ b/tests/fleet_configuration/fleet.rs
@@ -2,7 +2,7 @@
 
 use badgerdrift::configuration::{
     AppliedConfiguration, ConfigurationRequest, ConfigurationResponse, FleetSettings, LogEntry, RegionAddresses,
-    RegionCondition, RegionStatus, settings_documents,
+    RegionCondition, RegionStatus, initial_documents,
 };
 use badgerdrift::control::node;
 use badgerdrift::control::node::Subsystems;
@@ -68,7 +68,7 @@
 impl KnownHistory {
     fn new() -> KnownHistory {
         let names: Vec<String> = (0..REGIONS).map(region_name).collect();
-        let documents = settings_documents(&settings(0, 0), &OperatorSettings::default(), &names);
+        let documents = initial_documents(&settings(0, 0), &OperatorSettings::default(), &names);
         KnownHistory { logs: vec![Vec::new(); REGIONS], states: vec![ConfigState::initial(names, documents)] }
     }
 
--- a/tests/versions/configuration_records.rs
+++ b/tests/versions/configuration_records.rs
@@ -127,7 +127,7 @@
             let handle = handle.clone();
             async move {
                 match request {
-                    PeerRequest::Configuration(request) => PeerResponse::Configuration(handle.answer(request).await),
+                    PeerRequest::Configuration(request) => PeerResponse::Configuration(handle.request(request).await),
                     other => panic!("expected a request about the configuration, got {other:?}"),
                 }
             }
@@ -164,7 +164,7 @@
 /// Sends a request given in its serialized form, and returns the response in its serialized form.
 async fn ask(handle: &ConfigurationHandle, request: Value) -> Value {
     let request = serde_json::from_value(request).unwrap();
-    serde_json::to_value(handle.answer(request).await).unwrap()
+    serde_json::to_value(handle.request(request).await).unwrap()
 }
 
 /// Waits until the region has this version. Panics after `MAX_STEPS` steps.
