--- a/crates/fleet-config/src/change.rs
+++ b/crates/fleet-config/src/change.rs
@@ -7,12 +7,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChangeId(pub String);
 
-/// Version of a document that a change was based on.
+/// Document that a change was based on, and the version of the configuration in which that document had
+/// last changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadVersion {
     /// Name of the document.
     pub document: DocumentName,
-    /// Version in which the document was last changed; 0 if it did not exist or had never changed.
+    /// Version of the configuration in which the document was last changed; 0 if it did not exist or had never changed.
     pub version: u64,
 }
 
@@ -27,11 +28,11 @@
     pub author: String,
     /// Reason for the change.
     pub reason: String,
-    /// Time of day of the change, in milliseconds.
+    /// Wall time at which the author made the change, in milliseconds since 1970 (UTC).
     pub at_ms: u64,
     /// Versions of the documents that the change was based on.
     pub reads: Vec<ReadVersion>,
-    /// New documents.
+    /// Documents that the change creates or replaces, with their new contents.
     pub writes: Vec<Document>,
 }
 
@@ -54,7 +55,7 @@
     Confirmation(Confirmation),
 }
 
-/// The entries of one version.
+/// Entries that together lead from one version of the configuration to the next.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// Entries, in the order in which they are applied.
--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -33,4 +33,4 @@
     Amounts, DateException, HoldKind, Model, ModelIdentity, ModelName, Pool, PoolName, PoolSettings, TeamName, Window,
 };
 pub use slot::{Claim, EndCause, Slot, SlotId, SlotState, Transition};
-pub use wall_clock::AcceptedTime;
+pub use wall_clock::WallClockFilter;
--- a/crates/warm-pools/src/pools/charging.rs
+++ b/crates/warm-pools/src/pools/charging.rs
@@ -15,7 +15,8 @@
     }
 
     /// Charges the slots that have no unrecorded change and whose last charge is at least
-    /// `bill_every_s` ago.
+    /// `bill_every_s` ago. Slots that are being claimed, have ended or have an indeterminate claim are
+    /// left out.
     pub(super) fn charge_due_slots(&mut self, now: ClockReading) {
         let bill_ms = self.bill_ms(now);
         let every_ms = (self.settings.bill_every_s * MS_PER_S) as u64;
@@ -40,8 +41,9 @@
         }
     }
 
-    /// Returns the price per hour of all loading and idle replicas of a pool.
-    pub(super) fn idle_cost_per_hour(&self, pool: &str) -> MicroUnits {
+    /// Returns the total price per hour of the loading and idle replicas of a pool, which no task has
+    /// claimed.
+    pub(super) fn unclaimed_cost_per_hour(&self, pool: &str) -> MicroUnits {
         let available_slots = self.slots.values().filter(|slot| slot.pool == pool && slot.is_available());
         available_slots.map(|slot| slot.price_per_hour).sum()
     }
@@ -62,8 +64,8 @@
 }
 
 impl Slot {
-    /// Returns whether the claim was recorded by a previous leader and the slot is not reported
-    /// since, so that it is unknown whether the claimant uses it.
+    /// Returns whether the slot is claimed according to a record of a previous leader and no worker has
+    /// reported it since the failover, so that it is unknown whether the claimant uses it.
     pub(crate) fn has_indeterminate_claim(&self) -> bool {
         matches!(self.state, SlotState::Claimed(_)) && !self.reported_since_failover
     }
--- a/crates/warm-pools/src/pools/lifecycle.rs
+++ b/crates/warm-pools/src/pools/lifecycle.rs
@@ -5,7 +5,8 @@
 use crate::settings::HoldKind;
 use crate::slot::{EndCause, Slot, SlotId, SlotState, Transition};
 
-/// Assumed time, in milliseconds, until a replica is warm, for pools without a known load time.
+/// Assumed time, in milliseconds, from the creation of a slot on a running machine until its replica is
+/// warm, for pools without a known load time.
 const ASSUMED_LOAD_MS: u64 = 60_000;
 
 /// Machine on which a new slot is created.
@@ -13,23 +14,23 @@
 pub struct SlotPlace {
     /// Id of the machine.
     pub host: String,
-    /// Session of the machine's worker.
+    /// Agent epoch of the machine's worker.
     pub agent_epoch: u64,
     /// Price per hour of the replica's part of the machine.
     pub price_per_hour: MicroUnits,
     /// Whether the machine already has the image. With [`HoldKind::Image`] the slot is idle from the
     /// start in this case.
-    pub warm: bool,
+    pub has_image: bool,
 }
 
 impl WarmPools {
-    /// Recomputes the targets, drains replaced and surplus slots, and charges the slots that are due.
+    /// Recomputes the targets, drains outdated and surplus slots, and charges the slots that are due.
     /// `boot_ms` is the time, in milliseconds, in which a machine boots.
     pub fn refresh(&mut self, boot_ms: u64, now: ClockReading) {
         let last_load_ms = &self.last_load_ms;
         let warm_up_ms = |pool: &str| boot_ms + last_load_ms.get(pool).copied().unwrap_or(ASSUMED_LOAD_MS);
         self.targets.update(now.steady_ms, now.wall_ms, warm_up_ms);
-        self.drain_replaced(now);
+        self.drain_outdated(now);
         let pools: Vec<String> = self.settings.pools.keys().cloned().collect();
         for pool in pools {
             self.drain_surplus(&pool, now);
@@ -38,8 +39,8 @@
     }
 
     /// Returns the number of replicas that a pool is below its target, regardless of cost limits.
-    pub fn missing(&self, pool: &str) -> usize {
-        let current = self.available_slots(pool).filter(|slot| !self.is_replaced(slot)).count();
+    pub fn missing_count(&self, pool: &str) -> usize {
+        let current = self.available_slots(pool).filter(|slot| !self.is_outdated(slot)).count();
         self.targets.wanted(pool).saturating_sub(current)
     }
 
@@ -53,18 +54,19 @@
         let loading = self.available_slots(pool).filter(|slot| slot.state == SlotState::Loading).count();
         let load_limit = declared.loads_at_a_time.saturating_sub(loading);
         let cost_limit = declared.idle_cost_per_hour.map_or(usize::MAX, |ceiling| {
-            let remaining = to_micro_units(ceiling).saturating_sub(self.idle_cost_per_hour(pool));
+            let remaining = to_micro_units(ceiling).saturating_sub(self.unclaimed_cost_per_hour(pool));
             remaining.checked_div(price_per_hour).map_or(usize::MAX, |count| count as usize)
         });
-        self.missing(pool).min(load_limit).min(cost_limit)
+        self.missing_count(pool).min(load_limit).min(cost_limit)
     }
 
     /// Creates a slot for a new replica of a pool. No order may be sent for it before it is recorded.
-    /// Returns `None` if the pool or its model is not declared.
-    pub fn begin(&mut self, id: SlotId, pool: &str, place: SlotPlace, now: ClockReading) -> Option<&Slot> {
+    /// If the id is in use, the slot that has it is returned unchanged. Returns `None` if the pool or its
+    /// model is not declared.
+    pub fn create_slot(&mut self, id: SlotId, pool: &str, place: SlotPlace, now: ClockReading) -> Option<&Slot> {
         let declared = self.settings.pools.get(pool)?;
         let model = self.settings.models.get(&declared.model)?;
-        let warm = place.warm && declared.keep == HoldKind::Image;
+        let warm = place.has_image && declared.keep == HoldKind::Image;
         let slot = Slot {
             id,
             pool: pool.to_string(),
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Begins to unload an unclaimed slot. One that only reserves capacity, or that is not recorded,
-    /// ends at once. A claimed, draining or ended slot is not changed.
+    /// Begins to unload an unclaimed slot. A slot with [`HoldKind::Image`], which only reserves capacity,
+    /// or one that is not recorded ends at once. A claimed, draining or ended slot is not changed.
     pub fn drain(&mut self, id: SlotId, cause: EndCause, now: ClockReading) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         if !slot.is_available() {
@@ -126,7 +128,7 @@
 
     /// Handles a report that the worker does not have the slot. A draining slot ends with the cause
     /// for which it was drained; a loading or idle one ends with [`EndCause::NotReported`].
-    pub fn mark_missing(&mut self, id: SlotId, now: ClockReading) {
+    pub fn handle_missing_report(&mut self, id: SlotId, now: ClockReading) {
         let cause = match self.slots.get(&id).map(|slot| &slot.state) {
             Some(SlotState::Draining(cause)) => *cause,
             Some(SlotState::Loading | SlotState::Idle) => EndCause::NotReported,
@@ -164,9 +166,9 @@
         self.slots.values().filter(move |slot| slot.pool == pool && slot.is_available())
     }
 
-    /// Returns whether the slot's pool now keeps another model, another version or by another
-    /// method, or is no longer declared.
-    fn is_replaced(&self, slot: &Slot) -> bool {
+    /// Returns whether the slot is outdated: its pool is no longer declared, or is now declared with
+    /// another model, version or method of keeping replicas warm.
+    fn is_outdated(&self, slot: &Slot) -> bool {
         let declared = self.settings.pools.get(&slot.pool);
         let current = declared.is_some_and(|pool| {
             pool.keep == slot.keep && self.settings.identity_of(pool).as_ref() == Some(&slot.identity)
@@ -174,32 +176,32 @@
         !current
     }
 
-    /// Drains replaced slots. A pool keeps as many of them as it lacks warm replicas of the current
+    /// Drains outdated slots. A pool keeps as many of them as it lacks warm replicas of the current
     /// version; pools that are no longer declared keep none.
-    fn drain_replaced(&mut self, now: ClockReading) {
-        let mut replaced: Vec<SlotId> = Vec::new();
-        for (pool, slots) in self.replaced_by_pool() {
-            let is_warm = |slot: &&Slot| slot.state == SlotState::Idle && !self.is_replaced(slot);
+    fn drain_outdated(&mut self, now: ClockReading) {
+        let mut outdated: Vec<SlotId> = Vec::new();
+        for (pool, slots) in self.outdated_by_pool() {
+            let is_warm = |slot: &&Slot| slot.state == SlotState::Idle && !self.is_outdated(slot);
             let warm_count = self.available_slots(&pool).filter(is_warm).count();
             let kept_count = if self.settings.pools.contains_key(&pool) {
                 self.targets.wanted(&pool).saturating_sub(warm_count)
             } else {
                 0
             };
-            replaced.extend(slots.into_iter().skip(kept_count));
+            outdated.extend(slots.into_iter().skip(kept_count));
         }
-        for id in replaced {
+        for id in outdated {
             self.drain(id, EndCause::Replaced, now);
         }
     }
 
-    /// Returns the loading and idle slots that are replaced, by pool.
-    fn replaced_by_pool(&self) -> std::collections::BTreeMap<String, Vec<SlotId>> {
-        let mut replaced: std::collections::BTreeMap<String, Vec<SlotId>> = std::collections::BTreeMap::new();
-        for slot in self.slots.values().filter(|slot| slot.is_available() && self.is_replaced(slot)) {
-            replaced.entry(slot.pool.clone()).or_default().push(slot.id);
+    /// Returns the loading and idle slots that are outdated, by pool.
+    fn outdated_by_pool(&self) -> std::collections::BTreeMap<String, Vec<SlotId>> {
+        let mut outdated: std::collections::BTreeMap<String, Vec<SlotId>> = std::collections::BTreeMap::new();
+        for slot in self.slots.values().filter(|slot| slot.is_available() && self.is_outdated(slot)) {
+            outdated.entry(slot.pool.clone()).or_default().push(slot.id);
         }
-        replaced
+        outdated
     }
 
     /// Drains slots beyond the target or beyond the cost limits of idle replicas: first those that
@@ -207,7 +209,7 @@
     fn drain_surplus(&mut self, pool: &str, now: ClockReading) {
         let mut current: Vec<(bool, SlotId, MicroUnits)> = self
             .available_slots(pool)
-            .filter(|slot| !self.is_replaced(slot))
+            .filter(|slot| !self.is_outdated(slot))
             .map(|slot| (slot.state == SlotState::Idle, slot.id, slot.price_per_hour))
             .collect();
         current.sort_by_key(|(warm, id, _)| (!warm, *id));
--- a/crates/warm-pools/src/pools/status.rs
+++ b/crates/warm-pools/src/pools/status.rs
@@ -43,12 +43,12 @@
                 payer: pool.payer.clone(),
                 identity: self.settings.identity_of(pool),
                 wanted: self.targets.wanted(name),
-                renting: self.missing(name),
+                renting: self.missing_count(name),
                 loading: count(|state| *state == SlotState::Loading),
                 idle: count(|state| *state == SlotState::Idle),
                 claimed: count(|state| matches!(state, SlotState::Claiming(_) | SlotState::Claimed(_))),
                 draining: count(|state| matches!(state, SlotState::Draining(_))),
-                idle_cost_per_hour: self.idle_cost_per_hour(name),
+                idle_cost_per_hour: self.unclaimed_cost_per_hour(name),
             }
         };
         self.settings.pools.iter().map(status).collect()
--- a/crates/warm-pools/src/targets.rs
+++ b/crates/warm-pools/src/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::calendar::Schedule;
 use crate::settings::{PoolName, PoolSettings};
-use crate::wall_clock::AcceptedTime;
+use crate::wall_clock::WallClockFilter;
 use std::collections::BTreeMap;
 
 /// Minimum time, in milliseconds, for which a lower number has to be wanted before the target is
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Targets {
     by_pool: BTreeMap<PoolName, Target>,
-    time: AcceptedTime,
+    wall_clock: WallClockFilter,
 }
 
 impl Targets {
@@ -33,14 +33,14 @@
         let target = |schedule| Target { schedule, wanted: 0, fewer_since_ms: None };
         let pools = settings.pools.iter();
         let by_pool = pools.filter_map(|(name, pool)| Some((name.clone(), target(Schedule::new(pool).ok()?))));
-        Targets { by_pool: by_pool.collect(), time: AcceptedTime::default() }
+        Targets { by_pool: by_pool.collect(), wall_clock: WallClockFilter::default() }
     }
 
     /// Recomputes the targets for a steady and a wall time in milliseconds. `warm_up_ms` returns
     /// the time in which a replica of a pool becomes warm. Replicas are wanted that long before the
     /// window in which they are to be warm.
     pub(crate) fn update(&mut self, steady_ms: u64, wall_ms: u64, warm_up_ms: impl Fn(&str) -> u64) {
-        let wall_ms = self.time.at(steady_ms, wall_ms);
+        let wall_ms = self.wall_clock.accept_reading(steady_ms, wall_ms);
         for (name, target) in &mut self.by_pool {
             let ahead_ms = warm_up_ms(name);
             let wanted = target.schedule.wanted_within(wall_ms, ahead_ms);
--- a/crates/warm-pools/tests/calendar.rs
+++ b/crates/warm-pools/tests/calendar.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use badgerdrift_warm_pools::{AcceptedTime, Schedule, Window};
+use badgerdrift_warm_pools::{Schedule, WallClockFilter, Window};
 use common::{known_fleet, pool, settings};
 
 const MINUTE_MS: u64 = 60_000;
@@ -82,24 +82,28 @@
 
 #[test]
 fn wall_clock_step_is_accepted_only_after_it_has_lasted() {
-    let mut time = AcceptedTime::default();
+    let mut filter = WallClockFilter::default();
     let noon = utc("2026-12-02T12:00:00Z");
-    assert_eq!(time.at(1_000, noon), noon);
+    assert_eq!(filter.accept_reading(1_000, noon), noon);
     for step in [HOUR_MS as i64, -(HOUR_MS as i64)] {
         let wall = |steady_ms: u64| (noon + steady_ms - 1_000).saturating_add_signed(step);
         // The wall clock is off by one hour for less than ten minutes.
         for minute in 1..10 {
             let steady_ms = 1_000 + minute * MINUTE_MS;
-            assert_eq!(time.at(steady_ms, wall(steady_ms)), noon + minute * MINUTE_MS);
+            assert_eq!(filter.accept_reading(steady_ms, wall(steady_ms)), noon + minute * MINUTE_MS);
         }
         let steady_ms = 1_000 + 10 * MINUTE_MS;
-        assert_eq!(time.at(steady_ms, noon + 10 * MINUTE_MS), noon + 10 * MINUTE_MS, "the step was corrected");
+        assert_eq!(
+            filter.accept_reading(steady_ms, noon + 10 * MINUTE_MS),
+            noon + 10 * MINUTE_MS,
+            "the step was corrected"
+        );
     }
     let late = 1_000 + 20 * MINUTE_MS;
-    time.at(late, noon + HOUR_MS);
+    filter.accept_reading(late, noon + HOUR_MS);
     let later = late + 15 * MINUTE_MS;
     assert_eq!(
-        time.at(later, noon + HOUR_MS + 15 * MINUTE_MS),
+        filter.accept_reading(later, noon + HOUR_MS + 15 * MINUTE_MS),
         noon + HOUR_MS + 15 * MINUTE_MS,
         "the step has lasted long enough"
     );
--- a/crates/warm-pools/tests/common/mod.rs
+++ b/crates/warm-pools/tests/common/mod.rs
@@ -43,7 +43,7 @@
 }
 
 pub fn place(host: &str) -> SlotPlace {
-    SlotPlace { host: host.into(), agent_epoch: 1, price_per_hour: 3_600_000, warm: false }
+    SlotPlace { host: host.into(), agent_epoch: 1, price_per_hour: 3_600_000, has_image: false }
 }
 
 /// In-memory stand-in for the state service, with a version for each record.
@@ -93,7 +93,7 @@
 
 /// Creates a slot, records it, reports it as warm and records that.
 pub fn warm_slot(pools: &mut WarmPools, store: &mut Store, write: &mut u64, id: SlotId, now: ClockReading) {
-    pools.begin(id, "counter", place(&format!("h{id}")), now);
+    pools.create_slot(id, "counter", place(&format!("h{id}")), now);
     record_all(pools, store, write);
     pools.mark_reported(id, true, now);
     record_all(pools, store, write);
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -57,7 +57,7 @@
 fn unrecorded_slot_cannot_be_claimed() {
     let mut pools = WarmPools::new(settings(), at(0));
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     pools.mark_reported(1, true, at(0));
     assert_eq!(pools.claim(1, "notes", claim("red", 7), at(0)), Err(ClaimError::NotFree));
 }
@@ -236,7 +236,7 @@
         assert_eq!(pools.claim(1, image, claim("red", 9), at(1000)), Err(ClaimError::AnotherModel), "{image}");
     }
     // Slots of the old version are drained one by one as slots of the new version become warm.
-    assert_eq!(pools.missing("counter"), 2);
+    assert_eq!(pools.missing_count("counter"), 2);
     let mut write = 100;
     for id in [11, 12] {
         let idle = |pools: &WarmPools| pools.slots().filter(|slot| slot.state == SlotState::Idle).count();
@@ -274,7 +274,7 @@
     pool(&mut settings).keep = HoldKind::Image;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     record_all(&mut pools, &mut store, &mut write);
     assert_eq!(pools.claim(1, "notes", claim("red", 9), at(0)), Err(ClaimError::AnotherModel));
     assert_eq!(pools.claim(1, "notes-3", claim("red", 9), at(0)), Ok(()));
@@ -318,7 +318,7 @@
         record_all(&mut pools, &mut store, &mut write);
         pools.host_lost("h1", cause, at(5000));
         pools.host_lost("h2", cause, at(5000));
-        assert_eq!(pools.missing("counter"), 2);
+        assert_eq!(pools.missing_count("counter"), 2);
         record_all(&mut pools, &mut store, &mut write);
         assert_eq!((charged(&store, "red").0, charged(&store, "blue").1), (5000, 5000));
         assert!(pools.slots().next().is_none());
@@ -331,13 +331,13 @@
     pool(&mut settings).count = 5;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, at(0));
-    assert_eq!((pools.missing("counter"), pools.startable_count("counter", 1, at(0))), (5, 2));
-    pools.begin(1, "counter", place("h1"), at(0));
+    assert_eq!((pools.missing_count("counter"), pools.startable_count("counter", 1, at(0))), (5, 2));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     assert_eq!(pools.startable_count("counter", 1, at(0)), 1);
     pools.mark_reported(1, true, at(0));
     record_all(&mut pools, &mut store, &mut write);
     pools.claim(1, "notes", claim("blue", 7), at(0)).unwrap();
-    assert_eq!(pools.missing("counter"), 5);
+    assert_eq!(pools.missing_count("counter"), 5);
 }
 
 // The state service limits the writes of a commit. The limit must not separate a slot from its bill,
@@ -364,7 +364,7 @@
 fn slot_that_ends_while_its_first_commit_is_open_leaves_no_record() {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 60);
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     let late = pools.next_changes(50, 12).unwrap();
     pools.indeterminate();
     pools.host_lost("h1", EndCause::MachineLost, at(1000));
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -121,7 +121,7 @@
         let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
         for id in recorded {
             if matches!(self.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
-                self.pools.mark_missing(id, now);
+                self.pools.handle_missing_report(id, now);
             } else {
                 self.pools.mark_reported(id, true, now);
             }
@@ -285,7 +285,7 @@
                 system.pools.refresh(BOOT_MS, now);
                 for _ in 0..system.pools.startable_count("counter", 3_600_000, now) {
                     let id = system.next_id();
-                    system.pools.begin(id, "counter", place(&format!("h{id}")), now);
+                    system.pools.create_slot(id, "counter", place(&format!("h{id}")), now);
                 }
             }
             Transition::Report => system.report(now),
--- a/src/clients/job_reads.rs
+++ b/src/clients/job_reads.rs
@@ -92,7 +92,8 @@
 impl<T: Clone + Send + 'static> SharedReads<T> {
     /// Adds a request to the next read of the key and returns the receiver of the result. `admit` is
     /// called only if no other request waits for that read; if it returns `false`, the request is not
-    /// added and the result is `None`.
+    /// added and the result is `None`. `read` reads the key once. Only the `read` of the request that begins
+    /// a series of reads is used, for all reads of that series.
     pub fn join_next_read<F, R>(&self, key: &str, admit: impl FnOnce() -> bool, read: F) -> Option<oneshot::Receiver<T>>
     where
         F: Fn() -> R + Send + 'static,
@@ -172,8 +173,8 @@
     ///
     /// # Errors
     ///
-    /// The reason of the refusal: the budget for reads is used up, the state service gave no answer
-    /// before the deadline, or the record can't be parsed.
+    /// The reason of the refusal: the state service is unresponsive, the budget for reads is used up, the
+    /// read failed or gave no result before the deadline, or the record can't be parsed.
     pub async fn read(&self, id: &str, purpose: RequestPurpose, deadline: Instant) -> ReadResult {
         // The request is refused at once instead of after a timeout.
         if !self.state.is_responsive(self.leader_lease_ttl_ms) {
--- a/src/control/membership/actor.rs
+++ b/src/control/membership/actor.rs
@@ -1,7 +1,7 @@
 //! Election actor of a partition: performs the I/O of the [`Election`] state machine, and publishes
 //! its state.
 
-use super::campaign::{CampaignParameters, campaign, read_previous_leader};
+use super::campaign::{CampaignParameters, campaign, check_earlier_pledges};
 use super::election::{Election, Role};
 use super::failover_order::FailoverOrder;
 use super::leader_lease::{LeaderLease, PledgeStatus};
@@ -86,7 +86,7 @@
     /// waiting for them: during an outage of the state service the first read takes as long as the
     /// outage.
     fn start_reads(&self, own_messages: &mpsc::Sender<ElectionMessage>) {
-        task::spawn(read_previous_leader(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
+        task::spawn(check_earlier_pledges(self.state.clone(), self.campaign_parameters(), own_messages.clone()));
         task::spawn(watch_partition(
             self.state.clone(),
             self.partition,
--- a/src/control/membership/campaign.rs
+++ b/src/control/membership/campaign.rs
@@ -25,8 +25,7 @@
     pub(super) leader_lease_ttl_ms: u64,
 }
 
-/// Fencing token that a leader has raised its leadership to, and the resulting version of the
-/// partition's key.
+/// New fencing token that a leader has acquired, and the version of the partition's key after that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RaisedFencingToken {
     /// New fencing token.
@@ -78,9 +77,10 @@
     version: u64,
 }
 
-/// Reads the records of the previous leader after a start, and reports whether pledges from before
-/// the restart may still bind this node.
-pub(super) async fn read_previous_leader(
+/// Reads after a start which node led the partition, and reports whether pledges from before the restart
+/// may still bind this node. If this node led the partition, its old lease is revoked first. A pledge is
+/// the promise of a controller not to campaign for a limited time.
+pub(super) async fn check_earlier_pledges(
     state: StateStore,
     parameters: CampaignParameters,
     election: mpsc::Sender<ElectionMessage>,
@@ -104,7 +104,7 @@
 }
 
 /// Reads the partition's record and the counter of fencing tokens, and retries until both reads
-/// succeed. A value that cannot be parsed is returned as `None`.
+/// succeed. A value that does not exist or cannot be parsed is returned as `None`.
 async fn read_partition_and_counter(
     state: &StateStore,
     partition: u32,
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -44,10 +44,10 @@
             host: host.id.clone(),
             agent_epoch: host.agent_epoch,
             price_per_hour: price,
-            warm: has_image(host, &image),
+            has_image: has_image(host, &image),
         };
         let clock_reading = warm_pools.clock_reading(now);
-        warm_pools.pools.begin(number, name, place, clock_reading);
+        warm_pools.pools.create_slot(number, name, place, clock_reading);
     }
 
     /// Returns the machine for the next slot of a pool, or `None` if none is wanted or no machine has capacity
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -40,7 +40,7 @@
         for (id, change) in changes {
             match change {
                 SlotStatusChange::Present { warm } => warm_pools.pools.mark_reported(id, warm, clock_reading),
-                SlotStatusChange::Missing => warm_pools.pools.mark_missing(id, clock_reading),
+                SlotStatusChange::Missing => warm_pools.pools.handle_missing_report(id, clock_reading),
                 SlotStatusChange::ClaimUnused => {
                     tracing::info!(slot = id, "warm slot claim of the previous leader was never used, voided");
                     warm_pools.pools.void_claim(id, clock_reading);
