--- a/src/api.rs
+++ b/src/api.rs
@@ -6,16 +6,17 @@
 //! lease is valid and no end of the job is being recorded, or from a fresh read; where neither is
 //! possible the answer is 503.
 //!
-//! A request that can't be served is refused at once, with `Retry-After`; it is never delayed in
-//! order to slow its sender down.
+//! A request whose refusal is already certain is refused at once, with `Retry-After`; no request is
+//! delayed in order to slow its sender down. A submission or cancellation waits for its decision at
+//! most for `USER_ANSWER_TIMEOUT`.
 
+pub mod answer_metrics;
 pub mod ended_jobs;
 pub mod refusal;
-pub mod user_metrics;
 
+use crate::api::answer_metrics::AnswerMetrics;
 use crate::api::ended_jobs::EndedJobs;
 use crate::api::refusal::RefusalReason;
-use crate::api::user_metrics::UserMetrics;
 use crate::clients::StateStore;
 use crate::clients::job_reads::JobReads;
 use crate::clients::request_budget::RequestBudget;
@@ -49,14 +50,15 @@
     /// Ends of jobs that this node has read or forwarded.
     pub ended_jobs: EndedJobs,
     /// Counters of the refusals to users and workers, and of polls answered from `ended_jobs`.
-    pub metrics: UserMetrics,
+    pub answer_metrics: AnswerMetrics,
     /// Forwards requests to the leaders of the partitions.
     pub router: Router,
     /// Metrics of this node, apart from those of its partitions.
     pub node_metrics: SharedMetrics,
     /// Number of the partition of each team, by the name of the team.
-    pub teams: Arc<HashMap<String, u32>>,
-    /// Scheduling policy of the settings, without the shared configuration.
+    pub partition_by_team: Arc<HashMap<String, u32>>,
+    /// Scheduling policy from the settings of this node. Where there is a shared configuration, it is
+    /// applied to the policy when a submission is checked.
     pub policy: Arc<Policy>,
     /// Limits of writes to the state service.
     pub limits: WriteLimits,
@@ -65,15 +67,20 @@
 }
 
 impl Api {
-    /// Answers a request and counts refusals. Answers with a status of 400 or more, other than 404,
-    /// are logged at `debug`.
+    /// Answers a request, and counts the answer if it is a refusal with a [`RefusalReason`]. Answers with a
+    /// status of 400 or more, other than 404, are logged at `debug`, whether they have such a reason or not.
     pub async fn handle(self, request: Request) -> Response {
         let what = tracing::enabled!(tracing::Level::DEBUG).then(|| format!("{} {}", request.method, request.path));
-        let metrics = self.metrics.clone();
+        let answer_metrics = self.answer_metrics.clone();
         let response = self.answer(request).await;
-        metrics.count_answer(&response);
+        answer_metrics.count_answer(&response);
         if let Some(what) = what.filter(|_| response.status >= 400 && response.status != 404) {
-            tracing::debug!(what, status = response.status, why = %String::from_utf8_lossy(&response.body), "request refused");
+            tracing::debug!(
+                what,
+                status = response.status,
+                why = %String::from_utf8_lossy(&response.body),
+                "request answered with an error status"
+            );
         }
         response
     }
--- a/src/api/user_metrics.rs
+++ b/src/api/answer_metrics.rs
@@ -9,7 +9,7 @@
 
 /// Counters of refusals and remembered polls; cheap to clone, and all clones share the counters.
 #[derive(Clone, Default)]
-pub struct UserMetrics {
+pub struct AnswerMetrics {
     counters: Arc<Mutex<Counters>>,
 }
 
@@ -22,7 +22,7 @@
     polls_from_remembered_ends: u64,
 }
 
-impl UserMetrics {
+impl AnswerMetrics {
     /// Counts the answer if it is a refusal.
     pub fn count_answer(&self, answer: &Response) {
         let Some(reason) = answer.refusal else { return };
--- a/src/api/user_metrics/tests.rs
+++ b/src/api/answer_metrics/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn refusals_are_counted_by_reason_and_status() {
-    let metrics = UserMetrics::default();
+    let metrics = AnswerMetrics::default();
     metrics.count_answer(&RefusalReason::TooManyReads.response());
     metrics.count_answer(&RefusalReason::TooManyReads.response());
     metrics.count_answer(&RefusalReason::StateServiceSilent.response());
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -34,7 +34,7 @@
         let is_poll = matches!(call, UserCall::Status(_));
         if let Some(ended) = self.ended_jobs.get(id) {
             if is_poll {
-                self.metrics.count_poll_from_remembered_end();
+                self.answer_metrics.count_poll_from_remembered_end();
             }
             return ended.response(id);
         }
--- a/src/api/node_status.rs
+++ b/src/api/node_status.rs
@@ -29,7 +29,7 @@
     /// Answers with the metrics of this node and of the partitions that it leads, in the Prometheus
     /// text format.
     pub(super) async fn metrics_text(&self) -> Response {
-        let mut text = self.metrics.text(self.job_reads.shared_count());
+        let mut text = self.answer_metrics.text(self.job_reads.shared_count());
         text.push_str(&self.node_metrics.text());
         text.push_str(&gauge_line("silent_peers", self.router.unresponsive_peers()));
         if let Some(configuration) = &self.router.configuration {
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -40,7 +40,7 @@
         if !spec.dependencies.is_empty() && self.router.has_outdated_peer() {
             return self.known_job_or_refusal(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
-        let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
+        let partition = self.partition_by_team.get(&spec.team).copied().unwrap_or(0);
         let leader_answer = self.submit_to_leader(partition, &spec, body).await;
         let answer = self.leader_answer_or_accept(partition, &spec, leader_answer).await;
         match answer.status {
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -114,7 +114,7 @@
         request_budget,
         state,
         ended_jobs: EndedJobs::new(1000),
-        metrics: UserMetrics::default(),
+        answer_metrics: AnswerMetrics::default(),
         node_metrics: Default::default(),
         router: Router {
             bill_store: None,
@@ -124,7 +124,7 @@
             leader_lease_ttl_ms,
             last_pledge_request_ms: Default::default(),
         },
-        teams: Default::default(),
+        partition_by_team: Default::default(),
         policy: Arc::new(Policy::new(&settings, &OperatorSettings::default(), 0)),
         limits: settings.write_limits(),
         route_hints: Arc::new(Mutex::new(RouteHints::new(1000))),
--- a/src/control/partition/attempts.rs
+++ b/src/control/partition/attempts.rs
@@ -1,4 +1,5 @@
-//! Handling of attempts that end or are lost, and the consequences for their tasks and jobs.
+//! Handling of attempts that end or are lost, and the consequences for their tasks and jobs. The parameter
+//! `now` is steady time in milliseconds.
 
 use super::Partition;
 use crate::model::{ClusterState, ExitReason, HostIndex, JobEnd, JobIndex, Place, Shape, TaskKey, UnsavedChange};
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Marks the task of the attempt as done. For a gang, marks all tasks, because they complete
-    /// together.
+    /// Handles the success of an attempt: marks its task as done, or all tasks of a gang, because they
+    /// complete together, and records the success for the host.
     fn attempt_completed(&mut self, host_index: HostIndex, key: TaskKey, now: u64) {
         let spec = &self.cluster.jobs[key.job].spec;
         let done: Vec<u32> = if spec.shape == Shape::Gang { (0..spec.tasks).collect() } else { vec![key.task] };
@@ -53,8 +54,8 @@
         self.record_task_success(host_index, key);
     }
 
-    /// Records the success of a task on a host. The host counts as healthy, and failures of the same
-    /// task on other hosts are attributed to those hosts.
+    /// Records the success of a task on a host, which then counts as healthy. If the task had failed, or
+    /// its job is a gang, other hosts to which a failure of the job is attributed count as faulty.
     fn record_task_success(&mut self, healthy_host: HostIndex, key: TaskKey) {
         if let Some(host) = self.cluster.host_mut(healthy_host) {
             host.failed_jobs.clear();
@@ -96,7 +97,7 @@
         let task = &mut self.cluster.jobs[key.job].tasks[key.task as usize];
         task.failures = task.failures.saturating_add(1);
         if task.failures >= FAILURES_BEFORE_PAUSE {
-            // The task fails on every host: exponential pauses keep it from taking capacity again in
+            // The task may fail on every host: exponential pauses keep it from taking capacity again in
             // each cycle.
             task.retry_after_ms = now + self.policy.react_ms * (1 << task.failures.min(MAX_PAUSE_FAILURES));
         }
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Attributes a failure to the host, or to the job once it has failed on several hosts.
+    /// Attributes a failure to the host, or to the job if it has failed on at least two hosts or only one
+    /// host is known. For a period after that, the job avoids the hosts on which it failed.
     fn attribute_failure(&mut self, host_index: HostIndex, job_index: JobIndex, now: u64) {
         let host_count = self.cluster.hosts.len();
         // The period is long enough for another host to boot.
@@ -138,7 +140,7 @@
             return;
         }
         job.done += newly_done;
-        let job_is_array = job.spec.shape == Shape::Batch;
+        let job_is_batch = job.spec.shape == Shape::Batch;
         if job.done >= job.spec.tasks {
             // A cancellation whose write is pending takes precedence; otherwise the job is done.
             if !matches!(job.unsaved, UnsavedChange::End(_)) {
@@ -149,12 +151,12 @@
             job.unsaved_since_ms = now;
         }
         self.commit_queue.mark_job(job_index);
-        if job_is_array {
+        if job_is_batch {
             self.scheduling_triggers.mark_array_task_done();
         }
     }
 
-    /// Stops the remaining attempts of array tasks that are already done. Runs once per scheduling
+    /// Stops the remaining attempts of tasks of batch jobs that are already done. Runs once per scheduling
     /// cycle, because it iterates over all attempts.
     pub(super) fn stop_attempts_of_done_tasks(&mut self) {
         if !self.scheduling_triggers.take_array_tasks_done() {
@@ -193,7 +195,8 @@
         self.attempt_lost(host_index, key, attempt, ended);
     }
 
-    /// Handles the loss of an attempt: sets its task to idle if the attempt held its place.
+    /// Handles the loss of an attempt. If it held the place of its task, sets the task to idle and stops the
+    /// other attempts of a gang, unless the lost one had already ended (`ended`).
     pub(super) fn attempt_lost(&mut self, host_index: HostIndex, key: TaskKey, attempt: u64, ended: bool) {
         let job = &mut self.cluster.jobs[key.job];
         let task = &mut job.tasks[key.task as usize];
--- a/src/control/partition/direct_commands.rs
+++ b/src/control/partition/direct_commands.rs
@@ -3,10 +3,12 @@
 //! A command without an answer may be carried out minutes later, until the worker has seen a higher
 //! fencing token, a new agent epoch has begun, or the host is terminated. Until then the attempts of the
 //! command keep the token under which they may still start (`indeterminate_order_token`).
+//!
+//! The parameter `now` is steady time in milliseconds.
 
 use super::heartbeats::MAX_ORDERS_PER_REPLY;
 use super::{DirectCommand, DirectCommandOutcome, Partition, StatusSource, task_orders};
-use crate::model::{HostIndex, UNREACHABLE_AFTER_MISSES};
+use crate::model::{HostIndex, UNREACHABLE_AFTER_UNANSWERED};
 use crate::wire::Order;
 
 /// Divisor of the reaction time that gives the pause after a command without an answer.
@@ -15,15 +17,16 @@
 const FOLLOW_UP_DIVISOR: u64 = 20;
 
 impl Partition {
-    /// Returns whether the host must wait before its next command, because one is in flight or a pause
-    /// has not elapsed.
+    /// Returns whether no command may be sent to the host now, because one is in flight or a pause has not
+    /// elapsed.
     pub fn is_command_delayed(&self, host_index: HostIndex, now: u64) -> bool {
         self.cluster.host(host_index).is_some_and(|host| host.command_in_flight || now < host.next_command_ms)
     }
 
-    /// Returns the direct command that is due for a host, or `None`. With `probe`, the command is sent
-    /// even without orders.
-    pub fn next_direct_command(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<DirectCommand> {
+    /// Takes the direct command that is due for a host and marks it and its starts as in flight. A command
+    /// without orders is due only if `probe` is true or the host has not confirmed this leader's token.
+    /// Returns `None` if no command is due or may be sent now, or if the host or its address is unknown.
+    pub fn take_direct_command(&mut self, host_index: HostIndex, now: u64, probe: bool) -> Option<DirectCommand> {
         let fencing_token = self.epoch.fencing_token();
         // Slot orders come first: a task may need the capacity of a slot that is to be unloaded.
         let slot_orders = self.slot_orders(host_index);
@@ -82,13 +85,13 @@
             }
             DirectCommandOutcome::NotSent | DirectCommandOutcome::Indeterminate => {
                 host.next_command_ms = retry_at_ms;
-                host.unanswered_probes = host.unanswered_probes.saturating_add(1);
+                host.unanswered_commands = host.unanswered_commands.saturating_add(1);
             }
         }
     }
 
-    /// Queues another command for orders that became due while a command was in flight, because they
-    /// must not wait for the next heartbeat.
+    /// Queues another command after a pause if the host has not confirmed this leader's token or if starts
+    /// or stops of attempts are due, because they must not wait for the next heartbeat.
     fn queue_follow_up_command(&mut self, host_index: HostIndex, now: u64) {
         let pause = self.policy.react_ms / FOLLOW_UP_DIVISOR;
         if let Some(host) = self.cluster.host_mut(host_index)
@@ -99,13 +102,15 @@
         }
     }
 
-    /// Returns whether an attempt or a host record can only be settled under a higher fencing token.
+    /// Returns whether this leader needs a higher fencing token: the transfer of a host is indeterminate, a
+    /// host has seen a higher token, or an unanswered command may still start an attempt that is to be
+    /// stopped or has ended.
     pub fn needs_higher_token(&self) -> bool {
         self.is_transfer_indeterminate()
             || self.cluster.each_host().any(|(_, host)| host.seen_token > self.epoch.fencing_token())
             || self.cluster.each_host().any(|(_, host)| {
                 // A host that answers nothing would not confirm the higher token either.
-                host.unanswered_probes < UNREACHABLE_AFTER_MISSES
+                host.unanswered_commands < UNREACHABLE_AFTER_UNANSWERED
                     && host.attempts.iter().any(|attempt| {
                         attempt.indeterminate_order_token.is_some_and(|token| token >= self.epoch.fencing_token())
                             && (attempt.stop.is_some() || attempt.ended())
--- a/src/control/partition/failure_detector.rs
+++ b/src/control/partition/failure_detector.rs
@@ -2,7 +2,7 @@
 
 use super::Partition;
 use super::keys::host_key;
-use crate::model::{ClusterState, Host, HostIndex, UNREACHABLE_AFTER_MISSES};
+use crate::model::{ClusterState, Host, HostIndex, UNREACHABLE_AFTER_UNANSWERED};
 use crate::runtime::clock::MAX_CLOCK_DRIFT;
 use crate::scheduling::Policy;
 use std::collections::{HashMap, HashSet};
@@ -93,7 +93,7 @@
         }
         for host in cluster.hosts.iter_mut().flatten() {
             host.last_heartbeat_ms = (host.last_heartbeat_ms + pause_ms).min(now);
-            host.unanswered_probes = 0;
+            host.unanswered_commands = 0;
         }
     }
 }
@@ -110,13 +110,13 @@
     let mut zones: HashMap<&str, ZoneHealth> = HashMap::new();
     for (host_index, host) in cluster.each_host().filter(|(_, host)| !host.terminating) {
         let suspect = now.saturating_sub(host.last_heartbeat_ms) > timeouts.suspect_after_ms;
-        if host.confirmed() {
+        if host.certainly_exists() {
             if is_lease_expired(host, policy, now, leases_renewable_until_ms) {
                 classification.expired.push(host_index);
             }
             let zone = zones.entry(&host.zone).or_default();
             zone.all += 1;
-            zone.suspect += usize::from(suspect || host.unanswered_probes >= UNREACHABLE_AFTER_MISSES);
+            zone.suspect += usize::from(suspect || host.unanswered_commands >= UNREACHABLE_AFTER_UNANSWERED);
         }
         if is_unreachable(host, policy, now) {
             classification.unreachable.push(host_index);
@@ -124,14 +124,14 @@
         // After a failover most workers look for this leader at other addresses first, so all hosts that
         // have not confirmed its token are probed at once.
         let awaits_token = !host.token_confirmed() && !confirms_token_soon(host, policy, now);
-        if suspect || host.unanswered_probes > 0 || awaits_token {
+        if suspect || host.unanswered_commands > 0 || awaits_token {
             classification.to_probe.push(host_index);
         }
     }
     // Hosts with unanswered probes come last, because not all hosts may be probed at once.
     classification
         .to_probe
-        .sort_by_key(|host_index| cluster.host(*host_index).map_or(0, |host| host.unanswered_probes));
+        .sort_by_key(|host_index| cluster.host(*host_index).map_or(0, |host| host.unanswered_commands));
     // If many hosts of a zone are suspect together, the zone or this node is probably partitioned. The
     // first of these hosts must not be terminated before the others show this.
     let partitioned = zones.into_iter().filter(|(_, health)| health.is_partitioned());
@@ -159,9 +159,9 @@
 /// Returns whether orders no longer reach the host. This can also hold for a host that sends heartbeats.
 fn is_unreachable(host: &Host, policy: &Policy, now: u64) -> bool {
     let silent_ms = now.saturating_sub(host.last_heartbeat_ms);
-    let unanswered_ms = u64::from(host.unanswered_probes) * policy.react_ms;
+    let unanswered_ms = u64::from(host.unanswered_commands) * policy.react_ms;
     let timeout_ms = HeartbeatTimeouts::of(policy).unreachable_after_ms;
-    let unresponsive = host.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+    let unresponsive = host.unanswered_commands >= UNREACHABLE_AFTER_UNANSWERED
         && (silent_ms > timeout_ms || unanswered_ms > policy.lease_ms);
     unresponsive || (host.addr.is_none() && silent_ms > policy.lease_ms)
 }
@@ -197,7 +197,7 @@
     fn terminate_unreachable(&mut self, unreachable: Vec<HostIndex>, partitioned: &HashSet<String>) -> Vec<String> {
         let mut to_terminate = Vec::new();
         for host_index in unreachable {
-            let may_terminate = |host: &&mut Host| !host.confirmed() || !partitioned.contains(&host.zone);
+            let may_terminate = |host: &&mut Host| !host.certainly_exists() || !partitioned.contains(&host.zone);
             let Some(host) = self.cluster.host_mut(host_index).filter(may_terminate) else { continue };
             host.terminating = true;
             tracing::info!(host = host.id, "terminating unreachable host");
@@ -218,11 +218,11 @@
     pub fn is_isolated(&self, now: u64) -> bool {
         let suspect_after_ms = HeartbeatTimeouts::of(&self.policy).suspect_after_ms;
         let (mut all, mut known, mut silent) = (0, 0, 0);
-        for (_, host) in self.cluster.each_host().filter(|(_, host)| !host.terminating && host.confirmed()) {
+        for (_, host) in self.cluster.each_host().filter(|(_, host)| !host.terminating && host.certainly_exists()) {
             all += 1;
             // After a failover, hosts that were not probed yet may still be on the way to this leader.
             let has_reported = host.agent_epoch > 0;
-            if has_reported || host.unanswered_probes >= UNREACHABLE_AFTER_MISSES {
+            if has_reported || host.unanswered_commands >= UNREACHABLE_AFTER_UNANSWERED {
                 known += 1;
                 let tolerance_ms = if has_reported { self.policy.react_ms } else { 0 };
                 let silent_ms = now.saturating_sub(host.last_heartbeat_ms);
--- a/src/control/partition/heartbeats.rs
+++ b/src/control/partition/heartbeats.rs
@@ -75,7 +75,7 @@
             self.pending_orders(host_index, &mut orders);
         }
         if let Some(host) = self.cluster.host_mut(host_index).filter(|host| !host.attempts.is_empty()) {
-            host.idle_since_ms = now;
+            host.last_busy_ms = now;
         }
         orders
     }
@@ -144,11 +144,11 @@
         host.sequence = heartbeat.sequence;
         host.seen_token = host.seen_token.max(heartbeat.seen_token);
         host.addr = Some(heartbeat.addr);
-        host.loads_models = heartbeat.slots.is_some();
+        host.can_load_models = heartbeat.slots.is_some();
         host.instance_type = instance_type;
         host.last_heartbeat_ms = now;
         if source == StatusSource::DirectCommandReply {
-            host.unanswered_probes = 0;
+            host.unanswered_commands = 0;
         }
         let notice_s = heartbeat.warning_s.filter(|_| !host.preemption_notice);
         if notice_s.is_some() {
@@ -168,8 +168,8 @@
     /// known, and no order of an earlier leader can start anything on it.
     fn mark_reconciled(&mut self, host_index: HostIndex, heartbeat: &Heartbeat) {
         let Some(host) = self.cluster.host_mut(host_index) else { return };
-        if !host.confirmed() {
-            // The host is not in the registry, so no earlier leader has placed anything on it.
+        if !host.certainly_exists() {
+            // The host has no record in the registry, so no earlier leader has placed anything on it.
             tracing::info!(
                 host = heartbeat.host,
                 instance_type = heartbeat.instance_type,
--- a/src/control/partition/tests/borrowing.rs
+++ b/src/control/partition/tests/borrowing.rs
@@ -155,7 +155,7 @@
     harness.burst(4);
     assert_eq!(count_stops(&harness.heartbeat()), 0, "the loan is not recorded yet");
     let host = harness.partition.dispatch_queue.hosts().iter().next().copied();
-    let direct = host.and_then(|host| harness.partition.next_direct_command(host, harness.now, false));
+    let direct = host.and_then(|host| harness.partition.take_direct_command(host, harness.now, false));
     assert_eq!(direct.map_or(0, |direct| count_stops(&direct.orders)), 0, "no direct command either");
     harness.finish_commit(false);
     assert_eq!(count_stops(&harness.heartbeat()), 0, "the commit was refused");
--- a/src/control/partition/tests/failover.rs
+++ b/src/control/partition/tests/failover.rs
@@ -149,7 +149,7 @@
     let (jobs, hosts) = stored_records(&mut old);
     let mut partition = partition_with_records(5, jobs, hosts);
     assert_eq!(partition.detect_failures(1000, 0).to_probe, [0, 1, 2]);
-    partition.cluster.host_mut(0).unwrap().unanswered_probes = 1;
+    partition.cluster.host_mut(0).unwrap().unanswered_commands = 1;
     assert_eq!(partition.detect_failures(1100, 0).to_probe, [1, 2, 0]);
 }
 
--- a/src/control/partition/tests/failure_detection.rs
+++ b/src/control/partition/tests/failure_detection.rs
@@ -17,7 +17,7 @@
         let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(now, 0);
         terminated.extend(to_terminate);
         for host_index in to_probe {
-            if let Some(command) = partition.next_direct_command(host_index, now, true) {
+            if let Some(command) = partition.take_direct_command(host_index, now, true) {
                 probes += 1;
                 partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now + 200);
             }
@@ -63,7 +63,7 @@
 fn a_pause_of_the_leader_is_not_counted_as_silence_of_the_machines() {
     let mut partition = partition();
     partition.heartbeat(&heartbeat("h1", 1, 1, 1, vec![]), StatusSource::Heartbeat, 1000);
-    partition.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
+    partition.cluster.host_mut(0).unwrap().unanswered_commands = UNREACHABLE_AFTER_UNANSWERED;
     partition.detect_failures(1200, 0);
     assert_eq!(partition.detect_failures(60_000, 0), DetectedFailures { to_terminate: vec![], to_probe: vec![] });
     let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(60_300, 0);
@@ -83,7 +83,7 @@
         let DetectedFailures { to_terminate, to_probe } = partition.detect_failures(now, 0);
         terminated.extend(to_terminate);
         for host_index in to_probe.into_iter().chain((round == 0).then_some(0)) {
-            if let Some(command) = partition.next_direct_command(host_index, now, true) {
+            if let Some(command) = partition.take_direct_command(host_index, now, true) {
                 partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now);
             }
         }
@@ -137,6 +137,11 @@
     let mut partition = partition_with_records(5, vec![], (1..6).map(item).collect());
     assert!(!partition.is_isolated(9000), "after a failover the machines may not have reported to this leader yet");
     // A leader that is isolated from the start is detected by its unanswered probes.
-    partition.cluster.hosts.iter_mut().flatten().for_each(|host| host.unanswered_probes = UNREACHABLE_AFTER_MISSES);
+    partition
+        .cluster
+        .hosts
+        .iter_mut()
+        .flatten()
+        .for_each(|host| host.unanswered_commands = UNREACHABLE_AFTER_UNANSWERED);
     assert!(partition.is_isolated(9000) && !partition.is_isolated(2000));
 }
--- a/src/control/partition/tests/fault_combinations.rs
+++ b/src/control/partition/tests/fault_combinations.rs
@@ -106,7 +106,7 @@
     );
     let mut rx = request_cancellation(&mut partition, "run-000001", 1200, false);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
-    let command = partition.next_direct_command(0, 1200, false).unwrap();
+    let command = partition.take_direct_command(0, 1200, false).unwrap();
     assert!(matches!(command.orders[..], [Order::Stop { .. }]));
     partition.heartbeat(
         &heartbeat("h1", 1, 3, 1, vec![task_status("run-000001/0", attempt, "ended", Some("halted"))]),
@@ -122,7 +122,7 @@
 #[test]
 fn a_cancellation_that_an_unreachable_machine_delays_is_refused_at_once() {
     let mut partition = partition_with_running_job("service", 1);
-    partition.cluster.host_mut(0).unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
+    partition.cluster.host_mut(0).unwrap().unanswered_commands = UNREACHABLE_AFTER_UNANSWERED;
     let mut rx = request_cancellation(&mut partition, "run-000001", 1200, true);
     assert!(matches!(rx.try_recv(), Ok(UserAnswer::RetryLater(_))));
     partition.host_terminated("h1");
@@ -205,7 +205,7 @@
     partition.schedule(1000, 1000);
     assert_eq!(partition.cluster.jobs[0].tasks[0].place, Place::Idle);
     assert!(partition.dispatch_queue.hosts().contains(&0));
-    let command = partition.next_direct_command(0, 1010, false).unwrap();
+    let command = partition.take_direct_command(0, 1010, false).unwrap();
     assert!(command.orders.is_empty());
     partition.apply_direct_command_outcome(
         &command,
--- a/src/control/partition/tests/fleet.rs
+++ b/src/control/partition/tests/fleet.rs
@@ -206,7 +206,7 @@
             self.next_cycle = now + 200;
         }
         for host_index in self.partition.take_dispatch_queue() {
-            let Some(command) = self.partition.next_direct_command(host_index, now, false) else { continue };
+            let Some(command) = self.partition.take_direct_command(host_index, now, false) else { continue };
             let machine = self.machines.get_mut(&command.id).unwrap();
             if machine.next_ms == u64::MAX {
                 self.partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, now);
--- a/src/control/partition/tests/mod.rs
+++ b/src/control/partition/tests/mod.rs
@@ -20,7 +20,7 @@
 use crate::model::FencingToken;
 use crate::model::{
     Demand, Host, HostIndex, HostRecord, InstanceType, Job, JobPhase, JobRecord, Place, TaskAttempt,
-    UNREACHABLE_AFTER_MISSES,
+    UNREACHABLE_AFTER_UNANSWERED,
 };
 use crate::scheduling;
 use crate::settings::{OperatorSettings, tests::settings};
--- a/src/control/partition/tests/orders.rs
+++ b/src/control/partition/tests/orders.rs
@@ -9,7 +9,7 @@
     let (tx, mut rx) = oneshot::channel();
     let attempts = [attempt_number(&partition, 0), attempt_number(&partition, 1)];
     partition.cancel("run-000001", 1000, true, tx);
-    let command = partition.next_direct_command(0, 1100, false).unwrap();
+    let command = partition.take_direct_command(0, 1100, false).unwrap();
     assert!(command.orders.iter().all(|order| matches!(order, Order::Stop { .. })) && command.orders.len() == 2);
     partition.schedule(1200, 1200);
     // While one of the tasks may still run, the cancellation is not answered, because users measure time from the answer.
@@ -40,7 +40,7 @@
 #[test]
 fn an_unanswered_direct_command_blocks_its_tasks_until_a_higher_token() {
     let mut partition = partition_with_running_job("service", 1);
-    let command = partition.next_direct_command(0, 1001, false).unwrap();
+    let command = partition.take_direct_command(0, 1001, false).unwrap();
     partition.apply_direct_command_outcome(&command, DirectCommandOutcome::Indeterminate, 2000);
     // The machine does not list the task, but the order may still arrive.
     let orders = partition.heartbeat(&heartbeat("h1", 1, 2, 1, vec![]), StatusSource::Heartbeat, 2100);
@@ -62,7 +62,7 @@
 fn an_ended_attempt_is_not_reaped_while_its_run_order_may_arrive() {
     let mut partition = partition_with_running_job("service", 1);
     let attempt = attempt_number(&partition, 0);
-    let command = partition.next_direct_command(0, 1001, false).unwrap();
+    let command = partition.take_direct_command(0, 1001, false).unwrap();
     let ended = || vec![task_status("run-000001/0", attempt, "ended", Some("error"))];
     assert_eq!(
         count_reaps(&partition.heartbeat(&heartbeat("h1", 1, 2, 1, ended()), StatusSource::Heartbeat, 1100)),
--- a/src/control/partition/tests/warm_pools/failovers.rs
+++ b/src/control/partition/tests/warm_pools/failovers.rs
@@ -39,7 +39,7 @@
     harness.schedule();
     let host = *harness.partition.dispatch_queue.hosts().first().unwrap();
     harness.commit();
-    let late = harness.partition.next_direct_command(host, harness.now, false).unwrap();
+    let late = harness.partition.take_direct_command(host, harness.now, false).unwrap();
     let old_token = late.fencing_token.0;
     harness.fail_over();
     harness.rounds(4);
--- a/src/control/partition/tests/warm_pools/mod.rs
+++ b/src/control/partition/tests/warm_pools/mod.rs
@@ -204,7 +204,7 @@
 
     fn dispatch(&mut self) {
         for host_index in self.partition.take_dispatch_queue() {
-            let Some(command) = self.partition.next_direct_command(host_index, self.now, false) else { continue };
+            let Some(command) = self.partition.take_direct_command(host_index, self.now, false) else { continue };
             let worker = self.workers.get_mut(&command.id).unwrap();
             if worker.silent {
                 self.partition.apply_direct_command_outcome(&command, DirectCommandOutcome::NotSent, self.now);
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -4,7 +4,7 @@
 use super::waiting_clients::reply;
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
-use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_MISSES, UnsavedChange, Urgency};
+use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_UNANSWERED, UnsavedChange, Urgency};
 use crate::{scheduling, wire};
 
 /// Milliseconds of the lease that are required per second of backlog. Submissions are refused once
@@ -187,7 +187,7 @@
     fn may_be_unreachable(&self, job_index: JobIndex, now: u64) -> bool {
         let timeout_ms = HeartbeatTimeouts::of(&self.policy).unreachable_after_ms;
         let is_unreachable = |host: &Host| {
-            host.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+            host.unanswered_commands >= UNREACHABLE_AFTER_UNANSWERED
                 || now.saturating_sub(host.last_heartbeat_ms) > timeout_ms
         };
         let has_tasks =
--- a/src/control/partition/warm_pools/placement.rs
+++ b/src/control/partition/warm_pools/placement.rs
@@ -94,7 +94,7 @@
         instance_type.is_some_and(|instance_type| matches(&pool.machines, instance_type))
             && matches(&pool.zones, &host.zone)
             && (pool.spot || !host.spot)
-            && (pool.keep == HoldKind::Image || host.loads_models)
+            && (pool.keep == HoldKind::Image || host.can_load_models)
     }
 
     /// Returns whether the payer's tasks and idle replicas stay within its limit with one more replica. Beyond the
@@ -134,7 +134,7 @@
     fn may_have_suitable_machines(&self, pool: &Pool) -> bool {
         pool.keep == HoldKind::Image
             || self.cluster.host_index.is_empty()
-            || self.cluster.each_host().any(|(_, host)| host.loads_models)
+            || self.cluster.each_host().any(|(_, host)| host.can_load_models)
     }
 
     /// Returns the lowest hourly price of one of the pool's replicas on any allowed instance type, or zero if
--- a/src/control/partition/warm_pools/slot_statuses.rs
+++ b/src/control/partition/warm_pools/slot_statuses.rs
@@ -82,7 +82,7 @@
     /// unloading draining ones.
     pub(in crate::control::partition) fn slot_orders(&self, host_index: HostIndex) -> Vec<Order> {
         let Some(warm_pools) = &self.warm_pools else { return Vec::new() };
-        let Some(host) = self.cluster.host(host_index).filter(|host| host.loads_models && host.reconciled) else {
+        let Some(host) = self.cluster.host(host_index).filter(|host| host.can_load_models && host.reconciled) else {
             return Vec::new();
         };
         let loaded = warm_pools.pools.slots().filter(|slot| slot.host == host.id && slot.keep == HoldKind::Loaded);
--- a/src/control/partition_leader/dispatch.rs
+++ b/src/control/partition_leader/dispatch.rs
@@ -45,7 +45,7 @@
     /// `run_due_work` has checked the lease. If the command is sent after the lease has expired, the
     /// worker refuses it once it has seen the token of the next leader.
     fn send_direct(&self, leadership: &mut Leadership, host_index: HostIndex, now: u64, probe: bool) -> bool {
-        let Some(command) = leadership.partition.next_direct_command(host_index, now, probe) else { return false };
+        let Some(command) = leadership.partition.take_direct_command(host_index, now, probe) else { return false };
         let body = wire::direct_command_body(command.fencing_token, command.agent_epoch, &command.orders);
         let (worker, sender) = (self.worker.clone(), self.sender(leadership.epoch));
         task::spawn(async move {
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,15 +1,17 @@
-//! Machines: their leases, the task attempts on them and the capacity reserved on them.
+//! Hosts, which are the machines of the fleet: their leases, the task attempts on them and the capacity
+//! reserved on them.
 
 use super::FencingToken;
 use super::{CachedImage, Demand, JobIndex, TaskAttempt, TaskKey};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Number of consecutive direct commands without an answer after which a machine counts as unreachable.
+/// Number of consecutive direct commands that could not be sent or got no answer, from which a machine
+/// counts as unreachable.
 /// A single unanswered command may be a chance loss of a message.
-pub const UNREACHABLE_AFTER_MISSES: u32 = 2;
+pub const UNREACHABLE_AFTER_UNANSWERED: u32 = 2;
 
-/// Number of jobs with failures on a machine from which on the machine counts as faulty.
+/// Number of jobs in [`Host::failed_jobs`] from which a machine counts as faulty.
 pub const FAULTY_AFTER_JOBS: usize = 3;
 
 /// Index of a machine in [`ClusterState::hosts`](super::ClusterState::hosts).
@@ -62,25 +64,30 @@
     pub zone: String,
     /// True for a spot machine, which the cloud may take back.
     pub spot: bool,
-    /// Agent epoch of the worker in the last heartbeat; 0 if there was none.
+    /// Agent epoch of the worker in the last heartbeat; 0 if there was none. A higher agent epoch means that
+    /// the lease and all attempts of the previous one have ended.
     pub agent_epoch: u64,
     /// Sequence number of the last heartbeat in `agent_epoch`; 0 if there was none.
     pub sequence: u64,
-    /// Highest fencing token that the worker is known to have seen; 0 if it is known to have seen none.
+    /// Highest fencing token that the worker is known to have seen; [`FencingToken::NONE`] if none is known.
     pub seen_token: FencingToken,
     /// First fencing token of this leader. Heartbeats count only once the worker has seen it: a heartbeat
     /// with a lower token may be a delayed copy from a machine that no longer exists.
     pub required_token: FencingToken,
     /// Partition to which the machine is being transferred; `None` if it is not being transferred.
     pub transferring_to: Option<u32>,
-    /// Steady time, in milliseconds, of the last heartbeat.
+    /// Steady time, in milliseconds, from which the silence of the worker is counted: the last heartbeat or
+    /// answer to a direct command, or the time at which the machine became known. Pauses of this leader are
+    /// added.
     pub last_heartbeat_ms: u64,
-    /// Steady time, in milliseconds, of the last answer that may have renewed the worker's lease.
+    /// Steady time, in milliseconds, of the last heartbeat whose answer may have renewed the worker's lease,
+    /// or at which the machine became known or a new agent epoch was noticed, if that was later.
     pub lease_renewed_ms: u64,
     /// Steady time, in milliseconds, of the answer that showed the worker this leader's token; 0 if there
     /// was none.
     pub token_shown_ms: u64,
-    /// True if the machine is in the registry. A succeeding leader then knows that it may hold tasks.
+    /// True if the machine has a record in the registry, which is in the state service. A succeeding
+    /// leader then knows that it may hold tasks.
     pub registered: bool,
     /// True if the machine has reported under this leader's token, or has certainly lost all its tasks.
     pub reconciled: bool,
@@ -91,15 +98,15 @@
     /// True if its return to the cloud was decided. No task is placed on it any more.
     pub terminating: bool,
     /// True if its worker supports the extension for keeping models loaded.
-    pub loads_models: bool,
+    pub can_load_models: bool,
     /// True while its tasks are moved away so that it can be returned to the cloud.
     pub draining: bool,
-    /// Number of consecutive direct commands without an answer.
-    pub unanswered_probes: u32,
+    /// Number of consecutive direct commands that could not be sent or got no answer.
+    pub unanswered_commands: u32,
     /// True while a direct command to the machine is in flight.
     pub command_in_flight: bool,
-    /// Steady time, in milliseconds, before which no further direct command is sent (retry after); 0 if
-    /// there is no delay.
+    /// Steady time, in milliseconds, before which no further direct command is sent; 0 if there is no
+    /// pause.
     pub next_command_ms: u64,
     /// Steady time, in milliseconds, before which no task is placed on the machine because it refused one;
     /// 0 if it refused none.
@@ -109,8 +116,8 @@
     /// True if a job that failed on this machine has succeeded on another one.
     pub succeeded_elsewhere: bool,
     /// Steady time, in milliseconds, of the last report after which the machine had attempts, or at which
-    /// it became known.
-    pub idle_since_ms: u64,
+    /// the machine became known.
+    pub last_busy_ms: u64,
     /// Steady time, in milliseconds, at which the machine became known to this leader.
     pub known_since_ms: u64,
     /// Task attempts that are, or may be, on the machine.
@@ -122,7 +129,8 @@
 }
 
 impl Host {
-    /// Creates a machine of which only its id and offering are known. `now` is steady time in milliseconds.
+    /// Returns the state of a machine of which only the id, the zone, the instance type and whether it is a
+    /// spot machine are known. `now` is steady time in milliseconds.
     pub fn new(id: String, zone: String, spot: bool, instance_type: Option<usize>, now: u64) -> Host {
         Host {
             id,
@@ -143,15 +151,15 @@
             has_unknown_tasks: false,
             preemption_notice: false,
             terminating: false,
-            loads_models: false,
+            can_load_models: false,
             draining: false,
-            unanswered_probes: 0,
+            unanswered_commands: 0,
             command_in_flight: false,
             next_command_ms: 0,
             blocked_until_ms: 0,
             failed_jobs: HashSet::new(),
             succeeded_elsewhere: false,
-            idle_since_ms: now,
+            last_busy_ms: now,
             known_since_ms: now,
             attempts: Vec::new(),
             reservations: Vec::new(),
@@ -188,7 +196,7 @@
 
     /// Returns whether the machine certainly exists. A heartbeat alone does not prove it, as it may be a
     /// delayed copy.
-    pub fn confirmed(&self) -> bool {
+    pub fn certainly_exists(&self) -> bool {
         self.registered || self.reconciled
     }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -24,7 +24,7 @@
 pub use cluster::{ClusterState, ExpectedDemand, HostOffering};
 pub use dependencies::Dependencies;
 pub use fencing_token::FencingToken;
-pub use host::{Host, HostIndex, Reservation, UNREACHABLE_AFTER_MISSES};
+pub use host::{Host, HostIndex, Reservation, UNREACHABLE_AFTER_UNANSWERED};
 pub use image_cache::CachedImage;
 pub use instance_type::{InstanceOffering, InstanceType};
 pub use job::{Job, JobEnd, JobIndex, JobPhase, UnsavedChange};
--- a/src/provisioning/provisioner/partition_plan.rs
+++ b/src/provisioning/provisioner/partition_plan.rs
@@ -126,7 +126,7 @@
         let Some(host) = cluster.host(host_index) else { continue };
         let Some(boot_s) = host.instance_type.map(|index| cluster.instance_types[index].boot_s) else { continue };
         let idle_limit_ms = (partition.policy().idle_keep * boot_s * 1000.0) as u64;
-        if now > host.idle_since_ms + idle_limit_ms {
+        if now > host.last_busy_ms + idle_limit_ms {
             terminable.push(host.id.clone());
         } else {
             spare.push(host.id.clone());
--- a/src/scheduling/host_eligibility.rs
+++ b/src/scheduling/host_eligibility.rs
@@ -1,6 +1,6 @@
 //! Eligibility of machines for placement, now or once they have joined.
 
-use crate::model::{Host, UNREACHABLE_AFTER_MISSES};
+use crate::model::{Host, UNREACHABLE_AFTER_UNANSWERED};
 
 /// Returns whether the machine is new and has reported, so that it becomes usable once it is registered and
 /// has confirmed the fencing token of the leader. The capacity plan need not request its capacity again.
@@ -10,7 +10,7 @@
         && !host.preemption_notice
         && !host.terminating
         && host.transferring_to.is_none()
-        && host.unanswered_probes < UNREACHABLE_AFTER_MISSES
+        && host.unanswered_commands < UNREACHABLE_AFTER_UNANSWERED
 }
 
 /// Returns whether tasks may be placed on the machine at `now`, in milliseconds of the steady clock.
@@ -29,5 +29,5 @@
         && host.blocked_until_ms <= now
         && !host.faulty()
         && host.addr.is_some()
-        && host.unanswered_probes < UNREACHABLE_AFTER_MISSES
+        && host.unanswered_commands < UNREACHABLE_AFTER_UNANSWERED
 }
--- a/src/scheduling/tests/mod.rs
+++ b/src/scheduling/tests/mod.rs
@@ -12,7 +12,7 @@
 use super::*;
 use crate::model::{
     ClusterState, Demand, Host, HostIndex, InstanceOffering, InstanceType, Job, JobIndex, Place, Reservation, Shape,
-    Spec, TaskAttempt, TaskKey, TaskPhase, UNREACHABLE_AFTER_MISSES, Urgency,
+    Spec, TaskAttempt, TaskKey, TaskPhase, UNREACHABLE_AFTER_UNANSWERED, Urgency,
 };
 use crate::settings::{OperatorSettings, tests::settings};
 use proptest::prelude::*;
--- a/src/scheduling/tests/planning.rs
+++ b/src/scheduling/tests/planning.rs
@@ -44,7 +44,7 @@
     };
     cluster.hosts[0].as_mut().unwrap().registered = false;
     assert!(scale_out(&cluster).is_empty(), "the machine becomes usable soon");
-    cluster.hosts[0].as_mut().unwrap().unanswered_probes = UNREACHABLE_AFTER_MISSES;
+    cluster.hosts[0].as_mut().unwrap().unanswered_commands = UNREACHABLE_AFTER_UNANSWERED;
     assert_eq!(scale_out(&cluster).len(), 1, "the machine does not answer");
 }
 
