--- a/crates/warm-pools/src/lib.rs
+++ b/crates/warm-pools/src/lib.rs
@@ -22,7 +22,7 @@
 mod targets;
 mod wall_clock;
 
-pub use badgerdrift_common::{FieldError, Moment};
+pub use badgerdrift_common::{ClockReading, FieldError};
 pub use bill::{BillRecord, Charge, ChargeKind, DayTotal, days_around, is_day};
 pub use calendar::{CalendarError, Schedule};
 pub use check::KnownFleet;
@@ -33,4 +33,4 @@
     Amounts, DateException, HoldKind, Model, ModelIdentity, ModelName, Pool, PoolName, PoolSettings, TeamName, Window,
 };
 pub use slot::{Claim, EndCause, Slot, SlotId, SlotState, Transition};
-pub use wall_clock::AcceptedTime;
+pub use wall_clock::WallClockFilter;
--- a/crates/warm-pools/tests/slots.rs
+++ b/crates/warm-pools/tests/slots.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use badgerdrift_warm_pools::{
-    Claim, ClaimError, EndCause, HoldKind, Model, Moment, PoolEvent, RecordKey, SlotId, SlotState, StoredRecord,
+    Claim, ClaimError, ClockReading, EndCause, HoldKind, Model, PoolEvent, RecordKey, SlotId, SlotState, StoredRecord,
     WarmPools,
 };
 use common::{MIDNIGHT_MS, Store, at, place, pool, record_all, settings, warm_slot};
@@ -57,7 +57,7 @@
 fn unrecorded_slot_cannot_be_claimed() {
     let mut pools = WarmPools::new(settings(), at(0));
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     pools.mark_reported(1, true, at(0));
     assert_eq!(pools.claim(1, "notes", claim("red", 7), at(0)), Err(ClaimError::NotFree));
 }
@@ -124,7 +124,7 @@
 
 #[test]
 fn charges_are_split_at_midnight_and_at_price_changes() {
-    let now = |ms: u64| Moment { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
+    let now = |ms: u64| ClockReading { steady_ms: ms, wall_ms: MIDNIGHT_MS + 24 * HOUR_MS - 60_000 + ms };
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), now(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, now(0));
     warm_slot(&mut pools, &mut store, &mut write, 1, now(0));
@@ -146,12 +146,12 @@
     // The clock of the next leader is correct, one hour ahead, or one hour behind.
     for (wall_step, gap_ms) in [(0i64, 20_000), (HOUR_MS as i64, 900_000), (-(HOUR_MS as i64), 0)] {
         let mut store = store.clone();
-        let begin = Moment { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
+        let begin = ClockReading { steady_ms: 5, wall_ms: (MIDNIGHT_MS + 30_000).saturating_add_signed(wall_step) };
         let mut next = WarmPools::new(settings(), begin);
         next.restore(store.all(), begin);
         assert_eq!(next.claim(1, "notes", claim("red", 9), begin), Err(ClaimError::NotFree));
         assert_eq!(state(&next, 1), SlotState::Claimed(claim("blue", 7)));
-        let later = Moment { steady_ms: begin.steady_ms + 5000, wall_ms: begin.wall_ms + 5000 };
+        let later = ClockReading { steady_ms: begin.steady_ms + 5000, wall_ms: begin.wall_ms + 5000 };
         next.mark_reported(1, true, begin);
         next.claim_ended(1, later);
         let mut write = 100;
@@ -183,7 +183,7 @@
     let (mut pools, mut store, mut write) = warm_pools(1);
     for (minute, step) in [(0, 0), (10, HOUR_MS as i64), (20, -(HOUR_MS as i64)), (30, 0)] {
         let now = at(minute * 60_000);
-        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
+        pools.refresh(BOOT_MS, ClockReading { wall_ms: now.wall_ms.saturating_add_signed(step), ..now });
         record_all(&mut pools, &mut store, &mut write);
     }
     assert_eq!(charged(&store, "red"), (30 * 60_000, 0, 0));
@@ -203,7 +203,7 @@
     warm_slot(&mut pools, &mut store, &mut write, 1, at(0));
     for minute in 1..10 {
         let now = at(minute * 60_000);
-        pools.refresh(BOOT_MS, Moment { wall_ms: now.wall_ms + HOUR_MS, ..now });
+        pools.refresh(BOOT_MS, ClockReading { wall_ms: now.wall_ms + HOUR_MS, ..now });
         assert_eq!(state(&pools, 1), SlotState::Idle, "minute {minute}");
     }
     // The window still ends at its regular time.
@@ -213,7 +213,11 @@
 }
 
 /// Returns pools that are restored from the store under changed settings.
-fn with_settings(store: &Store, now: Moment, change: impl Fn(&mut badgerdrift_warm_pools::PoolSettings)) -> WarmPools {
+fn with_settings(
+    store: &Store,
+    now: ClockReading,
+    change: impl Fn(&mut badgerdrift_warm_pools::PoolSettings),
+) -> WarmPools {
     let mut settings = settings();
     change(&mut settings);
     let mut pools = WarmPools::new(settings, now);
@@ -232,7 +236,7 @@
         assert_eq!(pools.claim(1, image, claim("red", 9), at(1000)), Err(ClaimError::AnotherModel), "{image}");
     }
     // Slots of the old version are drained one by one as slots of the new version become warm.
-    assert_eq!(pools.missing("counter"), 2);
+    assert_eq!(pools.missing_count("counter"), 2);
     let mut write = 100;
     for id in [11, 12] {
         let idle = |pools: &WarmPools| pools.slots().filter(|slot| slot.state == SlotState::Idle).count();
@@ -270,7 +274,7 @@
     pool(&mut settings).keep = HoldKind::Image;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     record_all(&mut pools, &mut store, &mut write);
     assert_eq!(pools.claim(1, "notes", claim("red", 9), at(0)), Err(ClaimError::AnotherModel));
     assert_eq!(pools.claim(1, "notes-3", claim("red", 9), at(0)), Ok(()));
@@ -302,7 +306,7 @@
     assert!(matches!(state(&spent, 1), SlotState::Claimed(_)));
     assert_eq!(state(&spent, 2), SlotState::Draining(EndCause::CostLimit));
     assert_eq!(spent.startable_count("counter", 3_600_000, at(302_000)), 0);
-    // The budget starts anew on the next day.
+    // The budget is reset on the next day.
     assert_eq!(spent.startable_count("counter", 3_600_000, at(24 * HOUR_MS)), 2);
 }
 
@@ -314,7 +318,7 @@
         record_all(&mut pools, &mut store, &mut write);
         pools.host_lost("h1", cause, at(5000));
         pools.host_lost("h2", cause, at(5000));
-        assert_eq!(pools.missing("counter"), 2);
+        assert_eq!(pools.missing_count("counter"), 2);
         record_all(&mut pools, &mut store, &mut write);
         assert_eq!((charged(&store, "red").0, charged(&store, "blue").1), (5000, 5000));
         assert!(pools.slots().next().is_none());
@@ -327,13 +331,13 @@
     pool(&mut settings).count = 5;
     let (mut pools, mut store, mut write) = (WarmPools::new(settings, at(0)), Store::default(), 0);
     pools.refresh(BOOT_MS, at(0));
-    assert_eq!((pools.missing("counter"), pools.startable_count("counter", 1, at(0))), (5, 2));
-    pools.begin(1, "counter", place("h1"), at(0));
+    assert_eq!((pools.missing_count("counter"), pools.startable_count("counter", 1, at(0))), (5, 2));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     assert_eq!(pools.startable_count("counter", 1, at(0)), 1);
     pools.mark_reported(1, true, at(0));
     record_all(&mut pools, &mut store, &mut write);
     pools.claim(1, "notes", claim("blue", 7), at(0)).unwrap();
-    assert_eq!(pools.missing("counter"), 5);
+    assert_eq!(pools.missing_count("counter"), 5);
 }
 
 // The state service limits the writes of a commit. The limit must not separate a slot from its bill,
@@ -360,7 +364,7 @@
 fn slot_that_ends_while_its_first_commit_is_open_leaves_no_record() {
     let (mut pools, mut store, mut write) = (WarmPools::new(settings(), at(0)), Store::default(), 60);
     pools.refresh(BOOT_MS, at(0));
-    pools.begin(1, "counter", place("h1"), at(0));
+    pools.create_slot(1, "counter", place("h1"), at(0));
     let late = pools.next_changes(50, 12).unwrap();
     pools.indeterminate();
     pools.host_lost("h1", EndCause::MachineLost, at(1000));
--- a/crates/warm-pools/tests/state_machine.rs
+++ b/crates/warm-pools/tests/state_machine.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use badgerdrift_warm_pools::{
-    Claim, EndCause, Moment, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord,
+    Claim, ClockReading, EndCause, PoolEvent, PoolSettings, RecordChanges, RecordKey, SlotId, SlotState, StoredRecord,
     WarmPools,
 };
 use common::{Store, at, place, settings};
@@ -117,11 +117,11 @@
 
 impl System {
     /// Reports all recorded slots as warm, except draining ones, which are reported as missing.
-    fn report(&mut self, now: Moment) {
+    fn report(&mut self, now: ClockReading) {
         let recorded: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_recorded()).map(|slot| slot.id).collect();
         for id in recorded {
             if matches!(self.pools.slot(id).unwrap().state, SlotState::Draining(_)) {
-                self.pools.mark_missing(id, now);
+                self.pools.handle_missing_report(id, now);
             } else {
                 self.pools.mark_reported(id, true, now);
             }
@@ -129,7 +129,7 @@
     }
 
     /// Claims the first free slot for a task of this team.
-    fn claim_first_free(&mut self, team: usize, now: Moment) {
+    fn claim_first_free(&mut self, team: usize, now: ClockReading) {
         let free: Vec<SlotId> = self.pools.slots().filter(|slot| slot.is_claimable()).map(|slot| slot.id).collect();
         if let Some(id) = free.first() {
             let attempt = self.next_id();
@@ -140,7 +140,7 @@
     }
 
     /// Replaces the leader by one that restores the pools from the records.
-    fn fail_over(&mut self, now: Moment) {
+    fn fail_over(&mut self, now: ClockReading) {
         // Late commits of the previous leader are refused by its guard from now on.
         self.settle();
         self.lost_commits.clear();
@@ -285,7 +285,7 @@
                 system.pools.refresh(BOOT_MS, now);
                 for _ in 0..system.pools.startable_count("counter", 3_600_000, now) {
                     let id = system.next_id();
-                    system.pools.begin(id, "counter", place(&format!("h{id}")), now);
+                    system.pools.create_slot(id, "counter", place(&format!("h{id}")), now);
                 }
             }
             Transition::Report => system.report(now),
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -20,8 +20,8 @@
 const REQUESTS_PER_ACCEPTANCE: usize = 2;
 
 impl Api {
-    /// Answers a submission. A known job is answered with its status, whatever the body contains
-    /// otherwise.
+    /// Answers a submission. A known job is answered with its status, regardless of the rest
+    /// of the body.
     pub(super) async fn submit(&self, body: Vec<u8>) -> Response {
         // A malformed submission is refused without asking the leader.
         let spec = match wire::parse_submission(&body) {
@@ -40,7 +40,7 @@
         if !spec.dependencies.is_empty() && self.router.has_outdated_peer() {
             return self.known_job_or_refusal(&spec.id, RefusalReason::ControllerOutdated.response()).await;
         }
-        let partition = self.teams.get(&spec.team).copied().unwrap_or(0);
+        let partition = self.partition_by_team.get(&spec.team).copied().unwrap_or(0);
         let leader_answer = self.submit_to_leader(partition, &spec, body).await;
         let answer = self.leader_answer_or_accept(partition, &spec, leader_answer).await;
         match answer.status {
--- a/src/configuration/proposals.rs
+++ b/src/configuration/proposals.rs
@@ -28,7 +28,7 @@
 /// An entry to be proposed, with the channel for its outcome.
 pub(super) struct ProposedEntry {
     pub(super) entry: Entry,
-    /// Channel for the outcome of a change; `None` if nobody waits for it.
+    /// Channel for the outcome of a change; `None` if no caller waits for it.
     pub(super) reply: Option<oneshot::Sender<ConfigurationResponse>>,
 }
 
@@ -224,7 +224,7 @@
         }
         let handle = self.handle.clone();
         task::spawn(async move {
-            if let ConfigurationResponse::Agreement(reply) = handle.answer(request).await {
+            if let ConfigurationResponse::Agreement(reply) = handle.request(request).await {
                 // The proposer may have its majority without this reply.
                 let _ = tx.send((handle.region.clone(), reply)).await;
             }
@@ -240,7 +240,7 @@
                 sync::reply(reply, ConfigurationResponse::Outcome(None));
                 continue;
             };
-            let response = match self.handle.answer(ConfigurationRequest::Outcome(change.id)).await {
+            let response = match self.handle.request(ConfigurationRequest::Outcome(change.id)).await {
                 ConfigurationResponse::Outcome(None) => {
                     ConfigurationResponse::Unavailable(UnavailableReason::Indeterminate)
                 }
--- a/src/control/partition/user_requests.rs
+++ b/src/control/partition/user_requests.rs
@@ -4,7 +4,7 @@
 use super::waiting_clients::reply;
 use super::{Partition, UserAnswer, Waiter};
 use crate::api::refusal::RefusalReason;
-use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_MISSES, UnsavedChange, Urgency};
+use crate::model::{Host, Job, JobEnd, JobIndex, JobPhase, Spec, UNREACHABLE_AFTER_UNANSWERED, UnsavedChange, Urgency};
 use crate::{scheduling, wire};
 
 /// Milliseconds of the lease that are required per second of backlog. Submissions are refused once
@@ -85,7 +85,7 @@
     fn add_submitted(&mut self, spec: Spec, now: u64, wall: u64) -> JobIndex {
         let mut job = Job::new(spec, wall, now);
         job.unsaved = UnsavedChange::Creation;
-        job.fresh = true;
+        job.unknown_to_earlier_leaders = true;
         let job_index = self.cluster.add_job(job);
         self.commit_queue.mark_job(job_index);
         self.register_job(job_index);
@@ -98,8 +98,8 @@
         self.commit_queue.creations_due(&self.cluster.jobs, urgency) as f64 / self.policy.writes_per_s
     }
 
-    /// Returns the phase of a job and the number of its running tasks if a user may be told about them
-    /// from memory. This is the only place that decides this. The records are authoritative: while a
+    /// Returns the phase of a job and the number of its running tasks if they may be answered to a
+    /// user from memory. This is the only place that decides this. The records are authoritative: while a
     /// write of the job's end may have been carried out, another node may have read the end and answered
     /// with it. In that case nothing older may be answered, and the record must be read again.
     ///
@@ -187,7 +187,7 @@
     fn may_be_unreachable(&self, job_index: JobIndex, now: u64) -> bool {
         let timeout_ms = HeartbeatTimeouts::of(&self.policy).unreachable_after_ms;
         let is_unreachable = |host: &Host| {
-            host.unanswered_probes >= UNREACHABLE_AFTER_MISSES
+            host.unanswered_commands >= UNREACHABLE_AFTER_UNANSWERED
                 || now.saturating_sub(host.last_heartbeat_ms) > timeout_ms
         };
         let has_tasks =
